--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,7 +1,7 @@
-//! The records of the claim streams.
+//! Records of the claim streams, which limit a call under an idempotency key to one run.
 //!
-//! A claim is on its stream before the call that it protects is sent. The claims of one key are on
-//! one stream, chosen by the key's hash, and the first claim in order of offset wins.
+//! A claim is appended to its stream before the call that it protects is sent. All claims of one
+//! key go to one stream, chosen by the hash of the key, and the claim with the lowest offset wins.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,69 +11,69 @@
 use crate::names::VmName;
 use crate::refusal::Ran;
 
-/// `ClaimRecord` is one entry of a claim batch.
+/// One entry of a [`ClaimBatch`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimRecord {
     /// A VM is about to run a call.
     Claim(Claim),
-    /// A call under a claim ended.
+    /// A call under a claim has ended.
     Finish(Finish),
 }
 
-/// `Claim` says that a VM is about to run a call under a key.
+/// Announces that a VM is about to run a call under an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The caller's key, scoped by service.
+    /// Key that the caller gave, prefixed by the service so that services do not share keys.
     pub key: IdempotencyKey,
-    /// A hash of the call's method, path and body; the same key with another call is an error.
+    /// Hash of the call's method, path and body. The same key with another hash is an error.
     pub call_hash: u64,
-    /// The request that claims.
+    /// Request that makes the claim.
     pub request: RequestId,
-    /// The claiming daemon's VM.
+    /// VM of the claiming daemon.
     pub vm: VmName,
-    /// The claiming daemon's process, chosen at random at its start.
+    /// Random identity that the claiming daemon process chose when it started.
     pub process_id: u64,
 }
 
-/// `Finish` says how the call under a claim ended.
+/// Reports how the call under a claim ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finish {
-    /// The caller's key.
+    /// Key of the claim, prefixed by the service.
     pub key: IdempotencyKey,
-    /// The request that held the claim.
+    /// Request that made the claim.
     pub request: RequestId,
-    /// Whether the call ran. `NotRun` frees the key.
+    /// Whether the call ran. `NotRun` frees the key for another claim.
     pub ran: Ran,
-    /// The answer, if it is small enough to be kept.
+    /// Answer of the call; absent if the call has none or it is too large to be kept.
     pub answer: Option<KeptAnswer>,
 }
 
-/// `KeptAnswer` is the answer that a repeated call gets.
+/// Answer that is stored so that a repeated call receives it without running again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The content type.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// The body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// `ClaimBatch` is one record of a claim stream: the claims that one VM gathered for a moment.
+/// One record of a claim stream: the entries that one VM collected over a short time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimBatch {
-    /// The entries, in order.
+    /// Entries in the order in which they are decided.
     pub entries: Vec<ClaimRecord>,
 }
 
 impl ClaimBatch {
-    /// Returns the batch as it is appended to the stream.
+    /// Encodes the batch as the payload of a log record.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("claim batches hold only strings, numbers and lists")
     }
 
-    /// Returns the batch that was appended, or none if the payload is no claim batch.
+    /// Decodes the payload of a log record, or returns `None` if it is not a claim batch.
     pub fn decode(payload: &[u8]) -> Option<Self> {
         serde_json::from_slice(payload).ok()
     }
--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -1,7 +1,7 @@
-//! The records of the control stream.
+//! Records of the control stream.
 //!
 //! Every VM replays the stream in order of offset with the same deterministic state machine (crate
-//! `apricotdale-state`). A record is a proposal: replay accepts or rejects it, everywhere alike.
+//! `apricotdale-state`). A record is a proposal, which every replay accepts or rejects alike.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -19,188 +19,191 @@
 use crate::numbers::FencingNumber;
 use crate::numbers::Offset;
 
-/// `Proposer` identifies the daemon process that appended a record, and the record among those of
-/// that process.
+/// Identifies the daemon process that appended a record, and the record among those of the
+/// process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposer {
-    /// The VM.
+    /// VM of the process.
     pub vm: VmName,
-    /// The offset of the process's own join record.
+    /// Epoch of the process, which is the offset of its [`Join`] record.
     pub epoch: Epoch,
-    /// Grows by one with each record of the process. Replay drops a record whose sequence is not
-    /// above the last one of the same epoch, so a record that was appended twice counts once.
+    /// Sequence number, which grows by one with each record of the process. Replay ignores a
+    /// record whose sequence is not above the last one of the same epoch, so a record that was
+    /// appended twice counts once.
     pub sequence: u64,
 }
 
-/// `ControlRecord` is one record of the control stream.
+/// One record of the control stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ControlRecord {
-    /// An operator's change of the configuration.
+    /// An operator changes the configuration.
     Config(ConfigChange),
-    /// A daemon process started.
+    /// A daemon process has started.
     Join(Join),
-    /// The platform's list said that a VM is gone.
+    /// The platform's list of VMs shows a VM as gone.
     Depart(Depart),
-    /// A VM proposes to load a model.
+    /// A VM proposes to load a model onto an engine.
     Load(LoadIntent),
-    /// A load's outcome.
+    /// Outcome of a load.
     LoadSettled(Settlement),
-    /// A VM proposes to unload a model.
+    /// A VM proposes to unload a replica.
     Unload(UnloadIntent),
-    /// An unload's outcome.
+    /// Outcome of an unload.
     UnloadSettled(Settlement),
-    /// A VM takes over an intent whose proposer does not settle it.
+    /// A VM takes over an intent that its owner does not settle.
     TakeOver(TakeOver),
-    /// A VM read an engine's exact status.
+    /// A VM has read the exact status of an engine.
     Observed(Observation),
-    /// An upstream is gone for good.
+    /// An upstream is permanently gone.
     UpstreamGone(UpstreamGone),
 }
 
-/// `Join` says that a daemon process started. The record's offset becomes the process's epoch.
+/// Announces a started daemon process. The offset of the record becomes its epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Join {
-    /// The VM.
+    /// VM on which the process runs.
     pub vm: VmName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// Chosen at random by the process, so that it recognises its own record.
+    /// Random identity chosen by the process, by which it recognises its own record.
     pub process_id: u64,
 }
 
-/// `Depart` says that a daemon process can act no more, because its VM is gone.
+/// States that a daemon process can no longer act because its VM is gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Depart {
-    /// Who proposes it.
+    /// Process that proposes the departure.
     pub proposer: Proposer,
-    /// The VM that is gone.
+    /// VM that is gone.
     pub vm: VmName,
-    /// The epoch of its process.
+    /// Epoch of the process that ran on it.
     pub epoch: Epoch,
 }
 
-/// `LoadIntent` proposes that one more replica of a model is loaded on an engine. Replay accepts
-/// it if the replica count and the configuration are still those on which it was based and the
-/// engine's memory holds it. Only after that is the order sent, and its fencing number is the
-/// record's offset.
+/// Proposes to load one more replica of a model onto an engine.
+///
+/// Replay accepts it if the replica count and the configuration on which it is based still hold
+/// and the engine has enough memory. Only then is the load order sent. The offset of the record is
+/// the fencing number of the order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadIntent {
-    /// Who proposes it and will send the order.
+    /// Process that proposes the load and will send the order.
     pub proposer: Proposer,
-    /// The model or adapter.
+    /// Model or adapter to load.
     pub model: ModelName,
-    /// The engine.
+    /// Engine that is to load it.
     pub engine: UpstreamName,
-    /// The run of the engine on which the proposal is based.
+    /// Run of the engine on which the proposal is based.
     pub boot: BootId,
-    /// The replicas of the model, loaded or reserved, on which the proposal is based. The intent
-    /// decides on one more.
+    /// Number of replicas of the model, loaded or reserved, on which the proposal is based. The
+    /// proposed replica is not included.
     pub expected_replicas: u32,
-    /// The configuration on which the proposal is based: the model's own last change.
+    /// Version of the model's own last configuration change, on which the proposal is based.
     pub model_version: ConfigVersion,
 }
 
-/// `UnloadIntent` proposes that a replica is unloaded.
+/// Proposes to unload a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnloadIntent {
-    /// Who proposes it and will send the order.
+    /// Process that proposes the unload and will send the order.
     pub proposer: Proposer,
-    /// The model or adapter.
+    /// Model or adapter to unload.
     pub model: ModelName,
-    /// The engine.
+    /// Engine that holds the replica.
     pub engine: UpstreamName,
-    /// The offset of the load that brought the replica, so that a late proposal never unloads a
-    /// replica loaded since.
+    /// Offset of the load that created the replica, so that a delayed proposal never unloads a
+    /// replica that was loaded later.
     pub load: Offset,
 }
 
-/// `SettledAs` is the outcome of an intent.
+/// Outcome of an intent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SettledAs {
     /// The order took effect: the model is loaded, or its memory is free again.
     Done,
-    /// The order certainly had and will have no effect.
+    /// The order had no effect and never will. The text gives the cause.
     Failed(String),
-    /// The proposer certainly did not send the order and will not send it.
+    /// The proposer has not sent the order and never will.
     Abandoned,
 }
 
-/// `Settlement` is the outcome of an intent, told by the process that sent the order or by the one
-/// that took the intent over.
+/// Reports the outcome of an intent. Comes from the process that sent the order or from the one
+/// that took over the intent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// Who tells it.
+    /// Process that reports the outcome.
     pub proposer: Proposer,
-    /// The intent's offset.
+    /// Offset of the intent.
     pub intent: Offset,
-    /// The outcome.
+    /// Outcome of the intent.
     pub outcome: SettledAs,
-    /// The engine's run that answered, if it answered.
+    /// Run of the engine that answered; `None` if no engine answered.
     pub boot: Option<BootId>,
-    /// The status sequence of the engine's answer, if it answered.
+    /// Status sequence in the engine's answer; `None` if no engine answered.
     pub sequence: Option<u64>,
 }
 
-/// `TakeOver` moves an unsettled intent to another proposer. The record's offset is the fencing
-/// number with which the new proposer raises the engine's fence.
+/// Makes another process the owner of an unsettled intent. The offset of the record is the fencing
+/// number with which the new owner raises the fence of the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeOver {
-    /// Who takes over.
+    /// Process that becomes the owner.
     pub proposer: Proposer,
-    /// The intent's offset.
+    /// Offset of the intent.
     pub intent: Offset,
 }
 
-/// `Observation` is an engine's exact status as one VM read it.
+/// Exact status of an engine as read by one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Who read it.
+    /// Process that read the status.
     pub proposer: Proposer,
-    /// The engine.
+    /// Engine whose status was read.
     pub engine: UpstreamName,
-    /// Its group.
+    /// Group of the engine.
     pub group: GroupName,
-    /// Its availability zone.
+    /// Availability zone of the engine.
     pub zone: ZoneName,
-    /// The run of the engine process.
+    /// Run of the engine process.
     pub boot: BootId,
-    /// The status's sequence within that run. Replay drops a reading older than the last one.
+    /// Sequence of the status within that run. Replay rejects a status older than the last one.
     pub sequence: u64,
-    /// Its accelerator memory.
+    /// Accelerator memory of the engine, in bytes.
     pub capacity_bytes: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the engine refuses orders whose fencing number is below the highest it has seen.
     pub checks_fence: bool,
-    /// The highest fencing number it has seen.
+    /// Highest fencing number that the engine has seen in this run.
     pub highest_fence: FencingNumber,
-    /// The models that take memory.
+    /// Models that take accelerator memory.
     pub residents: Vec<Resident>,
 }
 
-/// `UpstreamGone` says that the platform's list showed an engine as gone.
+/// States that the platform's list of VMs shows an engine as gone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamGone {
-    /// Who read it.
+    /// Process that read the list.
     pub proposer: Proposer,
-    /// The engine.
+    /// Engine that is gone.
     pub engine: UpstreamName,
-    /// The last run of the engine that the reader knew.
+    /// Last run of the engine that the process knew.
     pub boot: BootId,
 }
 
 impl ControlRecord {
-    /// Returns the record as it is appended to the stream.
+    /// Encodes the record as the payload of a log record.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("control records hold only strings, numbers and lists")
     }
 
-    /// Returns the record that was appended, or none if the payload is no control record.
+    /// Decodes the payload of a log record, or returns `None` if it is not a control record.
     pub fn decode(payload: &[u8]) -> Option<Self> {
         serde_json::from_slice(payload).ok()
     }
 
-    /// Returns who appended the record, if a daemon process did.
+    /// Returns the process that appended the record; `None` for configuration changes, which
+    /// operators append, and joins, whose process has no epoch yet.
     pub fn proposer(&self) -> Option<&Proposer> {
         match self {
             Self::Config(_) | Self::Join(_) => None,
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: orders, serving, and what they report.
+//! Interfaces of the model engines: load and unload orders, status reports and serving.
 
 use std::net::SocketAddr;
 
@@ -13,33 +13,33 @@
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// `LoadOrder` tells an engine to load a model or an adapter.
+/// Order to load a model or an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// The model or adapter to load.
+    /// Model or adapter to load.
     pub model: ModelName,
-    /// The model an adapter belongs to.
+    /// Model that the adapter belongs to; `None` for a model.
     pub base: Option<ModelName>,
-    /// The accelerator memory it takes.
+    /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
-    /// The order's number.
+    /// Fencing number of the order.
     pub fence: FencingNumber,
 }
 
-/// `UnloadOrder` tells an engine to finish the requests in progress on a model and to unload it.
+/// Order to finish the requests in progress on a model and then to unload it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnloadOrder {
-    /// The model or adapter to unload.
+    /// Model or adapter to unload.
     pub model: ModelName,
-    /// The order's number.
+    /// Fencing number of the order.
     pub fence: FencingNumber,
 }
 
-/// `Residency` is how far a model is on an engine.
+/// State of a model that takes accelerator memory on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Residency {
-    /// The model is being loaded. Its memory is taken.
+    /// The model is being loaded. Its memory is already taken.
     Loading,
     /// The model can serve.
     Loaded,
@@ -47,20 +47,20 @@
     Unloading,
 }
 
-/// `Resident` is one model that takes accelerator memory on an engine.
+/// One model that takes accelerator memory on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
-    /// The model or adapter.
+    /// Model or adapter.
     pub model: ModelName,
-    /// How far it is.
+    /// Whether the model is being loaded, loaded or being unloaded.
     pub residency: Residency,
-    /// The memory it takes.
+    /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
-    /// The number of the order that loaded it.
+    /// Fencing number of the order that loaded it.
     pub fence: FencingNumber,
 }
 
-/// `CacheTier` is where an engine's host holds a model's checkpoint.
+/// Place where the host of an engine finds the checkpoint of a model, fastest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheTier {
@@ -72,70 +72,71 @@
     Remote,
 }
 
-/// `CachedCheckpoint` is one checkpoint that an engine's host holds.
+/// One checkpoint on the host of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedCheckpoint {
-    /// The model or adapter.
+    /// Model or adapter.
     pub model: ModelName,
-    /// Where it is held.
+    /// Place where the checkpoint is held.
     pub tier: CacheTier,
 }
 
-/// `EngineStatus` is what an engine answers of its models. It is exact at `sequence`.
+/// Status of an engine's models. It is exact at its `sequence`, unlike a [`LoadReport`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// The run of the engine process that answered.
+    /// Run of the engine process that answered.
     pub boot: BootId,
-    /// Grows with each change of the models within one run.
+    /// Sequence number, which grows with each change of the models within one run.
     pub sequence: u64,
-    /// Its accelerator memory for models and adapters.
+    /// Accelerator memory for models and adapters, in bytes.
     pub capacity_bytes: u64,
-    /// Whether the engine refuses orders with an old fencing number.
+    /// Whether the engine refuses orders whose fencing number is below the highest it has seen.
     pub checks_fence: bool,
-    /// The highest fencing number it has seen in this run.
+    /// Highest fencing number that the engine has seen in this run.
     pub highest_fence: FencingNumber,
-    /// The models that take memory now.
+    /// Models that take accelerator memory.
     pub residents: Vec<Resident>,
 }
 
-/// `LoadReport` is an engine's report of its load. It lags by seconds.
+/// Report of an engine's load, which is some seconds old when it is read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The time of which the report speaks, in milliseconds of Unix time.
+    /// Time at which the report was true, in milliseconds of Unix time.
     pub as_of_ms: u64,
-    /// Requests in the running batch.
+    /// Number of requests in the running batch.
     pub running: u32,
-    /// Requests that wait for a place in the batch.
+    /// Number of requests that wait for a slot of the batch.
     pub waiting: u32,
-    /// Places in the batch.
+    /// Number of slots of the batch.
     pub slots: u32,
-    /// Checkpoints held on the host.
+    /// Checkpoints on the host; a model that is not listed is only in the weight store.
     #[serde(default)]
     pub checkpoints: Vec<CachedCheckpoint>,
 }
 
-/// `CacheEvent` tells of one block of a prompt prefix that an engine has cached or dropped.
+/// Event that an engine has cached or evicted one block of a prompt prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows by one with each event; a gap means that events were lost.
+    /// Sequence number, which grows by one with each event; a gap means that events were lost.
     pub sequence: u64,
-    /// The hash of the prompt prefix.
+    /// Hash of the prompt prefix.
     pub prefix_hash: u64,
-    /// Whether the block is cached (or else dropped).
+    /// Whether the block was cached; `false` if it was evicted.
     pub cached: bool,
 }
 
-/// `EngineOrders` gives orders to engines.
+/// Sends load and unload orders to engines.
 pub trait EngineOrders: Send + Sync {
-    /// Orders a load and returns when the model is loaded.
+    /// Sends a load order and returns when the model is loaded.
     ///
     /// # Errors
     ///
-    /// `Error::StaleFence` or `Error::Rejected` if the engine refused, `Error::Unavailable` if the
-    /// order was certainly not received, `Error::Unknown` if it may have been.
+    /// `Error::StaleFence` or `Error::Rejected` if the engine refused the order,
+    /// `Error::Unavailable` if the engine certainly did not receive it, `Error::Unknown` if it may
+    /// have received it.
     fn load(&self, engine: SocketAddr, order: &LoadOrder, timeout_ms: u64) -> Result<EngineStatus>;
 
-    /// Orders an unload and returns when the memory is free.
+    /// Sends an unload order and returns when the memory is free.
     ///
     /// # Errors
     ///
@@ -147,8 +148,9 @@
         timeout_ms: u64,
     ) -> Result<EngineStatus>;
 
-    /// Raises the engine's highest fencing number, so that it refuses every older order, and
-    /// returns its status after that. An engine that ignores numbers only returns its status.
+    /// Raises the highest fencing number of the engine, so that it refuses every older order, and
+    /// returns the status after that. An engine that does not check fencing numbers only returns
+    /// its status.
     ///
     /// # Errors
     ///
@@ -156,23 +158,23 @@
     fn raise_fence(&self, engine: SocketAddr, fence: FencingNumber) -> Result<EngineStatus>;
 }
 
-/// `EngineReports` reads what engines publish.
+/// Reads the status, load reports and cache events of engines.
 pub trait EngineReports: Send + Sync {
-    /// Returns the engine's exact status.
+    /// Returns the exact status of the engine.
     ///
     /// # Errors
     ///
     /// `Error::Unavailable` if the engine can't be reached.
     fn status(&self, engine: SocketAddr) -> Result<EngineStatus>;
 
-    /// Returns the engine's lagging load report.
+    /// Returns the latest load report of the engine, which is some seconds old.
     ///
     /// # Errors
     ///
     /// `Error::Unavailable` if the engine can't be reached.
     fn load_report(&self, engine: SocketAddr) -> Result<LoadReport>;
 
-    /// Returns the cache events after a sequence number; late and with gaps.
+    /// Returns the cache events after a sequence number. They arrive late and may have gaps.
     ///
     /// # Errors
     ///
@@ -180,73 +182,73 @@
     fn cache_events(&self, engine: SocketAddr, after: u64) -> Result<Vec<CacheEvent>>;
 }
 
-/// `ServeRequest` is one request to an engine, in the published format that the caller used.
+/// One request to an engine, in the API format that the caller used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServeRequest {
-    /// The request's identity. The engine repeats it in its answer.
+    /// Identity of the request, which the engine repeats in its answer.
     pub id: RequestId,
-    /// The path, such as `/v1/completions`.
+    /// Path of the API, such as `/v1/completions`.
     pub path: String,
-    /// The JSON body as the caller sent it.
+    /// JSON body as the caller sent it.
     pub body: Vec<u8>,
     /// Whether the answer is a stream of events.
     pub stream: bool,
-    /// The time left until the answer must begin.
+    /// Time within which the answer must begin.
     pub first_byte_timeout_ms: u64,
-    /// The longest time between two events of a stream.
+    /// Longest time allowed between two events of a stream.
     pub idle_timeout_ms: u64,
-    /// Lower values are served first by engines that honour priorities.
+    /// Priority for engines that honour priorities; lower values are served first.
     pub priority: u32,
 }
 
-/// `ServeHead` is the beginning of an engine's answer.
+/// Head of an engine's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServeHead {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The content type.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// The request identity that the engine repeated, if any.
+    /// Request identity that the engine repeated; `None` if it repeated none.
     pub id: Option<RequestId>,
 }
 
 impl ServeHead {
-    /// Returns whether the answer comes event by event.
+    /// Returns whether the content type is that of a stream of events, ignoring its parameters.
     pub fn is_event_stream(&self) -> bool {
         let essence = self.content_type.split(';').next().unwrap_or_default();
         essence.trim().eq_ignore_ascii_case(EVENT_STREAM)
     }
 }
 
-/// `ServeAnswer` is an engine's answer as it arrives.
+/// Answer of an engine, read while it arrives.
 pub trait ServeAnswer: Send {
-    /// Returns the beginning of the answer.
+    /// Returns the head of the answer.
     fn head(&self) -> &ServeHead;
 
-    /// Returns the next piece: one whole event with its closing blank line for a stream, the whole
-    /// body otherwise. Returns none at the end of a whole answer.
+    /// Returns the next piece: one complete event with its closing blank line for a stream, the
+    /// complete body otherwise. Returns `None` at the end of a complete answer.
     ///
     /// # Errors
     ///
-    /// `Error::Unknown` if the answer was cut short, `Error::Malformed` if it is not of the
-    /// announced format or exceeds the limit of one piece.
+    /// `Error::Unknown` if the answer ended early, `Error::Malformed` if it is not in the announced
+    /// format or a piece exceeds the size limit.
     fn next_piece(&mut self) -> Result<Option<Vec<u8>>>;
 }
 
-/// `EngineServing` sends requests to engines.
+/// Sends callers' requests to engines.
 pub trait EngineServing: Send + Sync {
-    /// Sends a request once and returns when the answer begins.
+    /// Sends a request once, without retries, and returns when the answer begins.
     ///
     /// # Errors
     ///
-    /// `Error::Unavailable` if the request was certainly not received, `Error::Unknown` if it may
-    /// have been.
+    /// `Error::Unavailable` if the engine certainly did not receive the request, `Error::Unknown`
+    /// if it may have received it.
     fn serve(&self, engine: SocketAddr, request: &ServeRequest) -> Result<Box<dyn ServeAnswer>>;
 
-    /// Tells the engine to end a request. The engine's answer then ends short.
+    /// Asks the engine to abort a request, whose answer then ends early.
     ///
     /// # Errors
     ///
-    /// Any; the request may then run to its end.
+    /// Any error; the request may then run to completion.
     fn cancel(&self, engine: SocketAddr, id: &RequestId) -> Result<()>;
 }
--- a/crates/core/src/errors.rs
+++ b/crates/core/src/errors.rs
@@ -1,39 +1,41 @@
-//! Errors of the outside interfaces.
+//! Errors of the interfaces to the outside: engines, services, the log, the weight store, the list
+//! of VMs and the peers.
 
 use thiserror::Error;
 
 use crate::numbers::Offset;
 use crate::refusal::Ran;
 
-/// `Result` is the result of an outside interface.
+/// Result of a call to an external interface.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what an outside interface can fail with. Each variant says whether the action may
-/// have taken effect, because that decides what the caller of the interface may do next.
+/// Error of a call to an external interface. Each variant states whether the action may have taken
+/// effect, which decides whether the caller may repeat it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The other side was not reached, or it said that it did nothing. The action had no effect.
+    /// The remote side was not reached, or answered that it did nothing. The action had no effect.
     #[error("unavailable: {0}")]
     Unavailable(String),
-    /// The action may or may not have taken effect: its answer was lost.
+    /// The answer was lost, so the action may or may not have taken effect.
     #[error("outcome unknown: {0}")]
     Unknown(String),
-    /// The other side understood and refused. The action had no effect.
+    /// The remote side understood the action and refused it. The action had no effect.
     #[error("rejected: {0}")]
     Rejected(String),
-    /// The order's fencing number is lower than one the engine has already seen. No effect.
+    /// The fencing number of the order is lower than one that the engine has seen. The order had no
+    /// effect.
     #[error("stale fencing number, the engine has seen {highest}")]
     StaleFence {
-        /// The highest fencing number that the engine has seen.
+        /// Highest fencing number that the engine has seen.
         highest: u64,
     },
-    /// The records asked for are no longer kept.
+    /// The requested records are no longer kept by the log.
     #[error("records before offset {first} have expired")]
     Expired {
-        /// The first offset still kept.
+        /// First offset that the log still keeps.
         first: Offset,
     },
-    /// The other side answered with something that can't be understood.
+    /// The answer of the remote side can't be decoded. The action may have taken effect.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
@@ -59,7 +61,7 @@
         Self::Malformed(detail.into())
     }
 
-    /// Returns whether the failed action ran.
+    /// Returns whether the failed action ran at the remote side.
     pub fn ran(&self) -> Ran {
         match self {
             Self::Unavailable(_)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,17 @@
 //! Shared types and interface traits of apricotdale.
 //!
-//! Every other crate depends on this one and, where it can, on nothing else of the workspace. The
-//! crate holds three kinds of things:
+//! Other crates depend on this one and, as far as possible, on no other crate of the workspace. It
+//! contains:
 //!
-//! - names and numbers that travel everywhere ([`names`], [`numbers`]),
+//! - names and numbers that are used everywhere ([`names`], [`numbers`]),
 //! - the records of the control stream and of the claim streams ([`control`], [`claims`],
 //!   [`config`]),
-//! - one trait for each outside interface ([`log`], [`engine`], [`service`], [`weights`],
-//!   [`vm_list`], [`peer`]) and one for each policy ([`policy`]).
+//! - the reasons for refusing a request ([`refusal`]),
+//! - one trait for each external interface ([`log`], [`engine`], [`service`], [`weights`],
+//!   [`vm_list`], [`peer`]), one for each policy ([`policy`]), and those between the gateway and
+//!   the rest of the daemon ([`serving`]).
 //!
-//! Nothing here starts a thread, opens a socket or reads a clock.
+//! This crate starts no threads, opens no sockets and reads no clock.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/core/src/log.rs
+++ b/crates/core/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log.
+//! Client interface of the platform's append-only log.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,45 +7,46 @@
 use crate::names::StreamName;
 use crate::numbers::Offset;
 
-/// `LogRecord` is one record as it stands on a stream.
+/// One record as stored on a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// The record's position.
+    /// Position of the record on its stream.
     pub offset: Offset,
-    /// The time at which the log service took the record, in milliseconds of Unix time. All
+    /// Time at which the log service appended the record, in milliseconds of Unix time. All
     /// readers see the same value, so replay may use it as its clock.
     pub appended_ms: u64,
-    /// The record's bytes.
+    /// Bytes of the record as they were appended.
     pub payload: Vec<u8>,
 }
 
-/// `LogBatch` is the answer to a read.
+/// Result of one read of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogBatch {
-    /// The records, in order of offset.
+    /// Records in order of offset; empty if none arrived in time.
     pub records: Vec<LogRecord>,
-    /// The first offset that is still kept.
+    /// First offset that the log still keeps.
     pub first: Offset,
-    /// The offset that the next append will get.
+    /// Offset that the next appended record will get.
     pub end: Offset,
 }
 
-/// `LogClient` is the platform's append-only log service.
+/// Client of the platform's append-only log service.
 pub trait LogClient: Send + Sync {
     /// Appends one record and returns its offset.
     ///
     /// # Errors
     ///
     /// `Error::Unavailable` if the record was certainly not appended, `Error::Unknown` if it may
-    /// have been or may still be.
+    /// have been appended or may still be.
     fn append(&self, stream: &StreamName, payload: &[u8]) -> Result<Offset>;
 
-    /// Returns the records from an offset on, waiting up to `wait_ms` for the first one.
+    /// Returns up to `max_records` records starting at the offset `from`, and waits up to `wait_ms`
+    /// for the first one.
     ///
     /// # Errors
     ///
-    /// `Error::Expired` if the offset is older than the first one kept, `Error::Unavailable` if
-    /// the service can't be reached.
+    /// `Error::Expired` if the log no longer keeps the offset, `Error::Unavailable` if the service
+    /// can't be reached.
     fn read(
         &self,
         stream: &StreamName,
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of the things apricotdale deals with, as shared immutable strings.
+//! Names and identities, as cheaply cloned immutable strings.
 
 use std::fmt;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the name of the given text.
+            /// Creates the name from its text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
 
-            /// Returns the name as text.
+            /// Returns the text of the name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -52,51 +52,51 @@
 }
 
 name_type! {
-    /// `VmName` is the name of a VM that runs the apricotdale daemon.
+    /// Name of a VM that runs the apricotdale daemon.
     VmName
 }
 name_type! {
-    /// `RegionName` is the name of a region.
+    /// Name of a region.
     RegionName
 }
 name_type! {
-    /// `ZoneName` is the name of an availability zone.
+    /// Name of an availability zone.
     ZoneName
 }
 name_type! {
-    /// `ModelName` is the name of a model or of an adapter, as callers write it in a request.
+    /// Name of a model or an adapter, as callers write it in a request.
     ModelName
 }
 name_type! {
-    /// `UpstreamName` is the name of a model engine or of one instance of a plain service.
+    /// Name of a model engine or of one instance of a plain service.
     UpstreamName
 }
 name_type! {
-    /// `InstanceName` is the name under which the platform knows an upstream. An upstream may start
-    /// again under it; each of its runs has an [`UpstreamName`] of its own.
+    /// Name by which the platform knows an upstream. It stays the same when the upstream restarts,
+    /// whereas each run has an [`UpstreamName`] of its own.
     InstanceName
 }
 name_type! {
-    /// `GroupName` is the name of a group of equal upstreams, such as `planner-lm`.
+    /// Name of a group of interchangeable upstreams, such as `planner-lm`.
     GroupName
 }
 name_type! {
-    /// `ClassName` is the name of a class of work, such as `quick`.
+    /// Name of a class of work, such as `quick`.
     ClassName
 }
 name_type! {
-    /// `CallerName` is the name under which a caller's share is counted.
+    /// Name of a caller, by which fair sharing counts its requests.
     CallerName
 }
 name_type! {
-    /// `RequestId` identifies one request from end to end.
+    /// Identity of one request, the same in all processes that handle it.
     RequestId
 }
 name_type! {
-    /// `IdempotencyKey` is the key under which a caller's call may run at most once.
+    /// Key that a caller attaches to a call so that the call runs at most once.
     IdempotencyKey
 }
 name_type! {
-    /// `StreamName` is the name of a stream on the platform's log.
+    /// Name of a stream of the platform's log.
     StreamName
 }
--- a/crates/core/src/numbers.rs
+++ b/crates/core/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers with a meaning of their own.
+//! Integer types for offsets, epochs, fencing numbers, versions and positions.
 
 use std::fmt;
 
@@ -23,50 +23,50 @@
 }
 
 number_type! {
-    /// `Offset` is the position of a record on one stream of the log.
+    /// Position of a record on one stream of the log.
     Offset
 }
 number_type! {
-    /// `Epoch` is the offset of the control record by which a daemon process joined. A process
-    /// that joins later under the same VM name has a higher epoch, and replay ignores the records
-    /// of every lower one.
+    /// Offset of the control record by which a daemon process joined. A process that joins later
+    /// under the same VM name has a higher epoch. Once it has replaced the earlier process, replay
+    /// rejects the records of the earlier one.
     Epoch
 }
 number_type! {
-    /// `FencingNumber` is the number that an engine order carries. It is the offset of the control
-    /// record that decided the order, so a later decision always has a higher number.
+    /// Number that an engine order carries. It is the offset of the control record that decided
+    /// the order, so a later decision always has a higher number.
     FencingNumber
 }
 number_type! {
-    /// `BootId` names one run of an engine process. It grows with each start of that engine.
+    /// Identifies one run of an engine process. It grows with each start of the engine.
     BootId
 }
 number_type! {
-    /// `ConfigVersion` is the offset of the last configuration change that was accepted.
+    /// Offset of the last configuration change that was accepted; 0 if there has been none.
     ConfigVersion
 }
 
-/// `Position` is a place in a topic of the platform's store.
+/// Position in a topic of the platform's store.
 ///
-/// A store that comes back from an older copy gives offsets out again, and then counts a new era.
-/// Of two positions the one of the later era is the later one, whatever their offsets.
+/// A store that is restored from an older backup assigns offsets again and then counts a new era.
+/// The position with the higher era is the later one, whatever the offsets.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// How often the store has come back from an older copy; 0 at a store that does not say so.
+    /// Number of times the store was restored from a backup; 0 if the store does not report it.
     pub era: u64,
-    /// The offset within that era.
+    /// Offset within that era.
     pub offset: u64,
 }
 
 impl Position {
-    /// Returns the position of an offset.
+    /// Creates the position of an offset within an era.
     pub fn new(era: u64, offset: u64) -> Self {
         Self { era, offset }
     }
 
-    /// Returns the position this many records later.
+    /// Returns the position that is `records` records later in the same era.
     pub fn after(self, records: u64) -> Self {
         Self {
             offset: self.offset + records,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns whether this is a place that is not known: no record has it as its end.
+    /// Returns whether the position is unknown, which offset 0 means: no record ends there.
     pub fn is_unknown(self) -> bool {
         self.offset == 0
     }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's own processes.
+//! Messages between the daemons of a region.
 
 use std::net::SocketAddr;
 
@@ -11,132 +11,134 @@
 use crate::names::VmName;
 use crate::numbers::Offset;
 
-/// `PeerRequest` is what one daemon asks of another.
+/// Request from one daemon to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// A heartbeat. It carries what the sender has replayed, so that both sides notice a state
-    /// that has diverged.
+    /// Heartbeat, which carries the replayed offset and a state digest so that both sides notice
+    /// when their states have diverged.
     Heartbeat(Heartbeat),
-    /// Asks the model's preferred VM to decide on a replica.
+    /// Reports demand to the VM that is preferred to decide on replicas of the models.
     Demand(Demand),
-    /// Asks for the routing view of the models that the sender now serves.
+    /// Asks for the load of engines whose models the sender is about to serve.
     Replicas(ReplicasQuery),
-    /// Asks for a part of the peer's state snapshot.
+    /// Asks for one part of the peer's state snapshot.
     Snapshot(SnapshotQuery),
 }
 
-/// `PeerReply` is the answer to a [`PeerRequest`].
+/// Reply to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The answer to a heartbeat.
+    /// Heartbeat of the replying daemon.
     Heartbeat(Heartbeat),
-    /// The demand has been taken in.
+    /// The demand was recorded.
     DemandNoted,
-    /// The routing view.
+    /// Last known loads of the engines in question.
     Replicas(Vec<ReplicaLoad>),
     /// One part of a snapshot.
     Snapshot(SnapshotPart),
-    /// The peer can't answer now.
+    /// The peer can't answer now. The text gives the cause.
     Declined(String),
 }
 
-/// `Heartbeat` tells that a daemon runs and how far it has replayed.
+/// Shows that a daemon is running and how far it has replayed the control stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// VM of the sender.
     pub vm: VmName,
-    /// Its process, chosen at random at its start.
+    /// Random identity that the sending process chose when it started.
     pub process_id: u64,
-    /// Whether it is stopping.
+    /// Whether the sender is draining before it stops.
     pub draining: bool,
-    /// The offset up to which it has replayed the control stream, exclusive.
+    /// Offset up to which the sender has replayed the control stream, exclusive.
     pub replayed: Offset,
-    /// The digest of its state at `digest_at`.
+    /// Digest of the sender's state at `digest_at`.
     pub digest: u64,
-    /// The offset at which the digest was taken: a multiple of a fixed interval.
+    /// Offset at which the digest was taken, a multiple of a fixed interval.
     pub digest_at: Offset,
 }
 
-/// `Demand` tells of requests that wait for, or used, a model at one VM since its last report.
+/// Requests of one VM that wait for or have used models since its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The sender.
+    /// VM of the sender.
     pub vm: VmName,
-    /// One line a model.
+    /// Demand for each model.
     pub models: Vec<ModelDemand>,
 }
 
-/// `ModelDemand` is the demand for one model.
+/// Demand of one VM for one model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelDemand {
-    /// The model or adapter.
+    /// Model or adapter.
     pub model: ModelName,
-    /// Requests that arrived since the last report.
+    /// Number of requests that arrived since the last report.
     pub arrived: u32,
-    /// Requests that wait now without a replica.
+    /// Number of requests that are waiting because the model has no replica.
     pub waiting: u32,
-    /// Requests in progress now.
+    /// Number of requests in progress.
     pub running: u32,
-    /// The shortest time left among the waiting requests.
+    /// Shortest remaining time of a waiting request; `None` if no request waits.
     pub tightest_ms: Option<u64>,
 }
 
-/// `ReplicasQuery` asks for the load of the engines that hold some models.
+/// Asks for the last known loads of some engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicasQuery {
-    /// The engines of interest.
+    /// Engines in question.
     pub engines: Vec<UpstreamName>,
 }
 
-/// `ReplicaLoad` is the last known load of one engine.
+/// Last known load of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaLoad {
-    /// The engine.
+    /// Name of the engine.
     pub engine: UpstreamName,
-    /// Requests in the running batch.
+    /// Number of requests in the running batch.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests that wait for a slot of the batch.
     pub waiting: u32,
-    /// Places in the batch.
+    /// Number of slots of the batch.
     pub slots: u32,
-    /// The age of the report.
+    /// Age of the load report.
     pub age_ms: u64,
 }
 
-/// `SnapshotQuery` asks for one part of a snapshot.
+/// Asks for one part of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotQuery {
-    /// The snapshot's offset, or none for the newest.
+    /// Offset of the snapshot; `None` for the newest one.
     pub at: Option<Offset>,
-    /// The part, from zero.
+    /// Index of the part, starting at zero.
     pub part: u32,
 }
 
-/// `SnapshotPart` is one part of a snapshot.
+/// One part of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotPart {
-    /// The offset up to which the snapshot has replayed, exclusive.
+    /// Offset up to which the snapshot covers the stream, exclusive.
     pub at: Offset,
-    /// The part, from zero.
+    /// Index of the part, starting at zero.
     pub part: u32,
-    /// How many parts there are.
+    /// Total number of parts.
     pub parts: u32,
-    /// The bytes of this part.
+    /// Bytes of this part.
     pub bytes: Vec<u8>,
 }
 
-/// `PeerLink` asks other daemons.
+/// Sends requests to other daemons.
 pub trait PeerLink: Send + Sync {
-    /// Sends a request and returns its reply.
+    /// Sends a request and waits up to `timeout_ms` for its reply.
     ///
     /// # Errors
     ///
-    /// `Error::Unknown` if no reply came in time, `Error::Malformed` if it was not authentic.
+    /// `Error::Unavailable` if the peer was not reached, `Error::Unknown` if no reply came in time,
+    /// `Error::Malformed` if the reply could not be authenticated or decoded, `Error::Rejected` if
+    /// the request is too long to be sent.
     fn ask(&self, peer: SocketAddr, request: &PeerRequest, timeout_ms: u64) -> Result<PeerReply>;
 }
 
-/// `PeerHandler` answers other daemons.
+/// Answers requests of other daemons.
 pub trait PeerHandler: Send + Sync {
-    /// Returns the reply to a request that was authentic and well-formed.
+    /// Returns the reply to a request, which has already been authenticated and decoded.
     fn answer(&self, request: PeerRequest) -> PeerReply;
 }
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -1,4 +1,5 @@
-//! Traits of the policies. Each implementation is pure: time and events in, decisions out.
+//! Traits of the policies. An implementation is pure: it gets times and events and returns
+//! decisions.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,80 +14,80 @@
 use crate::names::ZoneName;
 use crate::refusal::Refusal;
 
-/// `Candidate` is an upstream that could take a request now.
+/// Upstream that could handle a request now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// Where it serves.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
 }
 
-/// `RouteRequest` is what routing looks at in a request.
+/// Properties of a request on which routing depends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteRequest {
-    /// The hash of the prompt's prefix, or none where there is no prompt.
+    /// Hash of the prompt's prefix; `None` if the request has no prompt.
     pub prefix_hash: Option<u64>,
-    /// Upstreams already tried for this request.
+    /// Upstreams that this request has already been tried at.
     pub tried: Vec<UpstreamName>,
 }
 
-/// `UpstreamOutcome` is how one try at an upstream ended.
+/// Outcome of one try at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UpstreamOutcome {
-    /// Whole answer in time.
+    /// The complete answer arrived in time.
     Answered,
-    /// Not reached; the request did not run.
+    /// The upstream was not reached; the request did not run.
     Unreachable,
-    /// Refused before running.
+    /// The upstream refused the request before running it.
     Refused,
-    /// Lost, cut or timed out.
+    /// The connection was lost, the answer ended early or the try timed out.
     Lost,
-    /// Ended by the caller; says nothing of the upstream.
+    /// The caller ended the request, which says nothing about the upstream.
     Cancelled,
 }
 
-/// `RoutingEvent` is what routing learns from.
+/// Event from which routing learns the state of the upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoutingEvent {
-    /// A request was sent.
+    /// A request was sent to an upstream.
     Sent {
-        /// Where to.
+        /// Upstream that it was sent to.
         upstream: UpstreamName,
-        /// The hash of its prompt's prefix.
+        /// Hash of the prompt's prefix; `None` if the request has no prompt.
         prefix_hash: Option<u64>,
     },
-    /// A request ended.
+    /// A request that had been sent ended.
     Ended {
-        /// Where it had been sent.
+        /// Upstream that it had been sent to.
         upstream: UpstreamName,
-        /// How it ended.
+        /// Outcome of the try.
         outcome: UpstreamOutcome,
-        /// The time from sending to the first byte, if one came.
+        /// Time from sending to the first byte of the answer; `None` if none arrived.
         first_byte_ms: Option<u64>,
     },
-    /// A load report was read.
+    /// A load report of an engine was read.
     Reported {
-        /// Whose.
+        /// Engine that reported.
         upstream: UpstreamName,
-        /// The report.
+        /// Report as the engine gave it.
         report: LoadReport,
     },
-    /// An upstream is no longer there.
+    /// An upstream was removed.
     Removed {
-        /// Which.
+        /// Upstream that was removed.
         upstream: UpstreamName,
     },
 }
 
-/// `RoutingPolicy` chooses the upstream for a request.
+/// Chooses the upstream for a request.
 pub trait RoutingPolicy: Send {
-    /// Takes in an event.
+    /// Updates the policy's knowledge with an event.
     fn learn(&mut self, now_ms: u64, event: RoutingEvent);
 
-    /// Returns the index of the chosen candidate, or none if none should be used now.
+    /// Returns the index of the chosen candidate, or `None` if none should be used now.
     fn choose(
         &mut self,
         now_ms: u64,
@@ -95,58 +96,58 @@
     ) -> Option<usize>;
 }
 
-/// `Ticket` names one request within one VM's admission.
+/// Identifies one request within the admission of one VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// `Arrival` is a request that asks for admission.
+/// Request that asks for admission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The request.
+    /// Ticket of the request.
     pub ticket: Ticket,
-    /// What it queues for: a model or a service.
+    /// Model or service whose slots the request waits for.
     pub target: ModelName,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassName,
-    /// Its caller.
+    /// Caller of the request.
     pub caller: CallerName,
-    /// When its answer must have begun.
+    /// Time on the monotonic clock by which the answer must have begun.
     pub deadline_ms: u64,
-    /// How long its answer is expected to take once started.
+    /// Expected duration of the answer once the request has been started.
     pub expected_run_ms: u64,
 }
 
-/// `AdmissionEvent` is what admission learns from.
+/// Event that admission has to handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionEvent {
     /// A request arrived.
     Arrived(Arrival),
-    /// A request that was started ended.
+    /// A request that had been started ended.
     Ended {
-        /// Which.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// How long it ran.
+        /// Time from its start to its end.
         ran_ms: u64,
     },
-    /// A request that waited was withdrawn by its caller.
+    /// A waiting request was withdrawn by its caller.
     Withdrawn {
-        /// Which.
+        /// Ticket of the request.
         ticket: Ticket,
     },
-    /// A target's capacity as seen from this VM changed.
+    /// The capacity that this VM has for a target changed.
     Capacity {
-        /// Which target.
+        /// Model or service.
         target: ModelName,
-        /// How many requests this VM may have in progress there now.
+        /// Number of requests that this VM may have in progress at the target.
         slots: u32,
-        /// When the first slot is expected if there is none now, or none if it is not known.
+        /// Time at which the first slot is expected if there is none now; `None` if unknown.
         ready_at_ms: Option<u64>,
     },
-    /// Time has passed.
+    /// The time that `next_tick_ms` asked for has come, or time has passed otherwise.
     Tick,
 }
 
-/// `AdmissionAction` is what admission decides.
+/// Decision of admission on one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionAction {
     /// Start the request now.
@@ -155,175 +156,175 @@
     Refuse(Ticket, Refusal),
 }
 
-/// `AdmissionPolicy` decides which requests start, wait or are refused.
+/// Decides which requests are started, wait or are refused.
 pub trait AdmissionPolicy: Send {
-    /// Takes in an event and returns what is decided now, in order.
+    /// Handles an event and returns the decisions that follow from it, in order.
     fn handle(&mut self, now_ms: u64, event: AdmissionEvent) -> Vec<AdmissionAction>;
 
-    /// Returns when the policy wants its next `Tick`, or none.
+    /// Returns the time at which the policy needs its next `Tick`; `None` if it needs none.
     fn next_tick_ms(&self) -> Option<u64>;
 }
 
-/// `RetryRequest` is a failed try for which a retry is considered.
+/// Failed try for which a retry is considered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryRequest {
-    /// The group of upstreams that share a budget.
+    /// Group of upstreams, which share one retry budget.
     pub group: GroupName,
-    /// Whether the request may run twice.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
     /// Whether the failed try certainly did not run.
     pub certainly_not_run: bool,
-    /// Whether part of the answer has gone to the caller.
+    /// Whether part of the answer has already been sent to the caller.
     pub answer_begun: bool,
-    /// Tries so far, at least one.
+    /// Number of tries so far, at least one.
     pub tries: u32,
-    /// The time left for the request.
+    /// Remaining time of the request.
     pub left_ms: u64,
 }
 
-/// `RetryDecision` is what a retry policy decides.
+/// Decision of a retry policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryDecision {
-    /// Try again after a pause.
+    /// Retry after this delay in milliseconds.
     RetryAfterMs(u64),
-    /// Give up: another run could be a second run.
+    /// Give up: the request may have run, and must not run twice.
     MayHaveRun,
-    /// Give up: the answer has begun.
+    /// Give up: part of the answer has been sent to the caller.
     AnswerBegun,
-    /// Give up: the group's budget is spent.
+    /// Give up: the retry budget of the group is spent.
     BudgetSpent,
-    /// Give up: as many tries as allowed.
+    /// Give up: the maximum number of tries is reached.
     TooManyTries,
-    /// Give up: no time is left.
+    /// Give up: the request has no time left for another try.
     NoTimeLeft,
 }
 
-/// `RetryPolicy` decides on retries.
+/// Decides whether failed requests are retried.
 pub trait RetryPolicy: Send {
-    /// Notes a first try at a group, which earns budget.
+    /// Records the first try of a request at a group, which adds to the group's retry budget.
     fn first_try(&mut self, now_ms: u64, group: &GroupName);
 
-    /// Decides on a retry.
+    /// Decides whether a failed try is followed by another one.
     fn decide(&mut self, now_ms: u64, request: &RetryRequest) -> RetryDecision;
 }
 
-/// `EngineView` is what placement sees of one engine.
+/// State of one engine as placement uses it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// The engine.
+    /// Name of the engine.
     pub engine: UpstreamName,
-    /// Its group.
+    /// Group of the engine.
     pub group: GroupName,
-    /// Its availability zone.
+    /// Availability zone of the engine.
     pub zone: ZoneName,
-    /// Accelerator memory.
+    /// Accelerator memory, in bytes.
     pub capacity_bytes: u64,
-    /// Memory neither used nor reserved.
+    /// Accelerator memory that is neither used nor reserved, in bytes.
     pub free_bytes: u64,
-    /// Whether it may receive new work.
+    /// Whether the engine may receive new work.
     pub accepts: bool,
-    /// Requests running and waiting, as last reported.
+    /// Number of requests running and waiting on it, as last reported.
     pub busy: u32,
-    /// Places in its batch.
+    /// Number of slots of its batch.
     pub slots: u32,
-    /// Loads in progress on it.
+    /// Number of loads in progress on it.
     pub loading: u32,
-    /// Checkpoints held on its host; what is not listed is remote.
+    /// Checkpoints on its host; a model that is not listed is only in the weight store.
     pub checkpoints: Vec<(ModelName, CacheTier)>,
 }
 
-/// `ReplicaView` is what placement sees of one replica.
+/// State of one replica as placement uses it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaView {
-    /// The model or adapter.
+    /// Model or adapter.
     pub model: ModelName,
-    /// The engine.
+    /// Engine that holds the replica.
     pub engine: UpstreamName,
-    /// Whether it can serve (or else is reserved, loading or unloading).
+    /// Whether the replica can serve; `false` while it is reserved, loading or unloading.
     pub loaded: bool,
-    /// Memory it takes.
+    /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
-    /// When it was loaded.
+    /// Time on the monotonic clock at which the replica reached its present state.
     pub since_ms: u64,
 }
 
-/// `ModelView` is what placement sees of one model.
+/// Demand for one model, and its configuration, as placement uses them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelView {
-    /// The model or adapter.
+    /// Model or adapter.
     pub model: ModelName,
-    /// The model an adapter belongs to.
+    /// Model that the adapter belongs to; `None` for a model.
     pub base: Option<ModelName>,
-    /// The group that can run it.
+    /// Group of engines that can run it.
     pub group: GroupName,
-    /// Memory it takes.
+    /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
-    /// Requests waiting for a replica now, over all VMs.
+    /// Number of requests of all VMs that wait for a replica.
     pub waiting: u32,
-    /// Requests in progress, over all VMs.
+    /// Number of requests of all VMs in progress.
     pub running: u32,
-    /// The shortest time left among the waiting requests.
+    /// Shortest remaining time of a waiting request; `None` if no request waits.
     pub tightest_ms: Option<u64>,
-    /// Whether this VM is the model's preferred proposer.
+    /// Whether this VM is the preferred one to propose loads of the model.
     pub preferred_here: bool,
 }
 
-/// `FleetView` is what placement sees.
+/// State of the fleet on which placement bases its decisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// Engines.
+    /// Engines that replay knows.
     pub engines: Vec<EngineView>,
-    /// Replicas, loaded or reserved.
+    /// Replicas that are loaded, or reserved and expected to be.
     pub replicas: Vec<ReplicaView>,
-    /// Models with demand here or with a replica.
+    /// Models that have demand at this VM or a replica.
     pub models: Vec<ModelView>,
-    /// Groups with a listed engine that the control stream has not described yet. It is not among
-    /// `engines`, and may take a model in a moment.
+    /// Groups with a listed engine that the control stream has not described yet. Such an engine
+    /// is not among `engines`, but may be able to load a model soon.
     pub growing_groups: BTreeSet<GroupName>,
-    /// Loads in progress at the weight store.
+    /// Number of loads in progress at the weight store.
     pub store_active_loads: u32,
-    /// Loads that may run at once at full speed.
+    /// Number of loads that the weight store serves at full speed at the same time.
     pub store_full_speed_loads: u32,
-    /// The tightest class target, which weighs a late answer against an idle accelerator.
+    /// Shortest latency target of a class, which weighs a late answer against an idle accelerator.
     pub tightest_target_ms: u64,
 }
 
-/// `PlacementAction` is what placement proposes. Each becomes an intent on the control stream.
+/// Action that placement proposes. Each load and unload becomes an intent on the control stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlacementAction {
-    /// Load a model.
+    /// Load a model onto an engine.
     Load {
-        /// Which.
+        /// Model to load.
         model: ModelName,
-        /// Where.
+        /// Engine that is to load it.
         engine: UpstreamName,
-        /// When it is expected to be loaded.
+        /// Time on the monotonic clock at which the model is expected to be loaded.
         ready_at_ms: u64,
     },
     /// Unload a replica.
     Unload {
-        /// Which.
+        /// Model of the replica.
         model: ModelName,
-        /// Where.
+        /// Engine that holds it.
         engine: UpstreamName,
     },
-    /// No load can be ready in time: the waiting requests should be refused.
+    /// Refuse the waiting requests of a model, since no load can be ready in time.
     Hopeless {
-        /// Which model.
+        /// Model that can't be loaded in time.
         model: ModelName,
-        /// Why.
+        /// Refusal to answer the requests with.
         refusal: Refusal,
     },
 }
 
-/// `PlacementPolicy` decides where models are loaded and when they are unloaded.
+/// Decides where models are loaded and when they are unloaded.
 pub trait PlacementPolicy: Send {
-    /// Notes that a request for a model arrived.
+    /// Records that a request for a model arrived.
     fn arrived(&mut self, now_ms: u64, model: &ModelName);
 
-    /// Notes how long a load took.
+    /// Records how long a load from a tier took.
     fn loaded(&mut self, now_ms: u64, model: &ModelName, tier: CacheTier, took_ms: u64);
 
-    /// Returns what to propose now.
+    /// Returns the actions to propose now.
     fn plan(&mut self, now_ms: u64, fleet: &FleetView) -> Vec<PlacementAction>;
 }
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,11 +1,11 @@
-//! Refusals: the reasons, what each says of whether the request ran, and its HTTP status.
+//! Refusals of requests: their reasons, HTTP statuses, and whether the request ran.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `Ran` says whether a request ran at an upstream.
+/// Whether a request ran at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
@@ -18,7 +18,7 @@
 }
 
 impl Ran {
-    /// Returns the word used in answers, logs and metrics.
+    /// Returns the name used in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -30,7 +30,7 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $status:literal;)*) => {
-        /// `RefusalReason` is the machine-readable reason of a refusal.
+        /// Machine-readable reason of a refusal.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum RefusalReason {
@@ -55,21 +55,21 @@
 }
 
 reasons! {
-    /// The request can't be understood.
+    /// The request can't be parsed, or a value in it is invalid.
     BadRequest = "bad_request", 400;
     /// The request's head is larger than the limit.
     HeadTooLarge = "head_too_large", 431;
     /// The request's body is larger than the limit.
     BodyTooLarge = "body_too_large", 413;
-    /// The request did not arrive in whole within the limit.
+    /// The request was not received completely within the time limit.
     RequestTimeout = "request_timeout", 408;
-    /// The VM holds as many connections as it may.
+    /// The VM has reached its limit of open connections.
     TooManyConnections = "too_many_connections", 503;
-    /// The caller presents no key that is known.
+    /// The caller presents no API key, or one that is not configured.
     UnknownKey = "unknown_key", 401;
     /// The path is not served.
     UnknownPath = "unknown_path", 404;
-    /// The path is served, but not by this method.
+    /// The path is served, but not with this method.
     MethodNotAllowed = "method_not_allowed", 405;
     /// No such model is configured.
     UnknownModel = "unknown_model", 404;
@@ -77,21 +77,21 @@
     UnknownService = "unknown_service", 404;
     /// No such class of work is configured.
     UnknownClass = "unknown_class", 400;
-    /// The time left is too short for the wait or the load that is predicted.
+    /// The remaining time is too short for the predicted wait or load.
     DeadlineTooShort = "deadline_too_short", 503;
-    /// The time ran out before the request could be started.
+    /// The deadline passed before the request could be started.
     DeadlinePassed = "deadline_passed", 504;
-    /// More work of this class waits than can be answered in time.
+    /// More work of this class is waiting than can be answered in time.
     Overloaded = "overloaded", 429;
-    /// The caller uses more than its share while others wait.
+    /// The caller uses more than its share while other callers wait.
     CallerOverShare = "caller_over_share", 429;
-    /// The caller's organisation has used its limit.
+    /// The caller's organisation has reached its limit.
     OverLimit = "over_limit", 429;
-    /// No accelerator memory can be freed for the model in time.
+    /// Accelerator memory for the model can't be freed in time.
     NoCapacity = "no_capacity", 503;
     /// The model's load failed.
     LoadFailed = "load_failed", 503;
-    /// The platform's log is down, and the request needs a decision on it.
+    /// The platform's log is unavailable, and the request needs a decision recorded there.
     LogUnavailable = "log_unavailable", 503;
     /// No upstream for the request is reachable.
     UpstreamUnavailable = "upstream_unavailable", 502;
@@ -99,27 +99,27 @@
     UpstreamRefused = "upstream_refused", 502;
     /// The connection to the upstream was lost after the request was sent.
     UpstreamLost = "upstream_lost", 502;
-    /// Upstreams have crashed under the same request again and again.
+    /// Upstreams have crashed repeatedly while running the same request.
     CrashesUpstreams = "crashes_upstreams", 503;
     /// The upstream's answer did not come in time.
     UpstreamTimeout = "upstream_timeout", 504;
-    /// The upstream's answer was cut or belongs to another request.
+    /// The upstream's answer ended early, is malformed or belongs to another request.
     UpstreamBadAnswer = "upstream_bad_answer", 502;
-    /// The same idempotency key is running now.
+    /// A call with the same idempotency key is running now.
     KeyInProgress = "key_in_progress", 409;
-    /// The same idempotency key has run, and its answer is not kept.
+    /// The call with the same idempotency key has run, and its answer was not kept.
     KeyAlreadyRan = "key_already_ran", 409;
     /// The same idempotency key was used with another request.
     KeyReused = "key_reused", 422;
-    /// The run under the idempotency key ended without a known outcome.
+    /// The outcome of the call with the same idempotency key is unknown.
     KeyOutcomeUnknown = "key_outcome_unknown", 409;
-    /// The VM is stopping and takes no new work.
+    /// The VM is draining and accepts no new work.
     Draining = "draining", 503;
-    /// The VM has not yet learned the state it needs.
+    /// The VM has not yet obtained the state that it needs.
     NotReady = "not_ready", 503;
     /// The caller closed its connection.
     CallerGone = "caller_gone", 499;
-    /// The request was cancelled after a fault inside the system.
+    /// The request was cancelled because of an internal fault.
     Internal = "internal", 500;
 }
 
@@ -129,21 +129,21 @@
     }
 }
 
-/// `Refusal` is an honest negative answer to a request.
+/// Negative answer to a request, which states its reason and whether the request ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The machine-readable reason.
+    /// Machine-readable reason.
     pub reason: RefusalReason,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When the caller should come back, counted from the answer, or none if it should not.
+    /// Delay from the answer after which the caller may retry; `None` if it should not retry.
     pub retry_after_ms: Option<u64>,
-    /// A sentence for a person.
+    /// Human-readable explanation, a sentence.
     pub detail: String,
 }
 
 impl Refusal {
-    /// Returns a refusal of a request that did not run.
+    /// Creates a refusal of a request that did not run.
     pub fn not_run(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns a refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn unknown(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Returns a refusal of a request that ran.
+    /// Creates a refusal of a request that ran.
     pub fn ran(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Returns this refusal with a time to come back after.
+    /// Returns this refusal with a delay after which the caller may retry.
     pub fn retry_after(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -1,15 +1,15 @@
-//! Rendezvous hashing: which VM prefers to do a piece of work that any VM may do.
+//! Rendezvous hashing, which chooses the VM that prefers to do work that any VM may do.
 
 use std::hash::Hash;
 use std::hash::Hasher;
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Returns the candidate with the highest hash together with the key, or none without candidates.
+/// Returns the candidate whose hash together with the key is highest; `None` without candidates.
 ///
-/// Every VM that sees the same candidates picks the same one, and a candidate that goes away moves
-/// only its own keys. The choice saves duplicate work; nothing may rely on it being the same
-/// everywhere.
+/// All VMs that see the same candidates choose the same one, and the removal of a candidate moves
+/// only the keys of that candidate. The choice avoids duplicate work. VMs may see different
+/// candidates, so correctness must not depend on a single choice.
 pub fn preferred<'a, C, K>(candidates: impl IntoIterator<Item = &'a C>, key: &K) -> Option<&'a C>
 where
     C: Hash + Ord,
@@ -20,7 +20,7 @@
         .max_by(|left, right| (score(*left, key), *left).cmp(&(score(*right, key), *right)))
 }
 
-/// Returns the candidates in order of preference for the key, best first.
+/// Returns the candidates in order of preference for the key, most preferred first.
 pub fn ranked<'a, C, K>(candidates: impl IntoIterator<Item = &'a C>, key: &K) -> Vec<&'a C>
 where
     C: Hash + Ord,
--- a/crates/core/src/service.rs
+++ b/crates/core/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services.
+//! Client interface of the plain services.
 
 use std::net::SocketAddr;
 
@@ -6,43 +6,43 @@
 use crate::names::IdempotencyKey;
 use crate::names::RequestId;
 
-/// `ServiceCall` is one call to an instance of a plain service.
+/// One call to an instance of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceCall {
-    /// The request's identity.
+    /// Identity of the request that the call belongs to.
     pub id: RequestId,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: String,
-    /// The path below the service.
+    /// Path relative to the service.
     pub path: String,
-    /// The content type of the body.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// The body.
+    /// Body of the call.
     pub body: Vec<u8>,
-    /// The key that the caller gave, passed on to the service.
+    /// Idempotency key that the caller gave, which is passed on to the service.
     pub key: Option<IdempotencyKey>,
-    /// The longest time until the answer is whole.
+    /// Time within which the complete answer must have arrived.
     pub timeout_ms: u64,
 }
 
-/// `ServiceAnswer` is a service's whole answer.
+/// Complete answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceAnswer {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The content type of the body.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
-    /// The body.
+    /// Body of the answer.
     pub body: Vec<u8>,
 }
 
-/// `PlainService` calls plain services.
+/// Sends calls to instances of plain services.
 pub trait PlainService: Send + Sync {
-    /// Makes a call at most once and returns the whole answer.
+    /// Sends a call at most once and returns the complete answer.
     ///
     /// # Errors
     ///
-    /// `Error::Unavailable` if the call was certainly not received, `Error::Unknown` if it may
-    /// have run.
+    /// `Error::Unavailable` if the instance certainly did not receive the call, `Error::Unknown` if
+    /// the call may have run.
     fn call(&self, instance: SocketAddr, call: &ServiceCall) -> Result<ServiceAnswer>;
 }
--- a/crates/core/src/serving.rs
+++ b/crates/core/src/serving.rs
@@ -1,7 +1,7 @@
-//! The border between the callers' interface and the rest of the daemon.
+//! Interface between the gateway and the rest of the daemon.
 //!
-//! The gateway crate serves callers and calls these traits; the node crate implements them from
-//! the replayed state, the claim streams and the metrics.
+//! The gateway crate serves callers and uses these traits. The node crate implements them with the
+//! replayed state, the claim streams and the metrics.
 
 use crate::claims::KeptAnswer;
 use crate::config::ClassTarget;
@@ -19,109 +19,109 @@
 use crate::refusal::Ran;
 use crate::refusal::Refusal;
 
-/// `Clock` tells the time. Only daemons and adapters read it; policies get the time as a number.
+/// Source of time. Only daemons and adapters read it; policies get the time as a number.
 pub trait Clock: Send + Sync {
-    /// Returns milliseconds on a clock that never goes back. All deadlines are on this clock.
+    /// Returns milliseconds on a monotonic clock. All deadlines are times on this clock.
     fn monotonic_ms(&self) -> u64;
 
     /// Returns milliseconds of Unix time.
     fn unix_ms(&self) -> u64;
 }
 
-/// `Directory` is what this VM knows of classes, models, services and where they are.
+/// Classes, models, services and their upstreams as this VM knows them.
 pub trait Directory: Send + Sync {
-    /// Returns a class's target, or none for an unknown class.
+    /// Returns the target of a class; `None` if the class is not configured.
     fn class(&self, class: &ClassName) -> Option<ClassTarget>;
 
-    /// Returns every class.
+    /// Returns all configured classes.
     fn classes(&self) -> Vec<ClassTarget>;
 
-    /// Returns every model and adapter that callers may name.
+    /// Returns all models and adapters that callers may name.
     fn models(&self) -> Vec<ModelSpec>;
 
-    /// Returns one model or adapter.
+    /// Returns a model or adapter; `None` if it is not configured.
     fn model(&self, model: &ModelName) -> Option<ModelSpec>;
 
-    /// Returns one service.
+    /// Returns a service; `None` if it is not configured.
     fn service(&self, service: &GroupName) -> Option<ServiceSpec>;
 
-    /// Returns the engines on which the model is loaded and which may receive new work.
+    /// Returns the engines that have the model loaded and may receive new work.
     fn replicas(&self, model: &ModelName) -> Vec<Candidate>;
 
-    /// Returns the service's instances which may receive new work.
+    /// Returns the instances of the service that may receive new work.
     fn instances(&self, service: &GroupName) -> Vec<Candidate>;
 
-    /// Returns why this VM can't take new requests now, or none if it can.
+    /// Returns the refusal for new requests; `None` if this VM accepts them.
     fn closed(&self) -> Option<Refusal>;
 }
 
-/// `DemandEvent` is what the gateway tells of the demand for a model.
+/// Event by which the gateway reports the demand for a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DemandEvent {
     /// A request arrived and waits for admission.
     Arrived {
-        /// The request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// The model.
+        /// Model that the request names.
         model: ModelName,
-        /// When its answer must have begun.
+        /// Time on the monotonic clock by which its answer must have begun.
         deadline_ms: u64,
     },
-    /// A waiting request was started.
+    /// A waiting request was sent to an engine.
     Started {
-        /// The request.
+        /// Ticket of the request.
         ticket: Ticket,
     },
     /// A request ended or was refused.
     Ended {
-        /// The request.
+        /// Ticket of the request.
         ticket: Ticket,
     },
-    /// An engine said that it does not hold a model which the directory shows there.
+    /// An engine answered that it does not hold a model that the directory shows there.
     Missing {
-        /// The model.
+        /// Model that is missing.
         model: ModelName,
-        /// The engine.
+        /// Engine that answered.
         upstream: UpstreamName,
     },
 }
 
-/// `DemandSink` takes in the demand, so that models are loaded for it.
+/// Collects the demand for models, by which they are loaded and unloaded.
 pub trait DemandSink: Send + Sync {
-    /// Takes in an event. Returns at once.
+    /// Records an event. Does not block.
     fn note(&self, now_ms: u64, event: DemandEvent);
 }
 
-/// `ClaimAsk` asks for the right to run a call under a key.
+/// Asks for permission to run a call under an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimAsk {
-    /// The key, scoped by service.
+    /// Key that the caller gave, prefixed by the service.
     pub key: IdempotencyKey,
-    /// A hash of the call.
+    /// Hash of the call's method, path and body.
     pub call_hash: u64,
-    /// The request.
+    /// Request that asks.
     pub request: RequestId,
-    /// When the answer is due.
+    /// Time on the monotonic clock by which the answer is due.
     pub deadline_ms: u64,
 }
 
-/// `ClaimDecision` is the answer to a [`ClaimAsk`].
+/// Decision on a [`ClaimAsk`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// The call may be sent, once.
+    /// The call may be sent once.
     Run,
-    /// The call has run and this was its answer.
+    /// The call has already run and had this answer.
     Answer(KeptAnswer),
-    /// The call must not be sent.
+    /// The call must not be sent, and is refused.
     Refuse(Refusal),
 }
 
-/// `ClaimKeeper` makes sure that a call under a key runs at most once over all VMs.
+/// Ensures that a call under an idempotency key runs at most once across all VMs.
 pub trait ClaimKeeper: Send + Sync {
-    /// Waits until the claim is on its stream and decided, or the deadline is near.
+    /// Blocks until the claim has been appended and decided, or the deadline is near.
     fn claim(&self, ask: &ClaimAsk) -> ClaimDecision;
 
-    /// Tells how the call under a claim ended. Returns at once.
+    /// Reports how the call under a claim ended. Does not block.
     fn finish(
         &self,
         key: &IdempotencyKey,
@@ -131,59 +131,59 @@
     );
 }
 
-/// `ServingEvent` is what is counted and measured of requests.
+/// Event of a request that is counted in the metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServingEvent {
     /// A request was refused.
     Refused {
-        /// Its class, as far as it is known.
+        /// Class of the request; `None` if it is not known yet.
         class: Option<ClassName>,
-        /// The refusal.
+        /// Refusal that the caller was answered with.
         refusal: Refusal,
     },
     /// A failed try was retried or given up.
     Retry {
-        /// The group.
+        /// Group of upstreams that were tried.
         group: GroupName,
-        /// What was decided.
+        /// Decision of the retry policy.
         decision: RetryDecision,
         /// Whether the failed try ran.
         ran: Ran,
     },
-    /// A request was answered in whole.
+    /// A request was answered completely.
     Answered {
-        /// Its class.
+        /// Class of the request.
         class: ClassName,
-        /// From arrival to the first token, or to the whole answer where it was no stream.
+        /// Time from arrival to the first token of a stream, or to the end of any other answer.
         first_answer_ms: u64,
-        /// From arrival to the end.
+        /// Time from arrival to the end of the answer.
         total_ms: u64,
-        /// Whether the class's target was met.
+        /// Whether the latency target of the class was met.
         met: bool,
     },
     /// A request waited for admission.
     QueueWait {
-        /// Its class.
+        /// Class of the request.
         class: ClassName,
-        /// How long.
+        /// Time that it waited.
         wait_ms: u64,
     },
-    /// A request waited for a load.
+    /// A request waited for a model to be loaded.
     ColdStart {
-        /// Its class.
+        /// Class of the request.
         class: ClassName,
-        /// How long.
+        /// Time that it waited.
         wait_ms: u64,
     },
-    /// Time between two events of a stream.
+    /// Two consecutive events of a stream arrived.
     InterToken {
-        /// How long.
+        /// Time between the two events.
         gap_us: u64,
     },
 }
 
-/// `ServingObserver` counts and measures.
+/// Records events of requests in the metrics.
 pub trait ServingObserver: Send + Sync {
-    /// Takes in an event. Returns at once.
+    /// Records an event. Does not block.
     fn observe(&self, event: &ServingEvent);
 }
--- a/crates/core/src/vm_list.rs
+++ b/crates/core/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of VMs.
+//! Interface of the platform's list of VMs, which is updated with a delay.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::names::GroupName;
 use crate::names::ZoneName;
 
-/// `VmRole` is what a listed VM is there for.
+/// Purpose of a listed VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
@@ -21,50 +21,50 @@
     Service,
 }
 
-/// `VmState` is the state of a listed VM.
+/// State of a listed VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// Runs, as far as the platform knows.
+    /// The VM runs, as far as the platform knows.
     Live,
-    /// Is being taken away; it must receive no new work.
+    /// The VM is being removed and must receive no new work.
     Leaving,
-    /// Has been taken away and runs nothing any more.
+    /// The VM has been removed; nothing runs on it any more.
     Gone,
 }
 
-/// `VmEntry` is one line of the list.
+/// One VM of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// The VM's name: a `VmName` for entry VMs, an `UpstreamName` for the others.
+    /// Name of the VM: a `VmName` for entry VMs, an `UpstreamName` for the others.
     pub name: String,
-    /// What the VM is there for.
+    /// Purpose of the VM.
     pub role: VmRole,
-    /// The group of equal upstreams it belongs to, such as `planner-lm`.
+    /// Group of interchangeable upstreams that it belongs to, such as `planner-lm`.
     pub group: GroupName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// Where it serves: callers for entry VMs, requests for upstreams.
+    /// Address at which it accepts requests: of callers for entry VMs, of entry VMs for upstreams.
     pub address: SocketAddr,
-    /// Where an entry VM's daemon listens for its peers.
+    /// Address at which the daemon of an entry VM accepts its peers; `None` for the others.
     #[serde(default)]
     pub peer_address: Option<SocketAddr>,
-    /// Its state.
+    /// State of the VM.
     pub state: VmState,
 }
 
-/// `VmListing` is one reading of the list.
+/// Content of the list at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmListing {
-    /// The time of which the list speaks, in milliseconds of Unix time. It lags.
+    /// Time at which the list was true, in milliseconds of Unix time. It lies in the past.
     pub as_of_ms: u64,
-    /// The listed VMs.
+    /// VMs of the list, including those that are gone but still listed.
     pub entries: Vec<VmEntry>,
 }
 
-/// `VmList` is the platform's lagging list of VMs.
+/// Client of the platform's list of VMs.
 pub trait VmList: Send + Sync {
-    /// Returns the list as the platform knows it now.
+    /// Returns the list as the platform reports it now.
     ///
     /// # Errors
     ///
--- a/crates/core/src/weights.rs
+++ b/crates/core/src/weights.rs
@@ -1,4 +1,4 @@
-//! The rate-limited weight store.
+//! Client interface of the weight store, which limits the rate of loads.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,28 +6,28 @@
 use crate::errors::Result;
 use crate::names::ModelName;
 
-/// `WeightsStatus` is what the weight store says of itself.
+/// Load and limits of the weight store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsStatus {
-    /// Loads in progress.
+    /// Number of loads in progress.
     pub active_loads: u32,
-    /// Loads that may run at once at full speed.
+    /// Number of loads that may run at full speed at the same time.
     pub full_speed_loads: u32,
-    /// Loads that may be started in a second.
+    /// Number of loads that may be started per second.
     pub loads_per_s: u32,
 }
 
-/// `WeightStore` is the store from which engines fetch weights. The system never moves weights
-/// itself; it asks so as to order its loads and to predict how long one takes.
+/// Store from which engines fetch model weights. The daemon does not move weights itself; it
+/// queries the store to order its loads and to predict their duration.
 pub trait WeightStore: Send + Sync {
-    /// Returns the store's present use and limits.
+    /// Returns the present load and the limits of the store.
     ///
     /// # Errors
     ///
     /// `Error::Unavailable` if the store can't be reached.
     fn status(&self) -> Result<WeightsStatus>;
 
-    /// Returns the size of a model's weights in bytes.
+    /// Returns the size of the weights of a model, in bytes.
     ///
     /// # Errors
     ///
