--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -309,7 +309,7 @@
         engine: UpstreamName,
     },
     /// Refuse the waiting requests of a model, since no load can be ready in time.
-    Hopeless {
+    NoLoadInTime {
         /// Model that can't be loaded in time.
         model: ModelName,
         /// Refusal to answer the requests with.
--- a/crates/core/src/serving.rs
+++ b/crates/core/src/serving.rs
@@ -94,7 +94,7 @@
 
 /// Asks for permission to run a call under an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// Key that the caller gave, prefixed by the service.
     pub key: IdempotencyKey,
     /// Hash of the call's method, path and body.
@@ -105,7 +105,7 @@
     pub deadline_ms: u64,
 }
 
-/// Decision on a [`ClaimAsk`].
+/// Decision on a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
     /// The call may be sent once.
@@ -119,7 +119,7 @@
 /// Ensures that a call under an idempotency key runs at most once across all VMs.
 pub trait ClaimKeeper: Send + Sync {
     /// Blocks until the claim has been appended and decided, or the deadline is near.
-    fn claim(&self, ask: &ClaimAsk) -> ClaimDecision;
+    fn claim(&self, ask: &ClaimRequest) -> ClaimDecision;
 
     /// Reports how the call under a claim ended. Does not block.
     fn finish(
--- a/crates/gateway/src/service_job.rs
+++ b/crates/gateway/src/service_job.rs
@@ -21,8 +21,8 @@
 use apricotdale_core::refusal::RefusalReason;
 use apricotdale_core::service::ServiceAnswer;
 use apricotdale_core::service::ServiceCall;
-use apricotdale_core::serving::ClaimAsk;
 use apricotdale_core::serving::ClaimDecision;
+use apricotdale_core::serving::ClaimRequest;
 use crossbeam_channel::Sender;
 
 use crate::admission;
@@ -112,7 +112,7 @@
     }
 
     fn run_claimed(&mut self, key: IdempotencyKey, call_hash: u64) -> JobEnd {
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             key: key.clone(),
             call_hash,
             request: self.call.id.clone(),
--- a/crates/gateway/tests/support/recorders.rs
+++ b/crates/gateway/tests/support/recorders.rs
@@ -4,9 +4,9 @@
 use apricotdale_core::names::IdempotencyKey;
 use apricotdale_core::names::RequestId;
 use apricotdale_core::refusal::Ran;
-use apricotdale_core::serving::ClaimAsk;
 use apricotdale_core::serving::ClaimDecision;
 use apricotdale_core::serving::ClaimKeeper;
+use apricotdale_core::serving::ClaimRequest;
 use apricotdale_core::serving::DemandEvent;
 use apricotdale_core::serving::DemandSink;
 use apricotdale_core::serving::ServingEvent;
@@ -96,14 +96,14 @@
 #[derive(Default)]
 pub struct Claims {
     pub decision: Mutex<Option<ClaimDecision>>,
-    pub asked: Recorder<ClaimAsk>,
+    pub asked: Recorder<ClaimRequest>,
     /// A claim waits until this is free.
     pub hold: Mutex<()>,
     pub finished: Recorder<(IdempotencyKey, Ran, Option<KeptAnswer>)>,
 }
 
 impl ClaimKeeper for Claims {
-    fn claim(&self, ask: &ClaimAsk) -> ClaimDecision {
+    fn claim(&self, ask: &ClaimRequest) -> ClaimDecision {
         self.asked.push(ask.clone());
         let _free = self.hold.lock();
         let decision = self.decision.lock().clone();
--- a/crates/node/src/claims/keeper.rs
+++ b/crates/node/src/claims/keeper.rs
@@ -15,9 +15,9 @@
 use apricotdale_core::refusal::Ran;
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
-use apricotdale_core::serving::ClaimAsk;
 use apricotdale_core::serving::ClaimDecision;
 use apricotdale_core::serving::ClaimKeeper;
+use apricotdale_core::serving::ClaimRequest;
 use apricotdale_core::serving::Clock;
 use apricotdale_state::claims::ClaimEntry;
 use apricotdale_state::claims::ClaimState;
@@ -67,7 +67,7 @@
 
     /// Decides from what is already known, without a record. A key that is known to be taken stays
     /// taken, so a repetition is answered while the log is down, too.
-    fn decide_known(&self, ask: &ClaimAsk, entry: &ClaimEntry) -> Option<ClaimDecision> {
+    fn decide_known(&self, ask: &ClaimRequest, entry: &ClaimEntry) -> Option<ClaimDecision> {
         match &entry.state {
             ClaimState::Free => None,
             _ if entry.call_hash != ask.call_hash => Some(key_reused()),
@@ -91,7 +91,7 @@
         ClaimDecision::Refuse(refusal.retry_after(RUNNING_RETRY_MS))
     }
 
-    fn decide(&self, ask: &ClaimAsk, verdict: ClaimVerdict) -> ClaimDecision {
+    fn decide(&self, ask: &ClaimRequest, verdict: ClaimVerdict) -> ClaimDecision {
         match verdict {
             ClaimVerdict::Won => ClaimDecision::Run,
             ClaimVerdict::Finished(answer) => finished(answer),
@@ -112,7 +112,7 @@
 }
 
 impl ClaimKeeper for NodeClaimKeeper {
-    fn claim(&self, ask: &ClaimAsk) -> ClaimDecision {
+    fn claim(&self, ask: &ClaimRequest) -> ClaimDecision {
         let stream = self.stream(&ask.key);
         let known = stream
             .entry(&ask.key)
--- a/crates/node/src/placing/placement_loop.rs
+++ b/crates/node/src/placing/placement_loop.rs
@@ -184,10 +184,10 @@
                 self.propose_load_near(&model, engine);
             }
             PlacementAction::Unload { model, engine } => self.propose_unload(&model, &engine),
-            PlacementAction::Hopeless { refusal, .. }
+            PlacementAction::NoLoadInTime { refusal, .. }
                 if refusal.reason == RefusalReason::DeadlineTooShort
                     && !self.parts.loads.has_evidence() => {}
-            PlacementAction::Hopeless { model, refusal } => {
+            PlacementAction::NoLoadInTime { model, refusal } => {
                 self.parts.gateway.hopeless(&model, &refusal);
             }
         }
--- a/crates/placement/src/loading.rs
+++ b/crates/placement/src/loading.rs
@@ -408,7 +408,7 @@
         record.refused_ms = Some(now_ms);
         let back_ms = now_ms + refusal.retry_after_ms.unwrap_or(0);
         record.returns_until_ms = back_ms + target_ms;
-        vec![PlacementAction::Hopeless {
+        vec![PlacementAction::NoLoadInTime {
             model: want.asked_by.model.clone(),
             refusal,
         }]
--- a/crates/placement/src/pending.rs
+++ b/crates/placement/src/pending.rs
@@ -54,7 +54,7 @@
                 PlacementAction::Unload { model, engine } => {
                     self.unloads.insert((model.clone(), engine.clone()), now_ms);
                 }
-                PlacementAction::Hopeless { .. } => {}
+                PlacementAction::NoLoadInTime { .. } => {}
             }
         }
     }
--- a/crates/placement/src/sketch.rs
+++ b/crates/placement/src/sketch.rs
@@ -242,7 +242,7 @@
             match action {
                 PlacementAction::Load { model, engine, .. } => self.come(model, engine),
                 PlacementAction::Unload { model, engine } => self.leave(model, engine),
-                PlacementAction::Hopeless { .. } => {}
+                PlacementAction::NoLoadInTime { .. } => {}
             }
         }
     }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -141,7 +141,7 @@
 /// the time to come back after.
 pub fn refusals(actions: &[PlacementAction]) -> Vec<(String, &'static str, Option<u64>)> {
     let triple = |action: &PlacementAction| match action {
-        PlacementAction::Hopeless { model, refusal } => Some((
+        PlacementAction::NoLoadInTime { model, refusal } => Some((
             model.to_string(),
             refusal.reason.as_str(),
             refusal.retry_after_ms,
--- a/crates/policy-replay/src/world/placing.rs
+++ b/crates/policy-replay/src/world/placing.rs
@@ -45,7 +45,7 @@
 
     fn propose(&mut self, action: PlacementAction) {
         let model = match &action {
-            PlacementAction::Hopeless { model, refusal } => {
+            PlacementAction::NoLoadInTime { model, refusal } => {
                 self.hopeless(&model.clone(), &refusal.clone());
                 return;
             }
@@ -103,7 +103,7 @@
                 ready_at_ms,
             } => self.accept_load(model, engine, *ready_at_ms, expected_replicas),
             PlacementAction::Unload { model, engine } => self.accept_unload(model, engine),
-            PlacementAction::Hopeless { .. } => {}
+            PlacementAction::NoLoadInTime { .. } => {}
         }
     }
 
