--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -25,7 +25,7 @@
 use apricotdale_core::engine::UnloadOrder;
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 
 const CONFLICT: u16 = 409;
 const UNPROCESSABLE: u16 = 422;
@@ -41,7 +41,7 @@
 
 #[derive(Serialize)]
 struct FenceOrder {
-    fence: FencingNumber,
+    fence: FencingToken,
 }
 
 #[derive(Deserialize)]
@@ -101,7 +101,7 @@
         self.order(engine, "/orders/unload", order, timeout_ms)
     }
 
-    fn raise_fence(&self, engine: SocketAddr, fence: FencingNumber) -> Result<EngineStatus> {
+    fn raise_fence(&self, engine: SocketAddr, fence: FencingToken) -> Result<EngineStatus> {
         let order = FenceOrder { fence };
         let timeout_ms = self.options.fence_timeout_ms;
         self.order(engine, "/orders/fence", &order, timeout_ms)
--- a/crates/adapters/tests/engine_orders.rs
+++ b/crates/adapters/tests/engine_orders.rs
@@ -10,7 +10,7 @@
 use apricotdale_core::errors::Error;
 use apricotdale_core::names::ModelName;
 use apricotdale_core::numbers::BootId;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use support::LONG_MS;
 use support::adapters_at;
 use support::answering;
@@ -25,7 +25,7 @@
         model: ModelName::new("m"),
         base: Some(ModelName::new("base")),
         bytes: 7,
-        fence: FencingNumber(12),
+        fence: FencingToken(12),
     }
 }
 
@@ -93,7 +93,7 @@
 
     let server = answering(json("200 OK", STATUS));
     let status = reports.status(server.address).expect("a status");
-    assert_eq!(status.highest_fence, FencingNumber(12));
+    assert_eq!(status.highest_fence, FencingToken(12));
 
     let events = r#"[{"sequence":8,"prefix_hash":1,"cached":true}]"#;
     let server = answering(json("200 OK", events));
--- a/crates/adapters/tests/single_send.rs
+++ b/crates/adapters/tests/single_send.rs
@@ -20,7 +20,7 @@
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::RequestId;
 use apricotdale_core::names::StreamName;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::refusal::Ran;
 use apricotdale_core::service::ServiceCall;
 use support::LONG_MS;
@@ -55,7 +55,7 @@
 fn run(effect: Effect, address: SocketAddr, timeout_ms: u64) -> Result<()> {
     let adapters = http_adapters(&options_at(address, timeout_ms));
     let model = ModelName::new("planner");
-    let fence = FencingNumber(3);
+    let fence = FencingToken(3);
     match effect {
         Effect::Append => adapters
             .log
--- a/crates/admin/src/views.rs
+++ b/crates/admin/src/views.rs
@@ -16,7 +16,7 @@
 use apricotdale_core::numbers::BootId;
 use apricotdale_core::numbers::ConfigVersion;
 use apricotdale_core::numbers::Epoch;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 use apricotdale_core::vm_list::VmRole;
 use apricotdale_core::vm_list::VmState;
@@ -131,7 +131,7 @@
     /// How far it is.
     pub state: ReplicaState,
     /// The fencing number of the last order for it.
-    pub fence: FencingNumber,
+    pub fence: FencingToken,
     /// The VM that must settle the open load or unload, or none if nothing is open.
     pub owner: Option<VmName>,
     /// When it came into this state, in milliseconds of Unix time.
@@ -180,7 +180,7 @@
     /// Whether it refuses orders with an old fencing number.
     pub checks_fence: bool,
     /// The highest fencing number it has seen.
-    pub highest_fence: FencingNumber,
+    pub highest_fence: FencingToken,
     /// Requests in the running batch, as last reported.
     pub running: u32,
     /// Requests that wait, as last reported.
--- a/crates/admin/tests/fake_source/mod.rs
+++ b/crates/admin/tests/fake_source/mod.rs
@@ -39,7 +39,7 @@
 use apricotdale_core::numbers::BootId;
 use apricotdale_core::numbers::ConfigVersion;
 use apricotdale_core::numbers::Epoch;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 use apricotdale_core::vm_list::VmRole;
 use apricotdale_core::vm_list::VmState;
@@ -172,7 +172,7 @@
         let replica = ReplicaLine {
             engine: "planner-lm-3".into(),
             state: ReplicaState::Loading,
-            fence: FencingNumber(8),
+            fence: FencingToken(8),
             owner: Some("entry-2".into()),
             since_unix_ms: 1_790_000_000_000,
         };
@@ -198,7 +198,7 @@
             capacity_bytes: 8_000,
             used_bytes: 1_000,
             checks_fence: true,
-            highest_fence: FencingNumber(8),
+            highest_fence: FencingToken(8),
             running: 1,
             waiting: 0,
             slots: 16,
--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -16,7 +16,7 @@
 use crate::numbers::BootId;
 use crate::numbers::ConfigVersion;
 use crate::numbers::Epoch;
-use crate::numbers::FencingNumber;
+use crate::numbers::FencingToken;
 use crate::numbers::Offset;
 
 /// Identifies the daemon process that appended a record, and the record among those of the
@@ -175,7 +175,7 @@
     /// Whether the engine refuses orders whose fencing number is below the highest it has seen.
     pub checks_fence: bool,
     /// Highest fencing number that the engine has seen in this run.
-    pub highest_fence: FencingNumber,
+    pub highest_fence: FencingToken,
     /// Models that take accelerator memory.
     pub residents: Vec<Resident>,
 }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::names::ModelName;
 use crate::names::RequestId;
 use crate::numbers::BootId;
-use crate::numbers::FencingNumber;
+use crate::numbers::FencingToken;
 
 const EVENT_STREAM: &str = "text/event-stream";
 
@@ -23,7 +23,7 @@
     /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
     /// Fencing number of the order.
-    pub fence: FencingNumber,
+    pub fence: FencingToken,
 }
 
 /// Order to finish the requests in progress on a model and then to unload it.
@@ -32,7 +32,7 @@
     /// Model or adapter to unload.
     pub model: ModelName,
     /// Fencing number of the order.
-    pub fence: FencingNumber,
+    pub fence: FencingToken,
 }
 
 /// State of a model that takes accelerator memory on an engine.
@@ -57,7 +57,7 @@
     /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
     /// Fencing number of the order that loaded it.
-    pub fence: FencingNumber,
+    pub fence: FencingToken,
 }
 
 /// Place where the host of an engine finds the checkpoint of a model, fastest first.
@@ -93,7 +93,7 @@
     /// Whether the engine refuses orders whose fencing number is below the highest it has seen.
     pub checks_fence: bool,
     /// Highest fencing number that the engine has seen in this run.
-    pub highest_fence: FencingNumber,
+    pub highest_fence: FencingToken,
     /// Models that take accelerator memory.
     pub residents: Vec<Resident>,
 }
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// As for `load`.
-    fn raise_fence(&self, engine: SocketAddr, fence: FencingNumber) -> Result<EngineStatus>;
+    fn raise_fence(&self, engine: SocketAddr, fence: FencingToken) -> Result<EngineStatus>;
 }
 
 /// Reads the status, load reports and cache events of engines.
--- a/crates/core/src/numbers.rs
+++ b/crates/core/src/numbers.rs
@@ -35,7 +35,7 @@
 number_type! {
     /// Number that an engine order carries. It is the offset of the control record that decided
     /// the order, so a later decision always has a higher number.
-    FencingNumber
+    FencingToken
 }
 number_type! {
     /// Identifies one run of an engine process. It grows with each start of the engine.
@@ -93,7 +93,7 @@
     }
 }
 
-impl From<Offset> for FencingNumber {
+impl From<Offset> for FencingToken {
     fn from(offset: Offset) -> Self {
         Self(offset.0)
     }
--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -17,7 +17,7 @@
 use apricotdale_core::engine::Residency;
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::names::VmName;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::peer::PeerLink;
 use apricotdale_core::peer::PeerReply;
 use apricotdale_core::peer::PeerRequest;
@@ -266,10 +266,10 @@
     if engine.boot() != status.boot {
         return engine.boot() < status.boot;
     }
-    let is_known = |fence: FencingNumber| {
+    let is_known = |fence: FencingToken| {
         state
             .replicas_on(name)
-            .any(|one| FencingNumber::from(one.load) == fence)
+            .any(|one| FencingToken::from(one.load) == fence)
             || engine.undecided.values().any(|one| one.fence == fence)
     };
     let strange = status
@@ -293,7 +293,7 @@
     // An order that has shown its effect can have no other. Without this record, the death of its
     // sender in the middle of a long load would leave its memory reserved at an engine that obeys
     // every order, until that engine restarts.
-    let fence = FencingNumber::from(replica.load);
+    let fence = FencingToken::from(replica.load);
     let resident = status
         .residents
         .iter()
--- a/crates/node/src/operating/views.rs
+++ b/crates/node/src/operating/views.rs
@@ -11,7 +11,7 @@
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::names::VmName;
 use apricotdale_core::names::ZoneName;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_membership::UpstreamView;
 use apricotdale_membership::View;
 use apricotdale_state::ControlState;
@@ -48,7 +48,7 @@
     ReplicaLine {
         engine: replica.engine.clone(),
         state,
-        fence: FencingNumber::from(replica.load),
+        fence: FencingToken::from(replica.load),
         owner: (state != ReplicaState::Loaded).then(|| replica.owner.vm.clone()),
         since_unix_ms: replica.since_ms,
     }
--- a/crates/node/src/settling/outcome.rs
+++ b/crates/node/src/settling/outcome.rs
@@ -10,14 +10,14 @@
 use apricotdale_core::names::GroupName;
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::names::ZoneName;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 use apricotdale_state::view::IntentKind;
 use apricotdale_state::view::IntentView;
 
 /// Returns how far the replica of a load is, by a status, or none if it is not there.
 pub fn residency(status: &EngineStatus, intent: &IntentView) -> Option<Residency> {
-    let fence = FencingNumber::from(intent.load);
+    let fence = FencingToken::from(intent.load);
     let mut residents = status.residents.iter();
     let resident = residents.find(|one| one.fence == fence && one.model == intent.model);
     resident.map(|resident| resident.residency)
--- a/crates/node/src/settling/sender.rs
+++ b/crates/node/src/settling/sender.rs
@@ -15,7 +15,7 @@
 use apricotdale_core::engine::LoadOrder;
 use apricotdale_core::engine::Residency;
 use apricotdale_core::engine::UnloadOrder;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_state::view::IntentKind;
 use apricotdale_state::view::IntentView;
 use apricotdale_telemetry::OrderKind;
@@ -98,7 +98,7 @@
 
     fn send(&self, address: std::net::SocketAddr) -> Result<EngineStatus, Error> {
         let model = self.intent.model.clone();
-        let fence = FencingNumber::from(self.intent.intent);
+        let fence = FencingToken::from(self.intent.intent);
         let timeout_ms = self.parts.load_timeout_ms;
         match self.intent.kind {
             IntentKind::Unload => {
@@ -113,7 +113,7 @@
         }
     }
 
-    fn load_order(&self, fence: FencingNumber) -> Option<LoadOrder> {
+    fn load_order(&self, fence: FencingToken) -> Option<LoadOrder> {
         self.parts.replayed.read(|state| {
             let replica = state.replica(self.intent.load)?;
             Some(LoadOrder {
--- a/crates/node/src/settling/settler.rs
+++ b/crates/node/src/settling/settler.rs
@@ -9,7 +9,7 @@
 use apricotdale_core::control::SettledAs;
 use apricotdale_core::engine::EngineStatus;
 use apricotdale_core::engine::Residency;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_state::view::IntentKind;
 use apricotdale_state::view::IntentView;
 
@@ -60,7 +60,7 @@
     fn read(&self) -> Option<EngineStatus> {
         let view = self.parts.membership.view();
         let address = view.upstreams.get(&self.intent.engine)?.entry.address;
-        let fence = FencingNumber::from(self.intent.owner.since);
+        let fence = FencingToken::from(self.intent.owner.since);
         match self.parts.orders.raise_fence(address, fence) {
             Ok(status) => Some(status),
             Err(error) => {
--- a/crates/node/tests/stray_models.rs
+++ b/crates/node/tests/stray_models.rs
@@ -6,7 +6,7 @@
 
 use apricotdale_core::engine::LoadOrder;
 use apricotdale_core::names::ModelName;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 
 use support::wait_until;
 use support::world::Cluster;
@@ -30,7 +30,7 @@
         model: ModelName::new(&model),
         base: None,
         bytes: MODEL_BYTES,
-        fence: FencingNumber(1),
+        fence: FencingToken(1),
     };
     world.engines.with(engine, |engine| engine.put(&late));
     wait_until("the model to be unloaded", || world.holders(&model) == 0);
--- a/crates/node/tests/support/engine.rs
+++ b/crates/node/tests/support/engine.rs
@@ -24,7 +24,7 @@
 use apricotdale_core::names::RequestId;
 use apricotdale_core::names::VmName;
 use apricotdale_core::numbers::BootId;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 
 use super::clock::WorldTime;
 use super::switch::Switch;
@@ -57,7 +57,7 @@
 pub struct Order {
     pub vm: VmName,
     pub model: ModelName,
-    pub fence: FencingNumber,
+    pub fence: FencingToken,
     pub is_load: bool,
     /// Whether it took effect.
     pub done: bool,
@@ -82,7 +82,7 @@
                 sequence: 0,
                 capacity_bytes: CAPACITY_BYTES,
                 checks_fence,
-                highest_fence: FencingNumber(0),
+                highest_fence: FencingToken(0),
                 residents: Vec::new(),
             },
             orders: Vec::new(),
@@ -105,7 +105,7 @@
         loads.filter(|order| order.model.as_str() == model).count()
     }
 
-    fn check_fence(&mut self, fence: FencingNumber) -> Result<()> {
+    fn check_fence(&mut self, fence: FencingToken) -> Result<()> {
         let highest = self.status.highest_fence;
         if self.status.checks_fence && fence < highest {
             let highest = highest.0;
@@ -161,7 +161,7 @@
     fn restart(&mut self) {
         self.status.boot = BootId(self.status.boot.0 + 1);
         self.status.sequence = 0;
-        self.status.highest_fence = FencingNumber(0);
+        self.status.highest_fence = FencingToken(0);
         self.status.residents.clear();
     }
 }
@@ -172,7 +172,7 @@
 struct LateOrder {
     address: SocketAddr,
     boot: BootId,
-    fence: FencingNumber,
+    fence: FencingToken,
     index: usize,
     effect: Effect,
 }
@@ -374,7 +374,7 @@
         self.order(engine, received, Box::new(effect))
     }
 
-    fn raise_fence(&self, engine: SocketAddr, fence: FencingNumber) -> Result<EngineStatus> {
+    fn raise_fence(&self, engine: SocketAddr, fence: FencingToken) -> Result<EngineStatus> {
         self.switch.pass();
         let mut engines = self.engines.lock_reachable(engine)?;
         let engine = engines.get_mut(&engine).expect("a reachable engine");
--- a/crates/slopes/src/fleet.rs
+++ b/crates/slopes/src/fleet.rs
@@ -16,7 +16,7 @@
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::numbers::BootId;
 use apricotdale_core::numbers::Epoch;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 use apricotdale_state::ControlState;
 use apricotdale_state::replicas::Replica;
@@ -122,7 +122,7 @@
             sequence,
             capacity_bytes: u64::MAX / 2,
             checks_fence: true,
-            highest_fence: FencingNumber(0),
+            highest_fence: FencingToken(0),
             residents,
         })
     }
@@ -162,6 +162,6 @@
         model: replica.model.clone(),
         residency: Residency::Loaded,
         bytes: replica.bytes,
-        fence: FencingNumber::from(replica.load),
+        fence: FencingToken::from(replica.load),
     }
 }
--- a/crates/standins/src/engine/models.rs
+++ b/crates/standins/src/engine/models.rs
@@ -8,7 +8,7 @@
 use apricotdale_core::engine::Resident;
 use apricotdale_core::names::ModelName;
 use apricotdale_core::numbers::BootId;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 
 use crate::engine::options::Options;
 
@@ -18,7 +18,7 @@
     /// The order's fencing number is lower than the highest one seen.
     StaleFence {
         /// The highest one seen.
-        highest: FencingNumber,
+        highest: FencingToken,
     },
     /// The memory does not hold the model.
     NoMemory,
@@ -62,7 +62,7 @@
     capacity_bytes: u64,
     checks_fence: bool,
     checks_memory: bool,
-    highest_fence: FencingNumber,
+    highest_fence: FencingToken,
     residents: BTreeMap<ModelName, Held>,
     next_number: u64,
     most_bytes_held: u64,
@@ -74,7 +74,7 @@
     number: u64,
     residency: Residency,
     bytes: u64,
-    fence: FencingNumber,
+    fence: FencingToken,
     base: Option<ModelName>,
     requests: u32,
 }
@@ -88,7 +88,7 @@
             capacity_bytes: options.capacity_bytes,
             checks_fence: options.checks_fence,
             checks_memory: options.checks_memory(),
-            highest_fence: FencingNumber(0),
+            highest_fence: FencingToken(0),
             residents: BTreeMap::new(),
             next_number: 0,
             most_bytes_held: 0,
@@ -115,7 +115,7 @@
     pub fn restart(&mut self) {
         self.boot = BootId(self.boot.0 + 1);
         self.sequence = 0;
-        self.highest_fence = FencingNumber(0);
+        self.highest_fence = FencingToken(0);
         self.residents.clear();
     }
 
@@ -125,7 +125,7 @@
     /// # Errors
     ///
     /// `OrderRefusal::StaleFence`.
-    pub fn check_fence(&mut self, fence: FencingNumber) -> Result<(), OrderRefusal> {
+    pub fn check_fence(&mut self, fence: FencingToken) -> Result<(), OrderRefusal> {
         if !self.checks_fence {
             return Ok(());
         }
@@ -183,7 +183,7 @@
     pub fn unload_step(
         &mut self,
         model: &ModelName,
-        fence: FencingNumber,
+        fence: FencingToken,
     ) -> Result<UnloadStep, OrderRefusal> {
         self.check_fence(fence)?;
         match self.residency(model) {
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -9,7 +9,7 @@
 use apricotdale_core::engine::LoadOrder;
 use apricotdale_core::engine::UnloadOrder;
 use apricotdale_core::numbers::BootId;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use parking_lot::MutexGuard;
 use serde::Deserialize;
 use serde_json::json;
@@ -50,7 +50,7 @@
 
 #[derive(Deserialize)]
 struct FenceOrder {
-    fence: FencingNumber,
+    fence: FencingToken,
 }
 
 impl EngineStandin {
--- a/crates/state/examples/state_size.rs
+++ b/crates/state/examples/state_size.rs
@@ -26,7 +26,7 @@
 use apricotdale_core::names::ModelName;
 use apricotdale_core::numbers::BootId;
 use apricotdale_core::numbers::Epoch;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
 use apricotdale_state::ClaimTable;
@@ -92,7 +92,7 @@
             model: replica.model.clone(),
             residency: Residency::Loaded,
             bytes: replica.bytes,
-            fence: FencingNumber::from(replica.load),
+            fence: FencingToken::from(replica.load),
         };
         let residents = self.state.replicas_on(&engine).map(resident).collect();
         let observation = Observation {
@@ -104,7 +104,7 @@
             sequence,
             capacity_bytes: u64::MAX / 2,
             checks_fence: true,
-            highest_fence: FencingNumber(0),
+            highest_fence: FencingToken(0),
             residents,
         };
         self.append(&ControlRecord::Observed(observation));
--- a/crates/state/src/engines.rs
+++ b/crates/state/src/engines.rs
@@ -10,7 +10,7 @@
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::ZoneName;
 use apricotdale_core::numbers::BootId;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
 /// `Reading` is the place of a status in an engine's history. A later status is greater.
@@ -30,7 +30,7 @@
     /// The memory it takes.
     pub bytes: u64,
     /// The number of the order that loaded it.
-    pub fence: FencingNumber,
+    pub fence: FencingToken,
     /// How far it is.
     pub residency: Residency,
     /// The unload under way.
@@ -55,13 +55,13 @@
     /// Whether it refuses orders with an old fencing number.
     pub checks_fence: bool,
     /// The highest fencing number it has shown in its present run.
-    pub highest_fence: FencingNumber,
+    pub highest_fence: FencingToken,
     /// Where the record is that removed it, if it is gone.
     pub gone_at: Option<Offset>,
     /// The models on it that no accepted load put there.
     pub undecided: BTreeMap<ModelName, UndecidedResident>,
     /// The fencing numbers of its residents in the last whole status.
-    pub(crate) resident_fences: Vec<FencingNumber>,
+    pub(crate) resident_fences: Vec<FencingToken>,
 }
 
 impl Engine {
--- a/crates/state/src/observations.rs
+++ b/crates/state/src/observations.rs
@@ -8,7 +8,7 @@
 use apricotdale_core::engine::Resident;
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::UpstreamName;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
 use crate::control_state::ControlState;
@@ -185,7 +185,7 @@
 }
 
 fn is_effect(resident: &Resident, replica: &Replica) -> bool {
-    resident.fence == FencingNumber::from(replica.load) && resident.model == replica.model
+    resident.fence == FencingToken::from(replica.load) && resident.model == replica.model
 }
 
 fn note_effect(replica: &mut Replica, resident: &Resident, reading: Reading, appended_ms: u64) {
@@ -206,7 +206,7 @@
 /// has refused once refuses for good; a new run has forgotten the numbers that the old one saw.
 fn note_refusal(replica: &mut Replica, observation: &Observation) {
     let refuses =
-        observation.checks_fence && observation.highest_fence > FencingNumber::from(replica.load);
+        observation.checks_fence && observation.highest_fence > FencingToken::from(replica.load);
     let refused_before = replica.refused_by == Some(observation.boot);
     replica.refused_by = (refuses || refused_before).then_some(observation.boot);
 }
--- a/crates/state/src/settlements.rs
+++ b/crates/state/src/settlements.rs
@@ -8,7 +8,7 @@
 use apricotdale_core::control::SettledAs;
 use apricotdale_core::control::Settlement;
 use apricotdale_core::numbers::Epoch;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
 use crate::control_state::ControlState;
@@ -223,7 +223,7 @@
 }
 
 fn shows(engine: &Engine, load: Offset) -> bool {
-    engine.resident_fences.contains(&FencingNumber::from(load))
+    engine.resident_fences.contains(&FencingToken::from(load))
 }
 
 fn reading(settlement: &Settlement) -> Option<Reading> {
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -25,7 +25,7 @@
 use apricotdale_core::numbers::BootId;
 use apricotdale_core::numbers::ConfigVersion;
 use apricotdale_core::numbers::Epoch;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
 use apricotdale_state::ControlState;
@@ -224,7 +224,7 @@
             sequence,
             capacity_bytes: 100,
             checks_fence,
-            highest_fence: FencingNumber(highest_fence),
+            highest_fence: FencingToken(highest_fence),
             residents: residents.to_vec(),
         };
         self.append(&ControlRecord::Observed(observation))
@@ -266,6 +266,6 @@
         model: model.into(),
         residency,
         bytes,
-        fence: FencingNumber::from(fence),
+        fence: FencingToken::from(fence),
     }
 }
--- a/crates/state/tests/decision_search/engine.rs
+++ b/crates/state/tests/decision_search/engine.rs
@@ -5,7 +5,7 @@
 use apricotdale_core::engine::Residency;
 use apricotdale_core::engine::Resident;
 use apricotdale_core::names::ModelName;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
 /// `Order` is an order on its way to an engine.
@@ -22,7 +22,7 @@
     /// The memory it takes, or none for an unload.
     pub bytes: Option<u64>,
     /// The order's number.
-    pub fence: FencingNumber,
+    pub fence: FencingToken,
 }
 
 /// `Answer` is what an engine says of an order.
--- a/crates/state/tests/decision_search/steps.rs
+++ b/crates/state/tests/decision_search/steps.rs
@@ -13,7 +13,7 @@
 use apricotdale_core::engine::Residency;
 use apricotdale_core::names::ModelName;
 use apricotdale_core::numbers::BootId;
-use apricotdale_core::numbers::FencingNumber;
+use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
 use apricotdale_state::replicas::Stage;
@@ -86,7 +86,7 @@
             model: replica.model.clone(),
             base: replica.base.clone(),
             bytes: Some(replica.bytes),
-            fence: FencingNumber::from(load),
+            fence: FencingToken::from(load),
         };
         let engine = (0..engines).find(|engine| World::engine_name(*engine) == replica.engine);
         process.picked.insert(load);
@@ -111,7 +111,7 @@
             model: intent.model.clone(),
             base: None,
             bytes: None,
-            fence: FencingNumber::from(intent.owner.since),
+            fence: FencingToken::from(intent.owner.since),
         };
         let engine = (0..engines).find(|engine| World::engine_name(*engine) == intent.engine);
         process
@@ -238,7 +238,7 @@
             sequence: status.sequence,
             capacity_bytes: status.capacity_bytes,
             checks_fence: status.checks_fence,
-            highest_fence: FencingNumber(status.highest),
+            highest_fence: FencingToken(status.highest),
             residents: status.resident_list(),
         };
         process.readings.push(reading);
