--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -85,7 +85,7 @@
 ///
 /// Replay accepts it if the replica count and the configuration on which it is based still hold
 /// and the engine has enough memory. Only then is the load order sent. The offset of the record is
-/// the fencing number of the order.
+/// the fencing token of the order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadIntent {
     /// Process that proposes the load and will send the order.
@@ -94,7 +94,7 @@
     pub model: ModelName,
     /// Engine that is to load it.
     pub engine: UpstreamName,
-    /// Run of the engine on which the proposal is based.
+    /// Incarnation of the engine on which the proposal is based.
     pub boot: BootId,
     /// Number of replicas of the model, loaded or reserved, on which the proposal is based. The
     /// proposed replica is not included.
@@ -139,14 +139,14 @@
     pub intent: Offset,
     /// Outcome of the intent.
     pub outcome: SettledAs,
-    /// Run of the engine that answered; `None` if no engine answered.
+    /// Incarnation of the engine that answered; `None` if no engine answered.
     pub boot: Option<BootId>,
     /// Status sequence in the engine's answer; `None` if no engine answered.
     pub sequence: Option<u64>,
 }
 
 /// Makes another process the owner of an unsettled intent. The offset of the record is the fencing
-/// number with which the new owner raises the fence of the engine.
+/// token with which the new owner raises the fence of the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeOver {
     /// Process that becomes the owner.
@@ -166,15 +166,16 @@
     pub group: GroupName,
     /// Availability zone of the engine.
     pub zone: ZoneName,
-    /// Run of the engine process.
+    /// Incarnation of the engine process.
     pub boot: BootId,
-    /// Sequence of the status within that run. Replay rejects a status older than the last one.
+    /// Sequence of the status within that incarnation. Replay rejects a status older than the last
+    /// one.
     pub sequence: u64,
     /// Accelerator memory of the engine, in bytes.
     pub capacity_bytes: u64,
-    /// Whether the engine refuses orders whose fencing number is below the highest it has seen.
+    /// Whether the engine refuses orders whose fencing token is below the highest it has seen.
     pub checks_fence: bool,
-    /// Highest fencing number that the engine has seen in this run.
+    /// Highest fencing token that the engine has seen in this incarnation.
     pub highest_fence: FencingToken,
     /// Models that take accelerator memory.
     pub residents: Vec<Resident>,
@@ -187,7 +188,7 @@
     pub proposer: Proposer,
     /// Engine that is gone.
     pub engine: UpstreamName,
-    /// Last run of the engine that the process knew.
+    /// Last incarnation of the engine that the process knew.
     pub boot: BootId,
 }
 
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -84,15 +84,15 @@
 /// Status of an engine's models. It is exact at its `sequence`, unlike a [`LoadReport`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// Run of the engine process that answered.
+    /// Incarnation of the engine process that answered.
     pub boot: BootId,
-    /// Sequence number, which grows with each change of the models within one run.
+    /// Sequence number, which grows with each change of the models within one incarnation.
     pub sequence: u64,
     /// Accelerator memory for models and adapters, in bytes.
     pub capacity_bytes: u64,
-    /// Whether the engine refuses orders whose fencing number is below the highest it has seen.
+    /// Whether the engine refuses orders whose fencing token is below the highest it has seen.
     pub checks_fence: bool,
-    /// Highest fencing number that the engine has seen in this run.
+    /// Highest fencing token that the engine has seen in this incarnation.
     pub highest_fence: FencingToken,
     /// Models that take accelerator memory.
     pub residents: Vec<Resident>,
@@ -148,8 +148,8 @@
         timeout_ms: u64,
     ) -> Result<EngineStatus>;
 
-    /// Raises the highest fencing number of the engine, so that it refuses every older order, and
-    /// returns the status after that. An engine that does not check fencing numbers only returns
+    /// Raises the highest fencing token of the engine, so that it refuses every older order, and
+    /// returns the status after that. An engine that does not check fencing tokens only returns
     /// its status.
     ///
     /// # Errors
--- a/crates/core/src/errors.rs
+++ b/crates/core/src/errors.rs
@@ -22,11 +22,11 @@
     /// The remote side understood the action and refused it. The action had no effect.
     #[error("rejected: {0}")]
     Rejected(String),
-    /// The fencing number of the order is lower than one that the engine has seen. The order had no
+    /// The fencing token of the order is lower than one that the engine has seen. The order had no
     /// effect.
-    #[error("stale fencing number, the engine has seen {highest}")]
+    #[error("stale fencing token, the engine has seen {highest}")]
     StaleFence {
-        /// Highest fencing number that the engine has seen.
+        /// Highest fencing token that the engine has seen.
         highest: u64,
     },
     /// The requested records are no longer kept by the log.
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -73,7 +73,7 @@
 }
 name_type! {
     /// Name by which the platform knows an upstream. It stays the same when the upstream restarts,
-    /// whereas each run has an [`UpstreamName`] of its own.
+    /// whereas each incarnation has an [`UpstreamName`] of its own.
     InstanceName
 }
 name_type! {
--- a/crates/core/src/numbers.rs
+++ b/crates/core/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Integer types for offsets, epochs, fencing numbers, versions and positions.
+//! Integer types for offsets, epochs, fencing tokens, versions and positions.
 
 use std::fmt;
 
@@ -38,7 +38,7 @@
     FencingToken
 }
 number_type! {
-    /// Identifies one run of an engine process. It grows with each start of the engine.
+    /// Identifies one incarnation of an engine process. It grows with each start of the engine.
     BootId
 }
 number_type! {
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -34,7 +34,7 @@
     pub tried: Vec<UpstreamName>,
 }
 
-/// Outcome of one try at an upstream.
+/// Outcome of one attempt at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UpstreamOutcome {
     /// The complete answer arrived in time.
@@ -43,7 +43,7 @@
     Unreachable,
     /// The upstream refused the request before running it.
     Refused,
-    /// The connection was lost, the answer ended early or the try timed out.
+    /// The connection was lost, the answer ended early or the attempt timed out.
     Lost,
     /// The caller ended the request, which says nothing about the upstream.
     Cancelled,
@@ -63,7 +63,7 @@
     Ended {
         /// Upstream that it had been sent to.
         upstream: UpstreamName,
-        /// Outcome of the try.
+        /// Outcome of the attempt.
         outcome: UpstreamOutcome,
         /// Time from sending to the first byte of the answer; `None` if none arrived.
         first_byte_ms: Option<u64>,
@@ -165,18 +165,18 @@
     fn next_tick_ms(&self) -> Option<u64>;
 }
 
-/// Failed try for which a retry is considered.
+/// Failed attempt for which a retry is considered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryRequest {
     /// Group of upstreams, which share one retry budget.
     pub group: GroupName,
     /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// Whether the failed try certainly did not run.
+    /// Whether the failed attempt certainly did not run.
     pub certainly_not_run: bool,
     /// Whether part of the answer has already been sent to the caller.
     pub answer_begun: bool,
-    /// Number of tries so far, at least one.
+    /// Number of attempts so far, at least one.
     pub tries: u32,
     /// Remaining time of the request.
     pub left_ms: u64,
@@ -193,18 +193,18 @@
     AnswerBegun,
     /// Give up: the retry budget of the group is spent.
     BudgetSpent,
-    /// Give up: the maximum number of tries is reached.
+    /// Give up: the maximum number of attempts is reached.
     TooManyTries,
-    /// Give up: the request has no time left for another try.
+    /// Give up: the request has no time left for another attempt.
     NoTimeLeft,
 }
 
 /// Decides whether failed requests are retried.
 pub trait RetryPolicy: Send {
-    /// Records the first try of a request at a group, which adds to the group's retry budget.
+    /// Records the first attempt of a request at a group, which adds to the group's retry budget.
     fn first_try(&mut self, now_ms: u64, group: &GroupName);
 
-    /// Decides whether a failed try is followed by another one.
+    /// Decides whether a failed attempt is followed by another one.
     fn decide(&mut self, now_ms: u64, request: &RetryRequest) -> RetryDecision;
 }
 
--- a/crates/core/src/serving.rs
+++ b/crates/core/src/serving.rs
@@ -141,13 +141,13 @@
         /// Refusal that the caller was answered with.
         refusal: Refusal,
     },
-    /// A failed try was retried or given up.
+    /// A failed attempt was retried or given up.
     Retry {
         /// Group of upstreams that were tried.
         group: GroupName,
         /// Decision of the retry policy.
         decision: RetryDecision,
-        /// Whether the failed try ran.
+        /// Whether the failed attempt ran.
         ran: Ran,
     },
     /// A request was answered completely.
