--- a/crates/launcher/src/cluster/records.rs
+++ b/crates/launcher/src/cluster/records.rs
@@ -16,7 +16,7 @@
 use apricotdale_state::Accepted;
 use apricotdale_state::ControlState;
 use apricotdale_state::Verdict;
-use apricotdale_state::parts::Catalog;
+use apricotdale_state::parts::SnapshotCatalog;
 
 /// The stream of decisions and configuration.
 pub const CONTROL_STREAM: &str = "control";
@@ -128,7 +128,7 @@
 pub fn unsnapshotted(log: &StandinClient, stream: &str) -> Result<u64> {
     let (records, _) = read_stream(log, SNAPSHOT_STREAM)?;
     let first = records.first().map_or(0, |record| record.offset);
-    let mut catalog = Catalog::new(Offset(first));
+    let mut catalog = SnapshotCatalog::new(Offset(first));
     for record in &records {
         // A record that is no part of a snapshot leaves those that were read as they are.
         let _ = catalog.apply(Offset(record.offset), &record.payload);
--- a/crates/node/src/claims/claim_sweeper.rs
+++ b/crates/node/src/claims/claim_sweeper.rs
@@ -63,7 +63,7 @@
             self.replayed
                 .read(|state| !state.members().has_process(process_id))
         };
-        let finishes = stream.with_table(|table| table.finishes_of_ended(is_over));
+        let finishes = stream.with_table(|table| table.finishes_of_ended_processes(is_over));
         let mut ended = Ended::new();
         for finish in finishes {
             let Finish { key, request, .. } = &finish;
--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -270,13 +270,13 @@
         state
             .replicas_on(name)
             .any(|one| FencingToken::from(one.load) == fence)
-            || engine.undecided.values().any(|one| one.fence == fence)
+            || engine.unmanaged.values().any(|one| one.fence == fence)
     };
     let strange = status
         .residents
         .iter()
         .any(|resident| !is_known(resident.fence));
-    let gone = engine.undecided.values().any(|one| {
+    let gone = engine.unmanaged.values().any(|one| {
         !status
             .residents
             .iter()
--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -208,7 +208,7 @@
         let (is_member, epochs): (bool, Vec<Epoch>) = self.replayed.read(|state| {
             let members = state.members();
             let is_member = members.newest().any(|(name, _)| *name == vm);
-            (is_member, members.departable(&vm, as_of_ms))
+            (is_member, members.departable_epochs(&vm, as_of_ms))
         });
         if !is_member {
             self.membership.handle(MembershipEvent::Departed { vm });
@@ -237,7 +237,7 @@
         });
         let (is_there, boot) = self.replayed.read(|state| {
             let engine = state.engine(&upstream).filter(|engine| !engine.is_gone());
-            (engine.is_some(), state.removable(&upstream, as_of_ms))
+            (engine.is_some(), state.removable_boot(&upstream, as_of_ms))
         });
         if !is_there {
             self.membership
--- a/crates/node/src/placing/placement_loop.rs
+++ b/crates/node/src/placing/placement_loop.rs
@@ -208,7 +208,7 @@
                 let boot = state.engine(name).map(|engine| engine.boot());
                 let mut replicas = state.replicas_on(name);
                 !replicas.any(|one| {
-                    let may_come = boot.is_some_and(|boot| one.can_hold(boot));
+                    let may_come = boot.is_some_and(|boot| one.may_hold_memory(boot));
                     one.model == *model && is_stuck(one.stage()) && may_come
                 })
             };
@@ -268,8 +268,8 @@
                     .engines()
                     .filter(|(name, _)| view.is_preferred(name.as_str()));
                 let strays = engines.flat_map(|(name, engine)| {
-                    let undecided = engine.undecided.iter();
-                    let idle = undecided.filter(|(_, stray)| stray.unload.is_none());
+                    let unmanaged = engine.unmanaged.iter();
+                    let idle = unmanaged.filter(|(_, stray)| stray.unload.is_none());
                     idle.map(|(model, stray)| (model.clone(), name.clone(), Offset(stray.fence.0)))
                 });
                 strays.collect()
--- a/crates/node/src/settling/runner.rs
+++ b/crates/node/src/settling/runner.rs
@@ -244,10 +244,10 @@
             let replica = state
                 .replica(intent.load)
                 .filter(|_| intent.kind == IntentKind::Load);
-            let quiet_since = replica.and_then(|replica| replica.quiet_since);
+            let sender_ended_at = replica.and_then(|replica| replica.sender_ended_at);
             match replica {
                 _ if !state.is_current(intent.owner.epoch) => Standing::Abandoned,
-                _ if quiet_since.is_some_and(|since| since > intent.owner.since) => {
+                _ if sender_ended_at.is_some_and(|since| since > intent.owner.since) => {
                     Standing::Abandoned
                 }
                 Some(replica) if is_stuck(replica.stage()) => Standing::Settled,
--- a/crates/node/src/streams/catch_up.rs
+++ b/crates/node/src/streams/catch_up.rs
@@ -13,10 +13,10 @@
 use apricotdale_core::names::VmName;
 use apricotdale_core::numbers::Offset;
 use apricotdale_state::catch_up::CatchUpAction;
-use apricotdale_state::catch_up::Knowledge;
-use apricotdale_state::catch_up::LogKnowledge;
+use apricotdale_state::catch_up::LogRange;
 use apricotdale_state::catch_up::PeerAnswer;
 use apricotdale_state::catch_up::Position;
+use apricotdale_state::catch_up::StateSources;
 use apricotdale_state::catch_up::StreamSnapshot;
 use apricotdale_state::catch_up::plan;
 use apricotdale_state::parts::FreshStart;
@@ -63,7 +63,7 @@
 
 /// `Episode` is what was learned in one go.
 struct Episode {
-    knowledge: Knowledge,
+    knowledge: StateSources,
     sections: BTreeMap<VmName, Section>,
 }
 
@@ -94,7 +94,7 @@
                 .map(|vm| (vm.clone(), PeerAnswer::NotAsked))
                 .collect()
         });
-        let knowledge = Knowledge {
+        let knowledge = StateSources {
             own: self.state.position(),
             log: self.log_range(),
             stream: StreamSnapshot::Unread,
@@ -111,7 +111,7 @@
         self.state.stream()
     }
 
-    fn log_range(&self) -> LogKnowledge {
+    fn log_range(&self) -> LogRange {
         let mut from = self
             .state
             .position()
@@ -121,7 +121,7 @@
             match self.log.read(self.stream(), from, 1, 0) {
                 Ok(batch) => {
                     first = first.max(batch.first);
-                    return LogKnowledge::Keeps {
+                    return LogRange::Keeps {
                         first,
                         end: batch.end,
                     };
@@ -130,10 +130,10 @@
                     first = kept;
                     from = kept;
                 }
-                Err(_) => return LogKnowledge::Down,
+                Err(_) => return LogRange::Down,
             }
         }
-        LogKnowledge::Down
+        LogRange::Down
     }
 
     /// Carries out one action and returns the outcome if there is nothing more to do now.
--- a/crates/node/src/streams/snapshot_reader.rs
+++ b/crates/node/src/streams/snapshot_reader.rs
@@ -9,7 +9,7 @@
 use apricotdale_core::log::LogClient;
 use apricotdale_core::names::StreamName;
 use apricotdale_core::numbers::Offset;
-use apricotdale_state::parts::Catalog;
+use apricotdale_state::parts::SnapshotCatalog;
 use apricotdale_state::snapshot::Lineage;
 use apricotdale_state::snapshot::Section;
 
@@ -20,7 +20,7 @@
 pub struct SnapshotReader {
     stream: StreamName,
     log: Arc<dyn LogClient>,
-    catalog: Mutex<Catalog>,
+    catalog: Mutex<SnapshotCatalog>,
 }
 
 impl SnapshotReader {
@@ -29,7 +29,7 @@
         Self {
             stream,
             log,
-            catalog: Mutex::new(Catalog::new(Offset(0))),
+            catalog: Mutex::new(SnapshotCatalog::new(Offset(0))),
         }
     }
 
@@ -54,7 +54,7 @@
                         return true;
                     }
                 }
-                Err(Error::Expired { first }) => *catalog = Catalog::new(first),
+                Err(Error::Expired { first }) => *catalog = SnapshotCatalog::new(first),
                 Err(error) => {
                     warn!("reading the snapshot stream failed: {error}");
                     return false;
--- a/crates/node/tests/catch_up.rs
+++ b/crates/node/tests/catch_up.rs
@@ -7,7 +7,7 @@
 use apricotdale_core::numbers::ConfigVersion;
 use apricotdale_core::numbers::Offset;
 use apricotdale_core::vm_list::VmState;
-use apricotdale_state::parts::Catalog;
+use apricotdale_state::parts::SnapshotCatalog;
 
 use support::log_fault::AppendFault;
 use support::log_fault::ReadFault;
@@ -37,7 +37,7 @@
 
 /// Returns how far the newest snapshot of a stream reaches.
 fn snapshot_of(world: &World, stream: &str) -> Option<Offset> {
-    let mut catalog = Catalog::new(Offset(0));
+    let mut catalog = SnapshotCatalog::new(Offset(0));
     for record in world.log.records("snapshots") {
         catalog
             .apply(record.offset, &record.payload)
--- a/crates/state/src/catch_up.rs
+++ b/crates/state/src/catch_up.rs
@@ -19,9 +19,9 @@
     pub next: Offset,
 }
 
-/// `LogKnowledge` is what is known of the stream on the log.
+/// `LogRange` is what is known of the stream on the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LogKnowledge {
+pub enum LogRange {
     /// Nothing yet.
     Unknown,
     /// The log can't be read now.
@@ -59,13 +59,13 @@
     Reaches(Position),
 }
 
-/// `Knowledge` is what a VM knows about the sources of a stream's state.
+/// `StateSources` is what a VM knows about the sources of a stream's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Knowledge {
+pub struct StateSources {
     /// How far the VM's own state reaches, if it has one.
     pub own: Option<Position>,
     /// What the log keeps.
-    pub log: LogKnowledge,
+    pub log: LogRange,
     /// What the snapshot stream offers.
     pub stream: StreamSnapshot,
     /// The lineage that the snapshot stream shows.
@@ -120,17 +120,17 @@
 }
 
 /// Returns what to do next.
-pub fn plan(knowledge: &Knowledge) -> CatchUpAction {
+pub fn plan(knowledge: &StateSources) -> CatchUpAction {
     match knowledge.log {
-        LogKnowledge::Unknown => CatchUpAction::ReadLogRange,
-        LogKnowledge::Down => plan_without_log(knowledge),
-        LogKnowledge::Keeps { first, end } => plan_with_log(knowledge, first, end),
+        LogRange::Unknown => CatchUpAction::ReadLogRange,
+        LogRange::Down => plan_without_log(knowledge),
+        LogRange::Keeps { first, end } => plan_with_log(knowledge, first, end),
     }
 }
 
 /// While the log is down, any state serves: nothing can be decided in the meantime, so the state of
 /// the peer that reaches furthest is the newest there is.
-fn plan_without_log(knowledge: &Knowledge) -> CatchUpAction {
+fn plan_without_log(knowledge: &StateSources) -> CatchUpAction {
     if knowledge.own.is_some() {
         return CatchUpAction::ServeOnly;
     }
@@ -143,7 +143,7 @@
     }
 }
 
-fn plan_with_log(knowledge: &Knowledge, first: Offset, end: Offset) -> CatchUpAction {
+fn plan_with_log(knowledge: &StateSources, first: Offset, end: Offset) -> CatchUpAction {
     let lineage = knowledge.lineage;
     let usable = |position: Position| {
         position.lineage >= lineage && position.next >= first && position.next <= end
@@ -164,7 +164,7 @@
 }
 
 fn plan_with_peers(
-    knowledge: &Knowledge,
+    knowledge: &StateSources,
     end: Offset,
     usable: impl Fn(Position) -> bool,
 ) -> CatchUpAction {
--- a/crates/state/src/claim_table.rs
+++ b/crates/state/src/claim_table.rs
@@ -127,7 +127,7 @@
     /// Returns the claims that are held by processes which are over, as the finishes that make
     /// their outcome known as unknown. Any VM may append them; only the first counts. A finish that
     /// the winner itself appended while it ran still counts when it comes later.
-    pub fn finishes_of_ended(&self, is_over: impl Fn(u64) -> bool) -> Vec<Finish> {
+    pub fn finishes_of_ended_processes(&self, is_over: impl Fn(u64) -> bool) -> Vec<Finish> {
         let running = self
             .entries
             .iter()
--- a/crates/state/src/control_state.rs
+++ b/crates/state/src/control_state.rs
@@ -217,7 +217,7 @@
             };
             // An order that can still be sent, or that may have been sent to a successor of the engine
             // under the same name, outlives the engine.
-            let holds_now = !is_gone && replica.can_hold(boot);
+            let holds_now = !is_gone && replica.may_hold_memory(boot);
             if !holds_now && !replica.can_hold_after(boot) {
                 self.forget(load);
             }
--- a/crates/state/src/engines.rs
+++ b/crates/state/src/engines.rs
@@ -24,9 +24,9 @@
     pub sequence: u64,
 }
 
-/// `UndecidedResident` is a model on an engine that no accepted load put there.
+/// `UnmanagedResident` is a model on an engine that no accepted load put there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UndecidedResident {
+pub struct UnmanagedResident {
     /// The memory it takes.
     pub bytes: u64,
     /// The number of the order that loaded it.
@@ -59,7 +59,7 @@
     /// Where the record is that removed it, if it is gone.
     pub gone_at: Option<Offset>,
     /// The models on it that no accepted load put there.
-    pub undecided: BTreeMap<ModelName, UndecidedResident>,
+    pub unmanaged: BTreeMap<ModelName, UnmanagedResident>,
     /// The fencing numbers of its residents in the last whole status.
     pub(crate) resident_fences: Vec<FencingToken>,
 }
@@ -77,7 +77,7 @@
 
     /// Returns the memory that undecided models take.
     pub fn undecided_bytes(&self) -> u64 {
-        let sizes = self.undecided.values().map(|resident| resident.bytes);
+        let sizes = self.unmanaged.values().map(|resident| resident.bytes);
         sizes.fold(0, u64::saturating_add)
     }
 
--- a/crates/state/src/intents.rs
+++ b/crates/state/src/intents.rs
@@ -46,7 +46,7 @@
             since_ms: moment.appended_ms,
             sender: intent.proposer.epoch,
             owner: owner(&intent.proposer, moment),
-            quiet_since: None,
+            sender_ended_at: None,
             last_boot: None,
             refused_by: None,
             shown: None,
@@ -69,8 +69,9 @@
         // An engine names its models, so it can't tell two replicas of one model apart: an unload
         // of the one would be an unload of both.
         let boot = engine.boot();
-        let is_same = |replica: &Replica| replica.model == intent.model && replica.can_hold(boot);
-        if engine.undecided.contains_key(&intent.model)
+        let is_same =
+            |replica: &Replica| replica.model == intent.model && replica.may_hold_memory(boot);
+        if engine.unmanaged.contains_key(&intent.model)
             || self.replicas.of_engine(&intent.engine).any(is_same)
         {
             return Err(RejectReason::AlreadyOnEngine);
@@ -119,7 +120,7 @@
         let holding = self
             .replicas
             .of_engine(name)
-            .filter(|replica| replica.can_hold(boot));
+            .filter(|replica| replica.may_hold_memory(boot));
         holding.fold(engine.undecided_bytes(), add_bytes)
     }
 
@@ -183,7 +184,7 @@
             .engines
             .get_mut(&intent.engine)
             .ok_or(RejectReason::UnknownReplica)?;
-        match engine.undecided.get_mut(&intent.model) {
+        match engine.unmanaged.get_mut(&intent.model) {
             Some(resident) if resident.fence.0 != intent.load.0 => {
                 Err(RejectReason::UnknownReplica)
             }
@@ -213,7 +214,7 @@
         // A sender that takes its own intent over says that its attempt is over and that it will
         // not send the order again.
         if replica.sender == owner.epoch {
-            replica.quiet_since.get_or_insert(moment.offset);
+            replica.sender_ended_at.get_or_insert(moment.offset);
         }
         replica.owner = owner;
         Ok(Accepted::TakenOver)
--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -99,7 +99,7 @@
     /// while its new process runs. To end that process would free the memory of orders that it may
     /// still send. The list's time and the log's time are both the platform's; a join later than
     /// [`LIST_MARGIN_MS`] before the list's time is not held against the process.
-    pub fn departable(&self, vm: &VmName, as_of_ms: u64) -> Vec<Epoch> {
+    pub fn departable_epochs(&self, vm: &VmName, as_of_ms: u64) -> Vec<Epoch> {
         let joined_before_ms = as_of_ms.saturating_sub(LIST_MARGIN_MS);
         let members = self.vms.get(vm).into_iter().flat_map(VmMembers::all);
         let departable = members.filter(|member| member.joined_ms < joined_before_ms);
--- a/crates/state/src/observations.rs
+++ b/crates/state/src/observations.rs
@@ -16,7 +16,7 @@
 use crate::control_state::Moment;
 use crate::engines::Engine;
 use crate::engines::Reading;
-use crate::engines::UndecidedResident;
+use crate::engines::UnmanagedResident;
 use crate::replicas::Progress;
 use crate::replicas::Replica;
 use crate::verdict::Accepted;
@@ -43,7 +43,7 @@
         for load in self.replicas.loads_of_engine(name) {
             self.compare(moment, observation, reading, load);
         }
-        let undecided = self.undecided_of(observation);
+        let unmanaged = self.undecided_of(observation);
         let old = self.engines.get(name);
         let floor = old.map_or(reading, |old| old.floor.max(reading));
         let same_run = old.filter(|old| old.boot() == reading.boot && !old.is_gone());
@@ -58,7 +58,7 @@
             checks_fence: observation.checks_fence,
             highest_fence: observation.highest_fence,
             gone_at: None,
-            undecided,
+            unmanaged,
             resident_fences: observation
                 .residents
                 .iter()
@@ -93,10 +93,10 @@
     }
 
     /// Returns what an engine shows that no accepted load put there.
-    fn undecided_of(&self, observation: &Observation) -> BTreeMap<ModelName, UndecidedResident> {
+    fn undecided_of(&self, observation: &Observation) -> BTreeMap<ModelName, UnmanagedResident> {
         let old = self.engines.get(&observation.engine);
         let old = old.filter(|old| old.boot() == observation.boot);
-        let mut undecided = BTreeMap::new();
+        let mut unmanaged = BTreeMap::new();
         for resident in &observation.residents {
             let load = self.replicas.get(Offset(resident.fence.0));
             if load.is_some_and(|replica| {
@@ -104,17 +104,17 @@
             }) {
                 continue;
             }
-            let known = old.and_then(|old| old.undecided.get(&resident.model));
+            let known = old.and_then(|old| old.unmanaged.get(&resident.model));
             let known = known.filter(|known| known.fence == resident.fence);
-            let stray = UndecidedResident {
+            let stray = UnmanagedResident {
                 bytes: resident.bytes,
                 fence: resident.fence,
                 residency: resident.residency,
                 unload: known.and_then(|known| known.unload),
             };
-            undecided.insert(resident.model.clone(), stray);
+            unmanaged.insert(resident.model.clone(), stray);
         }
-        undecided
+        unmanaged
     }
 
     /// Forgets the unloads of undecided models that are gone.
@@ -124,7 +124,7 @@
         };
         let replicas = &self.replicas;
         self.unloads.retain(|offset, task| {
-            let stray = engine.undecided.get(&task.model);
+            let stray = engine.unmanaged.get(&task.model);
             task.engine != *name
                 || replicas.get(task.load).is_some()
                 || stray.is_some_and(|stray| stray.unload == Some(*offset))
@@ -147,7 +147,7 @@
             return Err(RejectReason::EngineRestarted);
         }
         engine.gone_at = Some(moment.offset);
-        engine.undecided.clear();
+        engine.unmanaged.clear();
         engine.resident_fences.clear();
         self.drop_stray_unloads(&gone.engine);
         self.sweep(&gone.engine);
--- a/crates/state/src/parts.rs
+++ b/crates/state/src/parts.rs
@@ -129,10 +129,10 @@
     bytes: usize,
 }
 
-/// `Catalog` is what a reader knows from the snapshot stream: the newest whole section of each
+/// `SnapshotCatalog` is what a reader knows from the snapshot stream: the newest whole section of each
 /// stream.
 #[derive(Clone, Debug)]
-pub struct Catalog {
+pub struct SnapshotCatalog {
     first: Offset,
     next: Offset,
     streams: BTreeMap<StreamName, StreamCatalog>,
@@ -145,7 +145,7 @@
     collecting: BTreeMap<(Offset, u64, u32), Collected>,
 }
 
-impl Catalog {
+impl SnapshotCatalog {
     /// Returns the catalog of a reader that begins at the first offset which the stream still keeps.
     pub fn new(first: Offset) -> Self {
         Self {
--- a/crates/state/src/replicas.rs
+++ b/crates/state/src/replicas.rs
@@ -86,7 +86,7 @@
     pub owner: Owner,
     /// The record since which the sender certainly sends no more: its VM's departure, the first
     /// record of the VM's next process, or its own takeover of its intent.
-    pub quiet_since: Option<Offset>,
+    pub sender_ended_at: Option<Offset>,
     /// The last run of the engine that the order can still reach, once that is known.
     pub last_boot: Option<BootId>,
     /// The run of the engine that certainly refuses the order.
@@ -114,11 +114,11 @@
 
     /// Returns whether the order's sender may still send it.
     pub fn sender_may_act(&self) -> bool {
-        self.shown.is_none() && self.quiet_since.is_none()
+        self.shown.is_none() && self.sender_ended_at.is_none()
     }
 
     /// Returns whether the replica takes memory, now or at any moment, in a run of its engine.
-    pub fn can_hold(&self, boot: BootId) -> bool {
+    pub fn may_hold_memory(&self, boot: BootId) -> bool {
         match self.shown {
             Some(shown) => shown.boot >= boot,
             None => self.can_reach(boot) && self.refused_by != Some(boot),
@@ -214,7 +214,7 @@
             .values_mut()
             .filter(|replica| replica.sender == epoch)
         {
-            replica.quiet_since.get_or_insert(at);
+            replica.sender_ended_at.get_or_insert(at);
         }
     }
 
--- a/crates/state/src/settlements.rs
+++ b/crates/state/src/settlements.rs
@@ -157,7 +157,7 @@
         }
         engine.note_reading(reading);
         if replica.is_none() {
-            engine.undecided.remove(&task.model);
+            engine.unmanaged.remove(&task.model);
         }
         self.forget(task.load);
         self.unloads.remove(&unload);
@@ -171,7 +171,7 @@
             return;
         }
         let engine = self.engines.get_mut(&task.engine);
-        let resident = engine.and_then(|engine| engine.undecided.get_mut(&task.model));
+        let resident = engine.and_then(|engine| engine.unmanaged.get_mut(&task.model));
         if let Some(resident) = resident {
             resident.unload = None;
         }
@@ -191,9 +191,9 @@
     // The owner took the reading after its takeover. If the sender had ended before that, no later
     // run of the engine has ever had a connection from the sender.
     let quiet_before = replica
-        .quiet_since
+        .sender_ended_at
         .is_some_and(|quiet| replica.owner.since >= quiet);
-    match replica.quiet_since {
+    match replica.sender_ended_at {
         _ if quiet_before => {
             let last_boot = replica.last_boot.unwrap_or(reading.boot);
             replica.last_boot = Some(last_boot.min(reading.boot));
@@ -212,7 +212,7 @@
 /// Returns whether a process settles an order that it may itself have sent, with knowledge of how
 /// its attempt ended. A sender that has taken its own intent over does not have that knowledge.
 fn speaks_of_own_order(replica: &Replica, epoch: Epoch) -> bool {
-    replica.sender == epoch && replica.quiet_since.is_none()
+    replica.sender == epoch && replica.sender_ended_at.is_none()
 }
 
 /// Returns whether an engine has shown since a reading that a load's effect is gone again.
--- a/crates/state/src/view.rs
+++ b/crates/state/src/view.rs
@@ -126,7 +126,7 @@
     /// `as_of_ms`, shows as gone, if the list can mean that run. Only then may the engine be said to
     /// be gone: a lagging list can still show the end of an engine whose successor of the same name
     /// runs already.
-    pub fn removable(&self, engine: &UpstreamName, as_of_ms: u64) -> Option<BootId> {
+    pub fn removable_boot(&self, engine: &UpstreamName, as_of_ms: u64) -> Option<BootId> {
         let engine = self
             .engines
             .get(engine)
@@ -170,10 +170,10 @@
     pub fn replica_count(&self, model: &ModelName) -> u32 {
         let decided = self.replicas.of_model(model).count();
         let engines = self.engines.values();
-        let undecided = engines
-            .filter(|engine| engine.undecided.contains_key(model))
+        let unmanaged = engines
+            .filter(|engine| engine.unmanaged.contains_key(model))
             .count();
-        u32::try_from(decided + undecided).unwrap_or(u32::MAX)
+        u32::try_from(decided + unmanaged).unwrap_or(u32::MAX)
     }
 
     /// Returns every accepted intent that is not settled, loads first. A load whose sender is over
@@ -194,7 +194,7 @@
             sender: replica.sender,
             owner: replica.owner.clone(),
             sender_may_act: replica.sender_may_act(),
-            wants_take_over: replica.last_boot.is_none() && replica.quiet_since.is_some(),
+            wants_take_over: replica.last_boot.is_none() && replica.sender_ended_at.is_some(),
         });
         let unloads = self.unloads.iter().map(|(offset, task)| IntentView {
             intent: *offset,
--- a/crates/state/tests/catch_up.rs
+++ b/crates/state/tests/catch_up.rs
@@ -5,10 +5,10 @@
 use apricotdale_core::numbers::Offset;
 
 use apricotdale_state::catch_up::CatchUpAction;
-use apricotdale_state::catch_up::Knowledge;
-use apricotdale_state::catch_up::LogKnowledge;
+use apricotdale_state::catch_up::LogRange;
 use apricotdale_state::catch_up::PeerAnswer;
 use apricotdale_state::catch_up::Position;
+use apricotdale_state::catch_up::StateSources;
 use apricotdale_state::catch_up::StreamSnapshot;
 use apricotdale_state::catch_up::WaitReason;
 use apricotdale_state::catch_up::plan;
@@ -26,16 +26,16 @@
 use CatchUpAction::SaveAndRestart;
 use CatchUpAction::ServeOnly;
 use CatchUpAction::Wait;
-use LogKnowledge::Down;
-use LogKnowledge::Unknown;
+use LogRange::Down;
+use LogRange::Unknown;
 use PeerAnswer::NoState;
 use PeerAnswer::NotAsked;
 use PeerAnswer::Silent;
 use StreamSnapshot::Absent;
 use StreamSnapshot::Unread;
 
-fn keeps(first: u64, end: u64) -> LogKnowledge {
-    LogKnowledge::Keeps {
+fn keeps(first: u64, end: u64) -> LogRange {
+    LogRange::Keeps {
         first: Offset(first),
         end: Offset(end),
     }
@@ -90,7 +90,7 @@
 #[case::others_went_on(Some(at(4)), keeps(5, 9), StreamSnapshot::Reaches(later(6)), &[], Restart)]
 fn the_next_step_follows_from_what_is_known(
     #[case] own: Option<Position>,
-    #[case] log: LogKnowledge,
+    #[case] log: LogRange,
     #[case] stream: StreamSnapshot,
     #[case] peers: &[PeerAnswer],
     #[case] action: CatchUpAction,
@@ -103,7 +103,7 @@
     let peers = peers
         .map(|(index, answer)| (format!("p{index}").into(), *answer))
         .collect();
-    let knowledge = Knowledge {
+    let knowledge = StateSources {
         own,
         log,
         stream,
@@ -117,7 +117,7 @@
 fn without_a_list_of_vms_nothing_counts_as_lost() {
     let log = keeps(5, 9);
     let lineage = Lineage::default();
-    let knowledge = Knowledge {
+    let knowledge = StateSources {
         own: None,
         log,
         stream: Absent,
@@ -136,7 +136,7 @@
     let stream = StreamSnapshot::Reaches(later(6));
     let lineage = Lineage(Offset(3));
     let own = Some(at(7));
-    let knowledge = Knowledge {
+    let knowledge = StateSources {
         own,
         log: keeps(5, 9),
         stream,
--- a/crates/state/tests/claim_rules.rs
+++ b/crates/state/tests/claim_rules.rs
@@ -161,10 +161,10 @@
     let mut table = table_with(&[]);
     assert!(
         table
-            .finishes_of_ended(|process_id| process_id != 1)
+            .finishes_of_ended_processes(|process_id| process_id != 1)
             .is_empty()
     );
-    let finishes = table.finishes_of_ended(|process_id| process_id == 1);
+    let finishes = table.finishes_of_ended_processes(|process_id| process_id == 1);
     for finish in finishes {
         assert_eq!(
             apply(&mut table, 40, ClaimRecord::Finish(finish)),
--- a/crates/state/tests/claim_search.rs
+++ b/crates/state/tests/claim_search.rs
@@ -211,7 +211,8 @@
             11 => {
                 let alive: Vec<u64> = self.processes.iter().map(|p| p.process_id).collect();
                 let table = &self.processes[index].table;
-                let finishes = table.finishes_of_ended(|process_id| !alive.contains(&process_id));
+                let finishes =
+                    table.finishes_of_ended_processes(|process_id| !alive.contains(&process_id));
                 for finish in finishes {
                     self.append(ClaimRecord::Finish(finish), how);
                 }
--- a/crates/state/tests/engine_readings.rs
+++ b/crates/state/tests/engine_readings.rs
@@ -260,18 +260,18 @@
         .engine(&"e1".into())
         .expect("the engine was observed");
     let since_ms = engine.run_since_ms;
-    let removable = |as_of_ms| stream.state.removable(&"e1".into(), as_of_ms);
+    let removable = |as_of_ms| stream.state.removable_boot(&"e1".into(), as_of_ms);
     assert_eq!(removable(since_ms + LIST_MARGIN_MS), None);
     assert_eq!(removable(since_ms + LIST_MARGIN_MS + 1), Some(BootId(1)));
     let members = stream.state.members();
     let joined_ms = 1_000 + a.0;
     assert!(
         members
-            .departable(&"a".into(), joined_ms + LIST_MARGIN_MS)
+            .departable_epochs(&"a".into(), joined_ms + LIST_MARGIN_MS)
             .is_empty()
     );
     assert_eq!(
-        members.departable(&"a".into(), joined_ms + LIST_MARGIN_MS + 1),
+        members.departable_epochs(&"a".into(), joined_ms + LIST_MARGIN_MS + 1),
         [a]
     );
 }
--- a/crates/state/tests/snapshot_parts.rs
+++ b/crates/state/tests/snapshot_parts.rs
@@ -11,8 +11,8 @@
 use apricotdale_state::ControlState;
 use apricotdale_state::claims::ClaimOptions;
 use apricotdale_state::errors::Error;
-use apricotdale_state::parts::Catalog;
 use apricotdale_state::parts::FreshStart;
+use apricotdale_state::parts::SnapshotCatalog;
 use apricotdale_state::parts::SnapshotRecord;
 use apricotdale_state::snapshot::Lineage;
 use apricotdale_state::snapshot::Section;
@@ -38,7 +38,7 @@
     records.iter().map(SnapshotRecord::encode).collect()
 }
 
-fn apply_all(catalog: &mut Catalog, payloads: &[Vec<u8>]) {
+fn apply_all(catalog: &mut SnapshotCatalog, payloads: &[Vec<u8>]) {
     for payload in payloads {
         let next = catalog.next_offset();
         catalog.apply(next, payload).expect("the record is whole");
@@ -50,7 +50,7 @@
     let (section, state) = section();
     let payloads = payloads(&section);
     assert!(payloads.len() > 2);
-    let mut catalog = Catalog::new(Offset(0));
+    let mut catalog = SnapshotCatalog::new(Offset(0));
     apply_all(&mut catalog, &payloads[..payloads.len() - 1]);
     assert!(catalog.newest(&control()).is_none());
     apply_all(&mut catalog, &payloads);
@@ -62,7 +62,7 @@
 fn an_older_section_does_not_replace_a_newer_one() {
     let (newer, _) = section();
     let older = Section::of_control(Lineage::default(), &ControlState::new());
-    let mut catalog = Catalog::new(Offset(0));
+    let mut catalog = SnapshotCatalog::new(Offset(0));
     apply_all(&mut catalog, &payloads(&newer));
     apply_all(&mut catalog, &payloads(&older));
     assert_eq!(catalog.newest(&control()), Some(&newer));
@@ -77,7 +77,7 @@
     let good = payloads(&section);
     let mut damaged = good.clone();
     damage(&mut damaged[1]);
-    let mut catalog = Catalog::new(Offset(0));
+    let mut catalog = SnapshotCatalog::new(Offset(0));
     let mut errors = 0;
     for payload in &damaged {
         let next = catalog.next_offset();
@@ -158,7 +158,7 @@
 /// Cause: each would take its own proposal for the state.
 #[test]
 fn of_two_fresh_starts_the_first_counts() {
-    let mut catalog = Catalog::new(Offset(4));
+    let mut catalog = SnapshotCatalog::new(Offset(4));
     apply_all(&mut catalog, &[fresh(4, 100), fresh(4, 150)]);
     let newest = catalog.newest(&control()).expect("a fresh start counts");
     assert_eq!(
@@ -173,7 +173,7 @@
 #[test]
 fn a_section_from_before_a_loss_does_not_count_after_it() {
     let (section, _) = section();
-    let mut catalog = Catalog::new(Offset(0));
+    let mut catalog = SnapshotCatalog::new(Offset(0));
     apply_all(&mut catalog, &[fresh(0, 100)]);
     apply_all(&mut catalog, &payloads(&section));
     assert_eq!(
@@ -184,7 +184,7 @@
 
 #[test]
 fn a_fresh_start_whose_rivals_are_not_kept_is_not_judged() {
-    let mut catalog = Catalog::new(Offset(7));
+    let mut catalog = SnapshotCatalog::new(Offset(7));
     apply_all(&mut catalog, &[fresh(6, 100)]);
     assert!(catalog.newest(&control()).is_none());
 }
