--- a/crates/state/src/catch_up.rs
+++ b/crates/state/src/catch_up.rs
@@ -120,35 +120,35 @@
 }
 
 /// Returns what to do next.
-pub fn plan(knowledge: &StateSources) -> CatchUpAction {
-    match knowledge.log {
+pub fn plan(sources: &StateSources) -> CatchUpAction {
+    match sources.log {
         LogRange::Unknown => CatchUpAction::ReadLogRange,
-        LogRange::Down => plan_without_log(knowledge),
-        LogRange::Keeps { first, end } => plan_with_log(knowledge, first, end),
+        LogRange::Down => plan_without_log(sources),
+        LogRange::Keeps { first, end } => plan_with_log(sources, first, end),
     }
 }
 
 /// While the log is down, any state serves: nothing can be decided in the meantime, so the state of
 /// the peer that reaches furthest is the newest there is.
-fn plan_without_log(knowledge: &StateSources) -> CatchUpAction {
-    if knowledge.own.is_some() {
+fn plan_without_log(sources: &StateSources) -> CatchUpAction {
+    if sources.own.is_some() {
         return CatchUpAction::ServeOnly;
     }
-    let peers = knowledge.peers.as_deref().unwrap_or_default();
+    let peers = sources.peers.as_deref().unwrap_or_default();
     let not_asked = not_asked(peers);
-    match furthest(peers, |_| true) {
+    match most_advanced_peer(peers, |_| true) {
         _ if !not_asked.is_empty() => CatchUpAction::AskPeers(not_asked),
         Some(vm) => CatchUpAction::InstallFromPeer(vm),
         None => CatchUpAction::Wait(WaitReason::NoSource),
     }
 }
 
-fn plan_with_log(knowledge: &StateSources, first: Offset, end: Offset) -> CatchUpAction {
-    let lineage = knowledge.lineage;
+fn plan_with_log(sources: &StateSources, first: Offset, end: Offset) -> CatchUpAction {
+    let lineage = sources.lineage;
     let usable = |position: Position| {
         position.lineage >= lineage && position.next >= first && position.next <= end
     };
-    match (knowledge.own, knowledge.stream) {
+    match (sources.own, sources.stream) {
         (Some(own), _) if own.next > end => CatchUpAction::Halt,
         (Some(own), _) if usable(own) => CatchUpAction::Follow(own.next),
         (None, _) if first == Offset(0) && lineage == Lineage::default() => {
@@ -159,21 +159,21 @@
             CatchUpAction::Restart
         }
         (_, StreamSnapshot::Reaches(stream)) if usable(stream) => CatchUpAction::InstallFromStream,
-        _ => plan_with_peers(knowledge, end, usable),
+        _ => plan_with_peers(sources, end, usable),
     }
 }
 
 fn plan_with_peers(
-    knowledge: &StateSources,
+    sources: &StateSources,
     end: Offset,
     usable: impl Fn(Position) -> bool,
 ) -> CatchUpAction {
-    let Some(peers) = &knowledge.peers else {
+    let Some(peers) = &sources.peers else {
         return CatchUpAction::Wait(WaitReason::NoList);
     };
     let not_asked = not_asked(peers);
     let any = |wanted: fn(&PeerAnswer) -> bool| peers.iter().any(|(_, answer)| wanted(answer));
-    match furthest(peers, usable) {
+    match most_advanced_peer(peers, usable) {
         Some(vm) => CatchUpAction::InstallFromPeer(vm),
         None if !not_asked.is_empty() => CatchUpAction::AskPeers(not_asked),
         // A VM that is paused may hold the state and an order that it has not yet sent. A fresh
@@ -182,7 +182,7 @@
         None if any(|answer| *answer == PeerAnswer::Silent) => {
             CatchUpAction::Wait(WaitReason::SilentPeer)
         }
-        None if knowledge.own.is_some() => CatchUpAction::SaveAndRestart,
+        None if sources.own.is_some() => CatchUpAction::SaveAndRestart,
         None if any(|answer| matches!(answer, PeerAnswer::Reaches(_))) => {
             CatchUpAction::Wait(WaitReason::OutdatedPeer)
         }
@@ -197,7 +197,10 @@
     not_asked.map(|(vm, _)| vm.clone()).collect()
 }
 
-fn furthest(peers: &[(VmName, PeerAnswer)], usable: impl Fn(Position) -> bool) -> Option<VmName> {
+fn most_advanced_peer(
+    peers: &[(VmName, PeerAnswer)],
+    usable: impl Fn(Position) -> bool,
+) -> Option<VmName> {
     let reaching = peers.iter().filter_map(|(vm, answer)| match answer {
         PeerAnswer::Reaches(position) if usable(*position) => Some((*position, vm)),
         _ => None,
--- a/crates/state/src/claim_table.rs
+++ b/crates/state/src/claim_table.rs
@@ -28,9 +28,9 @@
 use crate::snapshot::encode;
 use crate::verdict::IgnoreReason;
 
-/// `Blindness` is what a table that has lost its records does not know.
+/// `HistoryGap` is what a table that has lost its records does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Blindness {
+enum HistoryGap {
     /// Nothing was lost, or long enough ago.
     None,
     /// Records were lost; the first one since has yet to come.
@@ -46,9 +46,9 @@
     options: ClaimOptions,
     next: Offset,
     now_ms: u64,
-    blindness: Blindness,
+    history_gap: HistoryGap,
     entries: BTreeMap<IdempotencyKey, ClaimEntry>,
-    expiring: BTreeSet<(u64, IdempotencyKey)>,
+    ended_by_time: BTreeSet<(u64, IdempotencyKey)>,
     answers: BTreeMap<u64, IdempotencyKey>,
     next_serial: u64,
     kept_bytes: usize,
@@ -62,9 +62,9 @@
             options,
             next: Offset(0),
             now_ms: 0,
-            blindness: Blindness::None,
+            history_gap: HistoryGap::None,
             entries: BTreeMap::new(),
-            expiring: BTreeSet::new(),
+            ended_by_time: BTreeSet::new(),
             answers: BTreeMap::new(),
             next_serial: 0,
             kept_bytes: 0,
@@ -79,7 +79,7 @@
     pub fn after_loss(next: Offset, options: ClaimOptions) -> Self {
         Self {
             next,
-            blindness: Blindness::UntilFirstRecord,
+            history_gap: HistoryGap::UntilFirstRecord,
             ..Self::new(options)
         }
     }
@@ -127,12 +127,12 @@
     /// Returns the claims that are held by processes which are over, as the finishes that make
     /// their outcome known as unknown. Any VM may append them; only the first counts. A finish that
     /// the winner itself appended while it ran still counts when it comes later.
-    pub fn finishes_of_ended_processes(&self, is_over: impl Fn(u64) -> bool) -> Vec<Finish> {
+    pub fn finishes_of_ended_processes(&self, has_ended: impl Fn(u64) -> bool) -> Vec<Finish> {
         let running = self
             .entries
             .iter()
             .filter(|(_, entry)| entry.state == ClaimState::Running);
-        let ended = running.filter(|(_, entry)| is_over(entry.process_id));
+        let ended = running.filter(|(_, entry)| has_ended(entry.process_id));
         let finish = |(key, entry): (&IdempotencyKey, &ClaimEntry)| Finish {
             key: key.clone(),
             request: entry.request.clone(),
@@ -162,7 +162,7 @@
             Ordering::Equal => {}
         }
         self.next = offset.next();
-        self.advance(appended_ms);
+        self.advance_time(appended_ms);
         let Some(batch) = ClaimBatch::decode(payload) else {
             self.counters.add(IgnoreReason::Undecodable.as_str());
             return Err(IgnoreReason::Undecodable);
@@ -175,16 +175,16 @@
     }
 
     /// Moves the table's time on. The log's clock may step back; the table's does not.
-    fn advance(&mut self, appended_ms: u64) {
+    fn advance_time(&mut self, appended_ms: u64) {
         self.now_ms = self.now_ms.max(appended_ms);
-        self.blindness = match self.blindness {
-            Blindness::UntilFirstRecord => {
-                Blindness::UntilMs(self.now_ms.saturating_add(self.options.least_ms))
+        self.history_gap = match self.history_gap {
+            HistoryGap::UntilFirstRecord => {
+                HistoryGap::UntilMs(self.now_ms.saturating_add(self.options.min_remember_ms))
             }
-            Blindness::UntilMs(until_ms) if self.now_ms > until_ms => Blindness::None,
-            blindness => blindness,
+            HistoryGap::UntilMs(until_ms) if self.now_ms > until_ms => HistoryGap::None,
+            history_gap => history_gap,
         };
-        self.expire();
+        self.remove_expired();
     }
 
     fn decide(&mut self, offset: Offset, record: &ClaimRecord) -> DecidedClaim {
@@ -207,9 +207,9 @@
     }
 
     fn claim(&mut self, offset: Offset, claim: &Claim) -> ClaimVerdict {
-        self.make_room(claim);
-        let past = match self.past_of(claim) {
-            Ok(past) => past,
+        self.make_room_for(claim);
+        let prior_holders = match self.prior_holders_if_free(claim) {
+            Ok(prior_holders) => prior_holders,
             Err(verdict) => return verdict,
         };
         let entry = ClaimEntry {
@@ -220,21 +220,21 @@
             won_at: offset,
             changed_ms: self.now_ms,
             state: ClaimState::Running,
-            past,
+            prior_holders,
             answer_serial: None,
         };
-        self.put(&claim.key, entry);
+        self.store_entry(&claim.key, entry);
         ClaimVerdict::Won
     }
 
     /// Returns the requests that have freed the key before, or the verdict if the key is not free.
-    fn past_of(&self, claim: &Claim) -> Result<BTreeSet<RequestId>, ClaimVerdict> {
+    fn prior_holders_if_free(&self, claim: &Claim) -> Result<BTreeSet<RequestId>, ClaimVerdict> {
         let Some(entry) = self.entries.get(&claim.key) else {
-            return match self.blindness {
-                Blindness::None if self.entries.len() < self.options.max_keys => {
+            return match self.history_gap {
+                HistoryGap::None if self.entries.len() < self.options.max_keys => {
                     Ok(BTreeSet::new())
                 }
-                Blindness::None => Err(ClaimVerdict::TableFull),
+                HistoryGap::None => Err(ClaimVerdict::TableFull),
                 _ => Err(ClaimVerdict::OutcomeUnknown),
             };
         };
@@ -243,10 +243,10 @@
         // the first win's finish would free the key while a second run is in progress.
         match &entry.state {
             _ if entry.is_repeated_by(claim) => Err(ClaimVerdict::Repeated),
-            ClaimState::Free if entry.past.len() >= self.options.max_tries => {
+            ClaimState::Free if entry.prior_holders.len() >= self.options.max_tries => {
                 Err(ClaimVerdict::TooManyTries)
             }
-            ClaimState::Free => Ok(entry.past.clone()),
+            ClaimState::Free => Ok(entry.prior_holders.clone()),
             _ if entry.call_hash != claim.call_hash => Err(ClaimVerdict::KeyReused),
             ClaimState::Running => Err(ClaimVerdict::AlreadyRunning),
             ClaimState::Finished(answer) => Err(ClaimVerdict::Finished(answer.clone())),
@@ -270,28 +270,28 @@
         entry.state = match finish.ran {
             Ran::NotRun => ClaimState::Free,
             Ran::Unknown => ClaimState::OutcomeUnknown,
-            Ran::Ran => ClaimState::Finished(self.kept(finish.answer.as_ref())),
+            Ran::Ran => ClaimState::Finished(self.answer_to_keep(finish.answer.as_ref())),
         };
         if entry.state == ClaimState::Free {
-            entry.past.insert(finish.request.clone());
+            entry.prior_holders.insert(finish.request.clone());
         }
-        self.put(&finish.key, entry);
-        self.drop_oldest_answers();
+        self.store_entry(&finish.key, entry);
+        self.evict_oldest_answers();
         ClaimVerdict::Ended
     }
 
-    fn kept(&self, answer: Option<&KeptAnswer>) -> Option<KeptAnswer> {
+    fn answer_to_keep(&self, answer: Option<&KeptAnswer>) -> Option<KeptAnswer> {
         answer
             .filter(|answer| answer_bytes(answer) <= self.options.max_answer_bytes)
             .cloned()
     }
 
-    fn put(&mut self, key: &IdempotencyKey, mut entry: ClaimEntry) {
-        self.take(key);
+    fn store_entry(&mut self, key: &IdempotencyKey, mut entry: ClaimEntry) {
+        self.remove_entry(key);
         // A call that is running is remembered until it ends, however long that takes: its winner
         // may be paused and send it yet.
         if entry.state != ClaimState::Running {
-            self.expiring.insert((entry.changed_ms, key.clone()));
+            self.ended_by_time.insert((entry.changed_ms, key.clone()));
         }
         if entry.kept_bytes() > 0 {
             entry.answer_serial = Some(self.next_serial);
@@ -302,43 +302,43 @@
         self.entries.insert(key.clone(), entry);
     }
 
-    fn take(&mut self, key: &IdempotencyKey) {
+    fn remove_entry(&mut self, key: &IdempotencyKey) {
         let Some(entry) = self.entries.remove(key) else {
             return;
         };
-        self.expiring.remove(&(entry.changed_ms, key.clone()));
+        self.ended_by_time.remove(&(entry.changed_ms, key.clone()));
         self.kept_bytes -= entry.kept_bytes();
         entry
             .answer_serial
             .and_then(|serial| self.answers.remove(&serial));
     }
 
-    fn expire(&mut self) {
-        while self.take_oldest(self.options.remember_ms) {}
+    fn remove_expired(&mut self) {
+        while self.remove_oldest_ended(self.options.remember_ms) {}
     }
 
     /// Makes room for one more key in a full table.
-    fn make_room(&mut self, claim: &Claim) {
+    fn make_room_for(&mut self, claim: &Claim) {
         let is_new = !self.entries.contains_key(&claim.key);
         if is_new && self.entries.len() >= self.options.max_keys {
-            self.take_oldest(self.options.least_ms);
+            self.remove_oldest_ended(self.options.min_remember_ms);
         }
     }
 
     /// Forgets the key that ended first if that is longer ago than `age_ms`, and returns whether it
     /// did.
-    fn take_oldest(&mut self, age_ms: u64) -> bool {
+    fn remove_oldest_ended(&mut self, age_ms: u64) -> bool {
         let horizon_ms = self.now_ms.saturating_sub(age_ms);
-        match self.expiring.first().cloned() {
+        match self.ended_by_time.first().cloned() {
             Some((changed_ms, key)) if changed_ms < horizon_ms => {
-                self.take(&key);
+                self.remove_entry(&key);
                 true
             }
             _ => false,
         }
     }
 
-    fn drop_oldest_answers(&mut self) {
+    fn evict_oldest_answers(&mut self) {
         while self.kept_bytes > self.options.max_kept_bytes {
             let Some((_, key)) = self.answers.pop_first() else {
                 return;
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -19,7 +19,7 @@
     /// How long a key whose call has ended is remembered, in milliseconds of the log's time.
     pub remember_ms: u64,
     /// How long it is remembered even if its place is needed. This is what callers may rely on.
-    pub least_ms: u64,
+    pub min_remember_ms: u64,
     /// The most keys remembered. For one more, the key that ended first goes if its least time has
     /// passed; else the claim is rejected.
     pub max_keys: usize,
@@ -35,7 +35,7 @@
     fn default() -> Self {
         Self {
             remember_ms: 6 * 3_600_000,
-            least_ms: 3_600_000,
+            min_remember_ms: 3_600_000,
             max_keys: 20_000,
             max_tries: 64,
             max_answer_bytes: 16 * 1024,
@@ -75,7 +75,7 @@
     /// What became of the call.
     pub state: ClaimState,
     /// Requests that held the claim before and freed it.
-    pub past: BTreeSet<RequestId>,
+    pub prior_holders: BTreeSet<RequestId>,
     /// The place of the kept answer in the order in which answers are dropped.
     pub(crate) answer_serial: Option<u64>,
 }
@@ -85,7 +85,7 @@
     /// the same name, but not two that have held the claim of one key.
     pub(crate) fn is_repeated_by(&self, claim: &Claim) -> bool {
         let is_winner = self.request == claim.request && self.process_id == claim.process_id;
-        is_winner || self.past.contains(&claim.request)
+        is_winner || self.prior_holders.contains(&claim.request)
     }
 
     /// Returns the size of the kept answer, or zero if there is none.
--- a/crates/state/src/config_rules.rs
+++ b/crates/state/src/config_rules.rs
@@ -73,7 +73,7 @@
 
 impl ConfigFault {
     /// Returns the fault of the whole change.
-    pub fn whole(rule: ConfigRule) -> Self {
+    pub fn of_change(rule: ConfigRule) -> Self {
         Self::of(rule, "")
     }
 
--- a/crates/state/src/configuration.rs
+++ b/crates/state/src/configuration.rs
@@ -120,7 +120,7 @@
     /// Returns the fault of a change, or none if its edits could be made now. A publisher calls
     /// this before it appends; replay calls it again.
     pub fn validate(&self, change: &ConfigChange) -> Option<ConfigFault> {
-        self.edited(change, self.version).err()
+        self.with_edits(change, self.version).err()
     }
 
     /// Makes the edits of a change as one, under a new version.
@@ -134,33 +134,41 @@
         version: ConfigVersion,
     ) -> Result<(), ConfigFault> {
         if version == ConfigVersion::default() {
-            return Err(ConfigFault::whole(ConfigRule::FirstOffset));
+            return Err(ConfigFault::of_change(ConfigRule::FirstOffset));
         }
-        *self = self.edited(change, version)?;
+        *self = self.with_edits(change, version)?;
         Ok(())
     }
 
-    fn edited(&self, change: &ConfigChange, version: ConfigVersion) -> Result<Self, ConfigFault> {
+    fn with_edits(
+        &self,
+        change: &ConfigChange,
+        version: ConfigVersion,
+    ) -> Result<Self, ConfigFault> {
         check_change(change)?;
         let mut edited = self.clone();
         edited.version = version;
         for edit in &change.edits {
-            edited.make_edit(edit)?;
+            edited.apply_edit(edit)?;
         }
         edited.check_counts()?;
         edited.check_adapters()?;
         Ok(edited)
     }
 
-    fn make_edit(&mut self, edit: &ConfigEdit) -> Result<(), ConfigFault> {
+    fn apply_edit(&mut self, edit: &ConfigEdit) -> Result<(), ConfigFault> {
         match edit {
             ConfigEdit::PutClass(target) => self.put_class(target),
-            ConfigEdit::RemoveClass(class) => removed(self.classes.remove(class), class.as_str()),
+            ConfigEdit::RemoveClass(class) => {
+                check_removed(self.classes.remove(class), class.as_str())
+            }
             ConfigEdit::PutModel(spec) => self.put_model(spec),
-            ConfigEdit::RemoveModel(model) => removed(self.models.remove(model), model.as_str()),
+            ConfigEdit::RemoveModel(model) => {
+                check_removed(self.models.remove(model), model.as_str())
+            }
             ConfigEdit::PutService(spec) => self.put_service(spec),
             ConfigEdit::RemoveService(service) => {
-                removed(self.services.remove(service), service.as_str())
+                check_removed(self.services.remove(service), service.as_str())
             }
         }
     }
@@ -230,7 +238,7 @@
             ),
         ];
         match counts.into_iter().find(|(count, most, _)| count > most) {
-            Some((_, _, rule)) => Err(ConfigFault::whole(rule)),
+            Some((_, _, rule)) => Err(ConfigFault::of_change(rule)),
             None => Ok(()),
         }
     }
@@ -252,10 +260,10 @@
 
 fn check_change(change: &ConfigChange) -> Result<(), ConfigFault> {
     if change.edits.is_empty() {
-        return Err(ConfigFault::whole(ConfigRule::NoEdits));
+        return Err(ConfigFault::of_change(ConfigRule::NoEdits));
     }
     if change.edits.len() > MAX_EDITS {
-        return Err(ConfigFault::whole(ConfigRule::TooManyEdits));
+        return Err(ConfigFault::of_change(ConfigRule::TooManyEdits));
     }
     let operator = &change.operator;
     if operator.len() > MAX_NAME_BYTES || operator.chars().any(char::is_control) {
@@ -271,7 +279,7 @@
     }
 }
 
-fn removed<T>(old: Option<T>, name: &str) -> Result<(), ConfigFault> {
+fn check_removed<T>(old: Option<T>, name: &str) -> Result<(), ConfigFault> {
     match old {
         Some(_) => Ok(()),
         None => Err(ConfigFault::of(ConfigRule::NotConfigured, name)),
--- a/crates/state/src/engines.rs
+++ b/crates/state/src/engines.rs
@@ -49,7 +49,7 @@
     /// The last status that was observed in whole.
     pub reading: Reading,
     /// The last status of which anything is known.
-    pub floor: Reading,
+    pub newest_reading: Reading,
     /// Its accelerator memory.
     pub capacity_bytes: u64,
     /// Whether it refuses orders with an old fencing number.
@@ -76,13 +76,13 @@
     }
 
     /// Returns the memory that undecided models take.
-    pub fn undecided_bytes(&self) -> u64 {
+    pub fn unmanaged_bytes(&self) -> u64 {
         let sizes = self.unmanaged.values().map(|resident| resident.bytes);
         sizes.fold(0, u64::saturating_add)
     }
 
     /// Notes a status of which only a part is known.
-    pub(crate) fn note_reading(&mut self, reading: Reading) {
-        self.floor = self.floor.max(reading);
+    pub(crate) fn record_reading(&mut self, reading: Reading) {
+        self.newest_reading = self.newest_reading.max(reading);
     }
 }
--- a/crates/state/src/history.rs
+++ b/crates/state/src/history.rs
@@ -11,9 +11,9 @@
 use crate::verdict::Verdict;
 
 /// The most recent offsets whose verdicts are kept.
-pub const KEPT_VERDICTS: usize = 1024;
+pub const MAX_KEPT_VERDICTS: usize = 1024;
 /// The most recent configuration changes whose verdicts are kept: two days of them.
-pub const KEPT_CHANGES: usize = 4096;
+pub const MAX_KEPT_CHANGES: usize = 4096;
 
 /// `DecidedChange` is the verdict on a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,15 +47,15 @@
         self.changes.get(&change_id)
     }
 
-    pub(crate) fn note_verdict(&mut self, offset: Offset, verdict: Verdict) {
-        if self.verdicts.len() == KEPT_VERDICTS {
+    pub(crate) fn record_verdict(&mut self, offset: Offset, verdict: Verdict) {
+        if self.verdicts.len() == MAX_KEPT_VERDICTS {
             self.verdicts.pop_front();
         }
         self.verdicts.push_back((offset, verdict));
     }
 
-    pub(crate) fn note_change(&mut self, change_id: u64, change: DecidedChange) {
-        if self.change_order.len() == KEPT_CHANGES {
+    pub(crate) fn record_change(&mut self, change_id: u64, change: DecidedChange) {
+        if self.change_order.len() == MAX_KEPT_CHANGES {
             let oldest = self.change_order.pop_front();
             oldest.and_then(|oldest| self.changes.remove(&oldest));
         }
--- a/crates/state/src/intents.rs
+++ b/crates/state/src/intents.rs
@@ -11,7 +11,7 @@
 use crate::configuration::ConfiguredModel;
 use crate::control_state::ControlState;
 use crate::control_state::Decision;
-use crate::control_state::Moment;
+use crate::control_state::RecordStamp;
 use crate::engines::Engine;
 use crate::replicas::Owner;
 use crate::replicas::Progress;
@@ -23,7 +23,7 @@
 
 impl ControlState {
     /// Decides on a load.
-    pub(crate) fn load(&mut self, moment: Moment, intent: &LoadIntent) -> Decision {
+    pub(crate) fn load(&mut self, stamp: RecordStamp, intent: &LoadIntent) -> Decision {
         let model = self
             .config
             .model(&intent.model)
@@ -36,22 +36,22 @@
         self.check_replicas(intent, model, engine)?;
         self.check_memory(&intent.engine, engine, model.bytes)?;
         let replica = Replica {
-            load: moment.offset,
+            load: stamp.offset,
             model: intent.model.clone(),
             base: model.base.clone(),
             engine: intent.engine.clone(),
             bytes: model.bytes,
             model_version: model.version,
             progress: Progress::Ordered,
-            since_ms: moment.appended_ms,
+            since_ms: stamp.appended_ms,
             sender: intent.proposer.epoch,
-            owner: owner(&intent.proposer, moment),
+            owner: owner(&intent.proposer, stamp),
             sender_ended_at: None,
-            last_boot: None,
+            last_reachable_boot: None,
             refused_by: None,
-            shown: None,
+            effect_seen_at: None,
             unload: None,
-            engine_unloads: false,
+            engine_is_unloading: false,
         };
         self.replicas.insert(replica);
         Ok(Accepted::LoadReserved)
@@ -121,7 +121,7 @@
             .replicas
             .of_engine(name)
             .filter(|replica| replica.may_hold_memory(boot));
-        holding.fold(engine.undecided_bytes(), add_bytes)
+        holding.fold(engine.unmanaged_bytes(), add_bytes)
     }
 
     /// Returns the memory that may become taken in a later run of an engine by orders already
@@ -131,28 +131,28 @@
         let holding = self
             .replicas
             .of_engine(name)
-            .filter(|replica| replica.can_hold_after(boot));
+            .filter(|replica| replica.may_hold_memory_after(boot));
         holding.fold(0, add_bytes)
     }
 
     /// Decides on an unload.
-    pub(crate) fn unload(&mut self, moment: Moment, intent: &UnloadIntent) -> Decision {
+    pub(crate) fn unload(&mut self, stamp: RecordStamp, intent: &UnloadIntent) -> Decision {
         let task = UnloadTask {
             model: intent.model.clone(),
             engine: intent.engine.clone(),
             load: intent.load,
             sender: intent.proposer.epoch,
-            owner: owner(&intent.proposer, moment),
+            owner: owner(&intent.proposer, stamp),
         };
         match self.replicas.get(intent.load) {
             Some(replica) => {
                 self.check_unload(replica, intent)?;
                 let replica = self.replicas.get_mut(intent.load);
-                replica.expect("the replica was there a line above").unload = Some(moment.offset);
+                replica.expect("the replica was there a line above").unload = Some(stamp.offset);
             }
-            None => self.unload_undecided(moment.offset, intent)?,
+            None => self.unload_unmanaged(stamp.offset, intent)?,
         }
-        self.unloads.insert(moment.offset, task);
+        self.unloads.insert(stamp.offset, task);
         Ok(Accepted::UnloadStarted)
     }
 
@@ -174,7 +174,7 @@
         }
     }
 
-    fn unload_undecided(
+    fn unload_unmanaged(
         &mut self,
         offset: Offset,
         intent: &UnloadIntent,
@@ -198,8 +198,8 @@
     }
 
     /// Decides on a takeover.
-    pub(crate) fn take_over(&mut self, moment: Moment, takeover: &TakeOver) -> Decision {
-        let owner = owner(&takeover.proposer, moment);
+    pub(crate) fn take_over(&mut self, stamp: RecordStamp, takeover: &TakeOver) -> Decision {
+        let owner = owner(&takeover.proposer, stamp);
         if let Some(task) = self.unloads.get_mut(&takeover.intent) {
             task.owner = owner;
             return Ok(Accepted::TakenOver);
@@ -214,7 +214,7 @@
         // A sender that takes its own intent over says that its attempt is over and that it will
         // not send the order again.
         if replica.sender == owner.epoch {
-            replica.sender_ended_at.get_or_insert(moment.offset);
+            replica.sender_ended_at.get_or_insert(stamp.offset);
         }
         replica.owner = owner;
         Ok(Accepted::TakenOver)
@@ -230,7 +230,7 @@
         _ if model.version != intent.model_version => Err(RejectReason::ModelChanged),
         _ if engine.is_gone() => Err(RejectReason::EngineGone),
         _ if engine.boot() != intent.boot => Err(RejectReason::EngineRestarted),
-        _ if engine.floor.boot != intent.boot => Err(RejectReason::EngineRestarted),
+        _ if engine.newest_reading.boot != intent.boot => Err(RejectReason::EngineRestarted),
         _ if engine.group != model.group => Err(RejectReason::WrongGroup),
         _ => Ok(()),
     }
@@ -241,10 +241,10 @@
     sum.saturating_add(replica.bytes)
 }
 
-fn owner(proposer: &Proposer, moment: Moment) -> Owner {
+fn owner(proposer: &Proposer, stamp: RecordStamp) -> Owner {
     Owner {
         vm: proposer.vm.clone(),
         epoch: proposer.epoch,
-        since: moment.offset,
+        since: stamp.offset,
     }
 }
--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -15,11 +15,11 @@
 use crate::verdict::RejectReason;
 
 /// The most processes of one VM that have joined and not yet appended a record.
-const MAX_UNCONFIRMED: usize = 8;
+const MAX_UNCONFIRMED_PER_VM: usize = 8;
 
 /// How much older than the time of a listing something must be for the listing to speak of it, in
 /// milliseconds. It covers the difference between the clocks of the platform's services.
-pub const LIST_MARGIN_MS: u64 = 5_000;
+pub const LIST_CLOCK_MARGIN_MS: u64 = 5_000;
 
 /// `Member` is one daemon process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,9 +43,9 @@
     unconfirmed: Vec<Member>,
 }
 
-/// `Authenticated` is what a proposer's record says of its process.
+/// `ProposerStatus` is what a proposer's record says of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Authenticated {
+pub(crate) enum ProposerStatus {
     /// The record is of the VM's current process.
     Current,
     /// The record is the first of a process that has taken another's place.
@@ -98,9 +98,9 @@
     /// The list lags, and a VM that was replaced under its old name may still be shown as gone
     /// while its new process runs. To end that process would free the memory of orders that it may
     /// still send. The list's time and the log's time are both the platform's; a join later than
-    /// [`LIST_MARGIN_MS`] before the list's time is not held against the process.
+    /// [`LIST_CLOCK_MARGIN_MS`] before the list's time is not held against the process.
     pub fn departable_epochs(&self, vm: &VmName, as_of_ms: u64) -> Vec<Epoch> {
-        let joined_before_ms = as_of_ms.saturating_sub(LIST_MARGIN_MS);
+        let joined_before_ms = as_of_ms.saturating_sub(LIST_CLOCK_MARGIN_MS);
         let members = self.vms.get(vm).into_iter().flat_map(VmMembers::all);
         let departable = members.filter(|member| member.joined_ms < joined_before_ms);
         departable.map(|member| member.epoch).collect()
@@ -140,10 +140,10 @@
     }
 
     /// Takes in the proposer of a record.
-    pub(crate) fn authenticate(
+    pub(crate) fn admit_proposer(
         &mut self,
         proposer: &Proposer,
-    ) -> Result<Authenticated, RejectReason> {
+    ) -> Result<ProposerStatus, RejectReason> {
         let members = self
             .vms
             .get_mut(&proposer.vm)
@@ -157,10 +157,10 @@
             .last_sequence
             .is_some_and(|last| proposer.sequence <= last)
         {
-            return Ok(Authenticated::Repeated);
+            return Ok(ProposerStatus::Repeated);
         }
         current.last_sequence = Some(proposer.sequence);
-        Ok(superseded.map_or(Authenticated::Current, Authenticated::Supersedes))
+        Ok(superseded.map_or(ProposerStatus::Current, ProposerStatus::Supersedes))
     }
 
     /// Takes in that a process can act no more.
@@ -192,7 +192,7 @@
             self.current = Some(member);
             return;
         }
-        if self.unconfirmed.len() == MAX_UNCONFIRMED {
+        if self.unconfirmed.len() == MAX_UNCONFIRMED_PER_VM {
             self.unconfirmed.remove(0);
         }
         self.unconfirmed.push(member);
--- a/crates/state/src/parts.rs
+++ b/crates/state/src/parts.rs
@@ -122,9 +122,9 @@
     }
 }
 
-/// `Collected` are the parts of one section that have been read.
+/// `PartialSection` are the parts of one section that have been read.
 #[derive(Clone, Debug, Default)]
-struct Collected {
+struct PartialSection {
     parts: BTreeMap<u32, Vec<u8>>,
     bytes: usize,
 }
@@ -142,7 +142,7 @@
 struct StreamCatalog {
     lineage: Lineage,
     newest: Option<Section>,
-    collecting: BTreeMap<(Offset, u64, u32), Collected>,
+    partial_sections: BTreeMap<(Offset, u64, u32), PartialSection>,
 }
 
 impl SnapshotCatalog {
@@ -188,7 +188,7 @@
         match record.body {
             SnapshotBody::Part(part) => stream.add_part(part),
             SnapshotBody::Fresh(fresh) if fresh.after >= self.first => {
-                stream.add_fresh(offset, fresh);
+                stream.apply_fresh_start(offset, fresh);
                 Ok(())
             }
             // The fresh start that it may have lost against is no longer kept. Whether it counts is
@@ -199,12 +199,12 @@
 }
 
 impl StreamCatalog {
-    fn add_fresh(&mut self, offset: Offset, fresh: FreshStart) {
+    fn apply_fresh_start(&mut self, offset: Offset, fresh: FreshStart) {
         if self.lineage.0 >= fresh.after && self.lineage != Lineage::default() {
             return;
         }
         let lineage = Lineage(offset);
-        self.begin(lineage);
+        self.begin_lineage(lineage);
         self.newest = Some(Section {
             lineage,
             next: fresh.next,
@@ -212,10 +212,10 @@
         });
     }
 
-    fn begin(&mut self, lineage: Lineage) {
+    fn begin_lineage(&mut self, lineage: Lineage) {
         self.lineage = lineage;
         self.newest = None;
-        self.collecting.clear();
+        self.partial_sections.clear();
     }
 
     fn add_part(&mut self, part: SectionPart) -> Result<()> {
@@ -223,7 +223,7 @@
             return Ok(());
         }
         if part.lineage > self.lineage {
-            self.begin(part.lineage);
+            self.begin_lineage(part.lineage);
         }
         if self
             .newest
@@ -233,24 +233,24 @@
             return Ok(());
         }
         let key = (part.next, part.checksum, part.parts);
-        let collected = self.collecting.entry(key).or_default();
+        let collected = self.partial_sections.entry(key).or_default();
         collected.bytes += part.bytes.len();
         if collected.bytes > MAX_SNAPSHOT_BYTES || part.part >= part.parts {
-            self.collecting.remove(&key);
+            self.partial_sections.remove(&key);
             return Err(Error::malformed("the section is larger than the limit"));
         }
         if let Some(again) = collected.parts.insert(part.part, part.bytes) {
             collected.bytes -= again.len();
         }
         match collected.parts.len() == part.parts as usize {
-            true => self.complete(key),
+            true => self.complete_section(key),
             false => Ok(()),
         }
     }
 
-    fn complete(&mut self, key: (Offset, u64, u32)) -> Result<()> {
+    fn complete_section(&mut self, key: (Offset, u64, u32)) -> Result<()> {
         let (next, checksum, _) = key;
-        let collected = self.collecting.remove(&key).unwrap_or_default();
+        let collected = self.partial_sections.remove(&key).unwrap_or_default();
         let bytes: Vec<u8> = collected.parts.into_values().flatten().collect();
         if xxh3_64(&bytes) != checksum {
             return Err(Error::malformed("the checksum differs"));
@@ -260,7 +260,8 @@
             next,
             bytes,
         });
-        self.collecting.retain(|(other, _, _), _| *other > next);
+        self.partial_sections
+            .retain(|(other, _, _), _| *other > next);
         Ok(())
     }
 }
--- a/crates/state/src/replicas.rs
+++ b/crates/state/src/replicas.rs
@@ -88,53 +88,53 @@
     /// record of the VM's next process, or its own takeover of its intent.
     pub sender_ended_at: Option<Offset>,
     /// The last run of the engine that the order can still reach, once that is known.
-    pub last_boot: Option<BootId>,
+    pub last_reachable_boot: Option<BootId>,
     /// The run of the engine that certainly refuses the order.
     pub refused_by: Option<BootId>,
     /// The last status that showed the order's effect.
-    pub shown: Option<Reading>,
+    pub effect_seen_at: Option<Reading>,
     /// The unload under way.
     pub unload: Option<Offset>,
     /// Whether the engine has shown that it unloads the model.
-    pub engine_unloads: bool,
+    pub engine_is_unloading: bool,
 }
 
 impl Replica {
     /// Returns what the replica is to the rest of the system.
     pub fn stage(&self) -> Stage {
         match self.progress {
-            _ if self.unload.is_some() || self.engine_unloads => Stage::Unloading,
+            _ if self.unload.is_some() || self.engine_is_unloading => Stage::Unloading,
             Progress::Loaded => Stage::Loaded,
             Progress::Loading => Stage::Loading,
             Progress::Ordered if self.refused_by.is_some() => Stage::Revoked,
-            Progress::Ordered if self.last_boot.is_some() => Stage::Lingering,
+            Progress::Ordered if self.last_reachable_boot.is_some() => Stage::Lingering,
             Progress::Ordered => Stage::Reserved,
         }
     }
 
     /// Returns whether the order's sender may still send it.
     pub fn sender_may_act(&self) -> bool {
-        self.shown.is_none() && self.sender_ended_at.is_none()
+        self.effect_seen_at.is_none() && self.sender_ended_at.is_none()
     }
 
     /// Returns whether the replica takes memory, now or at any moment, in a run of its engine.
     pub fn may_hold_memory(&self, boot: BootId) -> bool {
-        match self.shown {
-            Some(shown) => shown.boot >= boot,
-            None => self.can_reach(boot) && self.refused_by != Some(boot),
+        match self.effect_seen_at {
+            Some(effect_seen_at) => effect_seen_at.boot >= boot,
+            None => self.order_may_reach(boot) && self.refused_by != Some(boot),
         }
     }
 
     /// Returns whether the replica can take memory in a run later than the given one.
-    pub fn can_hold_after(&self, boot: BootId) -> bool {
-        match self.shown {
-            Some(shown) => shown.boot > boot,
-            None => self.last_boot.is_none_or(|last| last > boot),
+    pub fn may_hold_memory_after(&self, boot: BootId) -> bool {
+        match self.effect_seen_at {
+            Some(effect_seen_at) => effect_seen_at.boot > boot,
+            None => self.last_reachable_boot.is_none_or(|last| last > boot),
         }
     }
 
-    fn can_reach(&self, boot: BootId) -> bool {
-        self.last_boot.is_none_or(|last| last >= boot)
+    fn order_may_reach(&self, boot: BootId) -> bool {
+        self.last_reachable_boot.is_none_or(|last| last >= boot)
     }
 }
 
@@ -208,7 +208,7 @@
     }
 
     /// Notes that a process certainly sends no more.
-    pub(crate) fn end_sender(&mut self, epoch: Epoch, at: Offset) {
+    pub(crate) fn record_sender_end(&mut self, epoch: Epoch, at: Offset) {
         for replica in self
             .by_load
             .values_mut()
--- a/crates/state/src/view.rs
+++ b/crates/state/src/view.rs
@@ -13,7 +13,7 @@
 use crate::counters::Counters;
 use crate::engines::Engine;
 use crate::history::DecidedChange;
-use crate::members::LIST_MARGIN_MS;
+use crate::members::LIST_CLOCK_MARGIN_MS;
 use crate::members::Members;
 use crate::replicas::Owner;
 use crate::replicas::Progress;
@@ -49,7 +49,7 @@
     /// Whether the sender may still send the order.
     pub sender_may_act: bool,
     /// Whether another process could now settle it further by a takeover.
-    pub wants_take_over: bool,
+    pub needs_take_over: bool,
 }
 
 /// `EngineMemory` is how an engine's memory is taken.
@@ -131,8 +131,9 @@
             .engines
             .get(engine)
             .filter(|engine| !engine.is_gone())?;
-        let is_meant = engine.run_since_ms.saturating_add(LIST_MARGIN_MS) < as_of_ms;
-        is_meant.then_some(engine.boot())
+        let is_covered_by_list =
+            engine.run_since_ms.saturating_add(LIST_CLOCK_MARGIN_MS) < as_of_ms;
+        is_covered_by_list.then_some(engine.boot())
     }
 
     /// Returns how an engine's memory is taken.
@@ -194,7 +195,8 @@
             sender: replica.sender,
             owner: replica.owner.clone(),
             sender_may_act: replica.sender_may_act(),
-            wants_take_over: replica.last_boot.is_none() && replica.sender_ended_at.is_some(),
+            needs_take_over: replica.last_reachable_boot.is_none()
+                && replica.sender_ended_at.is_some(),
         });
         let unloads = self.unloads.iter().map(|(offset, task)| IntentView {
             intent: *offset,
@@ -205,7 +207,7 @@
             sender: task.sender,
             owner: task.owner.clone(),
             sender_may_act: self.is_current(task.sender),
-            wants_take_over: !self.is_current(task.owner.epoch),
+            needs_take_over: !self.is_current(task.owner.epoch),
         });
         loads.chain(unloads)
     }
--- a/crates/state/tests/catch_up.rs
+++ b/crates/state/tests/catch_up.rs
@@ -103,28 +103,28 @@
     let peers = peers
         .map(|(index, answer)| (format!("p{index}").into(), *answer))
         .collect();
-    let knowledge = StateSources {
+    let sources = StateSources {
         own,
         log,
         stream,
         lineage,
         peers: Some(peers),
     };
-    assert_eq!(plan(&knowledge), action);
+    assert_eq!(plan(&sources), action);
 }
 
 #[test]
 fn without_a_list_of_vms_nothing_counts_as_lost() {
     let log = keeps(5, 9);
     let lineage = Lineage::default();
-    let knowledge = StateSources {
+    let sources = StateSources {
         own: None,
         log,
         stream: Absent,
         lineage,
         peers: None,
     };
-    assert_eq!(plan(&knowledge), Wait(WaitReason::NoList));
+    assert_eq!(plan(&sources), Wait(WaitReason::NoList));
 }
 
 /// Symptom: a VM goes on from a state of before a loss.
@@ -136,12 +136,12 @@
     let stream = StreamSnapshot::Reaches(later(6));
     let lineage = Lineage(Offset(3));
     let own = Some(at(7));
-    let knowledge = StateSources {
+    let sources = StateSources {
         own,
         log: keeps(5, 9),
         stream,
         lineage,
         peers: None,
     };
-    assert_eq!(plan(&knowledge), Restart);
+    assert_eq!(plan(&sources), Restart);
 }
--- a/crates/state/tests/claim_rules.rs
+++ b/crates/state/tests/claim_rules.rs
@@ -45,7 +45,7 @@
 fn options() -> ClaimOptions {
     ClaimOptions {
         remember_ms: 100,
-        least_ms: 50,
+        min_remember_ms: 50,
         max_keys: 3,
         max_tries: 2,
         max_answer_bytes: 10,
--- a/crates/state/tests/claim_search.rs
+++ b/crates/state/tests/claim_search.rs
@@ -60,7 +60,7 @@
 fn options() -> ClaimOptions {
     ClaimOptions {
         remember_ms: 2 * REMEMBER_MS,
-        least_ms: REMEMBER_MS,
+        min_remember_ms: REMEMBER_MS,
         max_keys: KEYS - 1,
         max_kept_bytes: 8,
         ..ClaimOptions::default()
--- a/crates/state/tests/engine_readings.rs
+++ b/crates/state/tests/engine_readings.rs
@@ -12,7 +12,7 @@
 use apricotdale_state::Accepted;
 use apricotdale_state::RejectReason;
 use apricotdale_state::Verdict;
-use apricotdale_state::members::LIST_MARGIN_MS;
+use apricotdale_state::members::LIST_CLOCK_MARGIN_MS;
 use apricotdale_state::replicas::Stage;
 
 use common::Stream;
@@ -261,17 +261,20 @@
         .expect("the engine was observed");
     let since_ms = engine.run_since_ms;
     let removable = |as_of_ms| stream.state.removable_boot(&"e1".into(), as_of_ms);
-    assert_eq!(removable(since_ms + LIST_MARGIN_MS), None);
-    assert_eq!(removable(since_ms + LIST_MARGIN_MS + 1), Some(BootId(1)));
+    assert_eq!(removable(since_ms + LIST_CLOCK_MARGIN_MS), None);
+    assert_eq!(
+        removable(since_ms + LIST_CLOCK_MARGIN_MS + 1),
+        Some(BootId(1))
+    );
     let members = stream.state.members();
     let joined_ms = 1_000 + a.0;
     assert!(
         members
-            .departable_epochs(&"a".into(), joined_ms + LIST_MARGIN_MS)
+            .departable_epochs(&"a".into(), joined_ms + LIST_CLOCK_MARGIN_MS)
             .is_empty()
     );
     assert_eq!(
-        members.departable_epochs(&"a".into(), joined_ms + LIST_MARGIN_MS + 1),
+        members.departable_epochs(&"a".into(), joined_ms + LIST_CLOCK_MARGIN_MS + 1),
         [a]
     );
 }
