--- a/crates/state/src/engines.rs
+++ b/crates/state/src/engines.rs
@@ -45,7 +45,7 @@
     /// Its availability zone.
     pub zone: ZoneName,
     /// When the log took the first observation of its present run, in milliseconds of Unix time.
-    pub run_since_ms: u64,
+    pub incarnation_since_ms: u64,
     /// The last status that was observed in whole.
     pub reading: Reading,
     /// The last status of which anything is known.
--- a/crates/state/src/observations.rs
+++ b/crates/state/src/observations.rs
@@ -46,12 +46,13 @@
         let unmanaged = self.unmanaged_residents(observation);
         let old = self.engines.get(name);
         let newest_reading = old.map_or(reading, |old| old.newest_reading.max(reading));
-        let same_run = old.filter(|old| old.boot() == reading.boot && !old.is_gone());
-        let run_since_ms = same_run.map_or(stamp.appended_ms, |old| old.run_since_ms);
+        let same_incarnation = old.filter(|old| old.boot() == reading.boot && !old.is_gone());
+        let incarnation_since_ms =
+            same_incarnation.map_or(stamp.appended_ms, |old| old.incarnation_since_ms);
         let engine = Engine {
             group: observation.group.clone(),
             zone: observation.zone.clone(),
-            run_since_ms,
+            incarnation_since_ms,
             reading,
             newest_reading,
             capacity_bytes: observation.capacity_bytes,
--- a/crates/state/src/view.rs
+++ b/crates/state/src/view.rs
@@ -131,8 +131,10 @@
             .engines
             .get(engine)
             .filter(|engine| !engine.is_gone())?;
-        let is_covered_by_list =
-            engine.run_since_ms.saturating_add(LIST_CLOCK_MARGIN_MS) < as_of_ms;
+        let is_covered_by_list = engine
+            .incarnation_since_ms
+            .saturating_add(LIST_CLOCK_MARGIN_MS)
+            < as_of_ms;
         is_covered_by_list.then_some(engine.boot())
     }
 
--- a/crates/state/tests/engine_readings.rs
+++ b/crates/state/tests/engine_readings.rs
@@ -259,7 +259,7 @@
         .state
         .engine(&"e1".into())
         .expect("the engine was observed");
-    let since_ms = engine.run_since_ms;
+    let since_ms = engine.incarnation_since_ms;
     let removable = |as_of_ms| stream.state.removable_boot(&"e1".into(), as_of_ms);
     assert_eq!(removable(since_ms + LIST_CLOCK_MARGIN_MS), None);
     assert_eq!(
