--- a/crates/state/src/control_state.rs
+++ b/crates/state/src/control_state.rs
@@ -1,4 +1,4 @@
-//! The state machine of the control stream.
+//! State machine of the control stream.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -32,25 +32,25 @@
 use crate::verdict::RejectReason;
 use crate::verdict::Verdict;
 
-/// The number of offsets between two digests.
+/// Number of offsets between two state digests.
 pub const DIGEST_INTERVAL: u64 = 1024;
-/// The most recent digests that are kept.
+/// Number of most recent digests that are kept.
 const MAX_KEPT_DIGESTS: usize = 16;
 
-/// `Decision` is what a rule makes of a record.
+/// Result of applying a record, whose proposer has already been checked.
 pub(crate) type Decision = Result<Accepted, RejectReason>;
 
-/// `RecordStamp` is where and when the log took a record.
+/// Offset and time that the log gave a record.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordStamp {
-    /// The record's offset.
+    /// Offset of the record.
     pub offset: Offset,
-    /// When the log took it, in milliseconds of Unix time.
+    /// Time at which the log appended the record, in milliseconds of Unix time.
     pub appended_ms: u64,
 }
 
-/// `ControlState` is what a VM knows from the control stream up to an offset. Two VMs that have
-/// replayed the same records have the same state.
+/// State of the control stream up to an offset. VMs that have replayed the same records have equal
+/// states.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     pub(crate) next: Offset,
@@ -65,27 +65,27 @@
     pub(crate) digests: VecDeque<StateDigest>,
 }
 
-/// `StateDigest` is a digest of the whole state, by which VMs notice that they have diverged.
+/// Digest of the complete state, by which VMs detect that their states have diverged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
-    /// The offset up to which the state had been replayed, exclusive: a multiple of
+    /// Offset up to which the state had been replayed, exclusive: a multiple of
     /// [`DIGEST_INTERVAL`].
     pub at: Offset,
-    /// The digest.
+    /// Hash of the canonical encoding of the state.
     pub digest: u64,
 }
 
 impl ControlState {
-    /// Returns the state before the first record.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the state to start afresh from when the records before an offset are lost for good.
+    /// Creates the state to continue with when the records before an offset are permanently lost.
     ///
-    /// `outdated` is the newest state that is left, from before the gap; its configuration stays in
-    /// force. All else is forgotten: processes join anew, engines are observed anew, and what they
-    /// hold counts as undecided.
+    /// `outdated` is the newest remaining state from before the lost records; its configuration
+    /// stays in force. Everything else is discarded: processes join again, engines are observed
+    /// again, and the models on them count as unmanaged.
     pub fn after_loss(next: Offset, outdated: Option<&Self>) -> Self {
         let config = outdated
             .map(|outdated| outdated.config.clone())
@@ -99,9 +99,9 @@
 
     /// Replays one record.
     ///
-    /// `appended_ms` is the time at which the log took it, in milliseconds of Unix time. Records
-    /// must come in order without gaps: one that was replayed before or lies beyond the next offset
-    /// is ignored, without a trace in the state.
+    /// `appended_ms` is the time at which the log appended the record, in milliseconds of Unix
+    /// time. Records must be replayed in order without gaps: one that was replayed before or lies
+    /// beyond the next offset is ignored and does not change the state.
     pub fn apply(&mut self, offset: Offset, appended_ms: u64, payload: &[u8]) -> Verdict {
         match offset.cmp(&self.next) {
             Ordering::Less => return Verdict::Ignored(IgnoreReason::AlreadyReplayed),
@@ -203,8 +203,8 @@
         self.remove_all_dead_replicas();
     }
 
-    /// Forgets the replicas of an engine that can take memory neither in its present run nor in a
-    /// later one.
+    /// Removes the replicas of an engine that can take memory neither in its present incarnation
+    /// nor in a later one.
     pub(crate) fn remove_dead_replicas(&mut self, name: &UpstreamName) {
         let Some(engine) = self.engines.get(name) else {
             return;
@@ -215,8 +215,8 @@
             let Some(replica) = self.replicas.get(load) else {
                 continue;
             };
-            // An order that can still be sent, or that may have been sent to a successor of the engine
-            // under the same name, outlives the engine.
+            // An order that can still be sent, or that may have been sent to a later engine with
+            // the same name, has to be remembered after the engine is gone.
             let holds_now = !is_gone && replica.may_hold_memory(boot);
             if !holds_now && !replica.may_hold_memory_after(boot) {
                 self.remove_replica(load);
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Forgets a replica and its unload.
+    /// Removes a replica and the unload of it that is in progress.
     pub(crate) fn remove_replica(&mut self, load: Offset) {
         let Some(replica) = self.replicas.remove(load) else {
             return;
@@ -260,7 +260,7 @@
         xxh3_64(&self.canonical())
     }
 
-    /// Returns the canonical encoding of the state.
+    /// Returns the canonical encoding, which is equal for equal states.
     pub(crate) fn canonical(&self) -> Vec<u8> {
         encode(self)
     }
--- a/crates/state/src/intents.rs
+++ b/crates/state/src/intents.rs
@@ -1,4 +1,4 @@
-//! Rules of the records that start something: loads, unloads and takeovers.
+//! Rules for proposals: loads, unloads and takeovers.
 
 use apricotdale_core::control::LoadIntent;
 use apricotdale_core::control::Proposer;
@@ -22,7 +22,7 @@
 use crate::verdict::RejectReason;
 
 impl ControlState {
-    /// Decides on a load.
+    /// Decides on the proposal of a load.
     pub(crate) fn load(&mut self, stamp: RecordStamp, intent: &LoadIntent) -> Decision {
         let model = self
             .config
@@ -66,8 +66,8 @@
         if self.replica_count(&intent.model) != intent.expected_replicas {
             return Err(RejectReason::ReplicaCountChanged);
         }
-        // An engine names its models, so it can't tell two replicas of one model apart: an unload
-        // of the one would be an unload of both.
+        // Engines identify models by name and can't distinguish two replicas of one model: an order
+        // to unload one of them would unload both.
         let boot = engine.boot();
         let is_same =
             |replica: &Replica| replica.model == intent.model && replica.may_hold_memory(boot);
@@ -89,12 +89,12 @@
         replicas.any(|replica| replica.model == *model && replica.stage() == Stage::Loaded)
     }
 
-    /// Checks that an engine's memory holds some more bytes, now and if it restarts.
+    /// Checks that an engine has memory for some more bytes, now and after a restart.
     ///
-    /// A restart frees what is loaded, but every order that has not yet been seen to take effect
-    /// can still reach the new run, and so can an order which the present run refuses, since a
-    /// restarted engine forgets the numbers it has seen. Both sums must fit, or a restart at the
-    /// wrong moment would overcommit the memory before anyone could know of it.
+    /// A restart frees what is loaded. But every order whose effect has not been seen can still
+    /// reach the new incarnation, including an order that the present incarnation refuses, since a
+    /// restarted engine forgets the fencing tokens it has seen. Both sums must fit; otherwise a
+    /// restart at an unfortunate time would overcommit the memory before any VM could know of it.
     fn check_memory(
         &self,
         name: &UpstreamName,
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// Returns the memory that is taken or may become taken in an engine's present run.
+    /// Returns the memory that is taken or may be taken in the present incarnation of an engine.
     pub(crate) fn held_bytes(&self, name: &UpstreamName, engine: &Engine) -> u64 {
         let boot = engine.boot();
         let holding = self
@@ -124,8 +124,8 @@
         holding.fold(engine.unmanaged_bytes(), add_bytes)
     }
 
-    /// Returns the memory that may become taken in a later run of an engine by orders already
-    /// given.
+    /// Returns the memory that orders already accepted may take in a later incarnation of an
+    /// engine.
     pub(crate) fn held_after_restart_bytes(&self, name: &UpstreamName, engine: &Engine) -> u64 {
         let boot = engine.boot();
         let holding = self
@@ -135,7 +135,7 @@
         holding.fold(0, add_bytes)
     }
 
-    /// Decides on an unload.
+    /// Decides on the proposal of an unload.
     pub(crate) fn unload(&mut self, stamp: RecordStamp, intent: &UnloadIntent) -> Decision {
         let task = UnloadTask {
             model: intent.model.clone(),
@@ -148,7 +148,7 @@
             Some(replica) => {
                 self.check_unload(replica, intent)?;
                 let replica = self.replicas.get_mut(intent.load);
-                replica.expect("the replica was there a line above").unload = Some(stamp.offset);
+                replica.expect("the replica was found above").unload = Some(stamp.offset);
             }
             None => self.unload_unmanaged(stamp.offset, intent)?,
         }
@@ -211,8 +211,8 @@
         if replica.progress == Progress::Loaded {
             return Err(RejectReason::UnknownIntent);
         }
-        // A sender that takes its own intent over says that its attempt is over and that it will
-        // not send the order again.
+        // A sender that takes over its own intent declares that its attempt has ended and that it
+        // will not send the order again.
         if replica.sender == owner.epoch {
             replica.sender_ended_at.get_or_insert(stamp.offset);
         }
@@ -236,7 +236,7 @@
     }
 }
 
-/// Adds without overflow: engines report sizes, and a wild one must not stop the process.
+/// Adds a size without overflow, since a wrong size reported by an engine must not cause a panic.
 fn add_bytes(sum: u64, replica: &Replica) -> u64 {
     sum.saturating_add(replica.bytes)
 }
--- a/crates/state/src/observations.rs
+++ b/crates/state/src/observations.rs
@@ -1,4 +1,4 @@
-//! Rules of the records that say what an engine showed.
+//! Rules for observations of engines and for their removal.
 
 use std::collections::BTreeMap;
 
@@ -22,11 +22,11 @@
 use crate::verdict::Accepted;
 use crate::verdict::RejectReason;
 
-/// The most engines that are remembered after they are gone.
+/// Maximum number of engines that are remembered after they are gone.
 const MAX_GONE_ENGINES: usize = 1024;
 
 impl ControlState {
-    /// Takes in an engine's whole status.
+    /// Applies the complete status of an engine.
     pub(crate) fn observe(&mut self, stamp: RecordStamp, observation: &Observation) -> Decision {
         let name = &observation.engine;
         let reading = Reading {
@@ -72,7 +72,7 @@
         Ok(Accepted::Observed)
     }
 
-    /// Compares one replica with what its engine shows.
+    /// Updates one replica with the status of its engine.
     fn update_replica(
         &mut self,
         stamp: RecordStamp,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns what an engine shows that no accepted load put there.
+    /// Returns the models in an engine's status that no accepted load put there.
     fn unmanaged_residents(
         &self,
         observation: &Observation,
@@ -121,7 +121,7 @@
         unmanaged
     }
 
-    /// Forgets the unloads of undecided models that are gone.
+    /// Removes unloads of unmanaged models that are no longer on the engine.
     fn remove_orphaned_unloads(&mut self, name: &UpstreamName) {
         let Some(engine) = self.engines.get(name) else {
             return;
@@ -136,8 +136,8 @@
         });
     }
 
-    /// Takes in that an engine is gone for good. If the list was wrong, a later reading brings the
-    /// engine back, with all that it shows as undecided.
+    /// Removes an engine. If the VM list was wrong, a later observation restores the engine, with
+    /// its models as unmanaged.
     pub(crate) fn remove_upstream(&mut self, stamp: RecordStamp, gone: &UpstreamGone) -> Decision {
         let engine = self
             .engines
@@ -146,8 +146,8 @@
         if engine.is_gone() {
             return Err(RejectReason::EngineGone);
         }
-        // The list lags: the reader may have seen the end of an engine whose successor under the
-        // same name runs already.
+        // The VM list is delayed: the reader may have seen the end of an earlier engine when a new
+        // one with the same name is running already.
         if engine.newest_reading.boot > gone.boot {
             return Err(RejectReason::EngineRestarted);
         }
@@ -160,8 +160,9 @@
         Ok(Accepted::UpstreamRemoved)
     }
 
-    /// Bounds the memory of engines that are gone. They are kept so that a reading which comes late
-    /// does not bring them back, and so that orders at large are remembered if they do come back.
+    /// Limits the number of remembered engines that are gone. They are remembered so that a late
+    /// observation does not restore them, and so that orders that may still arrive are known if the
+    /// engine does return.
     fn remove_oldest_gone_engine(&mut self) {
         let gone = self
             .engines
@@ -181,8 +182,8 @@
     }
 }
 
-/// Returns whether an observation says nothing new: a VM that was paused can append its reading
-/// long after a later one.
+/// Returns whether an observation adds nothing: a VM that was paused can append a status long after
+/// a later one was appended.
 fn is_outdated(engine: &Engine, reading: Reading, observation: &Observation) -> bool {
     let is_later = reading > engine.reading
         || (reading == engine.reading && observation.highest_fence > engine.highest_fence);
@@ -207,8 +208,9 @@
     }
 }
 
-/// Notes whether an engine's present run refuses an order which has had no effect on it. A run that
-/// has refused once refuses for good; a new run has forgotten the numbers that the old one saw.
+/// Records whether the present incarnation of an engine refuses an order that has had no effect on
+/// it. An incarnation that refuses an order once always does; a new incarnation has forgotten the
+/// fencing tokens that the earlier one had seen.
 fn record_refusal(replica: &mut Replica, observation: &Observation) {
     let refuses =
         observation.checks_fence && observation.highest_fence > FencingToken::from(replica.load);
