--- a/crates/state/tests/catch_up.rs
+++ b/crates/state/tests/catch_up.rs
@@ -48,7 +48,7 @@
     }
 }
 
-fn later(next: u64) -> Position {
+fn position_after_loss(next: u64) -> Position {
     Position {
         lineage: Lineage(Offset(3)),
         next: Offset(next),
@@ -87,8 +87,8 @@
 #[case::alone(None, keeps(5, 9), Absent, &[], ProposeFresh(Offset(9)))]
 #[case::own_outdated(Some(at(4)), keeps(5, 9), Absent, &[NoState], SaveAndRestart)]
 #[case::peer_outdated(None, keeps(5, 9), Absent, &[reaches(4)], Wait(WaitReason::OutdatedPeer))]
-#[case::others_went_on(Some(at(4)), keeps(5, 9), StreamSnapshot::Reaches(later(6)), &[], Restart)]
-fn the_next_step_follows_from_what_is_known(
+#[case::others_went_on(Some(at(4)), keeps(5, 9), StreamSnapshot::Reaches(position_after_loss(6)), &[], Restart)]
+fn next_action(
     #[case] own: Option<Position>,
     #[case] log: LogRange,
     #[case] stream: StreamSnapshot,
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn without_a_list_of_vms_nothing_counts_as_lost() {
+fn missing_vm_list() {
     let log = keeps(5, 9);
     let lineage = Lineage::default();
     let sources = StateSources {
@@ -132,8 +132,8 @@
 /// the log could still continue.
 /// Cause: offsets alone do not tell the two histories apart.
 #[test]
-fn a_state_of_a_lost_history_is_given_up() {
-    let stream = StreamSnapshot::Reaches(later(6));
+fn outdated_lineage_restarts() {
+    let stream = StreamSnapshot::Reaches(position_after_loss(6));
     let lineage = Lineage(Offset(3));
     let own = Some(at(7));
     let sources = StateSources {
--- a/crates/state/tests/claim_rules.rs
+++ b/crates/state/tests/claim_rules.rs
@@ -93,16 +93,13 @@
     &[finish("k", "r1", Ran::Unknown, None), finish("k", "r1", Ran::Ran, Some(answer(4)))],
     ClaimVerdict::Finished(Some(answer(4)))
 )]
-fn a_second_request_is_told_what_became_of_the_first(
-    #[case] finishes: &[ClaimRecord],
-    #[case] verdict: ClaimVerdict,
-) {
+fn second_claim_verdict(#[case] finishes: &[ClaimRecord], #[case] verdict: ClaimVerdict) {
     let mut table = table_with(finishes);
     assert_eq!(apply(&mut table, 30, claim("k", "r2", 2)), verdict);
 }
 
 #[test]
-fn a_key_with_another_call_is_refused() {
+fn reused_key_rejected() {
     let mut table = table_with(&[]);
     let ClaimRecord::Claim(other) = claim("k", "r2", 2) else {
         return;
@@ -119,7 +116,7 @@
 /// r1, whose append's answer was lost, lands once more; r3 claims.
 /// Cause: a finish that frees the key for whoever holds it.
 #[test]
-fn a_repeated_finish_does_not_free_anothers_claim() {
+fn duplicate_finish_ignored() {
     let freed = finish("k", "r1", Ran::NotRun, None);
     let mut table = table_with(std::slice::from_ref(&freed));
     assert_eq!(
@@ -138,7 +135,7 @@
 #[rstest]
 #[case::still_holding(&[])]
 #[case::after_it_was_freed(&[finish("k", "r1", Ran::NotRun, None)])]
-fn a_repeated_claim_wins_nothing(#[case] finishes: &[ClaimRecord]) {
+fn duplicate_claim_rejected(#[case] finishes: &[ClaimRecord]) {
     let mut table = table_with(finishes);
     assert_eq!(
         apply(&mut table, 30, claim("k", "r1", 1)),
@@ -148,7 +145,7 @@
 
 /// Symptom: a call runs twice because two processes name their requests alike.
 #[test]
-fn a_request_of_the_same_name_in_another_process_is_another() {
+fn request_id_collision() {
     let mut table = table_with(&[]);
     assert_eq!(
         apply(&mut table, 30, claim("k", "r1", 2)),
@@ -157,7 +154,7 @@
 }
 
 #[test]
-fn a_dead_winner_leaves_an_unknown_outcome() {
+fn ended_holder_outcome() {
     let mut table = table_with(&[]);
     assert!(
         table
@@ -178,7 +175,7 @@
 }
 
 #[test]
-fn an_ended_key_is_remembered_for_its_time_and_a_running_one_until_it_ends() {
+fn ended_keys_expire() {
     let mut table = table_with(&[finish("k", "r1", Ran::Ran, None)]);
     apply(&mut table, 20, claim("running", "r5", 5));
     assert_eq!(
@@ -195,7 +192,7 @@
 
 /// The log's clock may step back; what was forgotten by then stays forgotten everywhere alike.
 #[test]
-fn time_does_not_go_back() {
+fn clock_steps_back() {
     let mut table = table_with(&[finish("k", "r1", Ran::Ran, None)]);
     apply(&mut table, 500, claim("other", "r5", 5));
     assert_eq!(
@@ -230,7 +227,7 @@
 }
 
 #[test]
-fn a_key_that_is_freed_again_and_again_is_refused() {
+fn repeated_release_limit() {
     let mut table = ClaimTable::new(options());
     for request in ["r1", "r2"] {
         assert_eq!(
@@ -248,7 +245,7 @@
 /// Symptom: a caller repeats a call after a total loss of the claims, and it runs twice.
 /// Cause: a table that has lost its records takes every key for new.
 #[test]
-fn a_table_that_lost_its_records_lets_nothing_run_for_a_time() {
+fn claims_after_loss() {
     let mut table = ClaimTable::after_loss(Offset(50), options());
     let unknown = ClaimVerdict::OutcomeUnknown;
     assert_eq!(apply(&mut table, 1_000, claim("k", "r1", 1)), unknown);
@@ -260,7 +257,7 @@
 }
 
 #[test]
-fn records_count_once_and_in_order() {
+fn records_in_order() {
     let mut table = table_with(&[]);
     let before = table.clone();
     assert_eq!(
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -69,7 +69,7 @@
         self.append_bytes(record.encode())
     }
 
-    pub fn last(&self) -> Offset {
+    pub fn last_offset(&self) -> Offset {
         Offset(self.state.next_offset().0 - 1)
     }
 
@@ -95,7 +95,7 @@
             process_id,
         };
         self.append(&ControlRecord::Join(join));
-        let epoch = Epoch(self.last().0);
+        let epoch = Epoch(self.last_offset().0);
         self.vms.insert(epoch, vm.to_owned());
         epoch
     }
@@ -139,7 +139,7 @@
     pub fn load(&mut self, by: Epoch, model: &str, engine: &str) -> (Offset, Verdict) {
         let intent = self.load_intent(by, model, engine);
         let verdict = self.append(&ControlRecord::Load(intent));
-        (self.last(), verdict)
+        (self.last_offset(), verdict)
     }
 
     /// Appends a load that is settled as done at a reading, and returns its offset.
@@ -230,7 +230,7 @@
         self.append(&ControlRecord::Observed(observation))
     }
 
-    pub fn gone(&mut self, by: Epoch, engine: &str, boot: u64) -> Verdict {
+    pub fn remove_engine(&mut self, by: Epoch, engine: &str, boot: u64) -> Verdict {
         let proposer = self.proposer(by);
         let gone = UpstreamGone {
             proposer,
@@ -244,7 +244,7 @@
         self.state.replica(load).map(|replica| replica.stage())
     }
 
-    pub fn held(&self, engine: &str) -> u64 {
+    pub fn held_bytes(&self, engine: &str) -> u64 {
         self.state
             .memory(&engine.into())
             .expect("the engine was observed")
--- a/crates/state/tests/config_rules.rs
+++ b/crates/state/tests/config_rules.rs
@@ -61,10 +61,7 @@
 #[case::many_paths(vec![service(vec!["/a".to_owned(); 65])], "too_many_paths")]
 #[case::many_classes(many_classes(), "too_many_classes")]
 #[case::second_edit_bad(vec![class("quick", 5), class("late", 0)], "bad_target")]
-fn a_change_that_breaks_a_rule_is_rejected_whole(
-    #[case] edits: Vec<ConfigEdit>,
-    #[case] code: &str,
-) {
+fn invalid_change_rejected(#[case] edits: Vec<ConfigEdit>, #[case] code: &str) {
     let (mut stream, _, _) = Stream::ready(true);
     let before = stream.state.config().clone();
     let verdict = stream.configure(edits);
@@ -78,7 +75,7 @@
 }
 
 #[test]
-fn a_base_goes_together_with_its_adapters() {
+fn base_removed_together() {
     let (mut stream, _, _) = Stream::ready(true);
     let edits = vec![
         ConfigEdit::RemoveModel("m1".into()),
@@ -92,7 +89,7 @@
 }
 
 #[test]
-fn only_what_changes_gets_a_new_version() {
+fn unchanged_version_kept() {
     let (mut stream, _, _) = Stream::ready(true);
     let before = stream
         .state
@@ -125,7 +122,7 @@
 /// Sequence: both read version V; the first change is accepted; the second, based on V, arrives.
 /// Cause: without the comparison of versions the later one would win.
 #[test]
-fn of_two_racing_changes_the_first_wins() {
+fn first_change_wins() {
     let (mut stream, _, _) = Stream::ready(true);
     let version = stream.state.config().version();
     let first = stream.append(&ControlRecord::Config(change(101, version)));
@@ -146,7 +143,7 @@
 /// Sequence: the append's answer is lost, the publisher appends again.
 /// Cause: the second copy conflicts with the first unless it is recognised.
 #[test]
-fn a_change_appended_twice_counts_once() {
+fn duplicate_change_ignored() {
     let (mut stream, _, _) = Stream::ready(true);
     let record = ControlRecord::Config(change(101, stream.state.config().version()));
     assert!(stream.append(&record).is_accepted());
@@ -169,7 +166,7 @@
 /// the empty configuration.
 /// Cause: one number for two versions.
 #[test]
-fn the_first_record_of_a_stream_is_no_change() {
+fn first_offset_rejected() {
     let mut stream = Stream::default();
     let verdict = stream.append(&ControlRecord::Config(change(1, ConfigVersion(0))));
     assert_eq!(verdict.as_str(), "first_offset");
@@ -178,7 +175,7 @@
 }
 
 #[test]
-fn publication_validates_by_the_same_rules() {
+fn publisher_validation() {
     let state = ControlState::new();
     let good = change(1, ConfigVersion(0));
     let bad = ConfigChange {
--- a/crates/state/tests/decision_search/process.rs
+++ b/crates/state/tests/decision_search/process.rs
@@ -32,15 +32,15 @@
     pub sequence: u64,
     pub state: ControlState,
     /// Loads that the process has taken up or given up, so that it sends none of them twice.
-    pub picked: BTreeSet<Offset>,
+    pub handled_loads: BTreeSet<Offset>,
     /// Orders past their last check, which a pause may hold for any length of time.
-    pub hands: Vec<(usize, Order)>,
+    pub ready_to_send: Vec<(usize, Order)>,
     /// Orders sent and not yet answered.
-    pub waiting: BTreeSet<Offset>,
+    pub awaiting_answer: BTreeSet<Offset>,
     /// What the process knows and has not yet seen settled.
     pub outcomes: BTreeMap<Offset, Outcome>,
     /// Readings that the process has not yet appended.
-    pub readings: Vec<Observation>,
+    pub statuses: Vec<Observation>,
 }
 
 impl Process {
@@ -50,11 +50,11 @@
             process_id,
             sequence: 0,
             state,
-            picked: BTreeSet::new(),
-            hands: Vec::new(),
-            waiting: BTreeSet::new(),
+            handled_loads: BTreeSet::new(),
+            ready_to_send: Vec::new(),
+            awaiting_answer: BTreeSet::new(),
             outcomes: BTreeMap::new(),
-            readings: Vec::new(),
+            statuses: Vec::new(),
         }
     }
 
@@ -64,30 +64,30 @@
     }
 
     /// Returns the loads that the process may still take up: its own, and seen as accepted.
-    pub fn to_pick(&self) -> Vec<Offset> {
+    pub fn startable_loads(&self) -> Vec<Offset> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
         };
         let own = self.state.replicas().filter(|replica| {
             replica.sender == epoch
                 && replica.progress == Progress::Ordered
-                && !self.picked.contains(&replica.load)
+                && !self.handled_loads.contains(&replica.load)
         });
         own.map(|replica| replica.load).collect()
     }
 
     /// Returns the intents that the process may take over. Of its own loads those whose attempt is
     /// over, or that it will not take up any more.
-    pub fn to_take_over(&self) -> Vec<IntentView> {
+    pub fn intents_to_take_over(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
         };
         let is_trying = |intent: &IntentView| {
             intent.kind == IntentKind::Load
                 && intent.sender == epoch
-                && (self.waiting.contains(&intent.intent)
+                && (self.awaiting_answer.contains(&intent.intent)
                     || self
-                        .hands
+                        .ready_to_send
                         .iter()
                         .any(|(_, order)| order.intent == intent.intent))
         };
@@ -98,7 +98,7 @@
     }
 
     /// Returns the intents that the process has taken over and can now ask the engine about.
-    pub fn to_resolve(&self) -> Vec<IntentView> {
+    pub fn intents_to_resolve(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
         };
@@ -109,7 +109,7 @@
     }
 
     /// Returns the unloads that the process may order.
-    pub fn to_unload(&self) -> Vec<IntentView> {
+    pub fn intents_to_unload(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
         };
--- a/crates/state/tests/decision_search/world.rs
+++ b/crates/state/tests/decision_search/world.rs
@@ -39,7 +39,7 @@
     /// VMs that the platform's list shows as gone.
     pub gone: Vec<bool>,
     /// Appends that were lost on their way or repeated, and may land at any later time.
-    pub delayed: Vec<Vec<u8>>,
+    pub delayed_appends: Vec<Vec<u8>>,
     /// The records on the log.
     pub payloads: Vec<Vec<u8>>,
     /// A replay of all records as they land.
@@ -61,7 +61,7 @@
             engines: engines.collect(),
             processes: vec![None; VMS],
             gone: vec![false; VMS],
-            delayed: Vec::new(),
+            delayed_appends: Vec::new(),
             payloads: Vec::new(),
             reference: ControlState::new(),
             snapshot: None,
@@ -80,8 +80,8 @@
             world.replay(vm, usize::MAX);
         }
         for engine in 0..world.engines.len() {
-            world.read(0, engine);
-            world.append_reading(0, 0, 0);
+            world.read_status(0, engine);
+            world.append_status(0, 0, 0);
         }
         world
     }
@@ -90,28 +90,30 @@
         UpstreamName::new(format!("e{engine}"))
     }
 
-    /// Lands a record on the log. `how` says what happens to its append.
-    pub fn append(&mut self, payload: Vec<u8>, how: u8) {
-        match how % 8 {
+    /// Lands a record on the log. `variation` says what happens to its append.
+    pub fn append(&mut self, payload: Vec<u8>, variation: u8) {
+        match variation % 8 {
             // The append's answer is lost and the client appends again; the first or the second
             // copy may land at any later time.
             0 => {
-                self.delayed.push(payload.clone());
-                self.land(payload);
+                self.delayed_appends.push(payload.clone());
+                self.append_now(payload);
             }
-            1 => self.delayed.push(payload),
-            _ => self.land(payload),
+            1 => self.delayed_appends.push(payload),
+            _ => self.append_now(payload),
         }
     }
 
-    pub fn land_delayed(&mut self, index: usize) {
-        if !self.delayed.is_empty() {
-            let payload = self.delayed.remove(index % self.delayed.len());
-            self.land(payload);
+    pub fn append_delayed(&mut self, index: usize) {
+        if !self.delayed_appends.is_empty() {
+            let payload = self
+                .delayed_appends
+                .remove(index % self.delayed_appends.len());
+            self.append_now(payload);
         }
     }
 
-    fn land(&mut self, payload: Vec<u8>) {
+    fn append_now(&mut self, payload: Vec<u8>) {
         let offset = self.reference.next_offset();
         let verdict = self.reference.apply(offset, appended_ms(offset), &payload);
         self.payloads.push(payload);
@@ -120,7 +122,7 @@
     }
 
     /// Starts a process on a VM, in place of the one that ran there.
-    pub fn start(&mut self, vm: usize, how: u8) {
+    pub fn start(&mut self, vm: usize, variation: u8) {
         let process_id = self.next_process_id;
         self.next_process_id += 1;
         let name = format!("vm{vm}");
@@ -135,15 +137,15 @@
             zone: "z".into(),
             process_id,
         };
-        self.append(ControlRecord::Join(join).encode(), how);
+        self.append(ControlRecord::Join(join).encode(), variation);
     }
 
-    pub fn replay(&mut self, vm: usize, most: usize) {
+    pub fn replay(&mut self, vm: usize, max_records: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
         let from = usize::try_from(process.state.next_offset().0).expect("offsets are small");
-        for payload in self.payloads.iter().skip(from).take(most) {
+        for payload in self.payloads.iter().skip(from).take(max_records) {
             let offset = process.state.next_offset();
             process.state.apply(offset, appended_ms(offset), payload);
         }
@@ -170,14 +172,14 @@
     }
 
     /// Returns the first VM from the given one on whose process has something to do, or that one.
-    pub fn vm_with(&self, vm: usize, has: impl Fn(&Process) -> bool) -> usize {
+    pub fn vm_matching(&self, vm: usize, has: impl Fn(&Process) -> bool) -> usize {
         let mut vms = (vm..vm + VMS).map(|vm| vm % VMS);
         let found = vms.find(|vm| self.processes[*vm].as_ref().is_some_and(&has));
         found.unwrap_or(vm)
     }
 
     /// Returns the first engine from the given one on that has something to do, or that one.
-    pub fn engine_with(&self, engine: usize, has: impl Fn(&FakeEngine) -> bool) -> usize {
+    pub fn engine_matching(&self, engine: usize, has: impl Fn(&FakeEngine) -> bool) -> usize {
         let count = self.engines.len();
         let mut engines = (engine..engine + count).map(|engine| engine % count);
         engines
--- a/crates/state/tests/lost_senders.rs
+++ b/crates/state/tests/lost_senders.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns a stream on which `a` has proposed a load of 60 bytes on `e1`.
-fn with_load(checks_fence: bool) -> (Stream, Epoch, Epoch, Offset) {
+fn stream_with_load(checks_fence: bool) -> (Stream, Epoch, Epoch, Offset) {
     let (mut stream, a, b) = Stream::ready(checks_fence);
     let (load, verdict) = stream.load(a, "m1", "e1");
     assert!(verdict.is_accepted());
@@ -34,7 +34,7 @@
 /// engine that obeys all takes no notice of the number.
 fn raise_fence(stream: &mut Stream, by: Epoch, load: Offset) {
     stream.take_over(by, load);
-    let fence = stream.last().0;
+    let fence = stream.last_offset().0;
     let engine = stream.state.engine(&"e1".into());
     let checks_fence = engine.expect("the engine was observed").checks_fence;
     stream.observe(by, "e1", checks_fence, 1, 0, fence, &[]);
@@ -47,15 +47,15 @@
 #[rstest]
 #[case::paused_sender(false, Verdict::Rejected(RejectReason::SenderMayAct))]
 #[case::dead_sender(true, Verdict::Accepted(Accepted::LoadLingers))]
-fn only_an_observed_fence_frees_memory(#[case] is_over: bool, #[case] expected: Verdict) {
-    let (mut stream, a, b, load) = with_load(true);
-    if is_over {
+fn unobserved_fence(#[case] has_ended: bool, #[case] expected: Verdict) {
+    let (mut stream, a, b, load) = stream_with_load(true);
+    if has_ended {
         stream.depart(b, "a", a);
     }
     stream.take_over(b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
     assert_eq!(verdict, expected);
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
 }
 
 /// Symptom: an engine's memory is overcommitted by an order that comes minutes late.
@@ -63,29 +63,29 @@
 /// on the engine and settles it; its memory is given to another load; the sender wakes up.
 /// Cause: an engine that ignores fencing numbers obeys the late order.
 #[test]
-fn a_paused_sender_keeps_its_reservation_on_an_engine_that_obeys_all() {
-    let (mut stream, a, b, load) = with_load(false);
+fn paused_sender_reservation() {
+    let (mut stream, a, b, load) = stream_with_load(false);
     assert!(stream.take_over(b, load).is_accepted());
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
     assert_eq!(verdict, Verdict::Rejected(RejectReason::SenderMayAct));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
     // The sender wakes up, sees that the load is no longer its own, and says so.
     let verdict = stream.settle_load(a, load, SettledAs::Abandoned, None);
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadFreed));
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
 }
 
 /// The same sequence where the engine checks: its fence is raised, so the memory is free at once.
 /// But a restarted engine forgets the fence, so the order counts against what may come after a
 /// restart, and as a replica, until its sender is over.
 #[test]
-fn a_raised_fence_frees_memory_until_the_engine_restarts() {
-    let (mut stream, a, b, load) = with_load(true);
+fn fence_until_restart() {
+    let (mut stream, a, b, load) = stream_with_load(true);
     raise_fence(&mut stream, b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadRevoked));
     assert_eq!(stream.stage(load), Some(Stage::Revoked));
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
     assert_eq!(stream.state.replica_count(&"m1".into()), 1);
     let (_, verdict) = stream.load(b, "m1", "e1");
     assert_eq!(
@@ -96,7 +96,7 @@
 
     stream.observe(b, "e1", true, 2, 0, 0, &[]);
     assert_eq!(stream.stage(load), Some(Stage::Reserved));
-    assert_eq!(stream.held("e1"), 100);
+    assert_eq!(stream.held_bytes("e1"), 100);
     // The sender sends to the new run, which obeys.
     let verdict = stream.settle_load(a, load, SettledAs::Done, Some((2, 2)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::Loaded));
@@ -105,31 +105,31 @@
 #[rstest]
 #[case::departed(false)]
 #[case::superseded(true)]
-fn an_order_of_a_dead_sender_lingers_until_the_engine_restarts(#[case] superseded: bool) {
-    let (mut stream, a, b, load) = with_load(false);
+fn lingering_order(#[case] superseded: bool) {
+    let (mut stream, a, b, load) = stream_with_load(false);
     if superseded {
         let next = stream.join("a", 10);
         stream.observe(next, "e2", true, 1, 0, 0, &[]);
     } else {
         stream.depart(b, "a", a);
     }
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
     // A new run may be one to which the sender still spoke: only a takeover after its end tells.
     stream.observe(b, "e1", false, 2, 0, 0, &[]);
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
     stream.take_over(b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((2, 0)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadLingers));
     assert_eq!(stream.stage(load), Some(Stage::Lingering));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
     stream.observe(b, "e1", false, 3, 0, 0, &[]);
     assert_eq!(stream.stage(load), None);
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
 }
 
 #[test]
-fn an_order_of_a_dead_sender_is_over_once_a_fence_is_raised() {
-    let (mut stream, a, b, load) = with_load(true);
+fn fence_ends_order() {
+    let (mut stream, a, b, load) = stream_with_load(true);
     stream.depart(b, "a", a);
     raise_fence(&mut stream, b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
@@ -142,8 +142,8 @@
 /// sends to the engine's next run and dies; its departure lands, then the settlement.
 /// Cause: the reading is from before the sender's end, so it does not bound the order's reach.
 #[test]
-fn a_reading_from_before_the_senders_end_settles_nothing() {
-    let (mut stream, a, b, load) = with_load(false);
+fn takeover_too_old() {
+    let (mut stream, a, b, load) = stream_with_load(false);
     stream.take_over(b, load);
     stream.depart(b, "a", a);
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
@@ -154,8 +154,8 @@
 }
 
 #[test]
-fn a_settlement_waits_for_the_observation_of_its_run() {
-    let (mut stream, a, b, load) = with_load(true);
+fn incarnation_observed_first() {
+    let (mut stream, a, b, load) = stream_with_load(true);
     stream.depart(b, "a", a);
     stream.take_over(b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((2, 0)));
@@ -170,23 +170,23 @@
 #[rstest]
 #[case::checks(true, Accepted::LoadFreed, 0)]
 #[case::obeys_all(false, Accepted::LoadLingers, 60)]
-fn a_sender_that_lost_the_answer_takes_its_own_load_over(
+fn own_load_takeover(
     #[case] checks_fence: bool,
     #[case] accepted: Accepted,
     #[case] held_bytes: u64,
 ) {
-    let (mut stream, a, _, load) = with_load(checks_fence);
+    let (mut stream, a, _, load) = stream_with_load(checks_fence);
     raise_fence(&mut stream, a, load);
     let verdict = stream.settle_load(a, load, failed(), Some((1, 0)));
     assert_eq!(verdict, Verdict::Accepted(accepted));
-    assert_eq!(stream.held("e1"), held_bytes);
+    assert_eq!(stream.held_bytes("e1"), held_bytes);
 }
 
 #[rstest]
 #[case::checks(true)]
 #[case::obeys_all(false)]
-fn a_shown_order_settles_without_its_sender(#[case] checks_fence: bool) {
-    let (mut stream, a, b, load) = with_load(checks_fence);
+fn observed_load_settles(#[case] checks_fence: bool) {
+    let (mut stream, a, b, load) = stream_with_load(checks_fence);
     let loading = [resident("m1", Residency::Loading, 60, load)];
     stream.observe(b, "e1", checks_fence, 1, 1, load.0, &loading);
     assert_eq!(stream.stage(load), Some(Stage::Loading));
@@ -200,13 +200,13 @@
 #[rstest]
 #[case::same_run(1, 2)]
 #[case::next_run(2, 0)]
-fn a_load_that_was_shown_and_is_gone_is_over(#[case] boot: u64, #[case] sequence: u64) {
-    let (mut stream, _, b, load) = with_load(false);
+fn observed_load_gone(#[case] boot: u64, #[case] sequence: u64) {
+    let (mut stream, _, b, load) = stream_with_load(false);
     let loading = [resident("m1", Residency::Loading, 60, load)];
     stream.observe(b, "e1", false, 1, 1, load.0, &loading);
     stream.observe(b, "e1", false, boot, sequence, load.0, &[]);
     assert_eq!(stream.stage(load), None);
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
 }
 
 /// Symptom: an engine is overcommitted just after a restart that nobody has seen.
@@ -215,8 +215,8 @@
 /// its fence; both senders of 60 wake up.
 /// Cause: what the present run refuses the next one obeys.
 #[test]
-fn what_could_follow_a_restart_fits_the_memory() {
-    let (mut stream, _, b, load) = with_load(true);
+fn restart_memory_fits() {
+    let (mut stream, _, b, load) = stream_with_load(true);
     raise_fence(&mut stream, b, load);
     stream.settle_load(b, load, failed(), Some((1, 0)));
     stream.configure(vec![
@@ -234,8 +234,8 @@
 }
 
 #[test]
-fn a_senders_own_refusal_frees_at_once() {
-    let (mut stream, a, b, load) = with_load(false);
+fn own_refusal_frees() {
+    let (mut stream, a, b, load) = stream_with_load(false);
     stream.take_over(b, load);
     let verdict = stream.settle_load(a, load, failed(), Some((1, 3)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadFreed));
@@ -246,8 +246,8 @@
 }
 
 #[test]
-fn a_sender_cannot_abandon_what_was_shown() {
-    let (mut stream, a, b, load) = with_load(false);
+fn abandon_after_effect() {
+    let (mut stream, a, b, load) = stream_with_load(false);
     let loading = [resident("m1", Residency::Loading, 60, load)];
     stream.observe(b, "e1", false, 1, 1, load.0, &loading);
     let verdict = stream.settle_load(a, load, SettledAs::Abandoned, None);
