--- a/crates/state/tests/claim_rules.rs
+++ b/crates/state/tests/claim_rules.rs
@@ -1,4 +1,4 @@
-//! Which claims win and what the others are told.
+//! Tests of the verdicts on claims and finishes, and of the limits of the claim table.
 
 use rstest::rstest;
 
@@ -60,12 +60,12 @@
     .encode();
     let verdicts = table.apply(table.next_offset(), appended_ms, &payload);
     verdicts
-        .expect("the record is a batch and the next one")
+        .expect("the record is a valid batch and the next one")
         .remove(0)
         .verdict
 }
 
-/// Returns a table on which request `r1` of process 1 holds key `k`, after some finishes.
+/// Returns a table in which request `r1` of process 1 has claimed key `k`, followed by finishes.
 fn table_with(finishes: &[ClaimRecord]) -> ClaimTable {
     let mut table = ClaimTable::new(options());
     assert_eq!(
@@ -85,7 +85,7 @@
 #[case::unknown(&[finish("k", "r1", Ran::Unknown, None)], ClaimVerdict::OutcomeUnknown)]
 #[case::not_run(&[finish("k", "r1", Ran::NotRun, None)], ClaimVerdict::Won)]
 #[case::not_run_by_another(&[finish("k", "r9", Ran::NotRun, None)], ClaimVerdict::AlreadyRunning)]
-#[case::not_run_after_all(
+#[case::not_run_after_run(
     &[finish("k", "r1", Ran::Ran, None), finish("k", "r1", Ran::NotRun, None)],
     ClaimVerdict::Finished(None)
 )]
@@ -111,10 +111,9 @@
     assert_eq!(apply(&mut table, 30, other), ClaimVerdict::KeyReused);
 }
 
-/// Symptom: a cut order is carried out twice.
-/// Sequence: request r1 claims, does not run and frees the key; r2 claims and runs; the finish of
-/// r1, whose append's answer was lost, lands once more; r3 claims.
-/// Cause: a finish that frees the key for whoever holds it.
+/// Guards against a call that runs twice. Request r1 claims a key and frees it without running; r2
+/// claims it and runs. The finish of r1 is appended again because the response to its append was
+/// lost. If that duplicate freed the key for r3, the call could run again.
 #[test]
 fn duplicate_finish_ignored() {
     let freed = finish("k", "r1", Ran::NotRun, None);
@@ -130,8 +129,8 @@
     );
 }
 
-/// Symptom: a key is blocked by a request that ended long ago, or, if the request tries again
-/// under its own name, is freed by the repetition of its first finish while it runs.
+/// Guards against a duplicate claim that holds a key for a request that has ended. If the request
+/// used the claim, the duplicate of its first finish would free the key while it runs.
 #[rstest]
 #[case::still_holding(&[])]
 #[case::after_it_was_freed(&[finish("k", "r1", Ran::NotRun, None)])]
@@ -143,7 +142,7 @@
     );
 }
 
-/// Symptom: a call runs twice because two processes name their requests alike.
+/// Guards against a call that runs twice because two processes give their requests the same ID.
 #[test]
 fn request_id_collision() {
     let mut table = table_with(&[]);
@@ -190,7 +189,7 @@
     assert_eq!(verdict, ClaimVerdict::AlreadyRunning);
 }
 
-/// The log's clock may step back; what was forgotten by then stays forgotten everywhere alike.
+/// The clock of the log may step back. Keys that were forgotten before stay forgotten on all VMs.
 #[test]
 fn clock_steps_back() {
     let mut table = table_with(&[finish("k", "r1", Ran::Ran, None)]);
@@ -242,8 +241,8 @@
     );
 }
 
-/// Symptom: a caller repeats a call after a total loss of the claims, and it runs twice.
-/// Cause: a table that has lost its records takes every key for new.
+/// Guards against a call that runs twice when a caller repeats it after all claims were lost. A
+/// table that has lost its records can't tell whether a key is new.
 #[test]
 fn claims_after_loss() {
     let mut table = ClaimTable::after_loss(Offset(50), options());
--- a/crates/state/tests/claim_search.rs
+++ b/crates/state/tests/claim_search.rs
@@ -1,5 +1,5 @@
-//! Searches interleavings of claims, pauses, repeated appends and ends of processes for one that
-//! runs a call twice or makes replays differ.
+//! Searches interleavings of claims, pauses, duplicate appends and ends of processes for one in
+//! which a call runs twice or replays differ.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -33,15 +33,15 @@
 const KEYS: usize = 3;
 const MIN_REMEMBER_MS: u64 = 1_000;
 
-/// `Process` is one daemon process with one claim stream.
+/// One daemon process that uses one claim stream.
 struct Process {
     process_id: u64,
     table: ClaimTable,
-    /// Requests that wait for their claims.
+    /// Requests whose claims have not been decided yet.
     awaiting_claim: BTreeMap<RequestId, IdempotencyKey>,
-    /// Calls that may be sent, which a pause may hold for any length of time.
+    /// Calls that have won their claim and not been sent; a pause may delay them by any time.
     ready_to_send: Vec<(IdempotencyKey, RequestId)>,
-    /// Finishes not yet appended.
+    /// Finishes that have not been appended yet.
     finishes: Vec<Finish>,
 }
 
@@ -51,7 +51,7 @@
     delayed_appends: Vec<Vec<u8>>,
     now_ms: u64,
     next_id: u64,
-    /// When each key's call last ran.
+    /// Time of the last run of each key's call.
     ran_ms: BTreeMap<IdempotencyKey, u64>,
     reference: ClaimTable,
     snapshot: Section,
@@ -136,7 +136,7 @@
     fn append_now(&mut self, payload: Vec<u8>) {
         let offset = self.reference.next_offset();
         let verdicts = self.reference.apply(offset, self.now_ms, &payload);
-        verdicts.expect("the record is a batch and the next one");
+        verdicts.expect("the record is a valid batch and the next one");
         self.records.push((self.now_ms, payload));
     }
 
@@ -162,7 +162,7 @@
         for (appended_ms, payload) in self.records.iter().skip(from).take(max_records) {
             let offset = process.table.next_offset();
             let decided = process.table.apply(offset, *appended_ms, payload);
-            for claim in decided.expect("the record is a batch and the next one") {
+            for claim in decided.expect("the record is a valid batch and the next one") {
                 if claim.process_id != Some(process.process_id) {
                     continue;
                 }
@@ -242,7 +242,7 @@
         let from = usize::try_from(table.next_offset().0).expect("offsets are small");
         for (appended_ms, payload) in self.records.iter().skip(from) {
             let verdicts = table.apply(table.next_offset(), *appended_ms, payload);
-            verdicts.expect("the record is a batch and the next one");
+            verdicts.expect("the record is a valid batch and the next one");
         }
         assert_eq!(table, self.reference);
         assert_eq!(table.digest_now(), self.reference.digest_now());
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A stream in memory with builders of records, for the tests of the control state.
+//! In-memory control stream with builders of records.
 
 #![allow(dead_code)]
 
@@ -32,7 +32,7 @@
 use apricotdale_state::Verdict;
 use apricotdale_state::replicas::Stage;
 
-/// `Stream` is a control stream and the state replayed from it.
+/// Control stream and the state replayed from it.
 #[derive(Default)]
 pub struct Stream {
     pub state: ControlState,
@@ -43,8 +43,8 @@
 }
 
 impl Stream {
-    /// Returns a stream with VMs `a` and `b`, engine `e1` of 100 bytes, models `m1` and `m2` of 60
-    /// and 40 bytes, and the adapter `m1-ad` of 10 bytes.
+    /// Returns a stream with VMs `a` and `b`, engine `e1` with 100 bytes of memory, models `m1` and
+    /// `m2` of 60 and 40 bytes, and adapter `m1-ad` of 10 bytes, and the epochs of `a` and `b`.
     pub fn ready(checks_fence: bool) -> (Self, Epoch, Epoch) {
         let mut stream = Self::default();
         let a = stream.join("a", 1);
@@ -142,7 +142,8 @@
         (self.last_offset(), verdict)
     }
 
-    /// Appends a load that is settled as done at a reading, and returns its offset.
+    /// Appends a load and its successful settlement at a status, and returns the offset of the
+    /// load.
     pub fn loaded(&mut self, by: Epoch, model: &str, engine: &str, reading: (u64, u64)) -> Offset {
         let (load, verdict) = self.load(by, model, engine);
         assert!(verdict.is_accepted(), "{verdict:?}");
--- a/crates/state/tests/config_rules.rs
+++ b/crates/state/tests/config_rules.rs
@@ -1,4 +1,4 @@
-//! Which changes of the configuration are accepted.
+//! Tests of the rules by which changes of the configuration are accepted.
 
 mod common;
 
@@ -46,18 +46,18 @@
 #[case::name_with_slash(vec![model("../m", None, 1)], "bad_name")]
 #[case::long_name(vec![class(&"x".repeat(129), 1)], "bad_name")]
 #[case::zero_target(vec![class("quick", 0)], "bad_target")]
-#[case::endless_target(vec![class("quick", u64::MAX)], "bad_target")]
+#[case::target_too_long(vec![class("quick", u64::MAX)], "bad_target")]
 #[case::zero_size(vec![model("m9", None, 0)], "bad_size")]
-#[case::wild_size(vec![model("m9", None, u64::MAX)], "bad_size")]
+#[case::oversized(vec![model("m9", None, u64::MAX)], "bad_size")]
 #[case::unknown_base(vec![model("ad", Some("m9"), 1)], "unknown_base")]
 #[case::own_base(vec![model("m9", Some("m9"), 1)], "base_is_adapter")]
 #[case::adapter_of_adapter(vec![model("ad", Some("m1-ad"), 1)], "base_is_adapter")]
 #[case::base_removed(vec![ConfigEdit::RemoveModel("m1".into())], "unknown_base")]
-#[case::model_not_there(vec![ConfigEdit::RemoveModel("m9".into())], "not_configured")]
-#[case::class_not_there(vec![ConfigEdit::RemoveClass("c9".into())], "not_configured")]
-#[case::service_not_there(vec![ConfigEdit::RemoveService("s9".into())], "not_configured")]
+#[case::unknown_model(vec![ConfigEdit::RemoveModel("m9".into())], "not_configured")]
+#[case::unknown_class(vec![ConfigEdit::RemoveClass("c9".into())], "not_configured")]
+#[case::unknown_service(vec![ConfigEdit::RemoveService("s9".into())], "not_configured")]
 #[case::empty_path(vec![service(vec![String::new()])], "bad_path")]
-#[case::path_with_break(vec![service(vec!["/a\n/b".to_owned()])], "bad_path")]
+#[case::path_with_newline(vec![service(vec!["/a\n/b".to_owned()])], "bad_path")]
 #[case::many_paths(vec![service(vec!["/a".to_owned(); 65])], "too_many_paths")]
 #[case::many_classes(many_classes(), "too_many_classes")]
 #[case::second_edit_bad(vec![class("quick", 5), class("late", 0)], "bad_target")]
@@ -118,9 +118,8 @@
     }
 }
 
-/// Symptom: an operator's change is undone by another's that never saw it.
-/// Sequence: both read version V; the first change is accepted; the second, based on V, arrives.
-/// Cause: without the comparison of versions the later one would win.
+/// Guards against a change that undoes another one which its operator has not seen. Two operators
+/// read the same version; the first change is accepted, and the second is based on the old version.
 #[test]
 fn first_change_wins() {
     let (mut stream, _, _) = Stream::ready(true);
@@ -139,9 +138,9 @@
     assert_eq!(decided.verdict, second);
 }
 
-/// Symptom: a publisher is told that its change was rejected although it is in force.
-/// Sequence: the append's answer is lost, the publisher appends again.
-/// Cause: the second copy conflicts with the first unless it is recognised.
+/// Guards against a publisher that sees its change rejected although it is in force. The response
+/// to the append is lost and the publisher appends again. The duplicate would conflict with the
+/// first copy if it were not recognised.
 #[test]
 fn duplicate_change_ignored() {
     let (mut stream, _, _) = Stream::ready(true);
@@ -161,10 +160,9 @@
     );
 }
 
-/// Symptom: of two changes that both read the empty configuration, the second undoes the first.
-/// Sequence: the first change is the stream's first record, so its version is zero, like that of
-/// the empty configuration.
-/// Cause: one number for two versions.
+/// Guards against a second change that undoes the first, where both are based on the empty
+/// configuration. A change in the first record of the stream would get version zero, which is also
+/// the version of the empty configuration.
 #[test]
 fn first_offset_rejected() {
     let mut stream = Stream::default();
--- a/crates/state/tests/decision_search/engine.rs
+++ b/crates/state/tests/decision_search/engine.rs
@@ -1,4 +1,4 @@
-//! A small model of an engine: what it holds, what waits in its connections, and what it answers.
+//! Model of an engine: its residents, the orders queued in its connections, and its answers.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +8,34 @@
 use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
-/// `Order` is an order on its way to an engine.
+/// Order on its way to an engine.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The sender's process.
+    /// Process that sent the order.
     pub process_id: u64,
-    /// The intent it carries out.
+    /// Offset of the intent that the order executes.
     pub intent: Offset,
-    /// The model.
+    /// Model or adapter.
     pub model: ModelName,
-    /// The model's base.
+    /// Model that the adapter belongs to; `None` for a model.
     pub base: Option<ModelName>,
-    /// The memory it takes, or none for an unload.
+    /// Memory that the model takes; `None` if the order is an unload.
     pub bytes: Option<u64>,
-    /// The order's number.
+    /// Fencing token of the order.
     pub fence: FencingToken,
 }
 
-/// `Answer` is what an engine says of an order.
+/// Answer of an engine to an order.
 #[derive(Clone, Copy, Debug)]
 pub enum Answer {
-    /// It took effect, seen at this run and sequence.
+    /// The order took effect, at this incarnation and sequence.
     Done(u64, u64),
-    /// It had and will have no effect.
+    /// The order had no effect and never will.
     Refused,
 }
 
-/// `FakeEngine` is one engine. It obeys every order that its fence lets through, even beyond its
-/// memory, so that an overcommitment shows.
+/// One engine. It executes every order that its fence admits, even beyond its memory, so that the
+/// search can detect an overcommitment.
 #[derive(Clone, Debug)]
 pub struct FakeEngine {
     pub checks_fence: bool,
@@ -44,7 +44,7 @@
     pub sequence: u64,
     pub highest_fence: u64,
     pub residents: BTreeMap<ModelName, (Resident, Option<Order>)>,
-    /// Orders received and not yet acted on. They end with the run.
+    /// Orders that were received and not executed yet. A restart drops them.
     pub inbox: Vec<Order>,
 }
 
@@ -92,7 +92,7 @@
         self.inbox.clear();
     }
 
-    /// Acts on one received order and returns it with the answer, if that comes at once.
+    /// Executes one received order and returns it with the answer if that follows at once.
     pub fn handle_order(&mut self, index: usize) -> Option<(Order, Answer)> {
         if self.inbox.is_empty() {
             return None;
@@ -139,7 +139,7 @@
             .map(|load| (load, Answer::Refused))
     }
 
-    /// Ends what is under way for one resident, well or badly, and returns the order's answer.
+    /// Ends the load or unload of one model and returns its order with the answer.
     pub fn finish(&mut self, index: usize, succeeds: bool) -> Option<(Order, Answer)> {
         let busy = self.residents.values().filter(|(resident, _)| {
             matches!(
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Does the next thing there is to do, or returns none if there is nothing.
+    /// Executes the next order or ends the next load or unload; `None` if there is nothing to do.
     pub fn run_next(&mut self) -> Option<Option<(Order, Answer)>> {
         if !self.inbox.is_empty() {
             return Some(self.handle_order(0));
--- a/crates/state/tests/decision_search/main.rs
+++ b/crates/state/tests/decision_search/main.rs
@@ -1,5 +1,5 @@
 //! Searches interleavings of appends, pauses, takeovers, restarts and lost answers for one that
-//! overcommits an engine's memory, loads more replicas than were decided or makes replays differ.
+//! overcommits an engine's memory, loads more replicas than were accepted or makes replays differ.
 
 mod engine;
 mod process;
@@ -20,15 +20,16 @@
 use world::VMS;
 use world::World;
 
-/// The seed of the search, fixed so that CI looks at the same cases every time, unless
-/// `STATE_SEARCH_SEED` names another.
+/// Default seed of the search, fixed so that CI runs the same cases every time.
+/// `STATE_SEARCH_SEED` overrides it.
 const SEED: u64 = 20_260_101;
-/// The cases that CI looks at, unless `STATE_SEARCH_CASES` names another number.
+/// Default number of cases. `STATE_SEARCH_CASES` overrides it.
 const CASES: u32 = 2_500;
-/// The most steps of a case.
+/// Maximum number of steps of a case.
 const MAX_STEPS: usize = 240;
 
-/// `Step` is one step of a case: what happens, to whom, and how.
+/// One random step: its kind, the VM that acts, the choice among its options, and a variation such
+/// as the loss of an append's response.
 type Step = (u8, u8, u8, u8);
 
 fn take_step(world: &mut World, (kind, actor, choice, variation): Step) {
@@ -103,14 +104,14 @@
         61 => world.change_model(index),
         _ => world.replay(vm, 1 + index % 8),
     }
-    // Most processes keep up most of the time.
+    // Most processes stay caught up most of the time.
     if variation % 4 != 3 {
         world.replay(vm, usize::MAX);
     }
     world.check();
 }
 
-/// Ends all processes and lets one that is new clear up. Nothing may be left reserved.
+/// Ends all processes and lets a new one settle everything. No memory may stay reserved.
 fn check_all_settles(world: &mut World) {
     while !world.delayed_appends.is_empty() {
         world.append_delayed(0);
@@ -141,10 +142,13 @@
     world.replay(0, usize::MAX);
     world.check();
     let left: Vec<_> = world.reference.replicas().collect();
-    assert!(left.is_empty(), "left over after all is over: {left:#?}");
+    assert!(
+        left.is_empty(),
+        "replicas left after all processes ended: {left:#?}"
+    );
 }
 
-/// Lets the one process take over and settle whatever is unsettled.
+/// Lets the remaining process take over and settle all unsettled intents.
 fn settle_all(world: &mut World) {
     for _ in 0..4 {
         settle_round(world);
@@ -157,7 +161,7 @@
     let stuck: Vec<_> = stuck.collect();
     assert!(
         stuck.is_empty(),
-        "not settled although all senders are over: {stuck:#?}"
+        "not settled although all senders have ended: {stuck:#?}"
     );
 }
 
--- a/crates/state/tests/decision_search/process.rs
+++ b/crates/state/tests/decision_search/process.rs
@@ -1,4 +1,4 @@
-//! A daemon process as the rules of the control stream want it to behave.
+//! Model of a daemon process that follows the protocol of the control stream.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
 
 use crate::engine::Order;
 
-/// `Outcome` is what a process knows of how an intent ended.
+/// Outcome of an intent as the process knows it.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub kind: IntentKind,
@@ -24,22 +24,22 @@
     pub reading: Option<(u64, u64)>,
 }
 
-/// `Process` is one daemon process.
+/// One daemon process.
 #[derive(Clone, Debug)]
 pub struct Process {
     pub vm: String,
     pub process_id: u64,
     pub sequence: u64,
     pub state: ControlState,
-    /// Loads that the process has taken up or given up, so that it sends none of them twice.
+    /// Loads that the process has prepared or abandoned, so that it sends none of them twice.
     pub handled_loads: BTreeSet<Offset>,
-    /// Orders past their last check, which a pause may hold for any length of time.
+    /// Orders that are ready to be sent after the last check; a pause may delay them by any time.
     pub ready_to_send: Vec<(usize, Order)>,
-    /// Orders sent and not yet answered.
+    /// Offsets of the intents whose orders were sent and not answered yet.
     pub awaiting_answer: BTreeSet<Offset>,
-    /// What the process knows and has not yet seen settled.
+    /// Outcomes that the process knows and has not seen settled yet.
     pub outcomes: BTreeMap<Offset, Outcome>,
-    /// Readings that the process has not yet appended.
+    /// Statuses that the process has read and not appended yet.
     pub statuses: Vec<Observation>,
 }
 
@@ -63,7 +63,7 @@
             .epoch_of(&self.vm.as_str().into(), self.process_id)
     }
 
-    /// Returns the loads that the process may still take up: its own, and seen as accepted.
+    /// Returns the process's own accepted loads that it has neither prepared nor abandoned.
     pub fn startable_loads(&self) -> Vec<Offset> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
@@ -76,8 +76,8 @@
         own.map(|replica| replica.load).collect()
     }
 
-    /// Returns the intents that the process may take over. Of its own loads those whose attempt is
-    /// over, or that it will not take up any more.
+    /// Returns the intents that the process may take over. Its own loads are included only if it
+    /// has no order for them that is ready to be sent or awaits an answer.
     pub fn intents_to_take_over(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
@@ -97,7 +97,7 @@
             .collect()
     }
 
-    /// Returns the intents that the process has taken over and can now ask the engine about.
+    /// Returns the intents that the process has taken over and can query the engine about.
     pub fn intents_to_resolve(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
@@ -108,7 +108,7 @@
             .collect()
     }
 
-    /// Returns the unloads that the process may order.
+    /// Returns the unloads that the process owns and may order.
     pub fn intents_to_unload(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
--- a/crates/state/tests/decision_search/steps.rs
+++ b/crates/state/tests/decision_search/steps.rs
@@ -1,4 +1,4 @@
-//! The steps that processes and engines take.
+//! Steps of processes and engines.
 
 use apricotdale_core::control::ControlRecord;
 use apricotdale_core::control::Depart;
@@ -28,7 +28,7 @@
 use crate::world::World;
 
 impl World {
-    /// Lets a process append a record that it makes for its proposer.
+    /// Lets the process of a VM append the record that `record` returns, if any.
     fn propose(
         &mut self,
         vm: usize,
@@ -67,7 +67,7 @@
         });
     }
 
-    /// A process takes up one of its accepted loads: after its last check, before it sends.
+    /// Prepares the order of one of a process's accepted loads, after the last check.
     pub fn prepare_load(&mut self, vm: usize, index: usize) {
         let engines = self.engines.len();
         let Some(process) = &mut self.processes[vm] else {
@@ -98,7 +98,7 @@
             .push((engine.expect("engines are not renamed"), order));
     }
 
-    /// A process takes up an unload, which it may order more than once.
+    /// Prepares the order of an unload, which may be sent more than once.
     pub fn prepare_unload(&mut self, vm: usize, index: usize) {
         let engines = self.engines.len();
         let Some(process) = &mut self.processes[vm] else {
@@ -122,7 +122,7 @@
             .push((engine.expect("engines are not renamed"), order));
     }
 
-    /// A process sends what it has taken up, however long ago.
+    /// Sends an order that was prepared at any earlier time.
     pub fn send(&mut self, vm: usize, index: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
@@ -137,7 +137,7 @@
         self.engines[engine].inbox.push(order);
     }
 
-    /// A process gives up one of its accepted loads without having taken it up.
+    /// Abandons one of a process's accepted loads without having prepared its order.
     pub fn abandon(&mut self, vm: usize, index: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
@@ -159,7 +159,7 @@
         process.outcomes.insert(load, outcome);
     }
 
-    /// A process's connection breaks before the answer.
+    /// Breaks the connection of a process before the answer arrives.
     pub fn lose_answer(&mut self, vm: usize, index: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
@@ -199,7 +199,7 @@
         );
     }
 
-    /// A process appends an outcome that it knows.
+    /// Appends an outcome that a process knows.
     pub fn settle(&mut self, vm: usize, index: usize, variation: u8) {
         self.propose(vm, variation, |process, proposer| {
             let known: Vec<Offset> = process.outcomes.keys().copied().collect();
@@ -252,7 +252,7 @@
         process.statuses.push(reading);
     }
 
-    /// A process appends a reading, however old.
+    /// Appends a status that a process read at any earlier time.
     pub fn append_status(&mut self, vm: usize, index: usize, variation: u8) {
         self.propose(vm, variation, |process, proposer| {
             if process.statuses.is_empty() {
@@ -277,8 +277,8 @@
         });
     }
 
-    /// A process asks an engine about an intent that it has taken over. Raising the fence can fail
-    /// where reading the status does not.
+    /// Queries an engine about an intent that a process has taken over. Raising the fence can fail
+    /// when reading the status succeeds.
     pub fn resolve(&mut self, vm: usize, index: usize, raises_fence: bool) {
         let Some(process) = &mut self.processes[vm] else {
             return;
@@ -330,8 +330,8 @@
         });
     }
 
-    /// A process proposes that an engine is gone whose present run, as the process knows it, is over.
-    /// The engine's successor bears the same name.
+    /// Proposes that an engine is gone if the incarnation that the process knows has ended. The new
+    /// incarnation has the same engine name.
     pub fn remove_engine(&mut self, vm: usize, engine: usize, variation: u8) {
         let boot = self.engines[engine].boot;
         self.propose(vm, variation, |process, proposer| {
@@ -346,13 +346,13 @@
         });
     }
 
-    /// The platform takes a VM away.
+    /// Removes a VM, which the platform's list then shows as gone.
     pub fn remove_vm(&mut self, vm: usize) {
         self.processes[vm] = None;
         self.gone[vm] = true;
     }
 
-    /// A process proposes that a VM which the list shows as gone has departed.
+    /// Proposes the departure of a VM that the list shows as gone.
     pub fn depart(&mut self, vm: usize, other: usize, variation: u8) {
         if !self.gone[other] {
             return;
@@ -370,7 +370,8 @@
     }
 }
 
-/// Returns whether an intent only waits for the next run of an engine that obeys every order.
+/// Returns whether an intent can only be settled after a restart of its engine, which does not
+/// check fencing tokens.
 pub fn is_lingering(world: &World, intent: &IntentView) -> bool {
     let replica = world.reference.replica(intent.intent);
     let engine = world.reference.engine(&intent.engine);
--- a/crates/state/tests/engine_readings.rs
+++ b/crates/state/tests/engine_readings.rs
@@ -1,4 +1,4 @@
-//! What follows from engines' readings, in order and late.
+//! Tests of what follows from the statuses of engines, read in order or appended late.
 
 mod common;
 
@@ -18,10 +18,9 @@
 use common::Stream;
 use common::resident;
 
-/// Symptom: memory that is in use is given away.
-/// Sequence: a VM reads the engine and is paused; a load ends and is settled; the VM appends its
-/// reading, which does not show the replica.
-/// Cause: the reading is later than the last one observed, but older than the settlement.
+/// Guards against reassigning memory that is in use. A VM reads the status and is paused. A load
+/// ends and is settled. Then the VM appends the status, which is newer than the last one observed
+/// but older than the settlement, and does not show the replica.
 #[test]
 fn status_before_settlement() {
     let (mut stream, a, b) = Stream::ready(true);
@@ -35,8 +34,8 @@
 
 #[rstest]
 #[case::older_sequence(1, 2, 9)]
-#[case::same_again(1, 3, 9)]
-#[case::older_run(0, 8, 99)]
+#[case::repeated_status(1, 3, 9)]
+#[case::older_incarnation(0, 8, 99)]
 fn old_status_rejected(#[case] boot: u64, #[case] sequence: u64, #[case] highest: u64) {
     let (mut stream, a, _) = Stream::ready(true);
     stream.observe(a, "e1", true, 1, 3, 9, &[]);
@@ -46,7 +45,7 @@
     assert_eq!(stream.held_bytes("e1"), 0);
 }
 
-/// Raising the fence changes no model, so the sequence stays; the reading is news all the same.
+/// Raising the fence changes no model, so the sequence stays the same. The status is still applied.
 #[test]
 fn higher_fence_applied() {
     let (mut stream, a, b) = Stream::ready(true);
@@ -86,10 +85,9 @@
     assert_eq!(stream.held_bytes("e1"), 40);
 }
 
-/// Symptom: requests are sent to an engine that no longer has the model.
-/// Sequence: the load ends, the engine restarts and is observed, and only then the load's
-/// settlement lands.
-/// Cause: the settlement is true of a run that is over.
+/// Guards against requests to an engine that no longer has the model. The load ends, the engine
+/// restarts and is observed, and the settlement of the load is appended after that. The settlement
+/// is true only of an incarnation that has ended.
 #[test]
 fn load_before_restart() {
     let (mut stream, a, b) = Stream::ready(true);
@@ -135,7 +133,7 @@
     assert_eq!(verdict, Verdict::Rejected(RejectReason::UnknownReplica));
     assert!(stream.unload(a, "m1", "e1", Offset(1)).is_accepted());
     let unload = stream.last_offset();
-    // A new reading that still shows it does not forget that it is on its way out.
+    // A new status that still shows the model keeps the unload in progress.
     stream.observe(b, "e1", true, 1, 2, 1, &[unmanaged]);
     assert_eq!(stream.state.unsettled().count(), 1);
     let verdict = stream.settle_unload(a, unload, SettledAs::Done, Some((1, 3)));
@@ -156,9 +154,8 @@
     );
 }
 
-/// Symptom: memory that is in use is given away.
-/// Sequence: an unload's answer names a status from before the replica was there.
-/// Cause: the model was absent then, too.
+/// Guards against reassigning memory that is in use. The settlement of an unload names a status
+/// from before the replica existed, when the engine did not hold the model either.
 #[test]
 fn old_unload_status() {
     let (mut stream, a, _) = Stream::ready(true);
@@ -168,7 +165,7 @@
     let verdict = stream.settle_unload(a, unload, SettledAs::Done, Some((1, 4)));
     assert_eq!(verdict, Verdict::Rejected(RejectReason::OldReading));
     assert_eq!(stream.held_bytes("e1"), 60);
-    // An unload that nobody settles is settled by what the engine shows.
+    // An unload that is not settled ends when a status no longer shows the model.
     stream.observe(a, "e1", true, 1, 7, 0, &[]);
     assert_eq!(stream.held_bytes("e1"), 0);
     assert_eq!(stream.state.unsettled().count(), 0);
@@ -185,7 +182,8 @@
     assert_eq!(stream.state.engines().count(), 0);
     let verdict = stream.load(a, "m1", "e1").1;
     assert_eq!(verdict, Verdict::Rejected(RejectReason::EngineGone));
-    // A late reading does not bring it back; its successor under the same name is another run.
+    // A late status does not restore the engine. A later engine with the same name has another
+    // incarnation.
     let verdict = stream.observe(b, "e1", false, 1, 1, 0, &[]);
     assert_eq!(verdict, Verdict::Rejected(RejectReason::OldReading));
     assert!(stream.observe(b, "e1", false, 2, 0, 0, &[]).is_accepted());
@@ -194,11 +192,10 @@
     assert_eq!(verdict, Verdict::Rejected(RejectReason::EngineRestarted));
 }
 
-/// Symptom: an engine's successor under the same name is overcommitted.
-/// Sequence: the sender is paused; the engine is replaced; the sender sends to the successor and
-/// dies; the engine is said to be gone, its sender to have departed; the successor is observed, its
-/// memory given away; the order is acted on.
-/// Cause: the order had been forgotten with the engine.
+/// Guards against overcommitting an engine that replaced another under the same name. The sender is
+/// paused, the engine is replaced, and the sender sends to the new engine and ends. The old engine
+/// is recorded as gone and the sender as departed. If the order were forgotten with the old engine,
+/// the memory of the new one would be reassigned before it handles the order.
 #[test]
 fn successor_memory_reserved() {
     let (mut stream, a, b) = Stream::ready(false);
@@ -233,10 +230,9 @@
     assert!(stream.state.engine(&"late-0".into()).is_some());
 }
 
-/// Symptom: an engine that runs is out of use for good, and its replicas count as none.
-/// Sequence: the lagging list shows the end of an engine's earlier machine; the engine is said to be
-/// gone; the engine answers.
-/// Cause: the list was read too early to mean the present run.
+/// Guards against a running engine that stays unused, with its replicas not counted. The delayed VM
+/// list shows the end of an earlier machine of the same name, and the engine is recorded as gone.
+/// Then the engine answers.
 #[test]
 fn engine_returns() {
     let (mut stream, a, b) = Stream::ready(false);
--- a/crates/state/tests/join_epochs.rs
+++ b/crates/state/tests/join_epochs.rs
@@ -1,4 +1,4 @@
-//! Whose records count: joins, epochs, sequences and departures.
+//! Tests of joins, epochs, sequences and departures, which decide whose records are accepted.
 
 mod common;
 
@@ -28,25 +28,25 @@
     let (mut stream, a, _) = Stream::ready(false);
     let (load, _) = stream.load(a, "m1", "e1");
     let next = stream.join("a", 10);
-    assert!(stream.state.is_current(a), "a join alone ends nobody");
+    assert!(stream.state.is_current(a), "a join alone ends no process");
     assert!(stream.take_over(next, load).is_accepted());
     assert!(!stream.state.is_current(a));
     assert!(
         !stream
             .state
             .replica(load)
-            .expect("it is unsettled")
+            .expect("the load is unsettled")
             .sender_may_act()
     );
     let (_, verdict) = stream.load(a, "m2", "e1");
     assert_eq!(verdict, Verdict::Rejected(RejectReason::StaleEpoch));
 }
 
-/// Symptom: two orders in the memory of one, on an engine that ignores fencing numbers.
-/// Sequence: a process dies while its join is on the way; its successor joins, proposes a load and
-/// is paused before sending; the dead process's join lands; another VM takes the load over as one
-/// whose sender is over; the memory is given away; the successor wakes up and sends.
-/// Cause: the order of joins on the stream is not the order in which processes lived.
+/// Guards against two orders that take the same memory of an engine that does not check fencing
+/// tokens. A process dies while its join is on its way. Its successor joins, proposes a load and is
+/// paused before it sends the order. The late join is appended. If it ended the successor, another
+/// VM would take the load over and reassign its memory, and the successor would then still send it.
+/// The order of joins on the stream is not the order in which the processes ran.
 #[test]
 fn late_join_harmless() {
     let (mut stream, a, b) = Stream::ready(false);
@@ -59,7 +59,7 @@
     assert_eq!(stream.held_bytes("e1"), 60);
 }
 
-/// Symptom and cause as above, by a join whose append's answer was lost, so that it came twice.
+/// Guards against the same failure after a join whose append was repeated.
 #[test]
 fn duplicate_join_ignored() {
     let (mut stream, a, _) = Stream::ready(true);
@@ -110,7 +110,7 @@
 }
 
 #[rstest]
-#[case::garbage(b"\xff\x00".to_vec())]
+#[case::invalid_utf8(b"\xff\x00".to_vec())]
 #[case::empty(Vec::new())]
 #[case::other_json(b"{\"reboot\":{}}".to_vec())]
 fn undecodable_record_ignored(#[case] payload: Vec<u8>) {
--- a/crates/state/tests/load_cycle.rs
+++ b/crates/state/tests/load_cycle.rs
@@ -1,4 +1,4 @@
-//! The life of a replica when nothing fails.
+//! Life cycle of a replica without failures.
 
 mod common;
 
--- a/crates/state/tests/load_rules.rs
+++ b/crates/state/tests/load_rules.rs
@@ -1,4 +1,4 @@
-//! Which loads and unloads are accepted.
+//! Tests of the rules by which loads and unloads are accepted.
 
 mod common;
 
@@ -24,8 +24,8 @@
 #[case::unknown_model(|intent: &mut LoadIntent| intent.model = "m9".into(), RejectReason::UnknownModel)]
 #[case::old_model(|intent: &mut LoadIntent| intent.model_version = ConfigVersion(1), RejectReason::ModelChanged)]
 #[case::unknown_engine(|intent: &mut LoadIntent| intent.engine = "e9".into(), RejectReason::UnknownEngine)]
-#[case::old_run(|intent: &mut LoadIntent| intent.boot = BootId(0), RejectReason::EngineRestarted)]
-#[case::later_run(|intent: &mut LoadIntent| intent.boot = BootId(2), RejectReason::EngineRestarted)]
+#[case::old_incarnation(|intent: &mut LoadIntent| intent.boot = BootId(0), RejectReason::EngineRestarted)]
+#[case::later_incarnation(|intent: &mut LoadIntent| intent.boot = BootId(2), RejectReason::EngineRestarted)]
 #[case::other_count(|intent: &mut LoadIntent| intent.expected_replicas = 1, RejectReason::ReplicaCountChanged)]
 #[case::base_missing(|intent: &mut LoadIntent| intent.model = "m1-ad".into(), RejectReason::BaseNotLoaded)]
 fn outdated_load_rejected(#[case] change: fn(&mut LoadIntent), #[case] reason: RejectReason) {
@@ -37,9 +37,8 @@
     assert_eq!(stream.held_bytes("e1"), 0);
 }
 
-/// Symptom: two VMs each load a replica for the same burst of first requests.
-/// Sequence: both see no replica and propose one.
-/// Cause: without the expected count both proposals would be decisions.
+/// Guards against two VMs that each load a replica for the same burst of first requests. Both see
+/// no replica and propose one; the expected number of replicas makes the second proposal fail.
 #[test]
 fn one_proposal_accepted() {
     let (mut stream, a, b) = Stream::ready(true);
@@ -118,10 +117,9 @@
     );
 }
 
-/// Symptom: a replica that was just loaded for waiting requests is unloaded.
-/// Sequence: a VM decides to unload an idle replica and is paused; the replica goes, another one of
-/// the same model comes; the VM's proposal lands.
-/// Cause: the proposal names the model and the engine, which are the same.
+/// Guards against unloading a replica that was just loaded for waiting requests. A VM decides to
+/// unload an idle replica and is paused. That replica is unloaded and another one of the same model
+/// is loaded on the same engine before the VM's proposal is appended.
 #[test]
 fn late_unload_rejected() {
     let (mut stream, a, b) = Stream::ready(true);
@@ -155,8 +153,8 @@
 }
 
 #[rstest]
-#[case::before_the_order(SettledAs::Done, None, RejectReason::NoReading)]
-#[case::by_a_stranger(SettledAs::Done, Some((1, 2)), RejectReason::NotOwner)]
+#[case::without_reading(SettledAs::Done, None, RejectReason::NoReading)]
+#[case::not_owner(SettledAs::Done, Some((1, 2)), RejectReason::NotOwner)]
 fn settlement_requirements(
     #[case] outcome: SettledAs,
     #[case] reading: Option<(u64, u64)>,
--- a/crates/state/tests/lost_senders.rs
+++ b/crates/state/tests/lost_senders.rs
@@ -1,5 +1,5 @@
-//! Loads whose sender died, was paused or lost the answer, on engines that check fencing numbers
-//! and on engines that obey every order.
+//! Tests of loads whose sender ended, was paused or lost the answer, on engines that check fencing
+//! tokens and on engines that accept every order.
 
 mod common;
 
@@ -22,7 +22,7 @@
     SettledAs::Failed("not there".to_owned())
 }
 
-/// Returns a stream on which `a` has proposed a load of 60 bytes on `e1`.
+/// Returns a stream on which `a` has proposed a load of 60 bytes onto `e1`.
 fn stream_with_load(checks_fence: bool) -> (Stream, Epoch, Epoch, Offset) {
     let (mut stream, a, b) = Stream::ready(checks_fence);
     let (load, verdict) = stream.load(a, "m1", "e1");
@@ -30,8 +30,8 @@
     (stream, a, b, load)
 }
 
-/// Takes a load over, raises the fence of `e1` to the takeover's offset and observes the engine. An
-/// engine that obeys all takes no notice of the number.
+/// Takes a load over, raises the fence of `e1` to the offset of the takeover and observes the
+/// engine. An engine that does not check fencing tokens ignores the token.
 fn raise_fence(stream: &mut Stream, by: Epoch, load: Offset) {
     stream.take_over(by, load);
     let fence = stream.last_offset().0;
@@ -40,13 +40,13 @@
     stream.observe(by, "e1", checks_fence, 1, 0, fence, &[]);
 }
 
-/// Symptom: an order takes effect after it was settled as absent on an engine that checks.
-/// Sequence: the sender is paused; another VM takes the load over; its call to raise the fence
-/// fails, but it reads the status, which does not show the model; the sender wakes up.
-/// Cause: the settlement was taken as proof that the fence was raised.
+/// Guards against an order that takes effect after it was settled as without effect, on an engine
+/// that checks fencing tokens. The sender is paused and another VM takes the load over. Its call to
+/// raise the fence fails, but it reads the status, which does not show the model. Then the sender
+/// resumes. The settlement alone does not prove that the fence was raised.
 #[rstest]
 #[case::paused_sender(false, Verdict::Rejected(RejectReason::SenderMayAct))]
-#[case::dead_sender(true, Verdict::Accepted(Accepted::LoadLingers))]
+#[case::ended_sender(true, Verdict::Accepted(Accepted::LoadLingers))]
 fn unobserved_fence(#[case] has_ended: bool, #[case] expected: Verdict) {
     let (mut stream, a, b, load) = stream_with_load(true);
     if has_ended {
@@ -58,10 +58,10 @@
     assert_eq!(stream.held_bytes("e1"), 60);
 }
 
-/// Symptom: an engine's memory is overcommitted by an order that comes minutes late.
-/// Sequence: the sender is paused before it sends; another VM takes the load over, does not see it
-/// on the engine and settles it; its memory is given to another load; the sender wakes up.
-/// Cause: an engine that ignores fencing numbers obeys the late order.
+/// Guards against an engine that is overcommitted by an order that arrives minutes late. The sender
+/// is paused before it sends. Another VM takes the load over and does not see it on the engine. If
+/// it could settle the load, the memory would be reassigned. An engine that does not check fencing
+/// tokens would still accept the order when the sender resumes.
 #[test]
 fn paused_sender_reservation() {
     let (mut stream, a, b, load) = stream_with_load(false);
@@ -69,15 +69,15 @@
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
     assert_eq!(verdict, Verdict::Rejected(RejectReason::SenderMayAct));
     assert_eq!(stream.held_bytes("e1"), 60);
-    // The sender wakes up, sees that the load is no longer its own, and says so.
+    // The sender resumes, sees that it no longer owns the load, and reports it as not sent.
     let verdict = stream.settle_load(a, load, SettledAs::Abandoned, None);
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadFreed));
     assert_eq!(stream.held_bytes("e1"), 0);
 }
 
-/// The same sequence where the engine checks: its fence is raised, so the memory is free at once.
-/// But a restarted engine forgets the fence, so the order counts against what may come after a
-/// restart, and as a replica, until its sender is over.
+/// The same sequence on an engine that checks fencing tokens: its fence is raised, so the memory is
+/// free at once. A restarted engine forgets the fence, so the order still counts against the memory
+/// after a restart, and as a replica, until its sender has ended.
 #[test]
 fn fence_until_restart() {
     let (mut stream, a, b, load) = stream_with_load(true);
@@ -97,7 +97,7 @@
     stream.observe(b, "e1", true, 2, 0, 0, &[]);
     assert_eq!(stream.stage(load), Some(Stage::Reserved));
     assert_eq!(stream.held_bytes("e1"), 100);
-    // The sender sends to the new run, which obeys.
+    // The sender sends the order to the new incarnation, which accepts it.
     let verdict = stream.settle_load(a, load, SettledAs::Done, Some((2, 2)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::Loaded));
 }
@@ -114,7 +114,8 @@
         stream.depart(b, "a", a);
     }
     assert_eq!(stream.held_bytes("e1"), 60);
-    // A new run may be one to which the sender still spoke: only a takeover after its end tells.
+    // The sender may still have reached the new incarnation. Only a takeover after the sender's end
+    // excludes that.
     stream.observe(b, "e1", false, 2, 0, 0, &[]);
     assert_eq!(stream.held_bytes("e1"), 60);
     stream.take_over(b, load);
@@ -137,10 +138,10 @@
     assert_eq!(stream.state.replica_count(&"m1".into()), 0);
 }
 
-/// Symptom: an order takes effect after it was settled as absent.
-/// Sequence: a VM takes the load over while its sender lives, and reads the engine; the sender then
-/// sends to the engine's next run and dies; its departure lands, then the settlement.
-/// Cause: the reading is from before the sender's end, so it does not bound the order's reach.
+/// Guards against an order that takes effect after it was settled as without effect. A VM takes the
+/// load over while its sender runs, and reads the status. The sender then sends the order to the
+/// next incarnation and ends. Its departure is appended, then the settlement. The status was read
+/// before the sender's end, so it does not limit which incarnations the order can reach.
 #[test]
 fn takeover_too_old() {
     let (mut stream, a, b, load) = stream_with_load(false);
@@ -165,11 +166,11 @@
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadFreed));
 }
 
-/// A sender that lost the answer ends its attempt and takes its own intent over. Its word is then
-/// worth no more than another's: the order may still wait in a connection.
+/// A sender that lost the answer ends its attempt and takes over its own intent. Its report then
+/// counts no more than that of another process, since the order may be queued in a connection.
 #[rstest]
 #[case::checks(true, Accepted::LoadFreed, 0)]
-#[case::obeys_all(false, Accepted::LoadLingers, 60)]
+#[case::ignores_tokens(false, Accepted::LoadLingers, 60)]
 fn own_load_takeover(
     #[case] checks_fence: bool,
     #[case] accepted: Accepted,
@@ -184,7 +185,7 @@
 
 #[rstest]
 #[case::checks(true)]
-#[case::obeys_all(false)]
+#[case::ignores_tokens(false)]
 fn observed_load_settles(#[case] checks_fence: bool) {
     let (mut stream, a, b, load) = stream_with_load(checks_fence);
     let loading = [resident("m1", Residency::Loading, 60, load)];
@@ -196,10 +197,10 @@
     assert_eq!(stream.stage(load), Some(Stage::Loaded));
 }
 
-/// An order is sent once. So if the engine died in the middle of the load, the order is over.
+/// An order is sent once. If the engine ended during the load, the order can have no other effect.
 #[rstest]
-#[case::same_run(1, 2)]
-#[case::next_run(2, 0)]
+#[case::same_incarnation(1, 2)]
+#[case::next_incarnation(2, 0)]
 fn observed_load_gone(#[case] boot: u64, #[case] sequence: u64) {
     let (mut stream, _, b, load) = stream_with_load(false);
     let loading = [resident("m1", Residency::Loading, 60, load)];
@@ -209,11 +210,11 @@
     assert_eq!(stream.held_bytes("e1"), 0);
 }
 
-/// Symptom: an engine is overcommitted just after a restart that nobody has seen.
-/// Sequence: a load of 60 is proposed and its sender paused; the engine checks, a fence is raised,
-/// 40 are given away; another 60 are proposed for the same engine; the engine restarts and forgets
-/// its fence; both senders of 60 wake up.
-/// Cause: what the present run refuses the next one obeys.
+/// Guards against an engine that is overcommitted right after a restart that no VM has observed. A
+/// load of 60 bytes is proposed and its sender paused. The engine checks fencing tokens, its fence
+/// is raised, 40 bytes are given to another load, and a second load of 60 is proposed. The engine
+/// restarts and forgets its fence, and both senders of 60 resume. The new incarnation accepts what
+/// the earlier one refused.
 #[test]
 fn restart_memory_fits() {
     let (mut stream, _, b, load) = stream_with_load(true);
@@ -229,7 +230,7 @@
         Verdict::Rejected(RejectReason::NoMemoryAfterRestart)
     );
     let loaded = stream.loaded(b, "m4", "e1", (1, 2));
-    // What has taken effect ends with the run, so it leaves room for what may follow.
+    // A replica whose load took effect ends with the incarnation, so its memory is not counted.
     assert!(stream.load(b, "m2", "e1").1.is_accepted(), "{loaded}");
 }
 
@@ -239,7 +240,7 @@
     stream.take_over(b, load);
     let verdict = stream.settle_load(a, load, failed(), Some((1, 3)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadFreed));
-    // A reading from before the refusal comes late and shows the order once more.
+    // A status from before the refusal arrives late and shows the order's effect again.
     let loading = [resident("m1", Residency::Loading, 60, load)];
     let verdict = stream.observe(b, "e1", false, 1, 2, load.0, &loading);
     assert_eq!(verdict, Verdict::Rejected(RejectReason::OldReading));
--- a/crates/state/tests/snapshot_parts.rs
+++ b/crates/state/tests/snapshot_parts.rs
@@ -1,4 +1,4 @@
-//! Snapshots in parts, damaged and mixed, and fresh starts.
+//! Tests of snapshots in parts, damaged or mixed, and of fresh starts.
 
 mod common;
 
@@ -69,8 +69,8 @@
 }
 
 #[rstest]
-#[case::flipped(|bytes: &mut Vec<u8>| { let last = bytes.len() - 1; bytes[last] ^= 1; })]
-#[case::cut(|bytes: &mut Vec<u8>| { bytes.pop(); })]
+#[case::flipped_bit(|bytes: &mut Vec<u8>| { let last = bytes.len() - 1; bytes[last] ^= 1; })]
+#[case::truncated(|bytes: &mut Vec<u8>| { bytes.pop(); })]
 #[case::empty(|bytes: &mut Vec<u8>| bytes.clear())]
 fn damaged_part_skipped(#[case] damage: fn(&mut Vec<u8>)) {
     let (section, _) = section();
@@ -153,9 +153,9 @@
     SnapshotRecord::of_fresh_start(&control(), fresh).encode()
 }
 
-/// Symptom: after a total loss two VMs go on from different states.
-/// Sequence: both find nothing and propose to start afresh at different offsets.
-/// Cause: each would take its own proposal for the state.
+/// Guards against two VMs that continue from different states after a total loss. Both find no
+/// state and propose fresh starts at different offsets. If each used its own proposal, they would
+/// differ.
 #[test]
 fn first_start_wins() {
     let mut catalog = SnapshotCatalog::new(Offset(4));
@@ -165,7 +165,7 @@
         (newest.lineage, newest.next),
         (Lineage(Offset(4)), Offset(100))
     );
-    // A later loss is decided on in knowledge of the first.
+    // The proposer of the next fresh start has read the first one.
     apply_all(&mut catalog, &[fresh(6, 900)]);
     assert_eq!(catalog.lineage(&control()), Lineage(Offset(6)));
 }
