--- a/crates/state/src/intents.rs
+++ b/crates/state/src/intents.rs
@@ -69,10 +69,10 @@
         // Engines identify models by name and can't distinguish two replicas of one model: an order
         // to unload one of them would unload both.
         let boot = engine.boot();
-        let is_same =
+        let is_same_model =
             |replica: &Replica| replica.model == intent.model && replica.may_hold_memory(boot);
         if engine.unmanaged.contains_key(&intent.model)
-            || self.replicas.of_engine(&intent.engine).any(is_same)
+            || self.replicas.of_engine(&intent.engine).any(is_same_model)
         {
             return Err(RejectReason::AlreadyOnEngine);
         }
--- a/crates/state/src/parts.rs
+++ b/crates/state/src/parts.rs
@@ -241,8 +241,8 @@
                 "a part is out of range or its section exceeds the size limit",
             ));
         }
-        if let Some(again) = collected.parts.insert(part.part, part.bytes) {
-            collected.bytes -= again.len();
+        if let Some(previous) = collected.parts.insert(part.part, part.bytes) {
+            collected.bytes -= previous.len();
         }
         match collected.parts.len() == part.parts as usize {
             true => self.complete_section(key),
