--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigChange {
     /// Random identity chosen by the publisher. With it the publisher finds its change on the
-    /// stream when the response to the append was lost, and a repeated append is accepted once.
+    /// stream when the answer to the append was lost, and a repeated append is accepted once.
     pub change_id: u64,
     /// Name of the operator who published the change.
     pub operator: String,
--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -56,7 +56,7 @@
 
 /// Daemon processes that have joined, by VM.
 ///
-/// A join alone does not end the earlier process of the VM. An append whose response was lost can
+/// A join alone does not end the earlier process of the VM. An append whose answer was lost can
 /// reach the stream long after its process has died, and would then end a later process that is
 /// alive and may still send an order; two orders could then take the same memory. A joined process
 /// therefore replaces the earlier one only with its first record. That record carries its epoch,
--- a/crates/state/tests/claim_rules.rs
+++ b/crates/state/tests/claim_rules.rs
@@ -112,7 +112,7 @@
 }
 
 /// Guards against a call that runs twice. Request r1 claims a key and frees it without running; r2
-/// claims it and runs. The finish of r1 is appended again because the response to its append was
+/// claims it and runs. The finish of r1 is appended again because the answer to its append was
 /// lost. If that duplicate freed the key for r3, the call could run again.
 #[test]
 fn duplicate_finish_ignored() {
--- a/crates/state/tests/config_rules.rs
+++ b/crates/state/tests/config_rules.rs
@@ -138,7 +138,7 @@
     assert_eq!(decided.verdict, second);
 }
 
-/// Guards against a publisher that sees its change rejected although it is in force. The response
+/// Guards against a publisher that sees its change rejected although it is in force. The answer
 /// to the append is lost and the publisher appends again. The duplicate would conflict with the
 /// first copy if it were not recognised.
 #[test]
--- a/crates/state/tests/decision_search/main.rs
+++ b/crates/state/tests/decision_search/main.rs
@@ -29,7 +29,7 @@
 const MAX_STEPS: usize = 240;
 
 /// One random step: its kind, the VM that acts, the choice among its options, and a variation such
-/// as the loss of an append's response.
+/// as the loss of an append's answer.
 type Step = (u8, u8, u8, u8);
 
 fn take_step(world: &mut World, (kind, actor, choice, variation): Step) {
--- a/crates/state/tests/decision_search/world.rs
+++ b/crates/state/tests/decision_search/world.rs
@@ -92,7 +92,7 @@
     /// Appends a record. `variation` decides whether the append is delayed or repeated.
     pub fn append(&mut self, payload: Vec<u8>, variation: u8) {
         match variation % 8 {
-            // The response to the append is lost and the client appends again. One of the copies
+            // The answer to the append is lost and the client appends again. One of the copies
             // may reach the log at any later time.
             0 => {
                 self.delayed_appends.push(payload.clone());
