--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -202,7 +202,7 @@
 /// Decides whether failed requests are retried.
 pub trait RetryPolicy: Send {
     /// Records the first attempt of a request at a group, which adds to the group's retry budget.
-    fn first_try(&mut self, now_ms: u64, group: &GroupName);
+    fn record_first_attempt(&mut self, now_ms: u64, group: &GroupName);
 
     /// Decides whether a failed attempt is followed by another one.
     fn decide(&mut self, now_ms: u64, request: &RetryRequest) -> RetryDecision;
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -74,7 +74,7 @@
 
     /// Notes that a request asks to be sent for the first time.
     pub fn arrived(&mut self, now_ms: u64, job: &Job) {
-        self.retries.first_try(now_ms, &job.service);
+        self.retries.record_first_attempt(now_ms, &job.service);
     }
 
     /// Decides what happens with a request now.
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -197,7 +197,7 @@
     /// Notes a first try, which earns budget for retries.
     pub(crate) fn note_first_try(&self, group: &GroupName) {
         let now_ms = self.now_ms();
-        self.retry.lock().first_try(now_ms, group);
+        self.retry.lock().record_first_attempt(now_ms, group);
     }
 
     /// Returns the pause before a retry, or none to give up.
--- a/crates/gateway/tests/support/policies.rs
+++ b/crates/gateway/tests/support/policies.rs
@@ -47,7 +47,7 @@
 }
 
 impl RetryPolicy for CountedRetries {
-    fn first_try(&mut self, _now_ms: u64, _group: &GroupName) {}
+    fn record_first_attempt(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, request: &RetryRequest) -> RetryDecision {
         match request {
@@ -64,7 +64,7 @@
 pub struct BlindRetries;
 
 impl RetryPolicy for BlindRetries {
-    fn first_try(&mut self, _now_ms: u64, _group: &GroupName) {}
+    fn record_first_attempt(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, _request: &RetryRequest) -> RetryDecision {
         RetryDecision::RetryAfterMs(0)
--- a/crates/policy-replay/src/world/serving.rs
+++ b/crates/policy-replay/src/world/serving.rs
@@ -256,7 +256,7 @@
             self.measures.tried(tries > 1);
         }
         if tries == 1 {
-            self.policies.retry.first_try(now_ms, &group);
+            self.policies.retry.record_first_attempt(now_ms, &group);
         }
         if !self.engines[engine].alive {
             self.ended(ticket, UpstreamOutcome::Unreachable, None);
--- a/crates/routing/examples/routing_figures.rs
+++ b/crates/routing/examples/routing_figures.rs
@@ -177,7 +177,7 @@
         let mut tries = 0;
         for first in 0..10_000_u64 {
             let now_ms = first * 10;
-            policy.first_try(now_ms, &group);
+            policy.record_first_attempt(now_ms, &group);
             tries += 1 + retries_of_one(policy.as_mut(), now_ms, &group);
         }
         println!("outage | {name} | {tries} tries for 10000 requests");
--- a/crates/routing/src/budgeted_retry.rs
+++ b/crates/routing/src/budgeted_retry.rs
@@ -98,7 +98,7 @@
 }
 
 impl RetryPolicy for BudgetedRetry {
-    fn first_try(&mut self, now_ms: u64, group: &GroupName) {
+    fn record_first_attempt(&mut self, now_ms: u64, group: &GroupName) {
         let options = self.options.clone();
         self.budget(now_ms, group).earn(&options);
     }
--- a/crates/routing/src/fixed_retry.rs
+++ b/crates/routing/src/fixed_retry.rs
@@ -34,7 +34,7 @@
 }
 
 impl RetryPolicy for FixedRetry {
-    fn first_try(&mut self, _now_ms: u64, _group: &GroupName) {}
+    fn record_first_attempt(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, request: &RetryRequest) -> RetryDecision {
         if let Some(decision) = forbidden(request, &self.options) {
--- a/crates/routing/tests/retry_budget.rs
+++ b/crates/routing/tests/retry_budget.rs
@@ -85,7 +85,7 @@
     let mut policy = BudgetedRetry::new(RetryOptions::default());
     let mut retried = 0;
     for first in 0..10_000 {
-        policy.first_try(first, &request().group);
+        policy.record_first_attempt(first, &request().group);
         retried += u32::from(retries(&mut policy, first, &request()));
     }
     assert!((1_000..=1_020).contains(&retried), "{retried}");
