--- a/crates/core/src/errors.rs
+++ b/crates/core/src/errors.rs
@@ -24,7 +24,7 @@
     Rejected(String),
     /// The fencing token of the order is lower than one that the engine has seen. The order had no
     /// effect.
-    #[error("stale fencing token, the engine has seen {highest}")]
+    #[error("stale fencing number, the engine has seen {highest}")]
     StaleFence {
         /// Highest fencing token that the engine has seen.
         highest: u64,
