--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -16,7 +16,7 @@
 use apricotdale_fleet::DirectoryOptions;
 use apricotdale_fleet::ReadPacing;
 use apricotdale_fleet::Sharing;
-use apricotdale_holder::OwnDemand;
+use apricotdale_holder::LocalDemand;
 use apricotdale_quarantine::CrashWatch;
 use apricotdale_quarantine::Options as QuarantineOptions;
 use mio::Events;
@@ -111,7 +111,7 @@
     pub(crate) feeds: Feeds,
     pub(crate) ordering: Ordering,
     pub(crate) peers: Peers,
-    pub(crate) own_demand: OwnDemand,
+    pub(crate) own_demand: LocalDemand,
     pub(crate) sharing: Sharing,
     pub(crate) store_era: StoreEra,
     /// When this VM reads the store, among all that do.
@@ -179,7 +179,7 @@
         Ok(Self {
             ordering: Ordering::new(&settings, run),
             peers: Peers::new(own_record, socket),
-            own_demand: OwnDemand::default(),
+            own_demand: LocalDemand::default(),
             poll,
             now_ms,
             run,
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -9,7 +9,7 @@
 use apricotdale_fleet::Freshness;
 use apricotdale_fleet::Upstream;
 use apricotdale_holder::DemandRow;
-use apricotdale_holder::ResidenceNews;
+use apricotdale_holder::ResidenceUpdate;
 use apricotdale_quarantine::BlockRow;
 use apricotdale_quarantine::CrashReport;
 use apricotdale_quarantine::Fingerprint;
@@ -68,7 +68,7 @@
         entries: Vec<Upstream>,
     },
     /// What engines hold.
-    News(Vec<ResidenceNews>),
+    News(Vec<ResidenceUpdate>),
     /// An engine turned a request away because it does not hold the model.
     TurnedAway {
         engine: UpstreamName,
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -3,7 +3,7 @@
 use apricotdale_core::names::UpstreamName;
 use apricotdale_fleet::Directory;
 use apricotdale_fleet::WantedModel;
-use apricotdale_holder::ResidenceNews;
+use apricotdale_holder::ResidenceUpdate;
 
 /// How long news go before the list. An entry takes up to 1.2 s to be written and is read about
 /// once a second.
@@ -15,12 +15,12 @@
 /// `NewsBoard` keeps recent news and lays them over each entry of the list that may be older.
 #[derive(Debug, Default)]
 pub(crate) struct NewsBoard {
-    news: Vec<(ResidenceNews, u64)>,
+    news: Vec<(ResidenceUpdate, u64)>,
 }
 
 impl NewsBoard {
     /// Takes in news. Returns whether they are new.
-    pub fn note(&mut self, now_ms: u64, directory: &mut Directory, news: ResidenceNews) -> bool {
+    pub fn note(&mut self, now_ms: u64, directory: &mut Directory, news: ResidenceUpdate) -> bool {
         self.insert(now_ms, directory, news, NEWS_GOOD_MS)
     }
 
@@ -32,7 +32,7 @@
         engine: &UpstreamName,
         wanted: &WantedModel,
     ) {
-        let news = ResidenceNews {
+        let news = ResidenceUpdate {
             engine: engine.clone(),
             model: wanted.model.clone(),
             adapter: wanted.adapter.clone(),
@@ -53,20 +53,20 @@
         &mut self,
         now_ms: u64,
         directory: &mut Directory,
-        news: ResidenceNews,
+        news: ResidenceUpdate,
         good_ms: u64,
     ) -> bool {
         self.news.retain(|(_, until_ms)| *until_ms > now_ms);
         let known = self.news.iter().any(|(other, _)| *other == news);
         self.news
-            .retain(|(other, _)| !other.is_about_the_same(&news));
+            .retain(|(other, _)| !other.has_same_subject(&news));
         apply(directory, &news);
         self.news.push((news, now_ms + good_ms));
         !known
     }
 }
 
-fn apply(directory: &mut Directory, news: &ResidenceNews) {
+fn apply(directory: &mut Directory, news: &ResidenceUpdate) {
     let Some(upstream) = directory.upstream_mut(&news.engine) else {
         return;
     };
--- a/crates/entry/src/ordering.rs
+++ b/crates/entry/src/ordering.rs
@@ -10,14 +10,14 @@
 use apricotdale_core::names::VmName;
 use apricotdale_core::numbers::Position;
 use apricotdale_fleet::WantedModel;
-use apricotdale_holder::DemandBook;
 use apricotdale_holder::DemandRow;
+use apricotdale_holder::DemandTable;
 use apricotdale_holder::Lease;
 use apricotdale_holder::LeaseOptions;
 use apricotdale_holder::Planner;
 use apricotdale_holder::PlannerAction;
 use apricotdale_holder::PlannerOptions;
-use apricotdale_holder::ResidenceNews;
+use apricotdale_holder::ResidenceUpdate;
 
 use crate::daemon::Daemon;
 use crate::messages::ForecastRow;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(crate) struct Ordering {
     lease: Lease,
-    demand: DemandBook,
+    demand: DemandTable,
     /// One planner for each service of engines, while this VM gives orders.
     planners: HashMap<GroupName, Planner>,
     fence: Option<u64>,
@@ -61,18 +61,18 @@
         let defaults = LeaseOptions::default();
         // An engine that checks fencing tokens turns the former holder's orders away by itself, so
         // a new holder need not wait until they can no longer be under way.
-        let (pause_ms, outlast_ms) = match settings.engines_check_fences {
+        let (pause_ms, outage_grace_ms) = match settings.engines_check_fences {
             true => (0, OUTLAST_MS),
             false => (settings.order_pause_ms, 0),
         };
         let options = LeaseOptions {
             pause_ms,
-            outlast_ms,
+            outage_grace_ms,
             ..defaults
         };
         Self {
             lease: Lease::new(options, settings.vm.clone(), run),
-            demand: DemandBook::default(),
+            demand: DemandTable::default(),
             planners: HashMap::new(),
             fence: None,
             next_plan_ms: 0,
@@ -82,14 +82,14 @@
 
     /// Takes in the demand of a VM. Only the holder of the lease gets any.
     pub fn note_demand(&mut self, now_ms: u64, vm: &VmName, run: u64, rows: Vec<DemandRow>) {
-        let urgent = rows.iter().any(|row| row.missing > 0);
-        for row in rows.iter().filter(|row| row.missing > 0) {
+        let urgent = rows.iter().any(|row| row.waiting_for_load > 0);
+        for row in rows.iter().filter(|row| row.waiting_for_load > 0) {
             let wanted = WantedModel {
                 model: row.model.clone(),
                 adapter: row.adapter.clone(),
             };
             for planner in self.planners.values_mut() {
-                planner.look_at(now_ms, &wanted);
+                planner.schedule_report_reads(now_ms, &wanted);
             }
         }
         self.demand.note(now_ms, vm, run, rows);
@@ -99,16 +99,16 @@
     }
 
     /// Returns the news that a VM has missed, by what it says is missing.
-    pub fn missed_news(&self, rows: &[DemandRow]) -> Vec<ResidenceNews> {
+    pub fn missed_news(&self, rows: &[DemandRow]) -> Vec<ResidenceUpdate> {
         rows.iter()
-            .filter(|row| row.missing > 0)
+            .filter(|row| row.waiting_for_load > 0)
             .flat_map(|row| {
                 let wanted = WantedModel {
                     model: row.model.clone(),
                     adapter: row.adapter.clone(),
                 };
                 let planners = self.planners.values();
-                planners.flat_map(move |planner| planner.known_places(&wanted))
+                planners.flat_map(move |planner| planner.known_replicas(&wanted))
             })
             .collect()
     }
@@ -179,8 +179,8 @@
             // A renewal may have been under way when the stop began.
             self.release_lease();
         } else if now_ms >= self.ordering.lease.next_ms() {
-            let place = self.peers.place(now_ms);
-            self.ordering.lease.set_place(place);
+            let place = self.peers.takeover_rank(now_ms);
+            self.ordering.lease.set_takeover_rank(place);
             if let Some(action) = self.ordering.lease.act(now_ms) {
                 self.call_lease(&action);
             }
@@ -252,7 +252,7 @@
                     self.give_order(engine, kind, orders_before);
                 }
                 PlannerAction::Report { engine } => self.read_report(engine),
-                PlannerAction::Tell(told) => news.push(told),
+                PlannerAction::Announce(told) => news.push(told),
             }
         }
         if !news.is_empty() {
--- a/crates/entry/src/ordering/engine_calls.rs
+++ b/crates/entry/src/ordering/engine_calls.rs
@@ -90,7 +90,7 @@
         );
         self.planner_told(engine, outcome);
         if outcome == OrderOutcome::StaleFence {
-            self.ordering.lease.note_outranked(self.now_ms);
+            self.ordering.lease.record_superseded(self.now_ms);
             self.note_fence();
         }
     }
@@ -110,7 +110,7 @@
         let now_ms = self.now_ms;
         let mut actions = Vec::new();
         for planner in self.ordering.planners.values_mut() {
-            actions.extend(planner.note_turned_away(now_ms, engine, model));
+            actions.extend(planner.record_rejection(now_ms, engine, model));
         }
         if !actions.is_empty() {
             log::info!(
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 
 use apricotdale_core::names::VmName;
-use apricotdale_holder::Contender;
-use apricotdale_holder::ResidenceNews;
-use apricotdale_holder::succession;
+use apricotdale_holder::ResidenceUpdate;
+use apricotdale_holder::TakeoverCandidate;
+use apricotdale_holder::takeover_order;
 use mio::net::UdpSocket;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -78,7 +78,7 @@
     pub(super) next_beat_ms: u64,
     pub(super) last_beat_ms: u64,
     /// News that are still to be told, and when they are.
-    news: Vec<ResidenceNews>,
+    news: Vec<ResidenceUpdate>,
     pub(super) next_news_ms: u64,
     pub(super) next_greeting_ms: u64,
     /// Whether the socket may hold datagrams that were not taken in yet.
@@ -187,20 +187,20 @@
 
     /// Returns this VM's place among those that could take over the orders from the VM that last
     /// gave them.
-    pub fn place(&self, now_ms: u64) -> u64 {
+    pub fn takeover_rank(&self, now_ms: u64) -> u64 {
         if !self.has_records {
-            return succession::unknown_place();
+            return takeover_order::default_takeover_rank();
         }
-        let own = Contender {
+        let own = TakeoverCandidate {
             vm: &self.own.vm,
             work_us: self.own.work_us,
             is_alive: true,
         };
         let holder = self.holder.as_ref().map(|(holder, ..)| holder);
         let others = self.known.iter().filter(|(vm, _)| Some(*vm) != holder);
-        succession::place(
+        takeover_order::takeover_rank(
             &own,
-            others.map(|(vm, known)| Contender {
+            others.map(|(vm, known)| TakeoverCandidate {
                 vm,
                 work_us: known.work_us,
                 is_alive: is_alive(known, now_ms),
@@ -293,9 +293,9 @@
 
     /// Has news told to all VMs, at once by a small fleet and gathered for some time by a large
     /// one.
-    pub fn tell_news(&mut self, now_ms: u64, news: &[ResidenceNews]) {
+    pub fn tell_news(&mut self, now_ms: u64, news: &[ResidenceUpdate]) {
         for told in news {
-            self.news.retain(|other| !other.is_about_the_same(told));
+            self.news.retain(|other| !other.has_same_subject(told));
             self.news.push(told.clone());
         }
         let pause_ms = self.known.len() as u64 * NEWS_PAUSE_US_A_VM / 1_000;
--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -18,7 +18,7 @@
 use apricotdale_fleet::listed_digest;
 use apricotdale_holder::DemandRow;
 use apricotdale_holder::RequestState;
-use apricotdale_holder::ResidenceNews;
+use apricotdale_holder::ResidenceUpdate;
 
 use crate::active::Phase;
 use crate::codec::DecodeError;
@@ -284,7 +284,7 @@
         self.look_again = true;
     }
 
-    pub(crate) fn take_news(&mut self, news: Vec<ResidenceNews>) {
+    pub(crate) fn take_news(&mut self, news: Vec<ResidenceUpdate>) {
         for news in news {
             self.look_again |= self.news.note(self.now_ms, &mut self.directory, news);
         }
@@ -350,7 +350,9 @@
     fn tell_demand(&mut self) {
         let now_ms = self.now_ms;
         let rows = self.demand_rows();
-        let waits = rows.iter().any(|row| row.missing + row.crowded > 0);
+        let waits = rows
+            .iter()
+            .any(|row| row.waiting_for_load + row.waiting_for_slot > 0);
         let by_fleet_ms = self.peers.others() as u64 * DEMAND_WAITING_US_A_VM / 1_000;
         let waiting_ms = DEMAND_WAITING_MS.max(by_fleet_ms).min(DEMAND_CALM_MS);
         let pause_ms = if waits { waiting_ms } else { DEMAND_CALM_MS };
--- a/crates/holder/benches/planning.rs
+++ b/crates/holder/benches/planning.rs
@@ -28,8 +28,8 @@
 use apricotdale_fleet::Service;
 use apricotdale_fleet::Upstream;
 use apricotdale_fleet::UpstreamPhase;
-use apricotdale_holder::DemandBook;
 use apricotdale_holder::DemandRow;
+use apricotdale_holder::DemandTable;
 use apricotdale_holder::EngineReport;
 use apricotdale_holder::Planner;
 use apricotdale_holder::PlannerOptions;
@@ -129,12 +129,12 @@
         .map(|index| {
             let requested = (vm * 31 + index * 7) % MODELS;
             // A VM has only a handful of requests in progress.
-            let missing = u32::from(index < 2 && requested >= MODELS - UNLOADED_MODELS);
+            let waiting_for_load = u32::from(index < 2 && requested >= MODELS - UNLOADED_MODELS);
             DemandRow {
                 model: model(requested),
                 adapter: None,
-                missing,
-                crowded: 0,
+                waiting_for_load,
+                waiting_for_slot: 0,
                 running: u32::from(index < 5),
                 arrived: 3,
             }
@@ -142,8 +142,8 @@
         .collect()
 }
 
-fn demand() -> DemandBook {
-    let mut book = DemandBook::default();
+fn demand() -> DemandTable {
+    let mut book = DemandTable::default();
     for vm in 0..VMS {
         book.note(NOW_MS, &VmName::from(format!("vm-{vm}")), 1, rows(vm));
     }
@@ -154,7 +154,7 @@
 fn planner(has_reports: bool) -> Planner {
     let mut planner = Planner::new(PlannerOptions::default(), service(), spec());
     planner.sync(&directory(), |_| false);
-    planner.plan(NOW_MS - 2_000, &DemandBook::default());
+    planner.plan(NOW_MS - 2_000, &DemandTable::default());
     if has_reports {
         for engine in 0..ENGINES {
             let report = EngineReport {
--- a/crates/holder/src/actions.rs
+++ b/crates/holder/src/actions.rs
@@ -9,7 +9,7 @@
 
 /// Change of what an engine holds, announced to the other VMs before the VM list shows the change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ResidenceNews {
+pub struct ResidenceUpdate {
     /// Engine whose models or adapters have changed.
     pub engine: UpstreamName,
     /// Model that was loaded or unloaded, or whose adapter was.
@@ -20,9 +20,9 @@
     pub present: bool,
 }
 
-impl ResidenceNews {
+impl ResidenceUpdate {
     /// Returns whether both updates are about the same model or adapter on the same engine.
-    pub fn is_about_the_same(&self, other: &Self) -> bool {
+    pub fn has_same_subject(&self, other: &Self) -> bool {
         self.engine == other.engine && self.model == other.model && self.adapter == other.adapter
     }
 }
@@ -49,5 +49,5 @@
         engine: UpstreamName,
     },
     /// Announce a change of what an engine holds to the other VMs.
-    Tell(ResidenceNews),
+    Announce(ResidenceUpdate),
 }
--- a/crates/holder/src/adapter_orders.rs
+++ b/crates/holder/src/adapter_orders.rs
@@ -93,7 +93,7 @@
             };
             totals
                 .get(&wanted)
-                .is_none_or(|demand| demand.running + demand.missing == 0)
+                .is_none_or(|demand| demand.running + demand.waiting_for_load == 0)
         })
         .min_by_key(|(model, adapter)| last_use(model, adapter))
         .map(|(model, adapter)| (model.clone(), adapter.clone()))
--- a/crates/holder/src/demand.rs
+++ b/crates/holder/src/demand.rs
@@ -24,9 +24,9 @@
     /// Requested adapter; none for the model itself.
     pub adapter: Option<ModelName>,
     /// Number of requests that wait because no engine holds the model or adapter.
-    pub missing: u32,
+    pub waiting_for_load: u32,
     /// Number of requests that wait because all engines that hold it are full.
-    pub crowded: u32,
+    pub waiting_for_slot: u32,
     /// Number of requests that run on engines.
     pub running: u32,
     /// Number of requests that have arrived since the VM's process started.
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelDemand {
     /// Number of requests that wait because no engine holds the model or adapter.
-    pub missing: u32,
+    pub waiting_for_load: u32,
     /// Number of requests that wait because all engines that hold it are full.
-    pub crowded: u32,
+    pub waiting_for_slot: u32,
     /// Number of requests that run on engines.
     pub running: u32,
     /// Moving average of arriving requests per second.
@@ -51,8 +51,8 @@
 /// Requests of one process of a VM at one time.
 #[derive(Clone, Copy, Debug)]
 struct RequestCounts {
-    missing: u32,
-    crowded: u32,
+    waiting_for_load: u32,
+    waiting_for_slot: u32,
     running: u32,
     at_ms: u64,
 }
@@ -77,12 +77,12 @@
 
 /// Demand of the whole fleet, from the announcements of all VMs.
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTable {
     vms: HashMap<(VmName, u64), VmDemand>,
     rates: HashMap<WantedModel, Rate>,
 }
 
-impl DemandBook {
+impl DemandTable {
     /// Records an announcement of one process of a VM. Models and adapters that `rows` does not
     /// name are unchanged.
     pub fn note(&mut self, now_ms: u64, vm: &VmName, incarnation: u64, rows: Vec<DemandRow>) {
@@ -104,13 +104,13 @@
                 rate.at_ms = now_ms;
                 rate.last_ms = now_ms;
             }
-            if row.missing + row.crowded + row.running == 0 {
+            if row.waiting_for_load + row.waiting_for_slot + row.running == 0 {
                 vm_demand.active.remove(&wanted);
                 continue;
             }
             let active = RequestCounts {
-                missing: row.missing,
-                crowded: row.crowded,
+                waiting_for_load: row.waiting_for_load,
+                waiting_for_slot: row.waiting_for_slot,
                 running: row.running,
                 at_ms: now_ms,
             };
@@ -140,8 +140,8 @@
             .filter(|(_, active)| now_ms.saturating_sub(active.at_ms) <= REQUEST_COUNTS_TTL_MS);
         for (wanted, active) in fresh {
             let demand = totals.entry(wanted.clone()).or_default();
-            demand.missing += active.missing;
-            demand.crowded += active.crowded;
+            demand.waiting_for_load += active.waiting_for_load;
+            demand.waiting_for_slot += active.waiting_for_slot;
             demand.running += active.running;
         }
         totals
--- a/crates/holder/src/lease.rs
+++ b/crates/holder/src/lease.rs
@@ -83,7 +83,7 @@
     vm: VmName,
     incarnation: u64,
     /// Rank of this VM in the order of takeover; rank 0 tries first.
-    place: u64,
+    takeover_rank: u64,
     /// End of the topic as last seen, and the time at which it was first seen to end there.
     end: Option<(Position, u64)>,
     /// Latest known era of the store.
@@ -121,7 +121,7 @@
             options,
             vm,
             incarnation,
-            place: 0,
+            takeover_rank: 0,
             end: None,
             era: None,
             renewed_in: 0,
@@ -141,8 +141,8 @@
     }
 
     /// Sets this VM's rank in the order of takeover.
-    pub fn set_place(&mut self, place: u64) {
-        self.place = place;
+    pub fn set_takeover_rank(&mut self, takeover_rank: u64) {
+        self.takeover_rank = takeover_rank;
     }
 
     /// Returns the fencing token under which this VM may give orders now; none if it may not.
@@ -164,7 +164,7 @@
         let is_fresh = self
             .store_unreachable_ms
             .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) <= fresh_ms);
-        is_fresh && now_ms < self.valid_until_ms + self.options.outlast_ms
+        is_fresh && now_ms < self.valid_until_ms + self.options.outage_grace_ms
     }
 
     /// Returns the end of the topic as last seen, to announce to other VMs.
@@ -191,7 +191,7 @@
         self.next_call_ms = match self.is_held(now_ms) {
             true => now_ms,
             // The holder announces the new end soon; only the lowest ranks read before that.
-            false => now_ms + self.place * self.options.stagger_ms,
+            false => now_ms + self.takeover_rank * self.options.stagger_ms,
         };
     }
 
@@ -217,7 +217,7 @@
 
     /// Handles an engine's report of a higher fencing token: another VM has taken the lease, and
     /// this VM, cut off from the store, has not learned of it there.
-    pub fn note_outranked(&mut self, now_ms: u64) {
+    pub fn record_superseded(&mut self, now_ms: u64) {
         self.end_term();
         self.must_read = true;
         self.next_call_ms = now_ms;
@@ -228,7 +228,7 @@
         match self.end {
             _ if self.call_sent_ms.is_some() => u64::MAX,
             Some((end, seen_ms)) if !self.must_read && Self::is_unused(end) => {
-                (seen_ms + self.place * self.options.stagger_ms).max(self.next_call_ms)
+                (seen_ms + self.takeover_rank * self.options.stagger_ms).max(self.next_call_ms)
             }
             Some((_, seen_ms)) if !self.must_read && self.term.is_none() => {
                 self.takeover_ms(seen_ms).max(self.next_call_ms)
@@ -387,7 +387,7 @@
         // more.
         let last_order_ms = match self.newest {
             NewestRecord::OtherIncarnation => {
-                seen_ms + self.options.duration_ms + self.options.outlast_ms
+                seen_ms + self.options.duration_ms + self.options.outage_grace_ms
             }
             NewestRecord::Released { quiet_ms } => seen_ms.saturating_sub(quiet_ms),
             NewestRecord::OwnIncarnation | NewestRecord::EarlierIncarnation { .. } => seen_ms,
@@ -443,7 +443,7 @@
 
     /// Returns when this VM may take the lease over from the writer of the newest record.
     fn takeover_ms(&self, seen_ms: u64) -> u64 {
-        let stagger_ms = self.place * self.options.stagger_ms;
+        let stagger_ms = self.takeover_rank * self.options.stagger_ms;
         match self.newest {
             NewestRecord::OwnIncarnation | NewestRecord::EarlierIncarnation { .. } => seen_ms,
             NewestRecord::Released { .. } => seen_ms + stagger_ms,
--- a/crates/holder/src/lease_calls.rs
+++ b/crates/holder/src/lease_calls.rs
@@ -26,7 +26,7 @@
     /// How long the holder may go on giving orders after its lease has expired while the store is
     /// unreachable. 0 unless engines check fencing tokens: those reject the old holder's orders as
     /// soon as a new holder has given one, so two holders can't undo each other's work.
-    pub outlast_ms: u64,
+    pub outage_grace_ms: u64,
     /// How long a call to the store may take before its outcome counts as unknown.
     pub call_timeout_ms: u64,
 }
@@ -39,7 +39,7 @@
             pause_ms: 3_000,
             late_order_ms: 250,
             stagger_ms: 150,
-            outlast_ms: 0,
+            outage_grace_ms: 0,
             call_timeout_ms: 900,
         }
     }
--- a/crates/holder/src/load_forecast.rs
+++ b/crates/holder/src/load_forecast.rs
@@ -2,7 +2,7 @@
 
 use apricotdale_core::names::ModelName;
 
-use crate::demand::DemandBook;
+use crate::demand::DemandTable;
 use crate::engine_ledger::OrderInProgress;
 use crate::engine_ledger::is_load;
 use crate::orders::OrderKind;
@@ -13,13 +13,13 @@
 impl Planner {
     /// Returns the time at which each model that requests wait for is expected to be loaded; none
     /// if its load is not planned yet.
-    pub fn forecasts(&self, now_ms: u64, demand: &DemandBook) -> Vec<(ModelName, Option<u64>)> {
+    pub fn forecasts(&self, now_ms: u64, demand: &DemandTable) -> Vec<(ModelName, Option<u64>)> {
         let totals = demand.totals(now_ms);
         let snapshot = FleetSnapshot::new(&self.spec, &self.engines, &totals);
         self.spec
             .models
             .keys()
-            .filter(|model| snapshot.demand(model).missing > 0)
+            .filter(|model| snapshot.demand(model).waiting_for_load > 0)
             .map(|model| {
                 let ready_ms = self.ready_ms(now_ms, model);
                 (
--- a/crates/holder/src/load_selection.rs
+++ b/crates/holder/src/load_selection.rs
@@ -61,7 +61,7 @@
             .filter(|model| !self.suspended_loads.contains_key(*model))
             .filter(|model| {
                 let demand = snapshot.demand(model);
-                demand.missing + demand.crowded > 0 || demand.per_s > 0.0
+                demand.waiting_for_load + demand.waiting_for_slot > 0 || demand.per_s > 0.0
             })
             .filter(|model| snapshot.replicas(model) < snapshot.wanted_replicas(model))
             .map(|model| (model, snapshot.load_value(model)))
@@ -81,7 +81,7 @@
                 let min_waiting = STORE_LOAD_WAITING_SHARE * f64::from(self.spec.slots);
                 let mut uncached = wanted.iter().filter(|(model, _)| {
                     let is_urgent = snapshot.replicas(model) == 0
-                        || f64::from(snapshot.demand(model).crowded) >= min_waiting;
+                        || f64::from(snapshot.demand(model).waiting_for_slot) >= min_waiting;
                     is_urgent && !snapshot.is_cached_elsewhere(model)
                 });
                 uncached
--- a/crates/holder/src/own_demand.rs
+++ b/crates/holder/src/local_demand.rs
@@ -33,13 +33,13 @@
 /// Only rows in use or recently changed are announced: with complete announcements, the lease
 /// holder would receive tens of thousands of rows a second from hundreds of VMs.
 #[derive(Debug, Default)]
-pub struct OwnDemand {
+pub struct LocalDemand {
     rows: HashMap<WantedModel, Row>,
 }
 
-impl OwnDemand {
+impl LocalDemand {
     /// Records the arrival of a request.
-    pub fn note_arrival(&mut self, wanted: &WantedModel) {
+    pub fn record_arrival(&mut self, wanted: &WantedModel) {
         let row = match self.rows.get_mut(wanted) {
             Some(row) => row,
             None => self.rows.entry(wanted.clone()).or_default(),
@@ -63,8 +63,8 @@
                 .entry(wanted)
                 .or_insert_with(|| idle_row(wanted, row.arrived));
             match state {
-                RequestState::Missing => current.missing += 1,
-                RequestState::Crowded => current.crowded += 1,
+                RequestState::Missing => current.waiting_for_load += 1,
+                RequestState::Crowded => current.waiting_for_slot += 1,
                 RequestState::Running => current.running += 1,
             }
         }
@@ -91,8 +91,8 @@
     DemandRow {
         model: wanted.model.clone(),
         adapter: wanted.adapter.clone(),
-        missing: 0,
-        crowded: 0,
+        waiting_for_load: 0,
+        waiting_for_slot: 0,
         running: 0,
         arrived,
     }
--- a/crates/holder/src/order_effects.rs
+++ b/crates/holder/src/order_effects.rs
@@ -4,7 +4,7 @@
 use apricotdale_fleet::Tier;
 
 use crate::actions::PlannerAction;
-use crate::actions::ResidenceNews;
+use crate::actions::ResidenceUpdate;
 use crate::engine_ledger::EngineLedger;
 use crate::engine_ledger::OrderInProgress;
 use crate::engine_ledger::is_load;
@@ -208,7 +208,7 @@
                 (model, Some(adapter.clone()), false)
             }
         };
-        PlannerAction::Tell(ResidenceNews {
+        PlannerAction::Announce(ResidenceUpdate {
             engine: self.name.clone(),
             model: model.clone(),
             adapter,
--- a/crates/holder/src/placement.rs
+++ b/crates/holder/src/placement.rs
@@ -105,9 +105,9 @@
         for (wanted, demand) in totals {
             let sum = by_model.entry(wanted.model.clone()).or_default();
             if wanted.adapter.is_none() {
-                sum.missing += demand.missing;
+                sum.waiting_for_load += demand.waiting_for_load;
             }
-            sum.crowded += demand.crowded;
+            sum.waiting_for_slot += demand.waiting_for_slot;
             sum.running += demand.running;
             sum.per_s += demand.per_s;
             sum.last_ms = sum.last_ms.max(demand.last_ms);
@@ -182,7 +182,7 @@
     /// Returns the number of replicas that the demand for a model calls for.
     pub fn wanted_replicas(&self, model: &ModelName) -> u32 {
         let demand = self.demand(model);
-        let busy = f64::from(demand.running + demand.crowded);
+        let busy = f64::from(demand.running + demand.waiting_for_slot);
         let by_load = (busy / (f64::from(self.spec.slots) * REPLICA_SLOT_SHARE)).ceil() as u32;
         let spare = u32::from(demand.per_s > SECOND_REPLICA_PER_S);
         by_load.max(1 + spare).min(self.engines.len() as u32)
@@ -274,12 +274,12 @@
         }
         demand.per_s
             + RUNNING_REQUEST_VALUE * f64::from(demand.running)
-            + WAITING_REQUEST_VALUE * f64::from(demand.missing + demand.crowded)
+            + WAITING_REQUEST_VALUE * f64::from(demand.waiting_for_load + demand.waiting_for_slot)
     }
 
     /// Returns the value of loading a replica of a model.
     pub fn load_value(&self, model: &ModelName) -> f64 {
         let demand = self.demand(model);
-        demand.per_s + WAITING_REQUEST_VALUE * f64::from(demand.missing)
+        demand.per_s + WAITING_REQUEST_VALUE * f64::from(demand.waiting_for_load)
     }
 }
--- a/crates/holder/src/planner.rs
+++ b/crates/holder/src/planner.rs
@@ -13,9 +13,9 @@
 use apricotdale_fleet::WantedModel;
 
 use crate::actions::PlannerAction;
-use crate::actions::ResidenceNews;
+use crate::actions::ResidenceUpdate;
 use crate::adapter_orders::adapter_order;
-use crate::demand::DemandBook;
+use crate::demand::DemandTable;
 use crate::demand::ModelDemand;
 use crate::engine_ledger::EngineLedger;
 use crate::engine_ledger::is_load;
@@ -151,7 +151,7 @@
     }
 
     /// Runs a planning round and returns the actions to carry out now.
-    pub fn plan(&mut self, now_ms: u64, demand: &DemandBook) -> Vec<PlannerAction> {
+    pub fn plan(&mut self, now_ms: u64, demand: &DemandTable) -> Vec<PlannerAction> {
         let totals = demand.totals(now_ms);
         let mut actions = Vec::new();
         for engine in &mut self.engines {
@@ -191,12 +191,12 @@
 
     /// Returns the replicas of a model or adapter that a VM reports as missing, since that VM may
     /// not have received the updates about them.
-    pub fn known_places(&self, wanted: &WantedModel) -> Vec<ResidenceNews> {
+    pub fn known_replicas(&self, wanted: &WantedModel) -> Vec<ResidenceUpdate> {
         self.engines
             .iter()
             .filter(|engine| engine.serving && engine.residence.serves(wanted))
             .filter(|engine| !engine.will_unload(&wanted.model))
-            .map(|engine| ResidenceNews {
+            .map(|engine| ResidenceUpdate {
                 engine: engine.name.clone(),
                 model: wanted.model.clone(),
                 adapter: wanted.adapter.clone(),
@@ -207,7 +207,7 @@
 
     /// Schedules report reads of the engines that hold what a VM reports as missing. If the VM
     /// can't reach them, this one probably can't either, and will then load the model elsewhere.
-    pub fn look_at(&mut self, now_ms: u64, wanted: &WantedModel) {
+    pub fn schedule_report_reads(&mut self, now_ms: u64, wanted: &WantedModel) {
         let places = self
             .engines
             .iter_mut()
@@ -284,7 +284,7 @@
 
     /// Handles an engine's rejection of a request because it does not hold the model. Returns the
     /// actions to carry out.
-    pub fn note_turned_away(
+    pub fn record_rejection(
         &mut self,
         now_ms: u64,
         name: &UpstreamName,
@@ -295,7 +295,7 @@
         self.engines
             .iter_mut()
             .filter(|engine| &engine.name == name)
-            .filter_map(|engine| engine.note_turned_away(now_ms, &load, store_load_ms))
+            .filter_map(|engine| engine.record_rejection(now_ms, &load, store_load_ms))
             .collect()
     }
 
@@ -366,7 +366,7 @@
             let Some(adapter) = &wanted.adapter else {
                 continue;
             };
-            if demand.running + demand.missing > 0 {
+            if demand.running + demand.waiting_for_load > 0 {
                 for engine in self
                     .engines
                     .iter_mut()
@@ -375,7 +375,7 @@
                     engine.record_adapter_use(&wanted.model, adapter);
                 }
             }
-            if demand.missing == 0 {
+            if demand.waiting_for_load == 0 {
                 continue;
             }
             let order = adapter_order(&self.spec, &self.engines, totals, &wanted.model, adapter);
@@ -421,7 +421,7 @@
     };
     if let OrderKind::UnloadModel(model) = &kind {
         // The engine rejects requests for the model from now on.
-        actions.push(PlannerAction::Tell(ResidenceNews {
+        actions.push(PlannerAction::Announce(ResidenceUpdate {
             engine: engine.name.clone(),
             model: model.clone(),
             adapter: None,
@@ -443,7 +443,7 @@
     after: &[apricotdale_fleet::ResidentModel],
 ) -> Vec<PlannerAction> {
     let update = |model: &ModelName, present| {
-        PlannerAction::Tell(ResidenceNews {
+        PlannerAction::Announce(ResidenceUpdate {
             engine: engine.clone(),
             model: model.clone(),
             adapter: None,
--- a/crates/holder/src/succession.rs
+++ b/crates/holder/src/takeover_order.rs
@@ -12,7 +12,7 @@
 
 /// VM that could take over the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Contender<'a> {
+pub struct TakeoverCandidate<'a> {
     /// Name of the VM.
     pub vm: &'a VmName,
     /// Duration of a fixed benchmark on the VM, in microseconds.
@@ -22,14 +22,14 @@
     pub is_alive: bool,
 }
 
-impl Contender<'_> {
+impl TakeoverCandidate<'_> {
     /// Returns whether this VM is at least twice as fast as another. Benchmark results of equal VMs
     /// differ by a few percent; such VMs must stay ordered by name.
-    fn is_clearly_faster(&self, other: &Contender<'_>) -> bool {
+    fn is_clearly_faster(&self, other: &TakeoverCandidate<'_>) -> bool {
         u64::from(self.work_us) * 2 <= u64::from(other.work_us)
     }
 
-    fn precedes(&self, other: &Contender<'_>) -> bool {
+    fn precedes(&self, other: &TakeoverCandidate<'_>) -> bool {
         match self.is_clearly_faster(other) {
             true => true,
             false => !other.is_clearly_faster(self) && self.vm < other.vm,
@@ -42,7 +42,10 @@
 /// The rank is the number of VMs heard from recently that precede this one: clearly faster VMs, and
 /// similarly fast ones whose names sort before its name. It is at least 2 if any VM is clearly
 /// faster, heard from or not.
-pub fn place<'a>(own: &Contender<'_>, others: impl Iterator<Item = Contender<'a>>) -> u64 {
+pub fn takeover_rank<'a>(
+    own: &TakeoverCandidate<'_>,
+    others: impl Iterator<Item = TakeoverCandidate<'a>>,
+) -> u64 {
     let (mut ahead, mut any_faster) = (0, false);
     for other in others {
         any_faster |= other.is_clearly_faster(own);
@@ -55,6 +58,6 @@
 }
 
 /// Returns the takeover rank of a VM that does not know the other VMs yet.
-pub fn unknown_place() -> u64 {
+pub fn default_takeover_rank() -> u64 {
     MIN_RANK_IF_FASTER
 }
--- a/crates/holder/src/unconfirmed_loads.rs
+++ b/crates/holder/src/unconfirmed_loads.rs
@@ -11,7 +11,7 @@
 use apricotdale_fleet::Tier;
 
 use crate::actions::PlannerAction;
-use crate::actions::ResidenceNews;
+use crate::actions::ResidenceUpdate;
 use crate::engine_ledger::EngineLedger;
 use crate::engine_ledger::OrderInProgress;
 use crate::engine_ledger::is_load;
@@ -78,7 +78,7 @@
 
     /// Handles the engine's rejection of a request because the model is not loaded. Returns the
     /// update to announce if the load had counted as done.
-    pub(crate) fn note_turned_away(
+    pub(crate) fn record_rejection(
         &mut self,
         now_ms: u64,
         kind: &OrderKind,
@@ -148,7 +148,7 @@
                 }
             }
         });
-        PlannerAction::Tell(ResidenceNews {
+        PlannerAction::Announce(ResidenceUpdate {
             engine: self.name.clone(),
             model,
             adapter: None,
--- a/crates/holder/tests/lease_rollback.rs
+++ b/crates/holder/tests/lease_rollback.rs
@@ -121,7 +121,7 @@
 #[test]
 fn grace_period_ends() {
     let with_grace = LeaseOptions {
-        outlast_ms: 20_000,
+        outage_grace_ms: 20_000,
         ..options()
     };
     let mut lease = Lease::new(with_grace, VmName::from("vm-a"), INCARNATION);
@@ -223,7 +223,7 @@
     let mut lease = reader(position(1, 500), Some(record("vm-b", 2, 1)));
     lease.note_era(100, 2);
     lease.note_end(200, position(2, 480), None);
-    lease.note_outranked(300);
+    lease.record_superseded(300);
     assert_eq!(lease.act(300), Some(LeaseAction::Read { from: 479 }));
 }
 
--- a/crates/holder/tests/lease_search.rs
+++ b/crates/holder/tests/lease_search.rs
@@ -153,7 +153,7 @@
 fn start(vm: usize, incarnation: u64) -> Vm {
     let name = VmName::from(format!("vm-{vm}"));
     let mut lease = Lease::new(LeaseOptions::default(), name, incarnation);
-    lease.set_place(vm as u64);
+    lease.set_takeover_rank(vm as u64);
     Vm {
         lease,
         incarnation,
--- a/crates/holder/tests/lease_takeover.rs
+++ b/crates/holder/tests/lease_takeover.rs
@@ -19,7 +19,7 @@
     pause_ms: 3_000,
     late_order_ms: 250,
     stagger_ms: 150,
-    outlast_ms: 0,
+    outage_grace_ms: 0,
     call_timeout_ms: 900,
 };
 
@@ -346,7 +346,7 @@
 #[test]
 fn released_lease_taken() {
     let mut follower = lease("b", 2);
-    follower.set_place(2);
+    follower.set_takeover_rank(2);
     let released = LeaseRecord {
         released: true,
         ..record("a", 1, 0)
@@ -374,7 +374,7 @@
 }
 
 const WITH_GRACE: LeaseOptions = LeaseOptions {
-    outlast_ms: 5_000,
+    outage_grace_ms: 5_000,
     ..OPTIONS
 };
 
@@ -435,7 +435,7 @@
 fn superseded_holder_stops() {
     let (mut lease, now_ms) = holder_without_store(4_000);
     assert!(lease.fence(now_ms).is_some());
-    lease.note_outranked(now_ms);
+    lease.record_superseded(now_ms);
     assert_eq!(lease.fence(now_ms), None);
     assert!(!lease.is_held(now_ms));
 }
--- a/crates/holder/tests/local_demand.rs
+++ b/crates/holder/tests/local_demand.rs
@@ -3,9 +3,9 @@
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::VmName;
 use apricotdale_fleet::WantedModel;
-use apricotdale_holder::DemandBook;
 use apricotdale_holder::DemandRow;
-use apricotdale_holder::OwnDemand;
+use apricotdale_holder::DemandTable;
+use apricotdale_holder::LocalDemand;
 use apricotdale_holder::RequestState;
 use rstest::rstest;
 
@@ -19,7 +19,7 @@
     }
 }
 
-fn idle_rows(demand: &mut OwnDemand) -> Vec<DemandRow> {
+fn idle_rows(demand: &mut LocalDemand) -> Vec<DemandRow> {
     demand.rows(std::iter::empty())
 }
 
@@ -29,9 +29,9 @@
 #[test]
 fn idle_models_omitted() {
     const MODELS: u32 = 500;
-    let mut demand = OwnDemand::default();
+    let mut demand = LocalDemand::default();
     for index in 0..MODELS {
-        demand.note_arrival(&wanted(index));
+        demand.record_arrival(&wanted(index));
     }
     assert_eq!(idle_rows(&mut demand).len(), MODELS as usize);
     assert_eq!(
@@ -40,7 +40,7 @@
         "a datagram may be lost"
     );
     assert!(idle_rows(&mut demand).is_empty());
-    demand.note_arrival(&wanted(7));
+    demand.record_arrival(&wanted(7));
     let rows = idle_rows(&mut demand);
     assert_eq!(rows.len(), 1);
     assert_eq!(
@@ -55,17 +55,20 @@
 #[case::running(RequestState::Running, [0, 0, 1])]
 fn active_request_repeated(#[case] state: RequestState, #[case] counts: [u32; 3]) {
     let requested = wanted(0);
-    let mut demand = OwnDemand::default();
-    demand.note_arrival(&requested);
+    let mut demand = LocalDemand::default();
+    demand.record_arrival(&requested);
     for _ in 0..5 {
         let rows = demand.rows([(&requested, state)].into_iter());
         let row = rows.first().expect("a row");
-        assert_eq!([row.missing, row.crowded, row.running], counts);
+        assert_eq!(
+            [row.waiting_for_load, row.waiting_for_slot, row.running],
+            counts
+        );
     }
     for _ in 0..2 {
         let rows = idle_rows(&mut demand);
         let row = rows.first().expect("the end is announced twice");
-        assert_eq!(row.missing + row.crowded + row.running, 0);
+        assert_eq!(row.waiting_for_load + row.waiting_for_slot + row.running, 0);
     }
     assert!(idle_rows(&mut demand).is_empty());
 }
@@ -79,15 +82,15 @@
     const VMS: u32 = 20;
     const MODELS: u32 = 30;
     const ROUNDS: u64 = 50;
-    let mut book = DemandBook::default();
-    let mut vms: Vec<OwnDemand> = (0..VMS).map(|_| OwnDemand::default()).collect();
+    let mut book = DemandTable::default();
+    let mut vms: Vec<LocalDemand> = (0..VMS).map(|_| LocalDemand::default()).collect();
     let mut arrived = vec![0_u64; MODELS as usize];
     for round in 0..ROUNDS + 2 {
         let now_ms = 1_000 + round * ANNOUNCEMENT_INTERVAL_MS;
         for (index, vm) in vms.iter_mut().enumerate() {
             let requested = (index as u64 * 7 + round * 3) as u32 % MODELS;
             if round < ROUNDS {
-                vm.note_arrival(&wanted(requested));
+                vm.record_arrival(&wanted(requested));
                 arrived[requested as usize] += 1;
             }
             let model = wanted(requested);
--- a/crates/holder/tests/order_search.rs
+++ b/crates/holder/tests/order_search.rs
@@ -12,7 +12,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Want { model: u32, missing: u32 },
+    Want { model: u32, waiting_for_load: u32 },
     WantAdapter { model: u32, adapter: u32 },
     Busy { model: u32, running: u32 },
     Fault { engine: usize, fault: OrderFault },
@@ -28,7 +28,7 @@
         (100..4_000_u64).prop_map(|after_ms| OrderFault::Late { after_ms }),
     ];
     prop_oneof![
-        4 => (0..10_u32, 1..4_u32).prop_map(|(model, missing)| Step::Want { model, missing }),
+        4 => (0..10_u32, 1..4_u32).prop_map(|(model, waiting_for_load)| Step::Want { model, waiting_for_load }),
         4 => (0..2_u32, 0..8_u32).prop_map(|(model, adapter)| Step::WantAdapter { model, adapter }),
         1 => (0..10_u32, 1..12_u32).prop_map(|(model, running)| Step::Busy { model, running }),
         1 => (0..ENGINES, fault).prop_map(|(engine, fault)| Step::Fault { engine, fault }),
@@ -50,7 +50,7 @@
         world.run(20);
         for step in steps {
             match step {
-                Step::Want { model, missing } => world.want(&format!("m{model}"), None, missing),
+                Step::Want { model, waiting_for_load } => world.want(&format!("m{model}"), None, waiting_for_load),
                 Step::WantAdapter { model, adapter } => {
                     world.want(&format!("m{model}"), Some(&format!("a{adapter}")), 1);
                 }
--- a/crates/holder/tests/support/mod.rs
+++ b/crates/holder/tests/support/mod.rs
@@ -23,8 +23,8 @@
 use apricotdale_fleet::Service;
 use apricotdale_fleet::Upstream;
 use apricotdale_fleet::UpstreamPhase;
-use apricotdale_holder::DemandBook;
 use apricotdale_holder::DemandRow;
+use apricotdale_holder::DemandTable;
 use apricotdale_holder::EngineReport;
 use apricotdale_holder::OrderKind;
 use apricotdale_holder::OrderOutcome;
@@ -79,7 +79,7 @@
     pub now_ms: u64,
     pub engines: HashMap<UpstreamName, FakeEngine>,
     pub planner: Planner,
-    pub demand: DemandBook,
+    pub demand: DemandTable,
     pub directory: Directory,
     /// Updates announced to the other VMs, as engine, model, adapter and presence.
     pub announced: Vec<(String, String, Option<String>, bool)>,
@@ -151,7 +151,7 @@
             now_ms: 10_000,
             engines: fakes,
             planner: Planner::new(options, service, spec.clone()),
-            demand: DemandBook::default(),
+            demand: DemandTable::default(),
             directory,
             announced: Vec::new(),
             orders: Vec::new(),
@@ -184,13 +184,13 @@
 
     /// Reports the demand of one VM for a model or adapter: waiting requests, which have just
     /// arrived.
-    pub fn want(&mut self, model: &str, adapter: Option<&str>, missing: u32) {
-        self.arrived += u64::from(missing);
+    pub fn want(&mut self, model: &str, adapter: Option<&str>, waiting_for_load: u32) {
+        self.arrived += u64::from(waiting_for_load);
         let row = DemandRow {
             model: ModelName::from(model),
             adapter: adapter.map(ModelName::from),
-            missing,
-            crowded: 0,
+            waiting_for_load,
+            waiting_for_slot: 0,
             running: 0,
             arrived: self.arrived,
         };
@@ -246,7 +246,7 @@
                 self.rejected += 1;
                 let model = ModelName::from(model);
                 let now_ms = self.now_ms;
-                let actions = self.planner.note_turned_away(now_ms, &engine, &model);
+                let actions = self.planner.record_rejection(now_ms, &engine, &model);
                 self.carry_out(actions);
             }
         }
@@ -281,7 +281,7 @@
                     self.answers
                         .push((self.now_ms + CALL_MS, Answer::Report(engine, report)));
                 }
-                PlannerAction::Tell(news) => self.announced.push((
+                PlannerAction::Announce(news) => self.announced.push((
                     news.engine.to_string(),
                     news.model.to_string(),
                     news.adapter.map(|adapter| adapter.to_string()),
@@ -337,11 +337,11 @@
 
 impl World {
     /// Keeps a model in demand for a time, with running requests and requests waiting for a slot.
-    pub fn keep_busy(&mut self, model: &str, running: u32, crowded: u32, for_ms: u64) {
+    pub fn keep_busy(&mut self, model: &str, running: u32, waiting_for_slot: u32, for_ms: u64) {
         let until_ms = self.now_ms + for_ms;
         while self.now_ms < until_ms {
             self.want(model, None, 0);
-            self.demand_with_waiting(model, running, crowded);
+            self.demand_with_waiting(model, running, waiting_for_slot);
             self.run(200);
         }
     }
@@ -352,13 +352,13 @@
     }
 
     /// Reports running requests of one VM for a model, and requests waiting for a slot.
-    pub fn demand_with_waiting(&mut self, model: &str, running: u32, crowded: u32) {
+    pub fn demand_with_waiting(&mut self, model: &str, running: u32, waiting_for_slot: u32) {
         self.arrived += u64::from(running);
         let row = DemandRow {
             model: ModelName::from(model),
             adapter: None,
-            missing: 0,
-            crowded,
+            waiting_for_load: 0,
+            waiting_for_slot,
             running,
             arrived: self.arrived,
         };
--- a/crates/holder/tests/takeover_rank.rs
+++ b/crates/holder/tests/takeover_rank.rs
@@ -2,12 +2,12 @@
 
 use apricotdale_core::names::VmName;
 use apricotdale_core::numbers::Position;
-use apricotdale_holder::Contender;
 use apricotdale_holder::Lease;
 use apricotdale_holder::LeaseAction;
 use apricotdale_holder::LeaseAnswer;
 use apricotdale_holder::LeaseOptions;
-use apricotdale_holder::succession;
+use apricotdale_holder::TakeoverCandidate;
+use apricotdale_holder::takeover_order;
 use rstest::rstest;
 
 const FAST_US: u32 = 900;
@@ -15,7 +15,7 @@
 
 fn rank(own: (&str, u32), others: &[(&str, u32, bool)]) -> u64 {
     let own_name = VmName::from(own.0);
-    let own = Contender {
+    let own = TakeoverCandidate {
         vm: &own_name,
         work_us: own.1,
         is_alive: true,
@@ -24,12 +24,12 @@
     let others = names
         .iter()
         .zip(others)
-        .map(|(vm, (_, work_us, is_alive))| Contender {
+        .map(|(vm, (_, work_us, is_alive))| TakeoverCandidate {
             vm,
             work_us: *work_us,
             is_alive: *is_alive,
         });
-    succession::place(&own, others)
+    takeover_order::takeover_rank(&own, others)
 }
 
 /// Guards against orders that stop for seconds again and again after the lease holder is cut off.
@@ -58,7 +58,7 @@
     let options = LeaseOptions::default();
     let taken_ms = |rank: u64| {
         let mut lease = Lease::new(options, VmName::from("a"), 1);
-        lease.set_place(rank);
+        lease.set_takeover_rank(rank);
         assert_eq!(lease.act(1_000), Some(LeaseAction::Read { from: 0 }));
         let nothing = LeaseAnswer::Read {
             end: Position::default(),
--- a/crates/holder/tests/trimmed_topic.rs
+++ b/crates/holder/tests/trimmed_topic.rs
@@ -68,7 +68,7 @@
             newest,
         },
     );
-    lease.note_outranked(10);
+    lease.record_superseded(10);
     assert_eq!(lease.act(10), Some(LeaseAction::Read { from: 49 }));
     lease.answered(15, LeaseAnswer::Expired { first: at(12) });
     assert_eq!(lease.act(16), None);
