--- a/crates/holder/tests/support/mod.rs
+++ b/crates/holder/tests/support/mod.rs
@@ -281,11 +281,11 @@
                     self.answers
                         .push((self.now_ms + CALL_MS, Answer::Report(engine, report)));
                 }
-                PlannerAction::Announce(news) => self.announced.push((
-                    news.engine.to_string(),
-                    news.model.to_string(),
-                    news.adapter.map(|adapter| adapter.to_string()),
-                    news.present,
+                PlannerAction::Announce(update) => self.announced.push((
+                    update.engine.to_string(),
+                    update.model.to_string(),
+                    update.adapter.map(|adapter| adapter.to_string()),
+                    update.present,
                 )),
             }
         }
