--- a/crates/placement/src/fixed_timeout.rs
+++ b/crates/placement/src/fixed_timeout.rs
@@ -1,4 +1,4 @@
-//! The baseline: most free memory, least recently used, one idle timeout for every model.
+//! Baseline policy with one idle timeout for all models.
 
 use std::collections::BTreeMap;
 
@@ -11,52 +11,52 @@
 use apricotdale_core::policy::PlacementPolicy;
 
 use crate::options::Options;
-use crate::pending::Pending;
-use crate::sketch::EngineSketch;
-use crate::sketch::Phase;
-use crate::sketch::ReplicaSketch;
-use crate::sketch::Sketch;
-use crate::watch::Watch;
-
-/// What a load is expected to take before any was seen.
+use crate::pending_proposals::PendingProposals;
+use crate::projection::Phase;
+use crate::projection::ProjectedEngine;
+use crate::projection::ProjectedFleet;
+use crate::projection::ProjectedReplica;
+use crate::unload_tracker::UnloadTracker;
+
+/// Assumed duration of a load before any load has been observed.
 const UNKNOWN_LOAD_MS: u64 = 30_000;
 
-/// How long a model that was waited for is still wanted after its waiting requests are gone. Without
-/// that, a model whose load takes longer than its callers wait would never be loaded.
-const WANTED_MS: u64 = 60_000;
+/// How long a model stays wanted after its last waiting request is gone. Otherwise a model whose
+/// load takes longer than its callers wait would never be loaded.
+const WANTED_TTL_MS: u64 = 60_000;
 
-/// `FixedTimeout` is the baseline policy. It loads on the engine with the most free memory, evicts
-/// the least recently used idle replica where none has room, adds a replica when requests wait
-/// while all replicas are full, and unloads a replica after a fixed idle time.
+/// Baseline policy. Loads a model on the engine with the most free memory, evicts the least
+/// recently used idle replicas if no engine has room, adds a replica when requests wait while all
+/// replicas are full, and unloads a replica after a fixed idle time.
 #[derive(Debug)]
 pub struct FixedTimeout {
     options: Options,
-    pending: Pending,
-    watch: Watch,
+    pending_proposals: PendingProposals,
+    unload_tracker: UnloadTracker,
     last_used_ms: BTreeMap<(ModelName, UpstreamName), u64>,
     wanted: BTreeMap<ModelName, (u64, ModelView)>,
     load_ms: Option<u64>,
 }
 
 impl FixedTimeout {
-    /// Returns a policy that has seen nothing.
+    /// Returns a policy without any history.
     pub fn new(options: Options) -> Self {
         Self {
             options,
-            pending: Pending::default(),
-            watch: Watch::default(),
+            pending_proposals: PendingProposals::default(),
+            unload_tracker: UnloadTracker::default(),
             last_used_ms: BTreeMap::new(),
             wanted: BTreeMap::new(),
             load_ms: None,
         }
     }
 
-    /// Notes which replicas are in use. A replica counts as idle while its engine is, because the
-    /// view does not tell which replica of a model a request runs on.
-    fn note_use(&mut self, now_ms: u64, sketch: &Sketch<'_>) {
-        for engine in &sketch.engines {
+    /// Records which replicas are in use. A replica counts as idle while its engine is, because the
+    /// view does not show which replica of a model a request runs on.
+    fn record_use(&mut self, now_ms: u64, projection: &ProjectedFleet<'_>) {
+        for engine in &projection.engines {
             for replica in engine.replicas.iter().filter(|held| held.in_use) {
-                let waits = sketch
+                let waits = projection
                     .models
                     .get(&replica.model)
                     .is_some_and(|model| model.waiting > 0);
@@ -74,35 +74,40 @@
         }
     }
 
-    fn last_used_ms(&self, replica: &ReplicaSketch, engine: &EngineSketch<'_>) -> u64 {
-        let place = (replica.model.clone(), engine.view.engine.clone());
-        let used_ms = self.last_used_ms.get(&place).copied().unwrap_or(0);
+    fn last_used_ms(&self, replica: &ProjectedReplica, engine: &ProjectedEngine<'_>) -> u64 {
+        let key = (replica.model.clone(), engine.view.engine.clone());
+        let used_ms = self.last_used_ms.get(&key).copied().unwrap_or(0);
         used_ms.max(replica.since_ms)
     }
 
-    /// Returns what gets the model one more replica: a load where there is room, or unloads that
-    /// make room.
-    fn load(&self, now_ms: u64, sketch: &Sketch<'_>, model: &ModelView) -> Vec<PlacementAction> {
-        let candidates: Vec<&EngineSketch<'_>> = sketch
-            .open_engines(model)
+    /// Returns the actions that lead to one more replica of the model: a load if an engine has
+    /// room, otherwise the unloads that make room.
+    fn load(
+        &self,
+        now_ms: u64,
+        projection: &ProjectedFleet<'_>,
+        model: &ModelView,
+    ) -> Vec<PlacementAction> {
+        let candidates: Vec<&ProjectedEngine<'_>> = projection
+            .accepting_engines(model)
             .filter(|engine| engine.replica(&model.model).is_none())
             .filter(|engine| engine.has_base_of(model))
             .collect();
-        let roomiest = candidates.iter().max_by_key(|engine| engine.free_bytes);
-        let Some(roomiest) = roomiest else {
+        let emptiest = candidates.iter().max_by_key(|engine| engine.free_bytes);
+        let Some(emptiest) = emptiest else {
             return Vec::new();
         };
-        if roomiest.free_bytes >= model.bytes {
+        if emptiest.free_bytes >= model.bytes {
             return vec![PlacementAction::Load {
                 model: model.model.clone(),
-                engine: roomiest.view.engine.clone(),
+                engine: emptiest.view.engine.clone(),
                 ready_at_ms: now_ms + self.load_ms.unwrap_or(UNKNOWN_LOAD_MS),
             }];
         }
-        // Room that is being made already is waited for.
+        // Waits for memory that is already being freed.
         if candidates
             .iter()
-            .any(|engine| engine.room_bytes() >= model.bytes)
+            .any(|engine| engine.available_bytes() >= model.bytes)
         {
             return Vec::new();
         }
@@ -113,14 +118,15 @@
         oldest.map_or_else(Vec::new, |(_, actions)| actions)
     }
 
-    /// Returns the least recently used replicas whose eviction makes room for the model, and when
-    /// the last used of them was used, or none if the engine can't make room.
+    /// Returns the unloads of the least recently used replicas that make room for the model, and
+    /// the time at which the most recently used of them was used. Returns none if the engine can't
+    /// make room.
     fn victims(
         &self,
         model: &ModelView,
-        engine: &EngineSketch<'_>,
+        engine: &ProjectedEngine<'_>,
     ) -> Option<(u64, Vec<PlacementAction>)> {
-        let mut units: Vec<(u64, Vec<&ReplicaSketch>)> = engine
+        let mut units: Vec<(u64, Vec<&ProjectedReplica>)> = engine
             .evictable()
             .into_iter()
             .filter(|unit| {
@@ -133,17 +139,17 @@
             })
             .collect();
         units.sort_by_key(|(used_ms, unit)| (*used_ms, unit.len()));
-        let mut room_bytes = engine.room_bytes();
+        let mut available_bytes = engine.available_bytes();
         let mut newest_ms = 0;
         let mut evicted: Vec<&ModelName> = Vec::new();
         for (used_ms, unit) in units {
-            if room_bytes >= model.bytes {
+            if available_bytes >= model.bytes {
                 break;
             }
             newest_ms = used_ms;
             for held in unit {
                 if !evicted.contains(&&held.model) {
-                    room_bytes += held.bytes;
+                    available_bytes += held.bytes;
                     evicted.push(&held.model);
                 }
             }
@@ -152,30 +158,30 @@
             model: victim.clone(),
             engine: engine.view.engine.clone(),
         });
-        (room_bytes >= model.bytes).then(|| (newest_ms, actions.collect()))
+        (available_bytes >= model.bytes).then(|| (newest_ms, actions.collect()))
     }
 
-    /// Notes which models are waited for and need one more replica.
-    fn note_wanted(&mut self, now_ms: u64, fleet: &FleetView, sketch: &Sketch<'_>) {
+    /// Records which models have waiting requests and need one more replica.
+    fn update_wanted(&mut self, now_ms: u64, fleet: &FleetView, projection: &ProjectedFleet<'_>) {
         self.wanted.retain(|model, (until_ms, _)| {
-            now_ms < *until_ms && sketch.holders(model, Phase::Loaded).next().is_none()
+            now_ms < *until_ms && projection.holders(model, Phase::Loaded).next().is_none()
         });
         for model in fleet.models.iter().filter(|model| model.preferred_here) {
-            let mut loaded = sketch.holders(&model.model, Phase::Loaded);
+            let mut loaded = projection.holders(&model.model, Phase::Loaded);
             if model.waiting > 0 && loaded.all(|engine| !engine.has_free_slot()) {
-                let wanted = (now_ms + WANTED_MS, model.clone());
+                let wanted = (now_ms + WANTED_TTL_MS, model.clone());
                 self.wanted.insert(model.model.clone(), wanted);
             }
         }
     }
 
-    fn expired(&self, now_ms: u64, sketch: &Sketch<'_>) -> Vec<PlacementAction> {
+    fn expired(&self, now_ms: u64, projection: &ProjectedFleet<'_>) -> Vec<PlacementAction> {
         let mut actions = Vec::new();
-        for engine in &sketch.engines {
+        for engine in &projection.engines {
             let expired = engine
                 .replicas
                 .iter()
-                .filter(|held| held.phase == Phase::Loaded && held.mine)
+                .filter(|held| held.phase == Phase::Loaded && held.proposed_here)
                 .filter(|held| !engine.has_adapter(&held.model))
                 .filter(|held| {
                     let idle_ms = now_ms.saturating_sub(self.last_used_ms(held, engine));
@@ -189,19 +195,23 @@
         actions
     }
 
-    /// Returns the model to load for a wanted model: itself, or its base where no engine with the
-    /// base can take it.
-    fn to_load<'a>(sketch: &'a Sketch<'_>, model: &'a ModelView) -> Option<&'a ModelView> {
-        let is_coming = |model: &ModelName| sketch.holders(model, Phase::Coming).next().is_some();
+    /// Returns the model to load for a wanted model: the model itself, or its base if no engine
+    /// that holds the base can load it. Returns none if that load is in progress already.
+    fn model_to_load<'a>(
+        projection: &'a ProjectedFleet<'_>,
+        model: &'a ModelView,
+    ) -> Option<&'a ModelView> {
+        let is_loading =
+            |model: &ModelName| projection.holders(model, Phase::Loading).next().is_some();
         let Some(base) = &model.base else {
-            return (!is_coming(&model.model)).then_some(model);
+            return (!is_loading(&model.model)).then_some(model);
         };
-        let can_take = |engine: &EngineSketch<'_>| engine.replica(&model.model).is_none();
-        if sketch.holders(base, Phase::Loaded).any(can_take) {
-            return (!is_coming(&model.model)).then_some(model);
+        let can_take = |engine: &ProjectedEngine<'_>| engine.replica(&model.model).is_none();
+        if projection.holders(base, Phase::Loaded).any(can_take) {
+            return (!is_loading(&model.model)).then_some(model);
         }
-        let shown = sketch.models.get(base).copied();
-        shown.filter(|base| !is_coming(&base.model))
+        let shown = projection.models.get(base).copied();
+        shown.filter(|base| !is_loading(&base.model))
     }
 }
 
@@ -213,23 +223,24 @@
     }
 
     fn plan(&mut self, now_ms: u64, fleet: &FleetView) -> Vec<PlacementAction> {
-        self.watch.refresh(fleet);
-        self.pending
+        self.unload_tracker.refresh(fleet);
+        self.pending_proposals
             .refresh(now_ms, self.options.proposal_timeout_ms, fleet);
-        let mut sketch = Sketch::new(fleet, &self.pending, &self.watch);
-        self.note_use(now_ms, &sketch);
-        self.note_wanted(now_ms, fleet, &sketch);
+        let mut projection =
+            ProjectedFleet::new(fleet, &self.pending_proposals, &self.unload_tracker);
+        self.record_use(now_ms, &projection);
+        self.update_wanted(now_ms, fleet, &projection);
         let mut planned = Vec::new();
         for (_, model) in self.wanted.values() {
-            let Some(model) = Self::to_load(&sketch, model) else {
+            let Some(model) = Self::model_to_load(&projection, model) else {
                 continue;
             };
-            let actions = self.load(now_ms, &sketch, model);
-            sketch.apply(&actions);
+            let actions = self.load(now_ms, &projection, model);
+            projection.apply(&actions);
             planned.extend(actions);
         }
-        planned.extend(self.expired(now_ms, &sketch));
-        self.pending.note(now_ms, &planned);
+        planned.extend(self.expired(now_ms, &projection));
+        self.pending_proposals.record(now_ms, &planned);
         planned
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,37 +1,37 @@
-//! Placement policies: where a model is loaded, and when a replica is unloaded.
+//! Placement policies: where models are loaded, and when replicas are unloaded.
 //!
-//! Both policies are pure: the time, the arrivals and a view of the fleet go in, proposals come
-//! out. Nothing here reads a clock or draws a random number, and every iteration runs over
-//! ordered collections, so the same history gives the same proposals on every VM.
+//! The policies do no I/O: the time, the arrivals and a view of the fleet go in, and proposed
+//! actions come out. They use neither a clock nor random numbers, and iterate over ordered
+//! collections only, so the same history leads to the same proposals on every VM.
 //!
 //! - [`FixedTimeout`] is the baseline: most free memory, least recently used, one idle timeout.
-//! - [`LearnedPlacement`] is the policy in use.
+//! - [`LearnedPlacement`] is the default: learned usage, load times and targets.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod checkpoint_restore;
 mod fixed_timeout;
-mod flights;
 mod gap_histogram;
-mod keeping;
-mod learned;
+mod learned_placement;
+mod load_decisions;
+mod load_option;
 mod load_times;
-mod loading;
+mod loads_in_progress;
+mod model_history;
 mod options;
-mod pending;
-mod record;
+mod pending_proposals;
+mod period_detector;
+mod projection;
 mod registry;
-mod restoring;
-mod rhythm;
-mod site;
-mod sketch;
 mod store_queue;
-mod target_mix;
-mod want;
-mod watch;
+mod target_distribution;
+mod unload_decisions;
+mod unload_tracker;
+mod wanted_replica;
 
 pub use fixed_timeout::FixedTimeout;
-pub use learned::LearnedPlacement;
+pub use learned_placement::LearnedPlacement;
 pub use options::Options;
 pub use registry::PLACEMENT_POLICIES;
 pub use registry::placement_policy;
--- a/crates/placement/src/load_times.rs
+++ b/crates/placement/src/load_times.rs
@@ -1,4 +1,4 @@
-//! How long a load takes, learned from the loads that were seen.
+//! Prediction of load durations, learned from observed loads.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,28 @@
 
 const GIGABYTE: f64 = 1e9;
 
-/// How much a new load counts in a learned time.
+/// Weight of a new observation in the average duration for a model and tier.
 const NEW_WEIGHT: f64 = 0.3;
 
-/// How much a new load from the store counts in how slow the store is. More than in the times,
-/// because a store that slows down hurts at once.
-const NEW_SLOWNESS_WEIGHT: f64 = 0.5;
+/// Weight of a new observation in the slowdown of the store. Higher than for durations, because the
+/// policy must react to a slow store at once.
+const NEW_SLOWDOWN_WEIGHT: f64 = 0.5;
 
-/// What is left of older loads in the line fitted over sizes.
+/// Factor by which the weights of older loads shrink in the regression when a load is added.
 const LINE_DECAY: f64 = 0.98;
 
-/// A store this many times slower than learned is taken for slow, not for badly learned.
-const MOST_SLOWNESS: f64 = 50.0;
+/// Upper limit of the estimated slowdown of the store.
+const MAX_STORE_SLOWDOWN: f64 = 50.0;
 
-/// `LoadTimes` predicts how long a load takes from its tier, its size and the store's state.
+/// Predicts the duration of a load from its tier, its size and the state of the store.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadTimes {
     lines: BTreeMap<CacheTier, Line>,
     known_ms: BTreeMap<(ModelName, CacheTier), f64>,
-    slowness: f64,
+    store_slowdown: f64,
 }
 
-/// `Line` is a weighted least-squares line of load time over size.
+/// Weighted least-squares regression of load duration over size.
 #[derive(Clone, Copy, Debug)]
 struct Line {
     weight: f64,
@@ -39,7 +39,7 @@
 }
 
 impl Line {
-    /// Returns a line that has seen two loads, of one and of twenty gigabytes, at the given speed.
+    /// Returns a line fitted to two assumed loads, of 1 GB and 20 GB, at the given speed.
     fn assumed(fixed_ms: f64, ms_per_gb: f64) -> Self {
         let mut line = Self {
             weight: 0.0,
@@ -49,12 +49,12 @@
             sum_xy: 0.0,
         };
         for gigabytes in [1.0, 20.0] {
-            line.note(gigabytes, fixed_ms + ms_per_gb * gigabytes);
+            line.record(gigabytes, fixed_ms + ms_per_gb * gigabytes);
         }
         line
     }
 
-    fn note(&mut self, x: f64, y: f64) {
+    fn record(&mut self, x: f64, y: f64) {
         for sum in [
             &mut self.weight,
             &mut self.sum_x,
@@ -95,49 +95,51 @@
         Self {
             lines: lines.into_iter().collect(),
             known_ms: BTreeMap::new(),
-            slowness: 1.0,
+            store_slowdown: 1.0,
         }
     }
 }
 
 impl LoadTimes {
-    /// Notes how long a load took. `crowding` is by how much the store's loads slowed each other.
-    pub(crate) fn note(
+    /// Records the duration of a load. `contention` is the factor by which concurrent loads from the
+    /// store slowed each other down.
+    pub(crate) fn record(
         &mut self,
         model: &ModelName,
         tier: CacheTier,
         bytes: u64,
         took_ms: u64,
-        crowding: f64,
+        contention: f64,
     ) {
-        let alone_ms = match tier {
-            CacheTier::Remote => took_ms as f64 / crowding.max(1.0),
+        let uncontended_ms = match tier {
+            CacheTier::Remote => took_ms as f64 / contention.max(1.0),
             CacheTier::Memory | CacheTier::Disk => took_ms as f64,
         };
         if tier == CacheTier::Remote {
-            let seen = alone_ms / self.line_ms(tier, bytes);
-            let slowness = self.slowness + NEW_SLOWNESS_WEIGHT * (seen - self.slowness);
-            self.slowness = slowness.clamp(1.0, MOST_SLOWNESS);
-            // A slow store says nothing of how long loads take otherwise.
-            if self.slowness > 1.5 {
+            let seen = uncontended_ms / self.line_ms(tier, bytes);
+            let store_slowdown =
+                self.store_slowdown + NEW_SLOWDOWN_WEIGHT * (seen - self.store_slowdown);
+            self.store_slowdown = store_slowdown.clamp(1.0, MAX_STORE_SLOWDOWN);
+            // Loads from a slow store say nothing about the usual duration.
+            if self.store_slowdown > 1.5 {
                 return;
             }
         }
         if let Some(line) = self.lines.get_mut(&tier) {
-            line.note(bytes as f64 / GIGABYTE, alone_ms);
+            line.record(bytes as f64 / GIGABYTE, uncontended_ms);
         }
         let known = self
             .known_ms
             .entry((model.clone(), tier))
-            .or_insert(alone_ms);
-        *known += NEW_WEIGHT * (alone_ms - *known);
+            .or_insert(uncontended_ms);
+        *known += NEW_WEIGHT * (uncontended_ms - *known);
     }
 
-    /// Notes that a load from the store has been running for a time without an end.
-    pub(crate) fn note_overdue(&mut self, bytes: u64, running_ms: u64, crowding: f64) {
-        let alone_ms = running_ms as f64 / crowding.max(1.0);
-        let seen = alone_ms / self.line_ms(CacheTier::Remote, bytes);
-        self.slowness = self.slowness.max(seen.min(MOST_SLOWNESS));
+    /// Records that a load from the store has been in progress for `running_ms` without ending.
+    pub(crate) fn record_overdue(&mut self, bytes: u64, running_ms: u64, contention: f64) {
+        let uncontended_ms = running_ms as f64 / contention.max(1.0);
+        let seen = uncontended_ms / self.line_ms(CacheTier::Remote, bytes);
+        self.store_slowdown = self.store_slowdown.max(seen.min(MAX_STORE_SLOWDOWN));
     }
 
     fn line_ms(&self, tier: CacheTier, bytes: u64) -> f64 {
@@ -146,12 +148,12 @@
             .map_or(0.0, |line| line.at(bytes as f64 / GIGABYTE))
     }
 
-    /// Returns how long a load would take with no other load in progress.
-    pub(crate) fn alone_ms(&self, model: &ModelName, tier: CacheTier, bytes: u64) -> f64 {
+    /// Returns the expected duration of a load with no other load in progress.
+    pub(crate) fn uncontended_ms(&self, model: &ModelName, tier: CacheTier, bytes: u64) -> f64 {
         let known = self.known_ms.get(&(model.clone(), tier));
         let usual_ms = known.copied().unwrap_or_else(|| self.line_ms(tier, bytes));
         match tier {
-            CacheTier::Remote => usual_ms * self.slowness,
+            CacheTier::Remote => usual_ms * self.store_slowdown,
             CacheTier::Memory | CacheTier::Disk => usual_ms,
         }
     }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,14 +1,14 @@
-//! Tunables of the placement policies.
+//! Parameters of the placement policies.
 
-/// `Options` are the tunables of the placement policies. Operators don't set them.
+/// Parameters of the placement policies, which operators don't set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// How long `FixedTimeout` keeps an idle replica.
     pub idle_timeout_ms: u64,
-    /// How long a proposal may go unseen in the view before it counts as lost.
+    /// How long a proposal may be absent from the view before it counts as lost.
     pub proposal_timeout_ms: u64,
-    /// How long one accelerator may idle for one request that is answered in time for it. It
-    /// turns missed class targets and idle memory into one measure.
+    /// Accelerator idle time that is worth one request answered within its class target. It makes
+    /// missed targets and idle memory comparable.
     pub idle_ms_per_miss: f64,
 }
 
--- a/crates/placement/src/pending.rs
+++ b/crates/placement/src/pending_proposals.rs
@@ -7,20 +7,20 @@
 use apricotdale_core::policy::FleetView;
 use apricotdale_core::policy::PlacementAction;
 
-/// `Pending` remembers which loads and unloads were proposed and are not yet seen in the view.
+/// Loads and unloads that were proposed and that the view does not show yet.
 ///
-/// A proposal takes one round over the log before the view shows it. Without this memory every
-/// plan in between would propose the same again: the log would fill with records that replay
-/// rejects, and a model could be decided on twice. A proposal that was rejected never shows, so
-/// each is forgotten after a timeout.
+/// The view shows a proposal only after a round trip through the log. If the proposals were not
+/// remembered, each plan in between would propose the same again: the log would fill with records
+/// that replay rejects, and two loads of one model could be decided on. A rejected proposal never
+/// appears in the view, so each proposal is dropped after a timeout.
 #[derive(Debug, Default)]
-pub(crate) struct Pending {
+pub(crate) struct PendingProposals {
     loads: BTreeMap<(ModelName, UpstreamName), u64>,
     unloads: BTreeMap<(ModelName, UpstreamName), u64>,
 }
 
-impl Pending {
-    /// Forgets what the view now shows, and what was proposed too long ago.
+impl PendingProposals {
+    /// Drops proposals that the view shows now, and those that have timed out.
     pub(crate) fn refresh(&mut self, now_ms: u64, timeout_ms: u64, fleet: &FleetView) {
         self.loads
             .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < timeout_ms);
@@ -39,13 +39,13 @@
                 )
             })
             .collect();
-        self.loads.retain(|place, _| !shown.contains_key(place));
+        self.loads.retain(|key, _| !shown.contains_key(key));
         self.unloads
-            .retain(|place, _| shown.get(place).copied().unwrap_or(false));
+            .retain(|key, _| shown.get(key).copied().unwrap_or(false));
     }
 
-    /// Notes what was proposed.
-    pub(crate) fn note(&mut self, now_ms: u64, actions: &[PlacementAction]) {
+    /// Adds the proposed loads and unloads.
+    pub(crate) fn record(&mut self, now_ms: u64, actions: &[PlacementAction]) {
         for action in actions {
             match action {
                 PlacementAction::Load { model, engine, .. } => {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Returns the loads that are not yet seen.
+    /// Returns the pending loads.
     pub(crate) fn loads(&self) -> impl Iterator<Item = (&ModelName, &UpstreamName)> {
         self.loads.keys().map(|(model, engine)| (model, engine))
     }
 
-    /// Returns the unloads that are not yet seen.
+    /// Returns the pending unloads.
     pub(crate) fn unloads(&self) -> impl Iterator<Item = (&ModelName, &UpstreamName)> {
         self.unloads.keys().map(|(model, engine)| (model, engine))
     }
--- a/crates/placement/src/sketch.rs
+++ b/crates/placement/src/projection.rs
@@ -1,4 +1,4 @@
-//! The fleet as it will be once everything proposed has happened.
+//! Projected state of the fleet with all proposals applied.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,23 +12,23 @@
 use apricotdale_core::policy::ModelView;
 use apricotdale_core::policy::PlacementAction;
 
-use crate::pending::Pending;
-use crate::watch::Watch;
+use crate::pending_proposals::PendingProposals;
+use crate::unload_tracker::UnloadTracker;
 
-/// `Phase` is how far a replica is.
+/// Phase in the life of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Reserved or loading.
-    Coming,
-    /// Can serve.
+    /// Reserved or being loaded.
+    Loading,
+    /// Able to serve requests.
     Loaded,
-    /// Proposed to be unloaded, or unloading.
-    Leaving,
+    /// Being unloaded, or proposed to be.
+    Unloading,
 }
 
-/// `ReplicaSketch` is one replica on an engine.
+/// Replica on an engine.
 #[derive(Clone, Debug)]
-pub(crate) struct ReplicaSketch {
+pub(crate) struct ProjectedReplica {
     pub(crate) model: ModelName,
     pub(crate) base: Option<ModelName>,
     pub(crate) bytes: u64,
@@ -36,21 +36,21 @@
     pub(crate) since_ms: u64,
     /// Whether requests run on or wait for the model, as far as this VM knows.
     pub(crate) in_use: bool,
-    /// Whether this VM is the model's preferred proposer, and so knows its whole demand.
-    pub(crate) mine: bool,
+    /// Whether this VM is the model's preferred proposer, which knows its whole demand.
+    pub(crate) proposed_here: bool,
 }
 
-/// `EngineSketch` is one engine with its replicas and the memory left.
+/// Engine with its replicas and its free memory.
 #[derive(Clone, Debug)]
-pub(crate) struct EngineSketch<'a> {
+pub(crate) struct ProjectedEngine<'a> {
     pub(crate) view: &'a EngineView,
     pub(crate) free_bytes: u64,
-    pub(crate) replicas: Vec<ReplicaSketch>,
+    pub(crate) replicas: Vec<ProjectedReplica>,
 }
 
-impl EngineSketch<'_> {
+impl ProjectedEngine<'_> {
     /// Returns the replica of the model on this engine.
-    pub(crate) fn replica(&self, model: &ModelName) -> Option<&ReplicaSketch> {
+    pub(crate) fn replica(&self, model: &ModelName) -> Option<&ProjectedReplica> {
         self.replicas.iter().find(|replica| replica.model == *model)
     }
 
@@ -59,7 +59,8 @@
         self.replica(model).is_some_and(|held| held.phase == phase)
     }
 
-    /// Returns whether an adapter can be loaded here: its base is loaded. Any model can.
+    /// Returns whether the engine holds the model's base, which an adapter requires. Always true
+    /// for models that aren't adapters.
     pub(crate) fn has_base_of(&self, model: &ModelView) -> bool {
         match &model.base {
             Some(base) => self.holds(base, Phase::Loaded),
@@ -67,18 +68,18 @@
         }
     }
 
-    /// Returns the memory that is free or being freed.
-    pub(crate) fn room_bytes(&self) -> u64 {
-        let leaving: u64 = self
+    /// Returns the amount of memory that is free or being freed.
+    pub(crate) fn available_bytes(&self) -> u64 {
+        let unloading_bytes: u64 = self
             .replicas
             .iter()
-            .filter(|replica| replica.phase == Phase::Leaving)
+            .filter(|replica| replica.phase == Phase::Unloading)
             .map(|replica| replica.bytes)
             .sum();
-        self.free_bytes + leaving
+        self.free_bytes + unloading_bytes
     }
 
-    /// Returns where the engine's host holds the model's checkpoint.
+    /// Returns the fastest tier from which the engine can load the model's checkpoint.
     pub(crate) fn tier(&self, model: &ModelName) -> CacheTier {
         self.view
             .checkpoints
@@ -89,28 +90,29 @@
             .unwrap_or(CacheTier::Remote)
     }
 
-    /// Returns whether the engine's last report shows a free place in its batch.
+    /// Returns whether the engine's last report shows a free slot.
     pub(crate) fn has_free_slot(&self) -> bool {
         self.view.busy < self.view.slots
     }
 
-    /// Returns whether an adapter of the model is on the engine or on its way there.
+    /// Returns whether an adapter of the model is loaded or being loaded on the engine.
     pub(crate) fn has_adapter(&self, model: &ModelName) -> bool {
         self.replicas
             .iter()
-            .any(|held| held.phase != Phase::Leaving && held.base.as_ref() == Some(model))
+            .any(|held| held.phase != Phase::Unloading && held.base.as_ref() == Some(model))
     }
 
-    /// Returns whether the replica may be in use. Other VMs tell their demand for a model to its
-    /// preferred proposer only, so for a model of another VM the engine's report decides: a
-    /// replica taken for idle while another VM uses it would be evicted under its callers.
-    pub(crate) fn may_be_in_use(&self, replica: &ReplicaSketch) -> bool {
-        replica.in_use || (!replica.mine && self.view.busy > 0)
+    /// Returns whether the replica may be in use. Other VMs report their demand for a model only to
+    /// its preferred proposer. For models that this VM is not the preferred proposer of, the
+    /// engine's report decides instead: otherwise a replica that another VM uses would be evicted
+    /// while its callers are served.
+    pub(crate) fn may_be_in_use(&self, replica: &ProjectedReplica) -> bool {
+        replica.in_use || (!replica.proposed_here && self.view.busy > 0)
     }
 
-    /// Returns what could be evicted: every loaded idle replica together with the adapters that
-    /// stand on it, adapters first. A base is never evicted from under an adapter.
-    pub(crate) fn evictable(&self) -> Vec<Vec<&ReplicaSketch>> {
+    /// Returns the groups of replicas that can be evicted: each loaded idle replica together with
+    /// its adapters, the adapters first. A base is never evicted without its adapters.
+    pub(crate) fn evictable(&self) -> Vec<Vec<&ProjectedReplica>> {
         self.replicas
             .iter()
             .filter(|replica| replica.phase == Phase::Loaded)
@@ -118,42 +120,46 @@
             .collect()
     }
 
-    fn unit<'s>(&'s self, replica: &'s ReplicaSketch) -> Option<Vec<&'s ReplicaSketch>> {
-        let mut unit: Vec<&ReplicaSketch> = self
+    fn unit<'s>(&'s self, replica: &'s ProjectedReplica) -> Option<Vec<&'s ProjectedReplica>> {
+        let mut unit: Vec<&ProjectedReplica> = self
             .replicas
             .iter()
-            .filter(|held| held.phase != Phase::Leaving)
+            .filter(|held| held.phase != Phase::Unloading)
             .filter(|held| held.base.as_ref() == Some(&replica.model))
             .collect();
         unit.push(replica);
         let is_idle =
-            |held: &&ReplicaSketch| held.phase == Phase::Loaded && !self.may_be_in_use(held);
+            |held: &&ProjectedReplica| held.phase == Phase::Loaded && !self.may_be_in_use(held);
         unit.iter().all(is_idle).then_some(unit)
     }
 }
 
-/// `Sketch` is the fleet as it will be once everything proposed has happened.
+/// Projected state of the fleet with all proposals applied.
 #[derive(Debug)]
-pub(crate) struct Sketch<'a> {
-    /// The engines, in the view's order.
-    pub(crate) engines: Vec<EngineSketch<'a>>,
-    /// The models that the view shows.
+pub(crate) struct ProjectedFleet<'a> {
+    /// Engines in the order of the view.
+    pub(crate) engines: Vec<ProjectedEngine<'a>>,
+    /// Models that the view shows.
     pub(crate) models: BTreeMap<&'a ModelName, &'a ModelView>,
-    /// The groups that may gain an engine in a moment.
+    /// Groups that may gain an engine soon.
     pub(crate) growing_groups: &'a BTreeSet<GroupName>,
     indexes: BTreeMap<&'a UpstreamName, usize>,
 }
 
-impl<'a> Sketch<'a> {
-    /// Returns the sketch of a view, with the proposals that the view does not show yet and the
-    /// replicas known to be unloading.
-    pub(crate) fn new(fleet: &'a FleetView, pending: &Pending, watch: &Watch) -> Self {
-        let engines = fleet.engines.iter().map(|view| EngineSketch {
+impl<'a> ProjectedFleet<'a> {
+    /// Returns the projection of a view, with pending proposals applied and unloading replicas
+    /// marked.
+    pub(crate) fn new(
+        fleet: &'a FleetView,
+        pending_proposals: &PendingProposals,
+        unload_tracker: &UnloadTracker,
+    ) -> Self {
+        let engines = fleet.engines.iter().map(|view| ProjectedEngine {
             view,
             free_bytes: view.free_bytes,
             replicas: Vec::new(),
         });
-        let mut sketch = Self {
+        let mut projection = Self {
             engines: engines.collect(),
             models: fleet
                 .models
@@ -171,49 +177,51 @@
         for replica in &fleet.replicas {
             let phase = match replica.loaded {
                 true => Phase::Loaded,
-                false if watch.is_unloading(&replica.model, &replica.engine) => Phase::Leaving,
-                false => Phase::Coming,
+                false if unload_tracker.is_unloading(&replica.model, &replica.engine) => {
+                    Phase::Unloading
+                }
+                false => Phase::Loading,
             };
-            let shown = ReplicaSketch {
+            let shown = ProjectedReplica {
                 bytes: replica.bytes,
                 phase,
                 since_ms: replica.since_ms,
-                ..sketch.replica_of(&replica.model)
+                ..projection.replica_of(&replica.model)
             };
-            if let Some(engine) = sketch.engine_mut(&replica.engine) {
+            if let Some(engine) = projection.engine_mut(&replica.engine) {
                 engine.replicas.push(shown);
             }
         }
-        for (model, engine) in pending.unloads() {
-            sketch.leave(model, engine);
+        for (model, engine) in pending_proposals.unloads() {
+            projection.mark_unloading(model, engine);
         }
-        for (model, engine) in pending.loads() {
-            sketch.come(model, engine);
+        for (model, engine) in pending_proposals.loads() {
+            projection.add_loading(model, engine);
         }
-        sketch
+        projection
     }
 
-    fn replica_of(&self, model: &ModelName) -> ReplicaSketch {
+    fn replica_of(&self, model: &ModelName) -> ProjectedReplica {
         let view = self.models.get(model);
-        ReplicaSketch {
+        ProjectedReplica {
             model: model.clone(),
             base: view.and_then(|view| view.base.clone()),
             bytes: view.map_or(0, |view| view.bytes),
-            phase: Phase::Coming,
+            phase: Phase::Loading,
             since_ms: 0,
             in_use: view.is_some_and(|view| view.running > 0 || view.waiting > 0),
-            mine: view.is_some_and(|view| view.preferred_here),
+            proposed_here: view.is_some_and(|view| view.preferred_here),
         }
     }
 
-    fn engine_mut(&mut self, name: &UpstreamName) -> Option<&mut EngineSketch<'a>> {
+    fn engine_mut(&mut self, name: &UpstreamName) -> Option<&mut ProjectedEngine<'a>> {
         self.indexes
             .get(name)
             .map(|index| &mut self.engines[*index])
     }
 
-    /// Adds a replica that was proposed to be loaded.
-    fn come(&mut self, model: &ModelName, engine: &UpstreamName) {
+    /// Adds a replica that is proposed to be loaded.
+    fn add_loading(&mut self, model: &ModelName, engine: &UpstreamName) {
         let replica = self.replica_of(model);
         let Some(engine) = self.engine_mut(engine) else {
             return;
@@ -225,44 +233,44 @@
         engine.replicas.push(replica);
     }
 
-    fn leave(&mut self, model: &ModelName, engine: &UpstreamName) {
+    fn mark_unloading(&mut self, model: &ModelName, engine: &UpstreamName) {
         let Some(engine) = self.engine_mut(engine) else {
             return;
         };
         for replica in &mut engine.replicas {
             if replica.model == *model {
-                replica.phase = Phase::Leaving;
+                replica.phase = Phase::Unloading;
             }
         }
     }
 
-    /// Takes in what is proposed now.
+    /// Applies proposed actions.
     pub(crate) fn apply(&mut self, actions: &[PlacementAction]) {
         for action in actions {
             match action {
-                PlacementAction::Load { model, engine, .. } => self.come(model, engine),
-                PlacementAction::Unload { model, engine } => self.leave(model, engine),
+                PlacementAction::Load { model, engine, .. } => self.add_loading(model, engine),
+                PlacementAction::Unload { model, engine } => self.mark_unloading(model, engine),
                 PlacementAction::Hopeless { .. } => {}
             }
         }
     }
 
-    /// Returns the engines of a group that may receive new work.
-    pub(crate) fn open_engines<'s>(
+    /// Returns the engines of the model's group that accept new work.
+    pub(crate) fn accepting_engines<'s>(
         &'s self,
         model: &'s ModelView,
-    ) -> impl Iterator<Item = &'s EngineSketch<'a>> + 's {
+    ) -> impl Iterator<Item = &'s ProjectedEngine<'a>> + 's {
         self.engines
             .iter()
             .filter(move |engine| engine.view.accepts && engine.view.group == model.group)
     }
 
-    /// Returns the engines that hold the model in the given phase and may receive new work.
+    /// Returns the engines that hold the model in the given phase and accept new work.
     pub(crate) fn holders<'s>(
         &'s self,
         model: &'s ModelName,
         phase: Phase,
-    ) -> impl Iterator<Item = &'s EngineSketch<'a>> + 's {
+    ) -> impl Iterator<Item = &'s ProjectedEngine<'a>> + 's {
         self.engines
             .iter()
             .filter(move |engine| engine.view.accepts && engine.holds(model, phase))
--- a/crates/placement/src/store_queue.rs
+++ b/crates/placement/src/store_queue.rs
@@ -1,34 +1,35 @@
-//! The order of loads under the weight store's limit.
+//! Queue of loads from the weight store.
 
 use apricotdale_core::policy::FleetView;
 
-use crate::flights::Flights;
+use crate::loads_in_progress::LoadsInProgress;
 
-/// A load whose time is at most this share of the shortest of those in progress may go beyond the
-/// number of loads at full speed: it slows them by little and would wait for long.
+/// Maximum duration of a short load, as a share of the remaining time of the load that ends first.
+/// Short loads may exceed the number of loads at full speed: they hardly slow the others down, and
+/// would otherwise wait for long.
 const SHORT_SHARE: f64 = 0.25;
 
-/// Loads at once, as a multiple of those at full speed, beyond which nothing is started.
-const MOST_CROWDING: u32 = 2;
+/// Maximum number of concurrent loads, as a multiple of the number of loads at full speed.
+const MAX_OVERSUBSCRIPTION: u32 = 2;
 
-/// `StoreQueue` tells when the store can take one more load.
+/// Predicts when the store can start another load.
 #[derive(Debug)]
 pub(crate) struct StoreQueue {
     active: u32,
     full_speed: u32,
-    /// When the loads in progress are expected to end, from now, earliest first.
+    /// Expected remaining times of the loads in progress or queued, in increasing order.
     ends_ms: Vec<f64>,
 }
 
 impl StoreQueue {
-    /// Returns the queue as it stands. The store's own report lags, so loads that this VM knows of
-    /// count even if the store does not show them yet.
-    pub(crate) fn new(now_ms: u64, fleet: &FleetView, flights: &Flights) -> Self {
-        let mut ends_ms: Vec<f64> = flights
-            .remote()
-            .map(|flight| {
-                let running_ms = now_ms.saturating_sub(flight.since_ms) as f64;
-                (flight.expected_ms - running_ms).max(0.0)
+    /// Returns the queue with the loads in progress. The store's own report lags, so loads that
+    /// this VM knows of count even if the store does not report them yet.
+    pub(crate) fn new(now_ms: u64, fleet: &FleetView, loads_in_progress: &LoadsInProgress) -> Self {
+        let mut ends_ms: Vec<f64> = loads_in_progress
+            .store_loads()
+            .map(|load| {
+                let running_ms = now_ms.saturating_sub(load.since_ms) as f64;
+                (load.expected_ms - running_ms).max(0.0)
             })
             .collect();
         ends_ms.sort_by(f64::total_cmp);
@@ -39,45 +40,45 @@
         }
     }
 
-    /// Returns how much slower a load is that starts now, with those in progress.
-    pub(crate) fn crowding(&self) -> f64 {
+    /// Returns the factor by which a load that starts now is slowed down by those in progress.
+    pub(crate) fn contention(&self) -> f64 {
         (f64::from(self.active + 1) / f64::from(self.full_speed)).max(1.0)
     }
 
     /// Returns how long a load has to wait before it may start. Loads beyond the number at full
-    /// speed only share the store's speed: each would end later, and none earlier.
-    pub(crate) fn wait_ms(&self, alone_ms: f64) -> f64 {
+    /// speed share the store's bandwidth: each would end later, and none earlier.
+    pub(crate) fn wait_ms(&self, uncontended_ms: f64) -> f64 {
         if self.active < self.full_speed {
             return 0.0;
         }
         let shortest_ms = self.ends_ms.first().copied().unwrap_or(f64::INFINITY);
-        let is_short = alone_ms <= SHORT_SHARE * shortest_ms;
-        if is_short && self.active < MOST_CROWDING * self.full_speed {
+        let is_short = uncontended_ms <= SHORT_SHARE * shortest_ms;
+        if is_short && self.active < MAX_OVERSUBSCRIPTION * self.full_speed {
             return 0.0;
         }
-        // The loads ahead end one by one; this one starts when enough of them have.
+        // The loads ahead end one by one; this load starts when enough of them have ended.
         let ahead = (self.active - self.full_speed) as usize;
         let last = self.ends_ms.len().saturating_sub(1);
         self.ends_ms
             .get(ahead.min(last))
             .copied()
-            .unwrap_or(alone_ms)
+            .unwrap_or(uncontended_ms)
     }
 
-    /// Notes that a load starts now.
+    /// Records that a load starts now.
     pub(crate) fn start(&mut self, expected_ms: f64) {
         self.active += 1;
-        self.wait_for(expected_ms);
+        self.insert_end(expected_ms);
     }
 
-    /// Notes that a load will start when it is its turn, so that those after it wait longer.
+    /// Records that a load is queued, so that later ones wait longer.
     pub(crate) fn defer(&mut self, ready_ms: f64) {
         self.active += 1;
-        self.wait_for(ready_ms);
+        self.insert_end(ready_ms);
     }
 
-    fn wait_for(&mut self, end_ms: f64) {
-        let place = self.ends_ms.partition_point(|other_ms| *other_ms <= end_ms);
-        self.ends_ms.insert(place, end_ms);
+    fn insert_end(&mut self, end_ms: f64) {
+        let index = self.ends_ms.partition_point(|other_ms| *other_ms <= end_ms);
+        self.ends_ms.insert(index, end_ms);
     }
 }
--- a/crates/placement/tests/adapter_base.rs
+++ b/crates/placement/tests/adapter_base.rs
@@ -1,4 +1,4 @@
-//! Adapters stand on their base.
+//! Adapters need their base on the same engine.
 
 mod support;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn base_is_loaded_first() {
+fn base_loaded_first() {
     let mut policy = learned();
     let models = vec![adapter(waiting("a", 2, 60_000), "b"), model("b")];
     let engines = || vec![engine("e1"), engine("e2")];
@@ -39,11 +39,10 @@
     assert_eq!(loads(&policy.plan(9_000, &loaded)), [pair("a", &on)]);
 }
 
-/// Symptom: an adapter's requests wait for ever. Sequence: the base has neither demand of its own
-/// nor a replica, so the view leaves it out. Cause: without the base's view nothing says how large
-/// it is.
+/// Guards against an adapter whose requests wait forever: a base without demand and replicas is
+/// missing from the view, so its size is unknown.
 #[test]
-fn base_that_the_view_leaves_out_is_loaded() {
+fn unseen_base_loaded() {
     let mut policy = learned();
     let models = vec![adapter(waiting("a", 1, 60_000), "b")];
     let view = fleet(vec![engine("e1")], models, Vec::new());
@@ -51,7 +50,7 @@
 }
 
 #[test]
-fn two_adapters_ask_for_their_base_once() {
+fn shared_base_once() {
     let mut policy = learned();
     let models = vec![
         adapter(waiting("a1", 1, 60_000), "b"),
@@ -63,18 +62,18 @@
 }
 
 #[test]
-fn base_stays_while_an_adapter_is_loaded() {
+fn base_outlives_adapter() {
     let mut policy = learned();
     let models = vec![adapter(model("a"), "b"), model("b")];
     let replicas = vec![replica("b", "e1", true), adapter_replica("a", "e1")];
     let view = fleet(vec![engine("e1")], models, replicas);
-    // After days without use both should go, the adapter first.
+    // After days without use both should be unloaded, the adapter first.
     let first = unloads(&policy.plan(400_000_000, &view));
     assert_eq!(first, [pair("a", "e1")]);
 }
 
 #[test]
-fn eviction_takes_the_adapters_with_the_base() {
+fn adapters_evicted_with_base() {
     let mut policy = learned();
     let mut base = replica("b", "e1", true);
     base.bytes = 70 * GB;
--- a/crates/placement/tests/cache_tiers.rs
+++ b/crates/placement/tests/cache_tiers.rs
@@ -1,4 +1,4 @@
-//! Which engine takes a load.
+//! Choice of the engine for a load.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use apricotdale_core::policy::PlacementPolicy;
 
 use support::GB;
-use support::caching;
 use support::engine;
+use support::engine_with_checkpoint;
 use support::fleet;
 use support::learned;
 use support::loads;
@@ -26,18 +26,18 @@
 
 #[rstest]
 #[case::memory_before_disk(
-    caching("e1", "m", CacheTier::Disk),
-    caching("e2", "m", CacheTier::Memory),
+    engine_with_checkpoint("e1", "m", CacheTier::Disk),
+    engine_with_checkpoint("e2", "m", CacheTier::Memory),
     "e2"
 )]
-#[case::disk_before_remote(caching("e1", "m", CacheTier::Disk), engine("e2"), "e1")]
+#[case::disk_before_remote(engine_with_checkpoint("e1", "m", CacheTier::Disk), engine("e2"), "e1")]
 #[case::empty_before_full(busy(engine("e1"), 8), engine("e2"), "e2")]
 #[case::near_checkpoint_before_empty(
-    busy(caching("e1", "m", CacheTier::Memory), 4),
+    busy(engine_with_checkpoint("e1", "m", CacheTier::Memory), 4),
     engine("e2"),
     "e1"
 )]
-fn best_engine_takes_the_load(
+fn best_engine_chosen(
     #[case] first: EngineView,
     #[case] second: EngineView,
     #[case] expected: &str,
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn engine_that_leaves_gets_no_load() {
+fn leaving_engine_avoided() {
     let mut policy = learned();
-    let mut leaving = caching("e1", "m", CacheTier::Memory);
+    let mut leaving = engine_with_checkpoint("e1", "m", CacheTier::Memory);
     leaving.accepts = false;
     let view = fleet(
         vec![leaving, engine("e2")],
@@ -64,11 +64,10 @@
     assert_eq!(loads(&policy.plan(0, &view)), [pair("m", "e2")]);
 }
 
-/// Symptom: a model that is called all day is evicted for one that is loaded once. Sequence: both
-/// are idle for a moment when room is needed. Cause: which was used last says little of which will
-/// be used next.
+/// Guards against evicting a frequently used model for a rarely used one. When both are idle, the
+/// time of the last use says little about the time of the next.
 #[test]
-fn model_with_the_later_next_use_is_evicted() {
+fn rarer_model_evicted() {
     let mut policy = learned();
     let replicas = || {
         let mut often = replica("often", "e1", true);
@@ -90,7 +89,7 @@
     let mut models = idle();
     models.push(waiting("m", 1, 60_000));
     let view = fleet(vec![engine("e1")], models, replicas());
-    // The model called rarely was used last.
+    // The rarely used model was used last.
     assert_eq!(
         unloads(&policy.plan(239 * 60_000 + 1_000, &view)),
         [pair("rarely", "e1")]
--- a/crates/placement/tests/idle_timeout.rs
+++ b/crates/placement/tests/idle_timeout.rs
@@ -1,4 +1,4 @@
-//! The baseline loads what waits and unloads what idles.
+//! The baseline policy loads models that requests wait for, and unloads idle ones.
 
 mod support;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn waiting_model_goes_where_memory_is_free() {
+fn most_free_memory() {
     let mut policy = baseline();
     let view = fleet(
         vec![engine("e1"), engine("e2")],
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn idle_replica_leaves_after_its_timeout() {
+fn idle_replica_unloaded() {
     let mut policy = baseline();
     let view = fleet(
         vec![engine("e1")],
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn least_recently_used_replica_makes_room() {
+fn least_recent_evicted() {
     let mut policy = baseline();
     let mut old = replica("old", "e1", true);
     old.bytes = 40 * support::GB;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn adapter_without_a_base_gets_its_base_first() {
+fn base_loaded_first() {
     let mut policy = baseline();
     let models = vec![adapter(waiting("a", 1, 2_000), "b"), model("b")];
     let view = fleet(vec![engine("e1")], models.clone(), Vec::new());
--- a/crates/placement/tests/keep_alive.rs
+++ b/crates/placement/tests/keep_alive.rs
@@ -6,8 +6,8 @@
 use apricotdale_core::policy::PlacementPolicy;
 
 use support::GB;
-use support::caching;
 use support::engine;
+use support::engine_with_checkpoint;
 use support::first_unload_ms;
 use support::fleet;
 use support::learned;
@@ -17,10 +17,10 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-fn idle_for(tier: CacheTier) -> u64 {
+fn first_unload_after_ms(tier: CacheTier) -> u64 {
     let bytes = 2 * GB;
     let mut policy = learned();
-    let host = caching("e1", "m", tier);
+    let host = engine_with_checkpoint("e1", "m", tier);
     let mut view = model("m");
     view.bytes = bytes;
     let mut held = replica("m", "e1", true);
@@ -30,18 +30,18 @@
 }
 
 #[test]
-fn slow_load_is_worth_a_longer_idle_time() {
-    let fast_ms = idle_for(CacheTier::Memory);
-    let slow_ms = idle_for(CacheTier::Remote);
+fn slow_load_kept_longer() {
+    let fast_ms = first_unload_after_ms(CacheTier::Memory);
+    let slow_ms = first_unload_after_ms(CacheTier::Remote);
     assert!(fast_ms < slow_ms, "{fast_ms} ms against {slow_ms} ms");
 }
 
 #[test]
-fn model_called_often_is_kept_longer() {
+fn frequent_model_kept() {
     let view = |running| {
         let mut view = model("m");
         view.running = running;
-        let host = caching("e1", "m", CacheTier::Disk);
+        let host = engine_with_checkpoint("e1", "m", CacheTier::Disk);
         fleet(vec![host], vec![view], vec![replica("m", "e1", true)])
     };
     let kept_ms = |gap_ms: u64| {
@@ -60,25 +60,25 @@
         )
         .map(|at_ms| at_ms - last_ms)
     };
-    // Calls every minute: after an hour of silence the model has stopped being called. Calls with
-    // two hours in between: keeping it for the next costs more than the cold start.
+    // With calls every minute, an hour without calls shows that the model is no longer used. With
+    // two hours between calls, keeping the replica would cost more than a cold start.
     let every_minute = kept_ms(60_000).unwrap();
     assert!((60_000..HOUR_MS).contains(&every_minute), "{every_minute}");
 }
 
-/// Symptom: a model is loaded and unloaded over and over. Sequence: requests come a little further
-/// apart than the replica is kept. Cause: each decision is right by itself; nothing ties it to the
-/// one before.
+/// Guards against loading and unloading a model over and over, when requests come slightly further
+/// apart than the time for which the replica is kept. Each decision would be right on its own, but
+/// not the sequence.
 #[test]
-fn replica_is_kept_for_many_times_its_load() {
+fn no_rapid_alternation() {
     let mut policy = learned();
     let view = |since_ms| {
         let mut held = replica("m", "e1", true);
         held.since_ms = since_ms;
-        let host = caching("e1", "m", CacheTier::Memory);
+        let host = engine_with_checkpoint("e1", "m", CacheTier::Memory);
         fleet(vec![host], vec![model("m")], vec![held])
     };
-    // Hours between the calls: by itself the next call is worth no wait at all.
+    // With hours between the calls, the estimates alone would not keep the replica at all.
     let mut now_ms = 0;
     for call in 0..40 {
         now_ms += HOUR_MS * (3 + call * call % 7);
@@ -87,17 +87,17 @@
     }
     let unloaded_ms = first_unload_ms(&mut policy, &view(now_ms), now_ms, now_ms + HOUR_MS, 500);
     let kept_ms = unloaded_ms.unwrap() - now_ms;
-    // A load of 14 GB from memory is taken for about two seconds.
+    // The predicted duration of a load of 14 GB from memory is about two seconds.
     assert!((15_000..60_000).contains(&kept_ms), "{kept_ms} ms");
 }
 
 #[test]
-fn steady_demand_never_unloads() {
+fn steady_demand_kept() {
     let mut policy = learned();
     for second in 0..7_200 {
         let now_ms = second * 1_000;
         let mut view = model("m");
-        // A call every seven seconds that runs for two.
+        // Every seven seconds, a call runs for two seconds.
         if second % 7 == 0 {
             policy.arrived(now_ms, &view.model);
         }
--- a/crates/placement/tests/lost_checkpoint.rs
+++ b/crates/placement/tests/lost_checkpoint.rs
@@ -1,4 +1,4 @@
-//! Checkpoints that no host has any more.
+//! Checkpoints that no host has cached any more.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use apricotdale_core::policy::ModelView;
 use apricotdale_core::policy::PlacementPolicy;
 
-use support::caching;
 use support::engine;
+use support::engine_with_checkpoint;
 use support::fleet;
 use support::learned;
 use support::loads;
@@ -19,12 +19,12 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-fn used_for_an_hour() -> apricotdale_placement::LearnedPlacement {
+fn policy_after_an_hour() -> apricotdale_placement::LearnedPlacement {
     let mut policy = learned();
     for minute in 0..60 {
         policy.arrived(minute * MINUTE_MS, &"m".into());
         let view = fleet(
-            vec![caching("e1", "m", CacheTier::Disk)],
+            vec![engine_with_checkpoint("e1", "m", CacheTier::Disk)],
             vec![model("m")],
             vec![replica("m", "e1", true)],
         );
@@ -40,18 +40,17 @@
     fleet(vec![host], models, Vec::new())
 }
 
-/// Symptom: after a zone is lost, models that were loaded within seconds take half a minute.
-/// Sequence: the zone's hosts held the only checkpoints. Cause: nothing loads a model again before
-/// its next caller comes.
+/// Guards against slow loads after the loss of a zone whose hosts had cached the only checkpoints:
+/// models that were loaded within seconds would take half a minute for the next caller.
 #[test]
-fn lost_checkpoint_is_fetched_and_the_model_unloaded() {
-    let mut policy = used_for_an_hour();
+fn lost_checkpoint_restored() {
+    let mut policy = policy_after_an_hour();
     let proposed = loads(&policy.plan(65 * MINUTE_MS, &without_replica(engine("e2"), Vec::new())));
     assert_eq!(proposed.len(), 1);
     let mut held = replica("m", "e2", true);
     held.since_ms = 66 * MINUTE_MS;
     let view = fleet(
-        vec![caching("e2", "m", CacheTier::Memory)],
+        vec![engine_with_checkpoint("e2", "m", CacheTier::Memory)],
         vec![model("m")],
         vec![held],
     );
@@ -59,9 +58,9 @@
 }
 
 #[test]
-fn checkpoint_on_a_host_is_left_there() {
-    let mut policy = used_for_an_hour();
-    let host = caching("e2", "m", CacheTier::Disk);
+fn cached_checkpoint_not_restored() {
+    let mut policy = policy_after_an_hour();
+    let host = engine_with_checkpoint("e2", "m", CacheTier::Disk);
     assert_eq!(
         policy.plan(65 * MINUTE_MS, &without_replica(host, Vec::new())),
         []
@@ -69,8 +68,8 @@
 }
 
 #[test]
-fn waiting_model_goes_first() {
-    let mut policy = used_for_an_hour();
+fn waiting_model_first() {
+    let mut policy = policy_after_an_hour();
     let models = vec![waiting("other", 1, 60_000)];
     let proposed = loads(&policy.plan(65 * MINUTE_MS, &without_replica(engine("e2"), models)));
     assert_eq!(proposed.len(), 1);
--- a/crates/placement/tests/no_room.rs
+++ b/crates/placement/tests/no_free_memory.rs
@@ -1,4 +1,4 @@
-//! Refusals where no engine can take a load.
+//! Refusals when no engine can load the model.
 
 mod support;
 
@@ -15,30 +15,30 @@
 use support::replica;
 use support::waiting;
 
-fn full_of_used_models(left_ms: u64) -> Vec<(String, &'static str, Option<u64>)> {
+fn refusals_when_full(remaining_ms: u64) -> Vec<(String, &'static str, Option<u64>)> {
     let mut policy = learned();
     let mut used = model("used");
     used.running = 1;
     let mut held = replica("used", "e1", true);
     held.bytes = 75 * GB;
-    let models = vec![used, waiting("m", 1, left_ms)];
+    let models = vec![used, waiting("m", 1, remaining_ms)];
     refusals(&policy.plan(0, &fleet(vec![engine("e1")], models, vec![held])))
 }
 
 #[test]
-fn memory_in_use_refuses_whom_no_load_could_help() {
-    let refused = full_of_used_models(1_000);
+fn hopeless_requests_refused() {
+    let refused = refusals_when_full(1_000);
     assert_eq!(refused, [("m".to_owned(), "no_capacity", Some(5_000))]);
 }
 
 #[test]
-fn request_with_time_waits_for_memory() {
-    assert_eq!(full_of_used_models(60_000), []);
+fn patient_requests_wait() {
+    assert_eq!(refusals_when_full(60_000), []);
 }
 
-/// Guards against a refusal because no engine is known while one is about to be.
+/// Guards against refusing requests while the first engine of the group is about to appear.
 #[test]
-fn engine_not_yet_described_keeps_requests() {
+fn growing_group_waits() {
     let mut policy = learned();
     let models = vec![waiting("m", 1, 60_000)];
     let mut view = fleet(Vec::new(), models.clone(), Vec::new());
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn group_without_engines_refuses_at_once() {
+fn empty_group_refuses() {
     let mut policy = learned();
     let mut leaving = engine("e1");
     leaving.accepts = false;
--- a/crates/placement/tests/one_decision.rs
+++ b/crates/placement/tests/one_decision.rs
@@ -1,4 +1,4 @@
-//! A burst becomes one decision, and a decision is proposed once.
+//! A burst leads to one decision, which is proposed once.
 
 mod support;
 
@@ -14,14 +14,13 @@
 use support::replica;
 use support::waiting;
 
-/// Symptom: one cold model is loaded on several engines, and the log fills with rejected records.
-/// Sequence: a burst of first requests arrives; placement plans several times before its proposal
-/// comes back over the log. Cause: a proposal is not in the view until it has been replayed, so
-/// each plan sees a waiting model without a replica.
+/// Guards against loading one model on several engines and filling the log with rejected records.
+/// During a burst, placement plans several times before the view shows the first proposal, and each
+/// plan sees a waiting model without a replica.
 #[rstest]
 #[case("fixed_timeout")]
 #[case("learned")]
-fn burst_becomes_one_load(#[case] name: &str) {
+fn burst_loads_once(#[case] name: &str) {
     let mut policy = placement_policy(name, Options::default()).unwrap();
     let engines = || vec![engine("e1"), engine("e2"), engine("e3")];
     let mut proposed = Vec::new();
@@ -40,7 +39,7 @@
 #[rstest]
 #[case("fixed_timeout")]
 #[case("learned")]
-fn lost_proposal_is_made_again(#[case] name: &str) {
+fn lost_proposal_repeated(#[case] name: &str) {
     let options = Options::default();
     let timeout_ms = options.proposal_timeout_ms;
     let mut policy = placement_policy(name, options).unwrap();
@@ -57,7 +56,7 @@
 #[rstest]
 #[case("fixed_timeout")]
 #[case("learned")]
-fn other_vms_models_are_left_to_them(#[case] name: &str) {
+fn foreign_model_ignored(#[case] name: &str) {
     let mut policy = placement_policy(name, Options::default()).unwrap();
     let mut model = waiting("m", 1, 60_000);
     model.preferred_here = false;
@@ -65,13 +64,12 @@
     assert_eq!(policy.plan(0, &view), []);
 }
 
-/// Symptom: requests wait although no load is on its way. Sequence: a model's only replica is
-/// being unloaded when a request for it arrives. Cause: the view shows a replica that unloads like
-/// one that loads.
+/// Guards against requests that wait although no load is in progress: the view shows a replica
+/// being unloaded like one being loaded.
 #[rstest]
 #[case("fixed_timeout")]
 #[case("learned")]
-fn replica_on_its_way_out_is_no_help(#[case] name: &str) {
+fn unloading_replica_replaced(#[case] name: &str) {
     let mut policy = placement_policy(name, Options::default()).unwrap();
     let engines = || vec![engine("e1"), engine("e2")];
     let models = || vec![waiting("m", 1, 60_000)];
@@ -86,6 +84,6 @@
 }
 
 #[test]
-fn unknown_policy_has_no_instance() {
+fn unknown_policy_name() {
     assert!(placement_policy("best", Options::default()).is_none());
 }
--- a/crates/placement/tests/regular_calls.rs
+++ b/crates/placement/tests/regular_calls.rs
@@ -1,4 +1,4 @@
-//! Models that are called at regular times.
+//! Models that are used at regular times.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use apricotdale_core::policy::FleetView;
 use apricotdale_core::policy::PlacementPolicy;
 
-use support::caching;
+use support::engine_with_checkpoint;
 use support::fleet;
 use support::learned;
 use support::loads;
@@ -17,12 +17,12 @@
 
 fn view(loaded: bool) -> FleetView {
     let replicas = loaded.then(|| replica("m", "e1", true));
-    let host = caching("e1", "m", CacheTier::Disk);
+    let host = engine_with_checkpoint("e1", "m", CacheTier::Disk);
     fleet(vec![host], vec![model("m")], replicas.into_iter().collect())
 }
 
 #[test]
-fn load_comes_ahead_of_the_next_call() {
+fn loaded_ahead() {
     let mut policy = learned();
     for call in 0..6 {
         let now_ms = call * HALF_HOUR_MS;
@@ -34,12 +34,12 @@
         .step_by(1_000)
         .find(|now_ms| !loads(&policy.plan(*now_ms, &view(false))).is_empty());
     let ahead_ms = last_ms + HALF_HOUR_MS - loaded_ms.expect("the load comes ahead of the call");
-    // The load is taken for eight seconds, and the call may come a little early.
+    // The predicted duration of the load is eight seconds, and the call may come slightly early.
     assert!((8_000..120_000).contains(&ahead_ms), "{ahead_ms} ms ahead");
 }
 
 #[test]
-fn irregular_calls_are_not_expected() {
+fn irregular_calls_ignored() {
     let mut policy = learned();
     let mut now_ms = 0;
     for gap_ms in [300_000, 2_400_000, 900_000, 4_000_000, 1_300_000] {
--- a/crates/placement/tests/replica_count.rs
+++ b/crates/placement/tests/replica_count.rs
@@ -7,8 +7,8 @@
 use apricotdale_core::policy::FleetView;
 use apricotdale_core::policy::PlacementPolicy;
 
-use support::caching;
 use support::engine;
+use support::engine_with_checkpoint;
 use support::fleet;
 use support::learned;
 use support::loads;
@@ -17,7 +17,7 @@
 use support::unloads;
 use support::waiting;
 
-fn with_busy(name: &str, busy: u32) -> EngineView {
+fn engine_with_busy(name: &str, busy: u32) -> EngineView {
     EngineView {
         busy,
         ..engine(name)
@@ -27,13 +27,13 @@
 fn full_replica() -> FleetView {
     let mut model = waiting("m", 9, 30_000);
     model.running = 8;
-    let near = caching("e2", "m", CacheTier::Memory);
-    let engines = vec![with_busy("e1", 8), near, engine("e3")];
+    let cached = engine_with_checkpoint("e2", "m", CacheTier::Memory);
+    let engines = vec![engine_with_busy("e1", 8), cached, engine("e3")];
     fleet(engines, vec![model], vec![replica("m", "e1", true)])
 }
 
 #[test]
-fn lasting_queue_gets_another_replica() {
+fn persistent_queue_scales_out() {
     let mut policy = learned();
     let first = (0..60).find_map(|step| {
         let now_ms = step * 500;
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn free_place_needs_no_other_replica() {
+fn free_slot_suffices() {
     let mut policy = learned();
-    let engines = vec![with_busy("e1", 7), engine("e2")];
+    let engines = vec![engine_with_busy("e1", 7), engine("e2")];
     let models = vec![waiting("m", 1, 30_000)];
     let view = fleet(engines, models, vec![replica("m", "e1", true)]);
     for step in 0..60 {
@@ -56,10 +56,10 @@
     }
 }
 
-/// Symptom: overload takes all memory. Sequence: all engines are full, so every model's requests
-/// wait, and every model gets more replicas. Cause: a replica on a full engine adds no capacity.
+/// Guards against overload that occupies all memory: when all engines are full, requests wait for
+/// every model, but a replica on a full engine adds no capacity.
 #[test]
-fn full_engines_get_no_other_replica() {
+fn full_engines_avoided() {
     let mut policy = learned();
     let mut view = full_replica();
     for engine in &mut view.engines {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn spare_replica_is_kept_for_a_while() {
+fn spare_unload_delayed() {
     let mut policy = learned();
     let mut model = model("m");
     model.running = 1;
@@ -83,16 +83,16 @@
 }
 
 #[test]
-fn idle_replicas_go_one_by_one() {
+fn idle_replicas_one_by_one() {
     let mut policy = learned();
-    let places = ["e1", "e2", "e3"];
-    let engines = || places.map(engine).to_vec();
-    let mut left: Vec<&str> = places.to_vec();
-    let mut gone_ms = Vec::new();
+    let engine_names = ["e1", "e2", "e3"];
+    let engines = || engine_names.map(engine).to_vec();
+    let mut remaining: Vec<&str> = engine_names.to_vec();
+    let mut unload_times_ms = Vec::new();
     for step in 0..400 {
         let now_ms = step * 1_000;
         let mut model = model("m");
-        // One request runs now and then, and at the start many did.
+        // A single request runs now and then, after many at the start.
         model.running = match step {
             0 => 20,
             _ => u32::from(step % 3 == 0),
@@ -100,13 +100,19 @@
         if step % 3 == 0 {
             policy.arrived(now_ms, &model.model);
         }
-        let replicas = left.iter().map(|place| replica("m", place, true)).collect();
+        let replicas = remaining
+            .iter()
+            .map(|engine_name| replica("m", engine_name, true))
+            .collect();
         let proposed = unloads(&policy.plan(now_ms, &fleet(engines(), vec![model], replicas)));
-        for (_, place) in &proposed {
-            left.retain(|held| held != place);
-            gone_ms.push(now_ms);
+        for (_, engine_name) in &proposed {
+            remaining.retain(|held| held != engine_name);
+            unload_times_ms.push(now_ms);
         }
     }
-    assert_eq!(left.len(), 1, "left on {left:?}");
-    assert!(gone_ms[1] - gone_ms[0] >= 30_000, "{gone_ms:?}");
+    assert_eq!(remaining.len(), 1, "replicas remain on {remaining:?}");
+    assert!(
+        unload_times_ms[1] - unload_times_ms[0] >= 30_000,
+        "{unload_times_ms:?}"
+    );
 }
--- a/crates/placement/tests/same_history.rs
+++ b/crates/placement/tests/same_history.rs
@@ -1,4 +1,4 @@
-//! The same history gives the same proposals.
+//! The same history leads to the same proposals.
 
 mod support;
 
@@ -10,20 +10,20 @@
 use apricotdale_placement::Options;
 use apricotdale_placement::placement_policy;
 
-use support::caching;
+use support::engine_with_checkpoint;
 use support::fleet;
 use support::model;
 use support::replica;
 use support::waiting;
 
-fn history(policy: &mut dyn PlacementPolicy) -> Vec<PlacementAction> {
+fn play_history(policy: &mut dyn PlacementPolicy) -> Vec<PlacementAction> {
     let mut proposed = Vec::new();
     for step in 0..400_u64 {
         let now_ms = step * 700;
         let engines = (0..6)
             .map(|index| {
                 let cached = format!("m{}", (index + step) % 12);
-                caching(&format!("e{index}"), &cached, CacheTier::Disk)
+                engine_with_checkpoint(&format!("e{index}"), &cached, CacheTier::Disk)
             })
             .collect();
         let models = (0..12)
@@ -54,10 +54,10 @@
 #[rstest]
 #[case("fixed_timeout")]
 #[case("learned")]
-fn two_instances_propose_the_same(#[case] name: &str) {
+fn instances_agree(#[case] name: &str) {
     let mut first = placement_policy(name, Options::default()).unwrap();
     let mut second = placement_policy(name, Options::default()).unwrap();
-    let proposed = history(first.as_mut());
+    let proposed = play_history(first.as_mut());
     assert!(proposed.len() > 20, "only {} proposals", proposed.len());
-    assert_eq!(proposed, history(second.as_mut()));
+    assert_eq!(proposed, play_history(second.as_mut()));
 }
--- a/crates/placement/tests/slow_load.rs
+++ b/crates/placement/tests/slow_load.rs
@@ -1,4 +1,4 @@
-//! A load that takes much longer than expected.
+//! Loads that take much longer than expected.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use apricotdale_core::policy::PlacementAction;
 use apricotdale_core::policy::PlacementPolicy;
 
-use support::caching;
 use support::engine;
+use support::engine_with_checkpoint;
 use support::fleet;
 use support::learned;
 use support::loads;
@@ -18,8 +18,8 @@
 
 fn view(loading: bool) -> FleetView {
     let engines = vec![
-        caching("e1", "m", CacheTier::Memory),
-        caching("e2", "m", CacheTier::Disk),
+        engine_with_checkpoint("e1", "m", CacheTier::Memory),
+        engine_with_checkpoint("e2", "m", CacheTier::Disk),
         engine("e3"),
     ];
     let replicas = loading.then(|| replica("m", "e1", false));
@@ -30,11 +30,10 @@
     )
 }
 
-/// Symptom: a model is never ready although other engines could load it in seconds. Sequence: the
-/// engine that takes the load hangs. Cause: a load on its way counts as help, however long it
-/// takes.
+/// Guards against waiting for a load on an engine that hangs although other engines could load the
+/// model in seconds.
 #[test]
-fn slow_load_is_hedged_once() {
+fn slow_load_hedged_once() {
     let mut policy = learned();
     assert_eq!(loads(&policy.plan(0, &view(false))), [pair("m", "e1")]);
     assert_eq!(loads(&policy.plan(2_000, &view(true))), []);
@@ -45,7 +44,7 @@
 }
 
 #[test]
-fn slow_store_is_not_asked_again() {
+fn slow_store_not_hedged() {
     let mut policy = learned();
     let engines = || vec![engine("e1"), engine("e2")];
     let models = || vec![waiting("m", 2, 600_000)];
@@ -57,7 +56,7 @@
 }
 
 #[test]
-fn slow_store_shows_in_predictions() {
+fn slow_store_predicted() {
     let ready_ms = |slow: bool| {
         let mut policy = learned();
         let known = waiting("known", 1, 600_000);
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builds views of a fleet.
+//! Builders of fleet views.
 
 #![allow(dead_code)]
 
@@ -15,18 +15,17 @@
 use apricotdale_placement::LearnedPlacement;
 use apricotdale_placement::Options;
 
-/// One gigabyte.
 pub const GB: u64 = 1_000_000_000;
 
-/// The tightest class target of every view.
+/// Tightest class target in all views.
 pub const TARGET_MS: u64 = 3_000;
 
-/// Returns the policy in use, having seen nothing.
+/// Returns a `LearnedPlacement` policy without any history.
 pub fn learned() -> LearnedPlacement {
     LearnedPlacement::new(Options::default())
 }
 
-/// Returns an idle engine of 80 GB with 8 places.
+/// Returns an idle engine with 80 GB of memory and 8 slots.
 pub fn engine(name: &str) -> EngineView {
     EngineView {
         engine: name.into(),
@@ -42,8 +41,8 @@
     }
 }
 
-/// Returns an engine whose host holds a checkpoint.
-pub fn caching(name: &str, model: &str, tier: CacheTier) -> EngineView {
+/// Returns an engine whose host has cached a checkpoint in the given tier.
+pub fn engine_with_checkpoint(name: &str, model: &str, tier: CacheTier) -> EngineView {
     let mut engine = engine(name);
     engine.checkpoints.push((model.into(), tier));
     engine
@@ -63,16 +62,16 @@
     }
 }
 
-/// Returns a model with requests that wait.
-pub fn waiting(name: &str, count: u32, left_ms: u64) -> ModelView {
+/// Returns a model with waiting requests, the most urgent of which has `remaining_ms` left.
+pub fn waiting(name: &str, count: u32, remaining_ms: u64) -> ModelView {
     ModelView {
         waiting: count,
-        tightest_ms: Some(left_ms),
+        tightest_ms: Some(remaining_ms),
         ..model(name)
     }
 }
 
-/// Returns an adapter of a base.
+/// Turns a model into an adapter of a base.
 pub fn adapter(view: ModelView, base: &str) -> ModelView {
     ModelView {
         base: Some(base.into()),
@@ -92,7 +91,7 @@
     }
 }
 
-/// Returns a view in which the replicas take up their engines' memory.
+/// Returns a view in which the replicas occupy memory of their engines.
 pub fn fleet(
     mut engines: Vec<EngineView>,
     models: Vec<ModelView>,
@@ -117,7 +116,7 @@
     }
 }
 
-/// Returns the loads among the actions, as model and engine.
+/// Returns the loads among the actions, as pairs of model and engine.
 pub fn loads(actions: &[PlacementAction]) -> Vec<(String, String)> {
     let pair = |action: &PlacementAction| match action {
         PlacementAction::Load { model, engine, .. } => {
@@ -128,7 +127,7 @@
     actions.iter().filter_map(pair).collect()
 }
 
-/// Returns the unloads among the actions, as model and engine.
+/// Returns the unloads among the actions, as pairs of model and engine.
 pub fn unloads(actions: &[PlacementAction]) -> Vec<(String, String)> {
     let pair = |action: &PlacementAction| match action {
         PlacementAction::Unload { model, engine } => Some((model.to_string(), engine.to_string())),
@@ -137,8 +136,7 @@
     actions.iter().filter_map(pair).collect()
 }
 
-/// Returns the models among the actions whose waiting requests are refused, with the reason and
-/// the time to come back after.
+/// Returns the refusals among the actions, as model, reason and retry delay.
 pub fn refusals(actions: &[PlacementAction]) -> Vec<(String, &'static str, Option<u64>)> {
     let triple = |action: &PlacementAction| match action {
         PlacementAction::Hopeless { model, refusal } => Some((
@@ -151,12 +149,12 @@
     actions.iter().filter_map(triple).collect()
 }
 
-/// Returns a pair as the helpers above do.
+/// Returns a pair of model and engine, as [`loads`] and [`unloads`] do.
 pub fn pair(model: &str, engine: &str) -> (String, String) {
     (model.to_owned(), engine.to_owned())
 }
 
-/// Plans every `step_ms` over a time and returns when the first unload was proposed.
+/// Plans every `step_ms` from `from_ms` to `to_ms`, and returns the time of the first unload.
 pub fn first_unload_ms(
     policy: &mut dyn PlacementPolicy,
     fleet: &FleetView,
@@ -169,12 +167,12 @@
         .find(|now_ms| !unloads(&policy.plan(*now_ms, fleet)).is_empty())
 }
 
-/// How a model that fills an engine is used.
-pub struct Used {
-    /// Its requests in progress, as this VM sees them.
+/// Use of a model that fills an engine.
+pub struct ModelUse {
+    /// Number of the model's running requests, as this VM sees them.
     pub running: u32,
-    /// Its engine's requests, as reported.
+    /// Number of busy slots that the engine reports.
     pub busy: u32,
-    /// Whether this VM is its preferred proposer.
-    pub mine: bool,
+    /// Whether this VM is the model's preferred proposer.
+    pub proposed_here: bool,
 }
--- a/crates/placement/tests/in_use.rs
+++ b/crates/placement/tests/used_models.rs
@@ -1,4 +1,4 @@
-//! What is in use is never evicted.
+//! Replicas in use are never evicted.
 
 mod support;
 
@@ -16,13 +16,13 @@
 use support::unloads;
 use support::waiting;
 
-fn full_engine_plan(name: &str, used: support::Used) -> Vec<(String, String)> {
+fn unloads_on_full_engine(name: &str, used: support::ModelUse) -> Vec<(String, String)> {
     let mut policy = placement_policy(name, Options::default()).unwrap();
     let mut held = replica("held", "e1", true);
     held.bytes = 75 * GB;
     let mut view = model("held");
     view.running = used.running;
-    view.preferred_here = used.mine;
+    view.preferred_here = used.proposed_here;
     let mut host = engine("e1");
     host.busy = used.busy;
     let models = vec![waiting("m", 1, 60_000), view];
@@ -32,38 +32,38 @@
 #[rstest]
 #[case("fixed_timeout")]
 #[case("learned")]
-fn running_model_stays(#[case] name: &str) {
-    let used = support::Used {
+fn running_model_kept(#[case] name: &str) {
+    let used = support::ModelUse {
         running: 1,
         busy: 1,
-        mine: true,
+        proposed_here: true,
     };
-    assert_eq!(full_engine_plan(name, used), []);
+    assert_eq!(unloads_on_full_engine(name, used), []);
 }
 
-/// Symptom: a VM evicts a model under another VM's callers. Sequence: a model's demand is told to
-/// its preferred VM only; a second VM needs room on the same engine. Cause: in the second VM's
-/// view the model runs nothing.
+/// Guards against evicting a model that another VM uses. The demand is reported only to the model's
+/// preferred proposer, so in the view of a VM that needs memory on the same engine the model runs
+/// no requests.
 #[rstest]
 #[case("fixed_timeout")]
 #[case("learned")]
-fn other_vms_model_stays_while_its_engine_is_busy(#[case] name: &str) {
-    let used = support::Used {
+fn foreign_model_kept(#[case] name: &str) {
+    let used = support::ModelUse {
         running: 0,
         busy: 1,
-        mine: false,
+        proposed_here: false,
     };
-    assert_eq!(full_engine_plan(name, used), []);
+    assert_eq!(unloads_on_full_engine(name, used), []);
 }
 
 #[rstest]
 #[case("fixed_timeout")]
 #[case("learned")]
-fn idle_model_makes_room(#[case] name: &str) {
-    let used = support::Used {
+fn idle_model_evicted(#[case] name: &str) {
+    let used = support::ModelUse {
         running: 0,
         busy: 0,
-        mine: true,
+        proposed_here: true,
     };
-    assert_eq!(full_engine_plan(name, used), [pair("held", "e1")]);
+    assert_eq!(unloads_on_full_engine(name, used), [pair("held", "e1")]);
 }
