--- a/crates/holder/src/adapter_orders.rs
+++ b/crates/holder/src/adapter_orders.rs
@@ -55,12 +55,12 @@
     if has_free_slot && has_memory {
         return Some((index, load));
     }
-    oldest_adapter(engine, totals)
+    least_recent_adapter(engine, totals)
         .map(|(model, adapter)| (index, OrderKind::UnloadAdapter { model, adapter }))
 }
 
 /// Returns the least recently used adapter without running or waiting requests.
-fn oldest_adapter(
+fn least_recent_adapter(
     engine: &EngineLedger,
     totals: &HashMap<WantedModel, ModelDemand>,
 ) -> Option<(ModelName, ModelName)> {
--- a/crates/holder/src/demand.rs
+++ b/crates/holder/src/demand.rs
@@ -43,9 +43,9 @@
     /// Number of requests that run on engines.
     pub running: u32,
     /// Moving average of arriving requests per second.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// Time at which a request last arrived.
-    pub last_ms: u64,
+    pub last_arrival_ms: u64,
 }
 
 /// Requests of one process of a VM at one time.
@@ -60,9 +60,9 @@
 /// Arrival rate of a model or adapter at one time.
 #[derive(Clone, Copy, Debug)]
 struct Rate {
-    per_s: f64,
+    requests_per_s: f64,
     at_ms: u64,
-    last_ms: u64,
+    last_arrival_ms: u64,
 }
 
 /// Demand announced by one process of a VM.
@@ -96,13 +96,14 @@
             let arrived = row.arrived.saturating_sub(before.unwrap_or_default());
             if arrived > 0 {
                 let rate = self.rates.entry(wanted.clone()).or_insert(Rate {
-                    per_s: 0.0,
+                    requests_per_s: 0.0,
                     at_ms: now_ms,
-                    last_ms: now_ms,
+                    last_arrival_ms: now_ms,
                 });
-                rate.per_s = decayed_rate(rate, now_ms) + arrived as f64 * 1_000.0 / RATE_WINDOW_MS;
+                rate.requests_per_s =
+                    decayed_rate(rate, now_ms) + arrived as f64 * 1_000.0 / RATE_WINDOW_MS;
                 rate.at_ms = now_ms;
-                rate.last_ms = now_ms;
+                rate.last_arrival_ms = now_ms;
             }
             if row.waiting_for_load + row.waiting_for_slot + row.running == 0 {
                 vm_demand.active.remove(&wanted);
@@ -127,8 +128,8 @@
             HashMap::with_capacity(self.rates.len());
         for (wanted, rate) in &self.rates {
             let demand = ModelDemand {
-                per_s: decayed_rate(rate, now_ms),
-                last_ms: rate.last_ms,
+                requests_per_s: decayed_rate(rate, now_ms),
+                last_arrival_ms: rate.last_arrival_ms,
                 ..ModelDemand::default()
             };
             totals.insert(wanted.clone(), demand);
@@ -154,5 +155,5 @@
 }
 
 fn decayed_rate(rate: &Rate, now_ms: u64) -> f64 {
-    rate.per_s * (-(now_ms.saturating_sub(rate.at_ms) as f64) / RATE_WINDOW_MS).exp()
+    rate.requests_per_s * (-(now_ms.saturating_sub(rate.at_ms) as f64) / RATE_WINDOW_MS).exp()
 }
--- a/crates/holder/src/load_selection.rs
+++ b/crates/holder/src/load_selection.rs
@@ -61,7 +61,7 @@
             .filter(|model| !self.suspended_loads.contains_key(*model))
             .filter(|model| {
                 let demand = snapshot.demand(model);
-                demand.waiting_for_load + demand.waiting_for_slot > 0 || demand.per_s > 0.0
+                demand.waiting_for_load + demand.waiting_for_slot > 0 || demand.requests_per_s > 0.0
             })
             .filter(|model| snapshot.replicas(model) < snapshot.wanted_replicas(model))
             .map(|model| (model, snapshot.load_value(model)))
--- a/crates/holder/src/placement.rs
+++ b/crates/holder/src/placement.rs
@@ -14,7 +14,7 @@
 
 /// Request rate above which a model should have a second replica, so that the loss of one engine
 /// does not make the model unavailable.
-const SECOND_REPLICA_PER_S: f64 = 2.0;
+const SECOND_REPLICA_REQUESTS_PER_S: f64 = 2.0;
 
 /// Share of an engine's slots that one model's requests may occupy before another replica is
 /// wanted. Above about half, tokens are generated more slowly and prompts queue for processing.
@@ -109,8 +109,8 @@
             }
             sum.waiting_for_slot += demand.waiting_for_slot;
             sum.running += demand.running;
-            sum.per_s += demand.per_s;
-            sum.last_ms = sum.last_ms.max(demand.last_ms);
+            sum.requests_per_s += demand.requests_per_s;
+            sum.last_arrival_ms = sum.last_arrival_ms.max(demand.last_arrival_ms);
         }
         let mut replicas: HashMap<ModelName, u32> = HashMap::new();
         for engine in engines.iter().filter(|engine| engine.serving) {
@@ -182,9 +182,10 @@
     /// Returns the number of replicas that the demand for a model calls for.
     pub fn wanted_replicas(&self, model: &ModelName) -> u32 {
         let demand = self.demand(model);
-        let busy = f64::from(demand.running + demand.waiting_for_slot);
-        let by_load = (busy / (f64::from(self.spec.slots) * REPLICA_SLOT_SHARE)).ceil() as u32;
-        let spare = u32::from(demand.per_s > SECOND_REPLICA_PER_S);
+        let active_requests = f64::from(demand.running + demand.waiting_for_slot);
+        let by_load =
+            (active_requests / (f64::from(self.spec.slots) * REPLICA_SLOT_SHARE)).ceil() as u32;
+        let spare = u32::from(demand.requests_per_s > SECOND_REPLICA_REQUESTS_PER_S);
         by_load.max(1 + spare).min(self.engines.len() as u32)
     }
 
@@ -259,7 +260,8 @@
                     .is_some_and(|model| model.adapters > 0)
             })
             .map(|resident| {
-                self.demand(&resident.model).per_s + ADAPTER_MODEL_COST / ADAPTER_DEMAND_COST
+                self.demand(&resident.model).requests_per_s
+                    + ADAPTER_MODEL_COST / ADAPTER_DEMAND_COST
             })
             .sum()
     }
@@ -270,9 +272,9 @@
         let demand = self.demand(model);
         let replicas = self.replicas(model).max(1);
         if replicas > self.wanted_replicas(model) {
-            return 0.01 * demand.per_s / f64::from(replicas);
+            return 0.01 * demand.requests_per_s / f64::from(replicas);
         }
-        demand.per_s
+        demand.requests_per_s
             + RUNNING_REQUEST_VALUE * f64::from(demand.running)
             + WAITING_REQUEST_VALUE * f64::from(demand.waiting_for_load + demand.waiting_for_slot)
     }
@@ -280,6 +282,6 @@
     /// Returns the value of loading a replica of a model.
     pub fn load_value(&self, model: &ModelName) -> f64 {
         let demand = self.demand(model);
-        demand.per_s + WAITING_REQUEST_VALUE * f64::from(demand.waiting_for_load)
+        demand.requests_per_s + WAITING_REQUEST_VALUE * f64::from(demand.waiting_for_load)
     }
 }
--- a/crates/holder/tests/local_demand.rs
+++ b/crates/holder/tests/local_demand.rs
@@ -111,8 +111,8 @@
     // are similar, and no arrival is missing.
     let totals = book.totals(1_000 + (ROUNDS + 1) * ANNOUNCEMENT_INTERVAL_MS);
     assert_eq!(totals.len(), MODELS as usize);
-    assert!(totals.values().all(|it| it.per_s > 0.0));
-    let all: f64 = totals.values().map(|it| it.per_s).sum();
+    assert!(totals.values().all(|it| it.requests_per_s > 0.0));
+    let all: f64 = totals.values().map(|it| it.requests_per_s).sum();
     let announced_per_s = f64::from(VMS) * 1_000.0 / ANNOUNCEMENT_INTERVAL_MS as f64;
     assert!(
         all > announced_per_s * 0.6 && all < announced_per_s * 1.1,
--- a/crates/placement/src/fixed_timeout.rs
+++ b/crates/placement/src/fixed_timeout.rs
@@ -19,7 +19,7 @@
 use crate::unload_tracker::UnloadTracker;
 
 /// Assumed duration of a load before any load has been observed.
-const UNKNOWN_LOAD_MS: u64 = 30_000;
+const ASSUMED_LOAD_MS: u64 = 30_000;
 
 /// How long a model stays wanted after its last waiting request is gone. Otherwise a model whose
 /// load takes longer than its callers wait would never be loaded.
@@ -101,7 +101,7 @@
             return vec![PlacementAction::Load {
                 model: model.model.clone(),
                 engine: emptiest.view.engine.clone(),
-                ready_at_ms: now_ms + self.load_ms.unwrap_or(UNKNOWN_LOAD_MS),
+                ready_at_ms: now_ms + self.load_ms.unwrap_or(ASSUMED_LOAD_MS),
             }];
         }
         // Waits for memory that is already being freed.
@@ -126,28 +126,31 @@
         model: &ModelView,
         engine: &ProjectedEngine<'_>,
     ) -> Option<(u64, Vec<PlacementAction>)> {
-        let mut units: Vec<(u64, Vec<&ProjectedReplica>)> = engine
+        let mut eviction_units: Vec<(u64, Vec<&ProjectedReplica>)> = engine
             .evictable()
             .into_iter()
-            .filter(|unit| {
-                unit.iter()
+            .filter(|eviction_unit| {
+                eviction_unit
+                    .iter()
                     .all(|held| model.base.as_ref() != Some(&held.model))
             })
-            .map(|unit| {
-                let used_ms = unit.iter().map(|held| self.last_used_ms(held, engine));
-                (used_ms.max().unwrap_or(0), unit)
+            .map(|eviction_unit| {
+                let used_ms = eviction_unit
+                    .iter()
+                    .map(|held| self.last_used_ms(held, engine));
+                (used_ms.max().unwrap_or(0), eviction_unit)
             })
             .collect();
-        units.sort_by_key(|(used_ms, unit)| (*used_ms, unit.len()));
+        eviction_units.sort_by_key(|(used_ms, eviction_unit)| (*used_ms, eviction_unit.len()));
         let mut available_bytes = engine.available_bytes();
         let mut newest_ms = 0;
         let mut evicted: Vec<&ModelName> = Vec::new();
-        for (used_ms, unit) in units {
+        for (used_ms, eviction_unit) in eviction_units {
             if available_bytes >= model.bytes {
                 break;
             }
             newest_ms = used_ms;
-            for held in unit {
+            for held in eviction_unit {
                 if !evicted.contains(&&held.model) {
                     available_bytes += held.bytes;
                     evicted.push(&held.model);
--- a/crates/placement/src/load_decisions.rs
+++ b/crates/placement/src/load_decisions.rs
@@ -40,7 +40,7 @@
 const MIN_REFUSAL_INTERVAL_MS: u64 = 500;
 
 /// Retry delay for refused callers if nothing indicates when memory will be free.
-const NO_ROOM_RETRY_MS: u64 = 5_000;
+const NO_MEMORY_RETRY_MS: u64 = 5_000;
 
 /// Divisor of an engine's memory that gives the size assumed for a base model that the view has
 /// never shown.
@@ -73,7 +73,7 @@
             let load_option = self.load_option(now_ms, projection, store, &wanted);
             let actions = match load_option {
                 Some(load_option) => self.load(now_ms, &wanted, &load_option, store),
-                None => self.refuse_without_room(now_ms, projection, &wanted),
+                None => self.refuse_without_memory(now_ms, projection, &wanted),
             };
             if !wanted.proposed_here {
                 continue;
@@ -410,7 +410,7 @@
         self.refuse(now_ms, wanted, refusal.retry_after(ready_ms))
     }
 
-    fn refuse_without_room(
+    fn refuse_without_memory(
         &mut self,
         now_ms: u64,
         projection: &ProjectedFleet<'_>,
@@ -424,7 +424,7 @@
                 RefusalReason::UpstreamUnavailable,
                 "no engine of the model's group takes new work",
             );
-            return self.refuse(now_ms, wanted, refusal.retry_after(NO_ROOM_RETRY_MS));
+            return self.refuse(now_ms, wanted, refusal.retry_after(NO_MEMORY_RETRY_MS));
         }
         // Memory may become free at any moment, so requests wait while a load could still be in
         // time.
@@ -435,7 +435,7 @@
             RefusalReason::NoCapacity,
             "all accelerator memory of the model's group is in use",
         );
-        self.refuse(now_ms, wanted, refusal.retry_after(NO_ROOM_RETRY_MS))
+        self.refuse(now_ms, wanted, refusal.retry_after(NO_MEMORY_RETRY_MS))
     }
 
     /// Refuses the waiting requests, unless an engine that the plan can't use yet may soon serve
--- a/crates/placement/src/load_option.rs
+++ b/crates/placement/src/load_option.rs
@@ -144,34 +144,35 @@
         if available_bytes >= model.bytes {
             return Some((Vec::new(), 0.0));
         }
-        let mut units: Vec<(f64, Vec<&ProjectedReplica>)> = engine
+        let mut eviction_units: Vec<(f64, Vec<&ProjectedReplica>)> = engine
             .evictable()
             .into_iter()
-            .filter(|unit| {
-                unit.iter()
+            .filter(|eviction_unit| {
+                eviction_unit
+                    .iter()
                     .all(|held| model.base.as_ref() != Some(&held.model))
             })
-            .map(|unit| {
-                let eviction_cost_ms = unit
+            .map(|eviction_unit| {
+                let eviction_cost_ms = eviction_unit
                     .iter()
                     .map(|held| (self.eviction_cost_ms)(held, engine))
                     .sum();
-                (eviction_cost_ms, unit)
+                (eviction_cost_ms, eviction_unit)
             })
             .collect();
         // Evicts the replicas with the lowest cost per byte first.
-        units.sort_by(|left, right| per_byte(left).total_cmp(&per_byte(right)));
+        eviction_units.sort_by(|left, right| per_byte(left).total_cmp(&per_byte(right)));
         let mut chosen: Vec<(f64, Vec<&ProjectedReplica>)> = Vec::new();
-        for (eviction_cost_ms, mut unit) in units {
+        for (eviction_cost_ms, mut eviction_unit) in eviction_units {
             if available_bytes >= model.bytes {
                 break;
             }
-            unit.retain(|held| !chosen.iter().any(|(_, taken)| contains(taken, held)));
-            if unit.is_empty() {
+            eviction_unit.retain(|held| !chosen.iter().any(|(_, taken)| contains(taken, held)));
+            if eviction_unit.is_empty() {
                 continue;
             }
-            available_bytes += bytes_of(&unit);
-            chosen.push((eviction_cost_ms, unit));
+            available_bytes += bytes_of(&eviction_unit);
+            chosen.push((eviction_cost_ms, eviction_unit));
         }
         if available_bytes < model.bytes {
             return None;
@@ -181,7 +182,7 @@
             .iter()
             .map(|(eviction_cost_ms, _)| eviction_cost_ms)
             .sum();
-        let evict = chosen.iter().flat_map(|(_, unit)| unit);
+        let evict = chosen.iter().flat_map(|(_, eviction_unit)| eviction_unit);
         Some((
             evict.map(|held| held.model.clone()).collect(),
             eviction_cost_ms,
@@ -193,11 +194,12 @@
 fn drop_unneeded(chosen: &mut Vec<(f64, Vec<&ProjectedReplica>)>, mut extra_bytes: u64) {
     let mut index = 0;
     while index < chosen.len() {
-        let unit = &chosen[index].1;
-        let bytes = bytes_of(unit);
+        let eviction_unit = &chosen[index].1;
+        let bytes = bytes_of(eviction_unit);
         // An adapter can't remain if its base is evicted.
         let loses_base = chosen.iter().flat_map(|(_, other)| other).any(|other| {
-            unit.iter()
+            eviction_unit
+                .iter()
                 .any(|held| held.base.as_ref() == Some(&other.model))
         });
         if bytes > extra_bytes || loses_base {
@@ -209,14 +211,14 @@
     }
 }
 
-fn contains(unit: &[&ProjectedReplica], replica: &ProjectedReplica) -> bool {
-    unit.iter().any(|held| held.model == replica.model)
+fn contains(eviction_unit: &[&ProjectedReplica], replica: &ProjectedReplica) -> bool {
+    eviction_unit.iter().any(|held| held.model == replica.model)
 }
 
-fn bytes_of(unit: &[&ProjectedReplica]) -> u64 {
-    unit.iter().map(|held| held.bytes).sum()
+fn bytes_of(eviction_unit: &[&ProjectedReplica]) -> u64 {
+    eviction_unit.iter().map(|held| held.bytes).sum()
 }
 
-fn per_byte((eviction_cost_ms, unit): &(f64, Vec<&ProjectedReplica>)) -> f64 {
-    eviction_cost_ms / bytes_of(unit).max(1) as f64
+fn per_byte((eviction_cost_ms, eviction_unit): &(f64, Vec<&ProjectedReplica>)) -> f64 {
+    eviction_cost_ms / bytes_of(eviction_unit).max(1) as f64
 }
--- a/crates/placement/src/load_times.rs
+++ b/crates/placement/src/load_times.rs
@@ -8,7 +8,7 @@
 const GIGABYTE: f64 = 1e9;
 
 /// Weight of a new observation in the average duration for a model and tier.
-const NEW_WEIGHT: f64 = 0.3;
+const NEW_LOAD_WEIGHT: f64 = 0.3;
 
 /// Weight of a new observation in the slowdown of the store. Higher than for durations, because the
 /// policy must react to a slow store at once.
@@ -132,7 +132,7 @@
             .known_ms
             .entry((model.clone(), tier))
             .or_insert(uncontended_ms);
-        *known += NEW_WEIGHT * (uncontended_ms - *known);
+        *known += NEW_LOAD_WEIGHT * (uncontended_ms - *known);
     }
 
     /// Records that a load from the store has been in progress for `running_ms` without ending.
--- a/crates/placement/src/projection.rs
+++ b/crates/placement/src/projection.rs
@@ -116,21 +116,24 @@
         self.replicas
             .iter()
             .filter(|replica| replica.phase == Phase::Loaded)
-            .filter_map(|replica| self.unit(replica))
+            .filter_map(|replica| self.eviction_unit(replica))
             .collect()
     }
 
-    fn unit<'s>(&'s self, replica: &'s ProjectedReplica) -> Option<Vec<&'s ProjectedReplica>> {
-        let mut unit: Vec<&ProjectedReplica> = self
+    fn eviction_unit<'s>(
+        &'s self,
+        replica: &'s ProjectedReplica,
+    ) -> Option<Vec<&'s ProjectedReplica>> {
+        let mut eviction_unit: Vec<&ProjectedReplica> = self
             .replicas
             .iter()
             .filter(|held| held.phase != Phase::Unloading)
             .filter(|held| held.base.as_ref() == Some(&replica.model))
             .collect();
-        unit.push(replica);
+        eviction_unit.push(replica);
         let is_idle =
             |held: &&ProjectedReplica| held.phase == Phase::Loaded && !self.may_be_in_use(held);
-        unit.iter().all(is_idle).then_some(unit)
+        eviction_unit.iter().all(is_idle).then_some(eviction_unit)
     }
 }
 
