--- a/crates/holder/tests/order_search.rs
+++ b/crates/holder/tests/order_search.rs
@@ -1,5 +1,5 @@
-//! Random search over the planner: demand, lost answers, late orders; engines are never
-//! overcommitted and never told two things at once.
+//! Random search over the planner with demand, lost answers and late orders. Engines must never be
+//! overcommitted.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Want { model: u32, missing: u32 },
+    Want { model: u32, waiting_for_load: u32 },
     WantAdapter { model: u32, adapter: u32 },
     Busy { model: u32, running: u32 },
     Fault { engine: usize, fault: OrderFault },
@@ -28,7 +28,7 @@
         (100..4_000_u64).prop_map(|after_ms| OrderFault::Late { after_ms }),
     ];
     prop_oneof![
-        4 => (0..10_u32, 1..4_u32).prop_map(|(model, missing)| Step::Want { model, missing }),
+        4 => (0..10_u32, 1..4_u32).prop_map(|(model, waiting_for_load)| Step::Want { model, waiting_for_load }),
         4 => (0..2_u32, 0..8_u32).prop_map(|(model, adapter)| Step::WantAdapter { model, adapter }),
         1 => (0..10_u32, 1..12_u32).prop_map(|(model, running)| Step::Busy { model, running }),
         1 => (0..ENGINES, fault).prop_map(|(engine, fault)| Step::Fault { engine, fault }),
@@ -45,12 +45,12 @@
     })]
 
     #[test]
-    fn engines_are_never_overcommitted(steps in proptest::collection::vec(step(), 20..120)) {
+    fn never_overcommitted(steps in proptest::collection::vec(step(), 20..120)) {
         let mut world = World::new(10, &[&["m0", "m2"], &["m0", "m1"], &["m3", "m4"]]);
         world.run(20);
         for step in steps {
             match step {
-                Step::Want { model, missing } => world.want(&format!("m{model}"), None, missing),
+                Step::Want { model, waiting_for_load } => world.want(&format!("m{model}"), None, waiting_for_load),
                 Step::WantAdapter { model, adapter } => {
                     world.want(&format!("m{model}"), Some(&format!("a{adapter}")), 1);
                 }
