--- a/crates/dispatch/tests/send_choice.rs
+++ b/crates/dispatch/tests/send_choice.rs
@@ -49,7 +49,7 @@
         .expect("listed");
     engine
         .residence
-        .note_adapter(&ModelName::from("m0"), &adapter);
+        .record_adapter_loaded(&ModelName::from("m0"), &adapter);
     let verdict = dispatcher.decide(1_000, &directory, &job);
     assert_eq!(verdict, Verdict::Send(UpstreamName::from("e0")));
 }
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -67,10 +67,10 @@
         })
         .expect("a first configuration");
     for (name, zone, models) in engines {
-        directory.note_entry(entry(name, "llm", zone, models));
+        directory.record_entry(entry(name, "llm", zone, models));
     }
     for name in ["p0", "p1"] {
-        directory.note_entry(entry(name, "plain", "a", &[]));
+        directory.record_entry(entry(name, "plain", "a", &[]));
     }
     directory
 }
@@ -78,7 +78,7 @@
 pub fn entry(name: &str, service: &str, zone: &str, models: &[&str]) -> Upstream {
     let mut residence = Residence::default();
     for model in models {
-        residence.note_loaded(&ModelName::from(*model));
+        residence.record_loaded(&ModelName::from(*model));
     }
     Upstream {
         name: UpstreamName::from(name),
--- a/crates/entry/src/codec.rs
+++ b/crates/entry/src/codec.rs
@@ -123,7 +123,7 @@
     /// The VMs' own entries; the newest record of each key is kept.
     Vms,
     /// The copy of the list that the giver of orders keeps.
-    ListCopy,
+    ListSnapshot,
     /// The lease for orders.
     Lease,
     /// Requests that are refused because upstreams crash under them; the newest record of each key
@@ -138,7 +138,7 @@
             Self::Configuration => "configuration",
             Self::Upstreams => "upstreams",
             Self::Vms => "vms",
-            Self::ListCopy => "list_copy",
+            Self::ListSnapshot => "list_copy",
             Self::Lease => "lease",
             Self::Blocks => "blocks",
         }
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -15,7 +15,7 @@
 use apricotdale_fleet::Directory;
 use apricotdale_fleet::DirectoryOptions;
 use apricotdale_fleet::ReadPacing;
-use apricotdale_fleet::Sharing;
+use apricotdale_fleet::ReadSharing;
 use apricotdale_holder::OwnDemand;
 use apricotdale_quarantine::CrashWatch;
 use apricotdale_quarantine::Options as QuarantineOptions;
@@ -112,7 +112,7 @@
     pub(crate) ordering: Ordering,
     pub(crate) peers: Peers,
     pub(crate) own_demand: OwnDemand,
-    pub(crate) sharing: Sharing,
+    pub(crate) sharing: ReadSharing,
     pub(crate) store_era: StoreEra,
     /// When this VM reads the store, among all that do.
     pub(crate) pacing: ReadPacing,
@@ -199,7 +199,7 @@
             news: NewsBoard::default(),
             former_runs: Vec::new(),
             feeds: Feeds::default(),
-            sharing: Sharing::default(),
+            sharing: ReadSharing::default(),
             store_era: StoreEra::default(),
             pacing: ReadPacing::new(settings.read_bytes_per_s, run),
             stopping: Stopping::default(),
--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/feeds.rs
@@ -125,9 +125,9 @@
             copy_misses: 0,
             uncopied_turn_ms: None,
             copy_writer: CopyWriter::default(),
-            listed_repair: ListRepair::of_listed(),
-            uncopied_repair: ListRepair::of_uncopied(),
-            held_repair: ListRepair::of_held(),
+            listed_repair: ListRepair::for_serving_upstreams(),
+            uncopied_repair: ListRepair::without_snapshot(),
+            held_repair: ListRepair::for_residences(),
             came: Vec::new(),
             vm_written: false,
             vms_read: false,
@@ -198,7 +198,7 @@
         if self.vm_written {
             self.vm_written = false;
             self.vms.restart_soon();
-            self.vms.next_ms = now_ms + pacing.draw_within_ms(WRITTEN_AGAIN_MS);
+            self.vms.next_ms = now_ms + pacing.random_up_to_ms(WRITTEN_AGAIN_MS);
         }
     }
 
@@ -259,7 +259,7 @@
     pub(crate) fn advance_feeds(&mut self) {
         let now_ms = self.now_ms;
         let leads = self.ordering.fence_held();
-        let is_followed = self.sharing.follows(now_ms);
+        let is_followed = self.sharing.is_following(now_ms);
         self.feeds
             .note_turn(now_ms, is_followed, leads, &mut self.pacing);
         let feeds = &self.feeds;
@@ -302,13 +302,13 @@
         match feed.place_in(self.store_era.now()) {
             None => {
                 let after = feed.after.clone();
-                let timeout_ms = feed.patience_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
+                let timeout_ms = feed.answer_timeout_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
                 let bytes = self.codecs.store.newest(Topic::Upstreams, after.as_deref());
                 self.call_store(CallTag::UpstreamsNewest, &bytes, timeout_ms);
             }
             Some(from) => {
                 let timeout_ms =
-                    feed.list_patience_ms(self.now_ms, &mut self.pacing, CALL_TIMEOUT_MS);
+                    feed.list_answer_timeout_ms(self.now_ms, &mut self.pacing, CALL_TIMEOUT_MS);
                 let bytes = self.codecs.store.read(Topic::Upstreams, from.offset, 0);
                 self.call_store(CallTag::UpstreamsRead, &bytes, timeout_ms);
             }
@@ -392,7 +392,7 @@
             );
         }
         if is_list(tag) {
-            self.directory.note_list_lost();
+            self.directory.record_list_failure();
         }
     }
 
@@ -421,12 +421,12 @@
             }
             CallTag::UpstreamsNewest => {
                 let page = self.codecs.store.newest_answer(status, body)?;
-                self.directory.note_list_answered(self.now_ms);
+                self.directory.record_list_answer(self.now_ms);
                 Ok(self.take_upstreams_page(page))
             }
             CallTag::UpstreamsRead => {
                 let read = self.codecs.store.read_answer(status, body)?;
-                self.directory.note_list_answered(self.now_ms);
+                self.directory.record_list_answer(self.now_ms);
                 self.take_upstreams_read(read)
             }
             CallTag::CopyNewest => {
--- a/crates/entry/src/feeds/configuration.rs
+++ b/crates/entry/src/feeds/configuration.rs
@@ -29,7 +29,7 @@
         if self.feeds.takes_requests || !self.directory.is_complete() {
             return self.feeds.takes_requests;
         }
-        let (version, told) = (self.directory.version(), self.sharing.told_version());
+        let (version, told) = (self.directory.version(), self.sharing.announced_version());
         let waited_ms = self.now_ms - *self.feeds.complete_ms.get_or_insert(self.now_ms);
         if version < told && waited_ms < NEWER_VERSION_MS {
             return false;
@@ -50,7 +50,7 @@
                 let timeout_ms = self
                     .feeds
                     .configuration
-                    .patience_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
+                    .answer_timeout_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
                 self.call_store(CallTag::ConfigurationNewest, &bytes, timeout_ms);
             }
             Some(from) => {
@@ -59,7 +59,7 @@
                 // the list counts for others only if it has read the configuration, too.
                 let age_ms = self.feeds.configuration_age_ms(self.now_ms);
                 let is_old = age_ms.is_none_or(|age_ms| age_ms > OLD_CONFIGURATION_MS);
-                let wait_ms = match self.sharing.follows(self.now_ms) || is_old {
+                let wait_ms = match self.sharing.is_following(self.now_ms) || is_old {
                     true => 0,
                     false => CONFIGURATION_WAIT_MS,
                 };
@@ -70,7 +70,7 @@
                 let timeout_ms = self
                     .feeds
                     .configuration
-                    .patience_ms(&mut self.pacing, CALL_TIMEOUT_MS);
+                    .answer_timeout_ms(&mut self.pacing, CALL_TIMEOUT_MS);
                 self.call_store(CallTag::ConfigurationRead, &bytes, wait_ms + timeout_ms);
             }
         }
@@ -116,7 +116,7 @@
             match self.directory.configure(configuration) {
                 Ok(()) if version != before => {
                     log::info!(version, before; "configuration in force");
-                    let is_outdated = self.sharing.told_version() > version;
+                    let is_outdated = self.sharing.announced_version() > version;
                     self.feeds.note_outdated(self.now_ms, is_outdated);
                     self.peers.beat_soon();
                     self.look_again = true;
--- a/crates/entry/src/feeds/copy.rs
+++ b/crates/entry/src/feeds/copy.rs
@@ -4,11 +4,11 @@
 //! and serves by it at once; one that has missed something is set right by it.
 
 use apricotdale_core::numbers::Position;
-use apricotdale_fleet::ListCopy;
-use apricotdale_fleet::ListCopyPart;
+use apricotdale_fleet::ListSnapshot;
+use apricotdale_fleet::ListSnapshotPart;
 use apricotdale_fleet::Upstream;
-use apricotdale_fleet::held_digests;
-use apricotdale_fleet::listed_digest;
+use apricotdale_fleet::residence_digests;
+use apricotdale_fleet::serving_digest;
 
 use super::COPY_LOOKS;
 use super::COPY_TIMEOUT_MS;
@@ -86,11 +86,14 @@
     pub(super) fn read_copy(&mut self) {
         self.begin_repairs();
         let after = self.feeds.copy.after.clone();
-        let bytes = self.codecs.store.newest(Topic::ListCopy, after.as_deref());
+        let bytes = self
+            .codecs
+            .store
+            .newest(Topic::ListSnapshot, after.as_deref());
         let timeout_ms = self
             .feeds
             .copy
-            .patience_ms(&mut self.pacing, COPY_TIMEOUT_MS);
+            .answer_timeout_ms(&mut self.pacing, COPY_TIMEOUT_MS);
         self.feeds.copy.calling = true;
         self.call_store(CallTag::CopyNewest, &bytes, timeout_ms);
     }
@@ -98,7 +101,9 @@
     /// Notes which repairs the read that begins now is for.
     fn begin_repairs(&mut self) {
         let now_ms = self.now_ms;
-        let draw_ms = self.pacing.draw_for_ms(self.feeds.copy.answer_bytes());
+        let draw_ms = self
+            .pacing
+            .jitter_for_answer_ms(self.feeds.copy.answer_bytes());
         let mut begun = 0;
         for repair in [&mut self.feeds.listed_repair, &mut self.feeds.held_repair] {
             if repair.is_due(now_ms) {
@@ -122,7 +127,7 @@
         let records = std::mem::take(&mut feed.pages);
         feed.after = None;
         self.feeds.copy_tried = true;
-        let parts: Vec<ListCopyPart> = records
+        let parts: Vec<ListSnapshotPart> = records
             .iter()
             .filter_map(|record| record.value.as_deref())
             .map(postcard::from_bytes)
@@ -130,8 +135,8 @@
             .map_err(|error| DecodeError::new(format!("a copy of the list: {error}")))?;
         // One from before the list was set back does not tell what is missing in it now; whoever
         // reads for all writes another.
-        let copy =
-            ListCopy::from_parts(parts).filter(|copy| !self.store_era.is_past(copy.read_to.era));
+        let copy = ListSnapshot::from_parts(parts)
+            .filter(|copy| !self.store_era.is_past(copy.read_to.era));
         match copy {
             Some(copy) => self.take_copy(copy),
             None => self.miss_copy(),
@@ -147,7 +152,7 @@
         }
     }
 
-    fn take_copy(&mut self, copy: ListCopy) {
+    fn take_copy(&mut self, copy: ListSnapshot) {
         let from = self.feeds.upstreams.from;
         let is_newer = from.is_none_or(|from| from <= copy.read_to);
         let is_begun = self.feeds.upstreams.calling || !self.feeds.upstreams.pages.is_empty();
@@ -155,8 +160,8 @@
             self.feeds.upstreams.from = Some(copy.read_to);
         }
         self.feeds.upstreams.skip_to(copy.read_to);
-        self.directory.read_up_to(copy.read_to);
-        self.sharing.note_told_version(copy.configuration);
+        self.directory.set_read_position(copy.read_to);
+        self.sharing.record_announced_version(copy.configuration);
         let was_listed = self.directory.is_listed();
         let names: Vec<_> = copy
             .entries
@@ -165,7 +170,7 @@
             .collect();
         let changes = self
             .directory
-            .note_copy(self.now_ms, copy.entries, is_newer);
+            .apply_snapshot(self.now_ms, copy.entries, is_newer);
         if !was_listed {
             let read_to = copy.read_to.to_string();
             log::info!(upstreams = names.len(), read_to; "copy of the list read");
@@ -188,8 +193,8 @@
             return;
         }
         let digest = CopyDigest {
-            listed: listed_digest(&self.directory),
-            held: held_digests(&self.directory),
+            listed: serving_digest(&self.directory),
+            held: residence_digests(&self.directory),
             configuration: self.directory.version(),
             era: read_to.era,
         };
@@ -202,7 +207,7 @@
         if self.feeds.copy_writer.written.as_ref() == Some(&digest) {
             return;
         }
-        let parts = ListCopy::new(read_to, &self.directory).into_parts();
+        let parts = ListSnapshot::new(read_to, &self.directory).into_parts();
         let records: Vec<(String, Vec<u8>)> = parts
             .iter()
             .enumerate()
@@ -215,7 +220,10 @@
         let bytes = records.iter().map(|(_, value)| value.len()).sum::<usize>();
         // The store sends values in base64.
         self.feeds.copy_writer.bytes = bytes * 4 / 3;
-        let call = self.codecs.store.append_keyed(Topic::ListCopy, &records);
+        let call = self
+            .codecs
+            .store
+            .append_keyed(Topic::ListSnapshot, &records);
         self.call_store(CallTag::CopyAppend, &call, LIST_WRITE_TIMEOUT_MS);
     }
 
@@ -237,11 +245,11 @@
         if !self.directory.is_listed() {
             return;
         }
-        self.directory.read_up_to(read_to);
+        self.directory.set_read_position(read_to);
         for entry in entries {
             let instance = entry.instance.clone();
-            let before = self.directory.run_of(&instance).cloned();
-            let change = self.directory.note_told(entry);
+            let before = self.directory.current_incarnation(&instance).cloned();
+            let change = self.directory.record_peer_entry(entry);
             self.take_entry_change(&instance, before, change, "told_by_another_vm");
         }
         // Whoever read them has told all VMs.
@@ -255,7 +263,7 @@
         let now_ms = self.now_ms;
         let came = std::mem::take(&mut self.feeds.came);
         let leads = self.ordering.held_lease_end(now_ms).is_some();
-        if !leads && self.sharing.follows(now_ms) {
+        if !leads && self.sharing.is_following(now_ms) {
             return;
         }
         if came.len() > MOST_ENTRIES_TOLD {
--- a/crates/entry/src/feeds/feed.rs
+++ b/crates/entry/src/feeds/feed.rs
@@ -45,7 +45,7 @@
         self.failures += 1;
         self.failed_ms = Some(now_ms);
         self.look_ms = None;
-        self.next_ms = now_ms + pacing.pause_ms(self.failures);
+        self.next_ms = now_ms + pacing.retry_delay_ms(self.failures);
         let is_told = self.failures == 1 || now_ms >= self.told_lost_ms + STILL_LOST_MS;
         if is_told {
             self.told_lost_ms = now_ms;
@@ -109,21 +109,26 @@
 
     /// Returns how long the next answer is awaited, which one VM alone would have within
     /// `alone_ms`.
-    pub fn patience_ms(&self, pacing: &mut ReadPacing, alone_ms: u64) -> u64 {
+    pub fn answer_timeout_ms(&self, pacing: &mut ReadPacing, alone_ms: u64) -> u64 {
         let bytes = self.answer_bytes.max(LEAST_ANSWER_BYTES);
-        pacing.patience_ms(alone_ms, bytes, self.failures)
+        pacing.answer_timeout_ms(alone_ms, bytes, self.failures)
     }
 
     /// Returns the same for a read of the list that goes on where the last one ended.
-    pub fn list_patience_ms(&self, now_ms: u64, pacing: &mut ReadPacing, alone_ms: u64) -> u64 {
+    pub fn list_answer_timeout_ms(
+        &self,
+        now_ms: u64,
+        pacing: &mut ReadPacing,
+        alone_ms: u64,
+    ) -> u64 {
         let bytes = self.answer_bytes.max(LEAST_ANSWER_BYTES);
         let age_ms = self.read_ms.map(|at_ms| now_ms.saturating_sub(at_ms));
-        pacing.list_patience_ms(alone_ms, bytes, self.failures, age_ms)
+        pacing.list_answer_timeout_ms(alone_ms, bytes, self.failures, age_ms)
     }
 
     /// Draws when this VM reads again while it is told of changes.
     pub fn draw_phase(&mut self, pacing: &mut ReadPacing, every_ms: u64) {
-        self.phase_ms = pacing.draw_within_ms(every_ms / 4);
+        self.phase_ms = pacing.random_up_to_ms(every_ms / 4);
     }
 
     /// Returns when the topic is read next by a VM that is told of changes.
--- a/crates/entry/src/feeds/listing.rs
+++ b/crates/entry/src/feeds/listing.rs
@@ -39,8 +39,8 @@
             .collect();
         let names: Vec<UpstreamName> = entries.iter().map(|entry| entry.name.clone()).collect();
         self.directory
-            .read_up_to(self.feeds.upstreams.from.unwrap_or_default());
-        let changes = self.directory.note_listing(now_ms, entries);
+            .set_read_position(self.feeds.upstreams.from.unwrap_or_default());
+        let changes = self.directory.apply_listing(now_ms, entries);
         log::info!(
             upstreams = names.len(), left = changes.left.len();
             "list of upstreams read"
@@ -74,7 +74,7 @@
         };
         let from = self.feeds.upstreams.from.unwrap_or_default();
         for (index, record) in (1..).zip(&records) {
-            self.directory.read_up_to(from.after(index));
+            self.directory.set_read_position(from.after(index));
             match self.codecs.store.keyed(record) {
                 Ok(record) => self.take_upstream(&record),
                 // Others may write here too. A record without a key names nobody; the read goes on,
@@ -105,9 +105,9 @@
             Err(error) => {
                 self.note_foreign_entry(&record.key, &error);
                 let instance = InstanceName::from(record.key.as_str());
-                let run = self.directory.run_of(&instance).cloned();
+                let run = self.directory.current_incarnation(&instance).cloned();
                 if let (DirectoryChange::Left, Some(run)) =
-                    (self.directory.note_foreign(&instance), run)
+                    (self.directory.record_foreign_entry(&instance), run)
                 {
                     self.upstream_left(&run, "entry_of_another_writer");
                 }
@@ -135,12 +135,12 @@
     fn take_upstream(&mut self, record: &KeyedRecord) {
         let now_ms = self.now_ms;
         let instance = InstanceName::from(record.key.as_str());
-        let before = self.directory.run_of(&instance).cloned();
+        let before = self.directory.current_incarnation(&instance).cloned();
         let change = match (&record.value, &before) {
-            (None, Some(run)) => self.directory.note_vanished(now_ms, run),
+            (None, Some(run)) => self.directory.record_missing_entry(now_ms, run),
             (None, None) => DirectoryChange::None,
             (Some(_), _) => match self.decode_upstream(record) {
-                Some(upstream) => self.directory.note_entry(upstream),
+                Some(upstream) => self.directory.record_entry(upstream),
                 None => DirectoryChange::None,
             },
         };
@@ -160,7 +160,12 @@
         change: DirectoryChange,
         reason: &str,
     ) {
-        let Some(name) = self.directory.run_of(instance).cloned().or(before) else {
+        let Some(name) = self
+            .directory
+            .current_incarnation(instance)
+            .cloned()
+            .or(before)
+        else {
             return;
         };
         self.news.lay_over(self.now_ms, &mut self.directory, &name);
@@ -168,7 +173,7 @@
             DirectoryChange::None => {}
             DirectoryChange::Left => self.upstream_left(&name, reason),
             DirectoryChange::Lapsed => self.upstream_lapsed(&name),
-            DirectoryChange::Came => self.upstream_came(&name),
+            DirectoryChange::Added => self.upstream_came(&name),
             DirectoryChange::Restarted { former } => {
                 self.upstream_left(&former, "restarted");
                 self.upstream_came(&name);
@@ -190,11 +195,11 @@
     /// Takes in that the list was read to its end, and drops upstreams that did not come back after
     /// an outage.
     pub(super) fn list_read(&mut self) {
-        self.directory.read_up_to(self.feeds.list_read_to());
-        for name in self.directory.note_list_read(self.now_ms) {
+        self.directory.set_read_position(self.feeds.list_read_to());
+        for name in self.directory.drop_lapsed(self.now_ms) {
             self.upstream_left(&name, "lapsed");
         }
-        self.feeds.upstreams.look_ms = self.directory.list_whole_ms(self.now_ms);
+        self.feeds.upstreams.look_ms = self.directory.list_complete_at_ms(self.now_ms);
         self.tell_list_read();
     }
 
@@ -213,7 +218,7 @@
     /// ended.
     pub(crate) fn upstream_left(&mut self, name: &UpstreamName, reason: &str) {
         if let Some(departure) = self.directory.departure(name) {
-            self.sharing.note_left(self.now_ms, departure);
+            self.sharing.record_recent_departure(self.now_ms, departure);
         }
         self.peers.beat_soon();
         log::info!(upstream = name.to_string(), reason; "upstream takes no new work");
--- a/crates/entry/src/feeds/schedule.rs
+++ b/crates/entry/src/feeds/schedule.rs
@@ -2,16 +2,16 @@
 
 use apricotdale_fleet::ListRepair;
 use apricotdale_fleet::ReadPacing;
-use apricotdale_fleet::Sharing;
+use apricotdale_fleet::ReadSharing;
 
 use super::COPY_AGAIN_MS;
 use super::FOLLOWING_CONFIGURATION_EVERY_MS;
 use super::Feeds;
 
 impl Feeds {
-    pub(super) fn configuration_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
+    pub(super) fn configuration_due_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
         let feed = &self.configuration;
-        let due_ms = match sharing.follows(now_ms) {
+        let due_ms = match sharing.is_following(now_ms) {
             true => feed.followed_due_ms(FOLLOWING_CONFIGURATION_EVERY_MS),
             false => feed.next_ms,
         };
@@ -20,9 +20,9 @@
 
     /// Returns when the upstreams' own entries are read. A VM that is told of changes leaves them
     /// alone, unless the copy could not help it.
-    pub(super) fn upstreams_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
+    pub(super) fn upstreams_due_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
         let feed = &self.upstreams;
-        let is_followed = sharing.follows(now_ms);
+        let is_followed = sharing.is_following(now_ms);
         let turn_ms = self.turn_ms.unwrap_or(u64::MAX);
         match feed.from {
             None if !self.copy_tried => u64::MAX,
@@ -59,7 +59,7 @@
         };
     }
 
-    pub(super) fn copy_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
+    pub(super) fn copy_due_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
         let feed = &self.copy;
         if !self.copy_tried || feed.after.is_some() {
             return feed.next_ms;
@@ -68,7 +68,7 @@
         if self.upstreams.from.is_none() && self.turn_ms.is_none() {
             return feed.next_ms + COPY_AGAIN_MS;
         }
-        if !sharing.follows(now_ms) {
+        if !sharing.is_following(now_ms) {
             return u64::MAX;
         }
         [&self.listed_repair, &self.held_repair]
@@ -79,9 +79,9 @@
     }
 
     /// Returns when the next call is due.
-    pub fn next_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
-        let ends_ms = match sharing.follows(now_ms) {
-            true => sharing.followed_until_ms(),
+    pub fn next_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
+        let ends_ms = match sharing.is_following(now_ms) {
+            true => sharing.following_until_ms(),
             false => u64::MAX,
         };
         let due = [
--- a/crates/entry/src/feeds/vms.rs
+++ b/crates/entry/src/feeds/vms.rs
@@ -25,7 +25,7 @@
             let timeout_ms = self
                 .feeds
                 .vms
-                .patience_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
+                .answer_timeout_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
             self.call_store(CallTag::VmsNewest, &bytes, timeout_ms);
             return;
         }
@@ -56,7 +56,7 @@
         let is_first = !std::mem::replace(&mut self.feeds.vms_read, true);
         match is_first && self.store_era.now() > 0 {
             // The store may have come back a moment ago, without the entries of some.
-            true => READ_AGAIN_MS + self.pacing.draw_within_ms(WRITTEN_AGAIN_MS),
+            true => READ_AGAIN_MS + self.pacing.random_up_to_ms(WRITTEN_AGAIN_MS),
             // Later ones greet.
             false => NEVER_MS,
         }
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -72,9 +72,9 @@
     };
     let residence = &mut upstream.residence;
     match (&news.adapter, news.present) {
-        (None, true) => residence.note_loaded(&news.model),
-        (None, false) => residence.note_unloaded(&news.model),
-        (Some(adapter), true) => residence.note_adapter(&news.model, adapter),
-        (Some(adapter), false) => residence.note_adapter_gone(&news.model, adapter),
+        (None, true) => residence.record_loaded(&news.model),
+        (None, false) => residence.record_unloaded(&news.model),
+        (Some(adapter), true) => residence.record_adapter_loaded(&news.model, adapter),
+        (Some(adapter), false) => residence.record_adapter_unloaded(&news.model, adapter),
     }
 }
--- a/crates/entry/src/ordering/engine_calls.rs
+++ b/crates/entry/src/ordering/engine_calls.rs
@@ -139,12 +139,12 @@
         else {
             return;
         };
-        self.directory.read_up_to(Position::default());
+        self.directory.set_read_position(Position::default());
         let change = self
             .directory
-            .note_restart(former, report.born_ms, report.residence);
+            .record_restart(former, report.born_ms, report.residence);
         if matches!(change, DirectoryChange::Restarted { .. }) {
-            if let Some(run) = self.directory.run_of(&instance).cloned() {
+            if let Some(run) = self.directory.current_incarnation(&instance).cloned() {
                 self.feeds.note_came(run);
             }
             self.upstream_left(former, "restarted");
--- a/crates/entry/src/serving.rs
+++ b/crates/entry/src/serving.rs
@@ -186,7 +186,7 @@
         match self.feeds.outdated_for_ms(self.now_ms) {
             _ if !self.settings.fail_closed => true,
             Some(for_ms) => is_good(for_ms),
-            None if self.sharing.follows(self.now_ms) => true,
+            None if self.sharing.is_following(self.now_ms) => true,
             None => self.feeds.current_age_ms(self.now_ms).is_some_and(is_good),
         }
     }
@@ -197,8 +197,8 @@
             .directory
             .service(&service)
             .is_some_and(|it| it.engine.is_some());
-        let patience_ms = serving
-            .patience_ms
+        let answer_timeout_ms = serving
+            .answer_timeout_ms
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         let expected_run_ms = match is_engine {
@@ -212,7 +212,7 @@
             rank: route.rank,
             arrived_ms: now_ms,
             target_ms: now_ms + route.target_ms,
-            deadline_ms: now_ms + patience_ms.saturating_sub(ANSWER_MARGIN_MS),
+            deadline_ms: now_ms + answer_timeout_ms.saturating_sub(ANSWER_MARGIN_MS),
             attempts: route.attempts.max(1),
             prefix_hash: prefix_hash(serving),
             expected_run_ms,
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -80,7 +80,7 @@
             configuration = self.directory.version();
             "store came back from an older copy"
         );
-        self.directory.note_list_set_back(now_ms);
+        self.directory.record_list_rollback(now_ms);
         let leads = self.ordering.held_lease_end(now_ms).is_some();
         self.feeds.set_back(now_ms, leads, &mut self.pacing);
         self.block_store.set_back();
--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -14,8 +14,8 @@
 use apricotdale_dispatch::WaitReason;
 use apricotdale_fleet::DirectoryChange;
 use apricotdale_fleet::Freshness;
-use apricotdale_fleet::held_digests;
-use apricotdale_fleet::listed_digest;
+use apricotdale_fleet::residence_digests;
+use apricotdale_fleet::serving_digest;
 use apricotdale_holder::DemandRow;
 use apricotdale_holder::RequestState;
 use apricotdale_holder::ResidenceNews;
@@ -195,14 +195,14 @@
         }
         // The giver of orders reads for itself, so that it has something to tell.
         if self.ordering.held_lease_end(now_ms).is_none() {
-            let draw_ms = self.pacing.draw_ms();
+            let draw_ms = self.pacing.jitter_ms();
             self.sharing
-                .hear(now_ms, fresh, self.pacing.spread_ms(), draw_ms);
+                .handle_heartbeat(now_ms, fresh, self.pacing.spread_ms(), draw_ms);
         }
         if let Some(rate) = fresh.list_bytes_per_s {
             self.pacing.set_list_rate(rate);
         }
-        let is_outdated = self.sharing.told_version() > self.directory.version();
+        let is_outdated = self.sharing.announced_version() > self.directory.version();
         self.feeds.note_outdated(now_ms, is_outdated);
         if fresh.configuration == self.directory.version()
             && let Some(age_ms) = fresh.configuration_age_ms
@@ -210,16 +210,16 @@
             self.feeds.note_current(now_ms.saturating_sub(age_ms));
         }
         if is_outdated {
-            let at_ms = now_ms + self.pacing.draw_ms();
+            let at_ms = now_ms + self.pacing.jitter_ms();
             self.feeds.read_configuration_at(at_ms);
         }
-        if let Some(read_ms) = fresh.whole_list_read_ms(now_ms) {
+        if let Some(read_ms) = fresh.complete_list_read_ms(now_ms) {
             // If this VM was cut off alone, no entry has lapsed, and upstreams that it misses have
             // left: it must not keep them for longer.
-            self.directory.note_list_whole(read_ms);
+            self.directory.record_complete_list(read_ms);
         }
         for departure in &fresh.left {
-            if self.directory.note_departure(departure) == DirectoryChange::Left {
+            if self.directory.record_departure(departure) == DirectoryChange::Left {
                 self.upstream_left(&departure.upstream, "told_by_another_vm");
             }
         }
@@ -232,15 +232,15 @@
         if !fresh.is_fresh() || !self.directory.is_listed() {
             return;
         }
-        let is_same = listed_digest(&self.directory) == fresh.listed;
-        let holds_same: Vec<bool> = held_digests(&self.directory)
+        let is_same = serving_digest(&self.directory) == fresh.listed;
+        let holds_same: Vec<bool> = residence_digests(&self.directory)
             .iter()
             .zip(&fresh.held)
             .map(|(own, told)| own == told)
             .collect();
         self.feeds.note_copy_bytes(fresh.copy_bytes);
         let has_copy = fresh.copy_bytes > 0;
-        let draw_ms = self.pacing.draw_for_ms(fresh.copy_bytes);
+        let draw_ms = self.pacing.jitter_for_answer_ms(fresh.copy_bytes);
         let turn_ms = self.pacing.turn_ms();
         let now_ms = self.now_ms;
         let feeds = &mut self.feeds;
@@ -250,26 +250,26 @@
         feeds.uncopied_repair.heard(now_ms, &[is_same], turn_ms);
         feeds.held_repair.heard(now_ms, &holds_same, draw_ms);
         let leads = self.ordering.held_lease_end(self.now_ms).is_some();
-        if let (true, false, Some(read_to)) = (is_same, leads, fresh.whole_list_read_to()) {
+        if let (true, false, Some(read_to)) = (is_same, leads, fresh.complete_list_read_to()) {
             self.feeds.skip_list_to(read_to);
-            self.directory.note_list_same(read_to);
+            self.directory.record_same_list(read_to);
         }
     }
 
     /// Returns what this VM has read, for the others.
     pub(crate) fn freshness(&mut self) -> Freshness {
         let now_ms = self.now_ms;
-        let listed = listed_digest(&self.directory);
+        let listed = serving_digest(&self.directory);
         Freshness {
             configuration: self.directory.version(),
             configuration_age_ms: self.feeds.configuration_age_ms(now_ms),
             list_age_ms: self.feeds.list_age_ms(now_ms),
-            list_whole: self.directory.is_list_whole(now_ms),
+            list_complete: self.directory.is_list_complete(now_ms),
             list_read_to: self.feeds.list_read_to(),
             list_bytes_per_s: self.pacing.list_rate(),
             listed,
             copy_bytes: self.feeds.copy_bytes(listed),
-            held: held_digests(&self.directory),
+            held: residence_digests(&self.directory),
             left: self.sharing.left(now_ms),
         }
     }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -21,7 +21,7 @@
 use crate::routes::RouteTable;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamPhase;
-use crate::upstream::run_name;
+use crate::upstream::incarnation_name;
 
 /// `DirectoryOptions` are the directory's times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
     /// Nothing that matters.
     None,
     /// An upstream came.
-    Came,
+    Added,
     /// An upstream no longer takes new work, or is gone.
     Left,
     /// An upstream's entry vanished around an outage; it is used for a short time more.
@@ -217,13 +217,13 @@
     /// Notes how far the list had been read by whoever tells what is taken in next, this VM or
     /// another; the first position if that is not known. The list is a log, so that of two things
     /// the later one in it counts, whichever is heard of first.
-    pub fn read_up_to(&mut self, position: Position) {
+    pub fn set_read_position(&mut self, position: Position) {
         self.read_to = position;
     }
 
     /// Takes in an entry of the list. One of an earlier run than the latest that is known changes
     /// nothing, and one of a later run ends the run before it.
-    pub fn note_entry(&mut self, entry: Upstream) -> DirectoryChange {
+    pub fn record_entry(&mut self, entry: Upstream) -> DirectoryChange {
         self.changes += 1;
         let newest = self.runs.get(&entry.instance);
         if newest.is_some_and(|newest| entry.born_ms < newest.born_ms) {
@@ -261,9 +261,9 @@
     }
 
     /// Takes in an entry as another VM tells it, without the engine's copies of weights.
-    pub fn note_told(&mut self, mut entry: Upstream) -> DirectoryChange {
+    pub fn record_peer_entry(&mut self, mut entry: Upstream) -> DirectoryChange {
         self.keep_copies(&mut entry);
-        self.note_entry(entry)
+        self.record_entry(entry)
     }
 
     /// Keeps what is known here of an engine's copies of weights, which other VMs do not tell.
@@ -279,7 +279,7 @@
 
     /// Takes in a copy of the list that another VM has read. `is_newer` says that it was read later
     /// than what this VM knows, so that an upstream which it does not name has left.
-    pub fn note_copy(
+    pub fn apply_snapshot(
         &mut self,
         now_ms: u64,
         mut entries: Vec<Upstream>,
@@ -289,7 +289,7 @@
             self.keep_copies(entry);
         }
         match is_newer {
-            true => self.note_listing(now_ms, entries),
+            true => self.apply_listing(now_ms, entries),
             false => {
                 let mut changes = ListingChanges::default();
                 self.note_entries(entries, &mut changes);
@@ -310,7 +310,7 @@
         self.upstreams.insert(entry.name.clone(), entry);
         match former {
             Some(former) if self.end_run(&former) => DirectoryChange::Restarted { former },
-            _ => DirectoryChange::Came,
+            _ => DirectoryChange::Added,
         }
     }
 
@@ -327,7 +327,7 @@
     /// Takes in that an upstream says of itself that it started later than the run that is known:
     /// its entry in the list is still the one of the former run. The later run is taken from what
     /// the upstream says it holds, at the address at which it answered.
-    pub fn note_restart(
+    pub fn record_restart(
         &mut self,
         former: &UpstreamName,
         born_ms: u64,
@@ -336,7 +336,7 @@
         match self.upstreams.get(former) {
             Some(known) if known.born_ms > 0 && born_ms > known.born_ms => {
                 let entry = Upstream {
-                    name: run_name(&known.instance, born_ms),
+                    name: incarnation_name(&known.instance, born_ms),
                     born_ms,
                     phase: UpstreamPhase::Serving,
                     leaves_in_ms: None,
@@ -344,14 +344,14 @@
                     residence,
                     ..known.clone()
                 };
-                self.note_entry(entry)
+                self.record_entry(entry)
             }
             _ => DirectoryChange::None,
         }
     }
 
     /// Returns the latest run of an instance that is known, unless it is gone.
-    pub fn run_of(&self, instance: &InstanceName) -> Option<&UpstreamName> {
+    pub fn current_incarnation(&self, instance: &InstanceName) -> Option<&UpstreamName> {
         let name = &self.runs.get(instance)?.name;
         self.upstreams.contains_key(name).then_some(name)
     }
@@ -363,7 +363,7 @@
     }
 
     /// Takes in a whole list. Upstreams that it does not name have vanished.
-    pub fn note_listing(&mut self, now_ms: u64, entries: Vec<Upstream>) -> ListingChanges {
+    pub fn apply_listing(&mut self, now_ms: u64, entries: Vec<Upstream>) -> ListingChanges {
         let named: HashSet<InstanceName> =
             entries.iter().map(|entry| entry.instance.clone()).collect();
         let missing: Vec<UpstreamName> = self
@@ -374,7 +374,7 @@
             .collect();
         let mut changes = ListingChanges::default();
         for name in missing {
-            match self.note_vanished(now_ms, &name) {
+            match self.record_missing_entry(now_ms, &name) {
                 DirectoryChange::Left => changes.left.push(name),
                 DirectoryChange::Lapsed => changes.lapsed.push(name),
                 _ => {}
@@ -388,7 +388,7 @@
     fn note_entries(&mut self, entries: Vec<Upstream>, changes: &mut ListingChanges) {
         for entry in entries {
             let name = entry.name.clone();
-            match self.note_entry(entry) {
+            match self.record_entry(entry) {
                 DirectoryChange::Left => changes.left.push(name),
                 DirectoryChange::Restarted { former } => changes.left.push(former),
                 _ => {}
--- a/crates/fleet/src/directory/departing.rs
+++ b/crates/fleet/src/directory/departing.rs
@@ -17,9 +17,9 @@
     /// Takes in an entry that is none of the upstream's own: another writer has put it there. It
     /// names nobody to send to, so the run that stood there is not used until its own entry is
     /// back.
-    pub fn note_foreign(&mut self, instance: &InstanceName) -> DirectoryChange {
-        match self.run_of(instance).cloned() {
-            Some(name) => self.note_gone(&name),
+    pub fn record_foreign_entry(&mut self, instance: &InstanceName) -> DirectoryChange {
+        match self.current_incarnation(instance).cloned() {
+            Some(name) => self.record_gone(&name),
             None => DirectoryChange::None,
         }
     }
@@ -45,7 +45,7 @@
     }
 
     /// Takes in that an upstream takes no new work any more, as another VM has read.
-    pub fn note_departure(&mut self, departure: &Departure) -> DirectoryChange {
+    pub fn record_departure(&mut self, departure: &Departure) -> DirectoryChange {
         let name = &departure.upstream;
         let there_at = self.there_at.get(name).copied().unwrap_or_default();
         let there_at = there_at.max(self.same_up_to);
@@ -60,47 +60,47 @@
             }
             (Some(known), DepartureKind::Missing) if is_later(known) => {
                 known.revision = known.revision.max(departure.revision);
-                self.read_up_to(departure.read_to);
-                self.note_gone(name)
+                self.set_read_position(departure.read_to);
+                self.record_gone(name)
             }
             _ => DirectoryChange::None,
         }
     }
 
     /// Takes in that a read of the list failed.
-    pub fn note_list_lost(&mut self) {
+    pub fn record_list_failure(&mut self) {
         self.recovery.lost();
     }
 
     /// Takes in that a read of the list was answered, before its entries are taken in.
-    pub fn note_list_answered(&mut self, now_ms: u64) {
+    pub fn record_list_answer(&mut self, now_ms: u64) {
         self.recovery.answered(now_ms);
     }
 
     /// Takes in that the list has come back from an older copy: live upstreams may be missing.
-    pub fn note_list_set_back(&mut self, now_ms: u64) {
+    pub fn record_list_rollback(&mut self, now_ms: u64) {
         self.recovery.set_back(now_ms);
     }
 
     /// Takes in that another VM, whose list is whole, read it at a moment.
-    pub fn note_list_whole(&mut self, read_ms: u64) {
+    pub fn record_complete_list(&mut self, read_ms: u64) {
         self.recovery.whole_elsewhere(read_ms);
     }
 
     /// Returns whether no live upstream is missing for certain, so that other VMs may rely on it.
-    pub fn is_list_whole(&self, now_ms: u64) -> bool {
+    pub fn is_list_complete(&self, now_ms: u64) -> bool {
         self.recovery.is_known_whole(now_ms)
     }
 
     /// Returns when the list is whole again after an outage; it should be read then. None if it is
     /// whole, or can't be read.
-    pub fn list_whole_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn list_complete_at_ms(&self, now_ms: u64) -> Option<u64> {
         self.recovery.ends_ms(now_ms)
     }
 
     /// Takes in that the list was read to its end. Drops the upstreams whose entries have not come
     /// back after an outage, and returns them.
-    pub fn note_list_read(&mut self, now_ms: u64) -> Vec<UpstreamName> {
+    pub fn drop_lapsed(&mut self, now_ms: u64) -> Vec<UpstreamName> {
         if self.recovery.is_under_way(now_ms) {
             return Vec::new();
         }
@@ -113,7 +113,7 @@
 
     /// Takes in that this VM's list is the same as one that was read up to a position, in which no
     /// live upstream is missing: what was kept around an outage is there.
-    pub fn note_list_same(&mut self, position: Position) {
+    pub fn record_same_list(&mut self, position: Position) {
         self.lapsed.clear();
         self.same_up_to = self.same_up_to.max(position);
     }
@@ -121,7 +121,7 @@
     /// Takes in that an upstream's entry is no longer there. Around an outage of the list a live
     /// upstream's entry may have lapsed only because its heartbeats found no one; it is then used
     /// until the list is whole again.
-    pub fn note_vanished(&mut self, now_ms: u64, name: &UpstreamName) -> DirectoryChange {
+    pub fn record_missing_entry(&mut self, now_ms: u64, name: &UpstreamName) -> DirectoryChange {
         let is_recovering = self.recovery.is_under_way(now_ms);
         match self.upstreams.get(name) {
             Some(known) if is_recovering && known.phase == UpstreamPhase::Serving => {
@@ -130,12 +130,12 @@
                     false => DirectoryChange::None,
                 }
             }
-            _ => self.note_gone(name),
+            _ => self.record_gone(name),
         }
     }
 
     /// Takes in that an upstream is gone for certain.
-    pub fn note_gone(&mut self, name: &UpstreamName) -> DirectoryChange {
+    pub fn record_gone(&mut self, name: &UpstreamName) -> DirectoryChange {
         if !self.upstreams.contains_key(name) {
             return DirectoryChange::None;
         }
--- a/crates/fleet/src/list_repair.rs
+++ b/crates/fleet/src/list_repair.rs
@@ -24,44 +24,44 @@
 /// would not use it until the next full read.
 #[derive(Clone, Debug)]
 pub struct ListRepair {
-    patience_ms: u64,
+    answer_timeout_ms: u64,
     /// Since when each of the digests differs.
     differs_since_ms: Vec<Option<u64>>,
     repairs: u32,
     /// When the next repair may begin.
     next_ms: u64,
-    draw_ms: u64,
+    jitter_ms: u64,
 }
 
 impl ListRepair {
     /// Returns the repair of which upstreams serve, from the copy.
-    pub fn of_listed() -> Self {
+    pub fn for_serving_upstreams() -> Self {
         Self::new(LISTED_DIFFERS_MS)
     }
 
     /// Returns the repair of what engines hold, from the copy, which tells all that VMs use of it.
-    pub fn of_held() -> Self {
+    pub fn for_residences() -> Self {
         Self::new(HELD_DIFFERS_MS)
     }
 
     /// Returns the repair of which upstreams serve, from their own entries.
-    pub fn of_uncopied() -> Self {
+    pub fn without_snapshot() -> Self {
         Self::new(UNCOPIED_DIFFERS_MS)
     }
 
-    fn new(patience_ms: u64) -> Self {
+    fn new(answer_timeout_ms: u64) -> Self {
         Self {
-            patience_ms,
+            answer_timeout_ms,
             differs_since_ms: Vec::new(),
             repairs: 0,
             next_ms: 0,
-            draw_ms: 0,
+            jitter_ms: 0,
         }
     }
 
-    /// Takes in which of the digests that were told are also this VM's. `draw_ms` spreads the
+    /// Takes in which of the digests that were told are also this VM's. `jitter_ms` spreads the
     /// repairs of VMs that missed the same message.
-    pub fn heard(&mut self, now_ms: u64, same: &[bool], draw_ms: u64) {
+    pub fn heard(&mut self, now_ms: u64, same: &[bool], jitter_ms: u64) {
         let differed = self.due_since_ms().is_some();
         self.differs_since_ms.resize(same.len(), None);
         for (since_ms, is_same) in self.differs_since_ms.iter_mut().zip(same) {
@@ -72,7 +72,7 @@
         }
         match self.due_since_ms() {
             None => (self.repairs, self.next_ms) = (0, 0),
-            Some(_) if !differed => self.draw_ms = draw_ms,
+            Some(_) if !differed => self.jitter_ms = jitter_ms,
             Some(_) => {}
         }
     }
@@ -85,7 +85,7 @@
     /// Returns when a repair is due; none if nothing differs.
     pub fn due_ms(&self) -> Option<u64> {
         let since_ms = self.due_since_ms()?;
-        Some((since_ms + self.patience_ms + self.draw_ms).max(self.next_ms))
+        Some((since_ms + self.answer_timeout_ms + self.jitter_ms).max(self.next_ms))
     }
 
     /// Returns whether a repair is due.
@@ -94,10 +94,10 @@
     }
 
     /// Takes in that a repair begins.
-    pub fn begin(&mut self, now_ms: u64, draw_ms: u64) {
-        let pause_ms = REPAIR_PAUSE_MS << self.repairs.min(MOST_DOUBLINGS);
+    pub fn begin(&mut self, now_ms: u64, jitter_ms: u64) {
+        let retry_delay_ms = REPAIR_PAUSE_MS << self.repairs.min(MOST_DOUBLINGS);
         self.repairs += 1;
-        self.next_ms = now_ms + pause_ms;
-        self.draw_ms = draw_ms;
+        self.next_ms = now_ms + retry_delay_ms;
+        self.jitter_ms = jitter_ms;
     }
 }
--- a/crates/fleet/src/list_copy.rs
+++ b/crates/fleet/src/list_snapshot.rs
@@ -21,10 +21,10 @@
 /// records of up to 256 KiB.
 const ENTRIES_A_PART: usize = 500;
 
-/// `ListCopyPart` is a part of what one VM knows of the upstreams, for the store. An engine takes
+/// `ListSnapshotPart` is a part of what one VM knows of the upstreams, for the store. An engine takes
 /// some 170 bytes in it, where its own entry takes thousands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ListCopyPart {
+pub struct ListSnapshotPart {
     /// How far the list had been read: the place of the next change.
     pub read_to: Position,
     /// The version of the configuration in force at the VM that wrote it.
@@ -35,9 +35,9 @@
     pub entries: Vec<Upstream>,
 }
 
-/// `ListCopy` is what one VM knows of the upstreams.
+/// `ListSnapshot` is what one VM knows of the upstreams.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListCopy {
+pub struct ListSnapshot {
     /// How far the list had been read: the place of the next change.
     pub read_to: Position,
     /// The version of the configuration in force at the VM that wrote it.
@@ -46,7 +46,7 @@
     pub entries: Vec<Upstream>,
 }
 
-impl ListCopy {
+impl ListSnapshot {
     /// Returns a copy of what the directory knows.
     pub fn new(read_to: Position, directory: &Directory) -> Self {
         Self {
@@ -57,8 +57,8 @@
     }
 
     /// Returns the parts in which it is stored.
-    pub fn into_parts(self) -> Vec<ListCopyPart> {
-        let part = |entries: &[Upstream]| ListCopyPart {
+    pub fn into_parts(self) -> Vec<ListSnapshotPart> {
+        let part = |entries: &[Upstream]| ListSnapshotPart {
             read_to: self.read_to,
             configuration: self.configuration,
             parts: self.entries.len().div_ceil(ENTRIES_A_PART).max(1) as u32,
@@ -73,9 +73,9 @@
     /// Returns the newest copy of which all parts are there. Parts of an older one stay in the
     /// store when the newer one has fewer, and a write between two pages of a read leaves parts of
     /// both.
-    pub fn from_parts(parts: Vec<ListCopyPart>) -> Option<Self> {
+    pub fn from_parts(parts: Vec<ListSnapshotPart>) -> Option<Self> {
         let read_to = parts.iter().map(|part| part.read_to).max()?;
-        let newest: Vec<ListCopyPart> = parts
+        let newest: Vec<ListSnapshotPart> = parts
             .into_iter()
             .filter(|part| part.read_to == read_to)
             .collect();
@@ -91,7 +91,7 @@
 }
 
 /// Returns a number that two VMs share if the same upstreams take new work by what they know.
-pub fn listed_digest(directory: &Directory) -> u64 {
+pub fn serving_digest(directory: &Directory) -> u64 {
     let serving = directory
         .upstreams()
         .filter(|upstream| upstream.phase == UpstreamPhase::Serving);
@@ -101,7 +101,7 @@
 /// Returns numbers that two VMs share if engines hold the same models and adapters by what they
 /// know, one for each group of engines. Orders change what engines hold all the time: of a few
 /// engines two VMs know the same at most moments, of all they seldom do.
-pub fn held_digests(directory: &Directory) -> Vec<u32> {
+pub fn residence_digests(directory: &Directory) -> Vec<u32> {
     let mut digests = vec![0_u32; ENGINE_GROUPS];
     let mut bytes = Vec::new();
     let mut digest_of = |names: [&str; 3]| {
--- a/crates/fleet/src/read_pacing.rs
+++ b/crates/fleet/src/read_pacing.rs
@@ -111,7 +111,7 @@
         };
         let readers = readers.max(FEWEST_READERS);
         let vms = f64::from(self.vms.unwrap_or(1));
-        let drawn = self.draw_within_ms(1_000) as f64 / 1_000.0;
+        let drawn = self.random_up_to_ms(1_000) as f64 / 1_000.0;
         let turns = (drawn * vms / readers).max(1.0).log2().ceil();
         turns as u64 * TURN_MS
     }
@@ -122,22 +122,22 @@
     }
 
     /// Returns this VM's share of that time, drawn anew with each call.
-    pub fn draw_ms(&mut self) -> u64 {
+    pub fn jitter_ms(&mut self) -> u64 {
         let spread_ms = self.spread_ms();
-        self.draw_within_ms(spread_ms)
+        self.random_up_to_ms(spread_ms)
     }
 
     /// Returns this VM's share of a time over which all VMs can read an answer of this size, with
     /// half of what the store sends.
-    pub fn draw_for_ms(&mut self, answer_bytes: usize) -> u64 {
+    pub fn jitter_for_answer_ms(&mut self, answer_bytes: usize) -> u64 {
         let bytes = f64::from(self.vms.unwrap_or(1)) * answer_bytes as f64;
         let round_ms = (2_000.0 * bytes / self.read_bytes_per_s) as u64;
         let spread_ms = self.spread_ms().max(round_ms).min(MOST_COPY_SPREAD_MS);
-        self.draw_within_ms(spread_ms)
+        self.random_up_to_ms(spread_ms)
     }
 
     /// Returns a time from none to this one, drawn anew with each call.
-    pub fn draw_within_ms(&mut self, most_ms: u64) -> u64 {
+    pub fn random_up_to_ms(&mut self, most_ms: u64) -> u64 {
         self.draws += 1;
         let mut bytes = [0_u8; 16];
         bytes[..8].copy_from_slice(&self.seed.to_le_bytes());
@@ -151,7 +151,7 @@
     /// The first time it is as long as reads of all VMs take. Later it is drawn from up to some
     /// times as long: if the store swallowed the call, somebody has to ask again soon, and tells
     /// the others.
-    pub fn patience_ms(&mut self, alone_ms: u64, answer_bytes: usize, failures: u32) -> u64 {
+    pub fn answer_timeout_ms(&mut self, alone_ms: u64, answer_bytes: usize, failures: u32) -> u64 {
         let vms = self.vms.unwrap_or(UNKNOWN_VMS);
         let round_s = f64::from(vms) * answer_bytes as f64 / self.read_bytes_per_s;
         let round_ms = (round_s * 1_000.0) as u64;
@@ -159,7 +159,7 @@
             0 => alone_ms + round_ms,
             _ => {
                 let rounds = u64::from(failures + 1).min(MOST_ROUNDS);
-                alone_ms + self.draw_within_ms(round_ms * rounds)
+                alone_ms + self.random_up_to_ms(round_ms * rounds)
             }
         }
     }
@@ -167,31 +167,31 @@
     /// Returns how long the answer to a read of the list is awaited that goes on where one ended
     /// which was answered `age_ms` ago. Of VMs that have read so lately there are few, since the
     /// others are told, and what they ask for is small; so the reads of all VMs are not waited for.
-    pub fn list_patience_ms(
+    pub fn list_answer_timeout_ms(
         &mut self,
         alone_ms: u64,
         answer_bytes: usize,
         failures: u32,
         age_ms: Option<u64>,
     ) -> u64 {
-        let patience_ms = self.patience_ms(alone_ms, answer_bytes, failures);
+        let answer_timeout_ms = self.answer_timeout_ms(alone_ms, answer_bytes, failures);
         let left_ms = age_ms.and_then(|age_ms| LIST_GIVEN_UP_MS.checked_sub(age_ms));
         match left_ms {
-            Some(left_ms) if left_ms >= LEAST_LIST_PATIENCE_MS => patience_ms.min(left_ms),
-            _ => patience_ms,
+            Some(left_ms) if left_ms >= LEAST_LIST_PATIENCE_MS => answer_timeout_ms.min(left_ms),
+            _ => answer_timeout_ms,
         }
     }
 
     /// Returns the pause before the next read, after some failures in a row.
-    pub fn pause_ms(&mut self, failures: u32) -> u64 {
+    pub fn retry_delay_ms(&mut self, failures: u32) -> u64 {
         let vms = u64::from(self.vms.unwrap_or(1));
         let most_ms = MAX_PAUSE_MS.max(vms * MAX_PAUSE_MS_A_VM);
-        let pause_ms = (PAUSE_MS << failures.saturating_sub(1).min(6)).min(most_ms);
+        let retry_delay_ms = (PAUSE_MS << failures.saturating_sub(1).min(6)).min(most_ms);
         // Half of it is drawn, where there are others to fall into step with.
-        let drawn_ms = self.draw_within_ms(pause_ms / 2);
+        let drawn_ms = self.random_up_to_ms(retry_delay_ms / 2);
         match vms {
-            0 | 1 => pause_ms,
-            _ => pause_ms - pause_ms / 4 + drawn_ms,
+            0 | 1 => retry_delay_ms,
+            _ => retry_delay_ms - retry_delay_ms / 4 + drawn_ms,
         }
     }
 }
--- a/crates/fleet/src/request.rs
+++ b/crates/fleet/src/request.rs
@@ -32,7 +32,7 @@
     /// The path and query.
     pub target: String,
     /// How long the caller will wait, if it says so.
-    pub patience_ms: Option<u64>,
+    pub answer_timeout_ms: Option<u64>,
     /// The model, for a request to model engines.
     pub model: Option<WantedModel>,
     /// Tokens of the prompt.
--- a/crates/fleet/src/residence.rs
+++ b/crates/fleet/src/residence.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether any copy of weights is known.
-    pub fn names_copies(&self) -> bool {
+    pub fn has_cached_copies(&self) -> bool {
         !self.in_memory.is_empty() || !self.on_disk.is_empty()
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Notes that a model can run. Its load leaves copies in memory and on disk.
-    pub fn note_loaded(&mut self, model: &ModelName) {
+    pub fn record_loaded(&mut self, model: &ModelName) {
         if self.model(model).is_none() {
             self.models.push(ResidentModel {
                 model: model.clone(),
@@ -87,18 +87,18 @@
     }
 
     /// Notes that no copy of a model's weights is at hand any more.
-    pub fn note_copy_gone(&mut self, model: &ModelName) {
+    pub fn record_uncached(&mut self, model: &ModelName) {
         self.in_memory.remove(model);
         self.on_disk.remove(model);
     }
 
     /// Notes that a model, with its adapters, is no longer there.
-    pub fn note_unloaded(&mut self, model: &ModelName) {
+    pub fn record_unloaded(&mut self, model: &ModelName) {
         self.models.retain(|resident| &resident.model != model);
     }
 
     /// Notes that an adapter can run.
-    pub fn note_adapter(&mut self, model: &ModelName, adapter: &ModelName) {
+    pub fn record_adapter_loaded(&mut self, model: &ModelName, adapter: &ModelName) {
         let resident = self
             .models
             .iter_mut()
@@ -112,7 +112,7 @@
     }
 
     /// Notes that an adapter is no longer there.
-    pub fn note_adapter_gone(&mut self, model: &ModelName, adapter: &ModelName) {
+    pub fn record_adapter_unloaded(&mut self, model: &ModelName, adapter: &ModelName) {
         for resident in self
             .models
             .iter_mut()
--- a/crates/fleet/src/sharing.rs
+++ b/crates/fleet/src/sharing.rs
@@ -46,7 +46,7 @@
     /// How long ago the list was read; none if it was not.
     pub list_age_ms: Option<u64>,
     /// Whether no live upstream was missing from it for certain.
-    pub list_whole: bool,
+    pub list_complete: bool,
     /// How far the list was read.
     pub list_read_to: Position,
     /// What the upstreams' entries take if one VM reads them all; none if it is not known.
@@ -81,32 +81,32 @@
     /// A VM that knows the same upstreams need not read what comes before. While some are missing
     /// it must: an upstream that it keeps for a time would be dropped if it skipped the entry with
     /// which that one comes back.
-    pub fn whole_list_read_to(&self) -> Option<Position> {
-        self.list_whole.then_some(self.list_read_to)
+    pub fn complete_list_read_to(&self) -> Option<Position> {
+        self.list_complete.then_some(self.list_read_to)
     }
 
     /// Returns when the giver read a list in which no live upstream was missing; none if it did
     /// not.
-    pub fn whole_list_read_ms(&self, now_ms: u64) -> Option<u64> {
-        let age_ms = self.list_age_ms.filter(|_| self.list_whole)?;
+    pub fn complete_list_read_ms(&self, now_ms: u64) -> Option<u64> {
+        let age_ms = self.list_age_ms.filter(|_| self.list_complete)?;
         Some(now_ms.saturating_sub(age_ms))
     }
 }
 
-/// `Sharing` is what this VM shares, as the giver, or takes from the giver.
+/// `ReadSharing` is what this VM shares, as the giver, or takes from the giver.
 ///
 /// Times go in with each call; nothing here reads a clock.
 #[derive(Debug, Default)]
-pub struct Sharing {
+pub struct ReadSharing {
     left: Vec<(Departure, u64)>,
-    followed_until_ms: u64,
+    following_until_ms: u64,
     /// The newest version that a giver told of.
-    told_version: u64,
+    announced_version: u64,
 }
 
-impl Sharing {
+impl ReadSharing {
     /// Notes that an upstream left.
-    pub fn note_left(&mut self, now_ms: u64, departure: Departure) {
+    pub fn record_recent_departure(&mut self, now_ms: u64, departure: Departure) {
         self.left.push((departure, now_ms + LEFT_REPEATED_MS));
     }
 
@@ -116,39 +116,45 @@
         self.left.iter().map(|(left, _)| left.clone()).collect()
     }
 
-    /// Takes in what another VM has read. `draw_ms` is how much sooner than the others, at the most
+    /// Takes in what another VM has read. `jitter_ms` is how much sooner than the others, at the most
     /// `spread_ms`, this VM reads for itself when it hears no more.
-    pub fn hear(&mut self, now_ms: u64, fresh: &Freshness, spread_ms: u64, draw_ms: u64) {
-        self.note_told_version(fresh.configuration);
+    pub fn handle_heartbeat(
+        &mut self,
+        now_ms: u64,
+        fresh: &Freshness,
+        spread_ms: u64,
+        jitter_ms: u64,
+    ) {
+        self.record_announced_version(fresh.configuration);
         // An old word does not take back a newer one of another VM.
         if let Some(good_ms) = fresh.good_ms(spread_ms) {
-            let until_ms = now_ms + good_ms.saturating_sub(draw_ms);
-            self.followed_until_ms = self.followed_until_ms.max(until_ms);
+            let until_ms = now_ms + good_ms.saturating_sub(jitter_ms);
+            self.following_until_ms = self.following_until_ms.max(until_ms);
         }
     }
 
     /// Ends following: this VM is the giver itself.
     pub fn lead(&mut self) {
-        self.followed_until_ms = 0;
+        self.following_until_ms = 0;
     }
 
     /// Returns whether this VM takes what the giver tells in place of its own reads.
-    pub fn follows(&self, now_ms: u64) -> bool {
-        now_ms < self.followed_until_ms
+    pub fn is_following(&self, now_ms: u64) -> bool {
+        now_ms < self.following_until_ms
     }
 
     /// Returns until when it does.
-    pub fn followed_until_ms(&self) -> u64 {
-        self.followed_until_ms
+    pub fn following_until_ms(&self) -> u64 {
+        self.following_until_ms
     }
 
     /// Takes in a version of the configuration that is in force at another VM.
-    pub fn note_told_version(&mut self, version: u64) {
-        self.told_version = self.told_version.max(version);
+    pub fn record_announced_version(&mut self, version: u64) {
+        self.announced_version = self.announced_version.max(version);
     }
 
     /// Returns the newest version that a giver told of.
-    pub fn told_version(&self) -> u64 {
-        self.told_version
+    pub fn announced_version(&self) -> u64 {
+        self.announced_version
     }
 }
--- a/crates/fleet/src/upstream.rs
+++ b/crates/fleet/src/upstream.rs
@@ -23,7 +23,7 @@
 /// Returns the name of one run of an instance. A restart under the same instance has another name,
 /// so whatever is kept by an upstream's name ends with the run: what it held, what it was told to
 /// do, how loaded and how trusted it was. Without a time of start (0) the instance is the run.
-pub fn run_name(instance: &InstanceName, born_ms: u64) -> UpstreamName {
+pub fn incarnation_name(instance: &InstanceName, born_ms: u64) -> UpstreamName {
     match born_ms {
         0 => UpstreamName::from(instance.as_str()),
         _ => UpstreamName::from(format!("{instance}@{born_ms}")),
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "ToldUpstream", into = "ToldUpstream")]
 pub struct Upstream {
-    /// The identity of this run ([`run_name`]).
+    /// The identity of this run ([`incarnation_name`]).
     pub name: UpstreamName,
     /// The name under which the platform knows it, and under which it may start again.
     pub instance: InstanceName,
@@ -82,7 +82,7 @@
 impl From<ToldUpstream> for Upstream {
     fn from(told: ToldUpstream) -> Self {
         Self {
-            name: run_name(&told.instance, told.born_ms),
+            name: incarnation_name(&told.instance, told.born_ms),
             instance: told.instance,
             born_ms: told.born_ms,
             service: told.service,
--- a/crates/fleet/tests/directory_entries.rs
+++ b/crates/fleet/tests/directory_entries.rs
@@ -16,11 +16,14 @@
 #[test]
 fn entry_comes_and_changes() {
     let mut directory = directory();
-    assert_eq!(directory.note_entry(entry("e", 1)), DirectoryChange::Came);
-    assert_eq!(directory.note_entry(entry("e", 2)), DirectoryChange::None);
+    assert_eq!(
+        directory.record_entry(entry("e", 1)),
+        DirectoryChange::Added
+    );
+    assert_eq!(directory.record_entry(entry("e", 2)), DirectoryChange::None);
     let mut holding = entry("e", 3);
-    holding.residence.note_loaded(&ModelName::from("m"));
-    assert_eq!(directory.note_entry(holding), DirectoryChange::Residence);
+    holding.residence.record_loaded(&ModelName::from("m"));
+    assert_eq!(directory.record_entry(holding), DirectoryChange::Residence);
 }
 
 /// Symptom: an upstream that leaves gets requests again. Sequence: its notice is read, then an
@@ -28,10 +31,13 @@
 #[test]
 fn notice_is_not_taken_back() {
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
-    assert_eq!(directory.note_entry(leaving("e", 6)), DirectoryChange::Left);
-    directory.note_entry(entry("e", 4));
-    directory.note_entry(entry("e", 7));
+    directory.record_entry(entry("e", 5));
+    assert_eq!(
+        directory.record_entry(leaving("e", 6)),
+        DirectoryChange::Left
+    );
+    directory.record_entry(entry("e", 4));
+    directory.record_entry(entry("e", 7));
     assert_eq!(serving(&directory), 0);
 }
 
@@ -40,20 +46,23 @@
 #[test]
 fn old_entry_of_a_gone_upstream() {
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
+    directory.record_entry(entry("e", 5));
     let name = UpstreamName::from("e");
-    assert_eq!(directory.note_vanished(0, &name), DirectoryChange::Left);
-    directory.note_entry(entry("e", 5));
+    assert_eq!(
+        directory.record_missing_entry(0, &name),
+        DirectoryChange::Left
+    );
+    directory.record_entry(entry("e", 5));
     assert_eq!(serving(&directory), 0);
-    directory.note_entry(entry("e", 6));
+    directory.record_entry(entry("e", 6));
     assert_eq!(serving(&directory), 1);
 }
 
 #[test]
 fn listing_without_an_upstream() {
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
-    let left = directory.note_listing(0, vec![entry("f", 1)]).left;
+    directory.record_entry(entry("e", 5));
+    let left = directory.apply_listing(0, vec![entry("f", 1)]).left;
     assert_eq!(left, [UpstreamName::from("e")]);
     assert!(directory.upstream(&UpstreamName::from("f")).is_some());
 }
@@ -83,7 +92,7 @@
 fn not_complete_before_list_and_configuration() {
     let mut directory = directory();
     assert!(!directory.is_complete());
-    directory.note_listing(0, Vec::new());
+    directory.apply_listing(0, Vec::new());
     assert!(!directory.is_complete());
     directory
         .configure(Configuration {
--- a/crates/fleet/tests/giver_sharing.rs
+++ b/crates/fleet/tests/giver_sharing.rs
@@ -5,7 +5,7 @@
 use apricotdale_fleet::Departure;
 use apricotdale_fleet::DepartureKind;
 use apricotdale_fleet::Freshness;
-use apricotdale_fleet::Sharing;
+use apricotdale_fleet::ReadSharing;
 use rstest::rstest;
 
 /// How long after an upstream said that it leaves requests may still reach it.
@@ -21,7 +21,7 @@
         configuration: 3,
         configuration_age_ms: Some(200),
         list_age_ms: Some(list_age_ms),
-        list_whole: true,
+        list_complete: true,
         list_read_to: Position::new(0, 40),
         list_bytes_per_s: None,
         listed: 7,
@@ -31,9 +31,15 @@
     }
 }
 
-/// Takes in a beat at a VM that reads for itself `draw_ms` sooner than it must, of `spread_ms`.
-fn hear(sharing: &mut Sharing, now_ms: u64, beat: &Freshness, spread_ms: u64, draw_ms: u64) {
-    sharing.hear(now_ms, beat, spread_ms, draw_ms);
+/// Takes in a beat at a VM that reads for itself `jitter_ms` sooner than it must, of `spread_ms`.
+fn handle_heartbeat(
+    sharing: &mut ReadSharing,
+    now_ms: u64,
+    beat: &Freshness,
+    spread_ms: u64,
+    jitter_ms: u64,
+) {
+    sharing.handle_heartbeat(now_ms, beat, spread_ms, jitter_ms);
 }
 
 /// Symptom: requests reach an upstream for up to 2.2 s after it left. Sequence: the giver can't
@@ -45,17 +51,17 @@
     #[values(0, 900, 1_300)] list_age_ms: u64,
     #[values(0, 13, 400)] spread_ms: u64,
 ) {
-    for draw_ms in [0, spread_ms / 2, spread_ms] {
-        let mut sharing = Sharing::default();
-        hear(
+    for jitter_ms in [0, spread_ms / 2, spread_ms] {
+        let mut sharing = ReadSharing::default();
+        handle_heartbeat(
             &mut sharing,
             HEARD_MS,
             &beat(list_age_ms),
             spread_ms,
-            draw_ms,
+            jitter_ms,
         );
         let last_read_ms = HEARD_MS - list_age_ms;
-        let reads_itself_ms = sharing.followed_until_ms();
+        let reads_itself_ms = sharing.following_until_ms();
         assert!(reads_itself_ms - last_read_ms + OWN_READ_MS <= LEAVING_BOUND_MS);
     }
 }
@@ -64,9 +70,9 @@
 /// usual pace.
 #[rstest]
 fn followed_until_the_next_beat(#[values(0, 950)] list_age_ms: u64) {
-    let mut sharing = Sharing::default();
-    hear(&mut sharing, HEARD_MS, &beat(list_age_ms), 400, 400);
-    assert!(sharing.follows(HEARD_MS + 400));
+    let mut sharing = ReadSharing::default();
+    handle_heartbeat(&mut sharing, HEARD_MS, &beat(list_age_ms), 400, 400);
+    assert!(sharing.is_following(HEARD_MS + 400));
 }
 
 /// Symptom: all VMs read the list in the same millisecond, and the store can't answer in time.
@@ -75,10 +81,10 @@
 #[test]
 fn vms_end_to_rely_at_different_times() {
     let ends: std::collections::BTreeSet<u64> = (0..=400)
-        .map(|draw_ms| {
-            let mut sharing = Sharing::default();
-            hear(&mut sharing, HEARD_MS, &beat(100), 400, draw_ms);
-            sharing.followed_until_ms()
+        .map(|jitter_ms| {
+            let mut sharing = ReadSharing::default();
+            handle_heartbeat(&mut sharing, HEARD_MS, &beat(100), 400, jitter_ms);
+            sharing.following_until_ms()
         })
         .collect();
     assert_eq!(ends.len(), 401);
@@ -88,25 +94,25 @@
 /// longer than that.
 #[test]
 fn old_list_is_not_followed() {
-    let mut sharing = Sharing::default();
-    hear(&mut sharing, HEARD_MS, &beat(1_301), 0, 0);
-    assert!(!sharing.follows(HEARD_MS));
+    let mut sharing = ReadSharing::default();
+    handle_heartbeat(&mut sharing, HEARD_MS, &beat(1_301), 0, 0);
+    assert!(!sharing.is_following(HEARD_MS));
     assert!(!beat(1_301).is_fresh() && beat(1_300).is_fresh());
-    hear(&mut sharing, HEARD_MS, &beat(100), 0, 0);
-    let until_ms = sharing.followed_until_ms();
-    hear(&mut sharing, HEARD_MS + 400, &beat(1_301), 0, 0);
-    assert_eq!(sharing.followed_until_ms(), until_ms);
+    handle_heartbeat(&mut sharing, HEARD_MS, &beat(100), 0, 0);
+    let until_ms = sharing.following_until_ms();
+    handle_heartbeat(&mut sharing, HEARD_MS + 400, &beat(1_301), 0, 0);
+    assert_eq!(sharing.following_until_ms(), until_ms);
 }
 
 #[rstest]
 #[case::whole(true, Some(HEARD_MS - 300))]
 #[case::live_upstreams_may_be_missing(false, None)]
-fn only_a_whole_list_counts_for_others(#[case] list_whole: bool, #[case] read_ms: Option<u64>) {
+fn only_a_whole_list_counts_for_others(#[case] list_complete: bool, #[case] read_ms: Option<u64>) {
     let mut told = beat(300);
-    told.list_whole = list_whole;
-    assert_eq!(told.whole_list_read_ms(HEARD_MS), read_ms);
+    told.list_complete = list_complete;
+    assert_eq!(told.complete_list_read_ms(HEARD_MS), read_ms);
     assert_eq!(
-        told.whole_list_read_to(),
+        told.complete_list_read_to(),
         read_ms.map(|_| Position::new(0, 40))
     );
 }
@@ -119,8 +125,8 @@
         read_to: Position::default(),
         kind: DepartureKind::Missing,
     };
-    let mut sharing = Sharing::default();
-    sharing.note_left(HEARD_MS, departure.clone());
+    let mut sharing = ReadSharing::default();
+    sharing.record_recent_departure(HEARD_MS, departure.clone());
     assert_eq!(sharing.left(HEARD_MS + 2_400), [departure]);
     assert!(sharing.left(HEARD_MS + 2_500).is_empty());
 }
--- a/crates/fleet/tests/list_recovery.rs
+++ b/crates/fleet/tests/list_recovery.rs
@@ -28,18 +28,18 @@
 #[test]
 fn lapse_around_an_outage() {
     let mut directory = directory();
-    directory.note_entry(entry("back", 5));
-    directory.note_entry(entry("gone", 5));
-    directory.note_list_lost();
-    directory.note_list_answered(RETURN_MS);
-    let changes = directory.note_listing(RETURN_MS, Vec::new());
+    directory.record_entry(entry("back", 5));
+    directory.record_entry(entry("gone", 5));
+    directory.record_list_failure();
+    directory.record_list_answer(RETURN_MS);
+    let changes = directory.apply_listing(RETURN_MS, Vec::new());
     assert!(changes.left.is_empty());
     assert_eq!(changes.lapsed.len(), 2);
     assert_eq!(serving(&directory), 2);
-    directory.note_entry(entry("back", 6));
-    assert!(directory.note_list_read(WHOLE_MS - 1).is_empty());
+    directory.record_entry(entry("back", 6));
+    assert!(directory.drop_lapsed(WHOLE_MS - 1).is_empty());
     assert_eq!(
-        directory.note_list_read(WHOLE_MS),
+        directory.drop_lapsed(WHOLE_MS),
         [UpstreamName::from("gone")]
     );
     assert_eq!(serving(&directory), 1);
@@ -50,13 +50,13 @@
 #[test]
 fn removal_from_a_whole_list() {
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
-    directory.note_list_lost();
+    directory.record_entry(entry("e", 5));
+    directory.record_list_failure();
     for read_ms in (RETURN_MS..WHOLE_MS).step_by(READ_EVERY_MS as usize) {
-        directory.note_list_answered(read_ms);
+        directory.record_list_answer(read_ms);
     }
-    directory.note_list_answered(WHOLE_MS);
-    let change = directory.note_vanished(WHOLE_MS, &UpstreamName::from("e"));
+    directory.record_list_answer(WHOLE_MS);
+    let change = directory.record_missing_entry(WHOLE_MS, &UpstreamName::from("e"));
     assert_eq!(change, DirectoryChange::Left);
 }
 
@@ -66,14 +66,14 @@
 #[test]
 fn removal_just_before_the_list_is_whole() {
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
-    directory.note_list_lost();
-    directory.note_list_answered(RETURN_MS);
+    directory.record_entry(entry("e", 5));
+    directory.record_list_failure();
+    directory.record_list_answer(RETURN_MS);
     let name = UpstreamName::from("e");
-    let change = directory.note_vanished(WHOLE_MS - 1, &name);
+    let change = directory.record_missing_entry(WHOLE_MS - 1, &name);
     assert_eq!(change, DirectoryChange::Lapsed);
-    assert_eq!(directory.list_whole_ms(WHOLE_MS - 1), Some(WHOLE_MS));
-    assert_eq!(directory.note_list_read(WHOLE_MS), [name]);
+    assert_eq!(directory.list_complete_at_ms(WHOLE_MS - 1), Some(WHOLE_MS));
+    assert_eq!(directory.drop_lapsed(WHOLE_MS), [name]);
     assert_eq!(serving(&directory), 0);
 }
 
@@ -83,26 +83,29 @@
 fn second_outage_while_the_list_recovers() {
     const SECOND_RETURN_MS: u64 = WHOLE_MS + 700;
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
-    directory.note_list_lost();
-    directory.note_list_answered(RETURN_MS);
-    directory.note_vanished(RETURN_MS, &UpstreamName::from("e"));
-    directory.note_list_lost();
-    assert_eq!(directory.list_whole_ms(WHOLE_MS), None);
-    directory.note_list_answered(SECOND_RETURN_MS);
-    assert!(directory.note_list_read(SECOND_RETURN_MS).is_empty());
+    directory.record_entry(entry("e", 5));
+    directory.record_list_failure();
+    directory.record_list_answer(RETURN_MS);
+    directory.record_missing_entry(RETURN_MS, &UpstreamName::from("e"));
+    directory.record_list_failure();
+    assert_eq!(directory.list_complete_at_ms(WHOLE_MS), None);
+    directory.record_list_answer(SECOND_RETURN_MS);
+    assert!(directory.drop_lapsed(SECOND_RETURN_MS).is_empty());
     assert_eq!(serving(&directory), 1);
     let whole_ms = SECOND_RETURN_MS + RESTORE_MS;
-    assert_eq!(directory.list_whole_ms(SECOND_RETURN_MS), Some(whole_ms));
-    assert_eq!(directory.note_list_read(whole_ms).len(), 1);
+    assert_eq!(
+        directory.list_complete_at_ms(SECOND_RETURN_MS),
+        Some(whole_ms)
+    );
+    assert_eq!(directory.drop_lapsed(whole_ms).len(), 1);
 }
 
 #[test]
 fn leaving_upstream_does_not_lapse_gently() {
     let mut directory = directory();
-    directory.note_entry(leaving("e", 5));
-    directory.note_list_lost();
-    let change = directory.note_vanished(0, &UpstreamName::from("e"));
+    directory.record_entry(leaving("e", 5));
+    directory.record_list_failure();
+    let change = directory.record_missing_entry(0, &UpstreamName::from("e"));
     assert_eq!(change, DirectoryChange::Left);
 }
 
@@ -119,14 +122,15 @@
     let mut pacing = ReadPacing::new(80e6, 1);
     vms.into_iter().for_each(|vms| pacing.set_vms(vms));
     let mut directory = Directory::new(DirectoryOptions::default());
-    directory.note_entry(entry("e", 5));
-    directory.note_list_answered(RETURN_MS);
+    directory.record_entry(entry("e", 5));
+    directory.record_list_answer(RETURN_MS);
     let age_ms = READ_EVERY_MS + late_ms;
-    let lost_ms = age_ms + pacing.list_patience_ms(LOST_READ_MS, answer_bytes, 0, Some(age_ms));
-    directory.note_list_lost();
-    let next_ms = RETURN_MS + lost_ms + pacing.pause_ms(1) + ANSWER_MS;
-    directory.note_list_answered(next_ms);
-    let change = directory.note_vanished(next_ms, &UpstreamName::from("e"));
+    let lost_ms =
+        age_ms + pacing.list_answer_timeout_ms(LOST_READ_MS, answer_bytes, 0, Some(age_ms));
+    directory.record_list_failure();
+    let next_ms = RETURN_MS + lost_ms + pacing.retry_delay_ms(1) + ANSWER_MS;
+    directory.record_list_answer(next_ms);
+    let change = directory.record_missing_entry(next_ms, &UpstreamName::from("e"));
     assert_eq!(change, DirectoryChange::Left);
 }
 
@@ -144,10 +148,10 @@
         pacing.set_vms(300);
         pacing
     };
-    let patience_ms = new_pacing().list_patience_ms(ALONE_MS, BYTES, failures, age_ms);
+    let answer_timeout_ms = new_pacing().list_answer_timeout_ms(ALONE_MS, BYTES, failures, age_ms);
     assert_eq!(
-        patience_ms,
-        new_pacing().patience_ms(ALONE_MS, BYTES, failures)
+        answer_timeout_ms,
+        new_pacing().answer_timeout_ms(ALONE_MS, BYTES, failures)
     );
 }
 
@@ -156,10 +160,10 @@
 #[test]
 fn outage_that_was_slept_through() {
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
-    directory.note_list_answered(RETURN_MS - 2 * LAPSE_MS);
-    directory.note_list_answered(RETURN_MS);
-    let change = directory.note_vanished(RETURN_MS, &UpstreamName::from("e"));
+    directory.record_entry(entry("e", 5));
+    directory.record_list_answer(RETURN_MS - 2 * LAPSE_MS);
+    directory.record_list_answer(RETURN_MS);
+    let change = directory.record_missing_entry(RETURN_MS, &UpstreamName::from("e"));
     assert_eq!(change, DirectoryChange::Lapsed);
 }
 
@@ -168,20 +172,20 @@
 #[test]
 fn list_was_there_for_others() {
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
-    directory.note_entry(entry("f", 5));
-    directory.note_list_answered(RETURN_MS - 2 * LAPSE_MS);
-    directory.note_list_lost();
+    directory.record_entry(entry("e", 5));
+    directory.record_entry(entry("f", 5));
+    directory.record_list_answer(RETURN_MS - 2 * LAPSE_MS);
+    directory.record_list_failure();
     // This VM reads before it is told.
-    directory.note_list_answered(RETURN_MS);
-    let change = directory.note_vanished(RETURN_MS, &UpstreamName::from("e"));
+    directory.record_list_answer(RETURN_MS);
+    let change = directory.record_missing_entry(RETURN_MS, &UpstreamName::from("e"));
     assert_eq!(change, DirectoryChange::Lapsed);
-    directory.note_list_whole(RETURN_MS - 300);
+    directory.record_complete_list(RETURN_MS - 300);
     assert_eq!(
-        directory.note_list_read(RETURN_MS + 1),
+        directory.drop_lapsed(RETURN_MS + 1),
         [UpstreamName::from("e")]
     );
-    let change = directory.note_vanished(RETURN_MS + 1, &UpstreamName::from("f"));
+    let change = directory.record_missing_entry(RETURN_MS + 1, &UpstreamName::from("f"));
     assert_eq!(change, DirectoryChange::Left);
 }
 
@@ -190,12 +194,12 @@
 #[test]
 fn first_own_read_follows_an_outage() {
     let mut directory = directory();
-    directory.note_entry(entry("e", 5));
-    directory.note_list_whole(RETURN_MS - LAPSE_MS);
-    directory.note_list_answered(RETURN_MS);
-    let change = directory.note_vanished(RETURN_MS, &UpstreamName::from("e"));
+    directory.record_entry(entry("e", 5));
+    directory.record_complete_list(RETURN_MS - LAPSE_MS);
+    directory.record_list_answer(RETURN_MS);
+    let change = directory.record_missing_entry(RETURN_MS, &UpstreamName::from("e"));
     assert_eq!(change, DirectoryChange::Lapsed);
-    assert!(!directory.is_list_whole(WHOLE_MS - 1));
+    assert!(!directory.is_list_complete(WHOLE_MS - 1));
 }
 
 /// A VM does not tell others that its list is whole while it may not be: before it has read it,
@@ -203,15 +207,15 @@
 #[test]
 fn whole_list_is_told_late_enough() {
     let mut directory = directory();
-    assert!(!directory.is_list_whole(0));
-    directory.note_list_answered(RETURN_MS);
-    assert!(!directory.is_list_whole(WHOLE_MS - 1));
-    directory.note_list_answered(WHOLE_MS - 1);
-    assert!(directory.is_list_whole(WHOLE_MS));
-    directory.note_list_lost();
-    assert!(!directory.is_list_whole(WHOLE_MS));
+    assert!(!directory.is_list_complete(0));
+    directory.record_list_answer(RETURN_MS);
+    assert!(!directory.is_list_complete(WHOLE_MS - 1));
+    directory.record_list_answer(WHOLE_MS - 1);
+    assert!(directory.is_list_complete(WHOLE_MS));
+    directory.record_list_failure();
+    assert!(!directory.is_list_complete(WHOLE_MS));
     let return_ms = WHOLE_MS + 2 * LAPSE_MS;
-    directory.note_list_answered(return_ms);
-    assert!(!directory.is_list_whole(return_ms + RESTORE_MS - 1));
-    assert!(directory.is_list_whole(return_ms + RESTORE_MS));
+    directory.record_list_answer(return_ms);
+    assert!(!directory.is_list_complete(return_ms + RESTORE_MS - 1));
+    assert!(directory.is_list_complete(return_ms + RESTORE_MS));
 }
--- a/crates/fleet/tests/list_set_back.rs
+++ b/crates/fleet/tests/list_set_back.rs
@@ -25,16 +25,16 @@
 #[test]
 fn missing_entry_may_come_back() {
     let mut directory = directory();
-    directory.note_list_answered(BACK_MS - 100);
-    directory.note_entry(entry("back", 5));
-    directory.note_entry(entry("gone", 5));
-    directory.note_list_set_back(BACK_MS);
-    directory.note_list_answered(BACK_MS);
-    let changes = directory.note_listing(BACK_MS, Vec::new());
+    directory.record_list_answer(BACK_MS - 100);
+    directory.record_entry(entry("back", 5));
+    directory.record_entry(entry("gone", 5));
+    directory.record_list_rollback(BACK_MS);
+    directory.record_list_answer(BACK_MS);
+    let changes = directory.apply_listing(BACK_MS, Vec::new());
     assert_eq!((changes.lapsed.len(), changes.left.len()), (2, 0));
-    assert!(!directory.is_list_whole(BACK_MS + RESTORE_MS - 1));
-    directory.note_entry(entry("back", 6));
-    let dropped = directory.note_list_read(BACK_MS + RESTORE_MS);
+    assert!(!directory.is_list_complete(BACK_MS + RESTORE_MS - 1));
+    directory.record_entry(entry("back", 6));
+    let dropped = directory.drop_lapsed(BACK_MS + RESTORE_MS);
     assert_eq!(dropped, [UpstreamName::from("gone")]);
 }
 
@@ -45,12 +45,12 @@
 #[case::written_again(6, 1)]
 fn gone_run_in_an_older_copy(#[case] revision: u64, #[case] serves: usize) {
     let mut directory = directory();
-    directory.read_up_to(place(1, 10));
-    directory.note_entry(entry("e", 5));
-    directory.read_up_to(place(1, 11));
-    directory.note_gone(&UpstreamName::from("e"));
-    directory.read_up_to(place(2, 9));
-    directory.note_entry(entry("e", revision));
+    directory.set_read_position(place(1, 10));
+    directory.record_entry(entry("e", 5));
+    directory.set_read_position(place(1, 11));
+    directory.record_gone(&UpstreamName::from("e"));
+    directory.set_read_position(place(2, 9));
+    directory.record_entry(entry("e", revision));
     assert_eq!(serving(&directory), serves);
 }
 
@@ -58,15 +58,18 @@
 #[test]
 fn earlier_departure_of_a_live_run() {
     let mut directory = directory();
-    directory.read_up_to(place(2, 3));
-    directory.note_entry(entry("e", 7));
+    directory.set_read_position(place(2, 3));
+    directory.record_entry(entry("e", 7));
     let departure = Departure {
         upstream: UpstreamName::from("e"),
         revision: 6,
         read_to: place(1, 40),
         kind: DepartureKind::Missing,
     };
-    assert_eq!(directory.note_departure(&departure), DirectoryChange::None);
+    assert_eq!(
+        directory.record_departure(&departure),
+        DirectoryChange::None
+    );
     assert_eq!(serving(&directory), 1);
 }
 
@@ -74,11 +77,11 @@
 #[test]
 fn lost_notice_still_holds() {
     let mut directory = directory();
-    directory.read_up_to(place(1, 10));
-    directory.note_entry(entry("e", 5));
-    directory.note_entry(leaving("e", 6));
-    directory.note_list_set_back(BACK_MS);
-    directory.read_up_to(place(2, 8));
-    directory.note_listing(BACK_MS, vec![entry("e", 5)]);
+    directory.set_read_position(place(1, 10));
+    directory.record_entry(entry("e", 5));
+    directory.record_entry(leaving("e", 6));
+    directory.record_list_rollback(BACK_MS);
+    directory.set_read_position(place(2, 8));
+    directory.apply_listing(BACK_MS, vec![entry("e", 5)]);
     assert_eq!(serving(&directory), 0);
 }
--- a/crates/fleet/tests/list_copies.rs
+++ b/crates/fleet/tests/list_snapshots.rs
@@ -6,11 +6,11 @@
 use apricotdale_core::numbers::Position;
 use apricotdale_fleet::Directory;
 use apricotdale_fleet::DirectoryChange;
-use apricotdale_fleet::ListCopy;
 use apricotdale_fleet::ListRepair;
+use apricotdale_fleet::ListSnapshot;
 use apricotdale_fleet::Upstream;
-use apricotdale_fleet::held_digests;
-use apricotdale_fleet::listed_digest;
+use apricotdale_fleet::residence_digests;
+use apricotdale_fleet::serving_digest;
 use rstest::rstest;
 
 use support::directory;
@@ -23,17 +23,17 @@
 fn listing(names: &[&str]) -> Directory {
     let mut directory = directory();
     let entries = names.iter().map(|name| entry(name, 1)).collect();
-    directory.note_listing(NOW_MS, entries);
+    directory.apply_listing(NOW_MS, entries);
     directory
 }
 
 fn holding(name: &str, revision: u64, model: &str) -> Upstream {
     let mut upstream = entry(name, revision);
-    upstream.residence.note_loaded(&ModelName::from(model));
+    upstream.residence.record_loaded(&ModelName::from(model));
     upstream
 }
 
-fn over_the_wire(copy: ListCopy) -> Option<ListCopy> {
+fn over_the_wire(copy: ListSnapshot) -> Option<ListSnapshot> {
     let parts = copy.into_parts().into_iter().map(|part| {
         let bytes = postcard::to_stdvec(&part).expect("a part can be encoded");
         assert!(
@@ -43,7 +43,7 @@
         );
         postcard::from_bytes(&bytes).expect("it can be decoded")
     });
-    ListCopy::from_parts(parts.collect())
+    ListSnapshot::from_parts(parts.collect())
 }
 
 #[rstest]
@@ -54,13 +54,13 @@
     let names: Vec<String> = (0..upstreams).map(|index| format!("e{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let read = listing(&names);
-    let copy = over_the_wire(ListCopy::new(Position::new(0, 40), &read)).expect("a whole copy");
+    let copy = over_the_wire(ListSnapshot::new(Position::new(0, 40), &read)).expect("a whole copy");
     let mut told = directory();
-    told.note_copy(NOW_MS, copy.entries, true);
+    told.apply_snapshot(NOW_MS, copy.entries, true);
     assert_eq!(serving(&told), upstreams);
     assert!(told.is_listed());
-    assert_eq!(listed_digest(&told), listed_digest(&read));
-    assert_eq!(held_digests(&told), held_digests(&read));
+    assert_eq!(serving_digest(&told), serving_digest(&read));
+    assert_eq!(residence_digests(&told), residence_digests(&read));
 }
 
 /// Each VM reads a copy at its start, so what one upstream takes in it counts VMs times.
@@ -87,13 +87,13 @@
 fn parts_of_two_copies_are_none() {
     let names: Vec<String> = (0..1_100).map(|index| format!("e{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let former = ListCopy::new(Position::new(0, 40), &listing(&names)).into_parts();
-    let newer = ListCopy::new(Position::new(0, 50), &listing(&names)).into_parts();
+    let former = ListSnapshot::new(Position::new(0, 40), &listing(&names)).into_parts();
+    let newer = ListSnapshot::new(Position::new(0, 50), &listing(&names)).into_parts();
     let mixed = vec![newer[0].clone(), newer[1].clone(), former[2].clone()];
-    assert_eq!(ListCopy::from_parts(mixed), None);
-    let shorter = ListCopy::new(Position::new(0, 60), &listing(&["a"])).into_parts();
+    assert_eq!(ListSnapshot::from_parts(mixed), None);
+    let shorter = ListSnapshot::new(Position::new(0, 60), &listing(&["a"])).into_parts();
     let left_over = vec![shorter[0].clone(), former[1].clone(), former[2].clone()];
-    let copy = ListCopy::from_parts(left_over).expect("the newest is whole");
+    let copy = ListSnapshot::from_parts(left_over).expect("the newest is whole");
     assert_eq!(copy.entries.len(), 1);
 }
 
@@ -103,12 +103,12 @@
 #[test]
 fn copies_of_weights_are_not_forgotten() {
     let mut directory = directory();
-    directory.note_listing(NOW_MS, vec![holding("e", 1, "m")]);
+    directory.apply_listing(NOW_MS, vec![holding("e", 1, "m")]);
     let mut told = holding("e", 2, "m");
     told.residence.in_memory.clear();
     told.residence.on_disk.clear();
-    directory.note_told(told.clone());
-    directory.note_copy(
+    directory.record_peer_entry(told.clone());
+    directory.apply_snapshot(
         NOW_MS,
         vec![Upstream {
             revision: 3,
@@ -126,7 +126,7 @@
 #[case::older(false, 2)]
 fn upstream_that_a_copy_does_not_name(#[case] is_newer: bool, #[case] left: usize) {
     let mut directory = listing(&["a", "b"]);
-    directory.note_copy(NOW_MS, vec![entry("a", 1)], is_newer);
+    directory.apply_snapshot(NOW_MS, vec![entry("a", 1)], is_newer);
     assert_eq!(serving(&directory), left);
 }
 
@@ -136,26 +136,29 @@
     let mut directory = listing(&["a", "b"]);
     let gone = directory.upstreams().find(|it| it.name.as_str() == "b");
     let gone = gone.expect("listed").name.clone();
-    directory.note_gone(&gone);
-    directory.note_entry(leaving("a", 2));
-    directory.note_copy(NOW_MS, vec![entry("a", 1), entry("b", 1)], false);
+    directory.record_gone(&gone);
+    directory.record_entry(leaving("a", 2));
+    directory.apply_snapshot(NOW_MS, vec![entry("a", 1), entry("b", 1)], false);
     assert_eq!(serving(&directory), 0);
-    assert_eq!(directory.note_told(entry("b", 2)), DirectoryChange::Came);
+    assert_eq!(
+        directory.record_peer_entry(entry("b", 2)),
+        DirectoryChange::Added
+    );
 }
 
 #[test]
 fn digests_tell_what_differs() {
     let mut one = listing(&["a", "b"]);
     let mut other = listing(&["b", "a"]);
-    assert_eq!(listed_digest(&one), listed_digest(&other));
-    one.note_entry(holding("a", 2, "m"));
-    assert_eq!(listed_digest(&one), listed_digest(&other));
-    assert_ne!(held_digests(&one), held_digests(&other));
+    assert_eq!(serving_digest(&one), serving_digest(&other));
+    one.record_entry(holding("a", 2, "m"));
+    assert_eq!(serving_digest(&one), serving_digest(&other));
+    assert_ne!(residence_digests(&one), residence_digests(&other));
     // Heartbeats alone make no difference.
-    other.note_entry(holding("a", 9, "m"));
-    assert_eq!(held_digests(&one), held_digests(&other));
-    other.note_entry(leaving("b", 2));
-    assert_ne!(listed_digest(&one), listed_digest(&other));
+    other.record_entry(holding("a", 9, "m"));
+    assert_eq!(residence_digests(&one), residence_digests(&other));
+    other.record_entry(leaving("b", 2));
+    assert_ne!(serving_digest(&one), serving_digest(&other));
 }
 
 fn heard_differing(repair: &mut ListRepair, from_ms: u64, to_ms: u64) -> Vec<u64> {
@@ -174,25 +177,25 @@
 
 /// A VM whose list stays another asks ever more seldom.
 #[rstest]
-#[case::listed(ListRepair::of_listed(), 500)]
-#[case::held(ListRepair::of_held(), 3_000)]
-#[case::uncopied(ListRepair::of_uncopied(), 6_000)]
-fn repairs_become_seldom(#[case] mut repair: ListRepair, #[case] patience_ms: u64) {
+#[case::listed(ListRepair::for_serving_upstreams(), 500)]
+#[case::held(ListRepair::for_residences(), 3_000)]
+#[case::uncopied(ListRepair::without_snapshot(), 6_000)]
+fn repairs_become_seldom(#[case] mut repair: ListRepair, #[case] answer_timeout_ms: u64) {
     let repairs = heard_differing(&mut repair, 0, 60_000);
-    assert!(repairs[0] >= patience_ms && repairs[0] < patience_ms + 500);
+    assert!(repairs[0] >= answer_timeout_ms && repairs[0] < answer_timeout_ms + 500);
     assert!(repairs.len() < 8, "{repairs:?}");
     repair.heard(60_000, &[true], 7);
     assert_eq!(repair.due_ms(), None);
     assert_eq!(
         heard_differing(&mut repair, 60_001, 62_000).is_empty(),
-        patience_ms > 1_999
+        answer_timeout_ms > 1_999
     );
 }
 
 /// A message on its way is no reason to read.
 #[test]
 fn short_difference_is_left_alone() {
-    let mut repair = ListRepair::of_listed();
+    let mut repair = ListRepair::for_serving_upstreams();
     repair.heard(1_000, &[false], 0);
     repair.heard(1_400, &[true], 0);
     repair.heard(1_800, &[false], 0);
@@ -205,7 +208,7 @@
 /// digest over all engines differs at every moment.
 #[test]
 fn groups_that_differ_in_turn_are_left_alone() {
-    let mut repair = ListRepair::of_held();
+    let mut repair = ListRepair::for_residences();
     for beat in 0..200_usize {
         let same: Vec<bool> = (0..16).map(|group| (group + beat) % 4 != 0).collect();
         repair.heard(beat as u64 * 400, &same, 0);
--- a/crates/fleet/tests/read_storms.rs
+++ b/crates/fleet/tests/read_storms.rs
@@ -6,7 +6,7 @@
 
 use apricotdale_fleet::Freshness;
 use apricotdale_fleet::ReadPacing;
-use apricotdale_fleet::Sharing;
+use apricotdale_fleet::ReadSharing;
 use rstest::rstest;
 
 /// What the store sends in a millisecond.
@@ -60,8 +60,8 @@
 }
 
 impl Reading {
-    fn begin(store: &mut Store, now_ms: u64, bytes: u64, patience_ms: u64) -> Self {
-        let given_up_ms = now_ms + patience_ms;
+    fn begin(store: &mut Store, now_ms: u64, bytes: u64, answer_timeout_ms: u64) -> Self {
+        let given_up_ms = now_ms + answer_timeout_ms;
         match store.answered_ms(now_ms, bytes) {
             Some(ends_ms) if ends_ms <= given_up_ms => Self {
                 ends_ms,
@@ -78,7 +78,7 @@
 /// One VM's reading of the list.
 struct Vm {
     pacing: ReadPacing,
-    sharing: Sharing,
+    sharing: ReadSharing,
     /// Up to when it knows the list.
     known_ms: u64,
     /// When it last read the list itself.
@@ -95,7 +95,7 @@
         pacing.set_vms(vms);
         Self {
             pacing,
-            sharing: Sharing::default(),
+            sharing: ReadSharing::default(),
             known_ms,
             read_ms: None,
             next_ms: 0,
@@ -105,17 +105,17 @@
         }
     }
 
-    fn hear(&mut self, now_ms: u64, list_age_ms: u64) {
+    fn handle_heartbeat(&mut self, now_ms: u64, list_age_ms: u64) {
         let fresh = Freshness {
             configuration: 1,
             configuration_age_ms: Some(0),
             list_age_ms: Some(list_age_ms),
-            list_whole: true,
+            list_complete: true,
             ..Freshness::default()
         };
-        let draw_ms = self.pacing.draw_ms();
+        let jitter_ms = self.pacing.jitter_ms();
         self.sharing
-            .hear(now_ms, &fresh, self.pacing.spread_ms(), draw_ms);
+            .handle_heartbeat(now_ms, &fresh, self.pacing.spread_ms(), jitter_ms);
         self.known_ms = self.known_ms.max(now_ms - list_age_ms);
     }
 }
@@ -168,7 +168,7 @@
         self.told.retain(|(at_ms, _)| *at_ms > now_ms);
         for vm in &mut self.vms {
             for read_ms in &arrived {
-                vm.hear(now_ms, now_ms - read_ms);
+                vm.handle_heartbeat(now_ms, now_ms - read_ms);
             }
             if let Some(ended) = vm.reading.take_if(|it| it.ends_ms <= now_ms) {
                 if ended.is_answered {
@@ -176,15 +176,15 @@
                     vm.known_ms = now_ms;
                     vm.read_ms = Some(now_ms);
                     vm.next_ms = now_ms + OWN_READ_EVERY_MS;
-                    if !vm.sharing.follows(now_ms) {
+                    if !vm.sharing.is_following(now_ms) {
                         self.told.push((now_ms + DATAGRAM_MS, now_ms));
                     }
                 } else {
                     vm.failures += 1;
-                    vm.next_ms = now_ms + vm.pacing.pause_ms(vm.failures);
+                    vm.next_ms = now_ms + vm.pacing.retry_delay_ms(vm.failures);
                 }
             }
-            if vm.sharing.follows(now_ms) {
+            if vm.sharing.is_following(now_ms) {
                 vm.turn_ms = None;
                 continue;
             }
@@ -196,10 +196,15 @@
                 let backlog = (now_ms - vm.known_ms) * self.list_bytes_a_ms;
                 let bytes = backlog.min(self.list_bytes);
                 let age_ms = vm.read_ms.map(|read_ms| now_ms - read_ms);
-                let patience_ms =
+                let answer_timeout_ms =
                     vm.pacing
-                        .list_patience_ms(ALONE_MS, bytes as usize, vm.failures, age_ms);
-                vm.reading = Some(Reading::begin(&mut self.store, now_ms, bytes, patience_ms));
+                        .list_answer_timeout_ms(ALONE_MS, bytes as usize, vm.failures, age_ms);
+                vm.reading = Some(Reading::begin(
+                    &mut self.store,
+                    now_ms,
+                    bytes,
+                    answer_timeout_ms,
+                ));
             }
         }
     }
@@ -252,7 +257,7 @@
     const END_MS: u64 = LOST_MS + 10_000;
     let mut fleet = Fleet::new(vms, LOST_MS - 400, 0).with_upstreams(upstreams);
     for vm in &mut fleet.vms {
-        vm.hear(LOST_MS, 400);
+        vm.handle_heartbeat(LOST_MS, 400);
     }
     let mut oldest_ms = 0;
     for now_ms in LOST_MS..END_MS {
@@ -329,8 +334,8 @@
     let mut served_ms = 0;
     for bytes in [CONFIGURATION_BYTES, COPY_BYTES] {
         for _ in 0..vms {
-            let patience_ms = pacing.patience_ms(500, 64 * 1024, 0);
-            let reading = Reading::begin(&mut store, 0, bytes, patience_ms);
+            let answer_timeout_ms = pacing.answer_timeout_ms(500, 64 * 1024, 0);
+            let reading = Reading::begin(&mut store, 0, bytes, answer_timeout_ms);
             assert!(reading.is_answered);
             served_ms = served_ms.max(reading.ends_ms);
         }
--- a/crates/fleet/tests/told_departures.rs
+++ b/crates/fleet/tests/told_departures.rs
@@ -19,35 +19,35 @@
 #[test]
 fn told_missing_is_taken_back_by_a_newer_entry() {
     let mut reader = directory();
-    reader.note_entry(entry("e", 5));
-    reader.note_vanished(0, &UpstreamName::from("e"));
+    reader.record_entry(entry("e", 5));
+    reader.record_missing_entry(0, &UpstreamName::from("e"));
     let missing = reader.departure(&UpstreamName::from("e")).expect("it left");
     assert_eq!(missing.kind, DepartureKind::Missing);
     let mut told = directory();
-    told.note_entry(entry("e", 4));
-    assert_eq!(told.note_departure(&missing), DirectoryChange::Left);
+    told.record_entry(entry("e", 4));
+    assert_eq!(told.record_departure(&missing), DirectoryChange::Left);
     // The entry that the reader knew may be read here after the telling.
-    told.note_entry(entry("e", 5));
+    told.record_entry(entry("e", 5));
     assert_eq!(serving(&told), 0);
-    assert_eq!(told.note_entry(entry("e", 6)), DirectoryChange::Came);
+    assert_eq!(told.record_entry(entry("e", 6)), DirectoryChange::Added);
     assert_eq!(serving(&told), 1);
     // The telling is repeated, and comes late.
-    assert_eq!(told.note_departure(&missing), DirectoryChange::None);
+    assert_eq!(told.record_departure(&missing), DirectoryChange::None);
     assert_eq!(serving(&told), 1);
 }
 
 #[test]
 fn told_notice_is_final() {
     let mut reader = directory();
-    reader.note_entry(entry("e", 5));
-    reader.note_entry(leaving("e", 6));
+    reader.record_entry(entry("e", 5));
+    reader.record_entry(leaving("e", 6));
     let notice = reader.departure(&UpstreamName::from("e")).expect("it left");
     assert_eq!(notice.kind, DepartureKind::Final);
     let mut told = directory();
-    told.note_entry(entry("e", 5));
-    assert_eq!(told.note_departure(&notice), DirectoryChange::Left);
-    assert_eq!(told.note_departure(&notice), DirectoryChange::None);
-    told.note_entry(entry("e", 7));
+    told.record_entry(entry("e", 5));
+    assert_eq!(told.record_departure(&notice), DirectoryChange::Left);
+    assert_eq!(told.record_departure(&notice), DirectoryChange::None);
+    told.record_entry(entry("e", 7));
     assert_eq!(serving(&told), 0);
 }
 
@@ -56,7 +56,7 @@
     let mut directory = directory();
     let name = UpstreamName::from("e");
     assert_eq!(directory.departure(&name), None);
-    directory.note_entry(entry("e", 5));
+    directory.record_entry(entry("e", 5));
     assert_eq!(directory.departure(&name), None);
 }
 
@@ -84,17 +84,17 @@
 #[test]
 fn copy_from_before_the_removal() {
     let mut vm = directory();
-    vm.read_up_to(Position::new(0, 10));
-    vm.note_listing(1_000, vec![entry("e", 1), entry("other", 1)]);
-    vm.note_list_same(READ);
+    vm.set_read_position(Position::new(0, 10));
+    vm.apply_listing(1_000, vec![entry("e", 1), entry("other", 1)]);
+    vm.record_same_list(READ);
     let name = entry("e", 1).name;
-    vm.read_up_to(MISSING_AT);
-    assert_eq!(vm.note_vanished(1_000, &name), DirectoryChange::Left);
-    vm.read_up_to(READ);
-    vm.note_copy(1_000, vec![entry("e", 50), entry("other", 50)], false);
+    vm.set_read_position(MISSING_AT);
+    assert_eq!(vm.record_missing_entry(1_000, &name), DirectoryChange::Left);
+    vm.set_read_position(READ);
+    vm.apply_snapshot(1_000, vec![entry("e", 50), entry("other", 50)], false);
     assert_eq!(serving(&vm), 1);
-    vm.read_up_to(MISSING_AT.after(1));
-    assert_eq!(vm.note_entry(entry("e", 51)), DirectoryChange::Came);
+    vm.set_read_position(MISSING_AT.after(1));
+    assert_eq!(vm.record_entry(entry("e", 51)), DirectoryChange::Added);
 }
 
 /// The same at a VM that had read the later revisions and is told of the removal: it must not take
@@ -102,20 +102,20 @@
 #[test]
 fn departure_told_with_an_old_revision() {
     let mut vm = directory();
-    vm.read_up_to(READ);
-    vm.note_listing(1_000, vec![entry("e", 50)]);
+    vm.set_read_position(READ);
+    vm.apply_listing(1_000, vec![entry("e", 50)]);
     let departure = Departure {
         upstream: entry("e", 1).name,
         revision: 1,
         read_to: MISSING_AT,
         kind: DepartureKind::Missing,
     };
-    assert_eq!(vm.note_departure(&departure), DirectoryChange::Left);
+    assert_eq!(vm.record_departure(&departure), DirectoryChange::Left);
     // What was told before it left, and comes later.
-    vm.read_up_to(READ);
-    assert_eq!(vm.note_told(entry("e", 60)), DirectoryChange::None);
-    vm.read_up_to(MISSING_AT.after(5));
-    assert_eq!(vm.note_told(entry("e", 60)), DirectoryChange::Came);
+    vm.set_read_position(READ);
+    assert_eq!(vm.record_peer_entry(entry("e", 60)), DirectoryChange::None);
+    vm.set_read_position(MISSING_AT.after(5));
+    assert_eq!(vm.record_peer_entry(entry("e", 60)), DirectoryChange::Added);
     // The departure is told for seconds; the upstream is back.
-    assert_eq!(vm.note_departure(&departure), DirectoryChange::None);
+    assert_eq!(vm.record_departure(&departure), DirectoryChange::None);
 }
--- a/crates/fleet/tests/upstream_restarts.rs
+++ b/crates/fleet/tests/upstream_restarts.rs
@@ -12,7 +12,7 @@
 use apricotdale_fleet::Residence;
 use apricotdale_fleet::Upstream;
 use apricotdale_fleet::UpstreamPhase;
-use apricotdale_fleet::run_name;
+use apricotdale_fleet::incarnation_name;
 use rstest::rstest;
 
 const FIRST_MS: u64 = 1_000;
@@ -27,10 +27,10 @@
     let instance = InstanceName::from("e");
     let mut residence = Residence::default();
     for model in models {
-        residence.note_loaded(&ModelName::from(*model));
+        residence.record_loaded(&ModelName::from(*model));
     }
     Upstream {
-        name: run_name(&instance, born_ms),
+        name: incarnation_name(&instance, born_ms),
         born_ms,
         residence,
         ..support::entry("e", revision)
@@ -38,7 +38,7 @@
 }
 
 fn run(born_ms: u64) -> UpstreamName {
-    run_name(&InstanceName::from("e"), born_ms)
+    incarnation_name(&InstanceName::from("e"), born_ms)
 }
 
 fn serving(directory: &Directory) -> Vec<UpstreamName> {
@@ -53,8 +53,8 @@
 #[test]
 fn lower_revision_of_a_later_run() {
     let mut directory = directory();
-    directory.note_entry(entry(FIRST_MS, 40, &["m"]));
-    let change = directory.note_entry(entry(SECOND_MS, 1, &[]));
+    directory.record_entry(entry(FIRST_MS, 40, &["m"]));
+    let change = directory.record_entry(entry(SECOND_MS, 1, &[]));
     let former = run(FIRST_MS);
     assert_eq!(change, DirectoryChange::Restarted { former });
     assert_eq!(serving(&directory), [run(SECOND_MS)]);
@@ -71,12 +71,12 @@
 #[case::after_it_is_gone(true)]
 fn late_entry_of_the_former_run(#[case] gone: bool) {
     let mut directory = directory();
-    directory.note_entry(entry(FIRST_MS, 40, &["m"]));
-    directory.note_entry(entry(SECOND_MS, 1, &[]));
+    directory.record_entry(entry(FIRST_MS, 40, &["m"]));
+    directory.record_entry(entry(SECOND_MS, 1, &[]));
     if gone {
-        directory.note_vanished(0, &run(SECOND_MS));
+        directory.record_missing_entry(0, &run(SECOND_MS));
     }
-    let change = directory.note_entry(entry(FIRST_MS, 41, &["m"]));
+    let change = directory.record_entry(entry(FIRST_MS, 41, &["m"]));
     assert_eq!(change, DirectoryChange::None);
     assert_eq!(serving(&directory).len(), usize::from(!gone));
     assert!(directory.upstream(&run(FIRST_MS)).is_none());
@@ -87,22 +87,22 @@
 #[test]
 fn notice_ends_with_the_run() {
     let mut directory = directory();
-    directory.note_entry(Upstream {
+    directory.record_entry(Upstream {
         phase: UpstreamPhase::Leaving,
         ..entry(FIRST_MS, 7, &["m"])
     });
-    directory.note_entry(entry(SECOND_MS, 1, &[]));
+    directory.record_entry(entry(SECOND_MS, 1, &[]));
     assert_eq!(serving(&directory), [run(SECOND_MS)]);
 }
 
 #[test]
 fn two_restarts_between_two_reads() {
     let mut directory = directory();
-    directory.note_entry(entry(FIRST_MS, 9, &["m"]));
-    let change = directory.note_entry(entry(THIRD_MS, 2, &[]));
+    directory.record_entry(entry(FIRST_MS, 9, &["m"]));
+    let change = directory.record_entry(entry(THIRD_MS, 2, &[]));
     let former = run(FIRST_MS);
     assert_eq!(change, DirectoryChange::Restarted { former });
-    let change = directory.note_entry(entry(SECOND_MS, 30, &["m"]));
+    let change = directory.record_entry(entry(SECOND_MS, 30, &["m"]));
     assert_eq!(change, DirectoryChange::None);
     assert_eq!(serving(&directory), [run(THIRD_MS)]);
 }
@@ -112,32 +112,32 @@
 #[test]
 fn restart_told_by_a_report() {
     let mut directory = directory();
-    directory.note_entry(entry(FIRST_MS, 9, &["m"]));
-    let change = directory.note_restart(&run(FIRST_MS), SECOND_MS, Residence::default());
+    directory.record_entry(entry(FIRST_MS, 9, &["m"]));
+    let change = directory.record_restart(&run(FIRST_MS), SECOND_MS, Residence::default());
     let former = run(FIRST_MS);
     assert_eq!(change, DirectoryChange::Restarted { former });
     assert_eq!(serving(&directory), [run(SECOND_MS)]);
-    let late = directory.note_restart(&run(FIRST_MS), SECOND_MS, Residence::default());
+    let late = directory.record_restart(&run(FIRST_MS), SECOND_MS, Residence::default());
     assert_eq!(late, DirectoryChange::None);
     // The run's own entry follows and is no further restart.
-    let change = directory.note_entry(entry(SECOND_MS, 1, &["n"]));
+    let change = directory.record_entry(entry(SECOND_MS, 1, &["n"]));
     assert_eq!(change, DirectoryChange::Residence);
 }
 
 #[test]
 fn restart_in_a_whole_list() {
     let mut directory = directory();
-    directory.note_entry(entry(FIRST_MS, 9, &["m"]));
-    directory.note_list_lost();
-    directory.note_list_answered(0);
+    directory.record_entry(entry(FIRST_MS, 9, &["m"]));
+    directory.record_list_failure();
+    directory.record_list_answer(0);
     let left = directory
-        .note_listing(0, vec![entry(SECOND_MS, 1, &[])])
+        .apply_listing(0, vec![entry(SECOND_MS, 1, &[])])
         .left;
     assert_eq!(left, [run(FIRST_MS)]);
     assert!(directory.has_restarted(&run(FIRST_MS)));
     // A list that is older than what is known takes nothing back.
     let left = directory
-        .note_listing(0, vec![entry(FIRST_MS, 9, &["m"])])
+        .apply_listing(0, vec![entry(FIRST_MS, 9, &["m"])])
         .left;
     assert!(left.is_empty());
     assert_eq!(serving(&directory), [run(SECOND_MS)]);
@@ -151,11 +151,17 @@
 fn own_entry_after_a_foreign_one() {
     let mut directory = directory();
     let instance = InstanceName::from("e");
-    directory.note_entry(entry(FIRST_MS, 9, &["m"]));
-    assert_eq!(directory.note_foreign(&instance), DirectoryChange::Left);
-    assert_eq!(directory.note_foreign(&instance), DirectoryChange::None);
+    directory.record_entry(entry(FIRST_MS, 9, &["m"]));
+    assert_eq!(
+        directory.record_foreign_entry(&instance),
+        DirectoryChange::Left
+    );
+    assert_eq!(
+        directory.record_foreign_entry(&instance),
+        DirectoryChange::None
+    );
     assert!(serving(&directory).is_empty());
-    let change = directory.note_entry(entry(FIRST_MS, 10, &["m"]));
-    assert_eq!(change, DirectoryChange::Came);
+    let change = directory.record_entry(entry(FIRST_MS, 10, &["m"]));
+    assert_eq!(change, DirectoryChange::Added);
     assert!(!directory.has_restarted(&run(FIRST_MS)));
 }
--- a/crates/holder/benches/planning.rs
+++ b/crates/holder/benches/planning.rs
@@ -106,7 +106,7 @@
         .expect("a first configuration");
     for engine in 0..ENGINES {
         let name = UpstreamName::from(format!("e{engine}"));
-        directory.note_entry(Upstream {
+        directory.record_entry(Upstream {
             instance: InstanceName::from(name.as_str()),
             name,
             born_ms: 0,
--- a/crates/holder/src/following.rs
+++ b/crates/holder/src/following.rs
@@ -174,7 +174,7 @@
         let mut residence = report.residence.clone();
         residence.on_disk.extend(self.residence.on_disk.drain());
         for (model, adapter) in &report.coming {
-            residence.note_adapter(model, adapter);
+            residence.record_adapter_loaded(model, adapter);
         }
         self.coming.clone_from(&report.coming);
         self.residence = residence;
@@ -184,20 +184,20 @@
     pub(crate) fn note_done(&mut self, kind: &OrderKind) -> PlannerAction {
         let (model, adapter, present) = match kind {
             OrderKind::LoadModel(model) => {
-                self.residence.note_loaded(model);
+                self.residence.record_loaded(model);
                 (model, None, true)
             }
             OrderKind::UnloadModel(model) => {
-                self.residence.note_unloaded(model);
+                self.residence.record_unloaded(model);
                 (model, None, false)
             }
             OrderKind::LoadAdapter { model, adapter } => {
-                self.residence.note_adapter(model, adapter);
+                self.residence.record_adapter_loaded(model, adapter);
                 self.note_adapter_use(model, adapter);
                 (model, Some(adapter.clone()), true)
             }
             OrderKind::UnloadAdapter { model, adapter } => {
-                self.residence.note_adapter_gone(model, adapter);
+                self.residence.record_adapter_unloaded(model, adapter);
                 (model, Some(adapter.clone()), false)
             }
         };
--- a/crates/holder/src/planner.rs
+++ b/crates/holder/src/planner.rs
@@ -123,7 +123,7 @@
             // An entry that another VM told names no copies.
             if let Some(entry) = directory
                 .upstream(&engine.name)
-                .filter(|entry| entry.residence.names_copies())
+                .filter(|entry| entry.residence.has_cached_copies())
             {
                 engine
                     .residence
--- a/crates/holder/src/unconfirmed.rs
+++ b/crates/holder/src/unconfirmed.rs
@@ -117,7 +117,7 @@
         let took_ms = now_ms.saturating_sub(order.since_ms) as f64;
         let later_share = LATER_SHARE * f64::from(1_u32 << order.taken_back.min(4));
         let factor = took_ms / configured_ms + later_share;
-        self.residence.note_unloaded(&model);
+        self.residence.record_unloaded(&model);
         self.in_progress = Some(match factor <= MOST_LOAD_FACTOR {
             true => {
                 self.load_factor = self.load_factor.max(factor);
@@ -128,7 +128,7 @@
                 }
             }
             false => {
-                self.residence.note_copy_gone(&model);
+                self.residence.record_uncached(&model);
                 InProgress {
                     tier: Tier::Store,
                     configured_ms: store_load_ms,
--- a/crates/holder/tests/crashing_loads.rs
+++ b/crates/holder/tests/crashing_loads.rs
@@ -36,10 +36,10 @@
             let mut entry = world.directory.upstream(&engine).cloned().expect("listed");
             entry.phase = UpstreamPhase::Leaving;
             entry.revision += 1;
-            world.directory.note_entry(entry);
+            world.directory.record_entry(entry);
             world.run(20);
         }
-        world.directory.note_gone(&engine);
+        world.directory.record_gone(&engine);
         world.run(1_500);
     }
     6
--- a/crates/holder/tests/support/engine.rs
+++ b/crates/holder/tests/support/engine.rs
@@ -65,7 +65,7 @@
     pub fn new(models: &[&str]) -> Self {
         let mut residence = Residence::default();
         for model in models {
-            residence.note_loaded(&ModelName::from(*model));
+            residence.record_loaded(&ModelName::from(*model));
         }
         Self {
             residence,
@@ -106,7 +106,7 @@
             .extract_if(.., |(.., at_ms)| *at_ms <= now_ms)
             .collect();
         for (model, adapter, _) in arrived {
-            self.residence.note_adapter(&model, &adapter);
+            self.residence.record_adapter_loaded(&model, &adapter);
         }
         let late: Vec<_> = self
             .late
@@ -135,11 +135,11 @@
         match kind {
             OrderKind::LoadModel(model) => {
                 let from_store = !self.residence.on_disk.contains(&model);
-                self.residence.note_loaded(&model);
+                self.residence.record_loaded(&model);
                 self.loads.push((model, from_store));
             }
             OrderKind::UnloadModel(model) => {
-                self.residence.note_unloaded(&model);
+                self.residence.record_unloaded(&model);
             }
             OrderKind::LoadAdapter { .. } | OrderKind::UnloadAdapter { .. } => {}
         }
@@ -227,7 +227,7 @@
                     .push((model.clone(), adapter.clone(), now_ms + ADAPTER_MS));
             }
             OrderKind::UnloadAdapter { model, adapter } => {
-                self.residence.note_adapter_gone(model, adapter);
+                self.residence.record_adapter_unloaded(model, adapter);
                 self.orders_taken += 1;
                 return OrderOutcome::DoneAtOnce;
             }
--- a/crates/holder/tests/support/mod.rs
+++ b/crates/holder/tests/support/mod.rs
@@ -132,7 +132,7 @@
         for (index, models) in engines.iter().enumerate() {
             let name = UpstreamName::from(format!("e{index}"));
             let fake = FakeEngine::new(models);
-            directory.note_entry(Upstream {
+            directory.record_entry(Upstream {
                 name: name.clone(),
                 instance: InstanceName::from(name.as_str()),
                 born_ms: 0,
@@ -181,7 +181,7 @@
         let mut entry = self.directory.upstream(&name).cloned().expect("listed");
         entry.revision += 1;
         entry.residence.on_disk.insert(model);
-        self.directory.note_entry(entry);
+        self.directory.record_entry(entry);
     }
 
     /// Tells the demand of one VM for a model: requests that wait, and new ones.
