--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -7,22 +7,22 @@
 use apricotdale_core::names::ModelName;
 use apricotdale_organisations::Organisations;
 
-/// `RouteKind` says what is answered on a route and what may be repeated.
+/// How a route answers and whether its requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// One answer; a request may run more than once.
+    /// A single answer; a request may run more than once.
     Idempotent,
-    /// One answer; a request runs at most once.
+    /// A single answer; a request runs at most once.
     NonIdempotent,
-    /// A stream of events; a request runs at most once unless the stream may be resumed.
+    /// A stream of events; a request runs at most once unless the stream is resumable.
     Stream {
-        /// Whether another upstream may go on after the last event that was passed on.
+        /// Whether another upstream may resume after the last event that was delivered.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Returns whether a request may be sent again after it may have run.
+    /// Returns whether a request may be retried after it may have run.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
@@ -33,44 +33,45 @@
     }
 }
 
-/// `SplitShare` is the part of a route's requests that goes to one service.
+/// Weighted share of a route's requests that goes to one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SplitShare {
-    /// The service.
+    /// Service that serves the requests.
     pub service: GroupName,
-    /// Its weight against the other shares of the route.
+    /// Weight relative to the other shares of the route; 0 for no requests.
     pub weight: u32,
 }
 
-/// `Route` says what happens with the requests of one host and path prefix.
+/// Handling of the requests with one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The route's name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// The host, in lower case.
+    /// Host in lower case, without a port.
     pub host: String,
-    /// The beginning of the path, from slash to slash.
+    /// Beginning of the path, with a slash at both ends.
     pub path_prefix: String,
-    /// What is answered and what may be repeated.
+    /// How the route answers and whether its requests may be retried.
     pub kind: RouteKind,
-    /// The longest time that a request may be kept waiting.
+    /// Maximum time in milliseconds that a request may be kept waiting.
     pub timeout_ms: u64,
-    /// The time within which an answer (of a stream, its first event) is on time.
+    /// Time in milliseconds within which an answer, or the first event of a stream, is on time.
     pub target_ms: u64,
-    /// The longest pause between two events of a stream that is on time.
+    /// Longest interval in milliseconds between two events of a stream that is on time.
     pub gap_target_ms: u64,
-    /// The most upstreams on which one request may run.
+    /// Maximum number of upstreams on which one request may run.
     pub attempts: u32,
-    /// The rank of the class; 0 goes first.
+    /// Priority rank of the route's requests; rank 0 is served first.
     pub rank: u32,
-    /// The services that take the requests; one, unless the route is split.
+    /// Services of the route: one, unless its traffic is split.
     pub shares: Vec<SplitShare>,
-    /// Whether it is served without a key.
+    /// Whether requests are served without an API key.
     pub public: bool,
 }
 
 impl Route {
-    /// Returns the service for a request, chosen by `draw`, a number spread evenly over all values.
+    /// Returns the service for a request. `draw` is a uniformly distributed random number. `None`
+    /// if the weights add up to 0.
     pub fn service(&self, draw: u64) -> Option<&GroupName> {
         let total: u64 = self
             .shares
@@ -91,66 +92,67 @@
     }
 }
 
-/// `ModelSpec` is one model of a service's catalogue.
+/// Model in the catalogue of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSpec {
-    /// The memory that its weights take.
+    /// Memory that the weights take, in megabytes.
     pub size_mb: f64,
-    /// How long a load from the weight store takes at full speed.
+    /// Duration in milliseconds of a load from the weight store at full speed.
     pub store_load_ms: u64,
-    /// How long a load from the engine's disk takes.
+    /// Duration in milliseconds of a load from the engine's disk.
     pub disk_load_ms: u64,
-    /// How long a load from the engine's host memory takes.
+    /// Duration in milliseconds of a load from the memory of the engine's host.
     pub memory_load_ms: u64,
-    /// How many adapters it has.
+    /// Number of adapters of the model.
     pub adapters: u32,
-    /// The memory that one adapter takes.
+    /// Memory that one adapter takes, in megabytes.
     pub adapter_mb: f64,
 }
 
-/// `EngineSpec` is what the engines of a service are like.
+/// Properties that all engines of a service share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests in one batch.
+    /// Number of requests in one batch.
     pub slots: u32,
-    /// Tokens that fit into the KV cache.
+    /// Capacity of the KV cache in tokens.
     pub kv_tokens: u64,
-    /// Memory for weights and adapters.
+    /// Memory for weights and adapters, in megabytes.
     pub memory_mb: f64,
-    /// Adapters that one engine can hold.
+    /// Maximum number of adapters that one engine can hold.
     pub adapter_slots: u32,
-    /// Loads that the weight store lets begin in a second, over all engines.
+    /// Rate at which the weight store admits new loads, over all engines.
     pub store_loads_per_s: f64,
-    /// The catalogue.
+    /// Catalogue of models by name.
     pub models: HashMap<ModelName, ModelSpec>,
 }
 
-/// `Service` is a group of equal upstreams.
+/// Group of interchangeable upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name by which routes and upstreams refer to the service.
     pub name: GroupName,
-    /// The most connections that one upstream accepts, from all VMs together.
+    /// Maximum number of connections that one upstream accepts, from all VMs together.
     pub max_connections: u32,
-    /// The model engines' data, or none for a plain service.
+    /// Properties of the service's model engines; `None` for a service without engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// `CallerLimits` bound what a caller may send and how long it may take.
+/// Limits on the size and duration of what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest head.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// The largest body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// The longest time for a head.
+    /// Maximum time in milliseconds for receiving a head.
     pub head_timeout_ms: u64,
-    /// The longest time without a request.
+    /// Maximum time in milliseconds that a connection may stay open without a request.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Returns the limits of the users' deployments, which hold until a configuration is known.
+    /// Returns the limits that apply until a configuration is known: those of the users'
+    /// deployments.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -161,17 +163,17 @@
     }
 }
 
-/// `Configuration` is one version of what the operators decided.
+/// One version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Grows with each change, in uneven steps.
+    /// Version, which increases with each change, in steps of any size; 0 for no configuration.
     pub version: u64,
-    /// The routes.
+    /// Routes in no particular order.
     pub routes: Vec<Arc<Route>>,
-    /// The services.
+    /// Services by name.
     pub services: HashMap<GroupName, Arc<Service>>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
-    /// The organisations, whose keys callers must present; none if requests carry no keys.
+    /// Organisations whose keys callers must present; `None` if requests carry no keys.
     pub organisations: Option<Organisations>,
 }
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -1,31 +1,33 @@
-//! What VMs tell each other of upstreams that take no new work any more.
+//! Announcements between VMs of upstreams that no longer accept new work.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::numbers::Position;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `DepartureKind` is how it is known that an upstream takes no new work.
+/// How it became known that an upstream accepts no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DepartureKind {
-    /// By its own notice, or because its instance has started again. That is final.
+    /// By the upstream's own notice, or because its instance has restarted. Final.
     Final,
-    /// Its entry is not there, or is another writer's. A live upstream may write it again, so a
-    /// newer entry takes this back. Without the difference a VM that was told, and that missed the
-    /// removal itself, would send nothing to a live upstream until that ends.
+    /// The upstream's entry is missing or was overwritten by another writer. A live upstream may
+    /// write it again, so a newer entry revokes the departure. If it were final, a VM that received
+    /// the announcement, and that missed the removal itself, would send nothing to a live upstream
+    /// until that upstream's incarnation ends.
     Missing,
 }
 
-/// `Departure` is an upstream that takes no new work.
+/// Departure of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
-    /// The upstream.
+    /// Incarnation that accepts no new work.
     pub upstream: UpstreamName,
-    /// The last revision of its entry that was read. An entry that is newer was written later.
+    /// Last revision of its entry that was read. An entry with a higher one was written later.
     pub revision: u64,
-    /// How far the list had been read when the entry was missing, if that is known. It counts
-    /// before the revision: a VM that is told of the list need not have read the last one.
+    /// Position up to which the upstream list had been read when the entry was missing; the default
+    /// if unknown. It takes precedence over the revision: a VM that receives announcements need not
+    /// have read the last revision.
     pub read_to: Position,
-    /// How it is known.
+    /// How the departure became known.
     pub kind: DepartureKind,
 }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,6 +1,6 @@
-//! The newest configuration and the upstreams.
+//! The configuration in force and the known upstreams.
 
-mod departing;
+mod departures;
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -18,21 +18,23 @@
 use crate::errors::Result;
 use crate::list_recovery::ListRecovery;
 use crate::residence::Residence;
-use crate::routes::RouteTable;
+use crate::route_table::RouteTable;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamPhase;
 use crate::upstream::incarnation_name;
 
-/// `DirectoryOptions` are the directory's times.
+/// Time limits that decide how a missing entry of the upstream list is interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DirectoryOptions {
-    /// The shortest time without an answered read of the list, here or at another VM, in which
-    /// entries can lapse. They do after three heartbeats of silence, so an outage must last for
-    /// almost two. It is longer than a single read without an answer takes: if that counted as an
-    /// outage, an upstream that leaves at that time would be kept for `restore_ms` more.
+    /// Shortest time without an answered read of the upstream list, by this or another VM, in which
+    /// entries can lapse, in milliseconds. An entry lapses after three missed heartbeats, so an
+    /// outage must last for almost two heartbeat intervals. The limit exceeds the time that one
+    /// unanswered read takes: if such a read counted as an outage, an upstream that leaves
+    /// meanwhile would stay in use for a further `restore_ms`.
     pub lapse_ms: u64,
-    /// How long after an outage of the list a live upstream's entry may be missing. The platform
-    /// writes entries that lapsed during an outage again soon after its end.
+    /// Time after an outage of the upstream list during which a live upstream's entry may still be
+    /// missing, in milliseconds. The platform rewrites entries that lapsed during an outage soon
+    /// after its end.
     pub restore_ms: u64,
 }
 
@@ -45,49 +47,51 @@
     }
 }
 
-/// `DirectoryChange` is what a fact changed.
+/// Effect of one applied fact on the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// Nothing that matters.
+    /// Nothing that callers have to act on.
     None,
-    /// An upstream came.
+    /// An upstream was added.
     Added,
-    /// An upstream no longer takes new work, or is gone.
+    /// An upstream no longer accepts new work, or was removed.
     Left,
-    /// An upstream's entry vanished around an outage; it is used for a short time more.
+    /// An upstream's entry went missing around an outage. The upstream stays in use until the
+    /// upstream list is complete again.
     Lapsed,
-    /// An instance has started again; its former run is over, with all that it had of requests.
+    /// An instance has restarted. Its former incarnation has ended, and so have all requests that
+    /// were running there.
     Restarted {
-        /// The former run.
+        /// Name of the former incarnation.
         former: UpstreamName,
     },
-    /// What an upstream holds has changed.
+    /// The set of models or adapters resident on an upstream has changed.
     Residence,
 }
 
-/// `ListingChanges` are the upstreams that a whole list changed.
+/// Upstreams affected by applying a complete upstream list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListingChanges {
-    /// Those that take no new work any more, former runs among them.
+    /// Upstreams that no longer accept new work, including former incarnations of restarted ones.
     pub left: Vec<UpstreamName>,
-    /// Those whose entries have vanished around an outage.
+    /// Upstreams whose entries went missing around an outage and that stay in use for now.
     pub lapsed: Vec<UpstreamName>,
 }
 
-/// `GoneRun` is what is remembered of a run that is over.
+/// Record of an incarnation that has ended or whose entry is missing.
 #[derive(Clone, Copy, Debug)]
-struct GoneRun {
-    /// Its last revision that was read. An entry that was written before the end can still be read
-    /// later; it must not bring the run back.
+struct EndedIncarnation {
+    /// Last revision that was read. An entry written before the end can be read after it, and must
+    /// not add the incarnation again.
     revision: u64,
-    /// How far the list had been read when it was gone, if that is known.
+    /// Position up to which the upstream list had been read at the end; unknown if default.
     read_to: Position,
-    /// Whether its instance has started again.
+    /// Whether the instance has restarted, which makes the end final.
     restarted: bool,
 }
 
-impl GoneRun {
-    /// Returns whether an entry of this run was written after it was gone.
+impl EndedIncarnation {
+    /// Returns whether an entry of this incarnation was written after its end.
     fn is_before(&self, read_to: Position, revision: u64) -> bool {
         match is_before(self.read_to, read_to) {
             Some(is_before) => is_before,
@@ -96,48 +100,51 @@
     }
 }
 
-/// Returns whether of two places in the list the first is the earlier one; none if they can't be
-/// compared. A list that came back from an older copy holds at later places what it held before.
+/// Returns whether `first` precedes `second` in the upstream list, or `None` if the two can't be
+/// compared: after a rollback of the store, later positions repeat earlier content.
 fn is_before(first: Position, second: Position) -> Option<bool> {
     let comparable = !first.is_unknown() && !second.is_unknown() && first.era == second.era;
     comparable.then_some(first.offset < second.offset)
 }
 
-/// `NewestRun` is the latest run of an instance that is known.
+/// Latest known incarnation of an instance.
 #[derive(Clone, Debug)]
-struct NewestRun {
+struct LatestIncarnation {
     born_ms: u64,
     name: UpstreamName,
 }
 
-/// `Directory` keeps the newest configuration and the upstreams.
+/// Configuration in force and the known upstreams.
 ///
-/// It never goes back: an older configuration, and an older entry of an upstream, change nothing.
+/// State never moves backwards: an older configuration, or an older entry of an upstream, changes
+/// nothing.
 #[derive(Debug)]
 pub struct Directory {
     configuration: Configuration,
     routes: RouteTable,
     upstreams: HashMap<UpstreamName, Upstream>,
     recovery: ListRecovery,
-    /// Upstreams whose entries vanished around an outage. They are used until the list is whole.
+    /// Upstreams whose entries went missing around an outage. They stay in use until the upstream
+    /// list is complete again.
     lapsed: HashSet<UpstreamName>,
-    gone: HashMap<UpstreamName, GoneRun>,
-    /// The latest run of each instance, also of those that are gone: an entry of an earlier run can
-    /// be read after it.
-    runs: HashMap<InstanceName, NewestRun>,
+    gone: HashMap<UpstreamName, EndedIncarnation>,
+    /// Latest incarnation of each instance, including removed ones, because an entry of an earlier
+    /// incarnation can be read after the removal.
+    runs: HashMap<InstanceName, LatestIncarnation>,
     listed: bool,
-    /// Grows with each change of the configuration or of an entry.
+    /// Counter behind [`Self::changes`].
     changes: u64,
-    /// How far the list had been read by whoever tells what is taken in now, if that is known.
+    /// Position up to which the VM that provides the current facts had read the upstream list;
+    /// unknown if default.
     read_to: Position,
-    /// How far the list had been read when each upstream was last there.
-    there_at: HashMap<UpstreamName, Position>,
-    /// Up to where the list was found to be the same as another VM's.
-    same_up_to: Position,
+    /// Position of the upstream list at which each upstream was last present.
+    last_seen_at: HashMap<UpstreamName, Position>,
+    /// Position up to which this VM's upstream list was found to equal another VM's.
+    confirmed_up_to: Position,
 }
 
 impl Directory {
-    /// Returns an empty directory.
+    /// Returns a directory without configuration and upstreams.
     pub fn new(options: DirectoryOptions) -> Self {
         Self {
             configuration: Configuration::default(),
@@ -150,37 +157,39 @@
             listed: false,
             changes: 0,
             read_to: Position::default(),
-            there_at: HashMap::new(),
-            same_up_to: Position::default(),
+            last_seen_at: HashMap::new(),
+            confirmed_up_to: Position::default(),
         }
     }
 
-    /// Returns a number that grows with each change of the configuration or of an entry.
+    /// Returns a counter that increases with each change of the configuration or of an entry.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Returns the version of the configuration in force; 0 before the first.
+    /// Returns the version of the configuration in force, or 0 before the first one.
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// Returns the configuration in force.
+    /// Returns the configuration in force; empty, with version 0, before the first one.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Returns whether a configuration and a list of upstreams are known, so that requests can be
+    /// Returns whether a configuration and an upstream list are known, so that requests can be
     /// served.
     pub fn is_complete(&self) -> bool {
         self.configuration.version > 0 && self.listed
     }
 
-    /// Puts a configuration in force.
+    /// Replaces the configuration in force, unless the given one is older or inconsistent.
     ///
     /// # Errors
     ///
-    /// [`Error::OlderVersion`] and [`Error::UnknownService`]; the one in force then stays.
+    /// [`Error::OlderVersion`] if the version is below the one in force, and
+    /// [`Error::UnknownService`] if a route names a service that the configuration lacks. The
+    /// configuration in force then stays.
     pub fn configure(&mut self, configuration: Configuration) -> Result<()> {
         if configuration.version < self.configuration.version {
             return Err(Error::OlderVersion {
@@ -204,25 +213,25 @@
         Ok(())
     }
 
-    /// Returns the route of a request.
+    /// Returns the route of a request, or `None` if no route has its host and path prefix.
     pub fn route(&self, host: &str, target: &str) -> Option<&Arc<Route>> {
         self.routes.find(host, target)
     }
 
-    /// Returns a service.
+    /// Returns the configured service of this name.
     pub fn service(&self, name: &GroupName) -> Option<&Arc<Service>> {
         self.configuration.services.get(name)
     }
 
-    /// Notes how far the list had been read by whoever tells what is taken in next, this VM or
-    /// another; the first position if that is not known. The list is a log, so that of two things
-    /// the later one in it counts, whichever is heard of first.
+    /// Sets the position up to which the source of the following facts, this VM or another, had
+    /// read the upstream list; the default position if that is unknown. The upstream list is a log,
+    /// so of two contradicting facts the one at the later position counts, whichever arrives first.
     pub fn set_read_position(&mut self, position: Position) {
         self.read_to = position;
     }
 
-    /// Takes in an entry of the list. One of an earlier run than the latest that is known changes
-    /// nothing, and one of a later run ends the run before it.
+    /// Records an entry of the upstream list. An entry of an earlier incarnation than the latest
+    /// known one is ignored, and an entry of a later incarnation ends the one before it.
     pub fn record_entry(&mut self, entry: Upstream) -> DirectoryChange {
         self.changes += 1;
         let newest = self.runs.get(&entry.instance);
@@ -235,11 +244,11 @@
             }
             _ => self.gone.remove(&entry.name),
         };
-        let there_at = self.there_at.entry(entry.name.clone()).or_default();
-        *there_at = self.read_to.max(*there_at);
+        let last_seen_at = self.last_seen_at.entry(entry.name.clone()).or_default();
+        *last_seen_at = self.read_to.max(*last_seen_at);
         self.lapsed.remove(&entry.name);
         let Some(known) = self.upstreams.get_mut(&entry.name) else {
-            return self.begin_run(entry);
+            return self.add_incarnation(entry);
         };
         if entry.revision < known.revision {
             return DirectoryChange::None;
@@ -251,7 +260,7 @@
             _ if known.residence != entry.residence => DirectoryChange::Residence,
             _ => DirectoryChange::None,
         };
-        // A notice is not taken back: an entry that was written before it may be read after it.
+        // A leave notice is final: an entry that was written before it may be read after it.
         let phase = match known.phase {
             UpstreamPhase::Leaving => UpstreamPhase::Leaving,
             UpstreamPhase::Serving => entry.phase,
@@ -260,14 +269,14 @@
         change
     }
 
-    /// Takes in an entry as another VM tells it, without the engine's copies of weights.
+    /// Records an entry received from another VM, which lacks the engine's cached weights.
     pub fn record_peer_entry(&mut self, mut entry: Upstream) -> DirectoryChange {
-        self.keep_copies(&mut entry);
+        self.keep_cached_models(&mut entry);
         self.record_entry(entry)
     }
 
-    /// Keeps what is known here of an engine's copies of weights, which other VMs do not tell.
-    fn keep_copies(&self, entry: &mut Upstream) {
+    /// Copies the cached weights known here into an entry received from another VM.
+    fn keep_cached_models(&self, entry: &mut Upstream) {
         if let Some(known) = self.upstreams.get(&entry.name) {
             entry
                 .residence
@@ -277,8 +286,8 @@
         }
     }
 
-    /// Takes in a copy of the list that another VM has read. `is_newer` says that it was read later
-    /// than what this VM knows, so that an upstream which it does not name has left.
+    /// Applies a snapshot of the upstream list that another VM has read. `is_newer` says that the
+    /// snapshot is newer than this VM's own state, so that an upstream missing from it has left.
     pub fn apply_snapshot(
         &mut self,
         now_ms: u64,
@@ -286,21 +295,21 @@
         is_newer: bool,
     ) -> ListingChanges {
         for entry in &mut entries {
-            self.keep_copies(entry);
+            self.keep_cached_models(entry);
         }
         match is_newer {
             true => self.apply_listing(now_ms, entries),
             false => {
                 let mut changes = ListingChanges::default();
-                self.note_entries(entries, &mut changes);
+                self.record_entries(entries, &mut changes);
                 changes
             }
         }
     }
 
-    /// Takes in a run that is not known yet.
-    fn begin_run(&mut self, entry: Upstream) -> DirectoryChange {
-        let newest = NewestRun {
+    /// Adds an incarnation that is not known yet and ends the former one of its instance.
+    fn add_incarnation(&mut self, entry: Upstream) -> DirectoryChange {
+        let newest = LatestIncarnation {
             born_ms: entry.born_ms,
             name: entry.name.clone(),
         };
@@ -309,13 +318,13 @@
         let former = former.filter(|former| *former != entry.name);
         self.upstreams.insert(entry.name.clone(), entry);
         match former {
-            Some(former) if self.end_run(&former) => DirectoryChange::Restarted { former },
+            Some(former) if self.end_incarnation(&former) => DirectoryChange::Restarted { former },
             _ => DirectoryChange::Added,
         }
     }
 
-    /// Ends a run whose instance has started again. Returns whether it was still known.
-    fn end_run(&mut self, former: &UpstreamName) -> bool {
+    /// Ends an incarnation whose instance has restarted. Returns whether it was still in use.
+    fn end_incarnation(&mut self, former: &UpstreamName) -> bool {
         let was_known = self.upstreams.contains_key(former);
         self.remove(former);
         if let Some(gone) = self.gone.get_mut(former) {
@@ -324,9 +333,9 @@
         was_known
     }
 
-    /// Takes in that an upstream says of itself that it started later than the run that is known:
-    /// its entry in the list is still the one of the former run. The later run is taken from what
-    /// the upstream says it holds, at the address at which it answered.
+    /// Records an upstream's own report that it started later than the known incarnation, while the
+    /// upstream list still has the entry of the former one. The new incarnation takes its residence
+    /// from the report, and its address from the former one, at which it answered.
     pub fn record_restart(
         &mut self,
         former: &UpstreamName,
@@ -350,19 +359,19 @@
         }
     }
 
-    /// Returns the latest run of an instance that is known, unless it is gone.
+    /// Returns the latest known incarnation of an instance, or `None` if it was removed.
     pub fn current_incarnation(&self, instance: &InstanceName) -> Option<&UpstreamName> {
         let name = &self.runs.get(instance)?.name;
         self.upstreams.contains_key(name).then_some(name)
     }
 
-    /// Returns whether a run is over because its instance has started again: whatever it had of
-    /// requests has ended.
+    /// Returns whether an incarnation has ended because its instance restarted, which also ended
+    /// every request that was running there.
     pub fn has_restarted(&self, name: &UpstreamName) -> bool {
         self.gone.get(name).is_some_and(|gone| gone.restarted)
     }
 
-    /// Takes in a whole list. Upstreams that it does not name have vanished.
+    /// Applies a complete upstream list. The entries of known upstreams that it lacks are missing.
     pub fn apply_listing(&mut self, now_ms: u64, entries: Vec<Upstream>) -> ListingChanges {
         let named: HashSet<InstanceName> =
             entries.iter().map(|entry| entry.instance.clone()).collect();
@@ -380,12 +389,12 @@
                 _ => {}
             }
         }
-        self.note_entries(entries, &mut changes);
+        self.record_entries(entries, &mut changes);
         self.listed = true;
         changes
     }
 
-    fn note_entries(&mut self, entries: Vec<Upstream>, changes: &mut ListingChanges) {
+    fn record_entries(&mut self, entries: Vec<Upstream>, changes: &mut ListingChanges) {
         for entry in entries {
             let name = entry.name.clone();
             match self.record_entry(entry) {
@@ -396,27 +405,27 @@
         }
     }
 
-    /// Returns whether a list of upstreams was read, here or by a VM whose copy this one took in.
+    /// Returns whether a complete upstream list was read by this VM or received as a snapshot.
     pub fn is_listed(&self) -> bool {
         self.listed
     }
 
-    /// Returns an upstream.
+    /// Returns the upstream of this name, whether or not it accepts new work.
     pub fn upstream(&self, name: &UpstreamName) -> Option<&Upstream> {
         self.upstreams.get(name)
     }
 
-    /// Returns an upstream to note what it holds.
+    /// Returns the upstream of this name for updates of its residence.
     pub fn upstream_mut(&mut self, name: &UpstreamName) -> Option<&mut Upstream> {
         self.upstreams.get_mut(name)
     }
 
-    /// Returns every known upstream.
+    /// Returns all known upstreams, including leaving and lapsed ones.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// Returns the upstreams of a service that take new work.
+    /// Returns the upstreams of a service that accept new work.
     pub fn serving<'a>(&'a self, service: &'a GroupName) -> impl Iterator<Item = &'a Upstream> {
         self.upstreams.values().filter(move |upstream| {
             &upstream.service == service && upstream.phase == UpstreamPhase::Serving
--- a/crates/fleet/src/directory/departing.rs
+++ b/crates/fleet/src/directory/departures.rs
@@ -1,4 +1,5 @@
-//! How upstreams stop taking new work: by notice, by a missing entry, by what other VMs tell.
+//! How upstreams stop accepting new work: by their own notice, by a missing entry, or as announced
+//! by other VMs.
 
 use apricotdale_core::names::InstanceName;
 use apricotdale_core::names::UpstreamName;
@@ -6,7 +7,7 @@
 
 use super::Directory;
 use super::DirectoryChange;
-use super::GoneRun;
+use super::EndedIncarnation;
 use super::is_before;
 use crate::departure::Departure;
 use crate::departure::DepartureKind;
@@ -14,9 +15,8 @@
 use crate::upstream::UpstreamPhase;
 
 impl Directory {
-    /// Takes in an entry that is none of the upstream's own: another writer has put it there. It
-    /// names nobody to send to, so the run that stood there is not used until its own entry is
-    /// back.
+    /// Records that another writer has overwritten an upstream's entry. Such an entry contains no
+    /// usable address, so the incarnation is not used until its own entry is back.
     pub fn record_foreign_entry(&mut self, instance: &InstanceName) -> DirectoryChange {
         match self.current_incarnation(instance).cloned() {
             Some(name) => self.record_gone(&name),
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Returns what is known of an upstream that takes no new work; none if it may, or was never
-    /// known.
+    /// Returns the departure of an upstream that accepts no new work, or `None` if the upstream
+    /// accepts work or was never known.
     pub fn departure(&self, name: &UpstreamName) -> Option<Departure> {
         let unknown = Position::default();
         let (revision, read_to, kind) = match (self.upstreams.get(name), self.gone.get(name)) {
@@ -44,12 +44,12 @@
         })
     }
 
-    /// Takes in that an upstream takes no new work any more, as another VM has read.
+    /// Records a departure announced by another VM.
     pub fn record_departure(&mut self, departure: &Departure) -> DirectoryChange {
         let name = &departure.upstream;
-        let there_at = self.there_at.get(name).copied().unwrap_or_default();
-        let there_at = there_at.max(self.same_up_to);
-        let is_later = |known: &Upstream| match is_before(there_at, departure.read_to) {
+        let last_seen_at = self.last_seen_at.get(name).copied().unwrap_or_default();
+        let last_seen_at = last_seen_at.max(self.confirmed_up_to);
+        let is_later = |known: &Upstream| match is_before(last_seen_at, departure.read_to) {
             Some(is_before) => is_before,
             None => known.revision <= departure.revision,
         };
@@ -67,62 +67,64 @@
         }
     }
 
-    /// Takes in that a read of the list failed.
+    /// Records that a read of the upstream list failed.
     pub fn record_list_failure(&mut self) {
-        self.recovery.lost();
+        self.recovery.record_failure();
     }
 
-    /// Takes in that a read of the list was answered, before its entries are taken in.
+    /// Records that a read of the upstream list was answered. Must precede recording its entries.
     pub fn record_list_answer(&mut self, now_ms: u64) {
-        self.recovery.answered(now_ms);
+        self.recovery.record_answer(now_ms);
     }
 
-    /// Takes in that the list has come back from an older copy: live upstreams may be missing.
+    /// Records that the store was rolled back, so that entries of live upstreams may be missing.
     pub fn record_list_rollback(&mut self, now_ms: u64) {
-        self.recovery.set_back(now_ms);
+        self.recovery.record_rollback(now_ms);
     }
 
-    /// Takes in that another VM, whose list is whole, read it at a moment.
+    /// Records that another VM, whose upstream list is complete, read it at `read_ms`.
     pub fn record_complete_list(&mut self, read_ms: u64) {
-        self.recovery.whole_elsewhere(read_ms);
+        self.recovery.record_complete_elsewhere(read_ms);
     }
 
-    /// Returns whether no live upstream is missing for certain, so that other VMs may rely on it.
+    /// Returns whether certainly no live upstream is missing, so that other VMs may rely on this
+    /// VM's upstream list.
     pub fn is_list_complete(&self, now_ms: u64) -> bool {
-        self.recovery.is_known_whole(now_ms)
+        self.recovery.is_known_complete(now_ms)
     }
 
-    /// Returns when the list is whole again after an outage; it should be read then. None if it is
-    /// whole, or can't be read.
+    /// Returns when the upstream list will be complete again after an outage, and should be read;
+    /// `None` if it is complete already or its last read failed.
     pub fn list_complete_at_ms(&self, now_ms: u64) -> Option<u64> {
-        self.recovery.ends_ms(now_ms)
+        self.recovery.complete_at_ms(now_ms)
     }
 
-    /// Takes in that the list was read to its end. Drops the upstreams whose entries have not come
-    /// back after an outage, and returns them.
+    /// Removes and returns the upstreams whose entries have not come back after an outage. To be
+    /// called when the upstream list was read to its end; returns nothing while live upstreams may
+    /// still be missing.
     pub fn drop_lapsed(&mut self, now_ms: u64) -> Vec<UpstreamName> {
-        if self.recovery.is_under_way(now_ms) {
+        if self.recovery.is_recovering(now_ms) {
             return Vec::new();
         }
-        let over: Vec<UpstreamName> = self.lapsed.drain().collect();
-        for name in &over {
+        let dropped: Vec<UpstreamName> = self.lapsed.drain().collect();
+        for name in &dropped {
             self.remove(name);
         }
-        over
+        dropped
     }
 
-    /// Takes in that this VM's list is the same as one that was read up to a position, in which no
-    /// live upstream is missing: what was kept around an outage is there.
+    /// Records that this VM's upstream list equals another VM's complete one, read up to
+    /// `position`. Upstreams kept around an outage are then present.
     pub fn record_same_list(&mut self, position: Position) {
         self.lapsed.clear();
-        self.same_up_to = self.same_up_to.max(position);
+        self.confirmed_up_to = self.confirmed_up_to.max(position);
     }
 
-    /// Takes in that an upstream's entry is no longer there. Around an outage of the list a live
-    /// upstream's entry may have lapsed only because its heartbeats found no one; it is then used
-    /// until the list is whole again.
+    /// Records that an upstream's entry is missing. Around an outage the entry of a live upstream
+    /// may have lapsed only because its heartbeats could not be written, so the upstream stays in
+    /// use until the upstream list is complete again.
     pub fn record_missing_entry(&mut self, now_ms: u64, name: &UpstreamName) -> DirectoryChange {
-        let is_recovering = self.recovery.is_under_way(now_ms);
+        let is_recovering = self.recovery.is_recovering(now_ms);
         match self.upstreams.get(name) {
             Some(known) if is_recovering && known.phase == UpstreamPhase::Serving => {
                 match self.lapsed.insert(name.clone()) {
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Takes in that an upstream is gone for certain.
+    /// Removes an upstream that has certainly left.
     pub fn record_gone(&mut self, name: &UpstreamName) -> DirectoryChange {
         if !self.upstreams.contains_key(name) {
             return DirectoryChange::None;
@@ -146,9 +148,9 @@
     pub(super) fn remove(&mut self, name: &UpstreamName) {
         self.changes += 1;
         self.lapsed.remove(name);
-        self.there_at.remove(name);
+        self.last_seen_at.remove(name);
         if let Some(known) = self.upstreams.remove(name) {
-            let gone = GoneRun {
+            let gone = EndedIncarnation {
                 revision: known.revision,
                 read_to: self.read_to,
                 restarted: false,
--- a/crates/fleet/src/errors.rs
+++ b/crates/fleet/src/errors.rs
@@ -1,24 +1,24 @@
-//! Errors of the directory.
+//! Reasons for which a configuration is rejected.
 
 use thiserror::Error as ThisError;
 
-/// `Error` is why a configuration is not taken over.
+/// Reason for which the directory rejects a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, ThisError)]
 pub enum Error {
     /// The configuration is older than the one in force.
     #[error("version {offered} is older than version {in_force}")]
     OlderVersion {
-        /// The version that was offered.
+        /// Version of the rejected configuration.
         offered: u64,
-        /// The version in force.
+        /// Version in force.
         in_force: u64,
     },
-    /// A route leads to a service that the configuration does not name.
+    /// A route names a service that the configuration lacks.
     #[error("route {route} leads to the unknown service {service}")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the missing service.
         service: String,
     },
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a VM knows of its configuration and its upstreams.
+//! State that a VM keeps of its configuration and its upstreams.
 //!
 //! [`Configuration`] is one version of the operators' configuration, [`RouteTable`] finds the route
-//! of a request in it, and [`Directory`] keeps the newest configuration and the upstreams as the
-//! platform's list tells them. All of it is plain state: facts go in with the time at which they
-//! were learned, and nothing here opens a socket or reads a clock.
+//! of a request in it, and [`Directory`] keeps the newest configuration and the upstreams of the
+//! platform's upstream list. Nothing here opens a socket or reads a clock: callers pass facts
+//! together with the time at which they were learned.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -16,10 +16,10 @@
 mod list_repair;
 mod list_snapshot;
 mod read_pacing;
+mod read_sharing;
 mod request;
 mod residence;
-mod routes;
-mod sharing;
+mod route_table;
 mod upstream;
 
 pub use configuration::CallerLimits;
@@ -44,15 +44,15 @@
 pub use list_snapshot::residence_digests;
 pub use list_snapshot::serving_digest;
 pub use read_pacing::ReadPacing;
+pub use read_sharing::Freshness;
+pub use read_sharing::ReadSharing;
 pub use request::PromptPart;
 pub use request::ServingRequest;
 pub use request::WantedModel;
 pub use residence::Residence;
 pub use residence::ResidentModel;
 pub use residence::Tier;
-pub use routes::RouteTable;
-pub use sharing::Freshness;
-pub use sharing::ReadSharing;
+pub use route_table::RouteTable;
 pub use upstream::Upstream;
 pub use upstream::UpstreamPhase;
 pub use upstream::incarnation_name;
--- a/crates/fleet/src/list_snapshot.rs
+++ b/crates/fleet/src/list_snapshot.rs
@@ -1,8 +1,9 @@
-//! The list of upstreams as one VM has read it, told to the others.
+//! Snapshots of the upstream list, written by one VM for the others.
 //!
-//! Every upstream writes its entry anew about once a second, with all that it holds and has copies
-//! of. Read by every VM, that grows with VMs times upstreams. So a few VMs read it, and the rest
-//! take from them what they need of it: who serves, where, and what can run there.
+//! Every upstream rewrites its entry about once a second, with everything that it holds and caches.
+//! If every VM read all entries, the bytes would grow with the product of VMs and upstreams. So a
+//! few VMs read them, and the others take from snapshots what they need: which upstreams serve,
+//! where, and what can run there.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::numbers::Position;
@@ -14,40 +15,40 @@
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamPhase;
 
-/// Groups of engines with a digest each.
+/// Number of groups of engines that have a digest each.
 const ENGINE_GROUPS: usize = 16;
 
-/// Entries in one part: engines take some 170 bytes each, rarely over 400, and the store takes
-/// records of up to 256 KiB.
-const ENTRIES_A_PART: usize = 500;
+/// Maximum number of entries in one part. An engine takes some 170 bytes, rarely over 400, and the
+/// store accepts records of up to 256 KiB.
+const ENTRIES_PER_PART: usize = 500;
 
-/// `ListSnapshotPart` is a part of what one VM knows of the upstreams, for the store. An engine takes
-/// some 170 bytes in it, where its own entry takes thousands.
+/// Stored part of a [`ListSnapshot`]. An engine takes some 170 bytes in it, against thousands in
+/// its own entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListSnapshotPart {
-    /// How far the list had been read: the place of the next change.
+    /// Position up to which the upstream list had been read: that of the next change.
     pub read_to: Position,
-    /// The version of the configuration in force at the VM that wrote it.
+    /// Version of the configuration in force at the VM that wrote the snapshot.
     pub configuration: u64,
-    /// How many parts there are.
+    /// Number of parts of the snapshot, at least 1.
     pub parts: u32,
-    /// The upstreams.
+    /// Upstreams of this part.
     pub entries: Vec<Upstream>,
 }
 
-/// `ListSnapshot` is what one VM knows of the upstreams.
+/// One VM's state of all upstreams at a position of the upstream list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListSnapshot {
-    /// How far the list had been read: the place of the next change.
+    /// Position up to which the upstream list had been read: that of the next change.
     pub read_to: Position,
-    /// The version of the configuration in force at the VM that wrote it.
+    /// Version of the configuration in force at the VM that wrote the snapshot.
     pub configuration: u64,
-    /// The upstreams.
+    /// All upstreams known to that VM, including leaving ones.
     pub entries: Vec<Upstream>,
 }
 
 impl ListSnapshot {
-    /// Returns a copy of what the directory knows.
+    /// Returns a snapshot of the directory's upstreams.
     pub fn new(read_to: Position, directory: &Directory) -> Self {
         Self {
             read_to,
@@ -56,23 +57,23 @@
         }
     }
 
-    /// Returns the parts in which it is stored.
+    /// Returns the parts to be stored; a single empty one if there are no upstreams.
     pub fn into_parts(self) -> Vec<ListSnapshotPart> {
         let part = |entries: &[Upstream]| ListSnapshotPart {
             read_to: self.read_to,
             configuration: self.configuration,
-            parts: self.entries.len().div_ceil(ENTRIES_A_PART).max(1) as u32,
+            parts: self.entries.len().div_ceil(ENTRIES_PER_PART).max(1) as u32,
             entries: entries.to_vec(),
         };
         match self.entries.is_empty() {
             true => vec![part(&[])],
-            false => self.entries.chunks(ENTRIES_A_PART).map(part).collect(),
+            false => self.entries.chunks(ENTRIES_PER_PART).map(part).collect(),
         }
     }
 
-    /// Returns the newest copy of which all parts are there. Parts of an older one stay in the
-    /// store when the newer one has fewer, and a write between two pages of a read leaves parts of
-    /// both.
+    /// Returns the newest snapshot, or `None` unless all its parts are there. Parts of an older
+    /// snapshot stay in the store if the newer one has fewer, and a write between two pages of a
+    /// read leads to parts of both.
     pub fn from_parts(parts: Vec<ListSnapshotPart>) -> Option<Self> {
         let read_to = parts.iter().map(|part| part.read_to).max()?;
         let newest: Vec<ListSnapshotPart> = parts
@@ -81,8 +82,8 @@
             .collect();
         let first = newest.first()?;
         let configuration = first.configuration;
-        let is_whole = first.parts as usize == newest.len();
-        is_whole.then(|| Self {
+        let is_complete = first.parts as usize == newest.len();
+        is_complete.then(|| Self {
             read_to,
             configuration,
             entries: newest.into_iter().flat_map(|part| part.entries).collect(),
@@ -90,17 +91,17 @@
     }
 }
 
-/// Returns a number that two VMs share if the same upstreams take new work by what they know.
+/// Returns a digest of the upstreams that accept new work, which two VMs with the same set share.
 pub fn serving_digest(directory: &Directory) -> u64 {
     let serving = directory
         .upstreams()
         .filter(|upstream| upstream.phase == UpstreamPhase::Serving);
-    sum(serving.map(|upstream| digest_of_name(&upstream.name)))
+    sum(serving.map(|upstream| name_digest(&upstream.name)))
 }
 
-/// Returns numbers that two VMs share if engines hold the same models and adapters by what they
-/// know, one for each group of engines. Orders change what engines hold all the time: of a few
-/// engines two VMs know the same at most moments, of all they seldom do.
+/// Returns digests of the models and adapters resident on engines, one for each group of engines,
+/// which two VMs with the same state share. Orders change residences all the time: for a small
+/// group two VMs agree at most moments, for all engines together they seldom do.
 pub fn residence_digests(directory: &Directory) -> Vec<u32> {
     let mut digests = vec![0_u32; ENGINE_GROUPS];
     let mut bytes = Vec::new();
@@ -122,17 +123,17 @@
                 digest = digest.wrapping_add(digest_of([engine, model, adapter.as_str()]));
             }
         }
-        let group = digest_of_name(&upstream.name) as usize % ENGINE_GROUPS;
+        let group = name_digest(&upstream.name) as usize % ENGINE_GROUPS;
         digests[group] = digests[group].wrapping_add(digest as u32);
     }
     digests
 }
 
-fn digest_of_name(name: &UpstreamName) -> u64 {
+fn name_digest(name: &UpstreamName) -> u64 {
     xxh3_64(name.as_str().as_bytes())
 }
 
-/// Adds digests up, so that their order does not count.
+/// Adds up digests, so that their order does not matter.
 fn sum(digests: impl Iterator<Item = u64>) -> u64 {
     digests.fold(0, u64::wrapping_add)
 }
--- a/crates/fleet/src/request.rs
+++ b/crates/fleet/src/request.rs
@@ -1,54 +1,54 @@
-//! A caller's request as far as decisions look at it.
+//! The properties of a caller's request that decisions depend on.
 
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::RequestId;
 use apricotdale_organisations::PresentedKey;
 
-/// `WantedModel` is the model, and the adapter of it, that a request names.
+/// Model, and optionally one of its adapters, that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WantedModel {
-    /// The model.
+    /// Base model.
     pub model: ModelName,
-    /// The adapter, if the request names one.
+    /// Adapter of the model; `None` for the base model alone.
     pub adapter: Option<ModelName>,
 }
 
-/// `PromptPart` is one part of a prompt, which other requests may share.
+/// Part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's identity.
+    /// Identity of the part, equal for equal content.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// `ServingRequest` is a caller's request, decoded from whatever format it came in.
+/// Caller's request, independent of the format that it arrived in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServingRequest {
-    /// The identity of this try of the caller; the caller's own retries have others.
+    /// Identity of this attempt by the caller; the caller's own retries have others.
     pub id: RequestId,
-    /// The host that it names.
+    /// Host that the request names.
     pub host: String,
-    /// The path and query.
+    /// Path and query.
     pub target: String,
-    /// How long the caller will wait, if it says so.
+    /// Time in milliseconds for which the caller will wait for the answer; `None` if not stated.
     pub answer_timeout_ms: Option<u64>,
-    /// The model, for a request to model engines.
+    /// Requested model; `None` for a request to a service without engines.
     pub model: Option<WantedModel>,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens; 0 if not stated.
     pub prompt_tokens: u32,
-    /// The most tokens that are generated.
+    /// Maximum number of generated tokens; 0 if not stated.
     pub output_tokens: u32,
-    /// The parts of the prompt in order.
+    /// Parts of the prompt in order.
     pub parts: Vec<PromptPart>,
-    /// The last event that the caller has, if it resumes a stream.
+    /// ID of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// The key that the caller presents.
+    /// API key that the caller presents, if any.
     pub key: PresentedKey,
 }
 
 impl ServingRequest {
-    /// Returns the tokens that the request says, prompt and output together.
+    /// Returns the stated tokens of prompt and output together; `None` if the request states none.
     pub fn tokens(&self) -> Option<u64> {
         let tokens = u64::from(self.prompt_tokens) + u64::from(self.output_tokens);
         (tokens > 0).then_some(tokens)
--- a/crates/fleet/src/residence.rs
+++ b/crates/fleet/src/residence.rs
@@ -1,4 +1,4 @@
-//! Which models an engine holds, and where it keeps copies.
+//! Models that an engine holds, and the places where it caches weights.
 
 use std::collections::HashSet;
 
@@ -8,53 +8,53 @@
 
 use crate::request::WantedModel;
 
-/// `Tier` is where an engine finds the weights of a model.
+/// Source from which an engine loads the weights of a model, fastest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Tier {
-    /// In the host's memory.
+    /// Cached in the memory of the engine's host.
     Memory,
-    /// On the host's disk.
+    /// Cached on the disk of the engine's host.
     Disk,
-    /// Only in the weight store, which all engines share.
+    /// Available only in the weight store, which all engines share.
     Store,
 }
 
-/// `ResidentModel` is a model that an engine can run now.
+/// Model that an engine can run without loading it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResidentModel {
-    /// The model.
+    /// Name of the base model.
     pub model: ModelName,
-    /// Its adapters that can run now.
+    /// Adapters of the model that can run without loading them.
     pub adapters: Vec<ModelName>,
 }
 
-/// `Residence` is what one engine holds. VMs tell each other only what can run: where copies lie
-/// matters to the giver of orders alone, which reads it from the engine itself, and takes most of
-/// an entry's bytes.
+/// Models that one engine holds. VMs send each other only the models that can run. Where weights
+/// are cached takes most of an entry's bytes and matters to the lease holder alone, which reads it
+/// from the engine's own entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Residence {
     /// Models that can run now.
     pub models: Vec<ResidentModel>,
-    /// Models with a copy in the host's memory.
+    /// Models whose weights are cached in the host's memory.
     #[serde(skip)]
     pub in_memory: HashSet<ModelName>,
-    /// Models with a copy on the host's disk.
+    /// Models whose weights are cached on the host's disk.
     #[serde(skip)]
     pub on_disk: HashSet<ModelName>,
 }
 
 impl Residence {
-    /// Returns the resident model of this name.
+    /// Returns the resident model of this name, or `None` if it is not loaded.
     pub fn model(&self, model: &ModelName) -> Option<&ResidentModel> {
         self.models.iter().find(|resident| &resident.model == model)
     }
 
-    /// Returns whether any copy of weights is known.
+    /// Returns whether any cached weights are known.
     pub fn has_cached_copies(&self) -> bool {
         !self.in_memory.is_empty() || !self.on_disk.is_empty()
     }
 
-    /// Returns whether a request for this model and adapter can run here.
+    /// Returns whether a request for this model and adapter can run without a load.
     pub fn serves(&self, wanted: &WantedModel) -> bool {
         match (self.model(&wanted.model), &wanted.adapter) {
             (None, _) => false,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns where a load of the model would find its weights.
+    /// Returns the source of the weights for a load of the model.
     pub fn tier(&self, model: &ModelName) -> Tier {
         if self.in_memory.contains(model) {
             Tier::Memory
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Notes that a model can run. Its load leaves copies in memory and on disk.
+    /// Records a loaded model. Its load leaves cached weights in memory and on disk.
     pub fn record_loaded(&mut self, model: &ModelName) {
         if self.model(model).is_none() {
             self.models.push(ResidentModel {
@@ -86,18 +86,18 @@
         self.on_disk.insert(model.clone());
     }
 
-    /// Notes that no copy of a model's weights is at hand any more.
+    /// Records that a model's weights are no longer cached.
     pub fn record_uncached(&mut self, model: &ModelName) {
         self.in_memory.remove(model);
         self.on_disk.remove(model);
     }
 
-    /// Notes that a model, with its adapters, is no longer there.
+    /// Records that a model was unloaded together with its adapters.
     pub fn record_unloaded(&mut self, model: &ModelName) {
         self.models.retain(|resident| &resident.model != model);
     }
 
-    /// Notes that an adapter can run.
+    /// Records a loaded adapter; ignored unless its model is loaded.
     pub fn record_adapter_loaded(&mut self, model: &ModelName, adapter: &ModelName) {
         let resident = self
             .models
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Notes that an adapter is no longer there.
+    /// Records that an adapter was unloaded.
     pub fn record_adapter_unloaded(&mut self, model: &ModelName, adapter: &ModelName) {
         for resident in self
             .models
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns how many adapters are held over all models.
+    /// Returns the number of adapters held over all models.
     pub fn adapters(&self) -> usize {
         self.models
             .iter()
--- a/crates/fleet/src/routes.rs
+++ b/crates/fleet/src/route_table.rs
@@ -1,19 +1,19 @@
-//! Finding the route of a request.
+//! Lookup of the route of a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::configuration::Route;
 
-/// `RouteTable` finds routes by host and path.
+/// Index of routes by host and path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// The routes of each host, the longest prefix first.
+    /// Routes of each host, those with longer prefixes first.
     by_host: HashMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Returns a table of the given routes.
+    /// Returns the index of the given routes.
     pub fn new(routes: &[Arc<Route>]) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -28,7 +28,8 @@
         Self { by_host }
     }
 
-    /// Returns the route with the longest prefix of the target's path on this host.
+    /// Returns the route on this host with the longest prefix of the target's path. A port in
+    /// `host`, its case, and the query and fragment of `target` are ignored.
     pub fn find(&self, host: &str, target: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let path = target.split(['?', '#']).next().unwrap_or(target);
--- a/crates/fleet/src/upstream.rs
+++ b/crates/fleet/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as the platform's list tells it.
+//! One incarnation of an upstream, as described by its entry in the platform's upstream list.
 
 use std::net::SocketAddr;
 
@@ -11,18 +11,18 @@
 
 use crate::residence::Residence;
 
-/// `UpstreamPhase` is whether an upstream may receive new work.
+/// Whether an upstream accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamPhase {
-    /// It takes new work.
+    /// It accepts new work.
     Serving,
-    /// It finishes what it has.
+    /// It finishes its running requests and accepts no new ones.
     Leaving,
 }
 
-/// Returns the name of one run of an instance. A restart under the same instance has another name,
-/// so whatever is kept by an upstream's name ends with the run: what it held, what it was told to
-/// do, how loaded and how trusted it was. Without a time of start (0) the instance is the run.
+/// Returns the name of one incarnation of an instance. A restart under the same instance name leads
+/// to another incarnation name, so state kept by upstream name ends with the incarnation:
+/// residence, orders, load and health. If the start time is unknown (0), the instance name is used.
 pub fn incarnation_name(instance: &InstanceName, born_ms: u64) -> UpstreamName {
     match born_ms {
         0 => UpstreamName::from(instance.as_str()),
@@ -30,40 +30,40 @@
     }
 }
 
-/// `Upstream` is one run of one upstream process.
+/// Incarnation of an upstream process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "ToldUpstream", into = "ToldUpstream")]
 pub struct Upstream {
-    /// The identity of this run ([`incarnation_name`]).
+    /// Name of this incarnation ([`incarnation_name`]).
     pub name: UpstreamName,
-    /// The name under which the platform knows it, and under which it may start again.
+    /// Name by which the platform identifies the instance across restarts.
     pub instance: InstanceName,
-    /// When this run started, in Unix milliseconds by the upstream's clock; 0 if it is not told. A
-    /// larger one is a later run.
+    /// Start time of this incarnation in Unix milliseconds by the upstream's clock, or 0 if it is
+    /// not reported. A larger value marks a later incarnation.
     pub born_ms: u64,
-    /// Its service.
+    /// Service that the upstream belongs to.
     pub service: GroupName,
-    /// Where it serves. Another upstream may use the address later.
+    /// Address at which it serves. Another upstream may use the address later.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone that it runs in.
     pub zone: ZoneName,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub phase: UpstreamPhase,
-    /// How much longer it stays slow after its start, as of the entry.
+    /// Remaining time of slower service after its start, in milliseconds as of the entry.
     pub warm_up_ms: u64,
-    /// How much longer it stays at all, where it has been given notice.
+    /// Remaining time until it leaves, in milliseconds as of the entry; `None` without notice.
     pub leaves_in_ms: Option<u64>,
-    /// Grows with each entry of this run.
+    /// Number that increases with each entry of this incarnation.
     pub revision: u64,
-    /// What it holds; empty for a plain service.
+    /// Models that it holds; empty for a service without engines.
     pub residence: Residence,
 }
 
-/// An upstream as VMs tell it to each other: without the run's name, which follows from the
-/// instance and the time of start. Copies of the list hold thousands of them, and each VM reads one
-/// at its start.
+/// Encoded form of an upstream in messages between VMs, without the incarnation name, which follows
+/// from the instance and the start time. List snapshots contain thousands of them, and each VM
+/// reads one at its start.
 #[derive(Serialize, Deserialize)]
 struct ToldUpstream {
     instance: InstanceName,
@@ -80,20 +80,20 @@
 }
 
 impl From<ToldUpstream> for Upstream {
-    fn from(told: ToldUpstream) -> Self {
+    fn from(encoded: ToldUpstream) -> Self {
         Self {
-            name: incarnation_name(&told.instance, told.born_ms),
-            instance: told.instance,
-            born_ms: told.born_ms,
-            service: told.service,
-            address: told.address,
-            zone: told.zone,
-            slots: told.slots,
-            phase: told.phase,
-            warm_up_ms: told.warm_up_ms,
-            leaves_in_ms: told.leaves_in_ms,
-            revision: told.revision,
-            residence: told.residence,
+            name: incarnation_name(&encoded.instance, encoded.born_ms),
+            instance: encoded.instance,
+            born_ms: encoded.born_ms,
+            service: encoded.service,
+            address: encoded.address,
+            zone: encoded.zone,
+            slots: encoded.slots,
+            phase: encoded.phase,
+            warm_up_ms: encoded.warm_up_ms,
+            leaves_in_ms: encoded.leaves_in_ms,
+            revision: encoded.revision,
+            residence: encoded.residence,
         }
     }
 }
