--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/feeds.rs
@@ -213,7 +213,7 @@
     }
 
     /// Returns the size of the copy, if it names these upstreams; else 0.
-    pub fn copy_bytes(&self, listed: u64) -> usize {
+    pub fn snapshot_bytes(&self, listed: u64) -> usize {
         self.copy_writer.bytes_if_of(listed)
     }
 
--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -238,17 +238,21 @@
             .zip(&fresh.held)
             .map(|(own, told)| own == told)
             .collect();
-        self.feeds.note_copy_bytes(fresh.copy_bytes);
-        let has_copy = fresh.copy_bytes > 0;
-        let draw_ms = self.pacing.jitter_for_answer_ms(fresh.copy_bytes);
+        self.feeds.note_copy_bytes(fresh.snapshot_bytes);
+        let has_copy = fresh.snapshot_bytes > 0;
+        let draw_ms = self.pacing.jitter_for_answer_ms(fresh.snapshot_bytes);
         let turn_ms = self.pacing.turn_ms();
         let now_ms = self.now_ms;
         let feeds = &mut self.feeds;
         feeds
             .listed_repair
-            .heard(now_ms, &[is_same || !has_copy], draw_ms);
-        feeds.uncopied_repair.heard(now_ms, &[is_same], turn_ms);
-        feeds.held_repair.heard(now_ms, &holds_same, draw_ms);
+            .record_comparison(now_ms, &[is_same || !has_copy], draw_ms);
+        feeds
+            .uncopied_repair
+            .record_comparison(now_ms, &[is_same], turn_ms);
+        feeds
+            .held_repair
+            .record_comparison(now_ms, &holds_same, draw_ms);
         let leads = self.ordering.held_lease_end(self.now_ms).is_some();
         if let (true, false, Some(read_to)) = (is_same, leads, fresh.complete_list_read_to()) {
             self.feeds.skip_list_to(read_to);
@@ -268,7 +272,7 @@
             list_read_to: self.feeds.list_read_to(),
             list_bytes_per_s: self.pacing.list_rate(),
             listed,
-            copy_bytes: self.feeds.copy_bytes(listed),
+            snapshot_bytes: self.feeds.snapshot_bytes(listed),
             held: residence_digests(&self.directory),
             left: self.sharing.left(now_ms),
         }
--- a/crates/fleet/src/list_repair.rs
+++ b/crates/fleet/src/list_repair.rs
@@ -63,7 +63,7 @@
 
     /// Records which of the received digests equal this VM's. `jitter_ms` spreads the repairs of
     /// VMs that missed the same message.
-    pub fn heard(&mut self, now_ms: u64, same: &[bool], jitter_ms: u64) {
+    pub fn record_comparison(&mut self, now_ms: u64, same: &[bool], jitter_ms: u64) {
         let differed = self.earliest_difference_ms().is_some();
         self.differs_since_ms.resize(same.len(), None);
         for (since_ms, is_same) in self.differs_since_ms.iter_mut().zip(same) {
--- a/crates/fleet/src/read_sharing.rs
+++ b/crates/fleet/src/read_sharing.rs
@@ -56,7 +56,7 @@
     /// Digest of the upstreams that accept new work ([`serving_digest`](crate::serving_digest)).
     pub listed: u64,
     /// Size in bytes of the stored list snapshot; 0 if there is none with the same upstreams.
-    pub copy_bytes: usize,
+    pub snapshot_bytes: usize,
     /// Digests of what engines hold ([`residence_digests`](crate::residence_digests)).
     pub held: Vec<u32>,
     /// Upstreams that left within the last seconds.
--- a/crates/fleet/tests/list_snapshots.rs
+++ b/crates/fleet/tests/list_snapshots.rs
@@ -165,7 +165,7 @@
     let mut repairs = Vec::new();
     for now_ms in from_ms..to_ms {
         if now_ms % 400 == 0 {
-            repair.heard(now_ms, &[false], 7);
+            repair.record_comparison(now_ms, &[false], 7);
         }
         if repair.is_due(now_ms) {
             repair.begin(now_ms, 7);
@@ -184,7 +184,7 @@
     let repairs = heard_differing(&mut repair, 0, 60_000);
     assert!(repairs[0] >= answer_timeout_ms && repairs[0] < answer_timeout_ms + 500);
     assert!(repairs.len() < 8, "{repairs:?}");
-    repair.heard(60_000, &[true], 7);
+    repair.record_comparison(60_000, &[true], 7);
     assert_eq!(repair.due_ms(), None);
     assert_eq!(
         heard_differing(&mut repair, 60_001, 62_000).is_empty(),
@@ -196,9 +196,9 @@
 #[test]
 fn short_difference_is_left_alone() {
     let mut repair = ListRepair::for_serving_upstreams();
-    repair.heard(1_000, &[false], 0);
-    repair.heard(1_400, &[true], 0);
-    repair.heard(1_800, &[false], 0);
+    repair.record_comparison(1_000, &[false], 0);
+    repair.record_comparison(1_400, &[true], 0);
+    repair.record_comparison(1_800, &[false], 0);
     let due_ms = repair.due_ms().expect("it differs again");
     assert!(due_ms > 2_200);
 }
@@ -211,7 +211,7 @@
     let mut repair = ListRepair::for_residences();
     for beat in 0..200_usize {
         let same: Vec<bool> = (0..16).map(|group| (group + beat) % 4 != 0).collect();
-        repair.heard(beat as u64 * 400, &same, 0);
+        repair.record_comparison(beat as u64 * 400, &same, 0);
         let due_ms = repair.due_ms().expect("some differ");
         assert!(due_ms > beat as u64 * 400);
     }
--- a/crates/fleet/tests/read_sharing.rs
+++ b/crates/fleet/tests/read_sharing.rs
@@ -25,7 +25,7 @@
         list_read_to: Position::new(0, 40),
         list_bytes_per_s: None,
         listed: 7,
-        copy_bytes: 23_000,
+        snapshot_bytes: 23_000,
         held: vec![9],
         left: Vec::new(),
     }
