--- a/crates/fleet/tests/directory_entries.rs
+++ b/crates/fleet/tests/directory_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of upstreams: what is learned and what is not taken back.
+//! Entries of the upstream list: how the directory changes, and that it never moves backwards.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use support::serving;
 
 #[test]
-fn entry_comes_and_changes() {
+fn entry_changes() {
     let mut directory = directory();
     assert_eq!(
         directory.record_entry(entry("e", 1)),
@@ -26,10 +26,10 @@
     assert_eq!(directory.record_entry(holding), DirectoryChange::Residence);
 }
 
-/// Symptom: an upstream that leaves gets requests again. Sequence: its notice is read, then an
-/// entry that it wrote before the notice. Cause: the older entry replaced the newer one.
+/// Guards against new requests to a leaving upstream. An entry written before its leave notice can
+/// be read after the notice, and must not replace it.
 #[test]
-fn notice_is_not_taken_back() {
+fn leave_notice_final() {
     let mut directory = directory();
     directory.record_entry(entry("e", 5));
     assert_eq!(
@@ -41,10 +41,10 @@
     assert_eq!(serving(&directory), 0);
 }
 
-/// Symptom: an upstream that is gone gets requests. Sequence: its entry vanishes, then an entry
-/// from before is read once more. Cause: the directory had forgotten that it is gone.
+/// Guards against requests to a removed upstream. An entry from before the removal can be read once
+/// more after it, and must not add the upstream again.
 #[test]
-fn old_entry_of_a_gone_upstream() {
+fn old_entry_ignored() {
     let mut directory = directory();
     directory.record_entry(entry("e", 5));
     let name = UpstreamName::from("e");
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn listing_without_an_upstream() {
+fn unlisted_upstream_leaves() {
     let mut directory = directory();
     directory.record_entry(entry("e", 5));
     let left = directory.apply_listing(0, vec![entry("f", 1)]).left;
@@ -67,10 +67,10 @@
     assert!(directory.upstream(&UpstreamName::from("f")).is_some());
 }
 
-/// Symptom: a VM serves a route that was removed. Sequence: version 8 is in force, a late answer
-/// brings version 7. Cause: the version was not compared.
+/// Guards against a VM that serves a removed route. A late answer can bring configuration version 7
+/// when version 8 is already in force.
 #[test]
-fn configuration_never_goes_back() {
+fn older_configuration_rejected() {
     let mut directory = directory();
     let version = |version| Configuration {
         version,
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn not_complete_before_list_and_configuration() {
+fn both_parts_required() {
     let mut directory = directory();
     assert!(!directory.is_complete());
     directory.apply_listing(0, Vec::new());
--- a/crates/fleet/tests/list_snapshots.rs
+++ b/crates/fleet/tests/list_snapshots.rs
@@ -1,4 +1,4 @@
-//! The list as one VM tells it to the others: copies, digests, and what is done where they differ.
+//! Snapshots and digests of the upstream list that VMs exchange, and repairs of differences.
 
 mod support;
 
@@ -33,7 +33,7 @@
     upstream
 }
 
-fn over_the_wire(copy: ListSnapshot) -> Option<ListSnapshot> {
+fn encode_and_decode(copy: ListSnapshot) -> Option<ListSnapshot> {
     let parts = copy.into_parts().into_iter().map(|part| {
         let bytes = postcard::to_stdvec(&part).expect("a part can be encoded");
         assert!(
@@ -50,11 +50,12 @@
 #[case::none(0)]
 #[case::some(134)]
 #[case::several_parts(3_000)]
-fn copy_tells_all(#[case] upstreams: usize) {
+fn snapshot_is_complete(#[case] upstreams: usize) {
     let names: Vec<String> = (0..upstreams).map(|index| format!("e{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let read = listing(&names);
-    let copy = over_the_wire(ListSnapshot::new(Position::new(0, 40), &read)).expect("a whole copy");
+    let copy =
+        encode_and_decode(ListSnapshot::new(Position::new(0, 40), &read)).expect("a whole copy");
     let mut told = directory();
     told.apply_snapshot(NOW_MS, copy.entries, true);
     assert_eq!(serving(&told), upstreams);
@@ -63,9 +64,9 @@
     assert_eq!(residence_digests(&told), residence_digests(&read));
 }
 
-/// Each VM reads a copy at its start, so what one upstream takes in it counts VMs times.
+/// Each VM reads a snapshot at its start, so the size of one entry counts once per VM.
 #[test]
-fn entry_in_a_copy_is_small() {
+fn small_snapshot_entry() {
     let upstream = Upstream {
         instance: "i-13511b8177".into(),
         name: "i-13511b8177@1772562990000".into(),
@@ -80,11 +81,10 @@
     assert_eq!(told, upstream);
 }
 
-/// Symptom: a VM drops upstreams that live. Sequence: it reads the parts of a copy while another is
-/// being written, or parts of a longer one are left over. Cause: parts of two copies were taken for
-/// one.
+/// Guards against a VM that drops live upstreams. It can read the parts of a snapshot while another
+/// one is being written, or with left-over parts of a longer one, and must not combine them.
 #[test]
-fn parts_of_two_copies_are_none() {
+fn mixed_parts_rejected() {
     let names: Vec<String> = (0..1_100).map(|index| format!("e{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let former = ListSnapshot::new(Position::new(0, 40), &listing(&names)).into_parts();
@@ -97,11 +97,11 @@
     assert_eq!(copy.entries.len(), 1);
 }
 
-/// Symptom: after a change of the giver loads are planned from the weight store that an engine's
-/// own copy would serve. Cause: what another VM told took away what this one had read of the
-/// copies.
+/// Guards against loads from the weight store that the engine's cache would serve, after a change
+/// of the lease holder. Entries from other VMs lack the cached weights and replaced those that this
+/// VM had read.
 #[test]
-fn copies_of_weights_are_not_forgotten() {
+fn cached_weights_kept() {
     let mut directory = directory();
     directory.apply_listing(NOW_MS, vec![holding("e", 1, "m")]);
     let mut told = holding("e", 2, "m");
@@ -124,15 +124,15 @@
 #[rstest]
 #[case::newer(true, 1)]
 #[case::older(false, 2)]
-fn upstream_that_a_copy_does_not_name(#[case] is_newer: bool, #[case] left: usize) {
+fn upstream_not_in_snapshot(#[case] is_newer: bool, #[case] left: usize) {
     let mut directory = listing(&["a", "b"]);
     directory.apply_snapshot(NOW_MS, vec![entry("a", 1)], is_newer);
     assert_eq!(serving(&directory), left);
 }
 
-/// An upstream that left does not come back by a copy that was made before.
+/// An older snapshot does not add a departed upstream again.
 #[test]
-fn old_copy_brings_nobody_back() {
+fn old_snapshot_ignored() {
     let mut directory = listing(&["a", "b"]);
     let gone = directory.upstreams().find(|it| it.name.as_str() == "b");
     let gone = gone.expect("listed").name.clone();
@@ -147,21 +147,21 @@
 }
 
 #[test]
-fn digests_tell_what_differs() {
+fn digests_show_differences() {
     let mut one = listing(&["a", "b"]);
     let mut other = listing(&["b", "a"]);
     assert_eq!(serving_digest(&one), serving_digest(&other));
     one.record_entry(holding("a", 2, "m"));
     assert_eq!(serving_digest(&one), serving_digest(&other));
     assert_ne!(residence_digests(&one), residence_digests(&other));
-    // Heartbeats alone make no difference.
+    // Entries that differ only in their revision have equal digests.
     other.record_entry(holding("a", 9, "m"));
     assert_eq!(residence_digests(&one), residence_digests(&other));
     other.record_entry(leaving("b", 2));
     assert_ne!(serving_digest(&one), serving_digest(&other));
 }
 
-fn heard_differing(repair: &mut ListRepair, from_ms: u64, to_ms: u64) -> Vec<u64> {
+fn repair_times(repair: &mut ListRepair, from_ms: u64, to_ms: u64) -> Vec<u64> {
     let mut repairs = Vec::new();
     for now_ms in from_ms..to_ms {
         if now_ms % 400 == 0 {
@@ -175,26 +175,26 @@
     repairs
 }
 
-/// A VM whose list stays another asks ever more seldom.
+/// Repairs that do not help are repeated with growing delays.
 #[rstest]
-#[case::listed(ListRepair::for_serving_upstreams(), 500)]
-#[case::held(ListRepair::for_residences(), 3_000)]
-#[case::uncopied(ListRepair::without_snapshot(), 6_000)]
-fn repairs_become_seldom(#[case] mut repair: ListRepair, #[case] answer_timeout_ms: u64) {
-    let repairs = heard_differing(&mut repair, 0, 60_000);
-    assert!(repairs[0] >= answer_timeout_ms && repairs[0] < answer_timeout_ms + 500);
+#[case::serving(ListRepair::for_serving_upstreams(), 500)]
+#[case::residences(ListRepair::for_residences(), 3_000)]
+#[case::without_snapshot(ListRepair::without_snapshot(), 6_000)]
+fn repair_backoff(#[case] mut repair: ListRepair, #[case] min_difference_ms: u64) {
+    let repairs = repair_times(&mut repair, 0, 60_000);
+    assert!(repairs[0] >= min_difference_ms && repairs[0] < min_difference_ms + 500);
     assert!(repairs.len() < 8, "{repairs:?}");
     repair.record_comparison(60_000, &[true], 7);
     assert_eq!(repair.due_ms(), None);
     assert_eq!(
-        heard_differing(&mut repair, 60_001, 62_000).is_empty(),
-        answer_timeout_ms > 1_999
+        repair_times(&mut repair, 60_001, 62_000).is_empty(),
+        min_difference_ms > 1_999
     );
 }
 
-/// A message on its way is no reason to read.
+/// A difference as short as a message's transit time is not repaired.
 #[test]
-fn short_difference_is_left_alone() {
+fn short_difference_ignored() {
     let mut repair = ListRepair::for_serving_upstreams();
     repair.record_comparison(1_000, &[false], 0);
     repair.record_comparison(1_400, &[true], 0);
@@ -203,16 +203,16 @@
     assert!(due_ms > 2_200);
 }
 
-/// Symptom: each VM reads the copy every few seconds though it has missed nothing. Sequence: orders
-/// change what engines hold many times a second, and a VM hears of each a moment later. Cause: one
-/// digest over all engines differs at every moment.
+/// Guards against VMs that read the snapshot every few seconds without having missed anything.
+/// Orders change residences many times a second and VMs receive each change a moment later, so a
+/// single digest of all engines would differ at every moment.
 #[test]
-fn groups_that_differ_in_turn_are_left_alone() {
+fn alternating_groups_ignored() {
     let mut repair = ListRepair::for_residences();
-    for beat in 0..200_usize {
-        let same: Vec<bool> = (0..16).map(|group| (group + beat) % 4 != 0).collect();
-        repair.record_comparison(beat as u64 * 400, &same, 0);
+    for heartbeat in 0..200_usize {
+        let same: Vec<bool> = (0..16).map(|group| (group + heartbeat) % 4 != 0).collect();
+        repair.record_comparison(heartbeat as u64 * 400, &same, 0);
         let due_ms = repair.due_ms().expect("some differ");
-        assert!(due_ms > beat as u64 * 400);
+        assert!(due_ms > heartbeat as u64 * 400);
     }
 }
--- a/crates/fleet/tests/peer_departures.rs
+++ b/crates/fleet/tests/peer_departures.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of upstreams that left.
+//! Departures of upstreams that VMs announce to each other.
 
 mod support;
 
@@ -13,46 +13,46 @@
 use support::leaving;
 use support::serving;
 
-/// Symptom: a live upstream gets requests from one VM only. Sequence: a VM that reads for all tells
-/// that the upstream's entry is missing; the upstream writes it again; a VM that was told reads the
-/// new entry. Cause: what was told was kept as the upstream's own notice.
+/// Guards against a live upstream that receives requests from one VM only. A VM announces that an
+/// upstream's entry is missing, and then the upstream writes it again. The announcement was kept
+/// like the upstream's own leave notice.
 #[test]
-fn told_missing_is_taken_back_by_a_newer_entry() {
+fn newer_entry_revokes() {
     let mut reader = directory();
     reader.record_entry(entry("e", 5));
     reader.record_missing_entry(0, &UpstreamName::from("e"));
     let missing = reader.departure(&UpstreamName::from("e")).expect("it left");
     assert_eq!(missing.kind, DepartureKind::Missing);
-    let mut told = directory();
-    told.record_entry(entry("e", 4));
-    assert_eq!(told.record_departure(&missing), DirectoryChange::Left);
-    // The entry that the reader knew may be read here after the telling.
-    told.record_entry(entry("e", 5));
-    assert_eq!(serving(&told), 0);
-    assert_eq!(told.record_entry(entry("e", 6)), DirectoryChange::Added);
-    assert_eq!(serving(&told), 1);
-    // The telling is repeated, and comes late.
-    assert_eq!(told.record_departure(&missing), DirectoryChange::None);
-    assert_eq!(serving(&told), 1);
+    let mut peer = directory();
+    peer.record_entry(entry("e", 4));
+    assert_eq!(peer.record_departure(&missing), DirectoryChange::Left);
+    // This VM may read the last entry known to the reader after the announcement.
+    peer.record_entry(entry("e", 5));
+    assert_eq!(serving(&peer), 0);
+    assert_eq!(peer.record_entry(entry("e", 6)), DirectoryChange::Added);
+    assert_eq!(serving(&peer), 1);
+    // The announcement is repeated and arrives late.
+    assert_eq!(peer.record_departure(&missing), DirectoryChange::None);
+    assert_eq!(serving(&peer), 1);
 }
 
 #[test]
-fn told_notice_is_final() {
+fn announced_notice_final() {
     let mut reader = directory();
     reader.record_entry(entry("e", 5));
     reader.record_entry(leaving("e", 6));
     let notice = reader.departure(&UpstreamName::from("e")).expect("it left");
     assert_eq!(notice.kind, DepartureKind::Final);
-    let mut told = directory();
-    told.record_entry(entry("e", 5));
-    assert_eq!(told.record_departure(&notice), DirectoryChange::Left);
-    assert_eq!(told.record_departure(&notice), DirectoryChange::None);
-    told.record_entry(entry("e", 7));
-    assert_eq!(serving(&told), 0);
+    let mut peer = directory();
+    peer.record_entry(entry("e", 5));
+    assert_eq!(peer.record_departure(&notice), DirectoryChange::Left);
+    assert_eq!(peer.record_departure(&notice), DirectoryChange::None);
+    peer.record_entry(entry("e", 7));
+    assert_eq!(serving(&peer), 0);
 }
 
 #[test]
-fn no_departure_of_a_serving_upstream() {
+fn serving_without_departure() {
     let mut directory = directory();
     let name = UpstreamName::from("e");
     assert_eq!(directory.departure(&name), None);
@@ -60,8 +60,8 @@
     assert_eq!(directory.departure(&name), None);
 }
 
-/// How far the list was read by one VM, and then by another which finds that an upstream is
-/// missing.
+/// Position up to which one VM has read the upstream list, and the later one at which another VM
+/// finds that an upstream is missing.
 const READ: Position = Position {
     era: 0,
     offset: 190,
@@ -71,18 +71,16 @@
     offset: 210,
 };
 
-/// Symptom: a request reached an upstream 3.7 s after its entry had been removed, though all VMs
-/// had been told within 0.3 s.
+/// Guards against requests to an upstream whose entry was removed: one arrived 3.7 s after the
+/// removal, though all VMs had received the departure within 0.3 s.
 ///
-/// Sequence: the VM that reads the list for all is cut off from the store. Another one, which had
-/// been told of the list and had not read the last heartbeats, reads from where the first had come,
-/// finds the removal and tells it with the last revision that it knows. Then VMs read the copy that
-/// the first had written before the removal, with later revisions.
-///
-/// Cause: revisions decided which is later. A VM that skips what another has read does not know
-/// them.
+/// The lease holder is partitioned from the store. Another VM, which relied on its announcements
+/// and lacks the latest revisions, continues to read at the lease holder's position, finds the
+/// removal and announces it with the last revision that it knows. Then VMs read the snapshot that
+/// the lease holder wrote before the removal, with later revisions. So positions have to decide
+/// which fact is later, and not revisions.
 #[test]
-fn copy_from_before_the_removal() {
+fn snapshot_before_removal() {
     let mut vm = directory();
     vm.set_read_position(Position::new(0, 10));
     vm.apply_listing(1_000, vec![entry("e", 1), entry("other", 1)]);
@@ -97,10 +95,10 @@
     assert_eq!(vm.record_entry(entry("e", 51)), DirectoryChange::Added);
 }
 
-/// The same at a VM that had read the later revisions and is told of the removal: it must not take
-/// the removal for an old one.
+/// The same at a VM that had read the later revisions and receives the departure: it must not treat
+/// the removal as older than its entry.
 #[test]
-fn departure_told_with_an_old_revision() {
+fn departure_old_revision() {
     let mut vm = directory();
     vm.set_read_position(READ);
     vm.apply_listing(1_000, vec![entry("e", 50)]);
@@ -111,11 +109,11 @@
         kind: DepartureKind::Missing,
     };
     assert_eq!(vm.record_departure(&departure), DirectoryChange::Left);
-    // What was told before it left, and comes later.
+    // An entry announced before the departure arrives later.
     vm.set_read_position(READ);
     assert_eq!(vm.record_peer_entry(entry("e", 60)), DirectoryChange::None);
     vm.set_read_position(MISSING_AT.after(5));
     assert_eq!(vm.record_peer_entry(entry("e", 60)), DirectoryChange::Added);
-    // The departure is told for seconds; the upstream is back.
+    // The departure is announced for seconds; the upstream is back meanwhile.
     assert_eq!(vm.record_departure(&departure), DirectoryChange::None);
 }
--- a/crates/fleet/tests/read_sharing.rs
+++ b/crates/fleet/tests/read_sharing.rs
@@ -1,4 +1,4 @@
-//! What VMs take from the giver of orders in place of their own reads, and for how long.
+//! How long VMs rely on the lease holder's reads in place of their own.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::numbers::Position;
@@ -8,15 +8,15 @@
 use apricotdale_fleet::ReadSharing;
 use rstest::rstest;
 
-/// How long after an upstream said that it leaves requests may still reach it.
+/// Maximum time from an upstream's leave notice to the last request that reaches it.
 const LEAVING_BOUND_MS: u64 = 2_000;
 
-/// What a VM's own read of the list and the way of a request may take of that.
+/// Part of that time for a VM's own read of the upstream list and for the request's way.
 const OWN_READ_MS: u64 = 100;
 
-const HEARD_MS: u64 = 50_000;
+const RECEIVED_MS: u64 = 50_000;
 
-fn beat(list_age_ms: u64) -> Freshness {
+fn heartbeat(list_age_ms: u64) -> Freshness {
     Freshness {
         configuration: 3,
         configuration_age_ms: Some(200),
@@ -31,23 +31,23 @@
     }
 }
 
-/// Takes in a beat at a VM that reads for itself `jitter_ms` sooner than it must, of `spread_ms`.
+/// Handles a heartbeat at a VM that reads for itself `jitter_ms`, of `spread_ms`, before it must.
 fn handle_heartbeat(
     sharing: &mut ReadSharing,
     now_ms: u64,
-    beat: &Freshness,
+    heartbeat: &Freshness,
     spread_ms: u64,
     jitter_ms: u64,
 ) {
-    sharing.handle_heartbeat(now_ms, beat, spread_ms, jitter_ms);
+    sharing.handle_heartbeat(now_ms, heartbeat, spread_ms, jitter_ms);
 }
 
-/// Symptom: requests reach an upstream for up to 2.2 s after it left. Sequence: the giver can't
-/// read and its list grows old; it tells so once more and is lost; an upstream left right after the
-/// giver's last read. Cause: the age of the giver's list and the time for which its word is good
-/// were each bounded, and their sum was not.
+/// Guards against requests that reach an upstream up to 2.2 s after it left. The lease holder can't
+/// read, sends one more heartbeat with its old upstream list, and fails; an upstream left right
+/// after the lease holder's last read. The age of the list and the validity of the heartbeat were
+/// each bounded, but their sum was not.
 #[rstest]
-fn list_of_a_lost_giver(
+fn failed_lease_holder(
     #[values(0, 900, 1_300)] list_age_ms: u64,
     #[values(0, 13, 400)] spread_ms: u64,
 ) {
@@ -55,62 +55,62 @@
         let mut sharing = ReadSharing::default();
         handle_heartbeat(
             &mut sharing,
-            HEARD_MS,
-            &beat(list_age_ms),
+            RECEIVED_MS,
+            &heartbeat(list_age_ms),
             spread_ms,
             jitter_ms,
         );
-        let last_read_ms = HEARD_MS - list_age_ms;
+        let last_read_ms = RECEIVED_MS - list_age_ms;
         let reads_itself_ms = sharing.following_until_ms();
         assert!(reads_itself_ms - last_read_ms + OWN_READ_MS <= LEAVING_BOUND_MS);
     }
 }
 
-/// Until the next beat a VM relies on the last one, whatever it drew, while the giver reads at its
-/// usual pace.
+/// While the lease holder reads at its usual interval, a VM relies on one heartbeat until the next,
+/// whatever its jitter.
 #[rstest]
-fn followed_until_the_next_beat(#[values(0, 950)] list_age_ms: u64) {
+fn relied_until_next(#[values(0, 950)] list_age_ms: u64) {
     let mut sharing = ReadSharing::default();
-    handle_heartbeat(&mut sharing, HEARD_MS, &beat(list_age_ms), 400, 400);
-    assert!(sharing.is_following(HEARD_MS + 400));
+    handle_heartbeat(&mut sharing, RECEIVED_MS, &heartbeat(list_age_ms), 400, 400);
+    assert!(sharing.is_following(RECEIVED_MS + 400));
 }
 
-/// Symptom: all VMs read the list in the same millisecond, and the store can't answer in time.
-/// Sequence: the giver is lost; all VMs have heard the same last beat. Cause: each relied on it for
-/// the same time.
+/// Guards against all VMs reading the upstream list in the same millisecond, which the store can't
+/// answer in time. All have received the same last heartbeat of a failed lease holder, and relied
+/// on it for the same time.
 #[test]
-fn vms_end_to_rely_at_different_times() {
+fn reliance_ends_spread() {
     let ends: std::collections::BTreeSet<u64> = (0..=400)
         .map(|jitter_ms| {
             let mut sharing = ReadSharing::default();
-            handle_heartbeat(&mut sharing, HEARD_MS, &beat(100), 400, jitter_ms);
+            handle_heartbeat(&mut sharing, RECEIVED_MS, &heartbeat(100), 400, jitter_ms);
             sharing.following_until_ms()
         })
         .collect();
     assert_eq!(ends.len(), 401);
 }
 
-/// A VM whose reads are old tells so; what another VM has read a moment ago goes on to hold, and no
-/// longer than that.
+/// A VM whose reads are old announces their age. Such a heartbeat neither extends nor ends the
+/// reliance on another VM's recent read.
 #[test]
-fn old_list_is_not_followed() {
+fn old_list_ignored() {
     let mut sharing = ReadSharing::default();
-    handle_heartbeat(&mut sharing, HEARD_MS, &beat(1_301), 0, 0);
-    assert!(!sharing.is_following(HEARD_MS));
-    assert!(!beat(1_301).is_fresh() && beat(1_300).is_fresh());
-    handle_heartbeat(&mut sharing, HEARD_MS, &beat(100), 0, 0);
+    handle_heartbeat(&mut sharing, RECEIVED_MS, &heartbeat(1_301), 0, 0);
+    assert!(!sharing.is_following(RECEIVED_MS));
+    assert!(!heartbeat(1_301).is_fresh() && heartbeat(1_300).is_fresh());
+    handle_heartbeat(&mut sharing, RECEIVED_MS, &heartbeat(100), 0, 0);
     let until_ms = sharing.following_until_ms();
-    handle_heartbeat(&mut sharing, HEARD_MS + 400, &beat(1_301), 0, 0);
+    handle_heartbeat(&mut sharing, RECEIVED_MS + 400, &heartbeat(1_301), 0, 0);
     assert_eq!(sharing.following_until_ms(), until_ms);
 }
 
 #[rstest]
-#[case::whole(true, Some(HEARD_MS - 300))]
+#[case::complete(true, Some(RECEIVED_MS - 300))]
 #[case::live_upstreams_may_be_missing(false, None)]
-fn only_a_whole_list_counts_for_others(#[case] list_complete: bool, #[case] read_ms: Option<u64>) {
-    let mut told = beat(300);
+fn complete_list_required(#[case] list_complete: bool, #[case] read_ms: Option<u64>) {
+    let mut told = heartbeat(300);
     told.list_complete = list_complete;
-    assert_eq!(told.complete_list_read_ms(HEARD_MS), read_ms);
+    assert_eq!(told.complete_list_read_ms(RECEIVED_MS), read_ms);
     assert_eq!(
         told.complete_list_read_to(),
         read_ms.map(|_| Position::new(0, 40))
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn departure_is_told_for_a_time() {
+fn departure_repeated_briefly() {
     let departure = Departure {
         upstream: UpstreamName::from("e"),
         revision: 5,
@@ -126,7 +126,7 @@
         kind: DepartureKind::Missing,
     };
     let mut sharing = ReadSharing::default();
-    sharing.record_recent_departure(HEARD_MS, departure.clone());
-    assert_eq!(sharing.left(HEARD_MS + 2_400), [departure]);
-    assert!(sharing.left(HEARD_MS + 2_500).is_empty());
+    sharing.record_recent_departure(RECEIVED_MS, departure.clone());
+    assert_eq!(sharing.left(RECEIVED_MS + 2_400), [departure]);
+    assert!(sharing.left(RECEIVED_MS + 2_500).is_empty());
 }
--- a/crates/fleet/tests/read_storms.rs
+++ b/crates/fleet/tests/read_storms.rs
@@ -1,35 +1,35 @@
-//! Hundreds of VMs that read a store which sends a limited number of bytes a second.
+//! Hundreds of VMs that read from a store with a limited send rate.
 //!
-//! Guards against a metastable failure. All VMs read the same backlog of the list at once, and the
-//! answers come one after the other. VMs that give up after a fixed time and ask again keep the
-//! store sending answers that nobody waits for, so that no VM reads anything any more.
+//! Guards against a metastable failure. All VMs read the same backlog of the upstream list at once,
+//! and the answers come one after the other. VMs that time out after a fixed time and ask again
+//! keep the store sending answers that nobody waits for, until no VM reads anything any more.
 
 use apricotdale_fleet::Freshness;
 use apricotdale_fleet::ReadPacing;
 use apricotdale_fleet::ReadSharing;
 use rstest::rstest;
 
-/// What the store sends in a millisecond.
-const BYTES_A_MS: u64 = 80_000;
+/// Bytes that the store sends in a millisecond.
+const SEND_BYTES_PER_MS: u64 = 80_000;
 
-/// What the upstreams' entries grow by in a millisecond: 134 of 2 kB, each 1.2 s.
-const LIST_BYTES_A_MS: u64 = 223;
+/// Growth of the upstreams' entries in a millisecond: 134 entries of 2 kB every 1.2 s.
+const LIST_BYTES_PER_MS: u64 = 223;
 
-/// The upstreams' entries, one of each, and the copy that one VM keeps of them.
+/// Size of one entry of each upstream, and of the list snapshot.
 const LIST_BYTES: u64 = 360_000;
-const COPY_BYTES: u64 = 23_000;
+const SNAPSHOT_BYTES: u64 = 23_000;
 const CONFIGURATION_BYTES: u64 = 50_000;
 
-/// How long a datagram takes.
+/// Transit time of a datagram.
 const DATAGRAM_MS: u64 = 2;
 
-/// How long one VM alone waits for an answer.
-const ALONE_MS: u64 = 800;
+/// Timeout of a read if only one VM reads.
+const ALONE_TIMEOUT_MS: u64 = 800;
 
-/// The time between two reads of a VM that no other tells of changes.
-const OWN_READ_EVERY_MS: u64 = 900;
+/// Interval between the reads of a VM that receives no announcements.
+const OWN_READ_INTERVAL_MS: u64 = 900;
 
-/// `Store` answers reads one behind the other, also those that were given up.
+/// Store that answers reads one after the other, including those that have timed out.
 #[derive(Default)]
 struct Store {
     busy_until_us: u64,
@@ -39,7 +39,7 @@
 }
 
 impl Store {
-    /// Returns when the answer has come; none while the store is away.
+    /// Returns when the answer arrives, or `None` during an outage of the store.
     fn answered_ms(&mut self, now_ms: u64, bytes: u64) -> Option<u64> {
         self.calls += 1;
         if now_ms < self.away_until_ms {
@@ -47,51 +47,51 @@
         }
         self.sent_bytes += bytes;
         let begun_us = self.busy_until_us.max(now_ms * 1_000);
-        self.busy_until_us = begun_us + bytes * 1_000 / BYTES_A_MS;
+        self.busy_until_us = begun_us + bytes * 1_000 / SEND_BYTES_PER_MS;
         Some(self.busy_until_us.div_ceil(1_000))
     }
 }
 
-/// A read under way.
+/// Pending read.
 #[derive(Clone, Copy)]
-struct Reading {
+struct PendingRead {
     ends_ms: u64,
-    is_answered: bool,
+    arrives_in_time: bool,
 }
 
-impl Reading {
+impl PendingRead {
     fn begin(store: &mut Store, now_ms: u64, bytes: u64, answer_timeout_ms: u64) -> Self {
-        let given_up_ms = now_ms + answer_timeout_ms;
+        let timeout_at_ms = now_ms + answer_timeout_ms;
         match store.answered_ms(now_ms, bytes) {
-            Some(ends_ms) if ends_ms <= given_up_ms => Self {
+            Some(ends_ms) if ends_ms <= timeout_at_ms => Self {
                 ends_ms,
-                is_answered: true,
+                arrives_in_time: true,
             },
             _ => Self {
-                ends_ms: given_up_ms,
-                is_answered: false,
+                ends_ms: timeout_at_ms,
+                arrives_in_time: false,
             },
         }
     }
 }
 
-/// One VM's reading of the list.
+/// One VM that reads the upstream list.
 struct Vm {
     pacing: ReadPacing,
     sharing: ReadSharing,
-    /// Up to when it knows the list.
+    /// Time up to which it knows the upstream list.
     known_ms: u64,
-    /// When it last read the list itself.
+    /// Time of its last own read of the upstream list.
     read_ms: Option<u64>,
     next_ms: u64,
     failures: u32,
-    reading: Option<Reading>,
+    pending_read: Option<PendingRead>,
     turn_ms: Option<u64>,
 }
 
 impl Vm {
     fn new(vms: u32, seed: u64, known_ms: u64) -> Self {
-        let mut pacing = ReadPacing::new(BYTES_A_MS as f64 * 1_000.0, seed);
+        let mut pacing = ReadPacing::new(SEND_BYTES_PER_MS as f64 * 1_000.0, seed);
         pacing.set_vms(vms);
         Self {
             pacing,
@@ -100,7 +100,7 @@
             read_ms: None,
             next_ms: 0,
             failures: 0,
-            reading: None,
+            pending_read: None,
             turn_ms: None,
         }
     }
@@ -120,19 +120,20 @@
     }
 }
 
-/// `Fleet` is VMs that lost the one which read the list for all.
+/// VMs after the failure of the lease holder, which read the upstream list for all.
 struct Fleet {
     store: Store,
     vms: Vec<Vm>,
-    /// What was told, and when it arrives.
-    told: Vec<(u64, u64)>,
-    /// What the upstreams' entries grow by in a millisecond, and the size of one of each.
-    list_bytes_a_ms: u64,
+    /// Announcements in transit: arrival time, and the time of the announced read.
+    announcements: Vec<(u64, u64)>,
+    /// Growth of the upstreams' entries in a millisecond, and the size of one entry of each.
+    list_bytes_per_ms: u64,
     list_bytes: u64,
 }
 
 impl Fleet {
-    /// Returns VMs that know the list up to a moment and hear no more, with a store that is away.
+    /// Returns VMs that know the upstream list up to `known_ms` and receive no further
+    /// announcements, with a store in an outage until `away_until_ms`.
     fn new(vms: u32, known_ms: u64, away_until_ms: u64) -> Self {
         Self {
             store: Store {
@@ -142,42 +143,42 @@
             vms: (0..vms)
                 .map(|seed| Vm::new(vms, u64::from(seed) + 1, known_ms))
                 .collect(),
-            told: Vec::new(),
-            list_bytes_a_ms: LIST_BYTES_A_MS,
+            announcements: Vec::new(),
+            list_bytes_per_ms: LIST_BYTES_PER_MS,
             list_bytes: LIST_BYTES,
         }
     }
 
-    /// Returns the same with some times as many upstreams.
+    /// Returns the same VMs with `times` as many upstreams.
     fn with_upstreams(mut self, times: u64) -> Self {
-        self.list_bytes_a_ms = LIST_BYTES_A_MS * times;
+        self.list_bytes_per_ms = LIST_BYTES_PER_MS * times;
         self.list_bytes = LIST_BYTES * times;
         for vm in &mut self.vms {
-            vm.pacing.set_list_rate(self.list_bytes_a_ms * 1_000);
+            vm.pacing.set_list_rate(self.list_bytes_per_ms * 1_000);
         }
         self
     }
 
     fn step(&mut self, now_ms: u64) {
         let arrived: Vec<u64> = self
-            .told
+            .announcements
             .iter()
             .filter(|(at_ms, _)| *at_ms == now_ms)
             .map(|(_, read_ms)| *read_ms)
             .collect();
-        self.told.retain(|(at_ms, _)| *at_ms > now_ms);
+        self.announcements.retain(|(at_ms, _)| *at_ms > now_ms);
         for vm in &mut self.vms {
             for read_ms in &arrived {
                 vm.handle_heartbeat(now_ms, now_ms - read_ms);
             }
-            if let Some(ended) = vm.reading.take_if(|it| it.ends_ms <= now_ms) {
-                if ended.is_answered {
+            if let Some(ended) = vm.pending_read.take_if(|it| it.ends_ms <= now_ms) {
+                if ended.arrives_in_time {
                     vm.failures = 0;
                     vm.known_ms = now_ms;
                     vm.read_ms = Some(now_ms);
-                    vm.next_ms = now_ms + OWN_READ_EVERY_MS;
+                    vm.next_ms = now_ms + OWN_READ_INTERVAL_MS;
                     if !vm.sharing.is_following(now_ms) {
-                        self.told.push((now_ms + DATAGRAM_MS, now_ms));
+                        self.announcements.push((now_ms + DATAGRAM_MS, now_ms));
                     }
                 } else {
                     vm.failures += 1;
@@ -192,14 +193,17 @@
                 Some(turn_ms) => turn_ms,
                 None => *vm.turn_ms.insert(now_ms + vm.pacing.turn_ms()),
             };
-            if vm.reading.is_none() && vm.next_ms.max(turn_ms) <= now_ms {
-                let backlog = (now_ms - vm.known_ms) * self.list_bytes_a_ms;
+            if vm.pending_read.is_none() && vm.next_ms.max(turn_ms) <= now_ms {
+                let backlog = (now_ms - vm.known_ms) * self.list_bytes_per_ms;
                 let bytes = backlog.min(self.list_bytes);
                 let age_ms = vm.read_ms.map(|read_ms| now_ms - read_ms);
-                let answer_timeout_ms =
-                    vm.pacing
-                        .list_answer_timeout_ms(ALONE_MS, bytes as usize, vm.failures, age_ms);
-                vm.reading = Some(Reading::begin(
+                let answer_timeout_ms = vm.pacing.list_answer_timeout_ms(
+                    ALONE_TIMEOUT_MS,
+                    bytes as usize,
+                    vm.failures,
+                    age_ms,
+                );
+                vm.pending_read = Some(PendingRead::begin(
                     &mut self.store,
                     now_ms,
                     bytes,
@@ -215,44 +219,47 @@
     }
 }
 
-/// What VMs did before: all read their whole backlog in step, wait for a fixed time, and ask again
-/// after a short pause.
-fn vms_that_know_the_list_by_the_former_rule(vms: u32, backlog_ms: u64, end_ms: u64) -> usize {
+/// Simulates the former rule, by which all VMs read their complete backlog at the same moments,
+/// time out after a fixed time and retry after a short delay. Returns how many VMs have read it by
+/// the end.
+fn vms_informed_with_fixed_timeout(vms: u32, backlog_ms: u64, end_ms: u64) -> usize {
     const PAUSES_MS: [u64; 3] = [100, 200, 400];
     let mut store = Store::default();
     let begin_ms = backlog_ms;
-    let mut readers = vec![(None::<Reading>, 0_usize, begin_ms, false); vms as usize];
+    let mut readers = vec![(None::<PendingRead>, 0_usize, begin_ms, false); vms as usize];
     for now_ms in begin_ms..end_ms {
-        for (reading, failures, next_ms, knows) in &mut readers {
-            if let Some(ended) = reading.take_if(|it| it.ends_ms <= now_ms) {
-                *knows = ended.is_answered;
+        for (pending_read, failures, next_ms, knows) in &mut readers {
+            if let Some(ended) = pending_read.take_if(|it| it.ends_ms <= now_ms) {
+                *knows = ended.arrives_in_time;
                 *next_ms = now_ms + PAUSES_MS[(*failures).min(2)];
                 *failures += 1;
             }
-            if !*knows && reading.is_none() && *next_ms <= now_ms {
-                let bytes = now_ms * LIST_BYTES_A_MS;
-                *reading = Some(Reading::begin(&mut store, now_ms, bytes, ALONE_MS));
+            if !*knows && pending_read.is_none() && *next_ms <= now_ms {
+                let bytes = now_ms * LIST_BYTES_PER_MS;
+                *pending_read = Some(PendingRead::begin(
+                    &mut store,
+                    now_ms,
+                    bytes,
+                    ALONE_TIMEOUT_MS,
+                ));
             }
         }
     }
     readers.iter().filter(|(.., knows)| *knows).count()
 }
 
-/// The failure itself, in this model of the store: of 295 VMs those that were not among the first
+/// The failure itself, in this model of the store: of 295 VMs, those that were not among the first
 /// have read nothing half a minute later. With 30 VMs all have.
 #[test]
-fn former_rule_collapses() {
-    assert_eq!(
-        vms_that_know_the_list_by_the_former_rule(30, 5_800, 38_000),
-        30
-    );
-    let knowing = vms_that_know_the_list_by_the_former_rule(295, 5_800, 38_000);
+fn fixed_timeout_collapses() {
+    assert_eq!(vms_informed_with_fixed_timeout(30, 5_800, 38_000), 30);
+    let knowing = vms_informed_with_fixed_timeout(295, 5_800, 38_000);
     assert!(knowing < 100, "{knowing} of 295 know the list");
 }
 
-/// Loses the VM that read for all, and returns how old the list of any VM grew, and which share of
-/// what the store sends was read.
-fn lose_giver(vms: u32, upstreams: u64) -> (u64, f64) {
+/// Simulates a failure of the lease holder. Returns the maximum age of any VM's upstream list, and
+/// the used share of the store's send rate.
+fn simulate_lost_lease_holder(vms: u32, upstreams: u64) -> (u64, f64) {
     const LOST_MS: u64 = 10_000;
     const END_MS: u64 = LOST_MS + 10_000;
     let mut fleet = Fleet::new(vms, LOST_MS - 400, 0).with_upstreams(upstreams);
@@ -264,35 +271,34 @@
         fleet.step(now_ms);
         oldest_ms = oldest_ms.max(fleet.oldest_ms(now_ms));
     }
-    let whole_bytes = (END_MS - LOST_MS) * BYTES_A_MS;
+    let whole_bytes = (END_MS - LOST_MS) * SEND_BYTES_PER_MS;
     (
         oldest_ms,
         fleet.store.sent_bytes as f64 / whole_bytes as f64,
     )
 }
 
-/// The VM that read for all is lost. The list that a VM relies on stays young enough for the bound
-/// on upstreams that leave, a few VMs read, and the bytes are a small part of what the store sends.
+/// After a failure of the lease holder, the upstream list of every VM stays recent enough for the
+/// bound on leaving upstreams. Only a few VMs read, with a small share of the store's send rate.
 #[rstest]
-fn lost_giver(#[values(9, 30, 100, 300, 410)] vms: u32) {
-    let (oldest_ms, share) = lose_giver(vms, 1);
+fn lost_lease_holder(#[values(9, 30, 100, 300, 410)] vms: u32) {
+    let (oldest_ms, share) = simulate_lost_lease_holder(vms, 1);
     assert!(oldest_ms < 2_000, "{oldest_ms} ms");
     assert!(share < 0.05, "{share}");
 }
 
-/// The same with twenty times as many upstreams: if all VMs read, it would be twenty times what the
-/// store sends. A VM may then rely on an older list for as long as it takes until a reader has
-/// told.
+/// The same with twenty times as many upstreams. If all VMs read, they would need twenty times the
+/// store's send rate. A VM may then rely on an older upstream list until a reader has announced.
 #[rstest]
-fn lost_giver_of_many_upstreams(#[values(100, 300, 410)] vms: u32) {
-    let (oldest_ms, share) = lose_giver(vms, 20);
+fn lost_holder_large(#[values(100, 300, 410)] vms: u32) {
+    let (oldest_ms, share) = simulate_lost_lease_holder(vms, 20);
     assert!(oldest_ms < 3_000, "{oldest_ms} ms");
     assert!(share < 0.6, "{share}");
 }
 
-/// An outage that ends, with twenty times as many upstreams: all VMs have the list back.
+/// After an outage, with twenty times as many upstreams, all VMs have the upstream list again.
 #[rstest]
-fn outage_of_many_upstreams(#[values(100, 300, 410)] vms: u32) {
+fn outage_large_list(#[values(100, 300, 410)] vms: u32) {
     const LOST_MS: u64 = 10_000;
     const RETURNED_MS: u64 = LOST_MS + 9_000;
     let mut fleet = Fleet::new(vms, LOST_MS, RETURNED_MS).with_upstreams(20);
@@ -303,10 +309,10 @@
     assert!(oldest_ms < 3_000, "{oldest_ms} ms");
 }
 
-/// The store is away and comes back to VMs that all miss seconds of the list. All have it back
-/// within 2 s of its return.
+/// After an outage in which all VMs missed seconds of the upstream list, all have it again within 2
+/// s.
 #[rstest]
-fn outage_that_ends(#[values(9, 100, 300, 410)] vms: u32, #[values(1_000, 9_000)] outage_ms: u64) {
+fn outage_ends(#[values(9, 100, 300, 410)] vms: u32, #[values(1_000, 9_000)] outage_ms: u64) {
     const LOST_MS: u64 = 10_000;
     let returned_ms = LOST_MS + outage_ms;
     let mut fleet = Fleet::new(vms, LOST_MS, returned_ms);
@@ -315,29 +321,25 @@
     }
     let oldest_ms = fleet.oldest_ms(returned_ms + 2_000);
     assert!(oldest_ms < 2_000, "{oldest_ms} ms");
-    // Not more than 250 calls a second over all VMs while it is away, but for the first ones.
-    let most_calls = u64::from(vms) * 4 + outage_ms / 4 + 2_000;
-    assert!(
-        fleet.store.calls < most_calls,
-        "{} calls",
-        fleet.store.calls
-    );
+    // During the outage all VMs together make at most 250 calls a second, after the first ones.
+    let max_calls = u64::from(vms) * 4 + outage_ms / 4 + 2_000;
+    assert!(fleet.store.calls < max_calls, "{} calls", fleet.store.calls);
 }
 
-/// All VMs start in the same millisecond, as after a loss of power, and do not know how many they
-/// are. Each reads the configuration and the copy of the list, gives no answer up, and can serve
-/// within a second.
+/// All VMs start in the same millisecond, as after a power failure, without knowing their number.
+/// Each reads the configuration and the list snapshot, none times out, and all can serve within a
+/// second.
 #[rstest]
-fn all_start_at_once(#[values(30, 100, 300, 410)] vms: u32) {
+fn simultaneous_start(#[values(30, 100, 300, 410)] vms: u32) {
     let mut store = Store::default();
-    let mut pacing = ReadPacing::new(BYTES_A_MS as f64 * 1_000.0, 1);
+    let mut pacing = ReadPacing::new(SEND_BYTES_PER_MS as f64 * 1_000.0, 1);
     let mut served_ms = 0;
-    for bytes in [CONFIGURATION_BYTES, COPY_BYTES] {
+    for bytes in [CONFIGURATION_BYTES, SNAPSHOT_BYTES] {
         for _ in 0..vms {
             let answer_timeout_ms = pacing.answer_timeout_ms(500, 64 * 1024, 0);
-            let reading = Reading::begin(&mut store, 0, bytes, answer_timeout_ms);
-            assert!(reading.is_answered);
-            served_ms = served_ms.max(reading.ends_ms);
+            let pending_read = PendingRead::begin(&mut store, 0, bytes, answer_timeout_ms);
+            assert!(pending_read.arrives_in_time);
+            served_ms = served_ms.max(pending_read.ends_ms);
         }
     }
     assert!(served_ms < 1_000, "{served_ms} ms");
--- a/crates/fleet/tests/route_choice.rs
+++ b/crates/fleet/tests/route_choice.rs
@@ -1,4 +1,4 @@
-//! Which route and service a request gets.
+//! Choice of the route and the service of a request.
 
 use std::sync::Arc;
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn share_of_zero_gets_nothing() {
+fn zero_weight_share() {
     let route = route("r", "h", "/", &[("old", 0), ("new", 3)]);
     let new = GroupName::from("new");
     assert!((0..100_u64).all(|draw| route.service(draw) == Some(&new)));
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A directory and entries of upstreams.
+//! A directory and entries of upstreams for tests.
 
 #![allow(dead_code)]
 
@@ -12,7 +12,7 @@
 use apricotdale_fleet::Upstream;
 use apricotdale_fleet::UpstreamPhase;
 
-/// How long the list must be away for entries to lapse, and how long they then take to come back.
+/// Duration of an outage in which entries lapse, and the time until they are written again.
 pub const LAPSE_MS: u64 = 2_000;
 pub const RESTORE_MS: u64 = 2_000;
 
--- a/crates/fleet/tests/upstream_restarts.rs
+++ b/crates/fleet/tests/upstream_restarts.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the name that they had.
+//! Upstreams that restart under the same instance name.
 
 mod support;
 
@@ -37,7 +37,7 @@
     }
 }
 
-fn run(born_ms: u64) -> UpstreamName {
+fn incarnation(born_ms: u64) -> UpstreamName {
     incarnation_name(&InstanceName::from("e"), born_ms)
 }
 
@@ -47,85 +47,85 @@
     serving.map(|upstream| upstream.name.clone()).collect()
 }
 
-/// Symptom: an engine that has started again gets requests for models that it does not hold, and no
-/// orders. Sequence: its entry had revision 40; it crashes, starts again under the same name and
-/// writes revision 1. Cause: a revision below the last one known was taken for an old entry.
+/// Guards against requests to a restarted engine for models that it no longer holds, and against
+/// missing orders to it. After a crash the engine writes entries from revision 1 on, which were
+/// ignored as older than revision 40 of the former incarnation.
 #[test]
-fn lower_revision_of_a_later_run() {
+fn restart_lowers_revision() {
     let mut directory = directory();
     directory.record_entry(entry(FIRST_MS, 40, &["m"]));
     let change = directory.record_entry(entry(SECOND_MS, 1, &[]));
-    let former = run(FIRST_MS);
+    let former = incarnation(FIRST_MS);
     assert_eq!(change, DirectoryChange::Restarted { former });
-    assert_eq!(serving(&directory), [run(SECOND_MS)]);
-    assert!(directory.has_restarted(&run(FIRST_MS)));
-    let now = directory.upstream(&run(SECOND_MS)).expect("known");
+    assert_eq!(serving(&directory), [incarnation(SECOND_MS)]);
+    assert!(directory.has_restarted(&incarnation(FIRST_MS)));
+    let now = directory.upstream(&incarnation(SECOND_MS)).expect("known");
     assert!(now.residence.models.is_empty());
 }
 
-/// Symptom: models of a former run seem to be there again. Sequence: the later run's entry is read,
-/// then one of the former run that was written before it, also after the later run is gone. Cause:
-/// entries were told apart by their revision only.
+/// Guards against models of a former incarnation that seem to be loaded again. An entry of the
+/// former incarnation can be read after one of the later, also after the later was removed.
+/// Revisions alone can't tell the two apart.
 #[rstest]
-#[case::while_the_later_runs(false)]
-#[case::after_it_is_gone(true)]
-fn late_entry_of_the_former_run(#[case] gone: bool) {
+#[case::later_present(false)]
+#[case::later_removed(true)]
+fn late_former_entry(#[case] gone: bool) {
     let mut directory = directory();
     directory.record_entry(entry(FIRST_MS, 40, &["m"]));
     directory.record_entry(entry(SECOND_MS, 1, &[]));
     if gone {
-        directory.record_missing_entry(0, &run(SECOND_MS));
+        directory.record_missing_entry(0, &incarnation(SECOND_MS));
     }
     let change = directory.record_entry(entry(FIRST_MS, 41, &["m"]));
     assert_eq!(change, DirectoryChange::None);
     assert_eq!(serving(&directory).len(), usize::from(!gone));
-    assert!(directory.upstream(&run(FIRST_MS)).is_none());
+    assert!(directory.upstream(&incarnation(FIRST_MS)).is_none());
 }
 
-/// Symptom: a restarted engine stays out of use. Sequence: it had given notice that it leaves, then
-/// crashed and started again. Cause: the notice of the former run was kept for the later one.
+/// Guards against a restarted engine that stays out of use because the leave notice of the former
+/// incarnation is applied to it.
 #[test]
-fn notice_ends_with_the_run() {
+fn notice_ends_too() {
     let mut directory = directory();
     directory.record_entry(Upstream {
         phase: UpstreamPhase::Leaving,
         ..entry(FIRST_MS, 7, &["m"])
     });
     directory.record_entry(entry(SECOND_MS, 1, &[]));
-    assert_eq!(serving(&directory), [run(SECOND_MS)]);
+    assert_eq!(serving(&directory), [incarnation(SECOND_MS)]);
 }
 
 #[test]
-fn two_restarts_between_two_reads() {
+fn skipped_restart() {
     let mut directory = directory();
     directory.record_entry(entry(FIRST_MS, 9, &["m"]));
     let change = directory.record_entry(entry(THIRD_MS, 2, &[]));
-    let former = run(FIRST_MS);
+    let former = incarnation(FIRST_MS);
     assert_eq!(change, DirectoryChange::Restarted { former });
     let change = directory.record_entry(entry(SECOND_MS, 30, &["m"]));
     assert_eq!(change, DirectoryChange::None);
-    assert_eq!(serving(&directory), [run(THIRD_MS)]);
+    assert_eq!(serving(&directory), [incarnation(THIRD_MS)]);
 }
 
-/// Symptom: orders by what a former run held, while the list can't be read. Sequence: the store is
-/// away, the engine restarts, its report tells the later start. Cause: only the list was believed.
+/// Guards against orders that assume the residence of a former incarnation. While the store is
+/// unavailable, an engine's restart is visible only from the start time in its report.
 #[test]
-fn restart_told_by_a_report() {
+fn reported_restart() {
     let mut directory = directory();
     directory.record_entry(entry(FIRST_MS, 9, &["m"]));
-    let change = directory.record_restart(&run(FIRST_MS), SECOND_MS, Residence::default());
-    let former = run(FIRST_MS);
+    let change = directory.record_restart(&incarnation(FIRST_MS), SECOND_MS, Residence::default());
+    let former = incarnation(FIRST_MS);
     assert_eq!(change, DirectoryChange::Restarted { former });
-    assert_eq!(serving(&directory), [run(SECOND_MS)]);
-    let late = directory.record_restart(&run(FIRST_MS), SECOND_MS, Residence::default());
+    assert_eq!(serving(&directory), [incarnation(SECOND_MS)]);
+    let late = directory.record_restart(&incarnation(FIRST_MS), SECOND_MS, Residence::default());
     assert_eq!(late, DirectoryChange::None);
-    // The run's own entry follows and is no further restart.
+    // The incarnation's own entry follows and is no further restart.
     let change = directory.record_entry(entry(SECOND_MS, 1, &["n"]));
     assert_eq!(change, DirectoryChange::Residence);
 }
 
 #[test]
-fn restart_in_a_whole_list() {
+fn restart_in_listing() {
     let mut directory = directory();
     directory.record_entry(entry(FIRST_MS, 9, &["m"]));
     directory.record_list_failure();
@@ -133,22 +133,21 @@
     let left = directory
         .apply_listing(0, vec![entry(SECOND_MS, 1, &[])])
         .left;
-    assert_eq!(left, [run(FIRST_MS)]);
-    assert!(directory.has_restarted(&run(FIRST_MS)));
-    // A list that is older than what is known takes nothing back.
+    assert_eq!(left, [incarnation(FIRST_MS)]);
+    assert!(directory.has_restarted(&incarnation(FIRST_MS)));
+    // A list that is older than the directory's state changes nothing.
     let left = directory
         .apply_listing(0, vec![entry(FIRST_MS, 9, &["m"])])
         .left;
     assert!(left.is_empty());
-    assert_eq!(serving(&directory), [run(SECOND_MS)]);
+    assert_eq!(serving(&directory), [incarnation(SECOND_MS)]);
 }
 
-/// Symptom: requests go to an address that another writer has named, or to an engine whose entry is
-/// no longer its own. Sequence: a foreign entry replaces an engine's; its next own entry follows.
-/// Cause: what could not be understood was left alone, and a reader of the newest entries only saw
-/// something else than one that reads each change.
+/// Guards against requests to an address from another writer's entry, or to an engine whose entry
+/// is overwritten. Entries that could not be decoded were ignored, so that a VM which reads only
+/// the newest entries and one which reads each change ended in different states.
 #[test]
-fn own_entry_after_a_foreign_one() {
+fn foreign_entry() {
     let mut directory = directory();
     let instance = InstanceName::from("e");
     directory.record_entry(entry(FIRST_MS, 9, &["m"]));
@@ -163,5 +162,5 @@
     assert!(serving(&directory).is_empty());
     let change = directory.record_entry(entry(FIRST_MS, 10, &["m"]));
     assert_eq!(change, DirectoryChange::Added);
-    assert!(!directory.has_restarted(&run(FIRST_MS)));
+    assert!(!directory.has_restarted(&incarnation(FIRST_MS)));
 }
