--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -16,9 +16,9 @@
     pub unix_ms: u64,
 }
 
-/// `PeerSign` is what a peer's heartbeat says of its process.
+/// `PeerStatus` is what a peer's heartbeat says of its process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerSign {
+pub struct PeerStatus {
     /// The peer.
     pub vm: VmName,
     /// Its process, chosen at random at its start.
@@ -35,17 +35,17 @@
     /// The platform's list could not be read.
     ListingFailed,
     /// A peer answered this VM's heartbeat.
-    HeartbeatAnswered(PeerSign),
+    HeartbeatAnswered(PeerStatus),
     /// A peer's heartbeat reached this VM. It shows that the peer runs, but not that the peer can
     /// be reached from here.
-    HeartbeatHeard(PeerSign),
+    HeartbeatReceived(PeerStatus),
     /// A peer did not answer a heartbeat or another request in time.
     HeartbeatMissed {
         /// The peer.
         vm: VmName,
     },
     /// A try at an upstream ended.
-    UpstreamTried {
+    UpstreamAttempted {
         /// The upstream.
         upstream: UpstreamName,
         /// How the try ended.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -19,7 +19,7 @@
 pub use event::MembershipAction;
 pub use event::MembershipEvent;
 pub use event::Moment;
-pub use event::PeerSign;
+pub use event::PeerStatus;
 pub use membership::Membership;
 pub use options::Options;
 pub use pause::PauseDetector;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -14,7 +14,7 @@
 use crate::event::MembershipAction;
 use crate::event::MembershipEvent;
 use crate::event::Moment;
-use crate::event::PeerSign;
+use crate::event::PeerStatus;
 use crate::listing::EntryKey;
 use crate::listing::Known;
 use crate::listing::Listing;
@@ -87,14 +87,16 @@
                 });
                 actions.extend(restarted(&sign, outcome));
             }
-            MembershipEvent::HeartbeatHeard(sign) => {
+            MembershipEvent::HeartbeatReceived(sign) => {
                 let outcome = self.watch(&sign.vm, |peers, _| peers.heard(now_ms, &sign));
                 actions.extend(restarted(&sign, outcome));
             }
             MembershipEvent::HeartbeatMissed { vm } => {
                 self.watch(&vm, |peers, options| peers.missed(&vm, options));
             }
-            MembershipEvent::UpstreamTried { upstream, outcome } => self.tried(upstream, outcome),
+            MembershipEvent::UpstreamAttempted { upstream, outcome } => {
+                self.tried(upstream, outcome)
+            }
             MembershipEvent::Departed { vm } => {
                 self.departures.settle(&EntryKey::Vm(vm.to_string()));
             }
@@ -297,7 +299,7 @@
     }
 }
 
-fn restarted(sign: &PeerSign, outcome: SignOutcome) -> Option<MembershipAction> {
+fn restarted(sign: &PeerStatus, outcome: SignOutcome) -> Option<MembershipAction> {
     let action = MembershipAction::PeerRestarted {
         vm: sign.vm.clone(),
         process_id: sign.process_id,
--- a/crates/membership/src/pause.rs
+++ b/crates/membership/src/pause.rs
@@ -8,9 +8,9 @@
     /// The process ran.
     Running,
     /// The process was frozen, or may have been.
-    Frozen {
+    Paused {
         /// For how long no code of it ran, as far as the clocks show.
-        frozen_ms: u64,
+        paused_ms: u64,
     },
 }
 
@@ -48,12 +48,12 @@
         let Some(last) = self.last.replace(now) else {
             return PauseVerdict::Running;
         };
-        let frozen_ms = gap_ms(last, now);
-        if frozen_ms <= self.limit_ms {
+        let paused_ms = gap_ms(last, now);
+        if paused_ms <= self.limit_ms {
             return PauseVerdict::Running;
         }
         self.woke_at = Some(now);
-        PauseVerdict::Frozen { frozen_ms }
+        PauseVerdict::Paused { paused_ms }
     }
 
     /// Takes in a reading of the clocks and returns whether the process may act on its beliefs.
@@ -64,7 +64,7 @@
 
     /// Notes that the log has been read up to its end by a read that began at `began`. A read that
     /// began before the wake-up proves nothing and opens nothing.
-    pub fn log_reread(&mut self, began: Moment) {
+    pub fn record_log_read(&mut self, began: Moment) {
         let proves = |woke: &Moment| began.monotonic_ms >= woke.monotonic_ms;
         if self.woke_at.as_ref().is_some_and(proves) {
             self.woke_at = None;
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -8,7 +8,7 @@
 
 use apricotdale_core::names::VmName;
 
-use crate::event::PeerSign;
+use crate::event::PeerStatus;
 use crate::options::Options;
 
 /// The earlier processes of a VM that are remembered, so that a late answer of one is recognised.
@@ -38,7 +38,7 @@
 }
 
 impl Peer {
-    fn sign(&mut self, now_ms: u64, sign: &PeerSign) -> SignOutcome {
+    fn sign(&mut self, now_ms: u64, sign: &PeerStatus) -> SignOutcome {
         if self.earlier.contains(&sign.process_id) {
             return SignOutcome::Outdated;
         }
@@ -115,7 +115,7 @@
 
     /// Notes that a peer's own heartbeat arrived. It does not clear missed ones: where the network
     /// is cut in one direction only, a peer that is heard may still not be reachable.
-    pub(crate) fn heard(&mut self, now_ms: u64, sign: &PeerSign) -> SignOutcome {
+    pub(crate) fn heard(&mut self, now_ms: u64, sign: &PeerStatus) -> SignOutcome {
         self.peers
             .entry(sign.vm.clone())
             .or_default()
@@ -126,7 +126,7 @@
     pub(crate) fn answered(
         &mut self,
         now_ms: u64,
-        sign: &PeerSign,
+        sign: &PeerStatus,
         options: &Options,
     ) -> SignOutcome {
         let peer = self.peers.entry(sign.vm.clone()).or_default();
--- a/crates/membership/tests/listing_faults.rs
+++ b/crates/membership/tests/listing_faults.rs
@@ -129,7 +129,7 @@
     let mut bench = Bench::new("vm-a");
     bench.list_at(1_000, &engines(Some(LIVE), 1));
     let upstream = UpstreamName::new("engine-0");
-    let tried = |outcome| MembershipEvent::UpstreamTried {
+    let tried = |outcome| MembershipEvent::UpstreamAttempted {
         upstream: upstream.clone(),
         outcome,
     };
--- a/crates/membership/tests/pause_detector.rs
+++ b/crates/membership/tests/pause_detector.rs
@@ -27,11 +27,11 @@
 #[case::unix_time_was_set_forward(moment(1_000, 3_600_000), Some(3_600_000))]
 #[case::unix_time_was_set_back(moment(1_000, 0), None)]
 #[case::stopped_and_set_back(moment(9_000, 0), Some(9_000))]
-fn a_freeze_shows_on_either_clock(#[case] next: Moment, #[case] frozen_ms: Option<u64>) {
+fn a_freeze_shows_on_either_clock(#[case] next: Moment, #[case] paused_ms: Option<u64>) {
     let mut detector = PauseDetector::new(LIMIT_MS);
     assert_eq!(detector.observe(moment(0, 0)), PauseVerdict::Running);
-    let expected = frozen_ms.map_or(PauseVerdict::Running, |frozen_ms| PauseVerdict::Frozen {
-        frozen_ms,
+    let expected = paused_ms.map_or(PauseVerdict::Running, |paused_ms| PauseVerdict::Paused {
+        paused_ms,
     });
     assert_eq!(detector.observe(next), expected);
 }
@@ -48,12 +48,12 @@
         "noticed by the act itself, without a tick"
     );
     assert!(!detector.may_act(at(60_100)), "time alone does not open it");
-    detector.log_reread(at(100));
+    detector.record_log_read(at(100));
     assert!(
         !detector.may_act(at(60_200)),
         "a read from before the freeze proves nothing"
     );
-    detector.log_reread(at(60_250));
+    detector.record_log_read(at(60_250));
     assert!(detector.may_act(at(60_300)));
 }
 
@@ -64,8 +64,8 @@
     detector.observe(at(60_000));
     let began = at(60_100);
     detector.observe(at(90_000));
-    detector.log_reread(began);
+    detector.record_log_read(began);
     assert!(!detector.may_act(at(90_100)));
-    detector.log_reread(at(90_200));
+    detector.record_log_read(at(90_200));
     assert!(detector.may_act(at(90_300)));
 }
--- a/crates/membership/tests/peer_faults.rs
+++ b/crates/membership/tests/peer_faults.rs
@@ -10,7 +10,7 @@
 use apricotdale_membership::MembershipAction;
 use apricotdale_membership::MembershipEvent;
 use apricotdale_membership::Options;
-use apricotdale_membership::PeerSign;
+use apricotdale_membership::PeerStatus;
 
 mod support;
 
@@ -97,11 +97,11 @@
 fn a_draining_peer_is_not_preferred_until_it_restarts() {
     let mut bench = Bench::new("vm-a");
     bench.list_at(1_000, &[vm("vm-b", VmState::Live)]);
-    let draining = PeerSign {
+    let draining = PeerStatus {
         draining: true,
         ..sign("vm-b", 1)
     };
-    bench.handle(MembershipEvent::HeartbeatHeard(draining));
+    bench.handle(MembershipEvent::HeartbeatReceived(draining));
     assert_eq!(bench.live(), names(&["vm-a"]));
     bench.answer("vm-b", 2, 1);
     assert_eq!(bench.live(), names(&["vm-a", "vm-b"]));
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use apricotdale_membership::MembershipEvent;
 use apricotdale_membership::Moment;
 use apricotdale_membership::Options;
-use apricotdale_membership::PeerSign;
+use apricotdale_membership::PeerStatus;
 
 /// The Unix time at which the tests' monotonic clock shows zero.
 pub const UNIX_START_MS: u64 = 1_790_000_000_000;
@@ -121,7 +121,7 @@
     /// Lets a peer's own heartbeats arrive.
     pub fn hear(&mut self, vm: &str, process_id: u64, times: usize) {
         for _ in 0..times {
-            self.handle(MembershipEvent::HeartbeatHeard(sign(vm, process_id)));
+            self.handle(MembershipEvent::HeartbeatReceived(sign(vm, process_id)));
         }
     }
 
@@ -138,8 +138,8 @@
 }
 
 /// Returns a sign of life.
-pub fn sign(vm: &str, process_id: u64) -> PeerSign {
-    PeerSign {
+pub fn sign(vm: &str, process_id: u64) -> PeerStatus {
+    PeerStatus {
         vm: VmName::new(vm),
         process_id,
         draining: false,
--- a/crates/node/src/peer_answers.rs
+++ b/crates/node/src/peer_answers.rs
@@ -15,7 +15,7 @@
 use apricotdale_core::peer::PeerRequest;
 use apricotdale_core::serving::Clock;
 use apricotdale_membership::MembershipEvent;
-use apricotdale_membership::PeerSign;
+use apricotdale_membership::PeerStatus;
 
 use crate::demand::DemandTable;
 use crate::engine_reports::ReportTable;
@@ -106,8 +106,8 @@
 }
 
 /// Returns what a heartbeat says of its sender's process.
-pub fn sign_of(beat: &Heartbeat) -> PeerSign {
-    PeerSign {
+pub fn sign_of(beat: &Heartbeat) -> PeerStatus {
+    PeerStatus {
         vm: beat.vm.clone(),
         process_id: beat.process_id,
         draining: beat.draining,
@@ -138,7 +138,7 @@
             PeerRequest::Heartbeat(beat) => {
                 self.heartbeats.note_peer(&beat);
                 self.membership
-                    .handle(MembershipEvent::HeartbeatHeard(sign_of(&beat)));
+                    .handle(MembershipEvent::HeartbeatReceived(sign_of(&beat)));
                 PeerReply::Heartbeat(self.heartbeats.heartbeat())
             }
             PeerRequest::Demand(demand) => {
--- a/crates/node/src/settling/freshness.rs
+++ b/crates/node/src/settling/freshness.rs
@@ -78,7 +78,7 @@
             (state.next_offset() >= batch.end).then_some(())
         });
         if reached.is_some() {
-            self.detector.lock().log_reread(began);
+            self.detector.lock().record_log_read(began);
         }
         reached.is_some() && self.may_act()
     }
--- a/crates/node/src/streams/stream_tail.rs
+++ b/crates/node/src/streams/stream_tail.rs
@@ -80,7 +80,7 @@
 
     fn was_frozen(&mut self) -> bool {
         let verdict = self.pauses.observe(moment(&*self.clock));
-        matches!(verdict, PauseVerdict::Frozen { .. })
+        matches!(verdict, PauseVerdict::Paused { .. })
     }
 
     fn follow_on(&self) -> bool {
