--- a/crates/fleet/tests/list_snapshots.rs
+++ b/crates/fleet/tests/list_snapshots.rs
@@ -56,12 +56,12 @@
     let read = listing(&names);
     let copy =
         encode_and_decode(ListSnapshot::new(Position::new(0, 40), &read)).expect("a whole copy");
-    let mut told = directory();
-    told.apply_snapshot(NOW_MS, copy.entries, true);
-    assert_eq!(serving(&told), upstreams);
-    assert!(told.is_listed());
-    assert_eq!(serving_digest(&told), serving_digest(&read));
-    assert_eq!(residence_digests(&told), residence_digests(&read));
+    let mut peer = directory();
+    peer.apply_snapshot(NOW_MS, copy.entries, true);
+    assert_eq!(serving(&peer), upstreams);
+    assert!(peer.is_listed());
+    assert_eq!(serving_digest(&peer), serving_digest(&read));
+    assert_eq!(residence_digests(&peer), residence_digests(&read));
 }
 
 /// Each VM reads a snapshot at its start, so the size of one entry counts once per VM.
@@ -77,8 +77,8 @@
     };
     let bytes = postcard::to_stdvec(&upstream).expect("an entry can be encoded");
     assert!(bytes.len() <= 60, "{} bytes", bytes.len());
-    let told: Upstream = postcard::from_bytes(&bytes).expect("it can be decoded");
-    assert_eq!(told, upstream);
+    let decoded: Upstream = postcard::from_bytes(&bytes).expect("it can be decoded");
+    assert_eq!(decoded, upstream);
 }
 
 /// Guards against a VM that drops live upstreams. It can read the parts of a snapshot while another
@@ -104,15 +104,15 @@
 fn cached_weights_kept() {
     let mut directory = directory();
     directory.apply_listing(NOW_MS, vec![holding("e", 1, "m")]);
-    let mut told = holding("e", 2, "m");
-    told.residence.in_memory.clear();
-    told.residence.on_disk.clear();
-    directory.record_peer_entry(told.clone());
+    let mut update = holding("e", 2, "m");
+    update.residence.in_memory.clear();
+    update.residence.on_disk.clear();
+    directory.record_peer_entry(update.clone());
     directory.apply_snapshot(
         NOW_MS,
         vec![Upstream {
             revision: 3,
-            ..told
+            ..update
         }],
         true,
     );
--- a/crates/fleet/tests/read_sharing.rs
+++ b/crates/fleet/tests/read_sharing.rs
@@ -108,11 +108,11 @@
 #[case::complete(true, Some(RECEIVED_MS - 300))]
 #[case::live_upstreams_may_be_missing(false, None)]
 fn complete_list_required(#[case] list_complete: bool, #[case] read_ms: Option<u64>) {
-    let mut told = heartbeat(300);
-    told.list_complete = list_complete;
-    assert_eq!(told.complete_list_read_ms(RECEIVED_MS), read_ms);
+    let mut received = heartbeat(300);
+    received.list_complete = list_complete;
+    assert_eq!(received.complete_list_read_ms(RECEIVED_MS), read_ms);
     assert_eq!(
-        told.complete_list_read_to(),
+        received.complete_list_read_to(),
         read_ms.map(|_| Position::new(0, 40))
     );
 }
