--- a/crates/membership/examples/membership_figures.rs
+++ b/crates/membership/examples/membership_figures.rs
@@ -1,5 +1,5 @@
-//! Prints the figures of docs/design/membership.md: the time that one event takes on the machine at
-//! hand, and the rate and size of heartbeats.
+//! Prints the time that one membership event takes on this machine, and the rate and size of
+//! heartbeats.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -16,7 +16,7 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use support::Bench;
+use support::Fixture;
 use support::engine;
 use support::vm;
 
@@ -47,16 +47,16 @@
 }
 
 fn listing_time(entries: &[VmEntry]) {
-    let mut bench = Bench::new("entry-vm-0");
+    let mut fixture = Fixture::new("entry-vm-0");
     let listing_us = each_us(ROUNDS, |round| {
-        bench.list_at(1_000 * (round + 1), entries);
+        fixture.list_at(1_000 * (round + 1), entries);
     });
     let answer_us = each_us(ROUNDS, |_| {
-        bench.answer("entry-vm-1", 1, 1);
+        fixture.answer("entry-vm-1", 1, 1);
     });
     let tick_us = each_us(ROUNDS, |round| {
-        bench.handle(MembershipEvent::Tick);
-        bench.now_ms += 100 + round % 2;
+        fixture.handle(MembershipEvent::Tick);
+        fixture.now_ms += 100 + round % 2;
     });
     println!(
         "  one reading of the list {listing_us:.0} us, one answered heartbeat {answer_us:.1} us, \
@@ -65,9 +65,9 @@
 }
 
 fn lookup_time(entries: &[VmEntry]) {
-    let mut bench = Bench::new("entry-vm-0");
-    bench.list_at(1_000, entries);
-    let view = bench.membership.view();
+    let mut fixture = Fixture::new("entry-vm-0");
+    fixture.list_at(1_000, entries);
+    let view = fixture.membership.view();
     let models: Vec<ModelName> = (0..2_890)
         .map(|number| ModelName::new(format!("adapter-{number}")))
         .collect();
@@ -91,12 +91,13 @@
 
 fn heartbeats(entries: &[VmEntry]) {
     const SECONDS: u64 = 600;
-    let mut bench = Bench::new("entry-vm-0");
-    bench.list_at(1_000, entries);
-    let ticks = (10..10 + SECONDS * 10).flat_map(|tick| bench.tick_at(tick * 100));
-    let is_beat = |action: &MembershipAction| matches!(action, MembershipAction::Heartbeat { .. });
-    let sent = ticks.filter(is_beat).count();
-    let beat = PeerRequest::Heartbeat(Heartbeat {
+    let mut fixture = Fixture::new("entry-vm-0");
+    fixture.list_at(1_000, entries);
+    let ticks = (10..10 + SECONDS * 10).flat_map(|tick| fixture.tick_at(tick * 100));
+    let is_heartbeat =
+        |action: &MembershipAction| matches!(action, MembershipAction::Heartbeat { .. });
+    let sent = ticks.filter(is_heartbeat).count();
+    let heartbeat = PeerRequest::Heartbeat(Heartbeat {
         vm: "entry-vm-100".into(),
         process_id: u64::MAX,
         draining: false,
@@ -104,7 +105,7 @@
         digest: u64::MAX,
         digest_at: Offset(1_000_000),
     });
-    let bytes = postcard::to_stdvec(&beat)
+    let bytes = postcard::to_stdvec(&heartbeat)
         .expect("a heartbeat encodes")
         .len();
     println!(
--- a/crates/membership/src/departures.rs
+++ b/crates/membership/src/departures.rs
@@ -1,10 +1,10 @@
-//! Proposals to record what the list says is gone.
+//! Pending proposals to record departures stated by the VM list.
 
 use std::collections::BTreeMap;
 
 use crate::listing::EntryKey;
 
-/// `Departures` keeps what is to be proposed as gone until replay shows it.
+/// Departures to be proposed until replay shows them.
 #[derive(Debug, Default)]
 pub(crate) struct Departures {
     pending: BTreeMap<EntryKey, Departure>,
@@ -14,14 +14,14 @@
 struct Departure {
     as_of_ms: u64,
     since_ms: u64,
-    settled: bool,
+    replayed: bool,
     next_ms: u64,
 }
 
 impl Departures {
-    /// Notes that the list says that an entry is gone. A later time of the list's statement is
-    /// another statement: the entry came back in between.
-    pub(crate) fn note(&mut self, now_ms: u64, key: &EntryKey, as_of_ms: u64) {
+    /// Records that the VM list states an entry as gone. Another `as_of_ms` than the known one
+    /// means another departure: the entry was back in between.
+    pub(crate) fn record(&mut self, now_ms: u64, key: &EntryKey, as_of_ms: u64) {
         let known = self.pending.get(key);
         if known.is_some_and(|departure| departure.as_of_ms == as_of_ms) {
             return;
@@ -29,26 +29,26 @@
         let departure = Departure {
             as_of_ms,
             since_ms: now_ms,
-            settled: false,
+            replayed: false,
             next_ms: now_ms,
         };
         self.pending.insert(key.clone(), departure);
     }
 
-    /// Notes that replay showed the entry as gone.
-    pub(crate) fn settle(&mut self, key: &EntryKey) {
+    /// Records that replay showed the departure, so that it is not proposed again.
+    pub(crate) fn record_replayed(&mut self, key: &EntryKey) {
         if let Some(departure) = self.pending.get_mut(key) {
-            departure.settled = true;
+            departure.replayed = true;
         }
     }
 
-    /// Drops the entries that are no longer gone.
+    /// Removes the departures of entries that are no longer gone.
     pub(crate) fn retain(&mut self, is_gone: impl Fn(&EntryKey) -> bool) {
         self.pending.retain(|key, _| is_gone(key));
     }
 
-    /// Returns what to propose now: the entry and the time of the list's statement. `may_propose`
-    /// gets the entry and how long it has waited.
+    /// Returns the departures to propose now: the entry and the time of the listing that stated it.
+    /// `may_propose` receives the entry and how long its departure has been pending.
     pub(crate) fn due(
         &mut self,
         now_ms: u64,
@@ -58,7 +58,7 @@
         let mut due = Vec::new();
         for (key, departure) in &mut self.pending {
             let waited_ms = now_ms.saturating_sub(departure.since_ms);
-            let waits = departure.settled || now_ms < departure.next_ms;
+            let waits = departure.replayed || now_ms < departure.next_ms;
             if waits || !may_propose(key, waited_ms) {
                 continue;
             }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,4 +1,4 @@
-//! What membership takes in and what it asks for.
+//! Events that membership handles and actions that it requests.
 
 use std::net::SocketAddr;
 
@@ -7,101 +7,101 @@
 use apricotdale_core::policy::UpstreamOutcome;
 use apricotdale_core::vm_list::VmListing;
 
-/// `Moment` is one reading of both clocks.
+/// Simultaneous reading of both clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Moment {
-    /// Milliseconds on a clock that never goes back.
+    /// Milliseconds on a monotonic clock with an arbitrary origin.
     pub monotonic_ms: u64,
     /// Milliseconds of Unix time.
     pub unix_ms: u64,
 }
 
-/// `PeerStatus` is what a peer's heartbeat says of its process.
+/// Status of a peer's process, as stated in its heartbeat or its answer to one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The peer.
+    /// VM that the process runs on.
     pub vm: VmName,
-    /// Its process, chosen at random at its start.
+    /// Identity of the process, chosen at random at its start.
     pub process_id: u64,
-    /// Whether it is stopping.
+    /// Whether the process is stopping.
     pub draining: bool,
 }
 
-/// `MembershipEvent` is what membership learns from.
+/// Event that may change the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The platform's list was read.
+    /// A listing was read from the platform.
     ListingRead(VmListing),
-    /// The platform's list could not be read.
+    /// The VM list could not be read.
     ListingFailed,
     /// A peer answered this VM's heartbeat.
     HeartbeatAnswered(PeerStatus),
-    /// A peer's heartbeat reached this VM. It shows that the peer runs, but not that the peer can
-    /// be reached from here.
+    /// A peer's heartbeat reached this VM. It shows that the peer runs, but not that this VM can
+    /// reach the peer.
     HeartbeatReceived(PeerStatus),
     /// A peer did not answer a heartbeat or another request in time.
     HeartbeatMissed {
-        /// The peer.
+        /// Peer that did not answer.
         vm: VmName,
     },
-    /// A try at an upstream ended.
+    /// An attempt to send a request to an upstream ended.
     UpstreamAttempted {
-        /// The upstream.
+        /// Upstream that the attempt was made at.
         upstream: UpstreamName,
-        /// How the try ended.
+        /// How the attempt ended.
         outcome: UpstreamOutcome,
     },
     /// Replay showed that a VM's process was departed.
     Departed {
-        /// The VM.
+        /// VM of the departed process.
         vm: VmName,
     },
     /// Replay showed that an upstream was recorded as gone.
     UpstreamDeparted {
-        /// The upstream.
+        /// Upstream that is gone.
         upstream: UpstreamName,
     },
-    /// This VM's daemon began to stop.
+    /// This VM's daemon began to drain.
     DrainBegun,
     /// Time has passed.
     Tick,
 }
 
-/// `MembershipAction` is what membership asks of the daemon.
+/// Action that membership requests from the daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Send a heartbeat and tell how it went.
+    /// Send a heartbeat and report its outcome as an event.
     Heartbeat {
-        /// The peer.
+        /// Recipient of the heartbeat.
         vm: VmName,
-        /// Where it listens.
+        /// Address on which the recipient listens for peers.
         address: SocketAddr,
     },
-    /// Append a record saying that the VM is gone. The list said so in words and nothing has been
-    /// heard of the VM since.
+    /// Append a record that the VM is gone. The VM list stated so explicitly, and nothing has been
+    /// received from the VM for a while.
     ProposeDepart {
-        /// The VM.
+        /// VM that is gone.
         vm: VmName,
-        /// The time of which the list spoke, in milliseconds of Unix time. A process that joined
-        /// after it is another one, and must not be departed.
+        /// Time of the listing that stated it, in milliseconds of Unix time. A process that joined
+        /// later is another one, and must not be departed.
         as_of_ms: u64,
     },
-    /// Append a record saying that the upstream is gone. The list said so in words.
+    /// Append a record that the upstream is gone. The VM list stated so explicitly.
     ProposeUpstreamGone {
-        /// The upstream.
+        /// Upstream that is gone.
         upstream: UpstreamName,
-        /// The time of which the list spoke, in milliseconds of Unix time.
+        /// Time of the listing that stated it, in milliseconds of Unix time.
         as_of_ms: u64,
     },
-    /// A peer runs another process than before; what was known of the earlier one is void.
+    /// A peer runs another process than before, so state kept for the former one is void.
     PeerRestarted {
-        /// The peer.
+        /// Peer that has restarted.
         vm: VmName,
-        /// Its process.
+        /// Identity of its new process.
         process_id: u64,
     },
-    /// The list says that this VM is being taken away: drain now.
+    /// The VM list states that the platform is removing this VM, which has to drain now.
     OwnVmLeaving,
-    /// The view has changed; read it again.
+    /// The view has changed and has to be read again.
     ViewChanged,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Membership: which VMs and upstreams are there, from the lagging list and from what is seen.
+//! Membership: which VMs and upstreams exist, from the delayed VM list and from observed traffic.
 //!
-//! [`Membership`] takes in events and the time, and returns actions; [`View`] is what it believes
-//! now. The belief saves duplicate work and keeps new work off leaving upstreams. Nothing relies on
-//! it being the same on every VM: what has to be agreed goes through the log.
+//! [`Membership`] handles events together with the time, and returns actions; [`View`] is its
+//! current result. The view saves duplicate work and keeps new work off leaving upstreams. Nothing
+//! relies on equal views on all VMs: whatever has to be agreed upon goes through the log.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -12,7 +12,7 @@
 mod listing;
 mod membership;
 mod options;
-mod pause;
+mod pause_detector;
 mod peers;
 mod view;
 
@@ -22,8 +22,8 @@
 pub use event::PeerStatus;
 pub use membership::Membership;
 pub use options::Options;
-pub use pause::PauseDetector;
-pub use pause::PauseVerdict;
+pub use pause_detector::PauseDetector;
+pub use pause_detector::PauseVerdict;
 pub use view::UpstreamView;
 pub use view::View;
 pub use view::VmView;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership's event loop: events and time in, actions and a view out.
+//! State machine of membership: handles events and returns actions and a view.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,33 +16,33 @@
 use crate::event::Moment;
 use crate::event::PeerStatus;
 use crate::listing::EntryKey;
-use crate::listing::Known;
+use crate::listing::KnownEntry;
 use crate::listing::Listing;
 use crate::listing::ListingOutcome;
 use crate::options::Options;
 use crate::peers::Peers;
-use crate::peers::SignOutcome;
+use crate::peers::StatusOutcome;
 use crate::view::UpstreamView;
 use crate::view::View;
 use crate::view::VmView;
 
-/// `Membership` keeps which VMs and upstreams are there, as far as this VM can tell.
+/// State of all VMs and upstreams, as far as this VM can tell.
 #[derive(Debug)]
 pub struct Membership {
     own: VmName,
     options: Options,
     listing: Listing,
     peers: Peers,
-    unreached: BTreeMap<UpstreamName, u32>,
+    failed_attempts: BTreeMap<UpstreamName, u32>,
     departures: Departures,
     draining: bool,
-    told_leaving: bool,
-    stale_view: bool,
+    leave_reported: bool,
+    view_outdated: bool,
     view: Arc<View>,
 }
 
 impl Membership {
-    /// Returns membership as one VM sees it before the first listing.
+    /// Returns the state of a VM before its first VM list.
     pub fn new(own: VmName, options: Options) -> Self {
         let view = View {
             own: own.clone(),
@@ -56,23 +56,23 @@
             own,
             options,
             listing: Listing::default(),
-            unreached: BTreeMap::new(),
+            failed_attempts: BTreeMap::new(),
             departures: Departures::default(),
             draining: false,
-            told_leaving: false,
-            stale_view: false,
+            leave_reported: false,
+            view_outdated: false,
             view: Arc::new(view),
         };
         membership.view = Arc::new(membership.current_view());
         membership
     }
 
-    /// Returns the present view.
+    /// Returns the current view.
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.view)
     }
 
-    /// Takes in an event and returns what is to be done now.
+    /// Handles an event and returns what the daemon has to do now.
     pub fn handle(&mut self, now: Moment, event: MembershipEvent) -> Vec<MembershipAction> {
         let now_ms = now.monotonic_ms;
         let mut actions = Vec::new();
@@ -81,32 +81,35 @@
                 self.read_listing(now_ms, listing, &mut actions);
             }
             MembershipEvent::ListingFailed => {}
-            MembershipEvent::HeartbeatAnswered(sign) => {
-                let outcome = self.watch(&sign.vm, |peers, options| {
-                    peers.answered(now_ms, &sign, options)
+            MembershipEvent::HeartbeatAnswered(status) => {
+                let outcome = self.update_peer(&status.vm, |peers, options| {
+                    peers.record_answer(now_ms, &status, options)
                 });
-                actions.extend(restarted(&sign, outcome));
+                actions.extend(restart_action(&status, outcome));
             }
-            MembershipEvent::HeartbeatReceived(sign) => {
-                let outcome = self.watch(&sign.vm, |peers, _| peers.heard(now_ms, &sign));
-                actions.extend(restarted(&sign, outcome));
+            MembershipEvent::HeartbeatReceived(status) => {
+                let outcome = self.update_peer(&status.vm, |peers, _| {
+                    peers.record_heartbeat(now_ms, &status)
+                });
+                actions.extend(restart_action(&status, outcome));
             }
             MembershipEvent::HeartbeatMissed { vm } => {
-                self.watch(&vm, |peers, options| peers.missed(&vm, options));
+                self.update_peer(&vm, |peers, options| peers.record_miss(&vm, options));
             }
             MembershipEvent::UpstreamAttempted { upstream, outcome } => {
-                self.tried(upstream, outcome)
+                self.record_attempt(upstream, outcome)
             }
             MembershipEvent::Departed { vm } => {
-                self.departures.settle(&EntryKey::Vm(vm.to_string()));
+                self.departures
+                    .record_replayed(&EntryKey::Vm(vm.to_string()));
             }
             MembershipEvent::UpstreamDeparted { upstream } => {
                 let key = EntryKey::Upstream(upstream.to_string());
-                self.departures.settle(&key);
+                self.departures.record_replayed(&key);
             }
             MembershipEvent::DrainBegun => {
                 self.draining = true;
-                self.stale_view = true;
+                self.view_outdated = true;
             }
             MembershipEvent::Tick => self.tick(now_ms, &mut actions),
         }
@@ -114,11 +117,11 @@
         actions
     }
 
-    /// Changes what is known of a peer and notes whether the view has to follow.
-    fn watch<T>(&mut self, vm: &VmName, change: impl FnOnce(&mut Peers, &Options) -> T) -> T {
+    /// Changes a peer's state and marks the view as outdated if that affects the peer's liveness.
+    fn update_peer<T>(&mut self, vm: &VmName, change: impl FnOnce(&mut Peers, &Options) -> T) -> T {
         let before = self.peers.is_trusted(vm);
         let outcome = change(&mut self.peers, &self.options);
-        self.stale_view |= self.peers.is_trusted(vm) != before;
+        self.view_outdated |= self.peers.is_trusted(vm) != before;
         outcome
     }
 
@@ -128,42 +131,42 @@
         listing: VmListing,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if self.listing.read(listing, &self.options) == ListingOutcome::Stale {
+        if self.listing.apply(listing, &self.options) == ListingOutcome::Stale {
             return;
         }
-        self.stale_view = true;
-        let is_gone = |key: &EntryKey| self.listing.get(key).is_some_and(Known::is_gone);
+        self.view_outdated = true;
+        let is_gone = |key: &EntryKey| self.listing.get(key).is_some_and(KnownEntry::is_gone);
         self.departures.retain(is_gone);
         for (key, known) in self.listing.known().filter(|(_, known)| known.is_gone()) {
-            self.departures.note(now_ms, key, known.state_as_of_ms);
+            self.departures.record(now_ms, key, known.state_as_of_ms);
         }
         let known: BTreeSet<VmName> = self.listed_vms().map(|(vm, _)| vm).collect();
         self.peers.retain(&known);
         let listing = &self.listing;
-        self.unreached.retain(|upstream, _| {
+        self.failed_attempts.retain(|upstream, _| {
             let key = EntryKey::Upstream(upstream.to_string());
             listing.get(&key).is_some()
         });
-        actions.extend(self.own_leaving());
+        actions.extend(self.own_leave_action());
     }
 
-    fn own_leaving(&mut self) -> Option<MembershipAction> {
+    fn own_leave_action(&mut self) -> Option<MembershipAction> {
         let key = EntryKey::Vm(self.own.to_string());
         let state = self.listing.get(&key).map(|known| known.entry.state);
         let leaving = matches!(state, Some(VmState::Leaving | VmState::Gone));
-        let told = std::mem::replace(&mut self.told_leaving, leaving);
-        (leaving && !told).then_some(MembershipAction::OwnVmLeaving)
+        let reported = std::mem::replace(&mut self.leave_reported, leaving);
+        (leaving && !reported).then_some(MembershipAction::OwnVmLeaving)
     }
 
-    fn tried(&mut self, upstream: UpstreamName, outcome: UpstreamOutcome) {
+    fn record_attempt(&mut self, upstream: UpstreamName, outcome: UpstreamOutcome) {
         match outcome {
             UpstreamOutcome::Unreachable => {
-                let unreached = self.unreached.entry(upstream).or_default();
-                *unreached = unreached.saturating_add(1);
-                self.stale_view |= *unreached == self.options.unreachable_after;
+                let failed_attempts = self.failed_attempts.entry(upstream).or_default();
+                *failed_attempts = failed_attempts.saturating_add(1);
+                self.view_outdated |= *failed_attempts == self.options.unreachable_after;
             }
             UpstreamOutcome::Answered | UpstreamOutcome::Refused => {
-                self.stale_view |= self.unreached.remove(&upstream).is_some();
+                self.view_outdated |= self.failed_attempts.remove(&upstream).is_some();
             }
             UpstreamOutcome::Lost | UpstreamOutcome::Cancelled => {}
         }
@@ -172,19 +175,19 @@
     fn tick(&mut self, now_ms: u64, actions: &mut Vec<MembershipAction>) {
         let view = self.view();
         if self.peers.is_round_due(now_ms) {
-            self.visit_peers(now_ms, &view, actions);
+            self.send_heartbeats(now_ms, &view, actions);
         }
         self.propose_departures(now_ms, &view, actions);
     }
 
-    fn visit_peers(&mut self, now_ms: u64, view: &View, actions: &mut Vec<MembershipAction>) {
-        let visitable: Vec<VmName> = view
+    fn send_heartbeats(&mut self, now_ms: u64, view: &View, actions: &mut Vec<MembershipAction>) {
+        let targets: Vec<VmName> = view
             .vms
             .iter()
             .filter(|(vm, peer)| **vm != self.own && peer.peer_address.is_some())
             .map(|(vm, _)| vm.clone())
             .collect();
-        for vm in self.peers.next_round(now_ms, &visitable, &self.options) {
+        for vm in self.peers.next_round(now_ms, &targets, &self.options) {
             let address = view.peer_address(&vm);
             actions.extend(address.map(|address| MembershipAction::Heartbeat { vm, address }));
         }
@@ -198,25 +201,26 @@
     ) {
         let silence_ms = self.options.gone_silence_ms;
         let peers = &self.peers;
-        // A VM that the list calls gone but that is still heard is a wrong entry or a new VM under
-        // the old name. Departing it would hand its intents to another VM while it acts on them.
-        let silent = |key: &EntryKey| match key {
-            EntryKey::Vm(name) => !peers.heard_within(now_ms, &VmName::new(name), silence_ms),
+        // A VM that is listed as gone but still sends heartbeats is a wrong entry, or a new VM
+        // under the old name. Its departure would hand its intents to another VM while it executes
+        // them.
+        let is_silent = |key: &EntryKey| match key {
+            EntryKey::Vm(name) => !peers.received_within(now_ms, &VmName::new(name), silence_ms),
             EntryKey::Upstream(_) => true,
         };
         let may_propose = |key: &EntryKey, waited_ms: u64| {
-            silent(key) && view.may_propose(name_of(key), waited_ms)
+            is_silent(key) && view.may_propose(name_of(key), waited_ms)
         };
         let due = self
             .departures
             .due(now_ms, self.options.repropose_ms, may_propose);
         for (key, as_of_ms) in due {
-            actions.push(proposal(key, as_of_ms));
+            actions.push(departure_proposal(key, as_of_ms));
         }
     }
 
     fn refresh_view(&mut self, actions: &mut Vec<MembershipAction>) {
-        if !std::mem::take(&mut self.stale_view) {
+        if !std::mem::take(&mut self.view_outdated) {
             return;
         }
         let view = self.current_view();
@@ -228,14 +232,16 @@
     }
 
     fn current_view(&self) -> View {
-        let vms = self.listed_vms().filter(|(_, known)| self.may_work(known));
+        let vms = self
+            .listed_vms()
+            .filter(|(_, known)| self.accepts_work(known));
         let mut vms: BTreeMap<VmName, VmView> = vms
             .map(|(vm, known)| {
                 let view = self.vm_view(&vm, known);
                 (vm, view)
             })
             .collect();
-        self.put_own(&mut vms);
+        self.insert_own_vm(&mut vms);
         View {
             own: self.own.clone(),
             as_of_ms: self.listing.as_of_ms(),
@@ -245,20 +251,20 @@
         }
     }
 
-    fn may_work(&self, known: &Known) -> bool {
+    fn accepts_work(&self, known: &KnownEntry) -> bool {
         self.listing.accepts(known, &self.options)
     }
 
-    fn vm_view(&self, vm: &VmName, known: &Known) -> VmView {
+    fn vm_view(&self, vm: &VmName, known: &KnownEntry) -> VmView {
         VmView {
             peer_address: known.entry.peer_address,
             live: self.peers.is_trusted(vm),
         }
     }
 
-    /// Puts this VM into the view even while the lagging list does not show it yet, and takes it
-    /// out while it stops or is being taken away.
-    fn put_own(&self, vms: &mut BTreeMap<VmName, VmView>) {
+    /// Adds this VM to the view even while the delayed VM list lacks it, and removes it while it
+    /// drains or is being removed by the platform.
+    fn insert_own_vm(&self, vms: &mut BTreeMap<VmName, VmView>) {
         let key = EntryKey::Vm(self.own.to_string());
         let known = self.listing.get(&key);
         let leaving = known.is_some_and(|known| known.entry.state != VmState::Live);
@@ -280,18 +286,22 @@
                 continue;
             };
             let upstream = UpstreamName::new(name);
-            let unreached = self.unreached.get(&upstream).copied().unwrap_or_default();
+            let failed_attempts = self
+                .failed_attempts
+                .get(&upstream)
+                .copied()
+                .unwrap_or_default();
             let view = UpstreamView {
                 entry: known.entry.clone(),
-                accepts: self.may_work(known),
-                reachable: unreached < self.options.unreachable_after,
+                accepts: self.accepts_work(known),
+                reachable: failed_attempts < self.options.unreachable_after,
             };
             views.insert(upstream, view);
         }
         views
     }
 
-    fn listed_vms(&self) -> impl Iterator<Item = (VmName, &Known)> {
+    fn listed_vms(&self) -> impl Iterator<Item = (VmName, &KnownEntry)> {
         self.listing.known().filter_map(|(key, known)| match key {
             EntryKey::Vm(name) => Some((VmName::new(name), known)),
             EntryKey::Upstream(_) => None,
@@ -299,12 +309,12 @@
     }
 }
 
-fn restarted(sign: &PeerStatus, outcome: SignOutcome) -> Option<MembershipAction> {
+fn restart_action(status: &PeerStatus, outcome: StatusOutcome) -> Option<MembershipAction> {
     let action = MembershipAction::PeerRestarted {
-        vm: sign.vm.clone(),
-        process_id: sign.process_id,
+        vm: status.vm.clone(),
+        process_id: status.process_id,
     };
-    (outcome == SignOutcome::Restarted).then_some(action)
+    (outcome == StatusOutcome::Restarted).then_some(action)
 }
 
 fn name_of(key: &EntryKey) -> &str {
@@ -313,7 +323,7 @@
     }
 }
 
-fn proposal(key: EntryKey, as_of_ms: u64) -> MembershipAction {
+fn departure_proposal(key: EntryKey, as_of_ms: u64) -> MembershipAction {
     match key {
         EntryKey::Vm(name) => MembershipAction::ProposeDepart {
             vm: VmName::from(name),
--- a/crates/membership/src/options.rs
+++ b/crates/membership/src/options.rs
@@ -1,44 +1,45 @@
-//! Tunables of membership.
+//! Configurable limits and intervals of membership.
 
-/// `Options` holds the tunables of membership.
+/// Limits and intervals of membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Seeds the order in which peers are visited, together with the VM's own name.
+    /// Seed of the order in which peers receive heartbeats, combined with the VM's own name.
     pub seed: u64,
-    /// Heartbeats in one round at most. It bounds the cost of heartbeats whatever the cluster's
+    /// Maximum number of heartbeats in one round, which bounds their cost whatever the cluster's
     /// size.
     pub peers_per_round: usize,
-    /// The places of a round that go first to peers which missed their last heartbeat.
+    /// Number of heartbeats of a round that go first to peers which missed their last one.
     pub rechecks_per_round: usize,
-    /// The time between two rounds while one round visits every peer.
+    /// Interval between rounds while one round reaches every peer.
     pub round_ms: u64,
-    /// The time between two rounds in a larger cluster.
+    /// Interval between rounds in a larger cluster.
     pub large_cluster_round_ms: u64,
-    /// Heartbeats missed in a row after which a peer is no longer preferred.
+    /// Number of consecutive missed heartbeats after which a peer is suspected.
     pub suspect_after_missed: u32,
-    /// Heartbeats answered in a row after which a suspected peer is preferred again.
+    /// Number of consecutive answered heartbeats after which a peer is no longer suspected.
     pub trust_after_answered: u32,
-    /// Tries in a row that did not reach an upstream after which it counts as unreachable.
+    /// Number of consecutive failed attempts to reach an upstream after which it counts as
+    /// unreachable.
     pub unreachable_after: u32,
-    /// How long an entry may be missing from the list, in the list's own time, and still receive
-    /// new work.
+    /// Time, by the clock of the VM list, for which an unlisted entry still receives new work.
     pub unlisted_grace_ms: u64,
-    /// How long an entry that was leaving must be listed as live again, in the list's own time,
-    /// before it receives new work.
+    /// Time, by the clock of the VM list, for which an entry that was leaving must be listed as
+    /// live again before it receives new work.
     pub return_after_ms: u64,
-    /// How long an entry that is missing from the list is remembered, in the list's own time.
+    /// Time, by the clock of the VM list, for which an unlisted entry is remembered.
     pub forget_after_ms: u64,
-    /// The share of the live entries that one listing may drop without confirmation.
+    /// Share of the live entries, from 0 to 1, that one listing may lack without confirmation.
     pub drop_share: f64,
-    /// Live entries below which a drop needs no confirmation.
+    /// Number of live entries below which missing entries need no confirmation.
     pub drop_floor: usize,
-    /// How much later a listing must be, in the list's own time, to confirm a drop.
+    /// Time, by the clock of the VM list, by which a later listing must follow to confirm missing
+    /// entries.
     pub confirm_ms: u64,
-    /// How long a VM that is listed as gone must not have been heard before it is departed.
+    /// Time without any heartbeat or answer after which a VM that is listed as gone is departed.
     pub gone_silence_ms: u64,
-    /// The wait after which the next VM in rank may propose in the preferred one's place.
+    /// Additional delay of each rank before a VM may propose in place of the preferred one.
     pub propose_step_ms: u64,
-    /// The time after which an unanswered proposal is repeated.
+    /// Time after which a proposal that replay has not shown is repeated.
     pub repropose_ms: u64,
 }
 
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this VM has seen of its peers, and which of them to visit next.
+//! Liveness of this VM's peers, and the choice of those that receive heartbeats next.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,21 +11,21 @@
 use crate::event::PeerStatus;
 use crate::options::Options;
 
-/// The earlier processes of a VM that are remembered, so that a late answer of one is recognised.
-const EARLIER_PROCESSES: usize = 4;
+/// Number of former processes of a VM that are remembered to recognise their late answers.
+const MAX_EARLIER_PROCESSES: usize = 4;
 
-/// `SignOutcome` is what a peer's sign of life means.
+/// What a received status says about the peer's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SignOutcome {
-    /// The process is the known one.
+pub(crate) enum StatusOutcome {
+    /// The process is the known one, or the first one.
     Same,
     /// The VM runs another process than before.
     Restarted,
-    /// The sign is a late one of an earlier process.
+    /// The status is a late one of a former process.
     Outdated,
 }
 
-/// `Peer` is what has been seen of one peer.
+/// Liveness of one peer.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     process_id: Option<u64>,
@@ -34,29 +34,29 @@
     suspected: bool,
     missed: u32,
     answered: u32,
-    heard_at_ms: Option<u64>,
+    last_received_ms: Option<u64>,
 }
 
 impl Peer {
-    fn sign(&mut self, now_ms: u64, sign: &PeerStatus) -> SignOutcome {
-        if self.earlier.contains(&sign.process_id) {
-            return SignOutcome::Outdated;
+    fn record_status(&mut self, now_ms: u64, status: &PeerStatus) -> StatusOutcome {
+        if self.earlier.contains(&status.process_id) {
+            return StatusOutcome::Outdated;
         }
-        self.heard_at_ms = Some(now_ms);
-        self.draining = sign.draining;
-        let before = self.process_id.replace(sign.process_id);
+        self.last_received_ms = Some(now_ms);
+        self.draining = status.draining;
+        let before = self.process_id.replace(status.process_id);
         match before {
-            Some(before) if before != sign.process_id => {
+            Some(before) if before != status.process_id => {
                 self.restart(before);
-                SignOutcome::Restarted
+                StatusOutcome::Restarted
             }
-            _ => SignOutcome::Same,
+            _ => StatusOutcome::Same,
         }
     }
 
     fn restart(&mut self, before: u64) {
         self.earlier.push_back(before);
-        if self.earlier.len() > EARLIER_PROCESSES {
+        if self.earlier.len() > MAX_EARLIER_PROCESSES {
             self.earlier.pop_front();
         }
         self.missed = 0;
@@ -64,7 +64,7 @@
         self.suspected = false;
     }
 
-    fn answer(&mut self, options: &Options) {
+    fn count_answer(&mut self, options: &Options) {
         self.missed = 0;
         self.answered = self.answered.saturating_add(1);
         if self.answered >= options.trust_after_answered {
@@ -72,7 +72,7 @@
         }
     }
 
-    fn miss(&mut self, options: &Options) {
+    fn count_miss(&mut self, options: &Options) {
         self.answered = 0;
         self.missed = self.missed.saturating_add(1);
         if self.missed >= options.suspect_after_missed {
@@ -81,7 +81,7 @@
     }
 }
 
-/// `Peers` is what has been seen of all peers.
+/// Liveness of all peers.
 #[derive(Debug)]
 pub(crate) struct Peers {
     peers: BTreeMap<VmName, Peer>,
@@ -91,7 +91,7 @@
 }
 
 impl Peers {
-    /// Returns an empty record. `own` and the seed set the order in which peers are visited.
+    /// Returns the state before any heartbeat. `own` and the seed set the order of heartbeats.
     pub(crate) fn new(own: &VmName, seed: u64) -> Self {
         Self {
             peers: BTreeMap::new(),
@@ -101,89 +101,93 @@
         }
     }
 
-    /// Returns whether nothing speaks against preferring a peer.
+    /// Returns whether a peer is neither draining nor suspected. True for unknown peers.
     pub(crate) fn is_trusted(&self, vm: &VmName) -> bool {
         let peer = self.peers.get(vm);
         peer.is_none_or(|peer| !peer.draining && !peer.suspected)
     }
 
-    /// Returns whether the peer was heard within the last `within_ms`.
-    pub(crate) fn heard_within(&self, now_ms: u64, vm: &VmName, within_ms: u64) -> bool {
-        let heard_at_ms = self.peers.get(vm).and_then(|peer| peer.heard_at_ms);
-        heard_at_ms.is_some_and(|heard_at_ms| now_ms.saturating_sub(heard_at_ms) < within_ms)
+    /// Returns whether any heartbeat or answer of the peer arrived within the last `within_ms`.
+    pub(crate) fn received_within(&self, now_ms: u64, vm: &VmName, within_ms: u64) -> bool {
+        let last_received_ms = self.peers.get(vm).and_then(|peer| peer.last_received_ms);
+        last_received_ms
+            .is_some_and(|last_received_ms| now_ms.saturating_sub(last_received_ms) < within_ms)
     }
 
-    /// Notes that a peer's own heartbeat arrived. It does not clear missed ones: where the network
-    /// is cut in one direction only, a peer that is heard may still not be reachable.
-    pub(crate) fn heard(&mut self, now_ms: u64, sign: &PeerStatus) -> SignOutcome {
+    /// Records that a peer's own heartbeat arrived. It does not reset the missed answers: if the
+    /// network is partitioned in one direction only, the peer may still not be reachable.
+    pub(crate) fn record_heartbeat(&mut self, now_ms: u64, status: &PeerStatus) -> StatusOutcome {
         self.peers
-            .entry(sign.vm.clone())
+            .entry(status.vm.clone())
             .or_default()
-            .sign(now_ms, sign)
+            .record_status(now_ms, status)
     }
 
-    /// Notes that a peer answered.
-    pub(crate) fn answered(
+    /// Records that a peer answered a heartbeat.
+    pub(crate) fn record_answer(
         &mut self,
         now_ms: u64,
-        sign: &PeerStatus,
+        status: &PeerStatus,
         options: &Options,
-    ) -> SignOutcome {
-        let peer = self.peers.entry(sign.vm.clone()).or_default();
-        let outcome = peer.sign(now_ms, sign);
-        if outcome != SignOutcome::Outdated {
-            peer.answer(options);
+    ) -> StatusOutcome {
+        let peer = self.peers.entry(status.vm.clone()).or_default();
+        let outcome = peer.record_status(now_ms, status);
+        if outcome != StatusOutcome::Outdated {
+            peer.count_answer(options);
         }
         outcome
     }
 
-    /// Notes that a peer did not answer.
-    pub(crate) fn missed(&mut self, vm: &VmName, options: &Options) {
-        self.peers.entry(vm.clone()).or_default().miss(options);
+    /// Records that a peer did not answer a heartbeat.
+    pub(crate) fn record_miss(&mut self, vm: &VmName, options: &Options) {
+        self.peers
+            .entry(vm.clone())
+            .or_default()
+            .count_miss(options);
     }
 
-    /// Forgets all peers that are not among those given.
+    /// Removes all peers except the given ones.
     pub(crate) fn retain(&mut self, known: &BTreeSet<VmName>) {
         self.peers.retain(|vm, _| known.contains(vm));
     }
 
-    /// Returns whether the next round of visits is due.
+    /// Returns whether the next round of heartbeats is due.
     pub(crate) fn is_round_due(&self, now_ms: u64) -> bool {
         now_ms >= self.next_round_ms
     }
 
-    /// Returns the peers to visit in the round that is due now.
+    /// Returns the recipients of the round that is due now, and schedules the next round.
     pub(crate) fn next_round(
         &mut self,
         now_ms: u64,
-        visitable: &[VmName],
+        targets: &[VmName],
         options: &Options,
     ) -> Vec<VmName> {
-        if visitable.len() <= options.peers_per_round {
+        if targets.len() <= options.peers_per_round {
             self.next_round_ms = now_ms + options.round_ms;
-            return visitable.to_vec();
+            return targets.to_vec();
         }
         self.next_round_ms = now_ms + options.large_cluster_round_ms;
-        self.rotate(visitable, options)
+        self.rotate(targets, options)
     }
 
-    /// Returns one round of a cluster that is larger than a round: first some peers that missed
-    /// their last heartbeat, so that a failed one is recognised within a few rounds and not within
-    /// a few rotations, then the next ones in this VM's own order.
-    fn rotate(&mut self, visitable: &[VmName], options: &Options) -> Vec<VmName> {
-        let mut order: Vec<(u64, &VmName)> = visitable
+    /// Returns the recipients of one round if there are more targets than a round has heartbeats:
+    /// first some peers that missed their last heartbeat, so that a failed one is recognised within
+    /// a few rounds and not within a few rotations, then the next ones in this VM's own order.
+    fn rotate(&mut self, targets: &[VmName], options: &Options) -> Vec<VmName> {
+        let mut order: Vec<(u64, &VmName)> = targets
             .iter()
             .map(|vm| (xxh3_64_with_seed(vm.as_str().as_bytes(), self.seed), vm))
             .collect();
         order.sort_unstable();
         let start = order.partition_point(|(hash, _)| *hash <= self.cursor);
         order.rotate_left(start);
-        let doubtful = |vm: &VmName| {
+        let missed_last = |vm: &VmName| {
             let peer = self.peers.get(vm);
             peer.is_some_and(|peer| peer.missed > 0 && !peer.suspected)
         };
-        let rechecked = order.iter().filter(|(_, vm)| doubtful(vm));
-        let mut round: Vec<VmName> = rechecked
+        let missed_last_peers = order.iter().filter(|(_, vm)| missed_last(vm));
+        let mut round: Vec<VmName> = missed_last_peers
             .take(options.rechecks_per_round)
             .map(|(_, vm)| (*vm).clone())
             .collect();
--- a/crates/membership/tests/pause_detector.rs
+++ b/crates/membership/tests/pause_detector.rs
@@ -1,4 +1,4 @@
-//! Processes that were frozen and woke up.
+//! Detection of process pauses.
 
 use rstest::rstest;
 
@@ -20,14 +20,14 @@
 }
 
 #[rstest]
-#[case::ticks_go_on(moment(1_000, 1_000), None)]
-#[case::just_below_the_limit(moment(2_000, 2_000), None)]
-#[case::process_was_stopped(moment(9_000, 9_000), Some(9_000))]
-#[case::machine_was_suspended(moment(100, 9_000), Some(9_000))]
-#[case::unix_time_was_set_forward(moment(1_000, 3_600_000), Some(3_600_000))]
-#[case::unix_time_was_set_back(moment(1_000, 0), None)]
-#[case::stopped_and_set_back(moment(9_000, 0), Some(9_000))]
-fn a_freeze_shows_on_either_clock(#[case] next: Moment, #[case] paused_ms: Option<u64>) {
+#[case::regular_ticks(moment(1_000, 1_000), None)]
+#[case::below_limit(moment(2_000, 2_000), None)]
+#[case::process_paused(moment(9_000, 9_000), Some(9_000))]
+#[case::machine_suspended(moment(100, 9_000), Some(9_000))]
+#[case::unix_time_forward(moment(1_000, 3_600_000), Some(3_600_000))]
+#[case::unix_time_back(moment(1_000, 0), None)]
+#[case::paused_and_back(moment(9_000, 0), Some(9_000))]
+fn pause_detected(#[case] next: Moment, #[case] paused_ms: Option<u64>) {
     let mut detector = PauseDetector::new(LIMIT_MS);
     assert_eq!(detector.observe(moment(0, 0)), PauseVerdict::Running);
     let expected = paused_ms.map_or(PauseVerdict::Running, |paused_ms| PauseVerdict::Paused {
@@ -36,29 +36,29 @@
     assert_eq!(detector.observe(next), expected);
 }
 
-/// Symptom: a VM that was frozen carries out an order that another one has taken over.
-/// Sequence: it is frozen between a tick and the act, and goes on where it stopped.
-/// Cause: it acts on what it believed before the freeze.
+/// Guards against a VM that executes an order after a pause although another VM has taken the
+/// intent over. The process is paused between a tick and the action, and resumes with outdated
+/// state.
 #[test]
-fn a_process_that_wakes_reads_the_log_before_it_acts() {
+fn reread_after_pause() {
     let mut detector = PauseDetector::new(LIMIT_MS);
     assert!(detector.may_act(at(0)));
     assert!(
         !detector.may_act(at(60_000)),
-        "noticed by the act itself, without a tick"
+        "detected by the check itself, without a tick"
     );
-    assert!(!detector.may_act(at(60_100)), "time alone does not open it");
+    assert!(!detector.may_act(at(60_100)), "time alone does not suffice");
     detector.record_log_read(at(100));
     assert!(
         !detector.may_act(at(60_200)),
-        "a read from before the freeze proves nothing"
+        "a read from before the pause has no effect"
     );
     detector.record_log_read(at(60_250));
     assert!(detector.may_act(at(60_300)));
 }
 
 #[test]
-fn a_second_freeze_during_the_read_needs_a_second_read() {
+fn second_pause() {
     let mut detector = PauseDetector::new(LIMIT_MS);
     detector.observe(at(0));
     detector.observe(at(60_000));
--- a/crates/membership/tests/peer_faults.rs
+++ b/crates/membership/tests/peer_faults.rs
@@ -14,59 +14,59 @@
 
 mod support;
 
-use support::Bench;
+use support::Fixture;
 use support::names;
-use support::sign;
+use support::status;
 use support::vm;
 
 #[derive(Clone, Copy, Debug)]
 enum Seen {
     Answered(usize),
     Missed(usize),
-    Heard(usize),
+    Received(usize),
     AnsweredByNew(usize),
     AnsweredByOld(usize),
 }
 
-/// What this VM sees of `vm-b`, and whether it prefers it after that.
+/// Events from `vm-b`, and whether this VM may prefer `vm-b` after them.
 #[rstest]
 #[case::healthy(&[Seen::Answered(1)], true)]
 #[case::never_seen(&[], true)]
 #[case::one_lost_heartbeat(&[Seen::Answered(5), Seen::Missed(2)], true)]
 #[case::down(&[Seen::Answered(5), Seen::Missed(3)], false)]
 #[case::half_open(&[Seen::Missed(9)], false)]
-#[case::asymmetric_cut(&[Seen::Answered(5), Seen::Missed(3), Seen::Heard(9)], false)]
-#[case::one_answer_is_not_enough(&[Seen::Missed(3), Seen::Answered(1)], false)]
+#[case::one_way_partition(&[Seen::Answered(5), Seen::Missed(3), Seen::Received(9)], false)]
+#[case::single_answer(&[Seen::Missed(3), Seen::Answered(1)], false)]
 #[case::back(&[Seen::Missed(3), Seen::Answered(2)], true)]
 #[case::flapping(
     &[Seen::Missed(3), Seen::Answered(1), Seen::Missed(1), Seen::Answered(1)],
     false
 )]
 #[case::restarted(&[Seen::Answered(1), Seen::Missed(3), Seen::AnsweredByNew(1)], true)]
-#[case::late_answer_of_the_old_process(
+#[case::late_former_answer(
     &[Seen::Answered(1), Seen::AnsweredByNew(1), Seen::Missed(3), Seen::AnsweredByOld(9)],
     false
 )]
-fn a_peer_is_preferred(#[case] seen: &[Seen], #[case] expected: bool) {
-    let mut bench = Bench::new("vm-a");
-    bench.list_at(
+fn peer_preference(#[case] observations: &[Seen], #[case] expected: bool) {
+    let mut fixture = Fixture::new("vm-a");
+    fixture.list_at(
         1_000,
         &[vm("vm-a", VmState::Live), vm("vm-b", VmState::Live)],
     );
-    for one in seen {
+    for one in observations {
         match *one {
             Seen::Answered(times) | Seen::AnsweredByOld(times) => {
-                bench.answer("vm-b", 1, times);
+                fixture.answer("vm-b", 1, times);
             }
             Seen::AnsweredByNew(times) => {
-                bench.answer("vm-b", 2, times);
+                fixture.answer("vm-b", 2, times);
             }
-            Seen::Missed(times) => bench.miss("vm-b", times),
-            Seen::Heard(times) => bench.hear("vm-b", 1, times),
+            Seen::Missed(times) => fixture.miss("vm-b", times),
+            Seen::Received(times) => fixture.receive("vm-b", 1, times),
         }
     }
-    assert_eq!(bench.live().contains("vm-b"), expected);
-    let share = bench.membership.view().share_rank("planner-lm");
+    assert_eq!(fixture.live().contains("vm-b"), expected);
+    let share = fixture.membership.view().share_rank("planner-lm");
     assert_eq!(
         share.map(|(_, count)| count),
         Some(2),
@@ -75,70 +75,69 @@
 }
 
 #[test]
-fn a_restart_under_the_same_name_is_told_once() {
-    let mut bench = Bench::new("vm-a");
-    bench.list_at(1_000, &[vm("vm-b", VmState::Live)]);
-    let restarted = |process_id| MembershipAction::PeerRestarted {
+fn restart_reported_once() {
+    let mut fixture = Fixture::new("vm-a");
+    fixture.list_at(1_000, &[vm("vm-b", VmState::Live)]);
+    let restart_action = |process_id| MembershipAction::PeerRestarted {
         vm: "vm-b".into(),
         process_id,
     };
-    assert_eq!(bench.answer("vm-b", 1, 1), []);
-    assert_eq!(bench.answer("vm-b", 2, 1), [restarted(2)]);
-    assert_eq!(bench.answer("vm-b", 2, 1), []);
+    assert_eq!(fixture.answer("vm-b", 1, 1), []);
+    assert_eq!(fixture.answer("vm-b", 2, 1), [restart_action(2)]);
+    assert_eq!(fixture.answer("vm-b", 2, 1), []);
     assert_eq!(
-        bench.answer("vm-b", 1, 1),
+        fixture.answer("vm-b", 1, 1),
         [],
-        "a late answer of the old process"
+        "a late answer of the former process"
     );
-    assert_eq!(bench.answer("vm-b", 3, 1), [restarted(3)]);
+    assert_eq!(fixture.answer("vm-b", 3, 1), [restart_action(3)]);
 }
 
 #[test]
-fn a_draining_peer_is_not_preferred_until_it_restarts() {
-    let mut bench = Bench::new("vm-a");
-    bench.list_at(1_000, &[vm("vm-b", VmState::Live)]);
+fn draining_peer() {
+    let mut fixture = Fixture::new("vm-a");
+    fixture.list_at(1_000, &[vm("vm-b", VmState::Live)]);
     let draining = PeerStatus {
         draining: true,
-        ..sign("vm-b", 1)
+        ..status("vm-b", 1)
     };
-    bench.handle(MembershipEvent::HeartbeatReceived(draining));
-    assert_eq!(bench.live(), names(&["vm-a"]));
-    bench.answer("vm-b", 2, 1);
-    assert_eq!(bench.live(), names(&["vm-a", "vm-b"]));
+    fixture.handle(MembershipEvent::HeartbeatReceived(draining));
+    assert_eq!(fixture.live(), names(&["vm-a"]));
+    fixture.answer("vm-b", 2, 1);
+    assert_eq!(fixture.live(), names(&["vm-a", "vm-b"]));
 }
 
 #[test]
-fn a_draining_vm_does_not_prefer_itself() {
-    let mut bench = Bench::new("vm-a");
-    bench.list_at(
+fn draining_own_vm() {
+    let mut fixture = Fixture::new("vm-a");
+    fixture.list_at(
         1_000,
         &[vm("vm-a", VmState::Live), vm("vm-b", VmState::Live)],
     );
-    bench.handle(MembershipEvent::DrainBegun);
-    let view = bench.membership.view();
-    assert_eq!(bench.live(), names(&["vm-b"]));
+    fixture.handle(MembershipEvent::DrainBegun);
+    let view = fixture.membership.view();
+    assert_eq!(fixture.live(), names(&["vm-b"]));
     assert!(!view.may_propose("planner-lm", 60_000));
     assert_eq!(view.share_rank("planner-lm"), None);
 }
 
-/// Symptom: nobody proposes a load, and its requests wait until they are refused.
-/// Sequence: the preferred VM is down, or each VM prefers another one because their lists differ.
-/// Cause: only the preferred VM may propose.
+/// Guards against keys without a proposer, whose requests wait until they are refused. The
+/// preferred VM may be down, or each VM may prefer another one because their VM lists differ.
 #[rstest]
 #[case::same_lists(&["vm-a", "vm-b", "vm-c"], &["vm-a", "vm-b", "vm-c"])]
-#[case::one_list_lags(&["vm-a", "vm-b", "vm-c"], &["vm-a", "vm-b", "vm-c", "vm-x"])]
-#[case::lists_apart(&["vm-a", "vm-b", "vm-x"], &["vm-b", "vm-c", "vm-y"])]
-fn every_key_gets_a_proposer_in_time(#[case] list_of_a: &[&str], #[case] list_of_b: &[&str]) {
+#[case::one_list_delayed(&["vm-a", "vm-b", "vm-c"], &["vm-a", "vm-b", "vm-c", "vm-x"])]
+#[case::different_lists(&["vm-a", "vm-b", "vm-x"], &["vm-b", "vm-c", "vm-y"])]
+fn proposer_in_time(#[case] list_of_a: &[&str], #[case] list_of_b: &[&str]) {
     let entries = |names: &[&str]| -> Vec<VmEntry> {
         names.iter().map(|name| vm(name, VmState::Live)).collect()
     };
-    let mut bench_a = Bench::new("vm-a");
-    let mut bench_b = Bench::new("vm-b");
-    bench_a.list_at(1_000, &entries(list_of_a));
-    bench_b.list_at(1_000, &entries(list_of_b));
+    let mut fixture_a = Fixture::new("vm-a");
+    let mut fixture_b = Fixture::new("vm-b");
+    fixture_a.list_at(1_000, &entries(list_of_a));
+    fixture_b.list_at(1_000, &entries(list_of_b));
     let step_ms = Options::default().propose_step_ms;
     for key in 0..200_u32 {
-        let views = [bench_a.membership.view(), bench_b.membership.view()];
+        let views = [fixture_a.membership.view(), fixture_b.membership.view()];
         let longest_ms = step_ms * 3;
         let first = views.iter().find(|view| view.may_propose(&key, longest_ms));
         assert!(
@@ -160,79 +159,81 @@
         .collect()
 }
 
-fn beats(actions: &[MembershipAction]) -> Vec<String> {
-    let beat = |action: &MembershipAction| match action {
+fn heartbeat_targets(actions: &[MembershipAction]) -> Vec<String> {
+    let heartbeat = |action: &MembershipAction| match action {
         MembershipAction::Heartbeat { vm, .. } => Some(vm.to_string()),
         _ => None,
     };
-    actions.iter().filter_map(beat).collect()
+    actions.iter().filter_map(heartbeat).collect()
 }
 
 #[rstest]
 #[case(6)]
 #[case(9)]
-fn a_small_cluster_is_visited_in_every_round(#[case] count: usize) {
-    let mut bench = Bench::new("vm-0");
-    bench.list_at(1_000, &cluster(count));
+fn small_cluster_rounds(#[case] count: usize) {
+    let mut fixture = Fixture::new("vm-0");
+    fixture.list_at(1_000, &cluster(count));
     for round in 1..5 {
-        let visited = beats(&bench.tick_at(1_000 * round));
-        assert_eq!(visited.len(), count - 1);
+        let targets = heartbeat_targets(&fixture.tick_at(1_000 * round));
+        assert_eq!(targets.len(), count - 1);
         assert_eq!(
-            beats(&bench.tick_at(1_000 * round + 999)),
+            heartbeat_targets(&fixture.tick_at(1_000 * round + 999)),
             Vec::<String>::new()
         );
     }
 }
 
-/// Symptom: heartbeats take the whole budget of a node once the cluster has grown.
-/// Sequence: 410 VMs each visit all others every second.
-/// Cause: the visits of a round grow with the cluster.
+/// Guards against heartbeats that use up a node's resources in a large cluster. If each of 410 VMs
+/// sent one to all others every second, their rate per VM would grow with the cluster.
 #[rstest]
 #[case(100)]
 #[case(410)]
-fn a_large_cluster_is_visited_in_turn_at_a_constant_rate(#[case] count: usize) {
+fn large_cluster_rotation(#[case] count: usize) {
     let options = Options::default();
-    let mut bench = Bench::new("vm-0");
-    bench.list_at(1_000, &cluster(count));
-    let mut visits: BTreeMap<String, usize> = BTreeMap::new();
+    let mut fixture = Fixture::new("vm-0");
+    fixture.list_at(1_000, &cluster(count));
+    let mut heartbeat_counts: BTreeMap<String, usize> = BTreeMap::new();
     let rounds = (count - 1).div_ceil(options.peers_per_round);
     for round in 0..rounds as u64 {
-        let visited = beats(&bench.tick_at(1_000 + round * options.large_cluster_round_ms));
-        assert_eq!(visited.len(), options.peers_per_round);
-        for vm in visited {
-            *visits.entry(vm).or_default() += 1;
+        let targets =
+            heartbeat_targets(&fixture.tick_at(1_000 + round * options.large_cluster_round_ms));
+        assert_eq!(targets.len(), options.peers_per_round);
+        for vm in targets {
+            *heartbeat_counts.entry(vm).or_default() += 1;
         }
     }
     assert_eq!(
-        visits.len(),
+        heartbeat_counts.len(),
         count - 1,
-        "each peer is visited in one rotation"
+        "each peer gets a heartbeat in one rotation"
     );
-    assert!(visits.values().all(|times| *times <= 2));
+    assert!(heartbeat_counts.values().all(|times| *times <= 2));
 }
 
 #[test]
-fn vms_visit_in_orders_of_their_own() {
+fn distinct_heartbeat_orders() {
     let first_round = |own: &str| -> BTreeSet<String> {
-        let mut bench = Bench::new(own);
-        bench.list_at(1_000, &cluster(100));
-        beats(&bench.tick_at(1_000)).into_iter().collect()
+        let mut fixture = Fixture::new(own);
+        fixture.list_at(1_000, &cluster(100));
+        heartbeat_targets(&fixture.tick_at(1_000))
+            .into_iter()
+            .collect()
     };
     assert_ne!(first_round("vm-0"), first_round("vm-1"));
     assert_eq!(first_round("vm-0"), first_round("vm-0"));
 }
 
 #[test]
-fn a_peer_that_missed_is_visited_again_in_the_next_round() {
+fn missed_peer_retried() {
     let options = Options::default();
-    let mut bench = Bench::new("vm-0");
-    bench.list_at(1_000, &cluster(410));
-    let missed = beats(&bench.tick_at(1_000))[0].clone();
+    let mut fixture = Fixture::new("vm-0");
+    fixture.list_at(1_000, &cluster(410));
+    let missed = heartbeat_targets(&fixture.tick_at(1_000))[0].clone();
     for round in 1..3 {
-        bench.miss(&missed, 1);
+        fixture.miss(&missed, 1);
         let now_ms = 1_000 + round * options.large_cluster_round_ms;
-        assert!(beats(&bench.tick_at(now_ms)).contains(&missed));
+        assert!(heartbeat_targets(&fixture.tick_at(now_ms)).contains(&missed));
     }
-    bench.miss(&missed, 1);
-    assert!(!bench.live().contains(&missed));
+    fixture.miss(&missed, 1);
+    assert!(!fixture.live().contains(&missed));
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Listings, clocks and signs of life for the tests of membership.
+//! Listings, clocks and peer statuses for the tests of membership.
 
 #![allow(dead_code)]
 
@@ -20,10 +20,10 @@
 use apricotdale_membership::Options;
 use apricotdale_membership::PeerStatus;
 
-/// The Unix time at which the tests' monotonic clock shows zero.
+/// Unix time at which the tests' monotonic clock shows zero.
 pub const UNIX_START_MS: u64 = 1_790_000_000_000;
 
-/// Returns the moment at a time of the monotonic clock.
+/// Returns the readings of both clocks at a time of the monotonic clock.
 pub fn at(monotonic_ms: u64) -> Moment {
     Moment {
         monotonic_ms,
@@ -31,12 +31,12 @@
     }
 }
 
-/// Returns an entry VM of the list.
+/// Returns an entry of the VM list for an entry VM.
 pub fn vm(name: &str, state: VmState) -> VmEntry {
     entry(name, VmRole::Entry, "apricotdale", state)
 }
 
-/// Returns an engine of the list.
+/// Returns an entry of the VM list for an engine.
 pub fn engine(name: &str, state: VmState) -> VmEntry {
     entry(name, VmRole::Engine, "planner-lm", state)
 }
@@ -54,19 +54,19 @@
     }
 }
 
-/// `Bench` is one VM's membership with a clock that the test moves.
-pub struct Bench {
+/// Membership of one VM with a clock that the test sets.
+pub struct Fixture {
     pub membership: Membership,
     pub now_ms: u64,
 }
 
-impl Bench {
+impl Fixture {
     /// Returns the membership of a VM before its first listing.
     pub fn new(own: &str) -> Self {
         Self::with(own, Options::default())
     }
 
-    /// Returns the membership of a VM with some options.
+    /// Returns the membership of a VM with the given options.
     pub fn with(own: &str, options: Options) -> Self {
         Self {
             membership: Membership::new(VmName::new(own), options),
@@ -74,18 +74,18 @@
         }
     }
 
-    /// Takes in an event now.
+    /// Handles an event now.
     pub fn handle(&mut self, event: MembershipEvent) -> Vec<MembershipAction> {
         self.membership.handle(at(self.now_ms), event)
     }
 
-    /// Moves the clock and reads a list of that moment.
+    /// Sets the clock and reads a listing of that time.
     pub fn list_at(&mut self, now_ms: u64, entries: &[VmEntry]) -> Vec<MembershipAction> {
         self.now_ms = now_ms;
         self.list_as_of(now_ms, entries)
     }
 
-    /// Reads a list that speaks of another moment.
+    /// Reads a listing that states another time.
     pub fn list_as_of(&mut self, as_of_ms: u64, entries: &[VmEntry]) -> Vec<MembershipAction> {
         self.handle(MembershipEvent::ListingRead(VmListing {
             as_of_ms: UNIX_START_MS + as_of_ms,
@@ -93,16 +93,16 @@
         }))
     }
 
-    /// Moves the clock and lets time pass.
+    /// Sets the clock and handles a tick.
     pub fn tick_at(&mut self, now_ms: u64) -> Vec<MembershipAction> {
         self.now_ms = now_ms;
         self.handle(MembershipEvent::Tick)
     }
 
-    /// Lets a peer answer some heartbeats.
+    /// Handles answers of a peer to `times` heartbeats.
     pub fn answer(&mut self, vm: &str, process_id: u64, times: usize) -> Vec<MembershipAction> {
-        let sign = sign(vm, process_id);
-        let answer = |_| MembershipEvent::HeartbeatAnswered(sign.clone());
+        let status = status(vm, process_id);
+        let answer = |_| MembershipEvent::HeartbeatAnswered(status.clone());
         let events: Vec<MembershipEvent> = (0..times).map(answer).collect();
         events
             .into_iter()
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    /// Lets a peer miss some heartbeats.
+    /// Handles `times` heartbeats that a peer did not answer.
     pub fn miss(&mut self, vm: &str, times: usize) {
         for _ in 0..times {
             let vm = VmName::new(vm);
@@ -118,14 +118,14 @@
         }
     }
 
-    /// Lets a peer's own heartbeats arrive.
-    pub fn hear(&mut self, vm: &str, process_id: u64, times: usize) {
+    /// Handles `times` heartbeats of a peer.
+    pub fn receive(&mut self, vm: &str, process_id: u64, times: usize) {
         for _ in 0..times {
-            self.handle(MembershipEvent::HeartbeatReceived(sign(vm, process_id)));
+            self.handle(MembershipEvent::HeartbeatReceived(status(vm, process_id)));
         }
     }
 
-    /// Returns the names of the VMs that this VM prefers for keys.
+    /// Returns the names of the VMs that this VM may prefer for keys.
     pub fn live(&self) -> BTreeSet<String> {
         let view = self.membership.view();
         view.live_vms().map(|vm| vm.to_string()).collect()
@@ -137,8 +137,8 @@
     }
 }
 
-/// Returns a sign of life.
-pub fn sign(vm: &str, process_id: u64) -> PeerStatus {
+/// Returns the status of a peer that is not draining.
+pub fn status(vm: &str, process_id: u64) -> PeerStatus {
     PeerStatus {
         vm: VmName::new(vm),
         process_id,
