--- a/crates/organisations/src/limit.rs
+++ b/crates/organisations/src/limit.rs
@@ -9,7 +9,7 @@
     /// A request counts as its tokens.
     Tokens {
         /// What a request counts that does not say its tokens.
-        plain: u64,
+        default_tokens: u64,
     },
 }
 
@@ -18,7 +18,7 @@
     pub fn cost(self, tokens: Option<u64>) -> u64 {
         match self {
             Self::Requests => 1,
-            Self::Tokens { plain } => tokens.unwrap_or(plain),
+            Self::Tokens { default_tokens } => tokens.unwrap_or(default_tokens),
         }
     }
 }
