--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -13,9 +13,9 @@
 use apricotdale_quota::Admission;
 use apricotdale_quota::Answer;
 use apricotdale_quota::Bounds;
-use apricotdale_quota::Keeper;
+use apricotdale_quota::QuotaClient;
+use apricotdale_quota::QuotaOwner;
 use apricotdale_quota::Report;
-use apricotdale_quota::Spender;
 
 use crate::active::Phase;
 use crate::daemon::Daemon;
@@ -45,8 +45,8 @@
 /// `Limits` are the limits of organisations as this VM holds them.
 #[derive(Debug)]
 pub(crate) struct Limits {
-    spender: Spender,
-    keeper: Keeper,
+    spender: QuotaClient,
+    keeper: QuotaOwner,
     /// The configuration whose limits are in force here.
     version: Option<u64>,
     next_forget_ms: u64,
@@ -55,8 +55,8 @@
 impl Limits {
     pub fn new(run: u64, bounds: Bounds) -> Self {
         let mut limits = Self {
-            spender: Spender::new(run, bounds),
-            keeper: Keeper::new(run, bounds),
+            spender: QuotaClient::new(run, bounds),
+            keeper: QuotaOwner::new(run, bounds),
             version: None,
             next_forget_ms: 0,
         };
@@ -95,8 +95,8 @@
             return;
         }
         let keepers = self.peers.keepers();
-        if let Some(report) = self.limits.spender.due(now_ms, keepers.len()) {
-            let choice = self.limits.spender.choice();
+        if let Some(report) = self.limits.spender.due_report(now_ms, keepers.len()) {
+            let choice = self.limits.spender.owner_rank();
             let (vm, address) = &keepers[choice];
             match *vm == self.peers.own_record().vm {
                 true => self.take_report(None, &report),
@@ -105,7 +105,7 @@
         }
         if now_ms >= self.limits.next_forget_ms {
             self.limits.next_forget_ms = now_ms + FORGET_EVERY_MS;
-            self.limits.keeper.forget(now_ms);
+            self.limits.keeper.remove_inactive(now_ms);
         }
     }
 
@@ -129,7 +129,7 @@
 
     /// Takes in what a VM has spent, as the keeper; `from` is the sender, if it is another VM.
     pub(crate) fn take_report(&mut self, from: Option<SocketAddr>, report: &Report) {
-        let Some(answer) = self.limits.keeper.take(self.now_ms, report) else {
+        let Some(answer) = self.limits.keeper.handle(self.now_ms, report) else {
             return;
         };
         match from {
@@ -140,7 +140,7 @@
 
     /// Takes in what the keeper allows.
     pub(crate) fn take_allowed(&mut self, answer: &Answer) {
-        self.look_again |= self.limits.spender.take(self.now_ms, answer);
+        self.look_again |= self.limits.spender.handle(self.now_ms, answer);
     }
 
     /// Admits a request that its organisation's limit has not admitted yet. Returns whether it may go
@@ -163,7 +163,7 @@
                 });
                 true
             }
-            Admission::Asked if now_ms < asked_until_ms => {
+            Admission::Pending if now_ms < asked_until_ms => {
                 if request.phase != Phase::Waiting(WaitReason::Limit) {
                     self.metrics.asked_keeper();
                     request.phase = Phase::Waiting(WaitReason::Limit);
@@ -171,19 +171,19 @@
                 }
                 false
             }
-            Admission::Asked => {
+            Admission::Pending => {
                 spender.withdraw(charge.account, key);
                 self.refuse_over_limit(key, Some(ASKED_MS));
                 false
             }
-            Admission::Refused { after_ms } => {
-                self.refuse_over_limit(key, after_ms);
+            Admission::Refused { retry_after_ms } => {
+                self.refuse_over_limit(key, retry_after_ms);
                 false
             }
         }
     }
 
-    fn refuse_over_limit(&mut self, key: u64, after_ms: Option<u64>) {
+    fn refuse_over_limit(&mut self, key: u64, retry_after_ms: Option<u64>) {
         let Some(request) = self.active.get(key) else {
             return;
         };
@@ -193,11 +193,11 @@
         let name = organisation.name.clone();
         let rate = organisation.limit.map_or(0.0, |limit| limit.rate_per_s);
         let spread = spread(&request.serving.id);
-        let refusal = match after_ms {
-            Some(after_ms) => {
+        let refusal = match retry_after_ms {
+            Some(retry_after_ms) => {
                 let detail = format!("{name} has used its limit of {rate:.0} a second");
-                let after_ms = after_ms * spread / 1_000;
-                Refusal::not_run(RefusalReason::OverLimit, detail).retry_after(after_ms)
+                let retry_after_ms = retry_after_ms * spread / 1_000;
+                Refusal::not_run(RefusalReason::OverLimit, detail).retry_after(retry_after_ms)
             }
             None => {
                 let detail = format!("the request alone is larger than the limit of {name}");
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -46,9 +46,9 @@
     spent: BTreeMap<AccountId, i64>,
 }
 
-/// `Keeper` keeps the accounts of all organisations that have a limit.
+/// `QuotaOwner` keeps the accounts of all organisations that have a limit.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct QuotaOwner {
     run: u64,
     bounds: Bounds,
     accounts: BTreeMap<AccountId, Account>,
@@ -57,7 +57,7 @@
     vms: usize,
 }
 
-impl Keeper {
+impl QuotaOwner {
     /// Returns a keeper whose buckets are empty: what one before it has granted is not known.
     pub fn new(run: u64, bounds: Bounds) -> Self {
         Self {
@@ -125,7 +125,7 @@
     }
 
     /// Takes in a report and returns its answer; none for one that came late.
-    pub fn take(&mut self, now_ms: u64, report: &Report) -> Option<Answer> {
+    pub fn handle(&mut self, now_ms: u64, report: &Report) -> Option<Answer> {
         let is_member = report.keeper == Some(self.run);
         if is_member {
             let member = self.members.entry(report.vm).or_default();
@@ -171,12 +171,12 @@
             account: spent.account,
             known: spent.units,
             granted: 0,
-            after_ms: None,
+            retry_after_ms: None,
         };
         let window_ms = self.bounds.window_ms;
         let Some(account) = self.accounts.get_mut(&spent.account) else {
             // A VM has a newer configuration. It is told to ask again.
-            allowance.after_ms = (spent.wanted > 0).then_some(MIN_AFTER_MS as u32);
+            allowance.retry_after_ms = (spent.wanted > 0).then_some(MIN_AFTER_MS as u32);
             return allowance;
         };
         account.level = (account.level - more as f64).min(account.bucket());
@@ -187,13 +187,13 @@
         account.level -= allowance.granted as f64;
         let lacking = spent.wanted.saturating_sub(allowance.granted);
         if lacking > 0 {
-            allowance.after_ms = Some(account.after_ms(now_ms, lacking as f64));
+            allowance.retry_after_ms = Some(account.retry_after_ms(now_ms, lacking as f64));
         }
         allowance
     }
 
     /// Forgets VMs that have not reported for long.
-    pub fn forget(&mut self, now_ms: u64) {
+    pub fn remove_inactive(&mut self, now_ms: u64) {
         self.members
             .retain(|_, member| now_ms < member.heard_ms + FORGET_MS);
     }
@@ -224,14 +224,14 @@
 
     /// Returns after which time enough has accrued for what is wanted and for what others wanted
     /// before.
-    fn after_ms(&mut self, now_ms: u64, wanted: f64) -> u32 {
+    fn retry_after_ms(&mut self, now_ms: u64, wanted: f64) -> u32 {
         if now_ms >= self.backlog_ms + BACKLOG_MS {
             self.backlog = 0.0;
             self.backlog_ms = now_ms;
         }
         self.backlog += wanted;
         let lacking = self.backlog - self.level;
-        let after_ms = lacking / self.budget.rate_per_ms;
-        after_ms.clamp(MIN_AFTER_MS, MAX_AFTER_MS) as u32
+        let retry_after_ms = lacking / self.budget.rate_per_ms;
+        retry_after_ms.clamp(MIN_AFTER_MS, MAX_AFTER_MS) as u32
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,7 +1,7 @@
 //! The limits of organisations, held by many VMs together.
 //!
-//! Each VM admits by itself; [`Spender`] is its side. One VM, the keeper, keeps a [token bucket] of
-//! each organisation and hears from all what they have spent; [`Keeper`] is its side. While an
+//! Each VM admits by itself; [`QuotaClient`] is its side. One VM, the keeper, keeps a [token bucket] of
+//! each organisation and hears from all what they have spent; [`QuotaOwner`] is its side. While an
 //! organisation is far from its limit (calm), a VM admits at once and tells later, up to a part of the
 //! limit that all VMs share out. Otherwise it spends what the keeper has granted. What accrues belongs
 //! to the VMs in equal parts, and the keeper counts the parts of those that it hears only. A VM that
@@ -20,11 +20,11 @@
 mod spender;
 
 pub use budget::Bounds;
-pub use keeper::Keeper;
+pub use keeper::QuotaOwner;
 pub use message::AccountId;
 pub use message::Allowance;
 pub use message::Answer;
 pub use message::Report;
 pub use message::Spent;
 pub use spender::Admission;
-pub use spender::Spender;
+pub use spender::QuotaClient;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -62,7 +62,7 @@
     /// What is granted.
     pub granted: u64,
     /// In which time to come back, where not all that is wanted was granted.
-    pub after_ms: Option<u32>,
+    pub retry_after_ms: Option<u32>,
 }
 
 /// `Answer` answers a report.
--- a/crates/quota/src/spender.rs
+++ b/crates/quota/src/spender.rs
@@ -51,12 +51,12 @@
     /// It may run.
     Admitted,
     /// The keeper is asked; it is decided when that has answered.
-    Asked,
+    Pending,
     /// The limit is used up. It may come back after some time, or never if it is larger than the
     /// limit allows at any time.
     Refused {
         /// After which time.
-        after_ms: Option<u64>,
+        retry_after_ms: Option<u64>,
     },
 }
 
@@ -78,15 +78,15 @@
     alone: f64,
 }
 
-/// `Spender` admits the requests of one VM.
+/// `QuotaClient` admits the requests of one VM.
 #[derive(Clone, Debug)]
-pub struct Spender {
+pub struct QuotaClient {
     run: u64,
     bounds: Bounds,
     vms: usize,
     accounts: BTreeMap<AccountId, Account>,
     /// Which of the VMs that may keep is asked, and until when.
-    choice: usize,
+    owner_rank: usize,
     choice_until_ms: u64,
     /// The run of the keeper that answers.
     keeper: Option<u64>,
@@ -101,7 +101,7 @@
     last_ms: u64,
 }
 
-impl Spender {
+impl QuotaClient {
     /// Returns a spender that has heard of no keeper yet.
     pub fn new(run: u64, bounds: Bounds) -> Self {
         Self {
@@ -109,7 +109,7 @@
             bounds,
             vms: 1,
             accounts: BTreeMap::new(),
-            choice: 0,
+            owner_rank: 0,
             choice_until_ms: 0,
             keeper: None,
             heard_ms: 0,
@@ -163,8 +163,8 @@
     }
 
     /// Returns which of the VMs that may keep is asked.
-    pub fn choice(&self) -> usize {
-        self.choice
+    pub fn owner_rank(&self) -> usize {
+        self.owner_rank
     }
 
     fn hears_keeper(&self, now_ms: u64) -> bool {
@@ -177,11 +177,11 @@
         let admission = self.decide(now_ms, id, units);
         if let Some(account) = self.accounts.get_mut(&id) {
             match admission {
-                Admission::Asked => account.asked.insert(key, units),
+                Admission::Pending => account.asked.insert(key, units),
                 _ => account.asked.remove(&key),
             };
         }
-        if admission == Admission::Asked {
+        if admission == Admission::Pending {
             self.report_soon(now_ms);
         }
         admission
@@ -197,7 +197,9 @@
             return Admission::Admitted;
         };
         if !account.budget.fits(units) {
-            return Admission::Refused { after_ms: None };
+            return Admission::Refused {
+                retry_after_ms: None,
+            };
         }
         if account.take_granted(now_ms, units) {
             return Admission::Admitted;
@@ -218,9 +220,9 @@
                 Admission::Admitted
             }
             // A VM that has just started, or whose keeper has gone, finds one within a round trip or two.
-            _ if now_ms >= account.dry_until_ms => Admission::Asked,
+            _ if now_ms >= account.dry_until_ms => Admission::Pending,
             _ => Admission::Refused {
-                after_ms: Some(account.come_back_ms.max(DRY_MS)),
+                retry_after_ms: Some(account.come_back_ms.max(DRY_MS)),
             },
         }
     }
@@ -281,8 +283,8 @@
         self.next_ms
     }
 
-    /// Returns the report that is due, for the VM that [`Spender::choice`] names among `keepers`.
-    pub fn due(&mut self, now_ms: u64, keepers: usize) -> Option<Report> {
+    /// Returns the report that is due, for the VM that [`QuotaClient::owner_rank`] names among `keepers`.
+    pub fn due_report(&mut self, now_ms: u64, keepers: usize) -> Option<Report> {
         if now_ms < self.next_ms || self.accounts.is_empty() || keepers == 0 {
             return None;
         }
@@ -319,15 +321,15 @@
     }
 
     fn choose(&mut self, now_ms: u64, keepers: usize) {
-        let is_over = self.choice > 0 && now_ms >= self.choice_until_ms;
-        let before = self.choice;
-        if self.choice >= keepers || is_over {
-            self.choice = 0;
+        let is_over = self.owner_rank > 0 && now_ms >= self.choice_until_ms;
+        let before = self.owner_rank;
+        if self.owner_rank >= keepers || is_over {
+            self.owner_rank = 0;
         } else if self.unanswered >= UNANSWERED {
-            self.choice = (self.choice + 1) % keepers;
+            self.owner_rank = (self.owner_rank + 1) % keepers;
             self.choice_until_ms = now_ms + OTHER_KEEPER_MS;
         }
-        if self.choice != before || self.unanswered >= UNANSWERED {
+        if self.owner_rank != before || self.unanswered >= UNANSWERED {
             self.unanswered = 0;
             self.keeper = None;
         }
@@ -335,7 +337,7 @@
 
     /// Takes in an answer. Returns whether requests for which the keeper was asked are to be decided
     /// again.
-    pub fn take(&mut self, now_ms: u64, answer: &Answer) -> bool {
+    pub fn handle(&mut self, now_ms: u64, answer: &Answer) -> bool {
         if answer.number <= self.answered || answer.number > self.number {
             return false;
         }
@@ -360,9 +362,9 @@
                 account.granted.push_back((allowance.granted, until_ms));
                 decides = true;
             }
-            if let Some(after_ms) = allowance.after_ms {
-                account.dry_until_ms = now_ms + u64::from(after_ms).min(DRY_MS);
-                account.come_back_ms = u64::from(after_ms);
+            if let Some(retry_after_ms) = allowance.retry_after_ms {
+                account.dry_until_ms = now_ms + u64::from(retry_after_ms).min(DRY_MS);
+                account.come_back_ms = u64::from(retry_after_ms);
                 decides = true;
             }
         }
--- a/crates/quota/tests/keeper_rules.rs
+++ b/crates/quota/tests/keeper_rules.rs
@@ -5,9 +5,9 @@
 use apricotdale_quota::Admission;
 use apricotdale_quota::Answer;
 use apricotdale_quota::Bounds;
-use apricotdale_quota::Keeper;
+use apricotdale_quota::QuotaClient;
+use apricotdale_quota::QuotaOwner;
 use apricotdale_quota::Report;
-use apricotdale_quota::Spender;
 use apricotdale_quota::Spent;
 
 const START_MS: u64 = 100_000;
@@ -36,8 +36,8 @@
     [(account(), limit)]
 }
 
-fn keeper(vms: usize) -> Keeper {
-    let mut keeper = Keeper::new(KEEPER_RUN, BOUNDS);
+fn keeper(vms: usize) -> QuotaOwner {
+    let mut keeper = QuotaOwner::new(KEEPER_RUN, BOUNDS);
     keeper.set_vms(vms);
     keeper.set_limits(START_MS, limits());
     keeper
@@ -63,9 +63,9 @@
 }
 
 /// Fills the bucket of a keeper by one VM's time.
-fn fill(keeper: &mut Keeper, vm: u64) -> u64 {
+fn fill(keeper: &mut QuotaOwner, vm: u64) -> u64 {
     for number in 1..=20 {
-        keeper.take(START_MS + number, &report(vm, number, number * 1_000, 0));
+        keeper.handle(START_MS + number, &report(vm, number, number * 1_000, 0));
     }
     20
 }
@@ -73,7 +73,7 @@
 /// Guards against a keeper that grants what the one before it has granted already.
 #[test]
 fn new_keeper_has_nothing() {
-    let answer = keeper(1).take(START_MS, &report(1, 1, 0, 1));
+    let answer = keeper(1).handle(START_MS, &report(1, 1, 0, 1));
     let answer = answer.expect("an answer");
     assert_eq!(granted(&answer), 0);
     assert_eq!(answer.scarce, [account()]);
@@ -84,9 +84,11 @@
 fn calm_needs_a_level() {
     let mut keeper = keeper(1);
     let scarce = |answer: Option<Answer>| !answer.expect("an answer").scarce.is_empty();
-    assert!(scarce(keeper.take(START_MS, &report(1, 1, 100, 0))));
+    assert!(scarce(keeper.handle(START_MS, &report(1, 1, 100, 0))));
     let last = 1 + fill(&mut keeper, 1);
-    assert!(!scarce(keeper.take(START_MS, &report(1, last, 21_000, 0))));
+    assert!(!scarce(
+        keeper.handle(START_MS, &report(1, last, 21_000, 0))
+    ));
 }
 
 /// Guards against a calm word to a VM that only asks whether a keeper is there, before anything has
@@ -97,7 +99,7 @@
         keeper: None,
         ..report(9, 1, 0, 0)
     };
-    let answer = keeper(2).take(START_MS, &probe).expect("an answer");
+    let answer = keeper(2).handle(START_MS, &probe).expect("an answer");
     assert_eq!(answer.scarce, [account()]);
 }
 
@@ -108,10 +110,10 @@
     let last = 1 + fill(&mut keeper, 1);
     let want = report(1, last, 20_000, 500);
     assert_eq!(
-        granted(&keeper.take(START_MS, &want).expect("an answer")),
+        granted(&keeper.handle(START_MS, &want).expect("an answer")),
         500
     );
-    assert_eq!(keeper.take(START_MS, &want), None);
+    assert_eq!(keeper.handle(START_MS, &want), None);
 }
 
 /// Guards against large requests that overdraw the bucket one after the other.
@@ -124,7 +126,7 @@
         number += 1;
         let now_ms = START_MS + 10_000 + second * 1_000;
         let want = report(1, number, 20_000 + second * 1_000, LARGE);
-        let answer = keeper.take(now_ms, &want).expect("an answer");
+        let answer = keeper.handle(now_ms, &want).expect("an answer");
         grants += usize::from(granted(&answer) > 0);
     }
     assert_eq!(grants, 2);
@@ -138,14 +140,14 @@
     fill(&mut keeper, 2);
     // The second has left; its half of the bucket has gone with it.
     let later_ms = START_MS + 5_000;
-    let answer = keeper.take(later_ms, &report(1, last + 1, 20_000, 1_000));
+    let answer = keeper.handle(later_ms, &report(1, last + 1, 20_000, 1_000));
     assert_eq!(granted(&answer.expect("an answer")), 0);
-    let answer = keeper.take(later_ms, &report(1, last + 2, 20_000, 800));
+    let answer = keeper.handle(later_ms, &report(1, last + 2, 20_000, 800));
     assert_eq!(granted(&answer.expect("an answer")), 800);
 }
 
-fn spender(vms: usize) -> Spender {
-    let mut spender = Spender::new(1, BOUNDS);
+fn spender(vms: usize) -> QuotaClient {
+    let mut spender = QuotaClient::new(1, BOUNDS);
     spender.set_vms(vms);
     spender.set_limits(START_MS, limits());
     spender
@@ -160,7 +162,7 @@
             account: spent.account,
             known: spent.units,
             granted: spent.wanted,
-            after_ms: None,
+            retry_after_ms: None,
         });
     Answer {
         keeper: KEEPER_RUN,
@@ -175,12 +177,12 @@
 fn grants_lapse() {
     let mut spender = spender(1);
     let mut now_ms = START_MS + 1_000;
-    let hello = spender.due(now_ms, 1).expect("a first report");
-    spender.take(now_ms, &grant(&hello));
-    assert_eq!(spender.admit(now_ms, account(), 1, 500), Admission::Asked);
+    let hello = spender.due_report(now_ms, 1).expect("a first report");
+    spender.handle(now_ms, &grant(&hello));
+    assert_eq!(spender.admit(now_ms, account(), 1, 500), Admission::Pending);
     now_ms += 20;
-    let want = spender.due(now_ms, 1).expect("a report that asks");
-    assert!(spender.take(now_ms, &grant(&want)));
+    let want = spender.due_report(now_ms, 1).expect("a report that asks");
+    assert!(spender.handle(now_ms, &grant(&want)));
     // The request has gone meanwhile; another comes after the grant has lapsed.
     spender.withdraw(account(), 1);
     let later_ms = now_ms + 2_500;
@@ -195,7 +197,7 @@
     let mut admitted = 0;
     for step in 0..1_000 {
         let now_ms = START_MS + step * 10;
-        spender.due(now_ms, 1);
+        spender.due_report(now_ms, 1);
         if spender.admit(now_ms, account(), step, 10) == Admission::Admitted {
             admitted += 10;
         }
--- a/crates/quota/tests/limit_search.rs
+++ b/crates/quota/tests/limit_search.rs
@@ -1,6 +1,6 @@
 //! Courses of load, messages, losses and changes of limits, drawn at random over many VMs.
 //!
-//! Each VM is a [`Spender`]; the first ones also keep. Datagrams are late, lost and doubled; VMs
+//! Each VM is a [`QuotaClient`]; the first ones also keep. Datagrams are late, lost and doubled; VMs
 //! freeze, start again, are cut off and join. What is admitted in any window is counted over all.
 
 use std::collections::BTreeMap;
@@ -11,9 +11,9 @@
 use apricotdale_quota::Admission;
 use apricotdale_quota::Answer;
 use apricotdale_quota::Bounds;
-use apricotdale_quota::Keeper;
+use apricotdale_quota::QuotaClient;
+use apricotdale_quota::QuotaOwner;
 use apricotdale_quota::Report;
-use apricotdale_quota::Spender;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -63,8 +63,8 @@
 }
 
 struct Vm {
-    spender: Spender,
-    keeper: Keeper,
+    spender: QuotaClient,
+    keeper: QuotaOwner,
     inbox: Vec<(u64, Message)>,
     frozen_until_ms: u64,
     cut_until_ms: u64,
@@ -137,8 +137,8 @@
     fn vm(&mut self, vms: usize) -> Vm {
         self.runs += 1;
         let run = self.runs.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let mut spender = Spender::new(run, BOUNDS);
-        let mut keeper = Keeper::new(run, BOUNDS);
+        let mut spender = QuotaClient::new(run, BOUNDS);
+        let mut keeper = QuotaOwner::new(run, BOUNDS);
         spender.set_vms(vms);
         keeper.set_vms(vms);
         let limits = [(account(), limit(self.rate))];
@@ -216,8 +216,8 @@
         }
         self.loads.retain(|load| now_ms < load.until_ms);
         for load in self.loads.clone() {
-            let due = self.draw() % 1_000_000 < load.per_s * STEP_MS * 1_000 % 1_000_000;
-            let count = load.per_s * STEP_MS / 1_000 + u64::from(due);
+            let has_extra = self.draw() % 1_000_000 < load.per_s * STEP_MS * 1_000 % 1_000_000;
+            let count = load.per_s * STEP_MS / 1_000 + u64::from(has_extra);
             for _ in 0..count {
                 let vm = (load.from + self.draw() as usize % load.vms) % self.vms.len();
                 self.arrive(vm, load.units);
@@ -244,11 +244,11 @@
         for (_, message) in arrived.collect::<Vec<_>>() {
             match message {
                 Message::Report(from, report) => {
-                    let answer = vm.keeper.take(now_ms, &report);
+                    let answer = vm.keeper.handle(now_ms, &report);
                     answers.extend(answer.map(|answer| (from, answer)));
                 }
                 Message::Answer(answer) => {
-                    vm.spender.take(now_ms, &answer);
+                    vm.spender.handle(now_ms, &answer);
                 }
             }
         }
@@ -263,10 +263,10 @@
             let vm = &mut self.vms[index];
             match vm.spender.admit(now_ms, account(), key, units) {
                 Admission::Admitted => self.count(arrived_ms, units),
-                Admission::Asked if now_ms < arrived_ms + ASKED_MS => {
+                Admission::Pending if now_ms < arrived_ms + ASKED_MS => {
                     vm.asked.push((key, units, arrived_ms));
                 }
-                Admission::Asked => {
+                Admission::Pending => {
                     vm.spender.withdraw(account(), key);
                     self.refused += units;
                 }
@@ -278,10 +278,10 @@
     fn report(&mut self, index: usize) {
         let keepers = self.vms.len().min(KEEPERS);
         let spender = &mut self.vms[index].spender;
-        let Some(report) = spender.due(self.now_ms, keepers) else {
+        let Some(report) = spender.due_report(self.now_ms, keepers) else {
             return;
         };
-        let to = spender.choice();
+        let to = spender.owner_rank();
         self.send(index, to, &Message::Report(index, report));
     }
 
@@ -297,7 +297,7 @@
             .admit(self.now_ms, account(), key, units)
         {
             Admission::Admitted => self.count(self.now_ms, units),
-            Admission::Asked => {
+            Admission::Pending => {
                 self.asked += units;
                 self.vms[vm].asked.push((key, units, self.now_ms));
             }
