--- a/crates/quota/src/budget.rs
+++ b/crates/quota/src/budget.rs
@@ -1,15 +1,15 @@
-//! How what may be used beyond the rate is divided.
+//! Division of the units of a limit between the owner's bucket, grants and the VMs.
 
 use apricotdale_organisations::Limit;
 
-/// `Bounds` is how closely limits are held.
+/// Tolerance with which limits are enforced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The operators' window in which use is counted.
+    /// Length of the operators' window in which usage is counted.
     pub window_ms: u64,
-    /// The part of what a window allows that may be used beyond it.
+    /// Tolerated excess, as a share of what a window allows.
     pub over: f64,
-    /// Units that may be used beyond that.
+    /// Tolerated excess in units, in addition to `over`.
     pub slack: f64,
 }
 
@@ -23,87 +23,89 @@
     }
 }
 
-/// The part of what a window allows beyond the rate that may be used in every window, in favour of the
-/// callers. The rest is for what VMs do not know of each other.
-const SUSTAINED: f64 = 0.5;
+/// Share of the excess that may be used in every window, in favour of the callers. The remainder
+/// covers what VMs do not know of each other.
+const SUSTAINED_SHARE: f64 = 0.5;
 
-/// Parts of that rest. With `UNTOLD` once more, for VMs that are killed before
-/// they tell, they add up to less than one: the rest covers VMs that count each other differently for
-/// a moment.
-const BUCKET: f64 = 0.35;
-const UNTOLD: f64 = 0.2;
-const GRANTED: f64 = 0.1;
-const ALONE: f64 = 0.05;
-const OVERDRAFT: f64 = 0.2;
+/// Shares of that remainder. Together with a second `UNREPORTED_SHARE`, for VMs that are killed
+/// before they report, they add up to less than 1. What is left covers VMs that briefly assume
+/// different numbers of VMs.
+const BUCKET_SHARE: f64 = 0.35;
+const UNREPORTED_SHARE: f64 = 0.2;
+const GRANT_SHARE: f64 = 0.1;
+const LOCAL_SHARE: f64 = 0.05;
+const OVERDRAFT_SHARE: f64 = 0.2;
 
-/// The part of a bucket at which a request is granted that is larger than the bucket.
-const NEARLY_FULL: f64 = 0.9;
+/// Fill level, as a share of the bucket, from which a request larger than the bucket is granted.
+const MIN_OVERDRAFT_FILL: f64 = 0.9;
 
-/// The longest time for which a grant is good.
-const MAX_GRANT_MS: u64 = 2_000;
+/// Maximum time for which a grant is valid.
+const MAX_GRANT_TTL_MS: u64 = 2_000;
 
-/// `Budget` is what one organisation may use, divided over the places where it is held.
+/// Units that one organisation may use, and their division.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Budget {
-    /// The limit's rate, and the part of its tolerance that is used all the time.
+    /// Rate of the limit, increased by the excess that may be used in every window.
     pub rate_per_ms: f64,
-    /// What may be used beyond that, at the most.
-    beyond: f64,
+    /// Maximum number of units that may be used in excess of that rate.
+    excess: f64,
 }
 
 impl Budget {
     pub fn new(limit: Limit, bounds: Bounds) -> Self {
         let rate_per_ms = limit.rate_per_s / 1_000.0;
         let allowed = rate_per_ms * bounds.window_ms as f64 + limit.burst;
-        let beyond = limit.burst + bounds.over * allowed + bounds.slack;
+        let excess = limit.burst + bounds.over * allowed + bounds.slack;
         Self {
-            rate_per_ms: rate_per_ms + beyond * SUSTAINED / bounds.window_ms as f64,
-            beyond: beyond * (1.0 - SUSTAINED),
+            rate_per_ms: rate_per_ms + excess * SUSTAINED_SHARE / bounds.window_ms as f64,
+            excess: excess * (1.0 - SUSTAINED_SHARE),
         }
     }
 
-    /// Returns the size of the keeper's bucket.
+    /// Returns the capacity of the owner's bucket.
     pub fn bucket(&self) -> f64 {
-        self.beyond * BUCKET
+        self.excess * BUCKET_SHARE
     }
 
-    /// Returns whether a bucket covers all that a part of the VMs may have admitted and not told.
-    pub fn is_calm(&self, level: f64, part: f64) -> bool {
-        level >= self.beyond * UNTOLD * part
+    /// Returns whether the level covers all that a share of the VMs may have admitted and not
+    /// reported.
+    pub fn has_headroom(&self, level: f64, share: f64) -> bool {
+        level >= self.excess * UNREPORTED_SHARE * share
     }
 
-    /// Returns what a bucket grants of what is wanted, no less than the first request wants.
-    pub fn grant(&self, level: f64, wanted: u64, first: u64) -> u64 {
+    /// Returns how many of the wanted units are granted: all, or what the level covers if that
+    /// suffices for the oldest pending request, or none.
+    pub fn grant(&self, level: f64, wanted: u64, oldest: u64) -> u64 {
         match wanted {
             _ if level >= wanted as f64 => wanted,
-            _ if level >= first as f64 => level as u64,
+            _ if level >= oldest as f64 => level as u64,
             _ => 0,
         }
     }
 
-    /// Returns whether a request that is larger than the bucket may be paid back after it.
-    pub fn may_overdraw(&self, level: f64, part: f64, units: u64) -> bool {
-        level >= self.bucket() * part * NEARLY_FULL && self.fits(units)
+    /// Returns whether a request larger than the bucket may be granted and paid for afterwards.
+    pub fn may_overdraw(&self, level: f64, share: f64, units: u64) -> bool {
+        level >= self.bucket() * share * MIN_OVERDRAFT_FILL && self.fits(units)
     }
 
-    /// Returns whether a request could ever be admitted.
+    /// Returns whether a request of this size can be admitted at all.
     pub fn fits(&self, units: u64) -> bool {
-        units as f64 <= (self.bucket() + self.beyond * OVERDRAFT).max(1.0)
+        units as f64 <= (self.bucket() + self.excess * OVERDRAFT_SHARE).max(1.0)
     }
 
-    /// Returns what one VM may admit before it is told that the keeper knows of it.
-    pub fn untold(&self, vms: usize) -> f64 {
-        self.beyond * UNTOLD / vms.max(1) as f64
+    /// Returns how many units one VM may admit that the owner has not acknowledged.
+    pub fn max_unreported(&self, vms: usize) -> f64 {
+        self.excess * UNREPORTED_SHARE / vms.max(1) as f64
     }
 
-    /// Returns the bucket of a VM that hears no keeper.
-    pub fn alone(&self, vms: usize) -> f64 {
-        self.beyond * ALONE / vms.max(1) as f64
+    /// Returns the capacity of the bucket that a VM uses while it has no live owner.
+    pub fn local_bucket(&self, vms: usize) -> f64 {
+        self.excess * LOCAL_SHARE / vms.max(1) as f64
     }
 
-    /// Returns how long a grant is good.
-    pub fn grant_ms(&self) -> u64 {
-        let ms = self.beyond * GRANTED / self.rate_per_ms;
-        (ms as u64).min(MAX_GRANT_MS)
+    /// Returns how long a grant is valid.
+    pub fn grant_ttl_ms(&self) -> u64 {
+        let ms = self.excess * GRANT_SHARE / self.rate_per_ms;
+        (ms as u64).min(MAX_GRANT_TTL_MS)
     }
 }
--- /dev/null
+++ b/crates/quota/src/client.rs
@@ -0,0 +1,427 @@
+//! Quota client: admission of requests on one VM.
+
+use std::collections::BTreeMap;
+use std::collections::VecDeque;
+
+use apricotdale_organisations::Limit;
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::budget::Bounds;
+use crate::budget::Budget;
+use crate::message::AccountId;
+use crate::message::AccountUsage;
+use crate::message::Answer;
+use crate::message::Report;
+
+/// Time since the last answer after which an owner no longer counts as live.
+const ANSWER_TTL_MS: u64 = 1_500;
+
+/// Tolerated lateness of a report. Time beyond that is not ceded, and what accrued in it is
+/// forfeited, so that it is not used in a later window.
+const CEDED_SLACK_MS: u64 = 250;
+
+/// Interval between two reports. It grows with the number of VMs, so that the owner can handle all
+/// reports.
+const MIN_REPORT_INTERVAL_MS: u64 = 250;
+const REPORT_INTERVAL_US_PER_VM: u64 = 3_500;
+const MAX_REPORT_INTERVAL_MS: u64 = 1_000;
+
+/// Time over which the first reports of VMs that start together are spread.
+const FIRST_REPORT_SPREAD_MS: u64 = 500;
+
+/// Minimum interval between two reports that ask for units. It grows with the number of VMs.
+const MIN_URGENT_INTERVAL_MS: u64 = 10;
+const URGENT_INTERVAL_US_PER_VM: u64 = 200;
+
+/// Time for which an answer is awaited before an urgent report is repeated.
+const ANSWER_TIMEOUT_MS: u64 = 100;
+
+/// Maximum time for which no units are requested after the owner denied some.
+const DENIAL_TTL_MS: u64 = 120;
+
+/// Number of consecutive reports without an answer after which the next candidate is asked.
+const MAX_UNANSWERED_REPORTS: u32 = 3;
+
+/// Time after which a VM returns from another candidate to the first one.
+const FALLBACK_OWNER_MS: u64 = 10_000;
+
+/// Decision on a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// The request may run.
+    Admitted,
+    /// The owner is being asked. The request is to be decided again after the next answer.
+    Pending,
+    /// The limit is exhausted, or the request is too large for it.
+    Refused {
+        /// Time after which the caller may retry, in milliseconds; `None` if the request is larger
+        /// than the limit ever allows.
+        retry_after_ms: Option<u64>,
+    },
+}
+
+#[derive(Clone, Debug)]
+struct Account {
+    budget: Budget,
+    /// Units used without a grant since this VM reports to its owner, and how many of them the
+    /// owner has acknowledged.
+    spent: i64,
+    acknowledged: i64,
+    /// Units of the requests that await an answer of the owner, by request key.
+    pending: BTreeMap<u64, u64>,
+    is_near_limit: bool,
+    /// Granted units with the time at which they expire, oldest first.
+    granted: VecDeque<(u64, u64)>,
+    /// Time until which no units are requested, and the time after which callers may retry.
+    denied_until_ms: u64,
+    retry_after_ms: u64,
+    /// Level of the bucket that this VM uses while it has no live owner.
+    local_level: f64,
+}
+
+/// Admission of the requests of one VM.
+#[derive(Clone, Debug)]
+pub struct QuotaClient {
+    incarnation: u64,
+    bounds: Bounds,
+    vms: usize,
+    accounts: BTreeMap<AccountId, Account>,
+    /// Rank of the candidate that is asked, and until when, unless it is the first one.
+    owner_rank: usize,
+    fallback_until_ms: u64,
+    /// Incarnation of the owner that answers; `None` if none has answered lately.
+    owner: Option<u64>,
+    last_received_ms: u64,
+    /// Time up to which the time of this VM was ceded to the owner or used for the local bucket.
+    accounted_until_ms: Option<u64>,
+    ceded_ms: u64,
+    number: u64,
+    answered: u64,
+    unanswered: u32,
+    next_ms: u64,
+    last_ms: u64,
+}
+
+impl QuotaClient {
+    /// Returns the client of a VM that knows of no owner and assumes to be the only VM.
+    /// `incarnation` is drawn at random at each start of the process.
+    pub fn new(incarnation: u64, bounds: Bounds) -> Self {
+        Self {
+            incarnation,
+            bounds,
+            vms: 1,
+            accounts: BTreeMap::new(),
+            owner_rank: 0,
+            fallback_until_ms: 0,
+            owner: None,
+            last_received_ms: 0,
+            accounted_until_ms: None,
+            ceded_ms: 0,
+            number: 0,
+            answered: 0,
+            unanswered: 0,
+            next_ms: 0,
+            last_ms: 0,
+        }
+    }
+
+    /// Replaces the limits in force. Accounts that remain keep their state.
+    pub fn set_limits(
+        &mut self,
+        now_ms: u64,
+        limits: impl IntoIterator<Item = (AccountId, Limit)>,
+    ) {
+        let mut before = std::mem::take(&mut self.accounts);
+        for (id, limit) in limits {
+            let budget = Budget::new(limit, self.bounds);
+            let account = match before.remove(&id) {
+                Some(before) => Account { budget, ..before },
+                None => Account {
+                    budget,
+                    spent: 0,
+                    acknowledged: 0,
+                    pending: BTreeMap::new(),
+                    // True until an owner states otherwise.
+                    is_near_limit: true,
+                    granted: VecDeque::new(),
+                    denied_until_ms: 0,
+                    retry_after_ms: 0,
+                    local_level: 0.0,
+                },
+            };
+            self.accounts.insert(id, account);
+        }
+        self.next_ms = match self.accounts.is_empty() {
+            true => u64::MAX,
+            // Spreads the reports of VMs that start together.
+            false if self.last_ms == 0 => now_ms + self.incarnation % FIRST_REPORT_SPREAD_MS,
+            false => self.next_ms.min(now_ms + self.report_interval_ms()),
+        };
+    }
+
+    /// Sets the number of VMs in the fleet.
+    pub fn set_vms(&mut self, vms: usize) {
+        self.vms = vms.max(1);
+    }
+
+    /// Returns the rank of the candidate that is asked, 0 for the first one.
+    pub fn owner_rank(&self) -> usize {
+        self.owner_rank
+    }
+
+    fn has_live_owner(&self, now_ms: u64) -> bool {
+        self.owner.is_some() && now_ms < self.last_received_ms + ANSWER_TTL_MS
+    }
+
+    /// Decides on a request that counts `units`. `key` identifies the request: a pending one is to
+    /// be decided again with the same key after the next answer. Accounts without a limit admit
+    /// all.
+    pub fn admit(&mut self, now_ms: u64, id: AccountId, key: u64, units: u64) -> Admission {
+        let admission = self.decide(now_ms, id, units);
+        if let Some(account) = self.accounts.get_mut(&id) {
+            match admission {
+                Admission::Pending => account.pending.insert(key, units),
+                _ => account.pending.remove(&key),
+            };
+        }
+        if admission == Admission::Pending {
+            self.report_soon(now_ms);
+        }
+        admission
+    }
+
+    fn decide(&mut self, now_ms: u64, id: AccountId, units: u64) -> Admission {
+        let has_live_owner = self.has_live_owner(now_ms);
+        if !has_live_owner {
+            self.accrue_local(now_ms);
+        }
+        let vms = self.vms;
+        let Some(account) = self.accounts.get_mut(&id) else {
+            return Admission::Admitted;
+        };
+        if !account.budget.fits(units) {
+            return Admission::Refused {
+                retry_after_ms: None,
+            };
+        }
+        if account.use_grants(now_ms, units) {
+            return Admission::Admitted;
+        }
+        let unreported = account.spent - account.acknowledged;
+        let may_spend = (unreported + units as i64) as f64 <= account.budget.max_unreported(vms);
+        match has_live_owner {
+            true if !account.is_near_limit && may_spend => {
+                account.spent += units as i64;
+                let is_half_used = unreported as f64 > account.budget.max_unreported(vms) / 2.0;
+                if is_half_used {
+                    self.report_soon(now_ms);
+                }
+                Admission::Admitted
+            }
+            false if account.local_level >= units as f64 => {
+                account.local_level -= units as f64;
+                Admission::Admitted
+            }
+            // A VM that has just started, or whose owner has failed, finds one within a round trip
+            // or two.
+            _ if now_ms >= account.denied_until_ms => Admission::Pending,
+            _ => Admission::Refused {
+                retry_after_ms: Some(account.retry_after_ms.max(DENIAL_TTL_MS)),
+            },
+        }
+    }
+
+    /// Fills the local buckets with this VM's share of what accrues, while it has no live owner.
+    fn accrue_local(&mut self, now_ms: u64) {
+        let passed_ms = self.claim_elapsed_ms(now_ms) as f64;
+        for account in self.accounts.values_mut() {
+            let grown =
+                account.local_level + passed_ms * account.budget.rate_per_ms / self.vms as f64;
+            account.local_level = grown.min(account.budget.local_bucket(self.vms));
+        }
+    }
+
+    /// Returns the time since the last call, bounded by the length of a late report interval.
+    fn claim_elapsed_ms(&mut self, now_ms: u64) -> u64 {
+        let before_ms = self.accounted_until_ms.replace(now_ms).unwrap_or(now_ms);
+        let passed_ms = now_ms.saturating_sub(before_ms);
+        passed_ms.min(self.report_interval_ms() * 5 / 4 + CEDED_SLACK_MS)
+    }
+
+    /// Gives back the units of a request that was admitted and has not run.
+    pub fn give_back(&mut self, id: AccountId, units: u64) {
+        if let Some(account) = self.accounts.get_mut(&id) {
+            account.spent -= units as i64;
+        }
+    }
+
+    /// Removes a pending request that no longer waits.
+    pub fn withdraw(&mut self, id: AccountId, key: u64) {
+        if let Some(account) = self.accounts.get_mut(&id) {
+            account.pending.remove(&key);
+        }
+    }
+
+    fn report_soon(&mut self, now_ms: u64) {
+        let min_delay_ms = match self.unanswered {
+            0 => MIN_URGENT_INTERVAL_MS.max(self.vms as u64 * URGENT_INTERVAL_US_PER_VM / 1_000),
+            _ => ANSWER_TIMEOUT_MS,
+        };
+        let soon_ms = now_ms.max(self.last_ms + min_delay_ms);
+        self.next_ms = self.next_ms.min(soon_ms);
+    }
+
+    /// Returns the time until the next report, with jitter that depends on the VM and the report,
+    /// so that VMs which start together do not stay synchronous.
+    fn jittered_interval_ms(&self) -> u64 {
+        let interval_ms = self.report_interval_ms();
+        let hash = xxh3_64(&(self.incarnation ^ self.number).to_le_bytes());
+        interval_ms * 3 / 4 + hash % (interval_ms / 2)
+    }
+
+    fn report_interval_ms(&self) -> u64 {
+        (self.vms as u64 * REPORT_INTERVAL_US_PER_VM / 1_000)
+            .clamp(MIN_REPORT_INTERVAL_MS, MAX_REPORT_INTERVAL_MS)
+    }
+
+    /// Returns when a report is due; `u64::MAX` without limits.
+    pub fn next_ms(&self) -> u64 {
+        self.next_ms
+    }
+
+    /// Returns the report if it is due. Its recipient is the VM with rank
+    /// [`QuotaClient::owner_rank`] among `candidates` VMs, which the call may change.
+    pub fn due_report(&mut self, now_ms: u64, candidates: usize) -> Option<Report> {
+        if now_ms < self.next_ms || self.accounts.is_empty() || candidates == 0 {
+            return None;
+        }
+        self.select_owner(now_ms, candidates);
+        let owner = self
+            .owner
+            .filter(|_| now_ms < self.last_received_ms + ANSWER_TTL_MS);
+        match owner {
+            None => self.owner = None,
+            // While a report is unacknowledged no further time is ceded, which bounds what can be
+            // lost.
+            Some(_) if self.unanswered == 0 => self.ceded_ms += self.claim_elapsed_ms(now_ms),
+            Some(_) => {}
+        }
+        self.number += 1;
+        self.unanswered += 1;
+        self.last_ms = now_ms;
+        self.next_ms = now_ms + self.jittered_interval_ms();
+        let all_usages = self.accounts.iter().map(|(id, account)| AccountUsage {
+            account: *id,
+            units: account.spent,
+            wanted: account.wanted(now_ms),
+            oldest: account.pending.values().next().copied().unwrap_or(0),
+        });
+        let has_changed = |it: &AccountUsage| {
+            it.wanted > 0 || it.units != self.accounts[&it.account].acknowledged
+        };
+        let usages = all_usages.filter(has_changed);
+        Some(Report {
+            vm: self.incarnation,
+            number: self.number,
+            owner,
+            ceded_ms: self.ceded_ms,
+            usages: match owner {
+                Some(_) => usages.collect(),
+                None => Vec::new(),
+            },
+        })
+    }
+
+    fn select_owner(&mut self, now_ms: u64, candidates: usize) {
+        let fallback_ended = self.owner_rank > 0 && now_ms >= self.fallback_until_ms;
+        let before = self.owner_rank;
+        if self.owner_rank >= candidates || fallback_ended {
+            self.owner_rank = 0;
+        } else if self.unanswered >= MAX_UNANSWERED_REPORTS {
+            self.owner_rank = (self.owner_rank + 1) % candidates;
+            self.fallback_until_ms = now_ms + FALLBACK_OWNER_MS;
+        }
+        if self.owner_rank != before || self.unanswered >= MAX_UNANSWERED_REPORTS {
+            self.unanswered = 0;
+            self.owner = None;
+        }
+    }
+
+    /// Handles an answer of an owner. Returns whether pending requests are to be decided again.
+    pub fn handle(&mut self, now_ms: u64, answer: &Answer) -> bool {
+        if answer.number <= self.answered || answer.number > self.number {
+            return false;
+        }
+        self.answered = answer.number;
+        self.unanswered = 0;
+        self.last_received_ms = now_ms;
+        if self.owner != Some(answer.owner) {
+            self.start_with_owner(answer.owner);
+            self.next_ms = self.next_ms.min(now_ms);
+        }
+        for (id, account) in &mut self.accounts {
+            account.is_near_limit = answer.near_limit.binary_search(id).is_ok();
+        }
+        let mut may_decide = false;
+        for allowance in &answer.allowances {
+            let Some(account) = self.accounts.get_mut(&allowance.account) else {
+                continue;
+            };
+            account.acknowledged = allowance.acknowledged;
+            if allowance.granted > 0 {
+                let until_ms = now_ms + account.budget.grant_ttl_ms();
+                account.granted.push_back((allowance.granted, until_ms));
+                may_decide = true;
+            }
+            if let Some(retry_after_ms) = allowance.retry_after_ms {
+                account.denied_until_ms = now_ms + u64::from(retry_after_ms).min(DENIAL_TTL_MS);
+                account.retry_after_ms = u64::from(retry_after_ms);
+                may_decide = true;
+            }
+        }
+        may_decide
+    }
+
+    /// Starts to report to an owner that has no state of this VM.
+    fn start_with_owner(&mut self, owner: u64) {
+        self.owner = Some(owner);
+        self.ceded_ms = 0;
+        for account in self.accounts.values_mut() {
+            // Units that the former owner has not acknowledged are reported again.
+            account.spent -= account.acknowledged;
+            account.acknowledged = 0;
+            account.local_level = 0.0;
+        }
+    }
+}
+
+impl Account {
+    /// Returns the units of pending requests beyond those granted.
+    fn wanted(&self, now_ms: u64) -> u64 {
+        let granted = self.granted.iter();
+        let valid = granted.filter(|(_, until_ms)| now_ms < *until_ms);
+        let valid: u64 = valid.map(|(granted, _)| granted).sum();
+        let pending: u64 = self.pending.values().sum();
+        pending.saturating_sub(valid)
+    }
+
+    /// Uses granted units if there are enough for the request.
+    fn use_grants(&mut self, now_ms: u64, units: u64) -> bool {
+        self.granted.retain(|(_, until_ms)| now_ms < *until_ms);
+        let valid: u64 = self.granted.iter().map(|(granted, _)| granted).sum();
+        if valid < units || units == 0 {
+            return units == 0;
+        }
+        let mut left = units;
+        while left > 0 {
+            let Some((granted, until_ms)) = self.granted.pop_front() else {
+                break;
+            };
+            if granted > left {
+                self.granted.push_front((granted - left, until_ms));
+            }
+            left = left.saturating_sub(granted);
+        }
+        true
+    }
+}
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,13 +1,15 @@
-//! The limits of organisations, held by many VMs together.
+//! Limits of organisations, enforced by many VMs together.
 //!
-//! Each VM admits by itself; [`QuotaClient`] is its side. One VM, the keeper, keeps a [token bucket] of
-//! each organisation and hears from all what they have spent; [`QuotaOwner`] is its side. While an
-//! organisation is far from its limit (calm), a VM admits at once and tells later, up to a part of the
-//! limit that all VMs share out. Otherwise it spends what the keeper has granted. What accrues belongs
-//! to the VMs in equal parts, and the keeper counts the parts of those that it hears only. A VM that
-//! hears no keeper lives off its own part. So no two VMs need to agree on who keeps, and a keeper that
-//! is lost takes nothing with it but what was granted. It is pure: facts, messages and time go in,
-//! decisions and messages come out.
+//! Each VM admits requests through its [`QuotaClient`]. One VM, the quota owner, keeps a [token
+//! bucket] for each organisation in its [`QuotaOwner`] and receives reports of usage from all VMs.
+//! While an organisation is far from its limit (has headroom), a VM admits at once and reports
+//! later, up to its share of a part of the limit. Otherwise it uses what the owner has granted.
+//!
+//! The units that accrue belong to the VMs in equal shares, and an owner only counts the shares of
+//! the VMs that report to it. A VM without a live owner uses its own share. So the VMs need not
+//! agree on the owner, and the loss of an owner loses no more than the units that it has granted.
+//! Nothing here reads a clock or sends: callers pass the time, events and messages, and get
+//! decisions and messages.
 //!
 //! [token bucket]: https://www.rfc-editor.org/rfc/rfc2697
 
@@ -15,16 +17,16 @@
 #![warn(missing_docs)]
 
 mod budget;
-mod keeper;
+mod client;
 mod message;
-mod spender;
+mod owner;
 
 pub use budget::Bounds;
-pub use keeper::QuotaOwner;
+pub use client::Admission;
+pub use client::QuotaClient;
 pub use message::AccountId;
+pub use message::AccountUsage;
 pub use message::Allowance;
 pub use message::Answer;
 pub use message::Report;
-pub use message::Spent;
-pub use spender::Admission;
-pub use spender::QuotaClient;
+pub use owner::QuotaOwner;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,4 +1,4 @@
-//! What VMs and their keeper tell each other.
+//! Messages between quota clients and owners.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// `AccountId` stands for an organisation's name.
+/// Identity of an organisation in messages: a hash of its name.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AccountId(u64);
 
 impl AccountId {
-    /// Returns the id of an organisation.
+    /// Returns the identity of the organisation of this name.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
     }
@@ -23,57 +23,57 @@
     }
 }
 
-/// `Spent` is what one VM has spent of an account since it reports to this keeper.
+/// Usage of one account by one VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
-    /// The account.
+pub struct AccountUsage {
+    /// Organisation that uses the units.
     pub account: AccountId,
-    /// What was spent before it was granted, altogether.
+    /// Total number of units used without a grant since the VM reports to this owner.
     pub units: i64,
-    /// What is wanted now.
+    /// Number of units that pending requests need beyond those granted.
     pub wanted: u64,
-    /// What of it the request wants that has waited longest.
-    pub first: u64,
+    /// Number of units of the oldest pending request; 0 if there is none.
+    pub oldest: u64,
 }
 
-/// `Report` tells the keeper what a VM has spent and wants.
+/// Report of one VM's usage to the quota owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The run of the VM.
+    /// Incarnation of the reporting process.
     pub vm: u64,
-    /// Grows with each report of this run.
+    /// Number that increases with each report of this incarnation.
     pub number: u64,
-    /// The run of the keeper that the VM hears; none if it asks whether one is there.
-    pub keeper: Option<u64>,
-    /// The time that this VM hands over, altogether since it reports to this keeper. Its part of what
-    /// accrues in that time is the keeper's.
-    pub handed_ms: u64,
-    /// The accounts of which something has changed or is wanted.
-    pub spent: Vec<Spent>,
+    /// Incarnation of the owner known to the VM; `None` if the report asks whether there is one.
+    pub owner: Option<u64>,
+    /// Total time that the VM has ceded since it reports to this owner. The owner's buckets receive
+    /// the VM's share of what accrues in that time.
+    pub ceded_ms: u64,
+    /// Accounts with changed usage or pending requests.
+    pub usages: Vec<AccountUsage>,
 }
 
-/// `Allowance` is what a keeper answers of one account.
+/// Answer of an owner for one account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// The account.
+    /// Organisation that the units are granted to.
     pub account: AccountId,
-    /// What the keeper knows to be spent.
-    pub known: i64,
-    /// What is granted.
+    /// Total number of units that the owner has recorded for the VM.
+    pub acknowledged: i64,
+    /// Number of units granted in addition to earlier grants; 0 if none.
     pub granted: u64,
-    /// In which time to come back, where not all that is wanted was granted.
+    /// Time in milliseconds after which to ask again; `None` if all wanted units were granted.
     pub retry_after_ms: Option<u32>,
 }
 
-/// `Answer` answers a report.
+/// Answer of an owner to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The run of the keeper.
-    pub keeper: u64,
-    /// The report that is answered.
+    /// Incarnation of the answering owner.
+    pub owner: u64,
+    /// Number of the answered report.
     pub number: u64,
-    /// The accounts of the report.
+    /// Allowances for the accounts of the report.
     pub allowances: Vec<Allowance>,
-    /// The accounts that are near their limit.
-    pub scarce: Vec<AccountId>,
+    /// Sorted accounts without headroom, for which a VM may use granted units only.
+    pub near_limit: Vec<AccountId>,
 }
--- /dev/null
+++ b/crates/quota/src/owner.rs
@@ -0,0 +1,241 @@
+//! Quota owner: token buckets of all organisations.
+
+use std::collections::BTreeMap;
+
+use apricotdale_organisations::Limit;
+
+use crate::budget::Bounds;
+use crate::budget::Budget;
+use crate::message::AccountId;
+use crate::message::AccountUsage;
+use crate::message::Allowance;
+use crate::message::Answer;
+use crate::message::Report;
+
+/// Time since its last report after which a VM no longer counts as a member.
+const MEMBER_TTL_MS: u64 = 2_000;
+
+/// Time since its last report for which a VM's reported usage is kept.
+const MEMBER_RETENTION_MS: u64 = 60_000;
+
+/// Time over which denied units are added up.
+const BACKLOG_WINDOW_MS: u64 = 500;
+
+/// Bounds of the time after which denied callers may retry.
+const MIN_RETRY_AFTER_MS: f64 = 150.0;
+const MAX_RETRY_AFTER_MS: f64 = 4_000.0;
+
+#[derive(Clone, Copy, Debug)]
+struct Account {
+    budget: Budget,
+    level: f64,
+    /// Share of all VMs that report to this owner, from 0 to 1.
+    share: f64,
+    /// Units denied since `backlog_ms`.
+    backlog: f64,
+    backlog_ms: u64,
+    /// Time of the last overdraft of the bucket.
+    overdrawn_ms: u64,
+}
+
+#[derive(Clone, Debug, Default)]
+struct Member {
+    last_received_ms: u64,
+    number: u64,
+    ceded_ms: u64,
+    usages: BTreeMap<AccountId, i64>,
+}
+
+/// Token buckets of all organisations that have a limit.
+#[derive(Clone, Debug)]
+pub struct QuotaOwner {
+    incarnation: u64,
+    bounds: Bounds,
+    accounts: BTreeMap<AccountId, Account>,
+    members: BTreeMap<u64, Member>,
+    /// Number of VMs in the fleet, at least 1.
+    vms: usize,
+}
+
+impl QuotaOwner {
+    /// Returns an owner with empty buckets, since the grants of a former owner are not known.
+    /// `incarnation` is drawn at random at each start of the process.
+    pub fn new(incarnation: u64, bounds: Bounds) -> Self {
+        Self {
+            incarnation,
+            bounds,
+            accounts: BTreeMap::new(),
+            members: BTreeMap::new(),
+            vms: 1,
+        }
+    }
+
+    /// Replaces the limits in force. Accounts that remain keep their state.
+    pub fn set_limits(
+        &mut self,
+        now_ms: u64,
+        limits: impl IntoIterator<Item = (AccountId, Limit)>,
+    ) {
+        let mut before = std::mem::take(&mut self.accounts);
+        for (id, limit) in limits {
+            let budget = Budget::new(limit, self.bounds);
+            let account = before.remove(&id).map_or(
+                Account {
+                    budget,
+                    level: 0.0,
+                    share: 0.0,
+                    backlog: 0.0,
+                    backlog_ms: now_ms,
+                    // A former owner may have overdrawn the bucket just now.
+                    overdrawn_ms: now_ms,
+                },
+                |before| Account {
+                    budget,
+                    level: before.level.min(budget.bucket()),
+                    ..before
+                },
+            );
+            self.accounts.insert(id, account);
+        }
+    }
+
+    /// Sets the number of VMs in the fleet.
+    pub fn set_vms(&mut self, vms: usize) {
+        self.vms = vms.max(1);
+    }
+
+    /// Returns the share of all VMs that report to this owner. If VMs report to several owners,
+    /// each has this share of the bucket, and loses it when the VMs change to another owner.
+    fn share(&self, now_ms: u64) -> f64 {
+        let members = self.members.values();
+        let members = members
+            .filter(|it| now_ms < it.last_received_ms + MEMBER_TTL_MS)
+            .count();
+        members as f64 / self.vms.max(members).max(1) as f64
+    }
+
+    /// Adds to each bucket what accrues for one VM in the time that it has ceded.
+    fn accrue(&mut self, now_ms: u64, ceded_ms: u64) {
+        let share_ms = ceded_ms as f64 / self.vms as f64;
+        let share = self.share(now_ms);
+        for account in self.accounts.values_mut() {
+            let level = account.level + account.budget.rate_per_ms * share_ms;
+            account.share = share;
+            account.level = level.min(account.bucket());
+        }
+    }
+
+    /// Handles a report and returns its answer, or `None` if a later report was handled already.
+    pub fn handle(&mut self, now_ms: u64, report: &Report) -> Option<Answer> {
+        let is_member = report.owner == Some(self.incarnation);
+        if is_member {
+            let member = self.members.entry(report.vm).or_default();
+            if report.number <= member.number {
+                return None;
+            }
+            member.number = report.number;
+            member.last_received_ms = now_ms;
+            let ceded_ms = report.ceded_ms.saturating_sub(member.ceded_ms);
+            member.ceded_ms = report.ceded_ms;
+            self.accrue(now_ms, ceded_ms);
+        }
+        let allowances = match is_member {
+            true => report
+                .usages
+                .iter()
+                .map(|usage| self.record_usage(now_ms, report.vm, usage))
+                .collect(),
+            false => Vec::new(),
+        };
+        // A VM that asks whether there is an owner is not a member yet, but admits by this answer.
+        let asking_share = match is_member {
+            true => 0.0,
+            false => 1.0 / self.vms as f64,
+        };
+        let has_headroom = |it: &Account| it.budget.has_headroom(it.level, it.share + asking_share);
+        let accounts = self.accounts.iter();
+        let near_limit = accounts.filter(|(_, it)| !has_headroom(it));
+        Some(Answer {
+            owner: self.incarnation,
+            number: report.number,
+            allowances,
+            near_limit: near_limit.map(|(id, _)| *id).collect(),
+        })
+    }
+
+    fn record_usage(&mut self, now_ms: u64, vm: u64, usage: &AccountUsage) -> Allowance {
+        let member = self.members.entry(vm).or_default();
+        let recorded = member.usages.entry(usage.account).or_default();
+        let more = usage.units - *recorded;
+        *recorded = usage.units;
+        let mut allowance = Allowance {
+            account: usage.account,
+            acknowledged: usage.units,
+            granted: 0,
+            retry_after_ms: None,
+        };
+        let window_ms = self.bounds.window_ms;
+        let Some(account) = self.accounts.get_mut(&usage.account) else {
+            // The VM has a newer configuration than this owner, and has to ask again.
+            allowance.retry_after_ms = (usage.wanted > 0).then_some(MIN_RETRY_AFTER_MS as u32);
+            return allowance;
+        };
+        account.level = (account.level - more as f64).min(account.bucket());
+        if usage.wanted == 0 {
+            return allowance;
+        }
+        allowance.granted = account.grant(now_ms, usage, window_ms);
+        account.level -= allowance.granted as f64;
+        let missing_units = usage.wanted.saturating_sub(allowance.granted);
+        if missing_units > 0 {
+            allowance.retry_after_ms = Some(account.retry_after_ms(now_ms, missing_units as f64));
+        }
+        allowance
+    }
+
+    /// Removes the state of VMs that have not reported for a minute.
+    pub fn remove_inactive(&mut self, now_ms: u64) {
+        self.members
+            .retain(|_, member| now_ms < member.last_received_ms + MEMBER_RETENTION_MS);
+    }
+
+    /// Returns the fill level of each bucket as a share of its capacity, for metrics.
+    pub fn levels(&self) -> impl Iterator<Item = (AccountId, f64)> {
+        let accounts = self.accounts.iter();
+        accounts.map(|(id, it)| (*id, it.level / it.budget.bucket().max(1.0)))
+    }
+}
+
+impl Account {
+    fn bucket(&self) -> f64 {
+        self.budget.bucket() * self.share
+    }
+
+    /// Returns how many of the wanted units are granted. Overdraws the bucket at most once in a
+    /// window.
+    fn grant(&mut self, now_ms: u64, usage: &AccountUsage, window_ms: u64) -> u64 {
+        let granted = self.budget.grant(self.level, usage.wanted, usage.oldest);
+        let may_overdraw = now_ms >= self.overdrawn_ms + window_ms
+            && self
+                .budget
+                .may_overdraw(self.level, self.share, usage.oldest);
+        if granted == 0 && may_overdraw {
+            self.overdrawn_ms = now_ms;
+            return usage.oldest;
+        }
+        granted
+    }
+
+    /// Returns the time after which enough units have accrued for the wanted ones and for those
+    /// denied to others before.
+    fn retry_after_ms(&mut self, now_ms: u64, wanted: f64) -> u32 {
+        if now_ms >= self.backlog_ms + BACKLOG_WINDOW_MS {
+            self.backlog = 0.0;
+            self.backlog_ms = now_ms;
+        }
+        self.backlog += wanted;
+        let missing_units = self.backlog - self.level;
+        let retry_after_ms = missing_units / self.budget.rate_per_ms;
+        retry_after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS) as u32
+    }
+}
--- a/crates/quota/tests/limit_search.rs
+++ b/crates/quota/tests/limit_search.rs
@@ -1,7 +1,8 @@
-//! Courses of load, messages, losses and changes of limits, drawn at random over many VMs.
+//! Random sequences of load, messages, failures and changes of limits over many VMs.
 //!
-//! Each VM is a [`QuotaClient`]; the first ones also keep. Datagrams are late, lost and doubled; VMs
-//! freeze, start again, are cut off and join. What is admitted in any window is counted over all.
+//! Each VM is a [`QuotaClient`]; the first ones are owners too. Datagrams are delayed, lost and
+//! duplicated; VMs pause, restart and are partitioned. Admitted units are counted over all VMs in
+//! every window.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -17,15 +18,15 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const KEEPERS: usize = 4;
+const OWNER_CANDIDATES: usize = 4;
 const STEP_MS: u64 = 5;
 const WINDOW_MS: u64 = 8_000;
 
-/// How long a request waits for the keeper.
-const ASKED_MS: u64 = 250;
+/// Maximum time for which a request waits for an answer of the owner.
+const PENDING_TIMEOUT_MS: u64 = 250;
 
-/// Within this time all VMs have a new limit.
-const APPLY_MS: u64 = 1_000;
+/// Time within which all VMs apply a new limit.
+const LIMIT_ROLLOUT_MS: u64 = 1_000;
 
 const BOUNDS: Bounds = Bounds {
     window_ms: WINDOW_MS,
@@ -39,10 +40,10 @@
     Answer(Answer),
 }
 
-/// What happens at a moment.
+/// Event at a moment of the sequence.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// Requests come to some VMs for a time: how many a second, and how large.
+    /// Requests arrive at some VMs for a time, with a rate per second and a size.
     Load {
         from: usize,
         vms: usize,
@@ -50,26 +51,26 @@
         units: u64,
         for_ms: u64,
     },
-    /// A VM's process is started again.
+    /// A VM's process restarts.
     Restart { vm: usize },
-    /// All of them are.
+    /// All VMs' processes restart.
     RestartAll,
-    /// A VM stands still.
-    Freeze { vm: usize, for_ms: u64 },
-    /// A VM hears no other and is heard by none.
-    Cut { vm: usize, for_ms: u64 },
-    /// The limit is another from now on.
+    /// A VM's process is paused.
+    Pause { vm: usize, for_ms: u64 },
+    /// A VM is partitioned from all others.
+    Partition { vm: usize, for_ms: u64 },
+    /// The limit changes to a percentage of the original one.
     Limit { percent: u64 },
 }
 
 struct Vm {
-    spender: QuotaClient,
-    keeper: QuotaOwner,
+    client: QuotaClient,
+    owner: QuotaOwner,
     inbox: Vec<(u64, Message)>,
-    frozen_until_ms: u64,
-    cut_until_ms: u64,
+    paused_until_ms: u64,
+    partitioned_until_ms: u64,
     limit: (u64, f64),
-    asked: Vec<(u64, u64, u64)>,
+    pending: Vec<(u64, u64, u64)>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -89,14 +90,14 @@
     rate: f64,
     next_key: u64,
     loads: Vec<Load>,
-    /// Units that were admitted, by time of arrival.
+    /// Admitted units by time of arrival.
     admitted: BTreeMap<u64, u64>,
-    /// The limits that were in force, with the times at which they began.
+    /// Limits with the times at which they came into force.
     limits: Vec<(u64, f64)>,
     arrived: u64,
     refused: u64,
-    asked: u64,
-    runs: u64,
+    pending: u64,
+    incarnations: u64,
 }
 
 fn account() -> AccountId {
@@ -124,8 +125,8 @@
             limits: vec![(0, rate)],
             arrived: 0,
             refused: 0,
-            asked: 0,
-            runs: 0,
+            pending: 0,
+            incarnations: 0,
         };
         for _ in 0..vms {
             let vm = fleet.vm(vms);
@@ -135,34 +136,34 @@
     }
 
     fn vm(&mut self, vms: usize) -> Vm {
-        self.runs += 1;
-        let run = self.runs.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let mut spender = QuotaClient::new(run, BOUNDS);
-        let mut keeper = QuotaOwner::new(run, BOUNDS);
-        spender.set_vms(vms);
-        keeper.set_vms(vms);
+        self.incarnations += 1;
+        let incarnation = self.incarnations.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let mut client = QuotaClient::new(incarnation, BOUNDS);
+        let mut owner = QuotaOwner::new(incarnation, BOUNDS);
+        client.set_vms(vms);
+        owner.set_vms(vms);
         let limits = [(account(), limit(self.rate))];
-        spender.set_limits(self.now_ms, limits);
-        keeper.set_limits(self.now_ms, limits);
+        client.set_limits(self.now_ms, limits);
+        owner.set_limits(self.now_ms, limits);
         Vm {
-            spender,
-            keeper,
+            client,
+            owner,
             inbox: Vec::new(),
-            frozen_until_ms: 0,
-            cut_until_ms: 0,
+            paused_until_ms: 0,
+            partitioned_until_ms: 0,
             limit: (0, self.rate),
-            asked: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
-    fn draw(&mut self) -> u64 {
+    fn random(&mut self) -> u64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
         self.state ^= self.state << 17;
         self.state >> 16
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         let (now_ms, vms) = (self.now_ms, self.vms.len());
         match event {
             Event::Load {
@@ -184,13 +185,15 @@
                     self.vms[index] = self.vm(vms);
                 }
             }
-            Event::Freeze { vm, for_ms } => self.vms[vm % vms].frozen_until_ms = now_ms + for_ms,
-            Event::Cut { vm, for_ms } => self.vms[vm % vms].cut_until_ms = now_ms + for_ms,
+            Event::Pause { vm, for_ms } => self.vms[vm % vms].paused_until_ms = now_ms + for_ms,
+            Event::Partition { vm, for_ms } => {
+                self.vms[vm % vms].partitioned_until_ms = now_ms + for_ms
+            }
             Event::Limit { percent } => {
                 self.rate = self.limits[0].1 * percent as f64 / 100.0;
                 self.limits.push((now_ms, self.rate));
                 for index in 0..vms {
-                    let delay_ms = self.draw() % APPLY_MS;
+                    let delay_ms = self.random() % LIMIT_ROLLOUT_MS;
                     self.vms[index].limit = (now_ms + delay_ms, self.rate);
                 }
             }
@@ -207,36 +210,36 @@
     fn step(&mut self) {
         let now_ms = self.now_ms;
         for index in 0..self.vms.len() {
-            if self.vms[index].frozen_until_ms <= now_ms {
-                self.take_limit(index);
-                self.take_messages(index);
-                self.decide_again(index);
+            if self.vms[index].paused_until_ms <= now_ms {
+                self.apply_limit(index);
+                self.handle_messages(index);
+                self.retry_pending(index);
                 self.report(index);
             }
         }
         self.loads.retain(|load| now_ms < load.until_ms);
         for load in self.loads.clone() {
-            let has_extra = self.draw() % 1_000_000 < load.per_s * STEP_MS * 1_000 % 1_000_000;
+            let has_extra = self.random() % 1_000_000 < load.per_s * STEP_MS * 1_000 % 1_000_000;
             let count = load.per_s * STEP_MS / 1_000 + u64::from(has_extra);
             for _ in 0..count {
-                let vm = (load.from + self.draw() as usize % load.vms) % self.vms.len();
+                let vm = (load.from + self.random() as usize % load.vms) % self.vms.len();
                 self.arrive(vm, load.units);
             }
         }
     }
 
-    fn take_limit(&mut self, index: usize) {
+    fn apply_limit(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let vm = &mut self.vms[index];
         if vm.limit.0 > 0 && vm.limit.0 <= now_ms {
             let limits = [(account(), limit(vm.limit.1))];
-            vm.spender.set_limits(now_ms, limits);
-            vm.keeper.set_limits(now_ms, limits);
+            vm.client.set_limits(now_ms, limits);
+            vm.owner.set_limits(now_ms, limits);
             vm.limit.0 = 0;
         }
     }
 
-    fn take_messages(&mut self, index: usize) {
+    fn handle_messages(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let vm = &mut self.vms[index];
         let arrived = vm.inbox.extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
@@ -244,11 +247,11 @@
         for (_, message) in arrived.collect::<Vec<_>>() {
             match message {
                 Message::Report(from, report) => {
-                    let answer = vm.keeper.handle(now_ms, &report);
+                    let answer = vm.owner.handle(now_ms, &report);
                     answers.extend(answer.map(|answer| (from, answer)));
                 }
                 Message::Answer(answer) => {
-                    vm.spender.handle(now_ms, &answer);
+                    vm.client.handle(now_ms, &answer);
                 }
             }
         }
@@ -257,17 +260,17 @@
         }
     }
 
-    fn decide_again(&mut self, index: usize) {
+    fn retry_pending(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        for (key, units, arrived_ms) in std::mem::take(&mut self.vms[index].asked) {
+        for (key, units, arrived_ms) in std::mem::take(&mut self.vms[index].pending) {
             let vm = &mut self.vms[index];
-            match vm.spender.admit(now_ms, account(), key, units) {
+            match vm.client.admit(now_ms, account(), key, units) {
                 Admission::Admitted => self.count(arrived_ms, units),
-                Admission::Pending if now_ms < arrived_ms + ASKED_MS => {
-                    vm.asked.push((key, units, arrived_ms));
+                Admission::Pending if now_ms < arrived_ms + PENDING_TIMEOUT_MS => {
+                    vm.pending.push((key, units, arrived_ms));
                 }
                 Admission::Pending => {
-                    vm.spender.withdraw(account(), key);
+                    vm.client.withdraw(account(), key);
                     self.refused += units;
                 }
                 Admission::Refused { .. } => self.refused += units,
@@ -276,30 +279,30 @@
     }
 
     fn report(&mut self, index: usize) {
-        let keepers = self.vms.len().min(KEEPERS);
-        let spender = &mut self.vms[index].spender;
-        let Some(report) = spender.due_report(self.now_ms, keepers) else {
+        let candidates = self.vms.len().min(OWNER_CANDIDATES);
+        let client = &mut self.vms[index].client;
+        let Some(report) = client.due_report(self.now_ms, candidates) else {
             return;
         };
-        let to = spender.owner_rank();
+        let to = client.owner_rank();
         self.send(index, to, &Message::Report(index, report));
     }
 
     fn arrive(&mut self, vm: usize, units: u64) {
-        if self.vms[vm].frozen_until_ms > self.now_ms {
+        if self.vms[vm].paused_until_ms > self.now_ms {
             return;
         }
         self.arrived += units;
         self.next_key += 1;
         let key = self.next_key;
         match self.vms[vm]
-            .spender
+            .client
             .admit(self.now_ms, account(), key, units)
         {
             Admission::Admitted => self.count(self.now_ms, units),
             Admission::Pending => {
-                self.asked += units;
-                self.vms[vm].asked.push((key, units, self.now_ms));
+                self.pending += units;
+                self.vms[vm].pending.push((key, units, self.now_ms));
             }
             Admission::Refused { .. } => self.refused += units,
         }
@@ -310,16 +313,16 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
-        let is_cut = |vm: &Vm| vm.cut_until_ms > self.now_ms;
-        if from != to && (is_cut(&self.vms[from]) || is_cut(&self.vms[to])) {
+        let is_partitioned = |vm: &Vm| vm.partitioned_until_ms > self.now_ms;
+        if from != to && (is_partitioned(&self.vms[from]) || is_partitioned(&self.vms[to])) {
             return;
         }
-        let draw = self.draw();
-        let delays: Vec<u64> = match draw % 256 {
+        let random = self.random();
+        let delays: Vec<u64> = match random % 256 {
             _ if from == to => vec![0],
             lost if lost < self.lost_in_256 => Vec::new(),
-            250.. => vec![1 + draw / 256 % 20, 1 + draw / 65_536 % 200],
-            _ => vec![1 + draw / 256 % 20],
+            250.. => vec![1 + random / 256 % 20, 1 + random / 65_536 % 200],
+            _ => vec![1 + random / 256 % 20],
         };
         for delay_ms in delays {
             let at_ms = self.now_ms + delay_ms;
@@ -327,7 +330,7 @@
         }
     }
 
-    /// Returns the most that was admitted in a window, as a part of what the limit in force allows.
+    /// Returns the maximum of the units admitted in a window, as a share of what the limit allows.
     fn worst_window(&self) -> f64 {
         let mut window: VecDeque<(u64, u64)> = VecDeque::new();
         let (mut sum, mut worst) = (0, 0.0_f64);
@@ -346,12 +349,12 @@
         worst
     }
 
-    /// Returns what may be admitted in a window. A lower limit binds one window after all VMs have
-    /// it.
+    /// Returns how many units may be admitted in a window. A lower limit is binding one window
+    /// after all VMs have applied it.
     fn allowed(&self, from_ms: u64, until_ms: u64) -> f64 {
         let ends = self.limits.iter().skip(1).map(|(at_ms, _)| *at_ms);
         let spans = self.limits.iter().zip(ends.chain([u64::MAX]));
-        let binds_ms = |end_ms: u64| end_ms.saturating_add(APPLY_MS + WINDOW_MS);
+        let binds_ms = |end_ms: u64| end_ms.saturating_add(LIMIT_ROLLOUT_MS + WINDOW_MS);
         let in_force =
             spans.filter(|((at_ms, _), end_ms)| *at_ms <= until_ms && binds_ms(*end_ms) >= from_ms);
         let rate = in_force.map(|((_, rate), _)| *rate).fold(0.0, f64::max);
@@ -373,8 +376,8 @@
         }),
         2 => (0..64_usize).prop_map(|vm| Event::Restart { vm }),
         1 => Just(Event::RestartAll),
-        2 => (0..64_usize, 50..5_000_u64).prop_map(|(vm, for_ms)| Event::Freeze { vm, for_ms }),
-        2 => (0..64_usize, 50..9_000_u64).prop_map(|(vm, for_ms)| Event::Cut { vm, for_ms }),
+        2 => (0..64_usize, 50..5_000_u64).prop_map(|(vm, for_ms)| Event::Pause { vm, for_ms }),
+        2 => (0..64_usize, 50..9_000_u64).prop_map(|(vm, for_ms)| Event::Partition { vm, for_ms }),
         1 => (10..300_u64).prop_map(|percent| Event::Limit { percent }),
     ]
 }
@@ -386,9 +389,9 @@
         ..ProptestConfig::with_cases(96)
     })]
 
-    /// Guards against more than a limit allows, in any window, over all VMs together.
+    /// Guards against more admitted units than a limit allows in a window, over all VMs together.
     #[test]
-    fn no_window_exceeds_the_limit(
+    fn limit_holds(
         vms in prop_oneof![1..10_usize, 10..70_usize],
         seed in any::<u64>(),
         lost_in_256 in 0..40_u64,
@@ -399,7 +402,7 @@
         fleet.run_until(fleet.now_ms + 3_000);
         for (pause_ms, event) in course {
             fleet.run_until(fleet.now_ms + pause_ms);
-            fleet.happen(event);
+            fleet.apply(event);
         }
         fleet.run_until(fleet.now_ms + 5_000);
         let worst = fleet.worst_window();
@@ -407,11 +410,11 @@
     }
 }
 
-/// Returns the part of what arrives that is refused, and the part for which the keeper is asked.
+/// Returns the shares of the arriving units that are refused and that await the owner's answer.
 fn refused(vms: usize, at: usize, rate: f64, share: f64, units: u64) -> (f64, f64) {
     let mut fleet = Fleet::new(vms, 7, 1, rate);
     fleet.run_until(fleet.now_ms + 4_000);
-    fleet.happen(Event::Load {
+    fleet.apply(Event::Load {
         from: 0,
         vms: at,
         per_s: (rate * share / units as f64) as u64,
@@ -419,20 +422,23 @@
         for_ms: 20_000,
     });
     fleet.run_until(fleet.now_ms + 20_000);
-    let part = |units: u64| units as f64 / fleet.arrived as f64;
-    (part(fleet.refused), part(fleet.asked))
+    let share_of_arrived = |units: u64| units as f64 / fleet.arrived as f64;
+    (
+        share_of_arrived(fleet.refused),
+        share_of_arrived(fleet.pending),
+    )
 }
 
-/// Guards against refusals below the limit, also of an organisation that is at one VM only.
+/// Guards against refusals below the limit, also if an organisation uses a single VM.
 #[test]
-fn below_the_limit_nothing_is_refused() {
+fn admitted_below_limit() {
     for vms in [9, 65, 295] {
         for (name, at) in [("one VM", 1), ("all VMs", vms)] {
             for rate in [29_000.0, 200_000.0] {
-                let (refused, asked) = refused(vms, at, rate, 0.9, 716);
+                let (refused, pending) = refused(vms, at, rate, 0.9, 716);
                 println!(
-                    "{vms} VMs, {rate} a second, at {name}: {:.4} refused, {:.3} asked",
-                    refused, asked
+                    "{vms} VMs, {rate} a second, at {name}: {:.4} refused, {:.3} pending",
+                    refused, pending
                 );
                 assert!(refused <= 0.01, "{refused}");
             }
--- /dev/null
+++ b/crates/quota/tests/owner_rules.rs
@@ -0,0 +1,208 @@
+//! Grants of a quota owner and admissions of a quota client, step by step.
+
+use apricotdale_organisations::Limit;
+use apricotdale_quota::AccountId;
+use apricotdale_quota::AccountUsage;
+use apricotdale_quota::Admission;
+use apricotdale_quota::Answer;
+use apricotdale_quota::Bounds;
+use apricotdale_quota::QuotaClient;
+use apricotdale_quota::QuotaOwner;
+use apricotdale_quota::Report;
+
+const START_MS: u64 = 100_000;
+const RATE_PER_S: f64 = 1_000.0;
+const OWNER_INCARNATION: u64 = 7;
+
+/// With these bounds 9,900 units may be used in excess of the rate, half of them in every window.
+const BOUNDS: Bounds = Bounds {
+    window_ms: 8_000,
+    over: 0.1,
+    slack: 8_000.0,
+};
+
+/// More than the bucket, which is 0.35 of the remaining excess, and less than may be overdrawn.
+const LARGE: u64 = 2_200;
+
+fn account() -> AccountId {
+    AccountId::of("north")
+}
+
+fn limits() -> [(AccountId, Limit); 1] {
+    let limit = Limit {
+        rate_per_s: RATE_PER_S,
+        burst: RATE_PER_S,
+    };
+    [(account(), limit)]
+}
+
+fn owner(vms: usize) -> QuotaOwner {
+    let mut owner = QuotaOwner::new(OWNER_INCARNATION, BOUNDS);
+    owner.set_vms(vms);
+    owner.set_limits(START_MS, limits());
+    owner
+}
+
+fn report(vm: u64, number: u64, ceded_ms: u64, wanted: u64) -> Report {
+    Report {
+        vm,
+        number,
+        owner: Some(OWNER_INCARNATION),
+        ceded_ms,
+        usages: vec![AccountUsage {
+            account: account(),
+            units: 0,
+            wanted,
+            oldest: wanted,
+        }],
+    }
+}
+
+fn granted(answer: &Answer) -> u64 {
+    answer.allowances.iter().map(|it| it.granted).sum()
+}
+
+/// Fills the bucket with the ceded time of one VM, and returns the number of its last report.
+fn fill(owner: &mut QuotaOwner, vm: u64) -> u64 {
+    for number in 1..=20 {
+        owner.handle(START_MS + number, &report(vm, number, number * 1_000, 0));
+    }
+    20
+}
+
+/// Guards against an owner that grants again what a former owner has granted already.
+#[test]
+fn new_owner_grants_nothing() {
+    let answer = owner(1).handle(START_MS, &report(1, 1, 0, 1));
+    let answer = answer.expect("an answer");
+    assert_eq!(granted(&answer), 0);
+    assert_eq!(answer.near_limit, [account()]);
+}
+
+/// Guards against admission without a grant while the bucket does not cover it.
+#[test]
+fn headroom_needs_level() {
+    let mut owner = owner(1);
+    let near_limit = |answer: Option<Answer>| !answer.expect("an answer").near_limit.is_empty();
+    assert!(near_limit(owner.handle(START_MS, &report(1, 1, 100, 0))));
+    let last = 1 + fill(&mut owner, 1);
+    assert!(!near_limit(
+        owner.handle(START_MS, &report(1, last, 21_000, 0))
+    ));
+}
+
+/// Guards against headroom being stated to a VM that only asks whether there is an owner, before
+/// any units have accrued.
+#[test]
+fn empty_owner() {
+    let probe = Report {
+        owner: None,
+        ..report(9, 1, 0, 0)
+    };
+    let answer = owner(2).handle(START_MS, &probe).expect("an answer");
+    assert_eq!(answer.near_limit, [account()]);
+}
+
+/// Guards against a duplicated datagram that counts twice.
+#[test]
+fn duplicate_report() {
+    let mut owner = owner(1);
+    let last = 1 + fill(&mut owner, 1);
+    let want = report(1, last, 20_000, 500);
+    assert_eq!(
+        granted(&owner.handle(START_MS, &want).expect("an answer")),
+        500
+    );
+    assert_eq!(owner.handle(START_MS, &want), None);
+}
+
+/// Guards against consecutive large requests that each overdraw the bucket.
+#[test]
+fn one_overdraft() {
+    let mut owner = owner(1);
+    let mut number = fill(&mut owner, 1);
+    let mut grants = 0;
+    for second in 0..16 {
+        number += 1;
+        let now_ms = START_MS + 10_000 + second * 1_000;
+        let want = report(1, number, 20_000 + second * 1_000, LARGE);
+        let answer = owner.handle(now_ms, &want).expect("an answer");
+        grants += usize::from(granted(&answer) > 0);
+    }
+    assert_eq!(grants, 2);
+}
+
+/// Guards against a bucket that departed members leave behind, in addition to their new owner's.
+#[test]
+fn bucket_follows_members() {
+    let mut owner = owner(2);
+    let last = fill(&mut owner, 1);
+    fill(&mut owner, 2);
+    // The second VM has left, and its half of the bucket with it.
+    let later_ms = START_MS + 5_000;
+    let answer = owner.handle(later_ms, &report(1, last + 1, 20_000, 1_000));
+    assert_eq!(granted(&answer.expect("an answer")), 0);
+    let answer = owner.handle(later_ms, &report(1, last + 2, 20_000, 800));
+    assert_eq!(granted(&answer.expect("an answer")), 800);
+}
+
+fn client(vms: usize) -> QuotaClient {
+    let mut client = QuotaClient::new(1, BOUNDS);
+    client.set_vms(vms);
+    client.set_limits(START_MS, limits());
+    client
+}
+
+/// Returns the answer of an owner that grants all wanted units.
+fn grant(report: &Report) -> Answer {
+    let allowances = report
+        .usages
+        .iter()
+        .map(|usage| apricotdale_quota::Allowance {
+            account: usage.account,
+            acknowledged: usage.units,
+            granted: usage.wanted,
+            retry_after_ms: None,
+        });
+    Answer {
+        owner: OWNER_INCARNATION,
+        number: report.number,
+        allowances: allowances.collect(),
+        near_limit: vec![account()],
+    }
+}
+
+/// Guards against a grant that is used in a later window than the one in which it was counted.
+#[test]
+fn grants_expire() {
+    let mut client = client(1);
+    let mut now_ms = START_MS + 1_000;
+    let hello = client.due_report(now_ms, 1).expect("a first report");
+    client.handle(now_ms, &grant(&hello));
+    assert_eq!(client.admit(now_ms, account(), 1, 500), Admission::Pending);
+    now_ms += 20;
+    let want = client.due_report(now_ms, 1).expect("a report that asks");
+    assert!(client.handle(now_ms, &grant(&want)));
+    // The request is withdrawn, and another one arrives after the grant has expired.
+    client.withdraw(account(), 1);
+    let later_ms = now_ms + 2_500;
+    let admission = client.admit(later_ms, account(), 2, 500);
+    assert_ne!(admission, Admission::Admitted);
+}
+
+/// Guards against VMs without a live owner that use the complete limit each.
+#[test]
+fn local_share_only() {
+    let mut client = client(10);
+    let mut admitted = 0;
+    for step in 0..1_000 {
+        let now_ms = START_MS + step * 10;
+        client.due_report(now_ms, 1);
+        if client.admit(now_ms, account(), step, 10) == Admission::Admitted {
+            admitted += 10;
+        }
+    }
+    let share = RATE_PER_S * 10.0 / 10.0;
+    assert!(f64::from(admitted) <= 2.0 * share, "{admitted}");
+    assert!(admitted > 0);
+}
