--- a/crates/peer/src/counters.rs
+++ b/crates/peer/src/counters.rs
@@ -1,31 +1,31 @@
-//! Counters of what was exchanged and of what was rejected.
+//! Counters of exchanged and rejected messages.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// `Rejection` is the reason why a message was rejected.
+/// Reason for which a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rejection {
-    /// It is shorter than the part that every message has.
+    /// The message is shorter than the head of every message.
     TooShort,
-    /// It is longer than the limit.
+    /// The message exceeds the configured limit.
     TooLong,
-    /// It is of another version.
+    /// The message has another format version.
     WrongVersion,
-    /// It was not made with the cluster key, or was changed since.
+    /// The message was not created with the cluster key, or was altered.
     BadTag,
-    /// Its body is no message.
+    /// The body can't be decoded.
     Malformed,
-    /// Its body names another sender than its envelope.
+    /// The request in the body names another sender than the envelope.
     SenderMismatch,
-    /// It was sent to another VM.
+    /// The message is addressed to another VM.
     WrongRecipient,
-    /// It was received before.
+    /// The message was received before, or is too old to tell.
     Replayed,
 }
 
 impl Rejection {
-    /// Lists every reason.
+    /// All reasons, in the order of their counters.
     pub const ALL: &'static [Self] = &[
         Self::TooShort,
         Self::TooLong,
@@ -37,7 +37,7 @@
         Self::Replayed,
     ];
 
-    /// Returns the word used in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::TooShort => "too_short",
@@ -52,41 +52,41 @@
     }
 }
 
-const REASONS: usize = Rejection::ALL.len();
+const REASON_COUNT: usize = Rejection::ALL.len();
 
-/// `PeerCounters` counts messages. The link and the server of one daemon may share it.
+/// Counters of messages. The link and the server of one daemon may share them.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
-    /// Requests that were answered.
+    /// Number of received requests that were answered.
     pub answered: AtomicU64,
-    /// Requests that were sent and got an authentic reply.
-    pub asked: AtomicU64,
-    /// Requests that were not sent, because the peer could not be reached in time.
+    /// Number of sent requests that got an authentic reply.
+    pub replied: AtomicU64,
+    /// Number of requests that were not sent because the peer could not be reached in time.
     pub unreachable: AtomicU64,
-    /// Requests that were sent and got no authentic reply in time.
+    /// Number of sent requests without any reply in time.
     pub unanswered: AtomicU64,
-    /// Connections to peers that were closed to make room for others.
+    /// Number of connections to peers that were evicted from the pool.
     pub evicted: AtomicU64,
-    /// Connections from peers that were closed because there were too many.
-    pub turned_away: AtomicU64,
-    /// Connections from peers that were closed, whatever the cause.
+    /// Number of connections from peers that were closed because there were too many.
+    pub rejected_connections: AtomicU64,
+    /// Number of connections from peers that were closed for any reason.
     pub closed: AtomicU64,
-    /// Requests that this VM could not answer, because its handler panicked.
+    /// Number of received requests whose handler panicked.
     pub failed: AtomicU64,
-    /// Bytes of messages sent.
+    /// Number of bytes of sent messages.
     pub sent_bytes: AtomicU64,
-    /// Bytes of messages received.
+    /// Number of bytes of received messages.
     pub received_bytes: AtomicU64,
-    rejected: [AtomicU64; REASONS],
+    rejected: [AtomicU64; REASON_COUNT],
 }
 
 impl PeerCounters {
-    /// Returns how many messages were rejected for a reason.
+    /// Returns the number of messages rejected for a reason.
     pub fn rejected(&self, reason: Rejection) -> u64 {
         self.rejected[reason as usize].load(Ordering::Relaxed)
     }
 
-    /// Returns how many messages were rejected.
+    /// Returns the number of messages rejected for any reason.
     pub fn rejected_in_all(&self) -> u64 {
         Rejection::ALL
             .iter()
@@ -100,7 +100,6 @@
     }
 }
 
-/// Adds to a counter.
 pub(crate) fn add(counter: &AtomicU64, count: usize) {
     counter.fetch_add(count as u64, Ordering::Relaxed);
 }
--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -1,44 +1,43 @@
-//! Errors of setting up the messages between peers.
+//! Errors at the start of a link or server.
 
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// `Result` is the result of setting up the messages between peers.
+/// `Result` with this crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what setting up the messages between peers can fail with.
+/// Error at the start of a link or server.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The cluster key is too short to protect anything.
-    #[error("the cluster key has {length} bytes, at least {required} are needed")]
+    /// The cluster key is too short to be secure.
+    #[error("the cluster key has {length} bytes, but at least {required} are required")]
     ShortKey {
-        /// The key's bytes.
+        /// Length of the key in bytes.
         length: usize,
-        /// The fewest bytes allowed.
+        /// Minimum length in bytes.
         required: usize,
     },
-    /// The address can't be listened on.
+    /// The server can't listen on its address.
     #[error("can't listen for peers on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What nng said.
+        /// Cause reported by nng.
         source: nng::Error,
     },
-    /// The server listens on all addresses and does not know by which one its peers know it.
-    #[error("listening on {0} needs an advertised address")]
+    /// The server listens on all addresses and has no address to advertise to its peers.
+    #[error("listening on {0} requires an advertised address")]
     NoAdvertisedAddress(SocketAddr),
-    /// nng could not set up a socket, most likely for want of file descriptors or memory.
-    #[error("nng: {0}")]
+    /// nng could not set up a socket, most likely for lack of file descriptors or memory.
+    #[error("can't set up an nng socket: {0}")]
     Nng(#[from] nng::Error),
     /// A worker thread could not be started.
-    #[error("can't start a worker: {0}")]
+    #[error("can't start a worker thread: {0}")]
     Worker(#[from] std::io::Error),
 }
 
 impl Error {
-    /// Returns an [`Error::Listen`].
     pub(crate) fn listen(address: SocketAddr, source: nng::Error) -> Self {
         Self::Listen { address, source }
     }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -1,10 +1,10 @@
-//! The form of a message on the wire.
+//! Wire format of messages between peers.
 //!
-//! A request is a version byte, a tag, and a body: the postcard form of an [`Envelope`]. The tag is
-//! an HMAC-SHA256 under the cluster key over the version, the kind of message and the body, and the
-//! body names the sender, the address it was sent to, and a sequence. A reply is a version byte, a
-//! tag and the postcard form of a [`PeerReply`]; its tag covers the request's tag, so it is the
-//! answer to that one request and to no other.
+//! A request consists of a version byte, a tag, and a body: the postcard encoding of an
+//! [`Envelope`]. The tag is an HMAC-SHA256 under the cluster key over the version, the kind of
+//! message and the body. The body names the sender, the address of the recipient, and a sequence
+//! number. A reply consists of a version byte, a tag and the postcard encoding of a [`PeerReply`].
+//! Its tag covers the request's tag, which binds the reply to that one request.
 
 use std::net::SocketAddr;
 
@@ -20,76 +20,76 @@
 use apricotdale_core::peer::PeerReply;
 use apricotdale_core::peer::PeerRequest;
 
-/// The version of the format. Daemons of different versions don't talk.
+/// Version of the format. Daemons with different versions reject each other's messages.
 pub const VERSION: u8 = 1;
 
-/// The bytes before the body.
+/// Number of bytes before the body.
 pub const HEAD_BYTES: usize = 1 + TAG_BYTES;
 
 const REQUEST_CONTEXT: &[u8] = &[VERSION, b'q'];
 const REPLY_CONTEXT: &[u8] = &[VERSION, b'r'];
 
-/// `Envelope` is a request with what its receiver checks before it looks at it.
+/// Request together with the fields that its receiver checks before handling it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender's VM.
+    /// VM that sends the request.
     pub sender: VmName,
-    /// The sender's process, chosen at random at its start.
+    /// Identity of the sending process, chosen at random at its start.
     pub process_id: u64,
-    /// Grows with each request of the process to the same recipient.
+    /// Number that increases with each request of the process to the same recipient.
     pub sequence: u64,
-    /// The address that the sender means to reach.
+    /// Address that the request is sent to, as known to the sender.
     pub recipient: SocketAddr,
-    /// The request.
+    /// Request to be answered.
     pub request: PeerRequest,
 }
 
-/// `Frame` is an encoded request, with the tag that its reply is bound to.
+/// Encoded request and the tag that its reply is bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// The bytes on the wire.
+    /// Complete message, including version and tag.
     pub bytes: Vec<u8>,
-    /// The request's tag.
+    /// Tag of the request.
     pub tag: Tag,
 }
 
-/// Returns a request as it goes on the wire.
+/// Encodes and authenticates a request.
 pub fn encode_request(key: &ClusterKey, envelope: &Envelope) -> Frame {
     encode(key, &[REQUEST_CONTEXT], envelope)
 }
 
-/// Returns a reply as it goes on the wire.
+/// Encodes and authenticates the reply to the request with the given tag.
 pub fn encode_reply(key: &ClusterKey, request_tag: &Tag, reply: &PeerReply) -> Vec<u8> {
     encode(key, &[REPLY_CONTEXT, request_tag], reply).bytes
 }
 
-/// Returns an authentic request and its tag. Whether it is meant for the receiver and not a replay
-/// is for the receiver to check.
+/// Decodes an authentic request and returns it with its tag. The caller has to check that it is the
+/// recipient and that the request is no replay.
 ///
 /// # Errors
 ///
-/// The reason why it is none.
+/// The [`Rejection`] of a message that is not an authentic, well-formed request.
 pub fn decode_request(
     key: &ClusterKey,
     bytes: &[u8],
 ) -> std::result::Result<(Envelope, Tag), Rejection> {
     let (tag, envelope) = decode::<Envelope>(key, &[REQUEST_CONTEXT], bytes)?;
-    let claimed = match &envelope.request {
+    let named_sender = match &envelope.request {
         PeerRequest::Heartbeat(heartbeat) => Some(&heartbeat.vm),
         PeerRequest::Demand(demand) => Some(&demand.vm),
         PeerRequest::Replicas(_) | PeerRequest::Snapshot(_) => None,
     };
-    match claimed {
+    match named_sender {
         Some(vm) if *vm != envelope.sender => Err(Rejection::SenderMismatch),
         _ => Ok((envelope, tag)),
     }
 }
 
-/// Returns the reply to the request with the given tag.
+/// Decodes the authentic reply to the request with the given tag.
 ///
 /// # Errors
 ///
-/// The reason why it is none.
+/// The [`Rejection`] of a message that is not an authentic, well-formed reply to that request.
 pub fn decode_reply(
     key: &ClusterKey,
     request_tag: &Tag,
@@ -122,8 +122,8 @@
     }
     let mut tag = [0; TAG_BYTES];
     tag.copy_from_slice(&head[1..]);
-    // The tag is checked before the body is looked at, so that only holders of the key can reach
-    // the decoder.
+    // The tag is verified before the body is decoded, so that only holders of the key can reach the
+    // decoder.
     if !key.verifies(&with_body(context, body), &tag) {
         return Err(Rejection::BadTag);
     }
--- a/crates/peer/src/key.rs
+++ b/crates/peer/src/key.rs
@@ -1,4 +1,4 @@
-//! The key that all daemons of one deployment share.
+//! Cluster key and message authentication.
 
 use std::fmt;
 
@@ -10,51 +10,51 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The fewest bytes of a key.
-pub const KEY_BYTES_MIN: usize = 16;
+/// Minimum length of a cluster key.
+pub const MIN_KEY_BYTES: usize = 16;
 
-/// The bytes of a tag on the wire: HMAC-SHA256 truncated to half, as in RFC 4868.
+/// Length of a tag: that of HMAC-SHA256, truncated to half as in RFC 4868.
 pub const TAG_BYTES: usize = 16;
 
-/// `Tag` is the part of a message that only a holder of the key can make.
+/// Message authentication code, which only holders of the cluster key can create.
 pub type Tag = [u8; TAG_BYTES];
 
-/// `ClusterKey` is the key that all daemons of one deployment share, from their settings. It is
-/// never printed.
+/// Secret key that all daemons of one deployment share, from their settings. Its `Debug` output
+/// does not contain it.
 #[derive(Clone)]
 pub struct ClusterKey {
     keyed: Hmac<Sha256>,
 }
 
 impl ClusterKey {
-    /// Returns the key of the given bytes.
+    /// Returns the key with the given bytes.
     ///
     /// # Errors
     ///
-    /// [`Error::ShortKey`] for fewer bytes than [`KEY_BYTES_MIN`].
+    /// [`Error::ShortKey`] if there are fewer than [`MIN_KEY_BYTES`] bytes.
     pub fn new(bytes: &[u8]) -> Result<Self> {
         let keyed = match Hmac::new_from_slice(bytes) {
-            Ok(keyed) if bytes.len() >= KEY_BYTES_MIN => keyed,
+            Ok(keyed) if bytes.len() >= MIN_KEY_BYTES => keyed,
             _ => {
                 return Err(Error::ShortKey {
                     length: bytes.len(),
-                    required: KEY_BYTES_MIN,
+                    required: MIN_KEY_BYTES,
                 });
             }
         };
         Ok(Self { keyed })
     }
 
-    /// Returns the tag of the given parts, one after the other.
+    /// Returns the tag of the concatenated parts.
     pub fn tag(&self, parts: &[&[u8]]) -> Tag {
-        let whole = self.mac(parts).finalize().into_bytes();
+        let full_tag = self.mac(parts).finalize().into_bytes();
         let mut tag = [0; TAG_BYTES];
-        tag.copy_from_slice(&whole[..TAG_BYTES]);
+        tag.copy_from_slice(&full_tag[..TAG_BYTES]);
         tag
     }
 
-    /// Returns whether the tag is that of the given parts. The comparison takes the same time
-    /// wherever the first difference is.
+    /// Returns whether `tag` authenticates the concatenated parts. The comparison takes constant
+    /// time.
     pub fn verifies(&self, parts: &[&[u8]], tag: &Tag) -> bool {
         self.mac(parts).verify_truncated_left(tag).is_ok()
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,20 +1,21 @@
-//! Messages between the system's own processes, over nng.
+//! Authenticated messages between the daemons of one deployment, over nng.
 //!
-//! [`NngLink`] asks other daemons and [`PeerServer`] answers them. Both speak nng's request and
-//! reply protocol over TCP; module [`frame`] gives the form of a message. A message that is not
-//! authentic, not well-formed or not meant for this VM changes nothing but a counter.
+//! [`NngLink`] sends requests to other daemons and [`PeerServer`] answers them. Both use nng's
+//! request and reply protocol over TCP; module [`frame`] defines the format of messages. A message
+//! that is not authentic, not well-formed or not addressed to this VM changes nothing but a
+//! counter.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod connection_pool;
 pub mod counters;
 pub mod errors;
 pub mod frame;
 pub mod key;
-mod lane;
 mod link;
+mod nng_context;
 mod options;
-mod peers;
 pub mod replay;
 mod server;
 
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,4 @@
-//! Asking other daemons.
+//! Client side: sends requests to other daemons.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,6 +8,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::connection_pool::Checkout;
+use crate::connection_pool::ConnectionPool;
+use crate::connection_pool::PeerSocket;
 use crate::counters::PeerCounters;
 use crate::counters::Rejection;
 use crate::counters::add;
@@ -15,11 +18,8 @@
 use crate::frame::Envelope;
 use crate::frame::Frame;
 use crate::key::ClusterKey;
-use crate::lane::Lane;
+use crate::nng_context::NngContext;
 use crate::options::LinkOptions;
-use crate::peers::Checkout;
-use crate::peers::PeerSocket;
-use crate::peers::Peers;
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
 use apricotdale_core::names::VmName;
@@ -27,11 +27,11 @@
 use apricotdale_core::peer::PeerReply;
 use apricotdale_core::peer::PeerRequest;
 
-/// The shortest timeout handed to nng, which takes zero for "at once".
-const TIMEOUT_MIN: Duration = Duration::from_millis(1);
+/// Minimum timeout passed to nng, for which zero means not to wait at all.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// `NngLink` asks other daemons. It dials a peer when it is first asked and keeps a bounded number
-/// of connections.
+/// Link over which requests are sent to other daemons. It dials a peer at the first request to it,
+/// and keeps a bounded number of connections.
 #[derive(Debug)]
 pub struct NngLink {
     vm: VmName,
@@ -39,11 +39,11 @@
     key: ClusterKey,
     options: LinkOptions,
     counters: Arc<PeerCounters>,
-    peers: Mutex<Peers>,
+    pool: Mutex<ConnectionPool>,
 }
 
 impl NngLink {
-    /// Returns a link that asks in the name of a VM's process.
+    /// Returns a link whose requests name this VM and process as their sender.
     pub fn new(
         vm: VmName,
         process_id: u64,
@@ -57,49 +57,52 @@
             key,
             options,
             counters,
-            peers: Mutex::new(Peers::default()),
+            pool: Mutex::new(ConnectionPool::default()),
         }
     }
 
-    /// Returns how many connections to peers stand and are kept.
+    /// Returns the number of established connections in the pool.
     pub fn open_peers(&self) -> usize {
         self.lock().connected()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Peers> {
-        self.peers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, ConnectionPool> {
+        self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn check_out(&self, address: SocketAddr) -> nng::Result<Checkout> {
-        let stale = self.lock().take_stale(address, self.options.stale_dial_ms);
+        let stale = self
+            .lock()
+            .remove_stale(address, self.options.stale_dial_ms);
         drop(stale);
         loop {
             if let Some(checkout) = self.lock().check_out(address) {
                 return Ok(checkout);
             }
             let dialled = PeerSocket::dial(address, &self.options)?;
-            let evicted = self.keep(address, dialled);
+            let evicted = self.insert(address, dialled);
             drop(evicted);
         }
     }
 
-    /// Keeps a connection, unless another request opened one meanwhile. Returns what is to be
-    /// closed.
-    fn keep(&self, address: SocketAddr, dialled: PeerSocket) -> Option<Arc<PeerSocket>> {
-        let mut peers = self.lock();
-        if peers.holds(address) {
+    /// Adds a connection to the pool, unless another request has added one meanwhile. Returns the
+    /// connection that is to be closed, if any.
+    fn insert(&self, address: SocketAddr, dialled: PeerSocket) -> Option<Arc<PeerSocket>> {
+        let mut pool = self.lock();
+        if pool.contains(address) {
             return Some(Arc::new(dialled));
         }
-        let evicted = peers.take_oldest(self.options.open_peers_max, self.options.stale_dial_ms);
+        let evicted =
+            pool.evict_least_recent(self.options.open_peers_max, self.options.stale_dial_ms);
         add(&self.counters.evicted, evicted.iter().count());
-        peers.keep(address, dialled);
+        pool.insert(address, dialled);
         evicted
     }
 
-    /// Closes the connection on which a request failed, if it stands. A VM that vanished leaves a
-    /// connection that looks well for many minutes; the next request dials anew.
-    fn give_up(&self, address: SocketAddr, peer: &Arc<PeerSocket>) {
-        let failed = self.lock().take_failed(address, peer);
+    /// Closes the connection on which a request failed, if it is established. The connection to a
+    /// VM that vanished stays established for many minutes, so the next request has to dial anew.
+    fn close_failed(&self, address: SocketAddr, peer: &Arc<PeerSocket>) {
+        let failed = self.lock().remove_failed(address, peer);
         drop(failed);
     }
 
@@ -118,31 +121,35 @@
         };
         let frame = frame::encode_request(&self.key, &envelope);
         match frame.bytes.len() {
-            length if length > self.options.message_limit_bytes => {
-                Err(Error::rejected(format!("request of {length} bytes")))
-            }
+            length if length > self.options.message_limit_bytes => Err(Error::rejected(format!(
+                "request of {length} bytes is above the limit"
+            ))),
             _ => Ok(frame),
         }
     }
 
     fn exchange(&self, checkout: &Checkout, frame: &Frame, deadline: Instant) -> Result<PeerReply> {
         let unreachable = |error| self.unreachable(error);
-        let lane = Lane::open(&checkout.peer.socket).map_err(unreachable)?;
-        lane.send(&frame.bytes, Some(left(deadline)))
+        let nng_context = NngContext::open(&checkout.peer.socket).map_err(unreachable)?;
+        nng_context
+            .send(&frame.bytes, Some(remaining(deadline)))
             .map_err(unreachable)?;
         add(&self.counters.sent_bytes, frame.bytes.len());
-        let reply = lane
-            .receive(Some(left(deadline)))
+        let reply = nng_context
+            .receive(Some(remaining(deadline)))
             .map_err(|error| self.unanswered(error))?;
         add(&self.counters.received_bytes, reply.len());
         match self.decode(frame, &reply) {
             Ok(reply) => {
-                add(&self.counters.asked, 1);
+                add(&self.counters.replied, 1);
                 Ok(reply)
             }
             Err(reason) => {
                 self.counters.reject(reason);
-                Err(Error::malformed(format!("reply {}", reason.as_str())))
+                Err(Error::malformed(format!(
+                    "reply was rejected: {}",
+                    reason.as_str()
+                )))
             }
         }
     }
@@ -174,14 +181,14 @@
         let frame = self.encode(peer, &checkout, request)?;
         let outcome = self.exchange(&checkout, &frame, deadline);
         if outcome.is_err() {
-            self.give_up(peer, &checkout.peer);
+            self.close_failed(peer, &checkout.peer);
         }
         outcome
     }
 }
 
-fn left(deadline: Instant) -> Duration {
+fn remaining(deadline: Instant) -> Duration {
     deadline
         .saturating_duration_since(Instant::now())
-        .max(TIMEOUT_MIN)
+        .max(MIN_TIMEOUT)
 }
--- a/crates/peer/src/lane.rs
+++ b/crates/peer/src/nng_context.rs
@@ -1,14 +1,14 @@
-//! One nng context with the operation that runs on it.
+//! An nng context together with the asynchronous operation that runs on it.
 //!
-//! This version of nng frees things that its own threads still use if they are given up in the
-//! wrong order, and then stops the process with "pthread_mutex_lock: Invalid argument". A [`Lane`]
-//! keeps to the order that is safe:
+//! This version of nng frees resources that its own threads still use if they are dropped in the
+//! wrong order, and then aborts the process with "pthread_mutex_lock: Invalid argument". An
+//! [`NngContext`] ensures the safe order:
 //!
 //! - an operation ends before its handle is dropped,
 //! - the handle is dropped before the context, since nng's timeout thread may be about to cancel an
 //!   operation on that context,
-//! - the context is closed before its socket, since a call on a context that its socket's close
-//!   ends from another thread goes on to use the socket.
+//! - the context is closed before its socket, since a call on a context that another thread ends by
+//!   closing the socket continues to use the socket.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,17 +21,17 @@
 use nng::Message;
 use nng::Socket;
 
-/// `Lane` sends and receives on one context of a socket. It must be dropped before the socket is
+/// Context of a socket that sends and receives messages. It must be dropped before the socket is
 /// closed.
 #[derive(Debug)]
-pub(crate) struct Lane {
+pub(crate) struct NngContext {
     // Fields are dropped in this order, and the handle must be dropped first.
     aio: Aio,
     outcome: Arc<Mutex<Option<AioResult>>>,
     context: Context,
 }
 
-impl Lane {
+impl NngContext {
     /// Opens a context on a socket.
     pub(crate) fn open(socket: &Socket) -> nng::Result<Self> {
         let context = Context::new(socket)?;
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Sends a message, waiting until nng has taken it over for a connection.
+    /// Sends a message and waits until nng has accepted it for a connection.
     pub(crate) fn send(&self, bytes: &[u8], timeout: Option<Duration>) -> nng::Result<()> {
         self.aio.set_timeout(timeout)?;
         self.context
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Receives a message.
+    /// Waits for a message. Without a timeout it waits until [`Self::cancel`] is called.
     pub(crate) fn receive(&self, timeout: Option<Duration>) -> nng::Result<Message> {
         self.aio.set_timeout(timeout)?;
         self.context.recv(&self.aio)?;
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Ends the operation that is running, if any, from another thread.
+    /// Cancels the running operation, if any. To be called from another thread.
     pub(crate) fn cancel(&self) {
         self.aio.cancel();
     }
 
     /// Waits until nng has left the callback. The callback holds a reference to the handle; if that
-    /// became the last one, nng's thread would wait for itself for ever.
+    /// became the last one, nng's thread would wait for itself forever.
     fn wait(&self) -> Option<AioResult> {
         self.aio.wait();
         self.outcome
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -1,35 +1,35 @@
-//! Tunables of the link and the server.
+//! Options of the link and the server.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
 
-/// The scheme of peer addresses in nng's URLs.
+/// Scheme of peer addresses in nng's URLs.
 pub(crate) const SCHEME: &str = "tcp://";
 
-/// The largest message, unless the options say otherwise: a part of a snapshot with room to spare.
-const MESSAGE_LIMIT_BYTES: usize = 1024 * 1024;
+/// Default maximum size of a message, sufficient for a part of a snapshot.
+const DEFAULT_MESSAGE_LIMIT_BYTES: usize = 1024 * 1024;
 
-/// How many times the limit nng reads before it closes the connection. Between the two, a message
-/// is read and counted as too long; nng tells nobody of those it does not read.
-const READ_FACTOR: usize = 2;
+/// Multiple of the message limit from which nng closes the connection. Messages between the two
+/// limits are read and counted as too long; nng does not report those that it refuses to read.
+const READ_LIMIT_FACTOR: usize = 2;
 
-/// Returns how much of one message nng reads at most.
+/// Returns the maximum number of bytes that nng reads of one message.
 pub(crate) fn read_limit_bytes(message_limit_bytes: usize) -> usize {
-    message_limit_bytes.saturating_mul(READ_FACTOR)
+    message_limit_bytes.saturating_mul(READ_LIMIT_FACTOR)
 }
 
-/// `LinkOptions` are the tunables of [`NngLink`](crate::NngLink).
+/// Options of [`NngLink`](crate::NngLink).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkOptions {
-    /// How many connections to peers are kept. More are open only while more are in use.
+    /// Maximum number of connections that stay open while they are not in use.
     pub open_peers_max: usize,
-    /// The largest request that is sent, and the largest reply that is taken.
+    /// Maximum size in bytes of a sent request and of an accepted reply.
     pub message_limit_bytes: usize,
-    /// How long a kept connection that broke waits before nng dials again, at first.
+    /// Delay in milliseconds before nng first redials a broken connection.
     pub redial_min_ms: u64,
-    /// How long it waits at most. Each attempt doubles the wait.
+    /// Maximum redial delay in milliseconds. The delay doubles with each attempt.
     pub redial_max_ms: u64,
-    /// How long a connection may be missing before the next request dials it on a new socket.
+    /// Time in milliseconds without a connection after which the next request dials a new socket.
     pub stale_dial_ms: u64,
 }
 
@@ -37,7 +37,7 @@
     fn default() -> Self {
         Self {
             open_peers_max: 64,
-            message_limit_bytes: MESSAGE_LIMIT_BYTES,
+            message_limit_bytes: DEFAULT_MESSAGE_LIMIT_BYTES,
             redial_min_ms: 20,
             redial_max_ms: 1_000,
             stale_dial_ms: 2_000,
@@ -45,22 +45,22 @@
     }
 }
 
-/// `ServerOptions` are the tunables of [`PeerServer`](crate::PeerServer).
+/// Options of [`PeerServer`](crate::PeerServer).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerOptions {
-    /// Where the server listens.
+    /// Address to listen on. Port 0 selects a free port.
     pub listen: SocketAddr,
-    /// The address by which peers know it, if it differs from the one it listens on.
+    /// Address by which peers reach the server, if it differs from the one it listens on.
     pub advertised: Option<SocketAddr>,
-    /// How many threads answer.
+    /// Number of threads that answer requests, at least 1.
     pub workers: usize,
-    /// The largest request that is taken, and the largest reply that is sent.
+    /// Maximum size in bytes of an accepted request and of a sent reply.
     pub message_limit_bytes: usize,
-    /// How many connections peers may have open at once.
+    /// Maximum number of open connections from peers.
     pub connections_max: usize,
-    /// How many senders are remembered to recognise replays.
+    /// Maximum number of senders whose sequence numbers are remembered to detect replays.
     pub senders_max: usize,
-    /// The longest time to hand a reply to the connection.
+    /// Maximum time in milliseconds for passing a reply to nng.
     pub reply_timeout_ms: u64,
 }
 
@@ -70,7 +70,7 @@
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
             advertised: None,
             workers: 2,
-            message_limit_bytes: MESSAGE_LIMIT_BYTES,
+            message_limit_bytes: DEFAULT_MESSAGE_LIMIT_BYTES,
             connections_max: 1024,
             senders_max: 1024,
             reply_timeout_ms: 2_000,
--- a/crates/peer/src/replay.rs
+++ b/crates/peer/src/replay.rs
@@ -1,22 +1,22 @@
-//! Recognising a message that was received before.
+//! Detection of replayed messages.
 
 use std::collections::HashMap;
 
 use apricotdale_core::names::VmName;
 
-/// How many sequences below the highest one may still arrive.
+/// Number of sequence numbers, up to the highest one received, that are still accepted.
 pub const WINDOW: u64 = 128;
 
-/// `ReplayWindow` holds which of a sender's last sequences have arrived.
+/// Record of which of a sender's latest sequence numbers were received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ReplayWindow {
     highest: u64,
     seen: u128,
-    used: u64,
+    last_use: u64,
 }
 
 impl ReplayWindow {
-    /// Notes a sequence and returns whether it is new.
+    /// Records a sequence number and returns whether it is new.
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
@@ -39,10 +39,11 @@
     }
 }
 
-/// `ReplayGuard` recognises messages that were received before, for a bounded number of senders.
+/// Detects replayed messages of a bounded number of senders.
 ///
-/// A switch that repeats a packet or somebody who records messages could make a demand count twice.
-/// One would notice a model loaded for requests that nobody sent. The guard drops the second copy.
+/// A switch that duplicates packets, or an attacker who records messages, could make a demand count
+/// twice, and a model would be loaded for requests that nobody sent. The guard recognises the
+/// second copy.
 #[derive(Debug)]
 pub struct ReplayGuard {
     windows: HashMap<(VmName, u64), ReplayWindow>,
@@ -51,8 +52,8 @@
 }
 
 impl ReplayGuard {
-    /// Returns a guard for at most so many senders. When there are more, the one that was silent
-    /// for longest is forgotten.
+    /// Returns a guard for at most `senders_max` senders, at least 1. Beyond that, the sender with
+    /// the oldest message is removed.
     pub fn new(senders_max: usize) -> Self {
         Self {
             windows: HashMap::new(),
@@ -61,29 +62,29 @@
         }
     }
 
-    /// Notes a message of a sender's process and returns whether it is new.
+    /// Records a message of a sender's process and returns whether it is new.
     pub fn accept(&mut self, sender: &VmName, process_id: u64, sequence: u64) -> bool {
         self.uses += 1;
         let uses = self.uses;
         let key = (sender.clone(), process_id);
         if !self.windows.contains_key(&key) && self.windows.len() >= self.senders_max {
-            self.forget_one();
+            self.evict_oldest();
         }
         let window = self.windows.entry(key).or_default();
-        window.used = uses;
+        window.last_use = uses;
         window.accept(sequence)
     }
 
-    /// Returns how many senders are remembered.
+    /// Returns the number of remembered senders.
     pub fn senders(&self) -> usize {
         self.windows.len()
     }
 
-    fn forget_one(&mut self) {
+    fn evict_oldest(&mut self) {
         let oldest = self
             .windows
             .iter()
-            .min_by_key(|(_, window)| window.used)
+            .min_by_key(|(_, window)| window.last_use)
             .map(|(key, _)| key.clone());
         if let Some(oldest) = oldest {
             self.windows.remove(&oldest);
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering other daemons.
+//! Server side: answers requests of other daemons.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 use crate::frame;
 use crate::key::ClusterKey;
 use crate::key::Tag;
-use crate::lane::Lane;
+use crate::nng_context::NngContext;
 use crate::options::SCHEME;
 use crate::options::ServerOptions;
 use crate::options::read_limit_bytes;
@@ -40,14 +40,14 @@
 use apricotdale_core::peer::PeerReply;
 use apricotdale_core::peer::PeerRequest;
 
-/// How long a worker waits after nng failed to receive, so that a lasting fault, such as a lack of
-/// memory, does not keep a core busy.
-const RECEIVE_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after nng failed to receive, so that a persistent fault, such as a lack of memory, does
+/// not keep a core busy.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long the server waits between two attempts to end a worker.
-const STOP_PAUSE: Duration = Duration::from_millis(1);
+/// Delay between two attempts to stop a worker.
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// `PeerServer` answers other daemons until it is dropped.
+/// Server that answers requests of other daemons until it is dropped.
 #[derive(Debug)]
 pub struct PeerServer {
     shared: Arc<Shared>,
@@ -55,14 +55,14 @@
     socket: Socket,
 }
 
-/// `Worker` is a thread that answers, with the lane it answers on.
+/// Thread that answers requests, and the context that it uses.
 #[derive(Debug)]
 struct Worker {
     thread: JoinHandle<()>,
-    lane: Arc<Lane>,
+    nng_context: Arc<NngContext>,
 }
 
-/// `Shared` is what all workers use.
+/// State that all workers share.
 struct Shared {
     address: SocketAddr,
     key: ClusterKey,
@@ -81,13 +81,14 @@
 }
 
 impl PeerServer {
-    /// Listens and starts the workers.
+    /// Listens on the configured address and starts the workers.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`] if the address is taken or not this machine's,
-    /// [`Error::NoAdvertisedAddress`] if no peer could know the server's address, [`Error::Nng`] or
-    /// [`Error::Worker`] if the machine is short of memory, descriptors or threads.
+    /// [`Error::Listen`] if the address is in use or not of this machine,
+    /// [`Error::NoAdvertisedAddress`] if the server listens on all addresses without an advertised
+    /// one, [`Error::Nng`] or [`Error::Worker`] if the machine is short of memory, descriptors or
+    /// threads.
     pub fn start(
         options: &ServerOptions,
         key: ClusterKey,
@@ -123,32 +124,36 @@
         Ok(server)
     }
 
-    /// Returns the address by which peers reach the server.
+    /// Returns the address by which peers reach the server: the advertised one, or the one that it
+    /// listens on.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
     fn start_worker(&mut self) -> Result<()> {
-        let lane = Arc::new(Lane::open(&self.socket)?);
-        let (shared, used) = (self.shared.clone(), lane.clone());
+        let nng_context = Arc::new(NngContext::open(&self.socket)?);
+        let (shared, worker_context) = (self.shared.clone(), nng_context.clone());
         let thread = thread::Builder::new()
             .name("peer-server".to_owned())
-            .spawn(move || shared.run(&used))?;
-        self.workers.push(Worker { thread, lane });
+            .spawn(move || shared.run(&worker_context))?;
+        self.workers.push(Worker {
+            thread,
+            nng_context,
+        });
         Ok(())
     }
 }
 
 impl Worker {
-    /// Waits until the thread has seen that the server stops. A cancellation that comes just before
-    /// the worker begins to receive has no effect, so it is repeated. The lane is given up here,
+    /// Waits until the thread has ended after the server began to stop. A cancellation just before
+    /// the worker starts to receive has no effect, so it is repeated. The context is dropped here,
     /// after the last cancellation, and not by the thread.
     fn stop(self) {
         while !self.thread.is_finished() {
-            self.lane.cancel();
-            thread::sleep(STOP_PAUSE);
+            self.nng_context.cancel();
+            thread::sleep(STOP_RETRY_DELAY);
         }
-        // A worker that panicked has printed why; there is nothing left to do for it here.
+        // A worker that panicked has printed why; there is nothing left to do here.
         let _ = self.thread.join();
     }
 }
@@ -167,8 +172,8 @@
     let failed = |error| Error::listen(address, error);
     let builder = ListenerBuilder::new(socket, &format!("{SCHEME}{address}")).map_err(failed)?;
     let listener = builder.start().map_err(|(_, error)| failed(error))?;
-    // The listener's local address comes with its port in network byte order from this version of
-    // the nng crate, so the port chosen by the OS is read from the URL.
+    // This version of the nng crate returns the local address with its port in network byte order,
+    // so the port chosen by the operating system is read from the URL.
     let url = listener.get_opt::<Url>().map_err(failed)?;
     let bound = url
         .strip_prefix(SCHEME)
@@ -176,7 +181,7 @@
     Ok(bound.unwrap_or(address))
 }
 
-/// Closes connections above the limit, so that a peer that reconnects in a loop can't use up this
+/// Closes connections above the limit, so that a peer that reconnects in a loop can't exhaust this
 /// process's descriptors and memory.
 fn limit_connections(
     socket: &Socket,
@@ -186,7 +191,7 @@
     let open = AtomicUsize::new(0);
     socket.pipe_notify(move |pipe: Pipe, event| match event {
         PipeEvent::AddPre if open.fetch_add(1, Ordering::SeqCst) >= connections_max => {
-            add(&counters.turned_away, 1);
+            add(&counters.rejected_connections, 1);
             pipe.close();
         }
         PipeEvent::RemovePost => {
@@ -200,32 +205,32 @@
 
 impl Shared {
     /// Answers requests until the server stops.
-    fn run(&self, lane: &Lane) {
+    fn run(&self, nng_context: &NngContext) {
         while !self.stopping.load(Ordering::SeqCst) {
-            match lane.receive(None) {
-                Ok(request) => self.serve(lane, &request),
+            match nng_context.receive(None) {
+                Ok(request) => self.serve(nng_context, &request),
                 Err(nng::Error::Canceled) => {}
                 Err(error) => {
-                    log::warn!("receiving from peers: {error}");
-                    thread::sleep(RECEIVE_PAUSE);
+                    log::warn!("failed to receive a peer request: {error}");
+                    thread::sleep(RECEIVE_RETRY_DELAY);
                 }
             }
         }
     }
 
-    fn serve(&self, lane: &Lane, request: &[u8]) {
+    fn serve(&self, nng_context: &NngContext, request: &[u8]) {
         add(&self.counters.received_bytes, request.len());
         let reply = match self.answer(request) {
             Ok(reply) => reply,
             Err(reason) => return self.counters.reject(reason),
         };
-        match lane.send(&reply, Some(self.reply_timeout)) {
+        match nng_context.send(&reply, Some(self.reply_timeout)) {
             Ok(()) => add(&self.counters.sent_bytes, reply.len()),
-            Err(error) => log::debug!("replying to a peer: {error}"),
+            Err(error) => log::debug!("failed to reply to a peer: {error}"),
         }
     }
 
-    /// Returns the reply to a request that is authentic, meant for this VM and new.
+    /// Returns the reply to a request that is authentic, addressed to this VM and not a replay.
     fn answer(&self, request: &[u8]) -> std::result::Result<Vec<u8>, Rejection> {
         if request.len() > self.message_limit_bytes {
             return Err(Rejection::TooLong);
@@ -246,9 +251,8 @@
         Ok(self.encode(&tag, &reply))
     }
 
-    /// Returns the handler's reply. A worker that died of a panic would answer nobody any more,
-    /// while the process goes on and its connections stay open: its peers would see a VM that is
-    /// there and silent.
+    /// Returns the handler's reply, or a refusal if the handler panics. A panic must not end the
+    /// worker: the process and its connections would stay, but peers would get no more replies.
     fn handle(&self, request: PeerRequest) -> PeerReply {
         let handled = panic::catch_unwind(AssertUnwindSafe(|| self.handler.answer(request)));
         match handled {
@@ -258,14 +262,14 @@
             }
             Err(_) => {
                 add(&self.counters.failed, 1);
-                log::error!("answering a peer panicked");
+                log::error!("handler panicked while answering a peer request");
                 PeerReply::Declined("internal fault".to_owned())
             }
         }
     }
 
-    /// Returns the reply's bytes. A reply above the limit would be dropped by its receiver, which
-    /// would then wait until its timeout.
+    /// Returns the encoded reply. A reply above the limit is replaced by a refusal, because its
+    /// receiver would drop it and wait until the timeout.
     fn encode(&self, request_tag: &Tag, reply: &PeerReply) -> Vec<u8> {
         let bytes = frame::encode_reply(&self.key, request_tag, reply);
         match bytes.len() {
--- a/crates/peer/tests/frame_faults.rs
+++ b/crates/peer/tests/frame_faults.rs
@@ -1,4 +1,4 @@
-//! Messages that are none.
+//! Rejection of malformed, altered and unauthentic messages.
 
 mod support;
 
@@ -31,7 +31,7 @@
     frame::decode_request(&key(), bytes).map(|(envelope, _)| envelope)
 }
 
-/// Returns a request whose tag is right, whatever its body.
+/// Returns a request with a valid tag, whatever its body.
 fn signed(body: &[u8]) -> Vec<u8> {
     let tag = key().tag(&[&[VERSION, b'q'], body]);
     let mut bytes = vec![VERSION];
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn requests_and_replies_survive_the_wire() {
+fn encoding_round_trip() {
     let envelope = envelope(address(), 1);
     let frame = frame::encode_request(&key(), &envelope);
     assert_eq!(decode(&frame.bytes), Ok(envelope));
@@ -60,13 +60,13 @@
 )]
 #[case::next_version(&[VERSION + 1; 64], Rejection::WrongVersion)]
 #[case::no_tag(&[VERSION; 64], Rejection::BadTag)]
-fn bytes_without_the_key_are_rejected(#[case] bytes: &[u8], #[case] reason: Rejection) {
+fn unauthenticated_bytes_rejected(#[case] bytes: &[u8], #[case] reason: Rejection) {
     assert_eq!(decode(bytes), Err(reason));
 }
 
-/// Symptom: a daemon stops, or takes gigabytes, on a message of another build.
-/// Sequence: a holder of the key sends a body that announces far more than it holds, or holds too
-/// little, too much, or something else. Cause: the decoder trusts lengths and kinds.
+/// Guards against a daemon that stops or exhausts its memory on a message of another build. A
+/// holder of the key may send a body that announces far more than it contains, or that is too
+/// short, too long, or of another kind.
 #[rstest]
 #[case::empty(vec![])]
 #[case::huge_name([vec![0xff; 9], vec![0x01]].concat())]
@@ -74,8 +74,8 @@
 #[case::name_not_text(vec![2, 0xc3, 0x28, 7, 1, 0, 10, 1, 2, 3, 0x1c, 0])]
 #[case::unknown_kind([body_start(), vec![9]].concat())]
 #[case::huge_list([body_start(), vec![2], vec![0xff; 9], vec![0x01]].concat())]
-#[case::long_list_of_nothing([body_start(), vec![2, 0xff, 0xff, 0xff, 0x7f]].concat())]
-fn signed_nonsense_is_malformed(#[case] body: Vec<u8>) {
+#[case::long_empty_list([body_start(), vec![2, 0xff, 0xff, 0xff, 0x7f]].concat())]
+fn malformed_body_rejected(#[case] body: Vec<u8>) {
     assert_eq!(decode(&signed(&body)), Err(Rejection::Malformed));
 }
 
@@ -91,17 +91,20 @@
 }
 
 #[test]
-fn bytes_after_the_body_are_malformed() {
+fn trailing_bytes_rejected() {
     let frame = frame::encode_request(&key(), &envelope(address(), 1));
     let body = [&frame.bytes[HEAD_BYTES..], &[0]].concat();
     assert_eq!(decode(&signed(&body)), Err(Rejection::Malformed));
 }
 
 #[test]
-fn no_changed_or_cut_message_is_taken() {
+fn altered_message_rejected() {
     let bytes = frame::encode_request(&key(), &envelope(address(), 1)).bytes;
     for position in 0..bytes.len() {
-        assert!(decode(&bytes[..position]).is_err(), "cut at {position}");
+        assert!(
+            decode(&bytes[..position]).is_err(),
+            "truncated at {position}"
+        );
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[position] ^= 1 << bit;
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn random_bodies_never_panic() {
+fn random_bodies() {
     // A linear congruential generator with a fixed seed, so that every run tries the same bodies.
     let mut state = 1_u64;
     let mut next = || {
@@ -132,17 +135,16 @@
 }
 
 #[test]
-fn other_keys_are_rejected() {
+fn other_key_rejected() {
     let other = ClusterKey::new(b"key of others...").expect("a long key");
     let frame = frame::encode_request(&other, &envelope(address(), 1));
     assert_eq!(decode(&frame.bytes), Err(Rejection::BadTag));
 }
 
-/// Symptom: a VM acts on the answer to another question. Sequence: two requests are under way, and
-/// a reply reaches the other asker; or a request is sent back as if it were its reply.
-/// Cause: a reply says nothing of its request.
+/// Guards against a VM that acts on the reply to another request. While two requests are pending, a
+/// reply may reach the other sender, or a request may be sent back as if it were its reply.
 #[test]
-fn reply_answers_its_own_request_only() {
+fn reply_bound_to_request() {
     let first = frame::encode_request(&key(), &envelope(address(), 1));
     let second = frame::encode_request(&key(), &envelope(address(), 2));
     let reply = frame::encode_reply(&key(), &first.tag, &PeerReply::DemandNoted);
@@ -163,7 +165,7 @@
     digest_at: Offset(0),
 }))]
 #[case::demand(PeerRequest::Demand(Demand { vm: VmName::new("vm-2"), models: vec![] }))]
-fn body_in_another_name_is_rejected(#[case] request: PeerRequest) {
+fn sender_mismatch(#[case] request: PeerRequest) {
     let envelope = Envelope {
         request,
         ..envelope(address(), 1)
--- a/crates/peer/tests/ask_answer.rs
+++ b/crates/peer/tests/request_reply.rs
@@ -25,16 +25,16 @@
 use support::heartbeat;
 use support::key;
 use support::link;
-use support::side;
+use support::test_server;
 
 fn snapshot(part: u32) -> PeerRequest {
     PeerRequest::Snapshot(SnapshotQuery { at: None, part })
 }
 
-/// `Snapshots` answers with parts of so many bytes as the part's number, and panics at part 13.
-struct Snapshots;
+/// Handler that answers with a snapshot part of as many bytes as its number, and panics at part 13.
+struct SnapshotHandler;
 
-impl PeerHandler for Snapshots {
+impl PeerHandler for SnapshotHandler {
     fn answer(&self, request: PeerRequest) -> PeerReply {
         let PeerRequest::Snapshot(query) = request else {
             return PeerReply::DemandNoted;
@@ -50,21 +50,21 @@
 }
 
 #[test]
-fn every_asker_gets_its_own_reply() {
+fn concurrent_requests() {
     let server = PeerServer::start(
         &ServerOptions::default(),
         key(),
-        Arc::new(Snapshots),
+        Arc::new(SnapshotHandler),
         Arc::new(PeerCounters::default()),
     )
     .expect("a server");
     let link = link(LinkOptions::default());
     thread::scope(|scope| {
-        for asker in 0..8 {
+        for client in 0..8 {
             let (link, address) = (&link, server.address());
             scope.spawn(move || {
                 for round in 0..50 {
-                    let part = 1_000 * asker + 20 + round;
+                    let part = 1_000 * client + 20 + round;
                     match link.ask(address, &snapshot(part), LONG_MS) {
                         Ok(PeerReply::Snapshot(reply)) => assert_eq!(reply.part, part),
                         other => panic!("{other:?}"),
@@ -77,12 +77,12 @@
 }
 
 #[test]
-fn messages_up_to_the_limit_pass() {
+fn message_limit() {
     let counters = Arc::new(PeerCounters::default());
     let server = PeerServer::start(
         &ServerOptions::default(),
         key(),
-        Arc::new(Snapshots),
+        Arc::new(SnapshotHandler),
         counters.clone(),
     )
     .expect("a server");
@@ -101,13 +101,13 @@
     assert!(matches!(outcome, Err(Error::Rejected(_))), "{outcome:?}");
 }
 
-/// Symptom: a VM is there, its connections stay open, and it answers no peer any more.
-/// Sequence: answering requests panics, once for each worker. Cause: the panics end the workers.
+/// Guards against a VM whose connections stay open but which answers no peer any more. A panic of
+/// the handler must not end the worker that called it.
 #[test]
-fn panic_while_answering_does_not_silence_the_server() {
+fn handler_panic() {
     let counters = Arc::new(PeerCounters::default());
     let options = ServerOptions::default();
-    let server = PeerServer::start(&options, key(), Arc::new(Snapshots), counters.clone())
+    let server = PeerServer::start(&options, key(), Arc::new(SnapshotHandler), counters.clone())
         .expect("a server");
     let link = link(LinkOptions::default());
     let panics = options.workers + 1;
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn short_keys_and_unknown_addresses_are_refused() {
+fn invalid_options() {
     assert!(ClusterKey::new(b"fifteen bytes..").is_err());
     let options = ServerOptions {
         listen: "0.0.0.0:0".parse().expect("an address"),
@@ -129,10 +129,10 @@
     };
     let start = |options: &ServerOptions| {
         let counters = Arc::new(PeerCounters::default());
-        PeerServer::start(options, key(), Arc::new(Snapshots), counters)
+        PeerServer::start(options, key(), Arc::new(SnapshotHandler), counters)
     };
     assert!(start(&options).is_err(), "no peer knows this address");
-    let taken = side(&ServerOptions::default());
+    let taken = test_server(&ServerOptions::default());
     let options = ServerOptions {
         listen: taken.address(),
         ..ServerOptions::default()
@@ -141,11 +141,11 @@
 }
 
 #[test]
-fn dropped_server_ends_with_connections_open() {
-    let side = side(&ServerOptions::default());
+fn drop_with_connections() {
+    let test_server = test_server(&ServerOptions::default());
     let link = link(LinkOptions::default());
-    let address = side.address();
+    let address = test_server.address();
     assert!(link.ask(address, &heartbeat(), LONG_MS).is_ok());
-    drop(side);
+    drop(test_server);
     drop(link);
 }
--- a/crates/peer/tests/stop_races.rs
+++ b/crates/peer/tests/stop_races.rs
@@ -1,4 +1,4 @@
-//! Stopping just after a reply.
+//! Stopping a server just after a reply.
 
 mod support;
 
@@ -8,21 +8,21 @@
 use support::LONG_MS;
 use support::heartbeat;
 use support::link;
-use support::side;
+use support::test_server;
 
 const ROUNDS: usize = 1_000;
 
-/// Symptom: a daemon that stops as planned ends with "pthread_mutex_lock: Invalid argument" and a
-/// core dump. Sequence: the server is dropped while a worker has just handed a reply to nng.
-/// Cause: nng's socket is closed while a context of it is in use, and nng goes on to use the socket
-/// that it has freed. The fault shows about once in some hundred stops, hence the rounds.
+/// Guards against a planned stop that ends with "pthread_mutex_lock: Invalid argument" and a core
+/// dump. The server is dropped while a worker has just passed a reply to nng. If nng's socket is
+/// closed while a context of it is in use, nng continues to use the freed socket. The fault shows
+/// about once in a few hundred stops, hence the number of rounds.
 #[test]
-fn server_stops_just_after_a_reply() {
+fn stop_after_reply() {
     for _ in 0..ROUNDS {
-        let side = side(&ServerOptions::default());
+        let test_server = test_server(&ServerOptions::default());
         let link = link(LinkOptions::default());
-        let reply = link.ask(side.address(), &heartbeat(), LONG_MS);
+        let reply = link.ask(test_server.address(), &heartbeat(), LONG_MS);
         assert!(reply.is_ok(), "{reply:?}");
-        drop(side);
+        drop(test_server);
     }
 }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of peer messages share.
+//! Servers, links and messages for the tests of peer messages.
 
 #![allow(dead_code)]
 
@@ -24,16 +24,16 @@
 use apricotdale_peer::ServerOptions;
 use apricotdale_peer::frame::Envelope;
 
-/// A timeout that no passing test waits for.
+/// Timeout that no passing test waits for.
 pub const LONG_MS: u64 = 30_000;
 
-/// A timeout for tests whose peer never answers.
+/// Timeout for tests whose peer never answers.
 pub const SHORT_MS: u64 = 50;
 
-/// `Recorder` answers a heartbeat with itself and keeps every request it was handed.
+/// Handler that answers a heartbeat with itself and records every request.
 #[derive(Debug, Default)]
 pub struct Recorder {
-    /// The requests.
+    /// Requests in the order in which they arrived.
     pub requests: Mutex<Vec<PeerRequest>>,
 }
 
@@ -50,17 +50,17 @@
     }
 }
 
-/// `Side` is a running server with what it was handed and counted.
-pub struct Side {
-    /// The server.
+/// Running server with its handler and counters.
+pub struct TestServer {
+    /// Server under test.
     pub server: PeerServer,
-    /// What it was handed.
+    /// Handler of the server.
     pub recorder: Arc<Recorder>,
-    /// What it counted.
+    /// Counters of the server.
     pub counters: Arc<PeerCounters>,
 }
 
-impl Side {
+impl TestServer {
     /// Returns the server's address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
@@ -72,19 +72,19 @@
     }
 }
 
-/// Starts a server that records.
-pub fn side(options: &ServerOptions) -> Side {
+/// Starts a server with a recording handler.
+pub fn test_server(options: &ServerOptions) -> TestServer {
     let recorder = Arc::new(Recorder::default());
     let counters = Arc::new(PeerCounters::default());
     let server = PeerServer::start(options, key(), recorder.clone(), counters.clone());
-    Side {
+    TestServer {
         server: server.expect("a server"),
         recorder,
         counters,
     }
 }
 
-/// Returns the key of the tests' deployment.
+/// Returns the cluster key of the tests.
 pub fn key() -> ClusterKey {
     ClusterKey::new(b"key of the tests").expect("a long key")
 }
@@ -114,7 +114,7 @@
     })
 }
 
-/// Returns a heartbeat's envelope.
+/// Returns the envelope of a heartbeat.
 pub fn envelope(recipient: SocketAddr, sequence: u64) -> Envelope {
     Envelope {
         sender: VmName::new("vm-1"),
@@ -125,7 +125,7 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds, and fails with `what` after [`LONG_MS`].
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let begun = Instant::now();
     while !condition() {
