--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/feeds.rs
@@ -75,7 +75,7 @@
     configuration: Feed,
     upstreams: Feed,
     /// When this VM's turn to read the upstreams' entries comes; none while others tell of them.
-    turn_ms: Option<u64>,
+    scheduled_read_ms: Option<u64>,
     list_rate: ListRate,
     copy: Feed,
     /// Whether the store has answered whether there is a copy. Before that the upstreams' own
@@ -118,7 +118,7 @@
         Self {
             configuration: Feed::default(),
             upstreams: Feed::default(),
-            turn_ms: None,
+            scheduled_read_ms: None,
             list_rate: ListRate::default(),
             copy: Feed::default(),
             copy_tried: false,
@@ -294,8 +294,10 @@
     fn read_upstreams(&mut self) {
         self.feeds.upstreams.calling = true;
         if self.feeds.uncopied_repair.is_due(self.now_ms) {
-            let turn_ms = self.pacing.turn_ms();
-            self.feeds.uncopied_repair.begin(self.now_ms, turn_ms);
+            let scheduled_read_ms = self.pacing.scheduled_read_ms();
+            self.feeds
+                .uncopied_repair
+                .begin(self.now_ms, scheduled_read_ms);
             self.metrics.list_repair();
         }
         let feed = &self.feeds.upstreams;
@@ -371,7 +373,7 @@
         // Without a pause there is more of the list to read.
         if is_list(tag) && pause_ms > 0 {
             self.list_read();
-        } else if *tag == CallTag::ConfigurationRead && self.feeds.turn_ms.is_some() {
+        } else if *tag == CallTag::ConfigurationRead && self.feeds.scheduled_read_ms.is_some() {
             self.tell_list_read();
         }
     }
--- a/crates/entry/src/feeds/copy.rs
+++ b/crates/entry/src/feeds/copy.rs
@@ -148,7 +148,7 @@
     fn miss_copy(&mut self) {
         self.feeds.copy_misses += 1;
         if self.feeds.copy_misses == COPY_LOOKS {
-            self.feeds.uncopied_turn_ms = Some(self.now_ms + self.pacing.turn_ms());
+            self.feeds.uncopied_turn_ms = Some(self.now_ms + self.pacing.scheduled_read_ms());
         }
     }
 
--- a/crates/entry/src/feeds/schedule.rs
+++ b/crates/entry/src/feeds/schedule.rs
@@ -23,14 +23,14 @@
     pub(super) fn upstreams_due_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
         let feed = &self.upstreams;
         let is_followed = sharing.is_following(now_ms);
-        let turn_ms = self.turn_ms.unwrap_or(u64::MAX);
+        let scheduled_read_ms = self.scheduled_read_ms.unwrap_or(u64::MAX);
         match feed.from {
             None if !self.copy_tried => u64::MAX,
             // The pages of a list that was begun are read to their end.
             None if feed.after.is_some() => feed.next_ms,
             None => feed
                 .next_ms
-                .max(turn_ms.min(self.uncopied_turn_ms.unwrap_or(u64::MAX))),
+                .max(scheduled_read_ms.min(self.uncopied_turn_ms.unwrap_or(u64::MAX))),
             Some(_) if is_followed => self
                 .uncopied_repair
                 .due_ms()
@@ -38,7 +38,7 @@
             Some(_) => feed
                 .look_ms
                 .map_or(feed.next_ms, |look_ms| feed.next_ms.min(look_ms))
-                .max(turn_ms),
+                .max(scheduled_read_ms),
         }
     }
 
@@ -51,11 +51,11 @@
         leads: bool,
         pacing: &mut ReadPacing,
     ) {
-        self.turn_ms = match (is_followed, self.turn_ms) {
+        self.scheduled_read_ms = match (is_followed, self.scheduled_read_ms) {
             _ if leads => Some(0),
             (true, _) => None,
-            (false, None) => Some(now_ms + pacing.turn_ms()),
-            (false, turn_ms) => turn_ms,
+            (false, None) => Some(now_ms + pacing.scheduled_read_ms()),
+            (false, scheduled_read_ms) => scheduled_read_ms,
         };
     }
 
@@ -65,7 +65,7 @@
             return feed.next_ms;
         }
         // Who reads for all keeps a copy, or will.
-        if self.upstreams.from.is_none() && self.turn_ms.is_none() {
+        if self.upstreams.from.is_none() && self.scheduled_read_ms.is_none() {
             return feed.next_ms + COPY_AGAIN_MS;
         }
         if !sharing.is_following(now_ms) {
--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -241,7 +241,7 @@
         self.feeds.note_copy_bytes(fresh.snapshot_bytes);
         let has_copy = fresh.snapshot_bytes > 0;
         let draw_ms = self.pacing.jitter_for_answer_ms(fresh.snapshot_bytes);
-        let turn_ms = self.pacing.turn_ms();
+        let scheduled_read_ms = self.pacing.scheduled_read_ms();
         let now_ms = self.now_ms;
         let feeds = &mut self.feeds;
         feeds
@@ -249,7 +249,7 @@
             .record_comparison(now_ms, &[is_same || !has_copy], draw_ms);
         feeds
             .uncopied_repair
-            .record_comparison(now_ms, &[is_same], turn_ms);
+            .record_comparison(now_ms, &[is_same], scheduled_read_ms);
         feeds
             .held_repair
             .record_comparison(now_ms, &holds_same, draw_ms);
--- a/crates/fleet/src/read_pacing.rs
+++ b/crates/fleet/src/read_pacing.rs
@@ -104,7 +104,7 @@
     /// If the reads of all VMs together would exceed the store's send rate, only some VMs start and
     /// announce their results; twice as many start after each interval without an announcement. If
     /// all started, none might get an answer in time to spare the others their reads.
-    pub fn turn_ms(&mut self) -> u64 {
+    pub fn scheduled_read_ms(&mut self) -> u64 {
         let readers = match self.list_bytes_per_s {
             None => DEFAULT_READERS,
             Some(rate) => self.read_bytes_per_s * LIST_RATE_SHARE / rate.max(1) as f64,
--- a/crates/fleet/tests/read_storms.rs
+++ b/crates/fleet/tests/read_storms.rs
@@ -86,7 +86,7 @@
     next_ms: u64,
     failures: u32,
     pending_read: Option<PendingRead>,
-    turn_ms: Option<u64>,
+    scheduled_read_ms: Option<u64>,
 }
 
 impl Vm {
@@ -101,7 +101,7 @@
             next_ms: 0,
             failures: 0,
             pending_read: None,
-            turn_ms: None,
+            scheduled_read_ms: None,
         }
     }
 
@@ -186,14 +186,16 @@
                 }
             }
             if vm.sharing.is_following(now_ms) {
-                vm.turn_ms = None;
+                vm.scheduled_read_ms = None;
                 continue;
             }
-            let turn_ms = match vm.turn_ms {
-                Some(turn_ms) => turn_ms,
-                None => *vm.turn_ms.insert(now_ms + vm.pacing.turn_ms()),
+            let scheduled_read_ms = match vm.scheduled_read_ms {
+                Some(scheduled_read_ms) => scheduled_read_ms,
+                None => *vm
+                    .scheduled_read_ms
+                    .insert(now_ms + vm.pacing.scheduled_read_ms()),
             };
-            if vm.pending_read.is_none() && vm.next_ms.max(turn_ms) <= now_ms {
+            if vm.pending_read.is_none() && vm.next_ms.max(scheduled_read_ms) <= now_ms {
                 let backlog = (now_ms - vm.known_ms) * self.list_bytes_per_ms;
                 let bytes = backlog.min(self.list_bytes);
                 let age_ms = vm.read_ms.map(|read_ms| now_ms - read_ms);
