--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -127,12 +127,12 @@
     /// Upstreams whose entries went missing around an outage. They stay in use until the upstream
     /// list is complete again.
     lapsed: HashSet<UpstreamName>,
-    gone: HashMap<UpstreamName, EndedIncarnation>,
+    ended: HashMap<UpstreamName, EndedIncarnation>,
     /// Latest incarnation of each instance, including removed ones, because an entry of an earlier
     /// incarnation can be read after the removal.
-    runs: HashMap<InstanceName, LatestIncarnation>,
+    latest: HashMap<InstanceName, LatestIncarnation>,
     listed: bool,
-    /// Counter behind [`Self::changes`].
+    /// Number of changes so far, as returned by [`Self::changes`].
     changes: u64,
     /// Position up to which the VM that provides the current facts had read the upstream list;
     /// unknown if default.
@@ -152,8 +152,8 @@
             upstreams: HashMap::new(),
             recovery: ListRecovery::new(options.lapse_ms, options.restore_ms),
             lapsed: HashSet::new(),
-            gone: HashMap::new(),
-            runs: HashMap::new(),
+            ended: HashMap::new(),
+            latest: HashMap::new(),
             listed: false,
             changes: 0,
             read_to: Position::default(),
@@ -234,15 +234,15 @@
     /// known one is ignored, and an entry of a later incarnation ends the one before it.
     pub fn record_entry(&mut self, entry: Upstream) -> DirectoryChange {
         self.changes += 1;
-        let newest = self.runs.get(&entry.instance);
+        let newest = self.latest.get(&entry.instance);
         if newest.is_some_and(|newest| entry.born_ms < newest.born_ms) {
             return DirectoryChange::None;
         }
-        match self.gone.get(&entry.name) {
+        match self.ended.get(&entry.name) {
             Some(last) if last.restarted || !last.is_before(self.read_to, entry.revision) => {
                 return DirectoryChange::None;
             }
-            _ => self.gone.remove(&entry.name),
+            _ => self.ended.remove(&entry.name),
         };
         let last_seen_at = self.last_seen_at.entry(entry.name.clone()).or_default();
         *last_seen_at = self.read_to.max(*last_seen_at);
@@ -313,7 +313,7 @@
             born_ms: entry.born_ms,
             name: entry.name.clone(),
         };
-        let former = self.runs.insert(entry.instance.clone(), newest);
+        let former = self.latest.insert(entry.instance.clone(), newest);
         let former = former.map(|former| former.name);
         let former = former.filter(|former| *former != entry.name);
         self.upstreams.insert(entry.name.clone(), entry);
@@ -327,8 +327,8 @@
     fn end_incarnation(&mut self, former: &UpstreamName) -> bool {
         let was_known = self.upstreams.contains_key(former);
         self.remove(former);
-        if let Some(gone) = self.gone.get_mut(former) {
-            gone.restarted = true;
+        if let Some(ended) = self.ended.get_mut(former) {
+            ended.restarted = true;
         }
         was_known
     }
@@ -361,14 +361,14 @@
 
     /// Returns the latest known incarnation of an instance, or `None` if it was removed.
     pub fn current_incarnation(&self, instance: &InstanceName) -> Option<&UpstreamName> {
-        let name = &self.runs.get(instance)?.name;
+        let name = &self.latest.get(instance)?.name;
         self.upstreams.contains_key(name).then_some(name)
     }
 
     /// Returns whether an incarnation has ended because its instance restarted, which also ended
     /// every request that was running there.
     pub fn has_restarted(&self, name: &UpstreamName) -> bool {
-        self.gone.get(name).is_some_and(|gone| gone.restarted)
+        self.ended.get(name).is_some_and(|ended| ended.restarted)
     }
 
     /// Applies a complete upstream list. The entries of known upstreams that it lacks are missing.
--- a/crates/fleet/src/directory/departures.rs
+++ b/crates/fleet/src/directory/departures.rs
@@ -28,12 +28,14 @@
     /// accepts work or was never known.
     pub fn departure(&self, name: &UpstreamName) -> Option<Departure> {
         let unknown = Position::default();
-        let (revision, read_to, kind) = match (self.upstreams.get(name), self.gone.get(name)) {
+        let (revision, read_to, kind) = match (self.upstreams.get(name), self.ended.get(name)) {
             (Some(known), _) if known.phase == UpstreamPhase::Leaving => {
                 (known.revision, unknown, DepartureKind::Final)
             }
-            (None, Some(gone)) if gone.restarted => (gone.revision, unknown, DepartureKind::Final),
-            (None, Some(gone)) => (gone.revision, gone.read_to, DepartureKind::Missing),
+            (None, Some(ended)) if ended.restarted => {
+                (ended.revision, unknown, DepartureKind::Final)
+            }
+            (None, Some(ended)) => (ended.revision, ended.read_to, DepartureKind::Missing),
             _ => return None,
         };
         Some(Departure {
@@ -150,12 +152,12 @@
         self.lapsed.remove(name);
         self.last_seen_at.remove(name);
         if let Some(known) = self.upstreams.remove(name) {
-            let gone = EndedIncarnation {
+            let ended = EndedIncarnation {
                 revision: known.revision,
                 read_to: self.read_to,
                 restarted: false,
             };
-            self.gone.insert(name.clone(), gone);
+            self.ended.insert(name.clone(), ended);
         }
     }
 }
--- a/crates/fleet/src/read_pacing.rs
+++ b/crates/fleet/src/read_pacing.rs
@@ -50,7 +50,7 @@
 const MIN_READERS: f64 = 3.0;
 
 /// Time after which twice as many VMs read, if the previous readers have announced nothing.
-const TURN_MS: u64 = 600;
+const READER_DOUBLING_MS: u64 = 600;
 
 /// Number of VMs assumed while it is not known, high enough that a VM that starts together with all
 /// the others is not the first to time out.
@@ -111,9 +111,9 @@
         };
         let readers = readers.max(MIN_READERS);
         let vms = f64::from(self.vms.unwrap_or(1));
-        let drawn = self.random_up_to_ms(1_000) as f64 / 1_000.0;
-        let turns = (drawn * vms / readers).max(1.0).log2().ceil();
-        turns as u64 * TURN_MS
+        let fraction = self.random_up_to_ms(1_000) as f64 / 1_000.0;
+        let doublings = (fraction * vms / readers).max(1.0).log2().ceil();
+        doublings as u64 * READER_DOUBLING_MS
     }
 
     /// Returns the time over which the reads of all VMs caused by one event are spread.
@@ -175,9 +175,11 @@
         age_ms: Option<u64>,
     ) -> u64 {
         let answer_timeout_ms = self.answer_timeout_ms(alone_ms, answer_bytes, failures);
-        let left_ms = age_ms.and_then(|age_ms| MAX_LIST_READ_AGE_MS.checked_sub(age_ms));
-        match left_ms {
-            Some(left_ms) if left_ms >= MIN_LIST_TIMEOUT_MS => answer_timeout_ms.min(left_ms),
+        let remaining_ms = age_ms.and_then(|age_ms| MAX_LIST_READ_AGE_MS.checked_sub(age_ms));
+        match remaining_ms {
+            Some(remaining_ms) if remaining_ms >= MIN_LIST_TIMEOUT_MS => {
+                answer_timeout_ms.min(remaining_ms)
+            }
             _ => answer_timeout_ms,
         }
     }
@@ -188,10 +190,10 @@
         let max_ms = MAX_RETRY_DELAY_MS.max(vms * MAX_RETRY_DELAY_MS_PER_VM);
         let retry_delay_ms = (MIN_RETRY_DELAY_MS << failures.saturating_sub(1).min(6)).min(max_ms);
         // The delay is partly random if other VMs may retry at the same moment.
-        let drawn_ms = self.random_up_to_ms(retry_delay_ms / 2);
+        let random_ms = self.random_up_to_ms(retry_delay_ms / 2);
         match vms {
             0 | 1 => retry_delay_ms,
-            _ => retry_delay_ms - retry_delay_ms / 4 + drawn_ms,
+            _ => retry_delay_ms - retry_delay_ms / 4 + random_ms,
         }
     }
 }
