--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/feeds.rs
@@ -75,7 +75,7 @@
     configuration: Feed,
     upstreams: Feed,
     /// When this VM's turn to read the upstreams' entries comes; none while others tell of them.
-    turn_ms: Option<u64>,
+    scheduled_read_ms: Option<u64>,
     list_rate: ListRate,
     copy: Feed,
     /// Whether the store has answered whether there is a copy. Before that the upstreams' own
@@ -118,16 +118,16 @@
         Self {
             configuration: Feed::default(),
             upstreams: Feed::default(),
-            turn_ms: None,
+            scheduled_read_ms: None,
             list_rate: ListRate::default(),
             copy: Feed::default(),
             copy_tried: false,
             copy_misses: 0,
             uncopied_turn_ms: None,
             copy_writer: CopyWriter::default(),
-            listed_repair: ListRepair::of_listed(),
-            uncopied_repair: ListRepair::of_uncopied(),
-            held_repair: ListRepair::of_held(),
+            listed_repair: ListRepair::for_serving_upstreams(),
+            uncopied_repair: ListRepair::without_snapshot(),
+            held_repair: ListRepair::for_residences(),
             came: Vec::new(),
             vm_written: false,
             vms_read: false,
@@ -198,7 +198,7 @@
         if self.vm_written {
             self.vm_written = false;
             self.vms.restart_soon();
-            self.vms.next_ms = now_ms + pacing.draw_within_ms(WRITTEN_AGAIN_MS);
+            self.vms.next_ms = now_ms + pacing.random_up_to_ms(WRITTEN_AGAIN_MS);
         }
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Returns the size of the copy, if it names these upstreams; else 0.
-    pub fn copy_bytes(&self, listed: u64) -> usize {
+    pub fn snapshot_bytes(&self, listed: u64) -> usize {
         self.copy_writer.bytes_if_of(listed)
     }
 
@@ -259,7 +259,7 @@
     pub(crate) fn advance_feeds(&mut self) {
         let now_ms = self.now_ms;
         let leads = self.ordering.fence_held();
-        let is_followed = self.sharing.follows(now_ms);
+        let is_followed = self.sharing.is_following(now_ms);
         self.feeds
             .note_turn(now_ms, is_followed, leads, &mut self.pacing);
         let feeds = &self.feeds;
@@ -294,21 +294,23 @@
     fn read_upstreams(&mut self) {
         self.feeds.upstreams.calling = true;
         if self.feeds.uncopied_repair.is_due(self.now_ms) {
-            let turn_ms = self.pacing.turn_ms();
-            self.feeds.uncopied_repair.begin(self.now_ms, turn_ms);
+            let scheduled_read_ms = self.pacing.scheduled_read_ms();
+            self.feeds
+                .uncopied_repair
+                .begin(self.now_ms, scheduled_read_ms);
             self.metrics.list_repair();
         }
         let feed = &self.feeds.upstreams;
         match feed.place_in(self.store_era.now()) {
             None => {
                 let after = feed.after.clone();
-                let timeout_ms = feed.patience_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
+                let timeout_ms = feed.answer_timeout_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
                 let bytes = self.codecs.store.newest(Topic::Upstreams, after.as_deref());
                 self.call_store(CallTag::UpstreamsNewest, &bytes, timeout_ms);
             }
             Some(from) => {
                 let timeout_ms =
-                    feed.list_patience_ms(self.now_ms, &mut self.pacing, CALL_TIMEOUT_MS);
+                    feed.list_answer_timeout_ms(self.now_ms, &mut self.pacing, CALL_TIMEOUT_MS);
                 let bytes = self.codecs.store.read(Topic::Upstreams, from.offset, 0);
                 self.call_store(CallTag::UpstreamsRead, &bytes, timeout_ms);
             }
@@ -371,7 +373,7 @@
         // Without a pause there is more of the list to read.
         if is_list(tag) && pause_ms > 0 {
             self.list_read();
-        } else if *tag == CallTag::ConfigurationRead && self.feeds.turn_ms.is_some() {
+        } else if *tag == CallTag::ConfigurationRead && self.feeds.scheduled_read_ms.is_some() {
             self.tell_list_read();
         }
     }
@@ -392,7 +394,7 @@
             );
         }
         if is_list(tag) {
-            self.directory.note_list_lost();
+            self.directory.record_list_failure();
         }
     }
 
@@ -421,12 +423,12 @@
             }
             CallTag::UpstreamsNewest => {
                 let page = self.codecs.store.newest_answer(status, body)?;
-                self.directory.note_list_answered(self.now_ms);
+                self.directory.record_list_answer(self.now_ms);
                 Ok(self.take_upstreams_page(page))
             }
             CallTag::UpstreamsRead => {
                 let read = self.codecs.store.read_answer(status, body)?;
-                self.directory.note_list_answered(self.now_ms);
+                self.directory.record_list_answer(self.now_ms);
                 self.take_upstreams_read(read)
             }
             CallTag::CopyNewest => {
--- a/crates/entry/src/feeds/schedule.rs
+++ b/crates/entry/src/feeds/schedule.rs
@@ -2,16 +2,16 @@
 
 use apricotdale_fleet::ListRepair;
 use apricotdale_fleet::ReadPacing;
-use apricotdale_fleet::Sharing;
+use apricotdale_fleet::ReadSharing;
 
 use super::COPY_AGAIN_MS;
 use super::FOLLOWING_CONFIGURATION_EVERY_MS;
 use super::Feeds;
 
 impl Feeds {
-    pub(super) fn configuration_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
+    pub(super) fn configuration_due_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
         let feed = &self.configuration;
-        let due_ms = match sharing.follows(now_ms) {
+        let due_ms = match sharing.is_following(now_ms) {
             true => feed.followed_due_ms(FOLLOWING_CONFIGURATION_EVERY_MS),
             false => feed.next_ms,
         };
@@ -20,17 +20,17 @@
 
     /// Returns when the upstreams' own entries are read. A VM that is told of changes leaves them
     /// alone, unless the copy could not help it.
-    pub(super) fn upstreams_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
+    pub(super) fn upstreams_due_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
         let feed = &self.upstreams;
-        let is_followed = sharing.follows(now_ms);
-        let turn_ms = self.turn_ms.unwrap_or(u64::MAX);
+        let is_followed = sharing.is_following(now_ms);
+        let scheduled_read_ms = self.scheduled_read_ms.unwrap_or(u64::MAX);
         match feed.from {
             None if !self.copy_tried => u64::MAX,
             // The pages of a list that was begun are read to their end.
             None if feed.after.is_some() => feed.next_ms,
             None => feed
                 .next_ms
-                .max(turn_ms.min(self.uncopied_turn_ms.unwrap_or(u64::MAX))),
+                .max(scheduled_read_ms.min(self.uncopied_turn_ms.unwrap_or(u64::MAX))),
             Some(_) if is_followed => self
                 .uncopied_repair
                 .due_ms()
@@ -38,7 +38,7 @@
             Some(_) => feed
                 .look_ms
                 .map_or(feed.next_ms, |look_ms| feed.next_ms.min(look_ms))
-                .max(turn_ms),
+                .max(scheduled_read_ms),
         }
     }
 
@@ -51,24 +51,24 @@
         leads: bool,
         pacing: &mut ReadPacing,
     ) {
-        self.turn_ms = match (is_followed, self.turn_ms) {
+        self.scheduled_read_ms = match (is_followed, self.scheduled_read_ms) {
             _ if leads => Some(0),
             (true, _) => None,
-            (false, None) => Some(now_ms + pacing.turn_ms()),
-            (false, turn_ms) => turn_ms,
+            (false, None) => Some(now_ms + pacing.scheduled_read_ms()),
+            (false, scheduled_read_ms) => scheduled_read_ms,
         };
     }
 
-    pub(super) fn copy_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
+    pub(super) fn copy_due_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
         let feed = &self.copy;
         if !self.copy_tried || feed.after.is_some() {
             return feed.next_ms;
         }
         // Who reads for all keeps a copy, or will.
-        if self.upstreams.from.is_none() && self.turn_ms.is_none() {
+        if self.upstreams.from.is_none() && self.scheduled_read_ms.is_none() {
             return feed.next_ms + COPY_AGAIN_MS;
         }
-        if !sharing.follows(now_ms) {
+        if !sharing.is_following(now_ms) {
             return u64::MAX;
         }
         [&self.listed_repair, &self.held_repair]
@@ -79,9 +79,9 @@
     }
 
     /// Returns when the next call is due.
-    pub fn next_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
-        let ends_ms = match sharing.follows(now_ms) {
-            true => sharing.followed_until_ms(),
+    pub fn next_ms(&self, now_ms: u64, sharing: &ReadSharing) -> u64 {
+        let ends_ms = match sharing.is_following(now_ms) {
+            true => sharing.following_until_ms(),
             false => u64::MAX,
         };
         let due = [
--- a/crates/holder/src/planner.rs
+++ b/crates/holder/src/planner.rs
@@ -127,7 +127,7 @@
             // Entries announced by other VMs don't contain the cached weights.
             if let Some(entry) = directory
                 .upstream(&engine.name)
-                .filter(|entry| entry.residence.names_copies())
+                .filter(|entry| entry.residence.has_cached_copies())
             {
                 engine
                     .residence
--- a/crates/holder/src/unconfirmed_loads.rs
+++ b/crates/holder/src/unconfirmed_loads.rs
@@ -128,7 +128,7 @@
         let took_ms = now_ms.saturating_sub(order.accepted_at_ms) as f64;
         let extension_share = EXTENSION_SHARE * f64::from(1_u32 << order.times_reverted.min(4));
         let factor = took_ms / configured_ms + extension_share;
-        self.residence.note_unloaded(&model);
+        self.residence.record_unloaded(&model);
         self.in_progress = Some(match factor <= MAX_LOAD_FACTOR {
             true => {
                 self.load_factor = self.load_factor.max(factor);
@@ -139,7 +139,7 @@
                 }
             }
             false => {
-                self.residence.note_copy_gone(&model);
+                self.residence.record_uncached(&model);
                 OrderInProgress {
                     tier: Tier::Store,
                     configured_ms: store_load_ms,
