--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Notes that a request is about to be sent for the first time, which earns retry budget.
+    /// Records that a request is about to be sent for the first time, which earns retry budget.
     pub fn arrived(&mut self, now_ms: u64, job: &Job) {
         self.retries.first_try(now_ms, &job.service);
     }
@@ -131,7 +131,7 @@
         matches!(decision, RetryDecision::RetryAfterMs(_))
     }
 
-    /// Notes that a request was sent to an upstream.
+    /// Records that a request was sent to an upstream.
     pub fn sent(&mut self, now_ms: u64, job: &Job, upstream: &UpstreamName) {
         self.loads.entry(upstream.clone()).or_default().sent();
         let event = RoutingEvent::Sent {
@@ -141,8 +141,8 @@
         self.policy(&job.service).learn(now_ms, event);
     }
 
-    /// Notes that a sent request ended. `first_byte_ms` is the time from the send to the first byte
-    /// of the response, if one came.
+    /// Records that a sent request ended. `first_byte_ms` is the time from the send to the first
+    /// byte of the answer, if one came.
     pub fn ended(
         &mut self,
         now_ms: u64,
@@ -165,7 +165,7 @@
         self.policy(service).learn(now_ms, event);
     }
 
-    /// Notes the load that an upstream states in a response.
+    /// Records the load that an upstream states in an answer.
     pub fn reported(
         &mut self,
         now_ms: u64,
@@ -191,7 +191,7 @@
         self.policy(service).learn(now_ms, event);
     }
 
-    /// Notes that an upstream has left the fleet, and drops its state.
+    /// Records that an upstream has left the fleet, and drops its state.
     pub fn removed(&mut self, now_ms: u64, upstream: &UpstreamName) {
         self.loads.remove(upstream);
         self.suspensions.forget(upstream);
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Notes that an upstream refused a connection and suspends it for a while. Returns whether it
-    /// was not suspended before.
+    /// Records that an upstream refused a connection and suspends it for a while. Returns whether
+    /// it was not suspended before.
     pub fn note_unreachable(&mut self, now_ms: u64, upstream: &UpstreamName) -> bool {
         self.suspensions.note_unreachable(now_ms, upstream)
     }
@@ -226,9 +226,9 @@
         self.suspensions.is_suspended(now_ms, upstream)
     }
 
-    /// Notes when a model that no engine holds is expected to be loaded.
+    /// Records when a model that no engine holds is expected to be loaded.
     pub fn note_forecast(&mut self, now_ms: u64, model: ModelName, forecast: LoadForecast) {
-        self.forecasts.note(now_ms, model, forecast);
+        self.forecasts.record(now_ms, model, forecast);
     }
 
     /// Returns in how many milliseconds the model that a request misses is expected to be loaded,
@@ -242,10 +242,10 @@
     }
 
     /// Returns how many of this VM's requests are in progress at an upstream.
-    pub fn own_requests(&self, upstream: &UpstreamName) -> u32 {
+    pub fn local_requests(&self, upstream: &UpstreamName) -> u32 {
         self.loads
             .get(upstream)
-            .map_or(0, UpstreamLoad::own_requests)
+            .map_or(0, UpstreamLoad::local_requests)
     }
 
     /// Decides whether a request is sent again after a failed send.
--- a/crates/dispatch/src/forecast.rs
+++ b/crates/dispatch/src/forecast.rs
@@ -5,7 +5,7 @@
 use apricotdale_core::names::ModelName;
 
 /// Age from which a forecast is ignored. The lease holder repeats each forecast every 400 ms.
-const FORECAST_MAX_AGE_MS: u64 = 1_500;
+const FORECAST_TTL_MS: u64 = 1_500;
 
 /// Forecast by the lease holder of when a model that no engine holds will be loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,14 +21,14 @@
 }
 
 impl Forecasts {
-    pub(crate) fn note(&mut self, now_ms: u64, model: ModelName, forecast: LoadForecast) {
+    pub(crate) fn record(&mut self, now_ms: u64, model: ModelName, forecast: LoadForecast) {
         self.by_model.insert(model, (forecast, now_ms));
     }
 
     pub(crate) fn get(&self, now_ms: u64, model: &ModelName) -> Option<LoadForecast> {
         self.by_model
             .get(model)
-            .filter(|(_, at_ms)| now_ms.saturating_sub(*at_ms) < FORECAST_MAX_AGE_MS)
+            .filter(|(_, at_ms)| now_ms.saturating_sub(*at_ms) < FORECAST_TTL_MS)
             .map(|(forecast, _)| *forecast)
     }
 }
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -13,21 +13,21 @@
     pub service: GroupName,
     /// Model that is needed, or `None` for a plain service.
     pub wanted: Option<WantedModel>,
-    /// Kind of its route: whether the response is a stream, and whether the request may run twice.
+    /// Kind of its route: whether the answer is a stream, and whether the request may run twice.
     pub kind: RouteKind,
     /// Rank of its request class; rank 0 is sent first.
     pub rank: u32,
     /// Time of its arrival at this VM.
     pub arrived_ms: u64,
-    /// Time by which its response should begin.
+    /// Time by which its answer should begin.
     pub target_ms: u64,
-    /// Time by which its response must be complete.
+    /// Time by which its answer must be complete.
     pub deadline_ms: u64,
     /// Largest number of upstreams on which it may run.
     pub attempts: u32,
     /// Hash of the prompt's prefix, which some upstreams may have in their prefix cache.
     pub prefix_hash: Option<u64>,
-    /// Expected time from the send to the end of the response.
+    /// Expected time from the send to the end of the answer.
     pub expected_run_ms: u64,
     /// Upstreams that it was sent to, in order.
     pub tried: Vec<UpstreamName>,
@@ -86,7 +86,7 @@
     Refuse(Refusal),
 }
 
-/// Way in which a send ended without a response for the caller.
+/// Way in which a send ended without an answer for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FailedTry {
     /// The upstream stated that it did not run the request.
@@ -95,11 +95,11 @@
     Misdirected,
     /// The upstream certainly did not receive the request.
     NotSent,
-    /// No usable response came, and the request may have run.
+    /// No usable answer came, and the request may have run.
     Lost,
-    /// The upstream responded with a failure of its own.
+    /// The upstream answered with a failure of its own.
     Failed,
-    /// The response can't continue what the caller has already received.
+    /// The answer can't continue what the caller has already received.
     Misfit,
 }
 
--- a/crates/dispatch/src/liveness.rs
+++ b/crates/dispatch/src/liveness.rs
@@ -52,7 +52,7 @@
     is_unresponsive: bool,
 }
 
-/// What a probe of an engine, answered or not, has shown.
+/// What the outcome of a probe shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Silence {
     /// Nothing: the engine answered, or this VM may itself be cut off.
@@ -70,7 +70,7 @@
 }
 
 impl SilenceWatch {
-    /// Notes that a request was sent to an engine.
+    /// Records that a request was sent to an engine.
     pub fn sent(&mut self, now_ms: u64, engine: &UpstreamName) {
         let state = self.by_name.entry(engine.clone()).or_default();
         if state.in_progress == 0 {
@@ -80,7 +80,7 @@
         state.in_progress += 1;
     }
 
-    /// Notes that data came from an engine.
+    /// Records that data came from an engine.
     pub fn heard(&mut self, now_ms: u64, engine: &UpstreamName) {
         if let Some(state) = self.by_name.get_mut(engine) {
             state.heard_ms = now_ms;
@@ -88,19 +88,19 @@
         }
     }
 
-    /// Notes that a request at an engine is no longer in progress.
+    /// Records that a request at an engine is no longer in progress.
     pub fn ended(&mut self, engine: &UpstreamName) {
         if let Some(state) = self.by_name.get_mut(engine) {
             state.in_progress = state.in_progress.saturating_sub(1);
         }
     }
 
-    /// Notes that an engine has left the fleet.
+    /// Records that an engine has left the fleet.
     pub fn removed(&mut self, engine: &UpstreamName) {
         self.by_name.remove(engine);
     }
 
-    /// Notes that this VM's process stalled: data may have come meanwhile without being read.
+    /// Records that this VM's process was paused: data may have come meanwhile without being read.
     pub fn stood_still(&mut self, now_ms: u64) {
         for state in self.by_name.values_mut() {
             state.heard_ms = now_ms;
@@ -138,7 +138,7 @@
         due.min().unwrap_or(u64::MAX)
     }
 
-    /// Notes whether an engine answered its probe, and returns what that shows.
+    /// Records whether an engine answered its probe, and returns what that shows.
     pub fn asked(&mut self, now_ms: u64, engine: &UpstreamName, answered: bool) -> Silence {
         let vm_is_cut_off = !answered && self.is_cut_off(now_ms);
         let Some(state) = self.by_name.get_mut(engine) else {
--- a/crates/dispatch/src/upstream_load.rs
+++ b/crates/dispatch/src/upstream_load.rs
@@ -2,9 +2,9 @@
 
 /// Age from which a load report is ignored. After that, requests of other VMs that it counted may
 /// have ended, and only this VM's own requests are counted.
-const REPORT_MAX_AGE_MS: u64 = 1_500;
+const REPORT_TTL_MS: u64 = 1_500;
 
-/// Load that an upstream states in the head of a response.
+/// Load that an upstream states in the head of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSample {
     /// Requests that are running.
@@ -20,37 +20,37 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct UpstreamLoad {
     /// This VM's own requests in progress there.
-    own_requests: u32,
-    /// Last report, with the value of `own_requests` and the time when it arrived.
+    local_requests: u32,
+    /// Last report, with the value of `local_requests` and the time when it arrived.
     report: Option<(LoadSample, u32, u64)>,
 }
 
 impl UpstreamLoad {
     pub(crate) fn sent(&mut self) {
-        self.own_requests += 1;
+        self.local_requests += 1;
     }
 
     pub(crate) fn ended(&mut self) {
-        self.own_requests = self.own_requests.saturating_sub(1);
+        self.local_requests = self.local_requests.saturating_sub(1);
     }
 
-    pub(crate) fn own_requests(&self) -> u32 {
-        self.own_requests
+    pub(crate) fn local_requests(&self) -> u32 {
+        self.local_requests
     }
 
     pub(crate) fn reported(&mut self, now_ms: u64, sample: LoadSample) {
-        self.report = Some((sample, self.own_requests, now_ms));
+        self.report = Some((sample, self.local_requests, now_ms));
     }
 
     /// Returns the estimated number of requests at the upstream, from all VMs.
     pub(crate) fn requests(&self, now_ms: u64) -> u32 {
         match self.report {
-            Some((sample, own_then, at_ms)) if now_ms.saturating_sub(at_ms) < REPORT_MAX_AGE_MS => {
-                (sample.running + sample.waiting + self.own_requests)
-                    .saturating_sub(own_then)
-                    .max(self.own_requests)
+            Some((sample, local_then, at_ms)) if now_ms.saturating_sub(at_ms) < REPORT_TTL_MS => {
+                (sample.running + sample.waiting + self.local_requests)
+                    .saturating_sub(local_then)
+                    .max(self.local_requests)
             }
-            _ => self.own_requests,
+            _ => self.local_requests,
         }
     }
 }
--- a/crates/dispatch/tests/engine_probes.rs
+++ b/crates/dispatch/tests/engine_probes.rs
@@ -10,7 +10,7 @@
     UpstreamName::from(format!("e{index}"))
 }
 
-/// Notes data from one engine every 30 ms until a time.
+/// Records data from one engine every 30 ms until a time.
 fn send_events(watch: &mut SilenceWatch, engine: &UpstreamName, from_ms: u64, until_ms: u64) {
     for at_ms in (from_ms..=until_ms).step_by(30) {
         watch.heard(at_ms, engine);
@@ -97,10 +97,10 @@
     }
 }
 
-/// Guards against a VM that stalled for seconds and takes requests from engines that were sending
-/// meanwhile: data that it had not read counted as not sent.
+/// Guards against a VM whose process was paused for seconds and takes requests from engines that
+/// were sending meanwhile: data that it had not read counted as not sent.
 #[test]
-fn own_stall() {
+fn process_pause() {
     let mut watch = SilenceWatch::default();
     watch.sent(SENT_MS, &name(0));
     watch.heard(SENT_MS + 30, &name(0));
--- a/crates/dispatch/tests/queue_order.rs
+++ b/crates/dispatch/tests/queue_order.rs
@@ -45,7 +45,7 @@
     on_time as f64 / arrivals_ms.len() as f64
 }
 
-/// Guards against a short burst after which every response is late for many seconds, because
+/// Guards against a short burst after which every answer is late for many seconds, because
 /// requests that are already late go before those that can still be on time. The load is one second
 /// of twice the capacity, then nine tenths of it. On time: 65% ordered by target alone, 97% by
 /// urgency.
--- a/crates/dispatch/tests/send_decisions.rs
+++ b/crates/dispatch/tests/send_decisions.rs
@@ -57,7 +57,7 @@
 /// Guards against requests that queue at a full engine while another has free slots: the VM sends
 /// no more than the slots, less the other VMs' requests in the engine's report.
 #[rstest]
-#[case::own_requests(SLOTS, 0)]
+#[case::local_requests(SLOTS, 0)]
 #[case::reported(0, SLOTS)]
 #[case::both(1, SLOTS - 1)]
 fn full_engine(#[case] own: u32, #[case] others: u32) {
