--- a/crates/dispatch/src/liveness.rs
+++ b/crates/dispatch/src/liveness.rs
@@ -120,7 +120,8 @@
             .is_some_and(|it| it.is_unresponsive)
     }
 
-    /// Returns the engines to probe now. Each is returned once until [`SilenceWatch::asked`].
+    /// Returns the engines to probe now. Each is returned once until its probe is reported to
+    /// [`SilenceWatch::asked`].
     pub fn due(&mut self, now_ms: u64) -> Vec<UpstreamName> {
         self.by_name
             .iter_mut()
