--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -24,10 +24,10 @@
 
 use crate::forecast::Forecasts;
 use crate::forecast::LoadForecast;
-use crate::job::Attempt;
-use crate::job::FailedTry;
+use crate::job::DispatchDecision;
+use crate::job::FailedAttempt;
 use crate::job::Job;
-use crate::job::Verdict;
+use crate::job::RetryAction;
 use crate::job::WaitReason;
 use crate::options::DispatcherOptions;
 use crate::options::retry_options;
@@ -78,10 +78,10 @@
     }
 
     /// Decides whether a request is sent now, waits, or is refused.
-    pub fn decide(&mut self, now_ms: u64, directory: &Directory, job: &Job) -> Verdict {
+    pub fn decide(&mut self, now_ms: u64, directory: &Directory, job: &Job) -> DispatchDecision {
         let left_ms = job.deadline_ms.saturating_sub(now_ms);
         if left_ms < self.options.least_left_ms {
-            return Verdict::Refuse(self.deadline_refusal(job));
+            return DispatchDecision::Refuse(self.deadline_refusal(job));
         }
         let capable: Vec<&Upstream> = directory
             .serving(&job.service)
@@ -107,7 +107,7 @@
             .map(|upstream| candidate(upstream))
             .collect();
         if free.is_empty() {
-            return Verdict::Wait(WaitReason::Crowded);
+            return DispatchDecision::Wait(WaitReason::Crowded);
         }
         let request = RouteRequest {
             prefix_hash: job.prefix_hash,
@@ -115,11 +115,11 @@
         };
         let chosen = self.policy(&job.service).choose(now_ms, &request, &free);
         match chosen {
-            Some(_) if job.owes_repeat && !self.spend_retry(now_ms, job) => {
-                Verdict::Wait(WaitReason::Budget)
+            Some(_) if job.awaits_retry_budget && !self.spend_retry(now_ms, job) => {
+                DispatchDecision::Wait(WaitReason::Budget)
             }
-            Some(index) => Verdict::Send(free[index].upstream.clone()),
-            None => Verdict::Wait(WaitReason::Crowded),
+            Some(index) => DispatchDecision::Send(free[index].upstream.clone()),
+            None => DispatchDecision::Wait(WaitReason::Crowded),
         }
     }
 
@@ -207,8 +207,8 @@
 
     /// Records that an upstream refused a connection and suspends it for a while. Returns whether
     /// it was not suspended before.
-    pub fn note_unreachable(&mut self, now_ms: u64, upstream: &UpstreamName) -> bool {
-        self.suspensions.note_unreachable(now_ms, upstream)
+    pub fn record_unreachable(&mut self, now_ms: u64, upstream: &UpstreamName) -> bool {
+        self.suspensions.record_unreachable(now_ms, upstream)
     }
 
     /// Suspends an upstream until a time. Returns whether it was not suspended before.
@@ -227,7 +227,7 @@
     }
 
     /// Records when a model that no engine holds is expected to be loaded.
-    pub fn note_forecast(&mut self, now_ms: u64, model: ModelName, forecast: LoadForecast) {
+    pub fn record_forecast(&mut self, now_ms: u64, model: ModelName, forecast: LoadForecast) {
         self.forecasts.record(now_ms, model, forecast);
     }
 
@@ -253,27 +253,32 @@
         &mut self,
         now_ms: u64,
         job: &Job,
-        failed: FailedTry,
+        failed: FailedAttempt,
         answer_begun: bool,
-    ) -> Attempt {
+    ) -> RetryAction {
         if !failed.is_not_run() && job.runs >= job.attempts {
-            return Attempt::GiveUp;
+            return RetryAction::GiveUp;
         }
         let certainly_not_run = failed.is_not_run() && job.runs == 0;
         let begun = answer_begun && !job.kind.is_repeatable();
         let request = retry_request(now_ms, job, certainly_not_run, begun);
         match self.retries.decide(now_ms, &request) {
-            RetryDecision::RetryAfterMs(pause_ms) => Attempt::AgainAfterMs(pause_ms),
+            RetryDecision::RetryAfterMs(pause_ms) => RetryAction::AfterMs(pause_ms),
             // Waiting costs nothing: the request has not run, and may be sent once budget is
             // earned.
-            RetryDecision::BudgetSpent if certainly_not_run => Attempt::OnceAllowed,
-            _ => Attempt::GiveUp,
+            RetryDecision::BudgetSpent if certainly_not_run => RetryAction::OnceBudgetAllows,
+            _ => RetryAction::GiveUp,
         }
     }
 
-    fn decide_without_upstream(&self, now_ms: u64, directory: &Directory, job: &Job) -> Verdict {
+    fn decide_without_upstream(
+        &self,
+        now_ms: u64,
+        directory: &Directory,
+        job: &Job,
+    ) -> DispatchDecision {
         let Some(wanted) = &job.wanted else {
-            return Verdict::Wait(WaitReason::Crowded);
+            return DispatchDecision::Wait(WaitReason::Crowded);
         };
         let known = directory
             .service(&job.service)
@@ -281,7 +286,7 @@
             .is_some_and(|engine| engine.models.contains_key(&wanted.model));
         if !known {
             let detail = format!("no model {} is configured", wanted.model);
-            return Verdict::Refuse(refusal_of(job, RefusalReason::NoCapacity, detail));
+            return DispatchDecision::Refuse(refusal_of(job, RefusalReason::NoCapacity, detail));
         }
         let start_by_ms = job.deadline_ms.saturating_sub(job.expected_run_ms);
         match self
@@ -290,10 +295,10 @@
             .and_then(|forecast| forecast.ready_ms)
         {
             Some(ready_ms) if ready_ms > start_by_ms => {
-                Verdict::Refuse(self.load_too_late_refusal(job))
+                DispatchDecision::Refuse(self.load_too_late_refusal(job))
             }
-            _ if now_ms > start_by_ms => Verdict::Refuse(self.load_too_late_refusal(job)),
-            _ => Verdict::Wait(WaitReason::Missing),
+            _ if now_ms > start_by_ms => DispatchDecision::Refuse(self.load_too_late_refusal(job)),
+            _ => DispatchDecision::Wait(WaitReason::Missing),
         }
     }
 
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -34,7 +34,7 @@
     /// Number of sends after which it may have run.
     pub runs: u32,
     /// Whether its next send is a retry for which the budget has not been charged yet.
-    pub owes_repeat: bool,
+    pub awaits_retry_budget: bool,
 }
 
 impl Job {
@@ -77,7 +77,7 @@
 
 /// What to do with a request now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum DispatchDecision {
     /// Send it to this upstream.
     Send(UpstreamName),
     /// Keep it, and decide again when something has changed.
@@ -88,9 +88,9 @@
 
 /// Way in which a send ended without an answer for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum FailedTry {
+pub enum FailedAttempt {
     /// The upstream stated that it did not run the request.
-    TurnedAway,
+    Rejected,
     /// The upstream does not hold the model, or its address now belongs to another upstream.
     Misdirected,
     /// The upstream certainly did not receive the request.
@@ -103,16 +103,16 @@
     Misfit,
 }
 
-impl FailedTry {
+impl FailedAttempt {
     /// Returns whether the request certainly did not run.
     pub fn is_not_run(self) -> bool {
-        matches!(self, Self::TurnedAway | Self::Misdirected | Self::NotSent)
+        matches!(self, Self::Rejected | Self::Misdirected | Self::NotSent)
     }
 
     /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::TurnedAway => "turned_away",
+            Self::Rejected => "turned_away",
             Self::Misdirected => "misdirected",
             Self::NotSent => "not_sent",
             Self::Lost => "lost",
@@ -124,11 +124,11 @@
 
 /// What to do after a failed send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Attempt {
+pub enum RetryAction {
     /// Send the request again after this pause.
-    AgainAfterMs(u64),
+    AfterMs(u64),
     /// Send the request again once the retry budget allows it.
-    OnceAllowed,
+    OnceBudgetAllows,
     /// Don't send it again; answer the caller.
     GiveUp,
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -19,13 +19,13 @@
 
 pub use dispatcher::Dispatcher;
 pub use forecast::LoadForecast;
-pub use job::Attempt;
-pub use job::FailedTry;
+pub use job::DispatchDecision;
+pub use job::FailedAttempt;
 pub use job::Job;
+pub use job::RetryAction;
 pub use job::Urgency;
-pub use job::Verdict;
 pub use job::WaitReason;
-pub use liveness::Silence;
-pub use liveness::SilenceWatch;
+pub use liveness::LivenessMonitor;
+pub use liveness::ProbeOutcome;
 pub use options::DispatcherOptions;
 pub use upstream_load::LoadSample;
--- a/crates/dispatch/src/liveness.rs
+++ b/crates/dispatch/src/liveness.rs
@@ -3,7 +3,7 @@
 //! An engine that loses power or is cut off from the network sends nothing, and its connections
 //! stay open. Only the time since the last data from it shows that something is wrong. An engine
 //! that works on a request sends an event every few tens of milliseconds, so that a few hundred
-//! milliseconds without data are a reason to probe it. [`SilenceWatch`] says which engines to
+//! milliseconds without data are a reason to probe it. [`LivenessMonitor`] says which engines to
 //! probe, over a connection of the probe's own. An engine that does not answer the probe within a
 //! few round trips counts as unresponsive. It is probed again until it answers, and the other VMs
 //! are told both times.
@@ -54,22 +54,22 @@
 
 /// What the outcome of a probe shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Silence {
+pub enum ProbeOutcome {
     /// Nothing: the engine answered, or this VM may itself be cut off.
     None,
     /// The engine is unresponsive: it gets no requests, and those at it will not be answered.
-    Dark,
+    Unresponsive,
     /// The engine was unresponsive and answers again.
-    Over,
+    Responsive,
 }
 
 /// State of the engines at which this VM has requests in progress.
 #[derive(Debug, Default)]
-pub struct SilenceWatch {
+pub struct LivenessMonitor {
     by_name: HashMap<UpstreamName, EngineState>,
 }
 
-impl SilenceWatch {
+impl LivenessMonitor {
     /// Records that a request was sent to an engine.
     pub fn sent(&mut self, now_ms: u64, engine: &UpstreamName) {
         let state = self.by_name.entry(engine.clone()).or_default();
@@ -114,14 +114,14 @@
     }
 
     /// Returns whether an engine is unresponsive according to this VM's probes.
-    pub fn is_dark(&self, engine: &UpstreamName) -> bool {
+    pub fn is_unresponsive(&self, engine: &UpstreamName) -> bool {
         self.by_name
             .get(engine)
             .is_some_and(|it| it.is_unresponsive)
     }
 
     /// Returns the engines to probe now. Each is returned once until its probe is reported to
-    /// [`SilenceWatch::asked`].
+    /// [`LivenessMonitor::record_probe`].
     pub fn due(&mut self, now_ms: u64) -> Vec<UpstreamName> {
         self.by_name
             .iter_mut()
@@ -140,26 +140,31 @@
     }
 
     /// Records whether an engine answered its probe, and returns what that shows.
-    pub fn asked(&mut self, now_ms: u64, engine: &UpstreamName, answered: bool) -> Silence {
+    pub fn record_probe(
+        &mut self,
+        now_ms: u64,
+        engine: &UpstreamName,
+        answered: bool,
+    ) -> ProbeOutcome {
         let vm_is_cut_off = !answered && self.is_cut_off(now_ms);
         let Some(state) = self.by_name.get_mut(engine) else {
-            return Silence::None;
+            return ProbeOutcome::None;
         };
         state.probe_in_progress = false;
         if answered {
             state.next_probe_ms = now_ms + ANSWERED_PAUSE_MS;
             return match std::mem::take(&mut state.is_unresponsive) {
-                true => Silence::Over,
-                false => Silence::None,
+                true => ProbeOutcome::Responsive,
+                false => ProbeOutcome::None,
             };
         }
         state.next_probe_ms = now_ms + REPROBE_PAUSE_MS;
         // Data came while the probe was in progress: a packet was lost, the engine is responsive.
         if vm_is_cut_off || !state.is_silent(now_ms) {
-            return Silence::None;
+            return ProbeOutcome::None;
         }
         state.is_unresponsive = true;
-        Silence::Dark
+        ProbeOutcome::Unresponsive
     }
 
     /// Returns whether no data comes from most engines at which this VM has requests.
--- a/crates/dispatch/src/suspension.rs
+++ b/crates/dispatch/src/suspension.rs
@@ -26,7 +26,7 @@
 impl Suspensions {
     /// Suspends an upstream that refused a connection, for twice as long each time. Several refused
     /// connections within a suspension count as one. Returns whether it was not suspended before.
-    pub fn note_unreachable(&mut self, now_ms: u64, name: &UpstreamName) -> bool {
+    pub fn record_unreachable(&mut self, now_ms: u64, name: &UpstreamName) -> bool {
         let known = self.by_name.get(name).copied();
         if known.is_some_and(|known| now_ms < known.until_ms) {
             return false;
--- a/crates/dispatch/tests/engine_probes.rs
+++ b/crates/dispatch/tests/engine_probes.rs
@@ -1,8 +1,8 @@
 //! Probes of engines that stop sending data, and what their outcome shows.
 
 use apricotdale_core::names::UpstreamName;
-use apricotdale_dispatch::Silence;
-use apricotdale_dispatch::SilenceWatch;
+use apricotdale_dispatch::LivenessMonitor;
+use apricotdale_dispatch::ProbeOutcome;
 
 const SENT_MS: u64 = 1_000;
 
@@ -11,7 +11,7 @@
 }
 
 /// Records data from one engine every 30 ms until a time.
-fn send_events(watch: &mut SilenceWatch, engine: &UpstreamName, from_ms: u64, until_ms: u64) {
+fn send_events(watch: &mut LivenessMonitor, engine: &UpstreamName, from_ms: u64, until_ms: u64) {
     for at_ms in (from_ms..=until_ms).step_by(30) {
         watch.heard(at_ms, engine);
     }
@@ -22,33 +22,36 @@
 /// so that only the time since the last event shows it.
 #[test]
 fn silent_stream_probed() {
-    let mut watch = SilenceWatch::default();
+    let mut watch = LivenessMonitor::default();
     watch.sent(SENT_MS, &name(0));
     send_events(&mut watch, &name(0), SENT_MS, SENT_MS + 300);
     assert!(watch.due(SENT_MS + 500).is_empty());
     assert_eq!(watch.next_ms(), SENT_MS + 550);
     assert_eq!(watch.due(SENT_MS + 550), [name(0)]);
     assert!(watch.due(SENT_MS + 600).is_empty(), "it is asked once");
-    let shown = watch.asked(SENT_MS + 700, &name(0), false);
-    assert_eq!(shown, Silence::Dark);
-    assert!(watch.is_dark(&name(0)));
+    let shown = watch.record_probe(SENT_MS + 700, &name(0), false);
+    assert_eq!(shown, ProbeOutcome::Unresponsive);
+    assert!(watch.is_unresponsive(&name(0)));
 }
 
 #[test]
 fn long_prompt() {
-    let mut watch = SilenceWatch::default();
+    let mut watch = LivenessMonitor::default();
     watch.sent(SENT_MS, &name(0));
     assert!(watch.due(SENT_MS + 490).is_empty());
     assert_eq!(watch.due(SENT_MS + 500), [name(0)]);
     // The engine answers the probe: it works, however long the request waits.
-    assert_eq!(watch.asked(SENT_MS + 505, &name(0), true), Silence::None);
+    assert_eq!(
+        watch.record_probe(SENT_MS + 505, &name(0), true),
+        ProbeOutcome::None
+    );
     assert!(watch.due(SENT_MS + 1_900).is_empty());
-    assert!(!watch.is_dark(&name(0)));
+    assert!(!watch.is_unresponsive(&name(0)));
 }
 
 #[test]
 fn idle_engine() {
-    let mut watch = SilenceWatch::default();
+    let mut watch = LivenessMonitor::default();
     watch.sent(SENT_MS, &name(0));
     watch.ended(&name(0));
     assert_eq!(watch.next_ms(), u64::MAX);
@@ -57,18 +60,24 @@
 
 #[test]
 fn reprobe_until_answer() {
-    let mut watch = SilenceWatch::default();
+    let mut watch = LivenessMonitor::default();
     watch.sent(SENT_MS, &name(0));
     watch.due(SENT_MS + 500);
-    watch.asked(SENT_MS + 650, &name(0), false);
+    watch.record_probe(SENT_MS + 650, &name(0), false);
     watch.ended(&name(0));
     for round in 0..5 {
         let at_ms = SENT_MS + 1_000 + round * 500;
         assert_eq!(watch.due(at_ms), [name(0)]);
-        assert_eq!(watch.asked(at_ms + 150, &name(0), false), Silence::Dark);
+        assert_eq!(
+            watch.record_probe(at_ms + 150, &name(0), false),
+            ProbeOutcome::Unresponsive
+        );
     }
     assert_eq!(watch.due(SENT_MS + 5_000), [name(0)]);
-    assert_eq!(watch.asked(SENT_MS + 5_005, &name(0), true), Silence::Over);
+    assert_eq!(
+        watch.record_probe(SENT_MS + 5_005, &name(0), true),
+        ProbeOutcome::Responsive
+    );
     assert_eq!(watch.next_ms(), u64::MAX);
 }
 
@@ -76,14 +85,14 @@
 /// tell other VMs that all engines are unresponsive.
 #[test]
 fn cut_off_vm() {
-    let mut watch = SilenceWatch::default();
+    let mut watch = LivenessMonitor::default();
     for index in 0..5 {
         watch.sent(SENT_MS, &name(index));
     }
     assert_eq!(watch.due(SENT_MS + 600).len(), 5);
     for index in 0..5 {
-        let shown = watch.asked(SENT_MS + 750, &name(index), false);
-        assert_eq!(shown, Silence::None);
+        let shown = watch.record_probe(SENT_MS + 750, &name(index), false);
+        assert_eq!(shown, ProbeOutcome::None);
     }
     // Data comes from three of them again; the other two are unresponsive.
     for index in 0..3 {
@@ -93,7 +102,10 @@
     asked.sort();
     assert_eq!(asked, [name(3), name(4)]);
     for engine in asked {
-        assert_eq!(watch.asked(SENT_MS + 1_300, &engine, false), Silence::Dark);
+        assert_eq!(
+            watch.record_probe(SENT_MS + 1_300, &engine, false),
+            ProbeOutcome::Unresponsive
+        );
     }
 }
 
@@ -101,7 +113,7 @@
 /// were sending meanwhile: data that it had not read counted as not sent.
 #[test]
 fn process_pause() {
-    let mut watch = SilenceWatch::default();
+    let mut watch = LivenessMonitor::default();
     watch.sent(SENT_MS, &name(0));
     watch.heard(SENT_MS + 30, &name(0));
     watch.stood_still(SENT_MS + 4_000);
@@ -110,9 +122,12 @@
 
 #[test]
 fn event_during_probe() {
-    let mut watch = SilenceWatch::default();
+    let mut watch = LivenessMonitor::default();
     watch.sent(SENT_MS, &name(0));
     watch.due(SENT_MS + 500);
     watch.heard(SENT_MS + 600, &name(0));
-    assert_eq!(watch.asked(SENT_MS + 650, &name(0), false), Silence::None);
+    assert_eq!(
+        watch.record_probe(SENT_MS + 650, &name(0), false),
+        ProbeOutcome::None
+    );
 }
--- a/crates/dispatch/tests/retry_limits.rs
+++ b/crates/dispatch/tests/retry_limits.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-use apricotdale_dispatch::Attempt;
+use apricotdale_dispatch::DispatchDecision;
 use apricotdale_dispatch::Dispatcher;
 use apricotdale_dispatch::DispatcherOptions;
-use apricotdale_dispatch::FailedTry;
+use apricotdale_dispatch::FailedAttempt;
 use apricotdale_dispatch::Job;
-use apricotdale_dispatch::Verdict;
+use apricotdale_dispatch::RetryAction;
 use apricotdale_dispatch::WaitReason;
 use apricotdale_fleet::RouteKind;
 use rstest::rstest;
@@ -18,7 +18,7 @@
 use support::stream;
 
 /// Returns a job that was sent once and, if it may have run, counts one run.
-fn sent_job(job: Job, failed: FailedTry) -> Job {
+fn sent_job(job: Job, failed: FailedAttempt) -> Job {
     let runs = u32::from(!failed.is_not_run());
     Job {
         tried: vec!["p0".into()],
@@ -27,10 +27,10 @@
     }
 }
 
-fn is_retried(job: &Job, failed: FailedTry, begun: bool) -> bool {
+fn is_retried(job: &Job, failed: FailedAttempt, begun: bool) -> bool {
     matches!(
         dispatcher().after_failure(2_000, job, failed, begun),
-        Attempt::AgainAfterMs(_)
+        RetryAction::AfterMs(_)
     )
 }
 
@@ -39,13 +39,13 @@
 #[rstest]
 fn retryable_failures(
     #[values(
-        FailedTry::TurnedAway,
-        FailedTry::Misdirected,
-        FailedTry::NotSent,
-        FailedTry::Lost,
-        FailedTry::Failed
+        FailedAttempt::Rejected,
+        FailedAttempt::Misdirected,
+        FailedAttempt::NotSent,
+        FailedAttempt::Lost,
+        FailedAttempt::Failed
     )]
-    failed: FailedTry,
+    failed: FailedAttempt,
     #[values(
         RouteKind::Idempotent,
         RouteKind::NonIdempotent,
@@ -64,26 +64,26 @@
 fn earlier_run_counts() {
     let job = Job {
         runs: 1,
-        ..sent_job(call(RouteKind::NonIdempotent), FailedTry::TurnedAway)
+        ..sent_job(call(RouteKind::NonIdempotent), FailedAttempt::Rejected)
     };
-    assert!(!is_retried(&job, FailedTry::TurnedAway, false));
+    assert!(!is_retried(&job, FailedAttempt::Rejected, false));
 }
 
 #[test]
 fn attempt_limit() {
     let job = Job {
         runs: 2,
-        ..sent_job(call(RouteKind::Idempotent), FailedTry::Lost)
+        ..sent_job(call(RouteKind::Idempotent), FailedAttempt::Lost)
     };
-    assert!(!is_retried(&job, FailedTry::Lost, false));
+    assert!(!is_retried(&job, FailedAttempt::Lost, false));
 }
 
 #[rstest]
 #[case::resumable(true, true)]
 #[case::once(false, false)]
 fn begun_stream(#[case] resumable: bool, #[case] expected: bool) {
-    let job = sent_job(stream("m0", resumable), FailedTry::Lost);
-    assert_eq!(is_retried(&job, FailedTry::Lost, true), expected);
+    let job = sent_job(stream("m0", resumable), FailedAttempt::Lost);
+    assert_eq!(is_retried(&job, FailedAttempt::Lost, true), expected);
 }
 
 /// Guards against retries that multiply the load on the remaining instances in an outage. Retries
@@ -93,10 +93,10 @@
     let mut dispatcher = dispatcher();
     let mut repeated = 0;
     for _ in 0..200 {
-        let job = sent_job(call(RouteKind::Idempotent), FailedTry::Lost);
+        let job = sent_job(call(RouteKind::Idempotent), FailedAttempt::Lost);
         dispatcher.arrived(2_000, &job);
-        let attempt = dispatcher.after_failure(2_000, &job, FailedTry::Lost, false);
-        repeated += u32::from(attempt != Attempt::GiveUp);
+        let attempt = dispatcher.after_failure(2_000, &job, FailedAttempt::Lost, false);
+        repeated += u32::from(attempt != RetryAction::GiveUp);
     }
     assert!((20..=40).contains(&repeated), "{repeated}");
 }
@@ -105,9 +105,9 @@
 fn deadline_before_retry() {
     let job = Job {
         deadline_ms: 2_020,
-        ..sent_job(call(RouteKind::Idempotent), FailedTry::Lost)
+        ..sent_job(call(RouteKind::Idempotent), FailedAttempt::Lost)
     };
-    assert!(!is_retried(&job, FailedTry::Lost, false));
+    assert!(!is_retried(&job, FailedAttempt::Lost, false));
 }
 
 /// Guards against exceeding the operators' limit on retries when engines reject many requests.
@@ -132,15 +132,15 @@
             dispatcher.set_vms(vms);
             let job = Job {
                 deadline_ms: at_ms + 5_000,
-                ..sent_job(call(RouteKind::Idempotent), FailedTry::TurnedAway)
+                ..sent_job(call(RouteKind::Idempotent), FailedAttempt::Rejected)
             };
             // Each VM gets one request a second, of which every send fails.
             if at_ms % 1_000 == 0 {
                 dispatcher.arrived(at_ms, &job);
                 asked += 1.0;
             }
-            let attempt = dispatcher.after_failure(at_ms, &job, FailedTry::TurnedAway, false);
-            repeated += f64::from(u8::from(matches!(attempt, Attempt::AgainAfterMs(_))));
+            let attempt = dispatcher.after_failure(at_ms, &job, FailedAttempt::Rejected, false);
+            repeated += f64::from(u8::from(matches!(attempt, RetryAction::AfterMs(_))));
         }
     }
     let bound = 0.2 * asked + spare_repeats;
@@ -157,36 +157,37 @@
 fn wait_for_budget() {
     let directory = directory(&[]);
     let mut dispatcher = dispatcher();
-    let job = sent_job(call(RouteKind::NonIdempotent), FailedTry::TurnedAway);
+    let job = sent_job(call(RouteKind::NonIdempotent), FailedAttempt::Rejected);
     let attempts = std::iter::repeat_with(|| {
-        dispatcher.after_failure(2_000, &job, FailedTry::TurnedAway, false)
+        dispatcher.after_failure(2_000, &job, FailedAttempt::Rejected, false)
     });
     let first_spent = attempts
         .take(100)
-        .find(|it| !matches!(it, Attempt::AgainAfterMs(_)));
-    assert_eq!(first_spent, Some(Attempt::OnceAllowed));
+        .find(|it| !matches!(it, RetryAction::AfterMs(_)));
+    assert_eq!(first_spent, Some(RetryAction::OnceBudgetAllows));
     let job_awaiting_retry = Job {
-        owes_repeat: true,
+        awaits_retry_budget: true,
         ..job.clone()
     };
     let spent = dispatcher.decide(2_000, &directory, &job_awaiting_retry);
-    assert_eq!(spent, Verdict::Wait(WaitReason::Budget));
+    assert_eq!(spent, DispatchDecision::Wait(WaitReason::Budget));
     for _ in 0..20 {
         dispatcher.arrived(2_000, &job);
     }
     let earned = dispatcher.decide(2_000, &directory, &job_awaiting_retry);
-    assert!(matches!(earned, Verdict::Send(_)), "{earned:?}");
+    assert!(matches!(earned, DispatchDecision::Send(_)), "{earned:?}");
 }
 
 /// Guards against keeping a request that may have run waiting for a retry that may never come.
 #[test]
 fn lost_request_fails() {
     let mut dispatcher = dispatcher();
-    let job = sent_job(call(RouteKind::Idempotent), FailedTry::Lost);
-    let attempts =
-        std::iter::repeat_with(|| dispatcher.after_failure(2_000, &job, FailedTry::Lost, false));
+    let job = sent_job(call(RouteKind::Idempotent), FailedAttempt::Lost);
+    let attempts = std::iter::repeat_with(|| {
+        dispatcher.after_failure(2_000, &job, FailedAttempt::Lost, false)
+    });
     let first_spent = attempts
         .take(100)
-        .find(|it| !matches!(it, Attempt::AgainAfterMs(_)));
-    assert_eq!(first_spent, Some(Attempt::GiveUp));
+        .find(|it| !matches!(it, RetryAction::AfterMs(_)));
+    assert_eq!(first_spent, Some(RetryAction::GiveUp));
 }
--- a/crates/dispatch/tests/send_decisions.rs
+++ b/crates/dispatch/tests/send_decisions.rs
@@ -7,10 +7,10 @@
 use apricotdale_core::policy::UpstreamOutcome;
 use apricotdale_core::refusal::Ran;
 use apricotdale_core::refusal::Refusal;
+use apricotdale_dispatch::DispatchDecision;
 use apricotdale_dispatch::Job;
 use apricotdale_dispatch::LoadForecast;
 use apricotdale_dispatch::LoadSample;
-use apricotdale_dispatch::Verdict;
 use apricotdale_dispatch::WaitReason;
 use apricotdale_fleet::RouteKind;
 use apricotdale_fleet::WantedModel;
@@ -28,7 +28,7 @@
     let mut dispatcher = dispatcher();
     for _ in 0..20 {
         let verdict = dispatcher.decide(1_000, &directory, &stream("m1", false));
-        assert_eq!(verdict, Verdict::Send(UpstreamName::from("e1")));
+        assert_eq!(verdict, DispatchDecision::Send(UpstreamName::from("e1")));
     }
 }
 
@@ -43,7 +43,7 @@
     });
     let mut dispatcher = dispatcher();
     let verdict = dispatcher.decide(1_000, &directory, &job);
-    assert_eq!(verdict, Verdict::Wait(WaitReason::Missing));
+    assert_eq!(verdict, DispatchDecision::Wait(WaitReason::Missing));
     let engine = directory
         .upstream_mut(&UpstreamName::from("e0"))
         .expect("listed");
@@ -51,7 +51,7 @@
         .residence
         .note_adapter(&ModelName::from("m0"), &adapter);
     let verdict = dispatcher.decide(1_000, &directory, &job);
-    assert_eq!(verdict, Verdict::Send(UpstreamName::from("e0")));
+    assert_eq!(verdict, DispatchDecision::Send(UpstreamName::from("e0")));
 }
 
 /// Guards against requests that queue at a full engine while another has free slots: the VM sends
@@ -76,7 +76,7 @@
     for _ in 0..own {
         dispatcher.sent(1_000, &job, &engine);
     }
-    let full = Verdict::Wait(WaitReason::Crowded);
+    let full = DispatchDecision::Wait(WaitReason::Crowded);
     assert_eq!(dispatcher.decide(1_001, &directory, &job), full);
     if own > 0 {
         dispatcher.ended(
@@ -88,7 +88,7 @@
         );
         assert_eq!(
             dispatcher.decide(1_003, &directory, &job),
-            Verdict::Send(engine)
+            DispatchDecision::Send(engine)
         );
     }
 }
@@ -108,11 +108,11 @@
     dispatcher.reported(1_000, &job.service, &engine, sample);
     assert_eq!(
         dispatcher.decide(1_100, &directory, &job),
-        Verdict::Wait(WaitReason::Crowded)
+        DispatchDecision::Wait(WaitReason::Crowded)
     );
     assert_eq!(
         dispatcher.decide(2_600, &directory, &job),
-        Verdict::Send(engine)
+        DispatchDecision::Send(engine)
     );
 }
 
@@ -121,7 +121,7 @@
     let directory = directory(&[("e0", "a", &["m0"])]);
     let mut dispatcher = dispatcher();
     let verdict = dispatcher.decide(1_000, &directory, &stream("m2", false));
-    assert_eq!(verdict, Verdict::Wait(WaitReason::Missing));
+    assert_eq!(verdict, DispatchDecision::Wait(WaitReason::Missing));
 }
 
 /// Guards against holding a request until its deadline whose model can't be loaded in time: it is
@@ -133,9 +133,9 @@
     let forecast = LoadForecast {
         ready_ms: Some(5_900),
     };
-    dispatcher.note_forecast(1_000, ModelName::from("m2"), forecast);
+    dispatcher.record_forecast(1_000, ModelName::from("m2"), forecast);
     match dispatcher.decide(1_000, &directory, &stream("m2", false)) {
-        Verdict::Refuse(refusal) => assert_eq!(refusal.ran, Ran::NotRun),
+        DispatchDecision::Refuse(refusal) => assert_eq!(refusal.ran, Ran::NotRun),
         other => panic!("{other:?}"),
     }
 }
@@ -147,23 +147,25 @@
     let forecast = LoadForecast {
         ready_ms: Some(4_000),
     };
-    dispatcher.note_forecast(1_000, ModelName::from("m2"), forecast);
+    dispatcher.record_forecast(1_000, ModelName::from("m2"), forecast);
     let verdict = dispatcher.decide(1_000, &directory, &stream("m2", false));
-    assert_eq!(verdict, Verdict::Wait(WaitReason::Missing));
+    assert_eq!(verdict, DispatchDecision::Wait(WaitReason::Missing));
 }
 
 #[test]
 fn unconfigured_model() {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let verdict = dispatcher().decide(1_000, &directory, &stream("other", false));
-    assert!(matches!(verdict, Verdict::Refuse(refusal) if refusal.retry_after_ms.is_none()));
+    assert!(
+        matches!(verdict, DispatchDecision::Refuse(refusal) if refusal.retry_after_ms.is_none())
+    );
 }
 
 #[test]
 fn deadline_reached() {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let verdict = dispatcher().decide(5_990, &directory, &stream("m0", false));
-    assert!(matches!(verdict, Verdict::Refuse(refusal) if refusal.ran == Ran::NotRun));
+    assert!(matches!(verdict, DispatchDecision::Refuse(refusal) if refusal.ran == Ran::NotRun));
 }
 
 /// Guards against a refusal that says "not run" after a send that may have run.
@@ -178,7 +180,7 @@
     let forecast = LoadForecast {
         ready_ms: Some(5_900),
     };
-    dispatcher.note_forecast(now_ms, ModelName::from("m2"), forecast);
+    dispatcher.record_forecast(now_ms, ModelName::from("m2"), forecast);
     let job = Job {
         runs: 1,
         ..stream(model, true)
@@ -187,7 +189,7 @@
     let claims_to_know =
         |refusal: &Refusal| refusal.ran != Ran::Unknown || refusal.retry_after_ms.is_some();
     assert!(
-        matches!(&verdict, Verdict::Refuse(refusal) if !claims_to_know(refusal)),
+        matches!(&verdict, DispatchDecision::Refuse(refusal) if !claims_to_know(refusal)),
         "{verdict:?}"
     );
 }
@@ -199,7 +201,7 @@
     let job = call(RouteKind::Idempotent);
     let mut chosen = std::collections::BTreeSet::new();
     for _ in 0..4 {
-        if let Verdict::Send(upstream) = dispatcher.decide(1_000, &directory, &job) {
+        if let DispatchDecision::Send(upstream) = dispatcher.decide(1_000, &directory, &job) {
             dispatcher.sent(1_000, &job, &upstream);
             chosen.insert(upstream.to_string());
         }
@@ -214,16 +216,16 @@
     let directory = directory(&[("e0", "a", &["m0"])]);
     let mut dispatcher = dispatcher();
     let engine = UpstreamName::from("e0");
-    assert!(dispatcher.note_unreachable(1_000, &engine));
-    assert!(!dispatcher.note_unreachable(1_001, &engine));
+    assert!(dispatcher.record_unreachable(1_000, &engine));
+    assert!(!dispatcher.record_unreachable(1_001, &engine));
     let job = stream("m0", false);
-    let missing = Verdict::Wait(WaitReason::Missing);
+    let missing = DispatchDecision::Wait(WaitReason::Missing);
     assert_eq!(dispatcher.decide(1_100, &directory, &job), missing);
     assert_eq!(
         dispatcher.decide(1_500, &directory, &job),
-        Verdict::Send(engine.clone())
+        DispatchDecision::Send(engine.clone())
     );
-    dispatcher.note_unreachable(1_500, &engine);
+    dispatcher.record_unreachable(1_500, &engine);
     assert_eq!(dispatcher.decide(2_400, &directory, &job), missing);
     dispatcher.ended(
         2_400,
@@ -234,7 +236,7 @@
     );
     assert_eq!(
         dispatcher.decide(2_401, &directory, &job),
-        Verdict::Send(engine)
+        DispatchDecision::Send(engine)
     );
 }
 
@@ -243,8 +245,8 @@
     let directory = directory(&[]);
     let mut dispatcher = dispatcher();
     for name in ["p0", "p1"] {
-        dispatcher.note_unreachable(1_000, &UpstreamName::from(name));
+        dispatcher.record_unreachable(1_000, &UpstreamName::from(name));
     }
     let verdict = dispatcher.decide(1_001, &directory, &call(RouteKind::Idempotent));
-    assert!(matches!(verdict, Verdict::Send(_)));
+    assert!(matches!(verdict, DispatchDecision::Send(_)));
 }
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -117,7 +117,7 @@
         expected_run_ms: 500,
         tried: Vec::new(),
         runs: 0,
-        owes_repeat: false,
+        awaits_retry_budget: false,
     }
 }
 
--- a/crates/entry/src/answering.rs
+++ b/crates/entry/src/answering.rs
@@ -3,8 +3,8 @@
 use apricotdale_core::names::RequestId;
 use apricotdale_core::policy::UpstreamOutcome;
 use apricotdale_delivery::Misfit;
-use apricotdale_dispatch::Attempt;
-use apricotdale_dispatch::FailedTry;
+use apricotdale_dispatch::FailedAttempt;
+use apricotdale_dispatch::RetryAction;
 use apricotdale_http1::ResponseHead;
 use mio::Token;
 
@@ -30,7 +30,7 @@
     /// It answers another request; this request's own may follow.
     Skip,
     /// The try has failed.
-    Fail(FailedTry),
+    Fail(FailedAttempt),
     /// It is the request's own, and does not fit behind what the caller has been given.
     Misfit(Misfit),
 }
@@ -138,7 +138,7 @@
             HeadVerdict::Take => {}
             HeadVerdict::Skip => self.metrics.failed_try("crossed_answer"),
             HeadVerdict::Fail(failed) => {
-                if failed == FailedTry::Misdirected {
+                if failed == FailedAttempt::Misdirected {
                     self.note_misdirected(key, &fields);
                 }
                 match failed.is_not_run() {
@@ -184,7 +184,7 @@
             Misfit::Unfinished | Misfit::Empty => {}
             _ => self.leave(token),
         }
-        self.try_failed(key, FailedTry::Misfit);
+        self.try_failed(key, FailedAttempt::Misfit);
     }
 
     /// Logs that an upstream answers a request of which the caller already has a part.
@@ -320,15 +320,15 @@
         request.job.runs += 1;
         let attempt =
             self.dispatcher
-                .after_failure(self.now_ms, &request.job, FailedTry::Failed, false);
+                .after_failure(self.now_ms, &request.job, FailedAttempt::Failed, false);
         match attempt {
-            Attempt::AgainAfterMs(pause_ms) => {
-                self.metrics.failed_try(FailedTry::Failed.as_str());
+            RetryAction::AfterMs(pause_ms) => {
+                self.metrics.failed_try(FailedAttempt::Failed.as_str());
                 self.end_try(key, UpstreamOutcome::Lost);
                 self.pause(key, pause_ms);
                 true
             }
-            Attempt::OnceAllowed | Attempt::GiveUp => false,
+            RetryAction::OnceBudgetAllows | RetryAction::GiveUp => false,
         }
     }
 
@@ -369,12 +369,12 @@
     let success = (200..300).contains(&head.status);
     match &fields.request {
         Some(other) if other != id => HeadVerdict::Skip,
-        _ if fields.misdirected => HeadVerdict::Fail(FailedTry::Misdirected),
-        _ if fields.not_run => HeadVerdict::Fail(FailedTry::TurnedAway),
+        _ if fields.misdirected => HeadVerdict::Fail(FailedAttempt::Misdirected),
+        _ if fields.not_run => HeadVerdict::Fail(FailedAttempt::Rejected),
         // Without the identity or the signature it may be anybody's answer.
-        None => HeadVerdict::Fail(FailedTry::Lost),
-        Some(_) if !fields.signed || fields.encoded => HeadVerdict::Fail(FailedTry::Lost),
+        None => HeadVerdict::Fail(FailedAttempt::Lost),
+        Some(_) if !fields.signed || fields.encoded => HeadVerdict::Fail(FailedAttempt::Lost),
         Some(_) if success || head.status >= 400 => HeadVerdict::Take,
-        Some(_) => HeadVerdict::Fail(FailedTry::Lost),
+        Some(_) => HeadVerdict::Fail(FailedAttempt::Lost),
     }
 }
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -67,7 +67,7 @@
         let Some(request) = self.active.get(key) else {
             return;
         };
-        if !is_serving || self.watch.is_dark(upstream) {
+        if !is_serving || self.watch.is_unresponsive(upstream) {
             return;
         }
         self.crash_watch.note_lost(
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -11,7 +11,7 @@
 use apricotdale_core::names::VmName;
 use apricotdale_dispatch::Dispatcher;
 use apricotdale_dispatch::DispatcherOptions;
-use apricotdale_dispatch::SilenceWatch;
+use apricotdale_dispatch::LivenessMonitor;
 use apricotdale_fleet::Directory;
 use apricotdale_fleet::DirectoryOptions;
 use apricotdale_fleet::ReadPacing;
@@ -101,7 +101,7 @@
     pub(crate) active: ActiveRequests,
     pub(crate) directory: Directory,
     pub(crate) dispatcher: Dispatcher,
-    pub(crate) watch: SilenceWatch,
+    pub(crate) watch: LivenessMonitor,
     pub(crate) crash_watch: CrashWatch,
     pub(crate) block_store: BlockStore,
     pub(crate) limits: Limits,
@@ -192,7 +192,7 @@
             active: ActiveRequests::default(),
             directory: Directory::new(DirectoryOptions::default()),
             dispatcher: Dispatcher::new(options),
-            watch: SilenceWatch::default(),
+            watch: LivenessMonitor::default(),
             crash_watch,
             block_store: BlockStore::default(),
             limits: Limits::new(run, settings.limit_bounds),
--- a/crates/entry/src/failing.rs
+++ b/crates/entry/src/failing.rs
@@ -4,8 +4,8 @@
 use apricotdale_core::policy::UpstreamOutcome;
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
-use apricotdale_dispatch::Attempt;
-use apricotdale_dispatch::FailedTry;
+use apricotdale_dispatch::FailedAttempt;
+use apricotdale_dispatch::RetryAction;
 use mio::Token;
 
 use crate::active::Phase;
@@ -83,9 +83,9 @@
             .get_mut(token)
             .is_some_and(|it| it.stream.refused);
         let failed = if sent {
-            FailedTry::Lost
+            FailedAttempt::Lost
         } else {
-            FailedTry::NotSent
+            FailedAttempt::NotSent
         };
         if let Some(peer) = self.outbound.get_mut(token).map(|it| it.peer.clone()) {
             self.outbound.close(token, self.poll.registry());
@@ -107,12 +107,14 @@
     }
 
     /// Decides what becomes of a request whose try brought no answer.
-    pub(crate) fn try_failed(&mut self, key: u64, failed: FailedTry) {
+    pub(crate) fn try_failed(&mut self, key: u64, failed: FailedAttempt) {
         self.metrics.failed_try(failed.as_str());
         let outcome = match failed {
-            FailedTry::TurnedAway | FailedTry::Misdirected => UpstreamOutcome::Refused,
-            FailedTry::NotSent => UpstreamOutcome::Unreachable,
-            FailedTry::Lost | FailedTry::Failed | FailedTry::Misfit => UpstreamOutcome::Lost,
+            FailedAttempt::Rejected | FailedAttempt::Misdirected => UpstreamOutcome::Refused,
+            FailedAttempt::NotSent => UpstreamOutcome::Unreachable,
+            FailedAttempt::Lost | FailedAttempt::Failed | FailedAttempt::Misfit => {
+                UpstreamOutcome::Lost
+            }
         };
         self.end_try(key, outcome);
         self.log_failed_try(key, failed);
@@ -129,27 +131,27 @@
             true => self
                 .dispatcher
                 .after_failure(self.now_ms, &request.job, failed, has_begun),
-            false => Attempt::GiveUp,
+            false => RetryAction::GiveUp,
         };
         match attempt {
-            Attempt::AgainAfterMs(pause_ms) => self.pause(key, pause_ms),
-            Attempt::OnceAllowed => {
-                request.job.owes_repeat = true;
+            RetryAction::AfterMs(pause_ms) => self.pause(key, pause_ms),
+            RetryAction::OnceBudgetAllows => {
+                request.job.awaits_retry_budget = true;
                 self.pause(key, BUDGET_PAUSE_MS);
             }
-            Attempt::GiveUp => self.give_up(key, failed),
+            RetryAction::GiveUp => self.give_up(key, failed),
         }
     }
 
     /// Takes in that an upstream refused a connection or did not take one in time.
     pub(crate) fn upstream_unreachable(&mut self, upstream: &UpstreamName) {
-        if self.dispatcher.note_unreachable(self.now_ms, upstream) {
+        if self.dispatcher.record_unreachable(self.now_ms, upstream) {
             log::info!(upstream = upstream.to_string(); "upstream not reached");
             self.look_again = true;
         }
     }
 
-    fn log_failed_try(&mut self, key: u64, failed: FailedTry) {
+    fn log_failed_try(&mut self, key: u64, failed: FailedAttempt) {
         if !self.lines.take(self.now_ms, false) {
             return;
         }
@@ -177,14 +179,14 @@
         }
     }
 
-    fn give_up(&mut self, key: u64, failed: FailedTry) {
+    fn give_up(&mut self, key: u64, failed: FailedAttempt) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
         let refusal = match request.job.runs {
             0 => {
                 let reason = match failed {
-                    FailedTry::NotSent => RefusalReason::NotReady,
+                    FailedAttempt::NotSent => RefusalReason::NotReady,
                     _ => RefusalReason::NoCapacity,
                 };
                 let detail = "no upstream took the request";
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -70,12 +70,12 @@
     /// What engines hold.
     News(Vec<ResidenceNews>),
     /// An engine turned a request away because it does not hold the model.
-    TurnedAway {
+    Rejected {
         engine: UpstreamName,
         model: ModelName,
     },
     /// An engine with requests in progress does not answer.
-    Dark(UpstreamName),
+    Unresponsive(UpstreamName),
     /// Such an engine answers again.
     Lit(UpstreamName),
     /// The giver of orders has given the lease back.
--- a/crates/entry/src/serving.rs
+++ b/crates/entry/src/serving.rs
@@ -9,8 +9,8 @@
 use apricotdale_core::refusal::RefusalReason;
 use apricotdale_delivery::Delivery;
 use apricotdale_delivery::Options as DeliveryOptions;
+use apricotdale_dispatch::DispatchDecision;
 use apricotdale_dispatch::Job;
-use apricotdale_dispatch::Verdict;
 use apricotdale_dispatch::WaitReason;
 use apricotdale_fleet::Route;
 use apricotdale_fleet::ServingRequest;
@@ -218,7 +218,7 @@
             expected_run_ms,
             tried: Vec::new(),
             runs: 0,
-            owes_repeat: false,
+            awaits_retry_budget: false,
         }
     }
 
@@ -274,16 +274,16 @@
             .dispatcher
             .decide(self.now_ms, &self.directory, &request.job)
         {
-            Verdict::Send(upstream) => self.send_if_permitted(key, upstream),
-            Verdict::Wait(WaitReason::Budget) => self.pause(key, BUDGET_PAUSE_MS),
-            Verdict::Wait(reason) => {
+            DispatchDecision::Send(upstream) => self.send_if_permitted(key, upstream),
+            DispatchDecision::Wait(WaitReason::Budget) => self.pause(key, BUDGET_PAUSE_MS),
+            DispatchDecision::Wait(reason) => {
                 let news = request.phase != Phase::Waiting(reason);
                 request.phase = Phase::Waiting(reason);
                 if news && reason == WaitReason::Missing {
                     self.peers.tell_demand_soon();
                 }
             }
-            Verdict::Refuse(refusal) => self.refuse(key, &refusal),
+            DispatchDecision::Refuse(refusal) => self.refuse(key, &refusal),
         }
     }
 
@@ -339,7 +339,7 @@
             .callers
             .forward(&request.head, &request.body, &fields);
         request.job.tried.push(name.clone());
-        request.job.owes_repeat = false;
+        request.job.awaits_retry_budget = false;
         request.delivery.begin_run();
         request.phase = Phase::Sent {
             connection: token,
--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -142,8 +142,8 @@
             }
             PeerMessage::Entries { read_to, entries } => self.take_told_entries(read_to, entries),
             PeerMessage::News(news) => self.take_news(news),
-            PeerMessage::TurnedAway { engine, model } => self.engine_lacks(&engine, &model),
-            PeerMessage::Dark(engine) => self.told_dark(&engine),
+            PeerMessage::Rejected { engine, model } => self.engine_lacks(&engine, &model),
+            PeerMessage::Unresponsive(engine) => self.told_dark(&engine),
             PeerMessage::Lit(engine) => self.engine_lit(&engine),
             PeerMessage::Released {
                 lease_end,
@@ -177,7 +177,7 @@
         if self.ordering.held_lease_end(self.now_ms).is_some() {
             self.engine_lacks(engine, model);
         } else if let Some((_, address, _)) = self.peers.holder {
-            let message = PeerMessage::TurnedAway {
+            let message = PeerMessage::Rejected {
                 engine: engine.clone(),
                 model: model.clone(),
             };
@@ -279,7 +279,7 @@
         for row in forecasts {
             let ready_ms = row.ready_in_ms.map(|in_ms| now_ms + in_ms);
             self.dispatcher
-                .note_forecast(now_ms, row.model, LoadForecast { ready_ms });
+                .record_forecast(now_ms, row.model, LoadForecast { ready_ms });
         }
         self.look_again = true;
     }
--- a/crates/entry/src/watching.rs
+++ b/crates/entry/src/watching.rs
@@ -1,7 +1,7 @@
 //! Engines that fall silent: they are asked, and what that shows is acted on and told.
 
 use apricotdale_core::names::UpstreamName;
-use apricotdale_dispatch::Silence;
+use apricotdale_dispatch::ProbeOutcome;
 
 use crate::calling::CallTag;
 use crate::daemon::Daemon;
@@ -42,13 +42,14 @@
     /// not dark: it has only as many as it accepts. Taken for dark, full engines lost the requests
     /// that they were working on.
     pub(crate) fn look_ended(&mut self, engine: &UpstreamName, answered: bool) {
-        match self.watch.asked(self.now_ms, engine, answered) {
-            Silence::None => {}
-            Silence::Dark => {
-                self.peers.send_all(&PeerMessage::Dark(engine.clone()));
+        match self.watch.record_probe(self.now_ms, engine, answered) {
+            ProbeOutcome::None => {}
+            ProbeOutcome::Unresponsive => {
+                self.peers
+                    .send_all(&PeerMessage::Unresponsive(engine.clone()));
                 self.engine_dark(engine, "asked");
             }
-            Silence::Over => {
+            ProbeOutcome::Responsive => {
                 self.peers.send_all(&PeerMessage::Lit(engine.clone()));
                 self.engine_lit(engine);
             }
