--- a/crates/delivery/src/delivery.rs
+++ b/crates/delivery/src/delivery.rs
@@ -1,4 +1,4 @@
-//! The answer to one request, written part by part.
+//! The answer to one request, written to the caller part by part.
 
 use apricotdale_http1::ResponseHead;
 use apricotdale_http1::append_chunk;
@@ -14,258 +14,266 @@
 use crate::splitter::EventSplitter;
 use crate::splitter::Piece;
 
-/// The largest body that is held back until it is whole. A larger one goes out in parts.
-const HELD_BYTES: usize = 1024 * 1024;
+/// Largest body that is buffered until it is complete. A larger one is sent in parts.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// What the caller has been given.
+/// What the caller has received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Given {
+enum Delivered {
     Nothing,
     /// A head, and events up to a position.
     Events,
-    /// A head, and part of a body that is no stream of events.
+    /// A head, and part of a body that is no event stream.
     Body,
-    /// All of an answer.
-    Whole,
-    /// Part of an answer that was broken off.
-    Broken,
+    /// A complete answer.
+    Complete,
+    /// Part of an answer whose connection was aborted.
+    Aborted,
 }
 
-/// The answer of the upstream that was asked last.
+/// Answer of the upstream to which the request was sent last.
 #[derive(Clone, Debug)]
-enum Run {
-    /// Its head has not come.
+enum UpstreamAnswer {
+    /// Its head has not arrived.
     Awaited,
     Events(Events),
-    /// Its body, as far as it is held back.
+    /// Its body, as far as it is buffered.
     Body(Vec<u8>),
-    /// One of its events did not fit.
-    Refused(Misfit),
+    /// One of its events can't continue what the caller has received.
+    Mismatched(Misfit),
 }
 
 #[derive(Clone, Debug, Default)]
 struct Events {
     splitter: EventSplitter,
-    /// Whether it goes on behind another upstream's events.
-    goes_on: bool,
+    /// Whether it continues another upstream's events.
+    continues: bool,
+    /// Whether an event with content has been forwarded.
     has_event: bool,
-    /// The fields of the event in progress.
+    /// Fields of the event in progress.
     reader: FieldReader,
 }
 
-/// `Closing` is how an answer ends that no upstream ends.
+/// How an answer ends that no upstream completes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Closing {
-    /// The caller gets these bytes, a whole answer.
+    /// The caller gets these bytes, which are a complete answer.
     Answer(Vec<u8>),
-    /// The caller's connection is broken, so that the part it has does not look whole.
+    /// The caller's connection is aborted, so that the part that it has received does not look
+    /// complete.
     Abort,
 }
 
-/// `Delivery` is the answer to one request, as far as the caller has been given it.
+/// Answer to one request, and how much of it the caller has received.
 #[derive(Clone, Debug)]
 pub struct Delivery {
     options: Options,
-    given: Given,
+    delivered: Delivered,
     position: Position,
-    /// The head of the answer that is given, or of the one that would be.
+    /// Head of the answer that the caller receives, or of the one buffered for it.
     head: Option<ResponseHead>,
-    run: Run,
+    answer: UpstreamAnswer,
 }
 
 impl Delivery {
-    /// Returns the delivery of an answer of which nothing has been given.
+    /// Returns a delivery of which the caller has received nothing.
     pub fn new(options: Options) -> Self {
         Self {
-            given: Given::Nothing,
+            delivered: Delivered::Nothing,
             position: Position::start(&options),
             head: None,
-            run: Run::Awaited,
+            answer: UpstreamAnswer::Awaited,
             options,
         }
     }
 
-    /// Returns whether the caller has been given a part.
+    /// Returns whether the caller has received any part.
     pub fn has_begun(&self) -> bool {
-        self.given != Given::Nothing
+        self.delivered != Delivered::Nothing
     }
 
-    /// Returns whether another upstream's answer may follow what was given.
+    /// Returns whether another upstream's answer may continue what the caller has received.
     pub fn may_go_on(&self) -> bool {
-        match self.given {
-            Given::Nothing => true,
-            Given::Events => self.options.is_resumable && self.position.is_known(),
-            Given::Body | Given::Whole | Given::Broken => false,
+        match self.delivered {
+            Delivered::Nothing => true,
+            Delivered::Events => self.options.is_resumable && self.position.is_known(),
+            Delivered::Body | Delivered::Complete | Delivered::Aborted => false,
         }
     }
 
-    /// Returns the event behind which an upstream that is asked now has to go on.
+    /// Returns the ID of the event after which an upstream has to resume the stream if the request
+    /// is sent now, or `None` if the stream starts at its first event.
     pub fn last_event(&self) -> Option<u64> {
         self.position.last_id()
     }
 
-    /// Returns the status of the answer in progress; none until its head has come.
+    /// Returns the status of the answer in progress, or `None` until its head has arrived.
     pub fn status(&self) -> Option<u16> {
-        match self.run {
-            Run::Awaited => None,
-            Run::Events(_) | Run::Body(_) | Run::Refused(_) => {
+        match self.answer {
+            UpstreamAnswer::Awaited => None,
+            UpstreamAnswer::Events(_) | UpstreamAnswer::Body(_) | UpstreamAnswer::Mismatched(_) => {
                 self.head.as_ref().map(|head| head.status)
             }
         }
     }
 
-    /// Begins with the answer of another upstream. What is held back of the one before is dropped.
+    /// Begins with the answer of another upstream, and drops what is buffered of the previous one.
     pub fn begin_run(&mut self) {
-        self.run = Run::Awaited;
-        if self.given == Given::Nothing {
+        self.answer = UpstreamAnswer::Awaited;
+        if self.delivered == Delivered::Nothing {
             self.head = None;
             self.position = Position::start(&self.options);
         }
     }
 
-    /// Takes in the head of the upstream's answer and the version of the weights that it names.
+    /// Handles the head of the upstream's answer and the version of the model's weights that it
+    /// names.
     ///
     /// # Errors
     ///
-    /// Any [`Misfit`] by which the answer can't follow what was given.
+    /// Returns the [`Misfit`] because of which the answer can't continue what the
+    /// caller has received.
     pub fn head(&mut self, head: ResponseHead, version: Option<u64>) -> Result<(), Misfit> {
         let is_success = (200..300).contains(&head.status);
-        let is_events = self.options.is_stream && is_success && has_events(&head);
-        match (self.given, &self.head) {
-            // The caller has events already.
-            (Given::Nothing, _) if is_success && !is_events && self.is_resumed() => {
+        let is_events = self.options.is_stream && is_success && is_event_stream(&head);
+        match (self.delivered, &self.head) {
+            // The caller has events from an earlier answer, which only events can continue.
+            (Delivered::Nothing, _) if is_success && !is_events && self.caller_resumes() => {
                 return Err(Misfit::ContentType);
             }
-            (Given::Nothing, _) => {}
-            (Given::Events, _) if !self.may_go_on() => return Err(Misfit::Closed),
-            (Given::Events, Some(first)) if first.status != head.status => {
+            (Delivered::Nothing, _) => {}
+            (Delivered::Events, _) if !self.may_go_on() => return Err(Misfit::Closed),
+            (Delivered::Events, Some(first)) if first.status != head.status => {
                 return Err(Misfit::Status);
             }
-            (Given::Events, _) if !is_events => return Err(Misfit::ContentType),
-            (Given::Events, _) => {}
-            (Given::Body | Given::Whole | Given::Broken, _) => return Err(Misfit::Closed),
+            (Delivered::Events, _) if !is_events => return Err(Misfit::ContentType),
+            (Delivered::Events, _) => {}
+            (Delivered::Body | Delivered::Complete | Delivered::Aborted, _) => {
+                return Err(Misfit::Closed);
+            }
         }
         self.position.set_version(version)?;
-        self.run = match is_events {
-            true => Run::Events(Events {
-                goes_on: self.given == Given::Events,
+        self.answer = match is_events {
+            true => UpstreamAnswer::Events(Events {
+                continues: self.delivered == Delivered::Events,
                 ..Events::default()
             }),
-            false => Run::Body(Vec::new()),
+            false => UpstreamAnswer::Body(Vec::new()),
         };
-        if self.given == Given::Nothing {
+        if self.delivered == Delivered::Nothing {
             self.head = Some(head);
         }
         Ok(())
     }
 
-    /// Takes in bytes of the body, and appends what the caller is given now to `out`. `closes` says
-    /// whether the caller's connection ends after the answer.
+    /// Handles bytes of the body, and appends what the caller receives now to `out`. `closes` says
+    /// whether the caller's connection is closed after the answer.
     ///
     /// # Errors
     ///
-    /// [`Misfit`] for the first event that does not follow the one before. Those before it are
-    /// appended all the same, and nothing behind it. [`Misfit::Closed`] behind the end of the
-    /// answer.
+    /// Returns the [`Misfit`] of the first event that can't follow the previous one.
+    /// Events before it are still appended, and nothing after it. Returns
+    /// [`Misfit::Closed`] after the end of the answer.
     pub fn body(&mut self, bytes: &[u8], closes: bool, out: &mut Vec<u8>) -> Result<(), Misfit> {
         if self.is_closed() {
             return Err(Misfit::Closed);
         }
-        match &mut self.run {
-            Run::Awaited => Ok(()),
-            Run::Events(events) => {
+        match &mut self.answer {
+            UpstreamAnswer::Awaited => Ok(()),
+            UpstreamAnswer::Events(events) => {
                 events.splitter.push(bytes);
-                let mut passed = Vec::new();
-                let fits = self.pass_events(&mut passed);
-                self.write_part(&passed, Given::Events, closes, out);
-                if let Err(misfit) = fits {
-                    self.run = Run::Refused(misfit);
+                let mut forwarded = Vec::new();
+                let result = self.forward_events(&mut forwarded);
+                self.write_part(&forwarded, Delivered::Events, closes, out);
+                if let Err(mismatch) = result {
+                    self.answer = UpstreamAnswer::Mismatched(mismatch);
                 }
-                fits
+                result
             }
-            Run::Refused(misfit) => Err(*misfit),
-            Run::Body(held) => {
-                held.extend_from_slice(bytes);
-                if self.given == Given::Body || held.len() > HELD_BYTES {
-                    let part = std::mem::take(held);
-                    self.write_part(&part, Given::Body, closes, out);
+            UpstreamAnswer::Mismatched(mismatch) => Err(*mismatch),
+            UpstreamAnswer::Body(buffered) => {
+                buffered.extend_from_slice(bytes);
+                if self.delivered == Delivered::Body || buffered.len() > MAX_BUFFERED_BYTES {
+                    let part = std::mem::take(buffered);
+                    self.write_part(&part, Delivered::Body, closes, out);
                 }
                 Ok(())
             }
         }
     }
 
-    /// Takes in that the body is whole, and appends the end of the answer to `out`.
+    /// Handles the end of a complete body, and appends the end of the answer to `out`.
     ///
     /// # Errors
     ///
-    /// [`Misfit::Unfinished`] and [`Misfit::Empty`]; the misfit of an event before;
-    /// [`Misfit::Closed`] if no head was taken in, and behind the end of the answer.
+    /// Returns [`Misfit::Unfinished`] or [`Misfit::Empty`] if the body
+    /// must not end here, the mismatch of an earlier event, or [`Misfit::Closed`] if
+    /// no head was accepted or the answer has ended.
     pub fn end(&mut self, closes: bool, out: &mut Vec<u8>) -> Result<(), Misfit> {
         if self.is_closed() {
             return Err(Misfit::Closed);
         }
-        let held = match &mut self.run {
-            Run::Awaited => return Err(Misfit::Closed),
-            Run::Refused(misfit) => return Err(*misfit),
-            Run::Events(events) if events.splitter.is_inside_event() => {
+        let buffered = match &mut self.answer {
+            UpstreamAnswer::Awaited => return Err(Misfit::Closed),
+            UpstreamAnswer::Mismatched(mismatch) => return Err(*mismatch),
+            UpstreamAnswer::Events(events) if events.splitter.is_inside_event() => {
                 return Err(Misfit::Unfinished);
             }
-            Run::Events(events) if events.goes_on && !events.has_event => {
+            UpstreamAnswer::Events(events) if events.continues && !events.has_event => {
                 return Err(Misfit::Empty);
             }
-            Run::Events(events) => events.splitter.rest().to_vec(),
-            Run::Body(held) => std::mem::take(held),
+            UpstreamAnswer::Events(events) => events.splitter.remainder().to_vec(),
+            UpstreamAnswer::Body(buffered) => std::mem::take(buffered),
         };
-        match (self.given, &self.head) {
-            (Given::Nothing, Some(head)) => {
-                append_answer_head(out, head, Some(held.len()), closes);
-                out.extend_from_slice(&held);
+        match (self.delivered, &self.head) {
+            (Delivered::Nothing, Some(head)) => {
+                append_answer_head(out, head, Some(buffered.len()), closes);
+                out.extend_from_slice(&buffered);
             }
             _ => {
-                append_chunk(out, &held);
+                append_chunk(out, &buffered);
                 append_last_chunk(out);
             }
         }
-        self.given = Given::Whole;
+        self.delivered = Delivered::Complete;
         Ok(())
     }
 
-    /// Ends the answer without an upstream. `refusal` makes the answer for a caller who has been
-    /// given nothing.
+    /// Ends an answer that no upstream completes. `refusal` makes the answer for a caller that has
+    /// received nothing.
     pub fn close(&mut self, refusal: impl FnOnce() -> Vec<u8>) -> Closing {
-        match self.given {
-            Given::Nothing => {
-                self.given = Given::Whole;
+        match self.delivered {
+            Delivered::Nothing => {
+                self.delivered = Delivered::Complete;
                 Closing::Answer(refusal())
             }
-            Given::Events | Given::Body | Given::Whole | Given::Broken => {
-                self.given = Given::Broken;
+            Delivered::Events | Delivered::Body | Delivered::Complete | Delivered::Aborted => {
+                self.delivered = Delivered::Aborted;
                 Closing::Abort
             }
         }
     }
 
-    /// Returns whether the caller has events from an earlier answer.
-    fn is_resumed(&self) -> bool {
+    /// Returns whether the caller has events from an earlier answer that this one must continue.
+    fn caller_resumes(&self) -> bool {
         let is_resumable = self.options.is_stream && self.options.is_resumable;
         is_resumable && self.options.last_event.is_some()
     }
 
     fn is_closed(&self) -> bool {
-        matches!(self.given, Given::Whole | Given::Broken)
+        matches!(self.delivered, Delivered::Complete | Delivered::Aborted)
     }
 
-    /// Appends the pieces of a stream that fit.
-    fn pass_events(&mut self, passed: &mut Vec<u8>) -> Result<(), Misfit> {
-        let is_resumed = self.is_resumed();
-        let Run::Events(events) = &mut self.run else {
+    /// Appends the pieces of the event stream that continue what the caller has received.
+    fn forward_events(&mut self, forwarded: &mut Vec<u8>) -> Result<(), Misfit> {
+        let caller_resumes = self.caller_resumes();
+        let UpstreamAnswer::Events(events) = &mut self.answer else {
             return Ok(());
         };
         let version_field = self.options.version_field;
-        let follows = events.goes_on || is_resumed;
+        let must_continue = events.continues || caller_resumes;
         while let Some(piece) = events.splitter.next_piece() {
             let is_first = matches!(piece, Piece::Event(_) | Piece::Beginning(_));
             let is_last = matches!(piece, Piece::Event(_) | Piece::Last(_));
@@ -276,8 +284,8 @@
             events.reader.push(&bytes, version_field);
             let fields = events.reader.fields();
             if is_first || is_last {
-                let must_be_numbered = follows && !events.has_event;
-                self.position.check(&fields, must_be_numbered)?;
+                let must_be_numbered = must_continue && !events.has_event;
+                self.position.check_next(&fields, must_be_numbered)?;
                 events.has_event |= fields.has_content;
             }
             match is_last {
@@ -287,31 +295,31 @@
                 }
                 false => self.position.begin_event(),
             }
-            passed.extend_from_slice(&bytes);
+            forwarded.extend_from_slice(&bytes);
         }
         Ok(())
     }
 
-    /// Appends part of the body, behind the head if it is the first.
-    fn write_part(&mut self, part: &[u8], given: Given, closes: bool, out: &mut Vec<u8>) {
+    /// Appends part of the body, after the head if it is the first part.
+    fn write_part(&mut self, part: &[u8], delivered: Delivered, closes: bool, out: &mut Vec<u8>) {
         if part.is_empty() {
             return;
         }
-        if let (Given::Nothing, Some(head)) = (self.given, &self.head) {
+        if let (Delivered::Nothing, Some(head)) = (self.delivered, &self.head) {
             append_answer_head(out, head, None, closes);
         }
-        self.given = given;
+        self.delivered = delivered;
         append_chunk(out, part);
     }
 }
 
-fn has_events(head: &ResponseHead) -> bool {
+fn is_event_stream(head: &ResponseHead) -> bool {
     let content_type = head.headers.text("Content-Type").unwrap_or_default();
     let essence = content_type.split(';').next().unwrap_or_default();
     essence.trim().eq_ignore_ascii_case(EVENT_STREAM)
 }
 
-/// Appends the head of an answer as the caller gets it, with a length or in chunks.
+/// Appends the head of an answer for the caller, with a length or in chunked encoding.
 fn append_answer_head(
     out: &mut Vec<u8>,
     head: &ResponseHead,
--- a/crates/delivery/src/errors.rs
+++ b/crates/delivery/src/errors.rs
@@ -1,32 +1,32 @@
-//! Why a part of an answer does not fit.
+//! Reasons why an upstream's answer can't continue an answer.
 
 use std::fmt;
 
-/// `Misfit` is why an upstream's answer can't be given to the caller, or no further.
+/// Reason why an upstream's answer, or its remainder, can't be sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Misfit {
-    /// It has another status than the answer that was begun.
+    /// Its status differs from that of the answer in progress.
     Status,
-    /// It is no stream of events, and the answer that was begun is one.
+    /// It is no event stream, and the answer in progress is one.
     ContentType,
-    /// It was made by another version of the model's weights.
+    /// It was computed with another version of the model's weights.
     Version,
     /// Events are missing before one of its events.
     Gap,
-    /// One of its events was given before.
+    /// The caller has already received one of its events.
     Repeated,
-    /// It has to go on behind an event, and its first event has no number.
+    /// It must resume after an event, and its first event has no ID.
     Unnumbered,
-    /// It has to go on behind an event, and ends without one.
+    /// It must resume after an event, and ends without any event.
     Empty,
     /// It ends in the middle of an event.
     Unfinished,
-    /// Nothing can follow what was given.
+    /// Nothing can follow what the caller has received.
     Closed,
 }
 
 impl Misfit {
-    /// Returns the word for logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Status => "status",
--- a/crates/delivery/src/event.rs
+++ b/crates/delivery/src/event.rs
@@ -1,36 +1,36 @@
-//! The fields of an event that tell its place in a stream.
+//! Event fields that tell the position of an event in its stream.
 
-/// How much of a line is looked at. Names and numbers are shorter.
-const MAX_LINE_BYTES: usize = 64;
+/// Number of bytes of a line that are read. Names and IDs are shorter.
+const MAX_READ_LINE_BYTES: usize = 64;
 
-/// `EventFields` are the fields of an event by which its place is checked.
+/// Fields of an event by which its position is checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EventFields {
-    /// The number of the event.
+    /// ID of the event, or `None` if it has none or one that is no number.
     pub(crate) id: Option<u64>,
-    /// The new version of the model's weights, if it changes with this event.
+    /// New version of the model's weights, if it changes with this event.
     pub(crate) version: Option<u64>,
-    /// Whether there is something besides comments and blank lines.
+    /// Whether the event holds anything besides comments and blank lines.
     pub(crate) has_content: bool,
 }
 
-/// `FieldReader` reads the fields of an event that may come in parts.
+/// Reads the fields of an event that may arrive in parts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FieldReader {
     fields: EventFields,
-    /// The beginning of the line in progress.
+    /// First bytes of the line in progress.
     line: Vec<u8>,
 }
 
 impl FieldReader {
-    /// Takes in bytes of the event.
+    /// Reads bytes of the event.
     pub(crate) fn push(&mut self, bytes: &[u8], version_field: Option<&str>) {
         for line in bytes.split_inclusive(|byte| matches!(byte, b'\n' | b'\r')) {
             let (text, is_whole) = match line {
                 [text @ .., b'\n' | b'\r'] => (text, true),
                 text => (text, false),
             };
-            let room = (MAX_LINE_BYTES + 1).saturating_sub(self.line.len());
+            let room = (MAX_READ_LINE_BYTES + 1).saturating_sub(self.line.len());
             self.line.extend_from_slice(&text[..room.min(text.len())]);
             self.fields.has_content |= !matches!(self.line.first(), None | Some(b':'));
             if is_whole {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the fields of the lines that are whole, and whether there is any content.
+    /// Returns the fields of the complete lines, and whether there is any content.
     pub(crate) fn fields(&self) -> EventFields {
         self.fields
     }
@@ -51,17 +51,17 @@
             Some(colon) => (&line[..colon], &line[colon + 1..]),
             None => (line.as_slice(), &[][..]),
         };
-        let number = number(value).filter(|_| line.len() <= MAX_LINE_BYTES);
+        let parse_id = parse_id(value).filter(|_| line.len() <= MAX_READ_LINE_BYTES);
         match name {
-            b"id" => self.fields.id = number,
+            b"id" => self.fields.id = parse_id,
             name if version_field.is_some_and(|it| it.as_bytes() == name) => {
-                self.fields.version = number;
+                self.fields.version = parse_id;
             }
             _ => {}
         }
     }
 }
 
-fn number(value: &[u8]) -> Option<u64> {
+fn parse_id(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -1,10 +1,11 @@
-//! What a caller has been given of an answer, and what may follow it.
+//! Answers to callers that may be put together from several upstreams' answers.
 //!
-//! An answer to a caller may be made of several upstreams' answers: when one breaks off in a stream
-//! of numbered events, another goes on behind the last whole event. [`Delivery`] is the only writer
-//! of such an answer. It checks that each part fits behind what was given, and tells the end only
-//! where the last part is whole; what does not fit is a [`Misfit`], of which the caller gets
-//! nothing. It is pure: heads and bytes of upstreams go in, bytes for the caller come out.
+//! When an upstream's answer breaks off in a stream of numbered events, another upstream can resume
+//! it after the last complete event. [`Delivery`] is the only writer of the caller's answer. It
+//! checks that each part continues what the caller has received, and ends the answer only when the
+//! last part is complete. Of a part that does not, the caller receives nothing, and the reason is a
+//! [`Misfit`]. There is no I/O: heads and bytes from upstreams go in, bytes for the
+//! caller come out.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/delivery/src/options.rs
+++ b/crates/delivery/src/options.rs
@@ -1,16 +1,16 @@
 //! What is expected of an answer.
 
-/// `Options` is what is expected of the answer to one request.
+/// Expectations on the answer to one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// Whether a success is a stream of events.
+    /// Whether a successful answer is an event stream.
     pub is_stream: bool,
-    /// Whether a stream that broke off may go on at another upstream.
+    /// Whether another upstream may resume a stream that broke off.
     pub is_resumable: bool,
-    /// The number of a stream's first event, where upstreams keep to one.
+    /// ID of a stream's first event, or `None` if upstreams choose it freely.
     pub first_event: Option<u64>,
-    /// The last event that the caller has from an earlier answer.
+    /// ID of the last event that the caller has from an earlier answer, if any.
     pub last_event: Option<u64>,
-    /// The field of an event that names a new version of the model's weights.
+    /// Name of the event field that gives a new version of the model's weights.
     pub version_field: Option<&'static str>,
 }
--- a/crates/delivery/src/position.rs
+++ b/crates/delivery/src/position.rs
@@ -1,17 +1,19 @@
-//! How far a caller has a stream.
+//! Position up to which a caller has received an event stream.
 
 use crate::errors::Misfit;
 use crate::event::EventFields;
 use crate::options::Options;
 
-/// `Position` is how far a caller has a stream whose events are numbered one by one.
+/// Position in a stream whose event IDs are consecutive numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Position {
+    /// ID of the last complete event that the caller has received.
     last_id: Option<u64>,
-    /// The number of the next event; none where any may come.
+    /// ID that the next event must have, or `None` if any ID is accepted.
     next_id: Option<u64>,
-    /// Whether the last event given has no number, or is not whole.
-    is_lost: bool,
+    /// Whether the last event sent to the caller has no ID, or is not complete.
+    is_unknown: bool,
+    /// Version of the model's weights, once an answer has named it.
     version: Option<u64>,
 }
 
@@ -20,29 +22,29 @@
     pub(crate) fn start(options: &Options) -> Self {
         let next_id = match options.last_event {
             Some(id) if options.is_resumable => id.checked_add(1),
-            // Where a stream can't be resumed, upstreams need not heed the caller's place.
+            // Upstreams may ignore the caller's position where a stream can't be resumed.
             Some(_) => None,
             None => options.first_event,
         };
         Self {
             last_id: options.last_event,
             next_id,
-            is_lost: false,
+            is_unknown: false,
             version: None,
         }
     }
 
-    /// Returns the last event given.
+    /// Returns the ID of the last complete event that the caller has received.
     pub(crate) fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns whether it can be checked that an event is the next one.
+    /// Returns whether the next event's ID is known.
     pub(crate) fn is_known(&self) -> bool {
-        self.next_id.is_some() && !self.is_lost
+        self.next_id.is_some() && !self.is_unknown
     }
 
-    /// Takes in the version of the weights of an answer that begins or goes on.
+    /// Records the version of the weights that an answer names, and checks that it has not changed.
     pub(crate) fn set_version(&mut self, version: Option<u64>) -> Result<(), Misfit> {
         match (self.version, version) {
             (Some(known), Some(other)) if known != other => Err(Misfit::Version),
@@ -54,7 +56,11 @@
     }
 
     /// Checks that an event is the next one.
-    pub(crate) fn check(&self, event: &EventFields, must_be_numbered: bool) -> Result<(), Misfit> {
+    pub(crate) fn check_next(
+        &self,
+        event: &EventFields,
+        must_be_numbered: bool,
+    ) -> Result<(), Misfit> {
         match (event.id, self.next_id) {
             (Some(id), Some(next)) if id > next => Err(Misfit::Gap),
             (Some(id), Some(next)) if id < next => Err(Misfit::Repeated),
@@ -63,21 +69,21 @@
         }
     }
 
-    /// Takes in that part of an event was given.
+    /// Records that part of an event was sent to the caller.
     pub(crate) fn begin_event(&mut self) {
-        self.is_lost = true;
+        self.is_unknown = true;
     }
 
-    /// Takes in that a whole event was given.
+    /// Records that a complete event was sent to the caller.
     pub(crate) fn end_event(&mut self, event: &EventFields) {
         self.version = event.version.or(self.version);
         match event.id {
             Some(id) => {
                 self.last_id = Some(id);
                 self.next_id = id.checked_add(1);
-                self.is_lost = false;
+                self.is_unknown = false;
             }
-            None => self.is_lost |= event.has_content,
+            None => self.is_unknown |= event.has_content,
         }
     }
 }
--- a/crates/delivery/src/splitter.rs
+++ b/crates/delivery/src/splitter.rs
@@ -1,39 +1,41 @@
-//! Events in a stream that arrives in pieces.
+//! Splitting of a byte stream into server-sent events.
 
-/// The largest event that is held back until it is whole. A larger one is passed on in parts.
-const MAX_EVENT_BYTES: usize = 256 * 1024;
+/// Largest event that is buffered until it is complete. A larger one is passed on in parts.
+const MAX_BUFFERED_EVENT_BYTES: usize = 256 * 1024;
 
-/// `Piece` is the next piece of a stream.
+/// Next piece of a stream: an event, or part of one that is too large to buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// A whole event with its blank line.
+    /// A complete event with its blank line.
     Event(Vec<u8>),
-    /// The beginning of an event that is too large to be held back.
+    /// The beginning of an event that is too large to buffer.
     Beginning(Vec<u8>),
-    /// More of such an event.
+    /// A middle part of such an event.
     More(Vec<u8>),
-    /// The last of such an event.
+    /// The last part of such an event.
     Last(Vec<u8>),
 }
 
-/// `EventSplitter` finds the ends of events in a stream. Lines end as in the standard of
-/// server-sent events: with a line feed, a carriage return, or both.
+/// Finds the ends of events in a stream that arrives in pieces. As in the standard of server-sent
+/// events, a line ends with a line feed, a carriage return, or both.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
-    /// Where the event in progress begins in `pending`.
+    /// Start of the event in progress in `pending`.
     start: usize,
-    /// How much of `pending` was looked at.
+    /// Number of bytes of `pending` that were scanned for the event's end.
     scanned: usize,
+    /// Whether the line in progress has any bytes.
     in_line: bool,
-    /// Whether the last byte was a carriage return, of whose line end a line feed is still a part.
+    /// Whether the last byte was a carriage return, so that a line feed still belongs to its line
+    /// end.
     after_return: bool,
-    /// Whether the event in progress is passed on in parts.
-    is_oversize: bool,
+    /// Whether part of the event in progress was passed on.
+    is_oversized: bool,
 }
 
 impl EventSplitter {
-    /// Takes in bytes of the stream.
+    /// Adds bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.drain(..self.start);
         self.scanned -= self.start;
@@ -41,41 +43,41 @@
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Returns the next piece; none if more bytes are needed.
+    /// Returns the next piece, or `None` if more bytes are needed.
     pub fn next_piece(&mut self) -> Option<Piece> {
         if let Some(end) = self.find_end() {
             let event = self.pending[self.start..end].to_vec();
             self.start = end;
-            return Some(match std::mem::take(&mut self.is_oversize) {
+            return Some(match std::mem::take(&mut self.is_oversized) {
                 true => Piece::Last(event),
                 false => Piece::Event(event),
             });
         }
         let unfinished = &self.pending[self.start..];
-        let is_passed_on = self.is_oversize && !unfinished.is_empty();
-        if !is_passed_on && unfinished.len() <= MAX_EVENT_BYTES {
+        let has_more = self.is_oversized && !unfinished.is_empty();
+        if !has_more && unfinished.len() <= MAX_BUFFERED_EVENT_BYTES {
             return None;
         }
         let part = unfinished.to_vec();
         self.start = self.pending.len();
-        Some(match std::mem::replace(&mut self.is_oversize, true) {
+        Some(match std::mem::replace(&mut self.is_oversized, true) {
             true => Piece::More(part),
             false => Piece::Beginning(part),
         })
     }
 
-    /// Returns what is left at the end of a whole stream.
-    pub fn rest(&self) -> &[u8] {
+    /// Returns the bytes that were not returned in a piece.
+    pub fn remainder(&self) -> &[u8] {
         &self.pending[self.start..]
     }
 
     /// Returns whether the stream is in the middle of an event.
     pub fn is_inside_event(&self) -> bool {
-        // A line feed that completes a line end belongs to the event before.
-        self.is_oversize || self.rest().iter().any(|byte| *byte != b'\n')
+        // A line feed that completes a line end belongs to the previous event.
+        self.is_oversized || self.remainder().iter().any(|byte| *byte != b'\n')
     }
 
-    /// Returns where the event in progress ends.
+    /// Returns the end of the event in progress, or `None` if more bytes are needed.
     fn find_end(&mut self) -> Option<usize> {
         while let Some(byte) = self.pending.get(self.scanned).copied() {
             self.scanned += 1;
--- a/crates/delivery/tests/join_search/caller.rs
+++ b/crates/delivery/tests/answer_search/caller.rs
@@ -1,15 +1,15 @@
-//! A caller that parses what it was given.
+//! Caller that parses the bytes that it receives.
 
 use std::collections::BTreeMap;
 
-/// `Event` is an event as the standard of server-sent events reads it.
+/// Server-sent event, parsed as in the standard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
     pub fields: BTreeMap<String, String>,
 }
 
 impl Event {
-    pub fn number(&self) -> Option<u64> {
+    pub fn event_id(&self) -> Option<u64> {
         self.fields.get("id")?.parse().ok()
     }
 
@@ -17,7 +17,7 @@
         self.fields.get("weights")?.parse().ok()
     }
 
-    /// Returns the run that made it.
+    /// Returns the number of the run that produced it.
     pub fn run(&self) -> usize {
         let data = &self.fields["data"];
         let (run, _) = data.split_once('/').expect("data names its run");
@@ -25,21 +25,21 @@
     }
 }
 
-/// `Stream` is a body as events.
+/// Body parsed as events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stream {
     pub events: Vec<Event>,
-    /// What comes behind the last blank line.
+    /// Text after the last blank line.
     pub rest: String,
 }
 
-/// Returns the text with all line ends as line feeds.
+/// Returns the text with all line ends replaced by line feeds.
 pub fn plain_lines(body: &[u8]) -> String {
     let text = std::str::from_utf8(body).expect("text");
     text.replace("\r\n", "\n").replace('\r', "\n")
 }
 
-/// Reads a body as events. Comments, and blank lines without an event, are left out.
+/// Parses a body as events. Comments, and blank lines without an event, are left out.
 pub fn read_stream(body: &[u8]) -> Stream {
     let text = plain_lines(body);
     let mut stream = Stream::default();
@@ -67,19 +67,19 @@
     stream
 }
 
-/// `View` is an answer as its caller sees it.
+/// Answer as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct View {
+pub struct AnswerView {
     pub status: u16,
     pub content_type: String,
     pub body: Vec<u8>,
-    pub is_whole: bool,
-    /// What comes behind the end.
-    pub behind: Vec<u8>,
+    pub is_complete: bool,
+    /// Bytes after the end of the answer.
+    pub after_end: Vec<u8>,
 }
 
-impl View {
-    /// Reads an answer; none if there is no whole head.
+impl AnswerView {
+    /// Parses an answer; returns `None` if its head is not complete.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let head_end = find(bytes, b"\r\n\r\n")? + 4;
         let head = std::str::from_utf8(&bytes[..head_end]).expect("a head of text");
@@ -92,17 +92,17 @@
             status: status.parse().expect("a status is a number"),
             content_type: field("Content-Type").unwrap_or_default().to_owned(),
             body: Vec::new(),
-            is_whole: false,
-            behind: Vec::new(),
+            is_complete: false,
+            after_end: Vec::new(),
         };
         let rest = &bytes[head_end..];
         match field("Content-Length") {
             Some(length) => {
                 let length: usize = length.parse().expect("a length is a number");
-                view.is_whole = rest.len() >= length;
-                let (body, behind) = rest.split_at(length.min(rest.len()));
+                view.is_complete = rest.len() >= length;
+                let (body, after_end) = rest.split_at(length.min(rest.len()));
                 view.body = body.to_vec();
-                view.behind = behind.to_vec();
+                view.after_end = after_end.to_vec();
             }
             None => {
                 assert_eq!(field("Transfer-Encoding"), Some("chunked"));
@@ -121,11 +121,11 @@
             self.body.extend_from_slice(&chunk[..size]);
             rest = &chunk[size + 2..];
             if size == 0 {
-                self.is_whole = true;
+                self.is_complete = true;
                 break;
             }
         }
-        self.behind = rest.to_vec();
+        self.after_end = rest.to_vec();
     }
 }
 
--- a/crates/delivery/tests/join_search/course.rs
+++ b/crates/delivery/tests/answer_search/course.rs
@@ -1,4 +1,4 @@
-//! Runs of several engines for one request, and what the caller gets.
+//! One request, the engines' answers to it, and what the caller receives.
 
 use apricotdale_delivery::Closing;
 use apricotdale_delivery::Delivery;
@@ -8,9 +8,9 @@
 use apricotdale_http1::parse_response_head;
 use proptest::prelude::*;
 
+use crate::runs::Fault;
 use crate::runs::Run;
 use crate::runs::RunSpec;
-use crate::runs::Way;
 use crate::runs::run_spec;
 
 const HEAD_LIMIT_BYTES: usize = 1024;
@@ -19,35 +19,35 @@
 
 pub const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno";
 
-/// `Course` is a request, and what the engines do that are asked in turn.
+/// Request, and the runs of the engines to which it is sent in turn.
 #[derive(Clone, Debug)]
 pub struct Course {
     pub options: Options,
-    /// How many events the answer has.
+    /// Number of events of the complete answer.
     pub events: u64,
     pub runs: Vec<RunSpec>,
 }
 
-/// `Parts` is how bodies arrive.
+/// Sizes of the pieces in which bodies arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Parts {
-    AsDrawn,
-    InOne,
+pub enum PieceSizes {
+    Random,
+    Single,
 }
 
-/// `Played` is what came of a course.
+/// Outcome of a course.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
-    /// What the caller was given.
+pub struct Outcome {
+    /// Bytes that the caller received.
     pub out: Vec<u8>,
-    /// The runs, also those whose answer was not taken.
+    /// Runs in order, also those whose answer was not used.
     pub runs: Vec<Run>,
-    pub misfits: Vec<Option<Misfit>>,
-    /// The run that ended the answer.
+    pub mismatches: Vec<Option<Misfit>>,
+    /// Run whose answer ended the delivery as complete.
     pub ended_by: Option<usize>,
     pub is_refused: bool,
     pub is_aborted: bool,
-    /// Whether a run was asked that fits, and should have ended the answer.
+    /// Whether there was a run that continues the answer and should have completed it.
     pub should_end: bool,
 }
 
@@ -80,11 +80,11 @@
     } = run;
     let text = format!("HTTP/1.1 {status} X\r\nContent-Type: {content_type}\r\n\r\n");
     let parsed = parse_response_head(text.as_bytes(), HEAD_LIMIT_BYTES, false);
-    parsed.expect("a head").expect("a whole head").0
+    parsed.expect("a head").expect("a complete head").0
 }
 
-/// Hands parts of an answer to a delivery that has to take nothing of them.
-fn push_anyway(delivery: &mut Delivery, run: &Run, out: &mut Vec<u8>) {
+/// Passes parts of an answer to a delivery that must send nothing of them.
+fn push_after_end(delivery: &mut Delivery, run: &Run, out: &mut Vec<u8>) {
     let _ = delivery.body(b"id: 1\ndata: 9/1\n\n", false, out);
     let _ = delivery.end(false, out);
     let _ = delivery.head(head(run), run.version);
@@ -93,105 +93,111 @@
 }
 
 impl Course {
-    pub fn play(&self, parts: Parts) -> Played {
+    pub fn play(&self, sizing: PieceSizes) -> Outcome {
         let mut delivery = Delivery::new(self.options.clone());
-        let mut played = Played::default();
+        let mut outcome = Outcome::default();
         for (index, spec) in self.runs.iter().enumerate() {
-            if played.ended_by.is_some() || !delivery.may_go_on() {
+            if outcome.ended_by.is_some() || !delivery.may_go_on() {
                 break;
             }
             if index > 0 {
                 delivery.begin_run();
             }
-            self.play_run(&mut delivery, spec, parts, &mut played);
+            self.play_run(&mut delivery, spec, sizing, &mut outcome);
         }
         let any_run = Run::of_body(&self.runs[0], 0);
-        if played.ended_by.is_none() {
+        if outcome.ended_by.is_none() {
             match delivery.close(|| REFUSAL.to_vec()) {
                 Closing::Answer(bytes) => {
-                    played.is_refused = true;
-                    played.out.extend_from_slice(&bytes);
+                    outcome.is_refused = true;
+                    outcome.out.extend_from_slice(&bytes);
                 }
-                Closing::Abort => played.is_aborted = true,
+                Closing::Abort => outcome.is_aborted = true,
             }
-            push_anyway(&mut delivery, &any_run, &mut played.out);
+            push_after_end(&mut delivery, &any_run, &mut outcome.out);
         } else if self.runs[0].has_extra {
-            push_anyway(&mut delivery, &any_run, &mut played.out);
+            push_after_end(&mut delivery, &any_run, &mut outcome.out);
         }
-        played
+        outcome
     }
 
-    fn play_run(&self, delivery: &mut Delivery, spec: &RunSpec, parts: Parts, played: &mut Played) {
-        let index = played.runs.len();
+    fn play_run(
+        &self,
+        delivery: &mut Delivery,
+        spec: &RunSpec,
+        sizing: PieceSizes,
+        outcome: &mut Outcome,
+    ) {
+        let index = outcome.runs.len();
         let from = delivery.last_event().map_or(1, |id| id + 1);
         let mut run = match self.options.is_stream {
             true => Run::of_stream(spec, index, from, self.events),
             false => Run::of_body(spec, index),
         };
-        let is_good = match spec.way {
-            Way::Good | Way::Oversize => true,
-            Way::OversizeLateNumber => from == 1,
+        let is_good = match spec.fault {
+            Fault::NoFault | Fault::Oversize => true,
+            Fault::OversizeLateId => from == 1,
             _ => false,
         };
         let begun = delivery.has_begun();
         if is_good && index > 0 {
-            // Where nothing was given, the weights of runs before do not matter.
+            // The weights of earlier runs don't matter if the caller has received nothing.
             run.version = (spec.names_version && !begun).then_some(FRESH_VERSION);
         }
-        let is_like_begun = played.runs.iter().all(|it| !begun || it.status == 200);
-        let fits = is_good && from <= self.events && is_like_begun;
-        played.should_end |= fits;
-        played.runs.push(run.clone());
-        let misfit = self.hand_over(delivery, spec, &run, parts, played);
-        played.misfits.push(misfit);
+        let same_status = outcome.runs.iter().all(|it| !begun || it.status == 200);
+        let fits = is_good && from <= self.events && same_status;
+        outcome.should_end |= fits;
+        outcome.runs.push(run.clone());
+        let mismatch = self.deliver_run(delivery, spec, &run, sizing, outcome);
+        outcome.mismatches.push(mismatch);
     }
 
-    /// Hands an engine's answer to the delivery, as the owner of both does.
-    fn hand_over(
+    /// Passes an engine's answer to the delivery, as the delivery's owner does.
+    fn deliver_run(
         &self,
         delivery: &mut Delivery,
         spec: &RunSpec,
         run: &Run,
-        parts: Parts,
-        played: &mut Played,
+        sizing: PieceSizes,
+        outcome: &mut Outcome,
     ) -> Option<Misfit> {
         let closes = spec.names_version;
-        let out = &mut played.out;
-        if spec.is_crossed {
+        let out = &mut outcome.out;
+        if spec.crossed_first {
             let body = delivery.body(b"id: 1\ndata: 8/1\n\n", closes, out);
             assert_eq!((body, delivery.status()), (Ok(()), None));
         }
-        if spec.way == Way::NotRun {
+        if spec.fault == Fault::NotRun {
             return None;
         }
-        if let Err(misfit) = delivery.head(head(run), run.version) {
-            if spec.is_careless {
+        if let Err(mismatch) = delivery.head(head(run), run.version) {
+            if spec.ignores_mismatch {
                 let _ = delivery.body(&run.body, closes, out);
                 let _ = delivery.end(closes, out);
             }
-            return Some(misfit);
+            return Some(mismatch);
         }
-        let pieces = match parts {
-            Parts::AsDrawn => run.pieces(&spec.sizes),
-            Parts::InOne => vec![run.body.as_slice()],
+        let pieces = match sizing {
+            PieceSizes::Random => run.pieces(&spec.piece_sizes),
+            PieceSizes::Single => vec![run.body.as_slice()],
         };
         let mut first = None;
         for piece in pieces {
-            if let Err(misfit) = delivery.body(piece, closes, out) {
-                first.get_or_insert(misfit);
-                if !spec.is_careless {
+            if let Err(mismatch) = delivery.body(piece, closes, out) {
+                first.get_or_insert(mismatch);
+                if !spec.ignores_mismatch {
                     return first;
                 }
             }
         }
-        let is_repeated = run.status >= 500 && !delivery.has_begun() && !spec.passes_failure_on;
-        if !run.is_framed_whole || is_repeated {
+        let is_repeated = run.status >= 500 && !delivery.has_begun() && !spec.forwards_failure;
+        if !run.is_framed_complete || is_repeated {
             return first;
         }
         match delivery.end(closes, out) {
-            Ok(()) => played.ended_by = Some(played.runs.len() - 1),
-            Err(misfit) => {
-                first.get_or_insert(misfit);
+            Ok(()) => outcome.ended_by = Some(outcome.runs.len() - 1),
+            Err(mismatch) => {
+                first.get_or_insert(mismatch);
             }
         }
         first
--- a/crates/delivery/tests/event_splitting.rs
+++ b/crates/delivery/tests/event_splitting.rs
@@ -1,4 +1,4 @@
-//! Whole events in a stream that arrives in pieces.
+//! Splitting of a stream that arrives in pieces into complete events.
 
 use apricotdale_delivery::EventSplitter;
 use apricotdale_delivery::Piece;
@@ -21,7 +21,7 @@
 }
 
 #[rstest]
-fn events_in_pieces(#[values(1, 2, 3, 5, 100)] size: usize) {
+fn split_events(#[values(1, 2, 3, 5, 100)] size: usize) {
     let stream = EVENTS.concat();
     let mut splitter = EventSplitter::default();
     let mut found = Vec::new();
@@ -41,21 +41,21 @@
     assert!(!splitter.is_inside_event());
 }
 
-/// Guards against an event that comes twice in part: an upstream breaks off in its middle, and
-/// another one sends it from its beginning.
+/// Guards against part of an event that the caller receives twice, because an upstream breaks off
+/// in its middle and another one sends it from its beginning.
 #[test]
-fn unfinished_event_is_held_back() {
+fn unfinished_event() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(pieces(&mut splitter), [event("id: 1\ndata: a\n\n")]);
     assert!(splitter.is_inside_event());
 }
 
-/// Guards against a line end in two pieces that is taken for two line ends.
+/// Guards against counting a line end that arrives in two pieces as two line ends.
 #[rstest]
 #[case::blank_line("data: a\r\n\r", "\ndata: b\r\n\r\n")]
 #[case::first_line("data: a\r", "\n\r\ndata: b\r\n\r\n")]
-fn line_end_in_two_pieces(#[case] first: &str, #[case] second: &str) {
+fn split_line_end(#[case] first: &str, #[case] second: &str) {
     let mut splitter = EventSplitter::default();
     splitter.push(first.as_bytes());
     let mut found = pieces(&mut splitter);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn line_feed_alone_is_no_event() {
+fn lone_line_feed() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"data: a\r\n\r");
     assert_eq!(pieces(&mut splitter), [event("data: a\r\n\r")]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn oversize_event_in_parts() {
+fn oversized_event() {
     let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; 300 * 1024]);
     let first = pieces(&mut splitter);
