--- a/crates/delivery/src/delivery.rs
+++ b/crates/delivery/src/delivery.rs
@@ -7,7 +7,7 @@
 use apricotdale_http1::append_last_chunk;
 use apricotdale_http1::append_status_line;
 
-use crate::errors::Misfit;
+use crate::errors::ContinuationMismatch;
 use crate::event::FieldReader;
 use crate::options::Options;
 use crate::position::Position;
@@ -42,7 +42,7 @@
     /// Its body, as far as it is buffered.
     Body(Vec<u8>),
     /// One of its events can't continue what the caller has received.
-    Mismatched(Misfit),
+    Mismatched(ContinuationMismatch),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether another upstream's answer may continue what the caller has received.
-    pub fn may_go_on(&self) -> bool {
+    pub fn may_continue(&self) -> bool {
         match self.delivered {
             Delivered::Nothing => true,
             Delivered::Events => self.options.is_resumable && self.position.is_known(),
@@ -120,7 +120,7 @@
     }
 
     /// Begins with the answer of another upstream, and drops what is buffered of the previous one.
-    pub fn begin_run(&mut self) {
+    pub fn begin_next_answer(&mut self) {
         self.answer = UpstreamAnswer::Awaited;
         if self.delivered == Delivered::Nothing {
             self.head = None;
@@ -133,25 +133,31 @@
     ///
     /// # Errors
     ///
-    /// Returns the [`Misfit`] because of which the answer can't continue what the
+    /// Returns the [`ContinuationMismatch`] because of which the answer can't continue what the
     /// caller has received.
-    pub fn head(&mut self, head: ResponseHead, version: Option<u64>) -> Result<(), Misfit> {
+    pub fn head(
+        &mut self,
+        head: ResponseHead,
+        version: Option<u64>,
+    ) -> Result<(), ContinuationMismatch> {
         let is_success = (200..300).contains(&head.status);
         let is_events = self.options.is_stream && is_success && is_event_stream(&head);
         match (self.delivered, &self.head) {
             // The caller has events from an earlier answer, which only events can continue.
             (Delivered::Nothing, _) if is_success && !is_events && self.caller_resumes() => {
-                return Err(Misfit::ContentType);
+                return Err(ContinuationMismatch::ContentType);
             }
             (Delivered::Nothing, _) => {}
-            (Delivered::Events, _) if !self.may_go_on() => return Err(Misfit::Closed),
+            (Delivered::Events, _) if !self.may_continue() => {
+                return Err(ContinuationMismatch::Closed);
+            }
             (Delivered::Events, Some(first)) if first.status != head.status => {
-                return Err(Misfit::Status);
+                return Err(ContinuationMismatch::Status);
             }
-            (Delivered::Events, _) if !is_events => return Err(Misfit::ContentType),
+            (Delivered::Events, _) if !is_events => return Err(ContinuationMismatch::ContentType),
             (Delivered::Events, _) => {}
             (Delivered::Body | Delivered::Complete | Delivered::Aborted, _) => {
-                return Err(Misfit::Closed);
+                return Err(ContinuationMismatch::Closed);
             }
         }
         self.position.set_version(version)?;
@@ -173,12 +179,17 @@
     ///
     /// # Errors
     ///
-    /// Returns the [`Misfit`] of the first event that can't follow the previous one.
+    /// Returns the [`ContinuationMismatch`] of the first event that can't follow the previous one.
     /// Events before it are still appended, and nothing after it. Returns
-    /// [`Misfit::Closed`] after the end of the answer.
-    pub fn body(&mut self, bytes: &[u8], closes: bool, out: &mut Vec<u8>) -> Result<(), Misfit> {
+    /// [`ContinuationMismatch::Closed`] after the end of the answer.
+    pub fn body(
+        &mut self,
+        bytes: &[u8],
+        closes: bool,
+        out: &mut Vec<u8>,
+    ) -> Result<(), ContinuationMismatch> {
         if self.is_closed() {
-            return Err(Misfit::Closed);
+            return Err(ContinuationMismatch::Closed);
         }
         match &mut self.answer {
             UpstreamAnswer::Awaited => Ok(()),
@@ -208,21 +219,21 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Misfit::Unfinished`] or [`Misfit::Empty`] if the body
-    /// must not end here, the mismatch of an earlier event, or [`Misfit::Closed`] if
+    /// Returns [`ContinuationMismatch::Unfinished`] or [`ContinuationMismatch::Empty`] if the body
+    /// must not end here, the mismatch of an earlier event, or [`ContinuationMismatch::Closed`] if
     /// no head was accepted or the answer has ended.
-    pub fn end(&mut self, closes: bool, out: &mut Vec<u8>) -> Result<(), Misfit> {
+    pub fn end(&mut self, closes: bool, out: &mut Vec<u8>) -> Result<(), ContinuationMismatch> {
         if self.is_closed() {
-            return Err(Misfit::Closed);
+            return Err(ContinuationMismatch::Closed);
         }
         let buffered = match &mut self.answer {
-            UpstreamAnswer::Awaited => return Err(Misfit::Closed),
+            UpstreamAnswer::Awaited => return Err(ContinuationMismatch::Closed),
             UpstreamAnswer::Mismatched(mismatch) => return Err(*mismatch),
             UpstreamAnswer::Events(events) if events.splitter.is_inside_event() => {
-                return Err(Misfit::Unfinished);
+                return Err(ContinuationMismatch::Unfinished);
             }
             UpstreamAnswer::Events(events) if events.continues && !events.has_event => {
-                return Err(Misfit::Empty);
+                return Err(ContinuationMismatch::Empty);
             }
             UpstreamAnswer::Events(events) => events.splitter.remainder().to_vec(),
             UpstreamAnswer::Body(buffered) => std::mem::take(buffered),
@@ -267,7 +278,7 @@
     }
 
     /// Appends the pieces of the event stream that continue what the caller has received.
-    fn forward_events(&mut self, forwarded: &mut Vec<u8>) -> Result<(), Misfit> {
+    fn forward_events(&mut self, forwarded: &mut Vec<u8>) -> Result<(), ContinuationMismatch> {
         let caller_resumes = self.caller_resumes();
         let UpstreamAnswer::Events(events) = &mut self.answer else {
             return Ok(());
--- a/crates/delivery/src/errors.rs
+++ b/crates/delivery/src/errors.rs
@@ -4,7 +4,7 @@
 
 /// Reason why an upstream's answer, or its remainder, can't be sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Misfit {
+pub enum ContinuationMismatch {
     /// Its status differs from that of the answer in progress.
     Status,
     /// It is no event stream, and the answer in progress is one.
@@ -25,7 +25,7 @@
     Closed,
 }
 
-impl Misfit {
+impl ContinuationMismatch {
     /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -42,10 +42,10 @@
     }
 }
 
-impl fmt::Display for Misfit {
+impl fmt::Display for ContinuationMismatch {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(self.as_str())
     }
 }
 
-impl std::error::Error for Misfit {}
+impl std::error::Error for ContinuationMismatch {}
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -4,7 +4,7 @@
 //! it after the last complete event. [`Delivery`] is the only writer of the caller's answer. It
 //! checks that each part continues what the caller has received, and ends the answer only when the
 //! last part is complete. Of a part that does not, the caller receives nothing, and the reason is a
-//! [`Misfit`]. There is no I/O: heads and bytes from upstreams go in, bytes for the
+//! [`ContinuationMismatch`]. There is no I/O: heads and bytes from upstreams go in, bytes for the
 //! caller come out.
 
 #![forbid(unsafe_code)]
@@ -19,7 +19,7 @@
 
 pub use delivery::Closing;
 pub use delivery::Delivery;
-pub use errors::Misfit;
+pub use errors::ContinuationMismatch;
 pub use options::Options;
 pub use splitter::EventSplitter;
 pub use splitter::Piece;
--- a/crates/delivery/src/position.rs
+++ b/crates/delivery/src/position.rs
@@ -1,6 +1,6 @@
 //! Position up to which a caller has received an event stream.
 
-use crate::errors::Misfit;
+use crate::errors::ContinuationMismatch;
 use crate::event::EventFields;
 use crate::options::Options;
 
@@ -45,9 +45,9 @@
     }
 
     /// Records the version of the weights that an answer names, and checks that it has not changed.
-    pub(crate) fn set_version(&mut self, version: Option<u64>) -> Result<(), Misfit> {
+    pub(crate) fn set_version(&mut self, version: Option<u64>) -> Result<(), ContinuationMismatch> {
         match (self.version, version) {
-            (Some(known), Some(other)) if known != other => Err(Misfit::Version),
+            (Some(known), Some(other)) if known != other => Err(ContinuationMismatch::Version),
             _ => {
                 self.version = self.version.or(version);
                 Ok(())
@@ -60,11 +60,13 @@
         &self,
         event: &EventFields,
         must_be_numbered: bool,
-    ) -> Result<(), Misfit> {
+    ) -> Result<(), ContinuationMismatch> {
         match (event.id, self.next_id) {
-            (Some(id), Some(next)) if id > next => Err(Misfit::Gap),
-            (Some(id), Some(next)) if id < next => Err(Misfit::Repeated),
-            (None, _) if must_be_numbered && event.has_content => Err(Misfit::Unnumbered),
+            (Some(id), Some(next)) if id > next => Err(ContinuationMismatch::Gap),
+            (Some(id), Some(next)) if id < next => Err(ContinuationMismatch::Repeated),
+            (None, _) if must_be_numbered && event.has_content => {
+                Err(ContinuationMismatch::Unnumbered)
+            }
             _ => Ok(()),
         }
     }
--- a/crates/delivery/tests/answer_search/course.rs
+++ b/crates/delivery/tests/answer_search/course.rs
@@ -1,8 +1,8 @@
 //! One request, the engines' answers to it, and what the caller receives.
 
 use apricotdale_delivery::Closing;
+use apricotdale_delivery::ContinuationMismatch;
 use apricotdale_delivery::Delivery;
-use apricotdale_delivery::Misfit;
 use apricotdale_delivery::Options;
 use apricotdale_http1::ResponseHead;
 use apricotdale_http1::parse_response_head;
@@ -42,7 +42,7 @@
     pub out: Vec<u8>,
     /// Runs in order, also those whose answer was not used.
     pub runs: Vec<Run>,
-    pub mismatches: Vec<Option<Misfit>>,
+    pub mismatches: Vec<Option<ContinuationMismatch>>,
     /// Run whose answer ended the delivery as complete.
     pub ended_by: Option<usize>,
     pub is_refused: bool,
@@ -97,11 +97,11 @@
         let mut delivery = Delivery::new(self.options.clone());
         let mut outcome = Outcome::default();
         for (index, spec) in self.runs.iter().enumerate() {
-            if outcome.ended_by.is_some() || !delivery.may_go_on() {
+            if outcome.ended_by.is_some() || !delivery.may_continue() {
                 break;
             }
             if index > 0 {
-                delivery.begin_run();
+                delivery.begin_next_answer();
             }
             self.play_run(&mut delivery, spec, sizing, &mut outcome);
         }
@@ -160,7 +160,7 @@
         run: &Run,
         sizing: PieceSizes,
         outcome: &mut Outcome,
-    ) -> Option<Misfit> {
+    ) -> Option<ContinuationMismatch> {
         let closes = spec.names_version;
         let out = &mut outcome.out;
         if spec.crossed_first {
--- a/crates/delivery/tests/answer_search/main.rs
+++ b/crates/delivery/tests/answer_search/main.rs
@@ -10,7 +10,7 @@
 
 use std::collections::HashMap;
 
-use apricotdale_delivery::Misfit;
+use apricotdale_delivery::ContinuationMismatch;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::RngSeed;
@@ -191,7 +191,7 @@
 fn reached_cases() {
     let mut runner = TestRunner::deterministic();
     let strategy = course();
-    let mut mismatches: HashMap<Misfit, usize> = HashMap::new();
+    let mut mismatches: HashMap<ContinuationMismatch, usize> = HashMap::new();
     let (mut joined, mut joined_complete, mut aborted, mut refused) = (0, 0, 0, 0);
     for _ in 0..COUNTED_COURSES {
         let course = strategy.new_tree(&mut runner).expect("a course").current();
@@ -217,14 +217,14 @@
     let reached = [joined, joined_complete, aborted, refused];
     assert!(reached.iter().all(|count| *count > 20), "{reached:?}");
     let expected = [
-        Misfit::Status,
-        Misfit::ContentType,
-        Misfit::Version,
-        Misfit::Gap,
-        Misfit::Repeated,
-        Misfit::Unnumbered,
-        Misfit::Empty,
-        Misfit::Unfinished,
+        ContinuationMismatch::Status,
+        ContinuationMismatch::ContentType,
+        ContinuationMismatch::Version,
+        ContinuationMismatch::Gap,
+        ContinuationMismatch::Repeated,
+        ContinuationMismatch::Unnumbered,
+        ContinuationMismatch::Empty,
+        ContinuationMismatch::Unfinished,
     ];
     for mismatch in expected {
         let count = mismatches.get(&mismatch).copied().unwrap_or(0);
--- a/crates/delivery/tests/continued_answers.rs
+++ b/crates/delivery/tests/continued_answers.rs
@@ -1,8 +1,8 @@
 //! Answers that may continue the part of an answer that a caller has received.
 
 use apricotdale_delivery::Closing;
+use apricotdale_delivery::ContinuationMismatch;
 use apricotdale_delivery::Delivery;
-use apricotdale_delivery::Misfit;
 use apricotdale_delivery::Options;
 use apricotdale_http1::ResponseHead;
 use apricotdale_http1::parse_response_head;
@@ -34,7 +34,7 @@
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-fn push_body(delivery: &mut Delivery, text: &str) -> Result<String, Misfit> {
+fn push_body(delivery: &mut Delivery, text: &str) -> Result<String, ContinuationMismatch> {
     let mut out = Vec::new();
     let fits = delivery.body(text.as_bytes(), false, &mut out);
     fits.map(|()| String::from_utf8(out).expect("text"))
@@ -45,14 +45,14 @@
     let mut delivery = Delivery::new(options);
     delivery.head(stream_head(), Some(7)).expect("no mismatch");
     push_body(&mut delivery, &(event(1) + &event(2) + "id: 3\nda")).expect("no mismatch");
-    delivery.begin_run();
+    delivery.begin_next_answer();
     delivery
 }
 
 #[test]
 fn resumed_stream() {
     let mut delivery = begun_stream(options());
-    assert!(delivery.may_go_on());
+    assert!(delivery.may_continue());
     assert_eq!(delivery.last_event(), Some(2));
     assert_eq!(delivery.status(), None);
     delivery.head(stream_head(), Some(7)).expect("no mismatch");
@@ -68,32 +68,35 @@
 
 /// Guards against ending the stream with the end of an answer that does not continue it.
 #[rstest]
-#[case::failed_run(head(500, "text/event-stream"), None, Misfit::Status)]
-#[case::no_content(head(204, "text/event-stream"), None, Misfit::Status)]
-#[case::partial(head(206, "text/event-stream"), None, Misfit::Status)]
-#[case::json(head(200, "application/json"), None, Misfit::ContentType)]
-#[case::other_weights(stream_head(), Some(8), Misfit::Version)]
+#[case::failed_run(head(500, "text/event-stream"), None, ContinuationMismatch::Status)]
+#[case::no_content(head(204, "text/event-stream"), None, ContinuationMismatch::Status)]
+#[case::partial(head(206, "text/event-stream"), None, ContinuationMismatch::Status)]
+#[case::json(head(200, "application/json"), None, ContinuationMismatch::ContentType)]
+#[case::other_weights(stream_head(), Some(8), ContinuationMismatch::Version)]
 fn mismatched_heads(
     #[case] head: ResponseHead,
     #[case] version: Option<u64>,
-    #[case] mismatch: Misfit,
+    #[case] mismatch: ContinuationMismatch,
 ) {
     let mut delivery = begun_stream(options());
     assert_eq!(delivery.head(head, version), Err(mismatch));
     let mut out = Vec::new();
-    assert_eq!(delivery.end(false, &mut out), Err(Misfit::Closed));
+    assert_eq!(
+        delivery.end(false, &mut out),
+        Err(ContinuationMismatch::Closed)
+    );
     assert!(out.is_empty());
 }
 
 /// Guards against a second answer that does not resume where the first one broke off.
 #[rstest]
-#[case::gap(event(4), Misfit::Gap)]
-#[case::repeated(event(2), Misfit::Repeated)]
-#[case::restarted(event(1), Misfit::Repeated)]
-#[case::unnumbered("data: piece 3\n\n".to_owned(), Misfit::Unnumbered)]
-#[case::invalid_id("id: three\ndata: piece 3\n\n".to_owned(), Misfit::Unnumbered)]
-#[case::last_id_counts("id: 3\nid: 4\ndata: piece 3\n\n".to_owned(), Misfit::Gap)]
-fn mismatched_events(#[case] second: String, #[case] mismatch: Misfit) {
+#[case::gap(event(4), ContinuationMismatch::Gap)]
+#[case::repeated(event(2), ContinuationMismatch::Repeated)]
+#[case::restarted(event(1), ContinuationMismatch::Repeated)]
+#[case::unnumbered("data: piece 3\n\n".to_owned(), ContinuationMismatch::Unnumbered)]
+#[case::invalid_id("id: three\ndata: piece 3\n\n".to_owned(), ContinuationMismatch::Unnumbered)]
+#[case::last_id_counts("id: 3\nid: 4\ndata: piece 3\n\n".to_owned(), ContinuationMismatch::Gap)]
+fn mismatched_events(#[case] second: String, #[case] mismatch: ContinuationMismatch) {
     let mut delivery = begun_stream(options());
     delivery.head(stream_head(), None).expect("no mismatch");
     assert_eq!(push_body(&mut delivery, &second), Err(mismatch));
@@ -101,11 +104,11 @@
 
 /// Guards against ending a stream as complete though its last answer did not reach the end.
 #[rstest]
-#[case::empty("", Misfit::Empty)]
-#[case::comments_only(": still here\n\n", Misfit::Empty)]
-#[case::unfinished("id: 3\ndata: pie", Misfit::Unfinished)]
-#[case::without_blank_line("id: 3\ndata: piece 3\n", Misfit::Unfinished)]
-fn mismatched_ends(#[case] second: &str, #[case] mismatch: Misfit) {
+#[case::empty("", ContinuationMismatch::Empty)]
+#[case::comments_only(": still here\n\n", ContinuationMismatch::Empty)]
+#[case::unfinished("id: 3\ndata: pie", ContinuationMismatch::Unfinished)]
+#[case::without_blank_line("id: 3\ndata: piece 3\n", ContinuationMismatch::Unfinished)]
+fn mismatched_ends(#[case] second: &str, #[case] mismatch: ContinuationMismatch) {
     let mut delivery = begun_stream(options());
     delivery.head(stream_head(), None).expect("no mismatch");
     push_body(&mut delivery, second).expect("no mismatch yet");
@@ -124,7 +127,7 @@
     let text = event(3) + &event(5);
     assert_eq!(
         delivery.body(text.as_bytes(), false, &mut out),
-        Err(Misfit::Gap)
+        Err(ContinuationMismatch::Gap)
     );
     let delivered = String::from_utf8_lossy(&out);
     assert!(delivered.contains("piece 3") && !delivered.contains("piece 5"));
@@ -134,9 +137,9 @@
 /// Guards against repeated or missing events for a caller that resumes a stream, also from the
 /// second upstream.
 #[rstest]
-#[case::gap(6, Misfit::Gap)]
-#[case::repeated(4, Misfit::Repeated)]
-fn caller_resume(#[case] first: u64, #[case] mismatch: Misfit) {
+#[case::gap(6, ContinuationMismatch::Gap)]
+#[case::repeated(4, ContinuationMismatch::Repeated)]
+fn caller_resume(#[case] first: u64, #[case] mismatch: ContinuationMismatch) {
     let mut delivery = Delivery::new(Options {
         last_event: Some(4),
         ..options()
@@ -146,8 +149,8 @@
         delivery.head(stream_head(), None).expect("no mismatch");
         assert_eq!(push_body(&mut delivery, &event(first)), Err(mismatch));
         assert!(!delivery.has_begun());
-        assert!(delivery.may_go_on());
-        delivery.begin_run();
+        assert!(delivery.may_continue());
+        delivery.begin_next_answer();
     }
     delivery.head(stream_head(), None).expect("no mismatch");
     let delivered = push_body(&mut delivery, &event(5)).expect("no mismatch");
@@ -163,9 +166,9 @@
         last_event: Some(4),
         ..options()
     });
-    let mismatch = Err(Misfit::ContentType);
+    let mismatch = Err(ContinuationMismatch::ContentType);
     assert_eq!(delivery.head(head(status, content_type), None), mismatch);
-    assert!(delivery.may_go_on());
+    assert!(delivery.may_continue());
 }
 
 /// Guards against resuming a stream after an unknown position.
@@ -177,9 +180,12 @@
     delivery.head(stream_head(), None).expect("no mismatch");
     push_body(&mut delivery, first).expect("the first answer");
     assert!(delivery.has_begun());
-    assert!(!delivery.may_go_on());
-    delivery.begin_run();
-    assert_eq!(delivery.head(stream_head(), None), Err(Misfit::Closed));
+    assert!(!delivery.may_continue());
+    delivery.begin_next_answer();
+    assert_eq!(
+        delivery.head(stream_head(), None),
+        Err(ContinuationMismatch::Closed)
+    );
 }
 
 #[test]
@@ -188,7 +194,7 @@
         is_resumable: false,
         ..options()
     });
-    assert!(!delivery.may_go_on());
+    assert!(!delivery.may_continue());
 }
 
 /// Guards against sending a large event again of which the caller has received a part.
@@ -202,24 +208,27 @@
             .expect("no mismatch")
             .is_empty()
     );
-    assert!(!delivery.may_go_on());
+    assert!(!delivery.may_continue());
     let mut out = Vec::new();
-    assert_eq!(delivery.end(false, &mut out), Err(Misfit::Unfinished));
+    assert_eq!(
+        delivery.end(false, &mut out),
+        Err(ContinuationMismatch::Unfinished)
+    );
     push_body(&mut delivery, "\n\n").expect("the end of the event");
-    assert!(delivery.may_go_on());
+    assert!(delivery.may_continue());
     assert_eq!(delivery.last_event(), Some(1));
 }
 
 /// Guards against ignoring that the version of the weights changes within a stream.
 #[rstest]
 #[case::as_announced(Some(8), Ok(()))]
-#[case::as_begun(Some(7), Err(Misfit::Version))]
-fn version_change(#[case] next: Option<u64>, #[case] expected: Result<(), Misfit>) {
+#[case::as_begun(Some(7), Err(ContinuationMismatch::Version))]
+fn version_change(#[case] next: Option<u64>, #[case] expected: Result<(), ContinuationMismatch>) {
     let mut delivery = begun_stream(options());
     delivery.head(stream_head(), Some(7)).expect("no mismatch");
     let event = format!("{VERSION_FIELD}: 8\nid: 3\ndata: c\n\n");
     push_body(&mut delivery, &event).expect("no mismatch");
-    delivery.begin_run();
+    delivery.begin_next_answer();
     assert_eq!(delivery.head(stream_head(), next), expected);
 }
 
@@ -235,9 +244,12 @@
             .expect("no mismatch")
             .is_empty()
     );
-    assert!(!delivery.may_go_on());
-    delivery.begin_run();
-    assert_eq!(delivery.head(text_head(), None), Err(Misfit::Closed));
+    assert!(!delivery.may_continue());
+    delivery.begin_next_answer();
+    assert_eq!(
+        delivery.head(text_head(), None),
+        Err(ContinuationMismatch::Closed)
+    );
 }
 
 #[test]
@@ -248,7 +260,7 @@
         .expect("no mismatch");
     assert_eq!(push_body(&mut delivery, "half an"), Ok(String::new()));
     assert!(!delivery.has_begun());
-    delivery.begin_run();
+    delivery.begin_next_answer();
     delivery
         .head(head(201, "text/plain"), None)
         .expect("no mismatch");
@@ -317,7 +329,7 @@
     delivery.head(stream_head(), None).expect("no mismatch");
     let mut out = Vec::new();
     let text = event(3) + &event(5);
-    let mismatch = Err(Misfit::Gap);
+    let mismatch = Err(ContinuationMismatch::Gap);
     assert_eq!(delivery.body(text.as_bytes(), false, &mut out), mismatch);
     out.clear();
     assert_eq!(
@@ -326,20 +338,20 @@
     );
     assert_eq!(delivery.end(false, &mut out), mismatch);
     assert!(out.is_empty(), "{}", String::from_utf8_lossy(&out));
-    assert!(delivery.may_go_on());
+    assert!(delivery.may_continue());
 }
 
 /// Guards against ignoring an event ID that arrives after the buffered part of its event, or is
 /// split there.
 #[rstest]
 #[case::fits("\nid: ", "1\n\n", Ok(Some(1)))]
-#[case::gap("\n", "id: 7\n\n", Err(Misfit::Gap))]
-#[case::cut("\nid: 1", "2\n\n", Err(Misfit::Gap))]
-#[case::second_id("\nid: 1\n", "id: 0\n\n", Err(Misfit::Repeated))]
+#[case::gap("\n", "id: 7\n\n", Err(ContinuationMismatch::Gap))]
+#[case::cut("\nid: 1", "2\n\n", Err(ContinuationMismatch::Gap))]
+#[case::second_id("\nid: 1\n", "id: 0\n\n", Err(ContinuationMismatch::Repeated))]
 fn late_event_id(
     #[case] first: &str,
     #[case] second: &str,
-    #[case] expected: Result<Option<u64>, Misfit>,
+    #[case] expected: Result<Option<u64>, ContinuationMismatch>,
 ) {
     let mut delivery = Delivery::new(options());
     delivery.head(stream_head(), None).expect("no mismatch");
@@ -349,10 +361,10 @@
             .expect("no mismatch")
             .is_empty()
     );
-    assert!(!delivery.may_go_on());
+    assert!(!delivery.may_continue());
     let fits = push_body(&mut delivery, second);
     assert_eq!(fits.map(|_| delivery.last_event()), expected);
-    assert_eq!(delivery.may_go_on(), expected.is_ok());
+    assert_eq!(delivery.may_continue(), expected.is_ok());
 }
 
 /// Guards against losing the last byte of a stream whose last line end arrives in two reads.
@@ -379,9 +391,12 @@
     assert_eq!(delivery.last_event(), Some(4));
     delivery.head(stream_head(), None).expect("no mismatch");
     push_body(&mut delivery, &event(first)).expect("no mismatch");
-    assert!(!delivery.may_go_on());
+    assert!(!delivery.may_continue());
     let skipped = event(first + 2);
-    assert_eq!(push_body(&mut delivery, &skipped), Err(Misfit::Gap));
+    assert_eq!(
+        push_body(&mut delivery, &skipped),
+        Err(ContinuationMismatch::Gap)
+    );
 }
 
 /// Guards against reading half of an event ID where part of an oversized event ends within it.
@@ -396,6 +411,6 @@
     let part = format!("data: {}\nid: 1", "x".repeat(300 * 1024));
     push_body(&mut delivery, &part).expect("no event ID yet");
     push_body(&mut delivery, "3\n\n").expect("no mismatch");
-    assert!(delivery.may_go_on());
+    assert!(delivery.may_continue());
     assert_eq!(delivery.last_event(), Some(13));
 }
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -100,7 +100,7 @@
     /// The upstream answered with a failure of its own.
     Failed,
     /// The answer can't continue what the caller has already received.
-    Misfit,
+    ContinuationMismatch,
 }
 
 impl FailedAttempt {
@@ -117,7 +117,7 @@
             Self::NotSent => "not_sent",
             Self::Lost => "lost",
             Self::Failed => "failed",
-            Self::Misfit => "misfit",
+            Self::ContinuationMismatch => "misfit",
         }
     }
 }
--- a/crates/entry/src/answering.rs
+++ b/crates/entry/src/answering.rs
@@ -2,7 +2,7 @@
 
 use apricotdale_core::names::RequestId;
 use apricotdale_core::policy::UpstreamOutcome;
-use apricotdale_delivery::Misfit;
+use apricotdale_delivery::ContinuationMismatch;
 use apricotdale_dispatch::FailedAttempt;
 use apricotdale_dispatch::RetryAction;
 use apricotdale_http1::ResponseHead;
@@ -32,7 +32,7 @@
     /// The try has failed.
     Fail(FailedAttempt),
     /// It is the request's own, and does not fit behind what the caller has been given.
-    Misfit(Misfit),
+    ContinuationMismatch(ContinuationMismatch),
 }
 
 impl Daemon {
@@ -116,7 +116,7 @@
         let verdict = match judge(&head, &fields, &request.serving.id) {
             HeadVerdict::Take => match request.delivery.head(head, fields.version) {
                 Ok(()) => HeadVerdict::Take,
-                Err(misfit) => HeadVerdict::Misfit(misfit),
+                Err(misfit) => HeadVerdict::ContinuationMismatch(misfit),
             },
             verdict => verdict,
         };
@@ -148,7 +148,9 @@
                 self.try_failed(key, failed);
                 self.advance_drain(token);
             }
-            HeadVerdict::Misfit(misfit) => self.answer_does_not_fit(token, key, misfit),
+            HeadVerdict::ContinuationMismatch(misfit) => {
+                self.answer_does_not_fit(token, key, misfit)
+            }
         }
     }
 
@@ -165,7 +167,7 @@
     }
 
     /// Gives up an answer that does not fit behind what the caller has been given.
-    fn answer_does_not_fit(&mut self, token: Token, key: u64, misfit: Misfit) {
+    fn answer_does_not_fit(&mut self, token: Token, key: u64, misfit: ContinuationMismatch) {
         self.metrics.misfit(misfit.as_str());
         if let Some(request) = self.active.get(key)
             && self.lines.take(self.now_ms, false)
@@ -181,10 +183,10 @@
         }
         match misfit {
             // The answer has ended, and its connection was released.
-            Misfit::Unfinished | Misfit::Empty => {}
+            ContinuationMismatch::Unfinished | ContinuationMismatch::Empty => {}
             _ => self.leave(token),
         }
-        self.try_failed(key, FailedAttempt::Misfit);
+        self.try_failed(key, FailedAttempt::ContinuationMismatch);
     }
 
     /// Logs that an upstream answers a request of which the caller already has a part.
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -156,7 +156,7 @@
         };
         let due = self.crash_watch.due(self.now_ms, role);
         due.rechecks.iter().for_each(|it| self.recheck(it));
-        self.look_again |= due.may_go_on;
+        self.look_again |= due.may_continue;
         if let Some((vm, address)) = judges.get(due.asked_judge) {
             let is_other = *vm != own;
             let asker = self.run;
--- a/crates/entry/src/failing.rs
+++ b/crates/entry/src/failing.rs
@@ -112,7 +112,7 @@
         let outcome = match failed {
             FailedAttempt::Rejected | FailedAttempt::Misdirected => UpstreamOutcome::Refused,
             FailedAttempt::NotSent => UpstreamOutcome::Unreachable,
-            FailedAttempt::Lost | FailedAttempt::Failed | FailedAttempt::Misfit => {
+            FailedAttempt::Lost | FailedAttempt::Failed | FailedAttempt::ContinuationMismatch => {
                 UpstreamOutcome::Lost
             }
         };
@@ -125,7 +125,7 @@
         request.job.runs += u32::from(!failed.is_not_run());
         let has_begun = request.delivery.has_begun();
         // One that is tried again after a block is not sent twice before its end is judged.
-        let can_go_on = request.delivery.may_go_on()
+        let can_go_on = request.delivery.may_continue()
             && (failed.is_not_run() || !self.crash_watch.knows(&request.fingerprint));
         let attempt = match can_go_on && request.caller.is_some() {
             true => self
--- a/crates/entry/src/serving.rs
+++ b/crates/entry/src/serving.rs
@@ -340,7 +340,7 @@
             .forward(&request.head, &request.body, &fields);
         request.job.tried.push(name.clone());
         request.job.awaits_retry_budget = false;
-        request.delivery.begin_run();
+        request.delivery.begin_next_answer();
         request.phase = Phase::Sent {
             connection: token,
             upstream: name.clone(),
--- a/crates/quarantine/src/trials.rs
+++ b/crates/quarantine/src/trials.rs
@@ -183,7 +183,7 @@
     /// Asks that no judge has answered.
     pub unanswered: Vec<TrialAsk>,
     /// Whether a request need not be held back any more.
-    pub may_go_on: bool,
+    pub may_continue: bool,
 }
 
 /// `TrialDesk` asks for the trials of one VM.
@@ -335,7 +335,7 @@
         let mut unused = Vec::new();
         self.states.retain(|_, state| match state {
             State::Denied { until_ms } if *until_ms <= now_ms => {
-                due.may_go_on = true;
+                due.may_continue = true;
                 false
             }
             State::Allowed { ask, until_ms } if *until_ms <= now_ms => {
@@ -344,7 +344,7 @@
                     number: ask.number,
                     is_lost: false,
                 });
-                due.may_go_on = true;
+                due.may_continue = true;
                 false
             }
             _ => true,
--- a/crates/quarantine/src/watch.rs
+++ b/crates/quarantine/src/watch.rs
@@ -85,7 +85,7 @@
     /// The place of that judge.
     pub asked_judge: usize,
     /// Whether requests that were held back are to be looked at again.
-    pub may_go_on: bool,
+    pub may_continue: bool,
 }
 
 /// `CrashWatch` decides for one VM. It tells states and not changes, some times over, and the same
@@ -383,16 +383,16 @@
 
     fn add_due_trials(&mut self, now_ms: u64, role: Role, due: &mut Due) {
         let trials = self.trials.due(now_ms, role.judges);
-        due.may_go_on |= trials.may_go_on;
+        due.may_continue |= trials.may_continue;
         due.asked_judge = self.trials.judge();
         let decides_itself = role.judge == Some(due.asked_judge);
         // A VM that no judge answers is cut off, and decides by itself.
         for ask in trials.unanswered {
-            due.may_go_on |= self.ask_itself(now_ms, &ask, 1);
+            due.may_continue |= self.ask_itself(now_ms, &ask, 1);
         }
         for ask in trials.asks {
             match decides_itself {
-                true => due.may_go_on |= self.ask_itself(now_ms, &ask, role.vms),
+                true => due.may_continue |= self.ask_itself(now_ms, &ask, role.vms),
                 false => due.asks.push(ask),
             }
         }
--- a/crates/quarantine/tests/trials.rs
+++ b/crates/quarantine/tests/trials.rs
@@ -90,7 +90,7 @@
         watch.permit(now_ms, bad, &upstream("i-3"), LEFT_MS),
         Permit::Wait
     );
-    assert!(watch.due(now_ms, judge_of(1)).may_go_on);
+    assert!(watch.due(now_ms, judge_of(1)).may_continue);
     assert!(!watch.holds_back(now_ms, &bad));
     let trial = Permit::Trial(upstream("i-3"));
     assert_eq!(watch.permit(now_ms, bad, &upstream("i-4"), LEFT_MS), trial);
