--- a/crates/delivery/tests/answer_search/course.rs
+++ b/crates/delivery/tests/answer_search/course.rs
@@ -135,7 +135,7 @@
             false => Run::of_body(spec, index),
         };
         let is_good = match spec.fault {
-            Fault::NoFault | Fault::Oversize => true,
+            Fault::Correct | Fault::Oversize => true,
             Fault::OversizeLateId => from == 1,
             _ => false,
         };
--- a/crates/delivery/tests/answer_search/runs.rs
+++ b/crates/delivery/tests/answer_search/runs.rs
@@ -16,7 +16,7 @@
 /// How a run goes wrong, if it does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    NoFault,
+    Correct,
     /// The connection breaks between events or inside one.
     CutBetween,
     CutInside,
@@ -72,7 +72,7 @@
     pub crossed_first: bool,
     /// Whether another answer follows the end.
     pub has_extra: bool,
-    /// Whether the delivery's owner goes on with the run after a mismatch.
+    /// Whether the delivery's owner passes on more of the run after a mismatch.
     pub ignores_mismatch: bool,
     /// Whether a failure is sent to the caller where the request could be retried.
     pub forwards_failure: bool,
@@ -118,7 +118,7 @@
 
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        20 => Just(Fault::NoFault),
+        20 => Just(Fault::Correct),
         40 => Just(Fault::CutBetween),
         40 => Just(Fault::CutInside),
         10 => Just(Fault::ClosedBetween),
