--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -107,7 +107,7 @@
             .map(|upstream| candidate(upstream))
             .collect();
         if free.is_empty() {
-            return DispatchDecision::Wait(WaitReason::Crowded);
+            return DispatchDecision::Wait(WaitReason::Full);
         }
         let request = RouteRequest {
             prefix_hash: job.prefix_hash,
@@ -119,7 +119,7 @@
                 DispatchDecision::Wait(WaitReason::Budget)
             }
             Some(index) => DispatchDecision::Send(free[index].upstream.clone()),
-            None => DispatchDecision::Wait(WaitReason::Crowded),
+            None => DispatchDecision::Wait(WaitReason::Full),
         }
     }
 
@@ -278,7 +278,7 @@
         job: &Job,
     ) -> DispatchDecision {
         let Some(wanted) = &job.wanted else {
-            return DispatchDecision::Wait(WaitReason::Crowded);
+            return DispatchDecision::Wait(WaitReason::Full);
         };
         let known = directory
             .service(&job.service)
--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -66,7 +66,7 @@
     /// No upstream holds the model or the adapter.
     Missing,
     /// All upstreams that could run it are full.
-    Crowded,
+    Full,
     /// The retry budget is used up.
     Budget,
     /// The rate limit of its organisation is being checked.
--- a/crates/dispatch/src/liveness.rs
+++ b/crates/dispatch/src/liveness.rs
@@ -101,7 +101,7 @@
     }
 
     /// Records that this VM's process was paused: data may have come meanwhile without being read.
-    pub fn stood_still(&mut self, now_ms: u64) {
+    pub fn process_paused(&mut self, now_ms: u64) {
         for state in self.by_name.values_mut() {
             state.heard_ms = now_ms;
         }
--- a/crates/dispatch/tests/engine_probes.rs
+++ b/crates/dispatch/tests/engine_probes.rs
@@ -116,7 +116,7 @@
     let mut watch = LivenessMonitor::default();
     watch.sent(SENT_MS, &name(0));
     watch.heard(SENT_MS + 30, &name(0));
-    watch.stood_still(SENT_MS + 4_000);
+    watch.process_paused(SENT_MS + 4_000);
     assert!(watch.due(SENT_MS + 4_100).is_empty());
 }
 
--- a/crates/dispatch/tests/send_decisions.rs
+++ b/crates/dispatch/tests/send_decisions.rs
@@ -76,7 +76,7 @@
     for _ in 0..own {
         dispatcher.sent(1_000, &job, &engine);
     }
-    let full = DispatchDecision::Wait(WaitReason::Crowded);
+    let full = DispatchDecision::Wait(WaitReason::Full);
     assert_eq!(dispatcher.decide(1_001, &directory, &job), full);
     if own > 0 {
         dispatcher.ended(
@@ -108,7 +108,7 @@
     dispatcher.reported(1_000, &job.service, &engine, sample);
     assert_eq!(
         dispatcher.decide(1_100, &directory, &job),
-        DispatchDecision::Wait(WaitReason::Crowded)
+        DispatchDecision::Wait(WaitReason::Full)
     );
     assert_eq!(
         dispatcher.decide(2_600, &directory, &job),
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -261,10 +261,10 @@
         let before_ms = std::mem::replace(&mut self.now_ms, now_ms());
         let late_ms = self.now_ms.saturating_sub(before_ms + sleep_ms);
         if late_ms >= BEHIND_MS {
-            self.watch.stood_still(self.now_ms);
+            self.watch.process_paused(self.now_ms);
         }
         if late_ms >= STOOD_STILL_MS {
-            self.metrics.stood_still();
+            self.metrics.process_paused();
             self.ask_for_blocks();
             log::warn!(
                 late_ms, requests = self.active.len(), orders_by = self.peers.holder_text();
--- a/crates/entry/src/ending.rs
+++ b/crates/entry/src/ending.rs
@@ -117,7 +117,7 @@
             }
             match request.phase {
                 Phase::Pausing { until_ms } if until_ms <= self.now_ms => {
-                    request.phase = Phase::Waiting(WaitReason::Crowded);
+                    request.phase = Phase::Waiting(WaitReason::Full);
                     self.dispatch(key);
                 }
                 Phase::Waiting(WaitReason::Limit) => self.dispatch(key),
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -43,7 +43,7 @@
     calls: Family<CallLabels, Counter>,
     orders: Family<CallLabels, Counter>,
     takeovers: Counter,
-    stood_still: Counter,
+    process_paused: Counter,
     foreign_entries: Counter,
     lapsed_upstreams: Counter,
     store_reads_bytes: Family<Reason, Counter>,
@@ -90,7 +90,7 @@
             calls: Family::default(),
             orders: Family::default(),
             takeovers: Counter::default(),
-            stood_still: Counter::default(),
+            process_paused: Counter::default(),
             foreign_entries: Counter::default(),
             lapsed_upstreams: Counter::default(),
             store_reads_bytes: Family::default(),
@@ -165,7 +165,7 @@
         registry.register(
             "stood_still",
             "Times that this VM stood still",
-            self.stood_still.clone(),
+            self.process_paused.clone(),
         );
         registry.register(
             "foreign_entries",
@@ -434,8 +434,8 @@
     }
 
     /// Counts that this VM stood still.
-    pub fn stood_still(&self) {
-        self.stood_still.inc();
+    pub fn process_paused(&self) {
+        self.process_paused.inc();
     }
 
     /// Notes the time to the first part of an answer.
--- a/crates/entry/src/serving.rs
+++ b/crates/entry/src/serving.rs
@@ -136,7 +136,7 @@
             organisation,
             serving,
             job,
-            phase: Phase::Waiting(WaitReason::Crowded),
+            phase: Phase::Waiting(WaitReason::Full),
             is_trial: false,
             delivery,
             first_sent_ms: None,
--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -378,7 +378,7 @@
         let active = self.active.iter().filter_map(|(_, request)| {
             let state = match request.phase {
                 Phase::Waiting(WaitReason::Missing) => RequestState::Missing,
-                Phase::Waiting(WaitReason::Crowded) => RequestState::Crowded,
+                Phase::Waiting(WaitReason::Full) => RequestState::Full,
                 _ => RequestState::Running,
             };
             Some((request.job.wanted.as_ref()?, state))
--- a/crates/holder/src/own_demand.rs
+++ b/crates/holder/src/own_demand.rs
@@ -17,7 +17,7 @@
     /// It waits because no engine holds its model.
     Missing,
     /// It waits because all engines that hold its model are full.
-    Crowded,
+    Full,
     /// It is in progress.
     Running,
 }
@@ -66,7 +66,7 @@
                 .or_insert_with(|| idle_row(wanted, row.arrived));
             match state {
                 RequestState::Missing => told.missing += 1,
-                RequestState::Crowded => told.crowded += 1,
+                RequestState::Full => told.crowded += 1,
                 RequestState::Running => told.running += 1,
             }
         }
--- a/crates/holder/tests/own_demand.rs
+++ b/crates/holder/tests/own_demand.rs
@@ -47,7 +47,7 @@
 
 #[rstest]
 #[case::missing(RequestState::Missing, [1, 0, 0])]
-#[case::crowded(RequestState::Crowded, [0, 1, 0])]
+#[case::crowded(RequestState::Full, [0, 1, 0])]
 #[case::running(RequestState::Running, [0, 0, 1])]
 fn request_in_progress_is_told_until_it_ends(
     #[case] state: RequestState,
