--- a/crates/quarantine/benches/recognising.rs
+++ b/crates/quarantine/benches/recognising.rs
@@ -1,4 +1,4 @@
-//! How long it takes to know a request again, by the size of its body, and to judge a crash.
+//! Time to compute a fingerprint, by the size of the body, and to judge a crash.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_quarantine::CallerHash;
@@ -12,7 +12,7 @@
 
 const BODIES_BYTES: [usize; 4] = [0, 2_500, 64 * 1024, 1024 * 1024];
 
-/// Crashes that are remembered, and requests under each.
+/// Number of remembered crashes, and of requests under each.
 const CRASHES: u64 = 100;
 const REQUESTS: u32 = 24;
 
--- a/crates/quarantine/src/answered.rs
+++ b/crates/quarantine/src/answered.rs
@@ -1,11 +1,11 @@
-//! Requests that were answered lately.
+//! Recently answered requests.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
 use crate::fingerprint::Fingerprint;
 
-/// `AnsweredLately` remembers when requests were answered, the last ones only.
+/// Times at which requests were last answered, for a bounded number of requests.
 #[derive(Clone, Debug)]
 pub(crate) struct AnsweredLately {
     at_ms: HashMap<Fingerprint, u64>,
@@ -14,7 +14,7 @@
 }
 
 impl AnsweredLately {
-    /// Returns a memory for a number of requests.
+    /// Returns an empty record for up to `most` requests.
     pub fn new(most: usize) -> Self {
         Self {
             at_ms: HashMap::new(),
--- a/crates/quarantine/src/blocks.rs
+++ b/crates/quarantine/src/blocks.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused because upstreams crash under them.
+//! Requests that are refused because upstreams crash when they run them.
 
 use std::collections::HashMap;
 
@@ -10,26 +10,26 @@
 use crate::fingerprint::Fingerprint;
 use crate::options::Options;
 
-/// How much longer a block must last than the known one to be news. Clocks and messages differ by
-/// less.
+/// Time by which a block must outlast the known one to be new. Clocks and message delays of the VMs
+/// differ by less.
 const NEWS_MS: u64 = 2_000;
 
-/// `BlockRow` is a block as VMs tell it to each other.
+/// Block as VMs send it to each other and as the store keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockRow {
-    /// The request.
+    /// Fingerprint of the blocked request.
     pub fingerprint: Fingerprint,
-    /// Whose it is, by which the memory is shared out.
+    /// Caller of the request, for the limits per caller.
     pub caller: CallerHash,
-    /// How often it was blocked.
+    /// How many times the request has been blocked, this time included.
     pub times: u32,
-    /// How much longer it is refused.
+    /// Time for which it is still refused.
     pub left_ms: u64,
-    /// Upstreams that crashed under it, the last ones.
+    /// Last upstreams that crashed under it.
     pub upstreams: Vec<UpstreamName>,
 }
 
-/// `Block` says until when a request is refused.
+/// Block of one request, with the time of its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Block {
     pub caller: CallerHash,
@@ -39,7 +39,7 @@
 }
 
 impl Block {
-    /// Returns how long a block lasts that is the `times`-th of its request.
+    /// Returns the length of a request's `times`-th block.
     pub fn length_ms(times: u32, options: &Options) -> u64 {
         let factor = 4_u64.saturating_pow(times.saturating_sub(2));
         match times {
@@ -49,14 +49,14 @@
         .min(options.most_block_ms)
     }
 
-    /// Returns until when it is remembered: a request whose block has ended is blocked again by a
-    /// single crash.
+    /// Returns until when the block is remembered. Until then, a single crash blocks the request
+    /// again.
     fn remembered_ms(&self, options: &Options) -> u64 {
         self.until_ms + Self::length_ms(self.times, options).max(options.block_ms)
     }
 }
 
-/// `Blocks` holds the blocks that are in force or lately were.
+/// Blocks that are in force or have ended recently.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Blocks {
     by_fingerprint: HashMap<Fingerprint, Block>,
@@ -67,14 +67,14 @@
         self.by_fingerprint.get(fingerprint)
     }
 
-    /// Returns the block of a request that is refused now.
+    /// Returns the block of a request that is refused now, if there is one.
     pub fn in_force(&self, now_ms: u64, fingerprint: &Fingerprint) -> Option<&Block> {
         let block = self.by_fingerprint.get(fingerprint);
         block.filter(|block| now_ms < block.until_ms)
     }
 
-    /// Takes in a block that is told by another VM or read from the store. Returns whether it is
-    /// news.
+    /// Records a block that was received from another VM or read from the store. Returns whether it
+    /// is new or longer than the known one.
     pub fn note(&mut self, now_ms: u64, row: &BlockRow, options: &Options) -> bool {
         let left_ms = row.left_ms.min(options.most_block_ms);
         let until_ms = now_ms + left_ms;
@@ -93,19 +93,19 @@
         true
     }
 
-    /// Forgets a block.
+    /// Removes the block of a request. Returns whether there was one.
     pub fn remove(&mut self, fingerprint: &Fingerprint) -> bool {
         self.by_fingerprint.remove(fingerprint).is_some()
     }
 
-    /// Forgets what is over for long enough, and returns it.
+    /// Removes blocks that are no longer remembered, and returns their requests.
     pub fn forget(&mut self, now_ms: u64, options: &Options) -> Vec<Fingerprint> {
         let blocks = &mut self.by_fingerprint;
         let over = blocks.extract_if(|_, block| block.remembered_ms(options) <= now_ms);
         over.map(|(fingerprint, _)| fingerprint).collect()
     }
 
-    /// Returns the blocks in force, in the order of their requests.
+    /// Returns the blocks in force, sorted by fingerprint.
     pub fn rows(&self, now_ms: u64) -> Vec<BlockRow> {
         let mut rows: Vec<BlockRow> = self
             .by_fingerprint
@@ -123,8 +123,8 @@
         rows
     }
 
-    /// Forgets the blocks that end first where a new one makes them too many, those of its caller
-    /// where that one has too many.
+    /// Removes the block that ends first if `new` makes too many: among those of its caller if
+    /// these are too many, and among all.
     fn bound(&mut self, new: &BlockRow, options: &Options) {
         let own = self.by_fingerprint.values();
         let own = own.filter(|block| block.caller == new.caller).count();
--- a/crates/quarantine/src/broken.rs
+++ b/crates/quarantine/src/broken.rs
@@ -1,4 +1,4 @@
-//! Upstreams that broke connections, until it is known whether they have ended.
+//! Upstreams that broke connections, until it is known whether they have crashed.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +6,29 @@
 
 use crate::crashes::Suspect;
 
-/// The pause before an upstream is asked again that neither answered nor refused the connection: a
-/// process that ends resets those it had yet to accept. It doubles each time.
+/// Pause before the second probe of an upstream that neither answered nor refused the connection: a
+/// process that ends resets connections that it had yet to accept. It doubles each time.
 const RECHECK_PAUSE_MS: u64 = 30;
 
-/// How often an engine is asked that broke a connection.
+/// Number of probes of an engine that broke a connection.
 const ENGINE_RECHECKS: u32 = 5;
 
-/// How often a connection is opened to a plain service's instance that broke one.
+/// Number of connection attempts to a plain service's instance that broke a connection.
 const SERVICE_RECHECKS: u32 = 2;
 
-/// How long a broken connection waits for a sign that its upstream has ended.
+/// Time after a broken connection in which its upstream's end must be confirmed.
 const UNCONFIRMED_MS: u64 = 10_000;
 
-/// Lost requests that are remembered of one upstream.
+/// Number of lost requests that are remembered per upstream.
 const MAX_SUSPECTS: usize = 256;
 
-/// `Recheck` is an upstream that broke a connection and is to be asked whether it is still there.
+/// Probe that is to be sent to an upstream that broke a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recheck {
-    /// The upstream.
+    /// Upstream to probe.
     pub upstream: UpstreamName,
-    /// Whether it can be asked for a report. Others are only connected to.
+    /// Whether it is an engine and can be asked for a load report. Other upstreams are only
+    /// connected to.
     pub is_engine: bool,
 }
 
@@ -41,7 +42,7 @@
     recheck_ms: u64,
 }
 
-/// `BrokenUpstreams` are the upstreams that broke connections.
+/// Upstreams that broke connections and whose end is not confirmed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BrokenUpstreams {
     by_name: BTreeMap<UpstreamName, Broken>,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Returns the upstreams to ask now.
+    /// Returns the upstreams to probe now.
     pub fn due(&mut self, now_ms: u64) -> Vec<Recheck> {
         let broken = self.by_name.iter_mut();
         broken
@@ -78,7 +79,7 @@
             .collect()
     }
 
-    /// Notes that an upstream neither answered nor refused the connection.
+    /// Records that an upstream neither answered nor refused the connection of a probe.
     pub fn unanswered(&mut self, now_ms: u64, upstream: &UpstreamName) {
         let Some(broken) = self.by_name.get_mut(upstream) else {
             return;
--- a/crates/quarantine/src/crashes.rs
+++ b/crates/quarantine/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests were in progress at upstreams that crashed.
+//! Crashes of upstreams, and the requests that were in progress there.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,26 +13,27 @@
 use crate::fingerprint::Fingerprint;
 use crate::options::Options;
 
-/// Who reports what the store keeps.
+/// Reporter of the crashes that were read from the store.
 const STORE: u64 = 0;
 
-/// `Suspect` is a request that was in progress at an upstream that crashed.
+/// Suspect request: it was in progress at an upstream that crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Whose it is, by which the memory is shared out.
+    /// Caller of the request, for the limits per caller.
     pub caller: CallerHash,
-    /// How long before the crash a VM saw the same request answered; none if it did not.
+    /// Time from the last answer to the same request that a VM saw until the crash, or `None` if it
+    /// saw none.
     pub served_ago_ms: Option<u64>,
-    /// How many copies of it were in progress there.
+    /// Number of its copies that were in progress there.
     pub copies: u32,
-    /// How many of these were trials.
+    /// Number of these copies that were trial runs.
     pub trials: u32,
 }
 
 impl Suspect {
-    /// Returns a suspect of which one copy was in progress, and none was answered before.
+    /// Returns a suspect with one copy that was no trial run, and without an earlier answer.
     pub fn new(fingerprint: Fingerprint, caller: CallerHash) -> Self {
         Self {
             fingerprint,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Adds a suspect to those of one upstream, as another copy where it is among them.
+    /// Adds the suspect to those of one upstream. If it is among them already, the numbers of
+    /// copies are added.
     pub(crate) fn add_to(self, suspects: &mut Vec<Self>) {
         let known = suspects
             .iter_mut()
@@ -58,45 +60,45 @@
     }
 }
 
-/// `CrashReport` is what one VM had in progress at an upstream that crashed.
+/// One VM's requests that were in progress at an upstream that crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The run of the upstream.
+    /// Incarnation of the upstream.
     pub upstream: UpstreamName,
-    /// How long ago it crashed.
+    /// Time since the crash.
     pub ago_ms: u64,
-    /// The run of the VM that reports, whose word replaces its word of before.
+    /// Incarnation of the VM that reports. A later report of the same one replaces its earlier one.
     pub reporter: u64,
-    /// The requests that were in progress there.
+    /// Requests that were in progress there.
     pub suspects: Vec<Suspect>,
 }
 
-/// `CaseRow` is a request under which several upstreams crashed, as the store keeps it.
+/// Crash case: a request and the crashes under it, as the store keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseRow {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Whose it is.
+    /// Caller of the request.
     pub caller: CallerHash,
-    /// The crashes under it.
+    /// Crashes of upstreams at which it was in progress.
     pub crashes: Vec<CaseCrash>,
 }
 
-/// `CaseCrash` is a crash under a request, as the store keeps it.
+/// One crash of a crash case.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseCrash {
-    /// The upstream.
+    /// Incarnation of the upstream.
     pub upstream: UpstreamName,
-    /// How long ago it crashed.
+    /// Time since the crash.
     pub ago_ms: u64,
-    /// How many copies were lost with it.
+    /// Number of copies of the request that were lost.
     pub copies: u32,
-    /// How many of these were trials.
+    /// Number of these copies that were trial runs.
     pub trials: u32,
 }
 
 impl CaseRow {
-    /// Returns the case as reports, some time later.
+    /// Returns the case as crash reports, `later_ms` after it was read.
     pub fn reports(&self, later_ms: u64) -> Vec<CrashReport> {
         let crashes = self.crashes.iter();
         crashes
@@ -113,21 +115,21 @@
             .collect()
     }
 
-    /// Returns how many copies were lost.
+    /// Returns the number of copies that were lost in all crashes.
     pub fn copies(&self) -> u32 {
         self.crashes.iter().map(|crash| crash.copies).sum()
     }
 }
 
-/// What was lost of one request with one upstream.
+/// Copies of one request that were lost with one upstream.
 #[derive(Clone, Debug)]
 struct Loss {
     caller: CallerHash,
-    /// The copies by who reports them.
+    /// Numbers of copies by reporter.
     reported: BTreeMap<u64, Copies>,
 }
 
-/// How many copies were lost, and how many of them were trials.
+/// Number of lost copies, and of the trial runs among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Copies {
     all: u32,
@@ -135,7 +137,8 @@
 }
 
 impl Loss {
-    /// Returns how many copies were lost. The store may keep what some of the VMs report, too.
+    /// Returns the number of lost copies over all reporters. The store's number may include what
+    /// VMs report, too, so that the larger one counts.
     fn copies(&self) -> Copies {
         let mut copies = Copies::default();
         for (_, of_vm) in self.reported.iter().filter(|(it, _)| **it != STORE) {
@@ -153,60 +156,60 @@
 #[derive(Clone, Debug)]
 struct Crash {
     at_ms: u64,
-    /// When it was first heard of.
+    /// Time of its first report.
     heard_ms: u64,
     suspects: BTreeMap<Fingerprint, Loss>,
 }
 
-/// `CrashLog` holds the crashes of the last minutes.
+/// Crashes of the last minutes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashLog {
     crashes: BTreeMap<UpstreamName, Crash>,
     suspects_by_caller: HashMap<CallerHash, usize>,
     suspects: usize,
-    /// When requests under crashes were last answered.
+    /// Times at which suspect requests were last answered.
     served: HashMap<Fingerprint, u64>,
-    /// When the requests under a crash are next to be judged.
+    /// Time at which the requests under a crash are to be judged next.
     pub due_ms: Option<u64>,
-    /// Grows with each crash that is heard of.
+    /// Grows with each report that adds to a crash.
     pub changes: u64,
 }
 
-/// `Charge` is a crash under a request.
+/// Crash that is held against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Charge {
     pub upstream: UpstreamName,
     pub at_ms: u64,
-    /// Whether the upstream crashed by itself, and under no other request that is known to crash
-    /// upstreams.
+    /// Whether the upstream crashed outside a group, and under no other request that is known to
+    /// crash upstreams.
     pub is_unexplained: bool,
-    /// How many trials of the request were lost with it.
+    /// Number of trial runs of the request that were lost.
     pub trials: u32,
 }
 
-/// `Case` is what speaks against a request.
+/// All crashes that are held against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Case {
     pub fingerprint: Fingerprint,
     pub caller: CallerHash,
-    /// The crashes under it in order of time.
+    /// Crashes under it in order of time.
     pub charges: Vec<Charge>,
 }
 
 impl Case {
-    /// Returns the upstreams whose crash nothing else explains.
+    /// Returns the crashes without another explanation.
     pub fn unexplained(&self) -> impl Iterator<Item = &Charge> {
         self.charges.iter().filter(|charge| charge.is_unexplained)
     }
 
-    /// Returns how many trials of the request were lost.
+    /// Returns the number of trial runs of the request that were lost.
     pub fn trials(&self) -> u32 {
         self.charges.iter().map(|charge| charge.trials).sum()
     }
 }
 
 impl CrashLog {
-    /// Takes in what a VM had in progress at an upstream that crashed. The same may come again.
+    /// Records a VM's crash report. The same report may be recorded several times.
     pub fn note(&mut self, now_ms: u64, report: &CrashReport, options: &Options) {
         let at_ms = now_ms.saturating_sub(report.ago_ms);
         if report.ago_ms >= options.memory_ms || report.suspects.is_empty() {
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Returns whether the word of a suspect says something new.
+    /// Adds a suspect to a crash. Returns whether that changes the number of lost copies.
     fn add(&mut self, upstream: &UpstreamName, reporter: u64, suspect: &Suspect) -> bool {
         let Some(crash) = self.crashes.get_mut(upstream) else {
             return false;
@@ -266,7 +269,7 @@
         before != loss.copies()
     }
 
-    /// Takes in that a request was answered: the crashes before were not its doing.
+    /// Records that a request was answered, which clears it of earlier crashes.
     fn note_served(&mut self, fingerprint: Fingerprint, served_ms: u64, options: &Options) {
         if self.served.len() >= options.max_served {
             let oldest = self.served.iter().min_by_key(|(_, at_ms)| **at_ms);
@@ -279,7 +282,7 @@
         self.clear_if(&fingerprint, |crash| crash.at_ms < served_ms);
     }
 
-    /// Forgets crashes that are too old.
+    /// Removes crashes and answers from before a time.
     pub fn forget_before(&mut self, at_ms: u64) {
         let old: Vec<UpstreamName> = self
             .crashes
@@ -291,7 +294,7 @@
         self.served.retain(|_, served_ms| *served_ms >= at_ms);
     }
 
-    /// Forgets what speaks against a request.
+    /// Removes a request from all crashes.
     pub fn clear(&mut self, fingerprint: &Fingerprint) {
         self.clear_if(fingerprint, |_| true);
     }
@@ -305,13 +308,13 @@
         }
     }
 
-    /// Returns whether a request was answered since a time, as far as reports have told.
+    /// Returns whether a request was answered at or after a time, according to crash reports.
     pub fn is_served_since(&self, fingerprint: &Fingerprint, from_ms: u64) -> bool {
         let served_ms = self.served.get(fingerprint);
         served_ms.is_some_and(|served_ms| *served_ms >= from_ms)
     }
 
-    /// Returns the requests of which enough was lost for probation.
+    /// Returns the crash cases that meet the limits for probation.
     pub fn rows(&self, now_ms: u64, options: &Options) -> Vec<CaseRow> {
         let mut rows: BTreeMap<Fingerprint, CaseRow> = BTreeMap::new();
         for (upstream, crash) in &self.crashes {
@@ -336,20 +339,20 @@
         rows.into_values().filter(is_case).collect()
     }
 
-    /// Returns when the next crash settles.
+    /// Returns when the next crash has settled, if one has not yet.
     pub fn next_settled_ms(&self, now_ms: u64, options: &Options) -> Option<u64> {
         let settle = self.crashes.values();
         let settle = settle.map(|crash| crash.heard_ms + options.settle_ms);
         settle.filter(|at_ms| *at_ms > now_ms).min()
     }
 
-    /// Returns how many requests are remembered, counted once for each crash.
+    /// Returns how many suspect requests are remembered, counted once per crash.
     pub fn suspects(&self) -> usize {
         self.suspects
     }
 
-    /// Returns what speaks against each request under a crash that has settled. Requests that are
-    /// `guilty` explain the crashes under them.
+    /// Returns the case of each request under a crash that has settled, the one with most crashes
+    /// first. Requests that are `guilty` explain the crashes under them.
     pub fn cases(
         &self,
         now_ms: u64,
@@ -390,8 +393,8 @@
         cases
     }
 
-    /// Returns the most crashes under any other request that was in progress at one of these
-    /// upstreams when it crashed.
+    /// Returns the largest number of crashes of any other request that was at one of the case's
+    /// unexplained crashes.
     pub fn most_beside(&self, case: &Case) -> usize {
         let crashes = case.unexplained();
         let crashes = crashes.filter_map(|charge| self.crashes.get(&charge.upstream));
@@ -408,7 +411,7 @@
         most
     }
 
-    /// Returns whether other upstreams crashed at the same moment, as those of one rack do.
+    /// Returns whether other upstreams crashed at the same time, as those of one rack do.
     fn is_group(&self, crash: &Crash, options: &Options) -> bool {
         let within = |most_ms: u64| {
             let near = |other: &&Crash| other.at_ms.abs_diff(crash.at_ms) <= most_ms;
@@ -453,7 +456,7 @@
         }
     }
 
-    /// Forgets the requests of a caller under the oldest crash that has any.
+    /// Removes the requests of a caller from the oldest crash that has any.
     fn remove_oldest_of(&mut self, caller: CallerHash) {
         let has = |crash: &Crash| crash.suspects.values().any(|it| it.caller == caller);
         let oldest = self
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Telling whether two requests are the same one.
+//! Fingerprints of requests and hashes of callers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,32 +8,32 @@
 use xxhash_rust::xxh3::Xxh3;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// `CallerHash` stands for the caller of a request: its address, or its organisation where callers
-/// say who they are.
+/// Hash of a request's caller: of its address, or of its organisation where callers identify
+/// themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallerHash(u64);
 
 impl CallerHash {
-    /// Returns the hash of a caller's name or address.
+    /// Returns the hash of a caller's address or organisation.
     pub fn of(caller: &[u8]) -> Self {
         Self(xxh3_64(caller))
     }
 }
 
-/// `Fingerprint` is the same for two requests with the same method, path and body, whatever their
-/// ids. Other headers don't count, so that a stream that is resumed is the same request.
+/// Hash of a request's method, target and body. Request IDs and other headers don't count, so that
+/// a resumed stream is the same request.
 ///
-/// Where callers say who they are, the caller counts too. An address alone is none of that: one
-/// caller comes from several.
+/// Where callers identify themselves, the caller counts too. An address alone does not identify a
+/// caller, since a caller may have several.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request. `target` is the host with the path and query.
+    /// Returns the fingerprint of a request. `target` holds the host, and the path with the query.
     pub fn of(caller: Option<CallerHash>, method: &str, target: &[&str], body: &[u8]) -> Self {
         let mut hash = Xxh3::new();
         let mut part = |bytes: &[u8]| {
-            // The length keeps bytes from moving from one part into the next.
+            // The length separates the parts, so that no byte can move from one part into the next.
             hash.update(&(bytes.len() as u64).to_le_bytes());
             hash.update(bytes);
         };
@@ -54,7 +54,7 @@
     }
 }
 
-/// `ParseFingerprintError` says that a text is no fingerprint as it is displayed.
+/// Error for a text that is not a fingerprint as displayed: 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseFingerprintError;
 
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,13 +1,16 @@
-//! Which requests crash the upstreams that run them.
+//! Detection of requests that crash the upstreams that run them.
 //!
-//! An upstream that crashes takes all its requests with it. Most of them only stood beside the one
-//! that crashed it, but that one comes again, to another VM and under another id, and crashes the
-//! next. [`Fingerprint`] tells whether two requests are the same one. [`Quarantine`] learns which
-//! requests were in progress at which crashed upstream, and says which are refused and until when.
-//! Before that, a request under which too much was lost is on probation: its copies are sent as
-//! trials, one at a time over all VMs, until one was answered.
-//! [`CrashWatch`] is what one of many VMs does around it: what it asks upstreams and tells the
-//! others. It is pure: facts and time go in, verdicts and messages come out.
+//! All requests in progress at an upstream are lost when it crashes. Most of them are not the
+//! cause, but the one that is comes again, to another VM and under another ID, and crashes the next
+//! upstream. [`Fingerprint`] tells whether two requests are the same. [`Quarantine`] records which
+//! requests were in progress at which crashed upstream, and decides which of them are blocked and
+//! until when. Before that, a request of which too much was lost is on probation: its copies are
+//! sent as trial runs, one at a time over all VMs, until one is answered.
+//!
+//! [`CrashWatch`] is the part of one VM among many: it says which upstreams to probe, and what to
+//! send to the other VMs. Some of the VMs are judges: the others send them their crash reports and
+//! ask them before each trial run. There is no I/O: observations and the time go in, decisions and
+//! messages come out.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/quarantine/src/options.rs
+++ b/crates/quarantine/src/options.rs
@@ -1,51 +1,51 @@
-//! The limits of a quarantine.
+//! Limits of a quarantine.
 
-/// `Options` are the limits of a [`Quarantine`](crate::Quarantine).
+/// Limits of a [`Quarantine`](crate::Quarantine).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Upstreams that must have crashed under a request, with nothing else to explain it.
+    /// Upstreams that must have crashed under a request, without another explanation, before it is
+    /// blocked.
     pub crashes: usize,
-    /// Upstreams that crashed under a request after which it is blocked whatever else explains
-    /// them.
+    /// Upstreams that crashed under a request from which on it is blocked whatever else explains
+    /// the crashes.
     pub most_crashes: usize,
-    /// Upstreams that crashed under a request after which it is on probation: its copies are sent
-    /// one at a time until one was answered.
+    /// Upstreams that crashed under a request from which on it is on probation.
     pub probation_crashes: usize,
-    /// Copies of a request that were lost with upstreams after which it is on probation.
+    /// Copies of a request that were lost in crashes from which on it is on probation.
     pub probation_copies: u32,
-    /// Trials of a request on probation that were lost with upstreams after which it is blocked
-    /// whatever else explains them.
+    /// Trial runs of a request that were lost in crashes from which on it is blocked whatever else
+    /// explains the crashes.
     pub trials: u32,
-    /// How long after the first word of a crash the requests under it are judged, so that the words
-    /// of all VMs about it have come.
+    /// Time from the first report of a crash until its requests are judged, in which the reports of
+    /// all VMs arrive.
     pub settle_ms: u64,
-    /// Crashes of this many upstreams within [`Options::group_ms`] have a cause outside of the
-    /// requests.
+    /// Number of upstreams whose crashes within [`Options::group_ms`] have a common cause other
+    /// than a request.
     pub group_upstreams: usize,
-    /// See [`Options::group_upstreams`].
+    /// Window in which [`Options::group_upstreams`] crashes form a group.
     pub group_ms: u64,
-    /// Crashes of two upstreams so close to each other have such a cause, too.
+    /// Window in which two crashes form such a group.
     pub pair_ms: u64,
-    /// How long a crash is remembered.
+    /// Time for which a crash is remembered.
     pub memory_ms: u64,
-    /// How long a request is blocked the first time. Then it is tried again: it may have been
-    /// blamed for what happened beside it.
+    /// Length of a request's first block. After it the request is tried again, because it may have
+    /// been blocked for crashes with another cause.
     pub first_block_ms: u64,
-    /// How long it is blocked the second time; four times as long each further time.
+    /// Length of its second block. Each further one is four times as long.
     pub block_ms: u64,
-    /// The longest block.
+    /// Largest length of a block.
     pub most_block_ms: u64,
-    /// Crashes that are remembered.
+    /// Number of crashes that are remembered.
     pub max_crashes: usize,
-    /// Requests that are remembered under crashes, counted once for each crash.
+    /// Number of suspect requests that are remembered, counted once per crash.
     pub max_suspects: usize,
-    /// The same for one caller.
+    /// The same for the requests of one caller.
     pub max_suspects_a_caller: usize,
-    /// Requests of which it is remembered when they were last answered.
+    /// Number of requests of which the time of the last answer is remembered.
     pub max_served: usize,
-    /// Blocks that are remembered.
+    /// Number of blocks that are remembered.
     pub max_blocks: usize,
-    /// The same for one caller.
+    /// The same for the requests of one caller.
     pub max_blocks_a_caller: usize,
 }
 
--- a/crates/quarantine/src/own_reports.rs
+++ b/crates/quarantine/src/own_reports.rs
@@ -1,4 +1,4 @@
-//! What this VM had in progress at upstreams that crashed, and when it tells it.
+//! Crash reports of this VM: its requests that were in progress at upstreams that crashed.
 
 use std::collections::VecDeque;
 
@@ -7,22 +7,22 @@
 use crate::crashes::CrashReport;
 use crate::crashes::Suspect;
 
-/// When a report is told after it is due first, since a datagram may be lost.
+/// Delays after which a report is sent again, since a datagram may be lost.
 const TELL_AGAIN_MS: [u64; 2] = [300, 1_000];
 
-/// How long the requests lost with an upstream are gathered before they are told.
+/// Time for which the requests lost with an upstream are collected before they are sent.
 const GATHER_MS: u64 = 5;
 
-/// How long reports are kept for judges that start again.
+/// Time for which reports are kept for judges that restart.
 const KEPT_MS: u64 = 600_000;
 
-/// Reports that are kept.
+/// Number of reports that are kept.
 const MAX_REPORTS: usize = 64;
 
-/// Suspects in one part of a report.
+/// Suspect requests in one part of a report.
 const SUSPECTS_A_PART: usize = 10;
 
-/// What was in progress at one upstream.
+/// This VM's requests that were in progress at one upstream.
 #[derive(Clone, Debug)]
 struct OwnReport {
     upstream: UpstreamName,
@@ -32,16 +32,16 @@
     tell_ms: u64,
 }
 
-/// `OwnReports` are the reports of one VM.
+/// Crash reports of one VM.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnReports {
-    /// The run of the VM.
+    /// Incarnation of the VM's process.
     run: u64,
     reports: VecDeque<OwnReport>,
 }
 
 impl OwnReports {
-    /// Returns the reports of a VM that has none yet.
+    /// Returns an empty list of reports.
     pub fn new(run: u64) -> Self {
         Self {
             run,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adds the report of an upstream that has ended.
+    /// Adds the report of an upstream that has ended. `at_ms` is the time of its end.
     pub fn push(&mut self, now_ms: u64, upstream: UpstreamName, at_ms: u64, lost: Vec<Suspect>) {
         self.reports.push_back(OwnReport {
             upstream,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Adds a request to the report of an upstream, if there is one. Returns whether there is.
+    /// Adds a request to the report of an upstream. Returns whether there is such a report.
     pub fn add(&mut self, now_ms: u64, upstream: &UpstreamName, suspect: Suspect) -> bool {
         let mut reports = self.reports.iter_mut();
         let Some(report) = reports.find(|it| it.upstream == *upstream) else {
@@ -75,13 +75,13 @@
         true
     }
 
-    /// Returns all reports, in parts of which some fit into a datagram.
+    /// Returns all reports, in parts of which several fit into a datagram.
     pub fn parts(&self, now_ms: u64) -> Vec<CrashReport> {
         let reports = self.reports.iter();
         reports.flat_map(|it| it.parts(self.run, now_ms)).collect()
     }
 
-    /// Returns the parts that are to be told now.
+    /// Returns the parts that are to be sent now.
     pub fn due(&mut self, now_ms: u64) -> Vec<CrashReport> {
         let mut parts = Vec::new();
         for report in self.reports.iter_mut().filter(|it| it.tell_ms <= now_ms) {
@@ -93,7 +93,7 @@
         parts
     }
 
-    /// Returns when the next report is to be told.
+    /// Returns when the next report is to be sent, or `u64::MAX` if none is.
     pub fn next_ms(&self) -> u64 {
         let reports = self.reports.iter().map(|report| report.tell_ms);
         reports.min().unwrap_or(u64::MAX)
--- a/crates/quarantine/src/probation.rs
+++ b/crates/quarantine/src/probation.rs
@@ -1,29 +1,30 @@
-//! Requests on probation: those under which so much was lost that they are sent one at a time.
+//! Requests on probation, whose copies are sent one at a time.
 
 use std::collections::BTreeMap;
 
 use crate::fingerprint::Fingerprint;
 
-/// Requests on probation that are remembered.
+/// Number of requests on probation that are remembered.
 const MAX_REQUESTS: usize = 1_024;
 
-/// How long a request is on probation of which nothing more is heard: as long as crashes are
+/// Length of a probation without further reports. It equals the time for which crashes are
 /// remembered.
 const PROBATION_MS: u64 = 600_000;
 
-/// When a judge tells of a request that it put on probation, since datagrams may be lost.
+/// Delays after which a judge announces a request that it put on probation, since datagrams may be
+/// lost.
 const TOLD_MS: [u64; 3] = [0, 300, 1_500];
 
-/// `Probations` are the requests that are sent one at a time over all VMs, until one was answered.
+/// Requests of which one copy is sent at a time over all VMs, until one is answered.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probations {
     until_ms: BTreeMap<Fingerprint, u64>,
-    /// Those that the others are to be told, and when.
+    /// Requests that are to be announced to the other VMs, and when.
     telling: Vec<(u64, Fingerprint)>,
 }
 
 impl Probations {
-    /// Adds a request that this VM has found.
+    /// Adds a request that this VM put on probation, and schedules its announcements.
     pub fn find(&mut self, now_ms: u64, fingerprint: Fingerprint) {
         if self.add(now_ms, fingerprint) {
             let tellings = TOLD_MS.map(|after_ms| (now_ms + after_ms, fingerprint));
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Adds a request that another VM has found. Returns whether that is news.
+    /// Adds a request that is on probation. Returns whether it was not before.
     pub fn add(&mut self, now_ms: u64, fingerprint: Fingerprint) -> bool {
         let before = self.until_ms.insert(fingerprint, now_ms + PROBATION_MS);
         if before.is_none() && self.until_ms.len() > MAX_REQUESTS {
@@ -55,13 +56,13 @@
         self.until_ms.keys()
     }
 
-    /// Returns the requests that the others are to be told now.
+    /// Returns the requests that are to be announced now.
     pub fn due(&mut self, now_ms: u64) -> Vec<Fingerprint> {
         let due = self.telling.extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
         due.map(|(_, fingerprint)| fingerprint).collect()
     }
 
-    /// Returns when the others are to be told next.
+    /// Returns when the next announcement is due, or `u64::MAX` if none is.
     pub fn next_ms(&self) -> u64 {
         let tellings = self.telling.iter().map(|(at_ms, _)| *at_ms);
         tellings.min().unwrap_or(u64::MAX)
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! The decision which requests are refused.
+//! Decision on which requests are blocked.
 
 use std::collections::HashSet;
 
@@ -12,40 +12,43 @@
 use crate::fingerprint::Fingerprint;
 use crate::options::Options;
 
-/// Upstreams that a block names.
+/// Number of upstreams that a block names.
 const NAMED_UPSTREAMS: usize = 5;
 
-/// `Scope` is how much of the crashes of all VMs is known to whoever judges.
+/// How many VMs' crash reports a decision rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// What all VMs had in progress is told to this one.
+    /// Reports of all VMs, which this VM receives as a judge.
     Fleet,
-    /// Only what this VM itself had in progress is known. Another VM's request may explain the
-    /// crashes, so only the larger number of them counts.
+    /// Reports of this VM alone. Another VM's request may explain the crashes, so that only
+    /// [`Options::most_crashes`] or lost trial runs lead to a block.
     OwnRequests,
 }
 
-/// `Quarantine` finds requests that crash the upstreams that run them, and says until when they are
-/// refused.
+/// Finds requests that crash the upstreams that run them, and decides until when they are refused.
 ///
-/// All requests in progress at an upstream are lost with it, so one crash says little against any
-/// of them. A request is blocked when three upstreams crashed under it, each by itself and under no
-/// other request that explains them, and no request beside it was under two; when four did, and
-/// fewer under each request beside it; or when five did, whatever explains them. A request under
-/// which less was lost, but more than chance brings, is on probation: see [`Quarantine::cases`]. Two
-/// trials that are lost block it, too. A run that is answered clears a request of the crashes
-/// before.
+/// All requests in progress at an upstream are lost when it crashes, so that a single crash says
+/// little about any of them. A request is blocked in any of these cases:
+///
+/// - Three upstreams crashed under it, none of them in a group or under another request that
+///   explains the crash, and no other request there was under two crashes.
+/// - The same with four upstreams, and each other request there was under fewer crashes.
+/// - Five upstreams crashed under it, whatever else explains the crashes.
+/// - Two of its trial runs were lost.
+///
+/// A request under which less was lost, but more than happens by chance, is on probation: see
+/// [`Quarantine::cases`]. An answered run clears a request of all earlier crashes.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     options: Options,
     crashes: CrashLog,
     blocks: Blocks,
-    /// Requests that the operators let pass.
+    /// Requests that operators have exempted from blocks.
     exempt: HashSet<Fingerprint>,
 }
 
 impl Quarantine {
-    /// Returns a quarantine that knows nothing yet.
+    /// Returns a quarantine without any crashes or blocks.
     pub fn new(options: Options) -> Self {
         Self {
             options,
@@ -55,7 +58,7 @@
         }
     }
 
-    /// Takes in what a VM had in progress at an upstream that crashed. The same may be told again.
+    /// Records a VM's crash report. The same report may be recorded several times.
     pub fn note_crash(&mut self, now_ms: u64, report: &CrashReport) {
         let mut report = report.clone();
         report
@@ -64,23 +67,23 @@
         self.crashes.note(now_ms, &report, &self.options);
     }
 
-    /// Takes in a block that is told by another VM or read from the store. Returns whether it is
-    /// news.
+    /// Records a block that was received from another VM or read from the store. Returns whether it
+    /// is new or longer than the known one.
     pub fn note_block(&mut self, now_ms: u64, row: &BlockRow) -> bool {
         !self.exempt.contains(&row.fingerprint) && self.blocks.note(now_ms, row, &self.options)
     }
 
-    /// Returns when [`Quarantine::judge`] is due.
+    /// Returns when [`Quarantine::judge`] is due, or `u64::MAX` if it is not.
     pub fn next_ms(&self) -> u64 {
         self.crashes.due_ms.unwrap_or(u64::MAX)
     }
 
-    /// Returns the blocks that begin now.
+    /// Decides on new blocks once the reports of a crash have arrived, and returns them.
     pub fn judge(&mut self, now_ms: u64, scope: Scope) -> Vec<BlockRow> {
         if now_ms < self.next_ms() {
             return Vec::new();
         }
-        // Crashes that have not settled yet are judged with those that came before them.
+        // Crashes that have not settled yet are judged later, together with the earlier ones.
         self.crashes.due_ms = None;
         let mut begun = Vec::new();
         while let Some(case) = self.guilty_case(now_ms, scope) {
@@ -92,7 +95,7 @@
         begun
     }
 
-    /// Returns how much longer a request is refused, if it is.
+    /// Returns for how long a request is still refused, or `None` if it is not blocked.
     pub fn blocked_ms(&self, now_ms: u64, fingerprint: &Fingerprint) -> Option<u64> {
         let block = self.blocks.in_force(now_ms, fingerprint)?;
         Some(block.until_ms - now_ms)
@@ -103,19 +106,19 @@
         self.blocks.rows(now_ms)
     }
 
-    /// Returns whether a request is or lately was blocked.
+    /// Returns whether a request is blocked or was blocked recently.
     pub fn knows(&self, fingerprint: &Fingerprint) -> bool {
         self.blocks.get(fingerprint).is_some()
     }
 
-    /// Forgets what speaks against a request, since it was answered. Returns whether it was or
-    /// lately had been blocked.
+    /// Removes the crashes and the block of a request because it was answered. Returns whether
+    /// there was a block, in force or recent.
     pub fn clear(&mut self, fingerprint: &Fingerprint) -> bool {
         self.crashes.clear(fingerprint);
         self.blocks.remove(fingerprint)
     }
 
-    /// Takes in which requests the operators let pass, and forgets what speaks against them.
+    /// Replaces the set of exempt requests, and removes their crashes and blocks.
     pub fn exempt(&mut self, fingerprints: HashSet<Fingerprint>) {
         for fingerprint in &fingerprints {
             self.blocks.remove(fingerprint);
@@ -124,32 +127,33 @@
         self.exempt = fingerprints;
     }
 
-    /// Forgets what is too old. Returns the requests whose blocks are forgotten.
+    /// Removes crashes and blocks that are too old. Returns the requests whose blocks were removed.
     pub fn forget(&mut self, now_ms: u64) -> Vec<Fingerprint> {
         let from_ms = now_ms.saturating_sub(self.options.memory_ms);
         self.crashes.forget_before(from_ms);
         self.blocks.forget(now_ms, &self.options)
     }
 
-    /// Returns whether a request was blocked, and is to be tried again.
+    /// Returns whether a request's block has ended, so that it is to be tried again.
     pub fn is_after_block(&self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
         let block = self.blocks.get(fingerprint);
         block.is_some_and(|block| block.until_ms <= now_ms)
     }
 
-    /// Returns the requests of which enough was lost for probation and that were not blocked.
+    /// Returns the crash cases of requests that meet the limits for probation and were not blocked
+    /// recently.
     pub fn cases(&self, now_ms: u64) -> Vec<CaseRow> {
         let mut rows = self.crashes.rows(now_ms, &self.options);
         rows.retain(|row| self.blocks.get(&row.fingerprint).is_none());
         rows
     }
 
-    /// Returns a number that grows with each crash that is heard of.
+    /// Returns a number that grows with each report that adds to a crash.
     pub fn changes(&self) -> u64 {
         self.crashes.changes
     }
 
-    /// Returns how many requests are remembered, counted once for each crash under them.
+    /// Returns how many suspect requests are remembered, counted once per crash.
     pub fn suspects(&self) -> usize {
         self.crashes.suspects()
     }
@@ -178,8 +182,8 @@
             _ if case.charges.len() >= self.options.most_crashes => true,
             Scope::OwnRequests => false,
             Scope::Fleet if unexplained < self.options.crashes => false,
-            // A request that was beside it twice may come to a third crash of its own. One more
-            // crash tells them apart.
+            // Another request that was there at two of the three crashes may be under a third one
+            // later. One more crash tells the two apart.
             Scope::Fleet if unexplained == self.options.crashes => {
                 self.crashes.most_beside(case) + 1 < unexplained
             }
--- a/crates/quarantine/src/trials.rs
+++ b/crates/quarantine/src/trials.rs
@@ -1,9 +1,9 @@
-//! Trials: the sends of a request on probation, one at a time over all VMs.
+//! Trial runs of requests on probation, one at a time over all VMs.
 //!
 //! A VM asks a judge before it sends a request on probation. [`Referee`] is the judge's side: it
-//! allows one trial of a request at a time, and one at each upstream, so that of two suspects each
-//! is lost with an upstream of its own. [`TrialDesk`] is the side of the VM that asks. When no judge
-//! answers, a VM decides by itself.
+//! allows one trial run of a request at a time, and one at each upstream, so that of two suspect
+//! requests each is lost with an upstream of its own. [`TrialDesk`] is the side of the VM that
+//! asks. If no judge answers, a VM decides by itself.
 
 use std::collections::BTreeMap;
 
@@ -13,106 +13,109 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// How long an answer of a judge is awaited before it is asked again.
+/// Time after which a judge that has not answered is asked again.
 const ANSWER_MS: u64 = 90;
 
-/// How often a judge is asked before the next one is.
+/// Number of times that a judge is asked before the next one is.
 const ASKS_A_JUDGE: u32 = 4;
 
-/// How long another judge is asked after one did not answer.
+/// Time for which another judge is asked after one did not answer.
 const OTHER_JUDGE_MS: u64 = 3_000;
 
-/// How long a trial that is allowed may wait to be sent.
+/// Time within which an allowed trial run must be sent.
 const UNUSED_MS: u64 = 300;
 
-/// How long after its allowed time a trial counts as under way.
+/// Time after its deadline for which a trial run still counts as in progress.
 const SLACK_MS: u64 = 500;
 
-/// How long a judge that has just started allows nothing: the one before may have.
+/// Time for which a new judge allows nothing, since its predecessor may have allowed trial runs.
 const START_MS: u64 = 1_500;
 
-/// The pause after a lost trial: its upstream's end is confirmed and judged first.
+/// Pause after a lost trial run, in which its upstream's end is confirmed and judged.
 const LOST_PAUSE_MS: u64 = 400;
 
-/// The shortest pause before a VM asks again, and what each VM adds to it.
+/// Shortest pause before a VM asks again, and the pause per VM if that is longer.
 const PAUSE_MS: u64 = 50;
 const PAUSE_MS_A_VM: u64 = 4;
 
-/// When the end of a trial is told again.
+/// Delay after which the end of a trial run is sent to the judge again.
 const END_AGAIN_MS: u64 = 300;
 
-/// Requests for which trials are asked or allowed at once.
+/// Number of requests for which trial runs are asked or allowed at once.
 const MAX_TRIALS: usize = 1_024;
 
-/// `TrialAsk` asks whether a request on probation may be sent.
+/// Question of a VM to a judge whether it may send a request on probation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialAsk {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Where it would be sent.
+    /// Upstream to which it would be sent.
     pub upstream: UpstreamName,
-    /// The number of the trial at the VM that asks.
+    /// Number of the trial run, unique at the VM that asks.
     pub number: u64,
-    /// How long it may take.
+    /// Time that the trial run may take.
     pub left_ms: u64,
 }
 
-/// `TrialAnswer` answers a [`TrialAsk`].
+/// Judge's answer to a [`TrialAsk`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialAnswer {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The number of the trial at the VM that asked.
+    /// Number of the trial run at the VM that asked.
     pub number: u64,
-    /// After which time to ask again; none if the trial may be sent.
+    /// Time after which to ask again, or `None` if the trial run may be sent.
     pub after_ms: Option<u64>,
 }
 
-/// `TrialEnd` says that a trial is over.
+/// Message to the judge that a trial run has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialEnd {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The number of the trial at the VM that had asked.
+    /// Number of the trial run at the VM that had asked.
     pub number: u64,
-    /// Whether it was lost with its connection.
+    /// Whether the trial run was lost with its connection.
     pub is_lost: bool,
 }
 
-/// `Permit` says whether a request may be sent.
+/// Whether a request may be sent now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// It is not on probation.
+    /// It may: it is not on probation.
     Free,
-    /// It is sent as a trial to this upstream.
+    /// It may, as a trial run, to this upstream.
     Trial(UpstreamName),
-    /// Another copy is under way, or a judge is asked.
+    /// It must wait, because another trial run is in progress or a judge has yet to answer.
     Wait,
 }
 
+/// Trial run that a judge has allowed.
 #[derive(Clone, Debug)]
 struct Grant {
+    /// Upstream of the trial run, or `None` once it was lost.
     upstream: Option<UpstreamName>,
     asker: u64,
     number: u64,
     until_ms: u64,
 }
 
-/// `Referee` allows trials.
+/// Allows trial runs, as a judge.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Referee {
+    /// Time since which this VM is a judge.
     since_ms: Option<u64>,
     grants: BTreeMap<Fingerprint, Grant>,
 }
 
 impl Referee {
-    /// Notes since when this VM judges.
+    /// Records that this VM is a judge from now on.
     pub fn begin(&mut self, now_ms: u64) {
         self.since_ms.get_or_insert(now_ms);
     }
 
-    /// Decides on a trial: `None` allows it, or after which time to ask again. The same may be asked
-    /// again.
+    /// Decides on a trial run. Returns `None` if it is allowed, or the time after which to ask
+    /// again. The same question may come several times.
     pub fn decide(&mut self, now_ms: u64, asker: u64, ask: &TrialAsk, vms: usize) -> Option<u64> {
         let pause_ms = PAUSE_MS.max(PAUSE_MS_A_VM * vms as u64);
         let begin_ms = self.since_ms.unwrap_or(now_ms) + START_MS;
@@ -138,7 +141,7 @@
         None
     }
 
-    /// Takes in that a trial is over.
+    /// Records the end of a trial run.
     pub fn ended(&mut self, now_ms: u64, asker: u64, end: &TrialEnd) {
         let Some(grant) = self.grants.get_mut(&end.fingerprint) else {
             return;
@@ -155,7 +158,7 @@
     }
 }
 
-/// What a VM knows of the next trial of a request.
+/// State of the next trial run of a request, at the VM that asks for it.
 #[derive(Clone, Debug)]
 enum State {
     Asked {
@@ -175,42 +178,43 @@
     },
 }
 
-/// `DueTrials` is what is to be sent now.
+/// Messages that are due and what else has changed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DueTrials {
     pub asks: Vec<TrialAsk>,
     pub ends: Vec<TrialEnd>,
-    /// Asks that no judge has answered.
+    /// Questions that no judge has answered.
     pub unanswered: Vec<TrialAsk>,
-    /// Whether a request need not be held back any more.
+    /// Whether a request that had to wait may be sent now.
     pub may_continue: bool,
 }
 
-/// `TrialDesk` asks for the trials of one VM.
+/// Asks judges for the trial runs of one VM.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TrialDesk {
     states: BTreeMap<Fingerprint, State>,
     next_number: u64,
-    /// Ends that are to be told, and when.
+    /// Ends of trial runs that are to be sent to the judge, and when.
     ends: Vec<(u64, TrialEnd)>,
-    /// Which of the judges is asked.
+    /// Index of the judge that is asked.
     judge: usize,
     judge_until_ms: u64,
 }
 
 impl TrialDesk {
-    /// Returns which of the judges is asked.
+    /// Returns the index of the judge that is asked.
     pub fn judge(&self) -> usize {
         self.judge
     }
 
-    /// Returns whether a request need not be looked at now.
+    /// Returns whether a request has to wait for a judge or for a trial run in progress.
     pub fn holds_back(&self, fingerprint: &Fingerprint) -> bool {
         let state = self.states.get(fingerprint);
         state.is_some_and(|state| !matches!(state, State::Allowed { .. }))
     }
 
-    /// Decides whether a request on probation may be sent, and has a judge asked if not.
+    /// Decides whether a request on probation may be sent, and schedules a question to a judge if
+    /// not.
     pub fn permit(
         &mut self,
         now_ms: u64,
@@ -245,7 +249,7 @@
         }
     }
 
-    /// Takes in the answer of a judge. Returns whether a trial may be sent.
+    /// Records the answer of a judge. Returns whether a trial run may be sent.
     pub fn take_answer(&mut self, now_ms: u64, answer: &TrialAnswer) -> bool {
         let Some(state) = self.states.get_mut(&answer.fingerprint) else {
             return false;
@@ -268,7 +272,7 @@
         answer.after_ms.is_none()
     }
 
-    /// Takes in that the trial of a request is over.
+    /// Records that the trial run of a request has ended.
     pub fn over(&mut self, now_ms: u64, fingerprint: Fingerprint, is_lost: bool) {
         if let Some(State::Sent { number }) = self.states.get(&fingerprint) {
             let end = TrialEnd {
@@ -277,13 +281,13 @@
                 is_lost,
             };
             self.tell_end(now_ms, end);
-            // The judge has to hear of the end before it is asked for the next.
+            // The judge has to receive the end of this trial run before it is asked for the next.
             let until_ms = now_ms + PAUSE_MS;
             self.states.insert(fingerprint, State::Denied { until_ms });
         }
     }
 
-    /// Forgets a request that is not on probation any more.
+    /// Removes the state of a request that is no longer on probation.
     pub fn forget(&mut self, fingerprint: &Fingerprint) {
         if !matches!(self.states.get(fingerprint), Some(State::Sent { .. })) {
             self.states.remove(fingerprint);
@@ -295,7 +299,7 @@
         self.ends.push((now_ms + END_AGAIN_MS, end));
     }
 
-    /// Returns when something is due.
+    /// Returns when something is due, or `u64::MAX` if nothing is.
     pub fn next_ms(&self) -> u64 {
         let states = self.states.values().map(|state| match state {
             State::Asked { next_ms, .. } => *next_ms,
@@ -306,7 +310,7 @@
         states.chain(ends).min().unwrap_or(u64::MAX)
     }
 
-    /// Returns what is due, where there are some judges.
+    /// Returns what is due. `judges` is the number of judges.
     pub fn due(&mut self, now_ms: u64, judges: usize) -> DueTrials {
         let mut due = DueTrials::default();
         if self.judge >= judges || self.judge_until_ms <= now_ms {
--- a/crates/quarantine/src/watch.rs
+++ b/crates/quarantine/src/watch.rs
@@ -1,4 +1,5 @@
-//! What one VM does about crashes: what it asks, tells and refuses, and when.
+//! One VM's part in the detection of crashing requests: what it probes, sends and refuses, and
+//! when.
 
 use apricotdale_core::names::UpstreamName;
 
@@ -23,87 +24,87 @@
 use crate::trials::TrialDesk;
 use crate::trials::TrialEnd;
 
-/// When a block is told again by the VM that found it.
+/// Delays after which the VM that found a block sends it again.
 const BLOCK_AGAIN_MS: [u64; 2] = [300, 1_500];
 
-/// The time between two tellings of the blocks in force by the giver of orders.
+/// Interval at which the lease holder sends blocks in force.
 const BLOCKS_EVERY_MS: u64 = 5_000;
 
-/// Blocks that it tells at a time.
+/// Blocks that it sends at a time.
 const BLOCKS_AT_A_TIME: usize = 10;
 
-/// The time between two looks for what is too old.
+/// Interval at which old records are removed.
 const FORGET_EVERY_MS: u64 = 1_000;
 
-/// Requests of which this VM remembers that they were answered.
+/// Number of answered requests that this VM remembers.
 const ANSWERED: usize = 2_048;
 
-/// `Role` is what a VM is to the others.
+/// Role of a VM among the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Role {
-    /// Its place among the judges, whom the others tell what they had in progress at upstreams that
-    /// crashed; none if it is no judge.
+    /// Its index among the judges, to which the others send their crash reports, or `None` if it is
+    /// no judge.
     pub judge: Option<usize>,
-    /// How many judges there are.
+    /// Number of judges.
     pub judges: usize,
-    /// How many VMs there are.
+    /// Number of VMs.
     pub vms: usize,
-    /// Whether it gives orders, and repeats the blocks for all.
+    /// Whether it holds the order lease, and therefore repeats the blocks for all.
     pub is_giver: bool,
 }
 
-/// `LostRequest` is a request that was lost because an upstream broke its connection.
+/// Request that was lost because an upstream broke its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Whose it is.
+    /// Caller of the request.
     pub caller: CallerHash,
-    /// Whether it was sent as a trial.
+    /// Whether it was sent as a trial run.
     pub is_trial: bool,
 }
 
-/// `Due` is what is to be done now.
+/// What a VM has to do now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Due {
-    /// Upstreams to ask whether they are still there.
+    /// Upstreams to probe.
     pub rechecks: Vec<Recheck>,
-    /// What the judges are to be told.
+    /// Crash reports to send to the judges.
     pub reports: Vec<CrashReport>,
-    /// What all VMs are to be told.
+    /// Blocks to send to all VMs.
     pub blocks: Vec<BlockRow>,
-    /// Blocks that begin, found by this VM.
+    /// Blocks that begin now by this VM's decision.
     pub begun: Vec<BlockRow>,
-    /// Requests whose blocks are over and forgotten.
+    /// Requests whose blocks have ended and are no longer remembered.
     pub ended: Vec<Fingerprint>,
-    /// Requests on probation that all VMs are to be told.
+    /// Requests on probation to announce to all VMs.
     pub probations: Vec<Fingerprint>,
-    /// What the judge is to be asked that decides on trials.
+    /// Questions about trial runs to send to the judge that is asked.
     pub asks: Vec<TrialAsk>,
-    /// Trials that are over, for that judge.
+    /// Ends of trial runs to send to that judge.
     pub trial_ends: Vec<TrialEnd>,
-    /// The place of that judge.
+    /// Index of that judge.
     pub asked_judge: usize,
-    /// Whether requests that were held back are to be looked at again.
+    /// Whether requests that had to wait may be sent now.
     pub may_continue: bool,
 }
 
-/// `CrashWatch` decides for one VM. It tells states and not changes, some times over, and the same
-/// may come several times, so that nothing waits for an answer.
+/// Detection of crashing requests at one VM. It sends states instead of changes, repeats them, and
+/// may receive the same several times, so that nothing waits for an acknowledgement.
 #[derive(Clone, Debug)]
 pub struct CrashWatch {
-    /// The run of this VM.
+    /// Incarnation of this VM's process.
     run: u64,
     quarantine: Quarantine,
     probations: Probations,
-    /// What had been heard of crashes when requests were last put on probation.
+    /// Value of [`Quarantine::changes`] when requests were last put on probation.
     seen_changes: u64,
     trials: TrialDesk,
     referee: Referee,
     answered: AnsweredLately,
     broken: BrokenUpstreams,
     own: OwnReports,
-    /// Blocks that this VM found, and when it tells them again.
+    /// Blocks that this VM found, and when it sends them again.
     telling: Vec<(u64, Vec<BlockRow>)>,
     next_rows_ms: u64,
     next_row: usize,
@@ -111,7 +112,7 @@
 }
 
 impl CrashWatch {
-    /// Returns the watch of a run of a VM, which knows nothing yet.
+    /// Returns the watch of one incarnation of a VM, without any records.
     pub fn new(run: u64, options: Options) -> Self {
         Self {
             run,
@@ -130,18 +131,18 @@
         }
     }
 
-    /// Takes in which requests the operators let pass.
+    /// Replaces the set of requests that operators have exempted from blocks.
     pub fn exempt(&mut self, fingerprints: &[Fingerprint]) {
         self.quarantine
             .exempt(fingerprints.iter().copied().collect());
     }
 
-    /// Returns how much longer a request is refused, if it is.
+    /// Returns for how long a request is still refused, or `None` if it is not blocked.
     pub fn blocked_ms(&self, now_ms: u64, fingerprint: &Fingerprint) -> Option<u64> {
         self.quarantine.blocked_ms(now_ms, fingerprint)
     }
 
-    /// Returns whether a request is on probation, or is or lately was blocked.
+    /// Returns whether a request is on probation, is blocked, or was blocked recently.
     pub fn knows(&self, fingerprint: &Fingerprint) -> bool {
         self.quarantine.knows(fingerprint) || self.probations.contains(fingerprint)
     }
@@ -150,13 +151,14 @@
         self.probations.contains(fingerprint) || self.quarantine.is_after_block(now_ms, fingerprint)
     }
 
-    /// Returns whether a request on probation has to wait for another copy or for a judge.
+    /// Returns whether a request on probation has to wait for a judge or for a trial run in
+    /// progress.
     pub fn holds_back(&self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
         self.trials.holds_back(fingerprint) && self.is_on_probation(now_ms, fingerprint)
     }
 
-    /// Decides whether a request may be sent to an upstream; `left_ms` is how long it may take. Has
-    /// a judge asked where it is on probation.
+    /// Decides whether a request may be sent to an upstream, and schedules a question to a judge if
+    /// it is on probation. `left_ms` is the time that its run may take.
     pub fn permit(
         &mut self,
         now_ms: u64,
@@ -170,12 +172,12 @@
         }
     }
 
-    /// Takes in that a trial is over.
+    /// Records that a trial run of this VM has ended.
     pub fn note_trial_over(&mut self, now_ms: u64, fingerprint: Fingerprint, is_lost: bool) {
         self.trials.over(now_ms, fingerprint, is_lost);
     }
 
-    /// Decides for another VM whether it may send a trial.
+    /// Decides, as a judge, whether another VM may send a trial run.
     pub fn take_ask(&mut self, now_ms: u64, asker: u64, ask: &TrialAsk, vms: usize) -> TrialAnswer {
         TrialAnswer {
             fingerprint: ask.fingerprint,
@@ -184,17 +186,17 @@
         }
     }
 
-    /// Takes in a judge's answer. Returns whether requests are to be looked at again.
+    /// Records a judge's answer. Returns whether requests that had to wait may be sent now.
     pub fn take_trial_answer(&mut self, now_ms: u64, answer: &TrialAnswer) -> bool {
         self.trials.take_answer(now_ms, answer)
     }
 
-    /// Takes in that the trial of another VM is over.
+    /// Records, as a judge, that a trial run of another VM has ended.
     pub fn take_trial_end(&mut self, now_ms: u64, asker: u64, end: &TrialEnd) {
         self.referee.ended(now_ms, asker, end);
     }
 
-    /// Takes in requests that another VM knows to be on probation.
+    /// Records requests that another VM has put on probation.
     pub fn take_probations(&mut self, now_ms: u64, fingerprints: &[Fingerprint]) {
         for fingerprint in fingerprints {
             self.probations.add(now_ms, *fingerprint);
@@ -206,15 +208,16 @@
         self.probations.all().copied().collect()
     }
 
-    /// Notes a request that was answered. Returns whether it was blocked or lately had been, and
-    /// the other VMs are to be told.
+    /// Records that a request was answered at this VM. Returns whether it was on probation or
+    /// blocked, also recently, so that the other VMs are to be told.
     pub fn note_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) -> bool {
         self.answered.note(now_ms, fingerprint);
         self.knows(&fingerprint) && self.take_cleared(now_ms, &fingerprint)
     }
 
-    /// Takes in that a request was answered at another VM. Returns whether that is news. Later
-    /// reports of this VM tell it to judges that have not heard of it.
+    /// Records that a request was answered at another VM. Returns whether it was on probation or
+    /// blocked. Later crash reports of this VM pass the answer on to judges that have not received
+    /// it.
     pub fn take_cleared(&mut self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
         self.answered.note(now_ms, *fingerprint);
         for (_, rows) in &mut self.telling {
@@ -225,7 +228,7 @@
         self.quarantine.clear(fingerprint) || was_on_probation
     }
 
-    /// Notes a request that was lost because an upstream broke its connection.
+    /// Records a request that was lost because an upstream broke its connection.
     pub fn note_lost(
         &mut self,
         now_ms: u64,
@@ -243,18 +246,18 @@
         }
     }
 
-    /// Takes in that an upstream answered after it broke a connection.
+    /// Records that an upstream answered a probe after it broke a connection.
     pub fn note_alive(&mut self, upstream: &UpstreamName) {
         self.broken.take(upstream);
     }
 
-    /// Takes in that an upstream neither answered nor refused the connection.
+    /// Records that an upstream neither answered nor refused the connection of a probe.
     pub fn note_unanswered(&mut self, now_ms: u64, upstream: &UpstreamName) {
         self.broken.unanswered(now_ms, upstream);
     }
 
-    /// Takes in that an upstream has ended. Returns the requests that were lost with it; none where
-    /// no connection had broken shortly before, and it was no crash.
+    /// Records that an upstream has ended. Returns the requests that were lost with it, or `None`
+    /// if no connection had broken shortly before, so that it was no crash.
     pub fn note_ended(&mut self, now_ms: u64, upstream: &UpstreamName) -> Option<Vec<Suspect>> {
         let broken = self.broken.take(upstream)?;
         let lost = broken.suspects;
@@ -263,14 +266,15 @@
         Some(lost)
     }
 
-    /// Takes in what another VM had in progress at upstreams that crashed.
+    /// Records crash reports of another VM.
     pub fn take_reports(&mut self, now_ms: u64, reports: &[CrashReport]) {
         for report in reports {
             self.quarantine.note_crash(now_ms, report);
         }
     }
 
-    /// Takes in a block that another VM tells or the store keeps. Returns whether it is news.
+    /// Records a block that was received from another VM or read from the store. Returns whether it
+    /// is new or longer than the known one.
     pub fn take_block(&mut self, now_ms: u64, row: &BlockRow) -> bool {
         self.quarantine.note_block(now_ms, row)
     }
@@ -280,28 +284,28 @@
         self.quarantine.rows(now_ms)
     }
 
-    /// Returns the requests under which several upstreams crashed and that are not blocked.
+    /// Returns the crash cases of requests that meet the limits for probation and are not blocked.
     pub fn cases(&self, now_ms: u64) -> Vec<CaseRow> {
         self.quarantine.cases(now_ms)
     }
 
-    /// Returns a number that grows with each crash that is heard of.
+    /// Returns a number that grows with each report that adds to a crash.
     pub fn changes(&self) -> u64 {
         self.quarantine.changes()
     }
 
-    /// Returns what this VM had in progress at upstreams that crashed, for a judge that starts.
+    /// Returns this VM's crash reports, for a judge that starts.
     pub fn own_reports(&self, now_ms: u64) -> Vec<CrashReport> {
         self.own.parts(now_ms)
     }
 
-    /// Returns how many requests are remembered under crashes, counted once for each crash.
+    /// Returns how many suspect requests are remembered, counted once per crash.
     pub fn suspects(&self) -> usize {
         self.quarantine.suspects()
     }
 
-    /// Returns when something is due. What is only repeated or forgotten is left to the next look
-    /// at any time.
+    /// Returns when something is due. Repetitions and the removal of old records don't count: they
+    /// are left to the next call of [`CrashWatch::due`].
     pub fn next_ms(&self) -> u64 {
         if self.seen_changes != self.quarantine.changes() {
             return 0;
@@ -325,7 +329,7 @@
         now_ms >= self.next_forget_ms || now_ms >= self.next_ms()
     }
 
-    /// Returns what is due.
+    /// Returns what is due, and makes the decisions that are.
     pub fn due(&mut self, now_ms: u64, role: Role) -> Due {
         let mut due = Due {
             rechecks: self.broken.due(now_ms),
@@ -372,7 +376,7 @@
         }
     }
 
-    /// Returns the requests on probation that are to be told, by a judge.
+    /// Returns the requests on probation that a judge has to announce now.
     fn due_probations(&mut self, now_ms: u64, role: Role) -> Vec<Fingerprint> {
         let due = self.probations.due(now_ms);
         match role.judge.is_some() {
--- a/crates/quarantine/tests/bounded_memory.rs
+++ b/crates/quarantine/tests/bounded_memory.rs
@@ -1,4 +1,4 @@
-//! What is remembered stays bounded, and one caller can't push out what is known of others.
+//! Limits of what is remembered, in total and per caller.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_quarantine::BlockRow;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Guards against a caller that fills the memory with requests of its own.
+/// Guards against a caller whose requests displace those of all others.
 #[test]
 fn suspects_of_one_caller() {
     let options = Options::default();
@@ -69,7 +69,7 @@
     assert!(blocked_ms.is_some());
 }
 
-/// Guards against the requests of many callers that add up.
+/// Guards against exceeding the limit by the requests of many callers.
 #[test]
 fn suspects_of_all_callers() {
     let options = Options::default();
@@ -104,7 +104,7 @@
     assert_eq!(quarantine.rows(NOW_MS).len(), options.max_blocks);
 }
 
-/// Guards against a told block without an end.
+/// Guards against a block received from another VM that never ends.
 #[test]
 fn told_block_is_bounded() {
     let options = Options::default();
@@ -118,8 +118,8 @@
     assert_eq!(left_ms, Some(options.most_block_ms));
 }
 
-/// Guards against a new block that is dropped at once, and begun again without an end, because it is
-/// the shortest of a caller that has as many as it may.
+/// Guards against a new block that is dropped at once, and begun again and again, because it is the
+/// shortest one of a caller at its limit.
 #[test]
 fn new_block_of_a_full_caller() {
     let options = Options::default();
--- a/crates/quarantine/tests/crash_search/courses.rs
+++ b/crates/quarantine/tests/crash_search/courses.rs
@@ -1,4 +1,4 @@
-//! What happens in a course, and how courses are drawn.
+//! Random courses of events.
 
 use proptest::prelude::*;
 
@@ -8,41 +8,40 @@
 use crate::fleet::RETURNS;
 use crate::fleet::Way;
 
-/// Requests that crash engines: each has a model, which some share.
+/// Number of requests that crash engines. Each needs one model, which other ones may share.
 pub const CRASHERS: u8 = 4;
 
-/// What happens at a moment.
+/// What happens at one time.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// Copies of a request that crashes engines come to VMs, beside some other requests for the
-    /// same model.
+    /// Copies of a crashing request arrive at VMs, beside some other requests for the same model.
     Crashers {
         which: u8,
         vm: usize,
         copies: u8,
         beside: u8,
     },
-    /// Copies of a harmless request come that many callers send alike.
+    /// Copies of a harmless request arrive that many callers send alike.
     Popular { model: usize, vm: usize, copies: u8 },
-    /// An engine ends by itself, under requests that do nothing.
+    /// An engine ends by itself, with harmless requests in progress.
     Loss { vm: usize, requests: u8 },
-    /// The last VM's process is started again.
+    /// The last VM's process is restarted.
     Restart,
-    /// A VM stands still.
+    /// A VM's process is paused.
     Freeze { vm: usize, for_ms: u64 },
 }
 
-/// A course of events over some VMs.
+/// Course of events over some VMs.
 #[derive(Clone, Debug)]
 pub struct Course {
     pub vms: usize,
     pub seed: u64,
     lost_in_256: u64,
-    /// The engines of each model.
+    /// Number of engines of each model.
     pub engines: Vec<usize>,
     pub load_ms: u64,
     pub returns: u32,
-    /// Pauses, events and the VMs at which they begin.
+    /// Pauses, the events after them, and the VMs at which they happen.
     pub events: Vec<(u64, Event, usize)>,
 }
 
@@ -74,7 +73,7 @@
 }
 
 impl Event {
-    /// Returns the event at a VM.
+    /// Returns the same event at a VM.
     pub fn at(self, place: usize) -> Self {
         match self {
             Self::Crashers {
@@ -125,12 +124,12 @@
     })
 }
 
-/// Returns courses of many copies, rare models and callers that come back.
+/// Returns courses with many copies, models with few engines, and callers that retry.
 pub fn crowded_course() -> impl Strategy<Value = Course> {
     course(event(), prop_oneof![Just(1), 2..12_usize], RETURNS)
 }
 
-/// Returns courses of single copies that meet others by chance only.
+/// Returns courses with single copies, whose requests meet others only by chance.
 pub fn sparse_course() -> impl Strategy<Value = Course> {
     let event = event().prop_map(|event| match event {
         Event::Crashers {
--- a/crates/quarantine/tests/crash_search/fleet.rs
+++ b/crates/quarantine/tests/crash_search/fleet.rs
@@ -15,25 +15,24 @@
 use crate::messages::Link;
 use crate::messages::Message;
 
-/// How long a request that crashes engines runs before the end.
+/// Run time of a crashing request until it crashes its engine.
 pub const RUN_MS: u64 = 60;
 
-/// How long any other request runs.
+/// Run time of any other request.
 pub const ANSWER_MS: u64 = 200;
 
-/// How long after an engine's end a VM learns that it has ended.
+/// Time from an engine's end until a VM learns of it.
 pub const CONFIRM_MS: u64 = 5;
 
-/// A VM that is killed may not have told what it lost within this time.
+/// Time before it is killed for which a VM may not have reported what it lost.
 pub const TOLD_MS: u64 = 1_500;
 
-/// How long a caller waits for an answer, and how often it comes back.
+/// Time for which a caller waits for an answer, and how many times it retries.
 pub const PATIENCE_MS: u64 = 9_000;
 
 pub const RETURNS: u32 = 4;
 
-/// Within this time after the third copy that ended any number of sends is allowed, and later this
-/// many.
+/// Time after the loss of a request's third copy in which its sends are not counted as late.
 pub const WINDOW_MS: u64 = 3_000;
 
 pub const STEP_MS: u64 = 5;
@@ -44,11 +43,11 @@
     pub watch: CrashWatch,
     pub frozen_until_ms: u64,
     pub inbox: Vec<(u64, Message)>,
-    /// Since when it has run without a disturbance.
+    /// Time since which it has run without a disturbance.
     pub calm_ms: u64,
 }
 
-/// A caller's request, at a VM or on its way there.
+/// Caller's request, at a VM or on its way there.
 #[derive(Clone, Copy, Debug)]
 pub struct Copy {
     pub vm: usize,
@@ -76,36 +75,36 @@
     pub vms: Vec<Vm>,
     pub link: Link,
     pub engines_begun: u32,
-    /// The engines of each model.
+    /// Engines of each model.
     pub models: Vec<Vec<Engine>>,
     pub load_ms: u64,
-    /// How often a caller comes back.
+    /// Number of times that a caller retries.
     pub returns: u32,
     pub waiting: Vec<Copy>,
     pub running: Vec<Running>,
-    /// Requests lost with an engine, and when their VM learns of its end.
+    /// Requests lost with an engine, and the time of its end.
     pub ends: Vec<(u64, UpstreamName, Vec<Copy>)>,
-    /// Sends that reached engines: when, and whether by a VM that had been calm.
+    /// Sends that reached engines: when, and whether from a VM without a recent disturbance.
     pub sends: BTreeMap<Fingerprint, Vec<(u64, bool)>>,
-    /// When copies ended with their engines, and the VMs that had sent them.
+    /// Times at which copies were lost with their engines, and the VMs that had sent them.
     pub ended: BTreeMap<Fingerprint, Vec<(u64, usize)>>,
-    /// Requests that do no harm and were lost with engines.
+    /// Harmless requests that were lost with engines.
     pub harmless_lost: BTreeSet<Fingerprint>,
-    /// Those of them that were blocked.
+    /// Harmless requests that were blocked.
     pub harmless_blocked: BTreeSet<Fingerprint>,
-    /// How long harmless requests of which copies were lost waited for a permit.
+    /// Total time for which harmless requests waited for a permit.
     pub held_back_ms: u64,
     pub way: Way,
 }
 
-/// Ways to keep a request from crashing more engines.
+/// Strategies that keep a request from crashing more engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Crashes are counted, and any number of copies is sent until a verdict.
+    /// Crashes are counted, and any number of copies is sent until a request is blocked.
     Counted,
-    /// On probation, each VM sends one copy at a time.
+    /// Each VM sends one copy of a request on probation at a time.
     OneAVm,
-    /// On probation, one copy is sent at a time over all VMs.
+    /// One copy of a request on probation is sent at a time over all VMs.
     OneOverAll,
 }
 
@@ -230,7 +229,7 @@
                 });
                 self.ends.push((now_ms, engine, lost.collect()));
             }
-            // The others keep what they were told; its own part is lost with it.
+            // The other VMs keep what they received; what only the last VM holds is lost with it.
             Event::Restart if self.vms.len() == 1 => {}
             Event::Restart => self.restart(self.vms.len() - 1),
             Event::Freeze { vm, for_ms } => {
@@ -251,7 +250,7 @@
             ended.retain(|(at_ms, of)| *of != vm || at_ms + TOLD_MS <= now_ms);
         }
         let mut watch = CrashWatch::new(run_of(vm), self.way.options());
-        // What the giver of orders and the others tell a VM that greets.
+        // What the lease holder and the other VMs send to a VM that says hello.
         for row in self.vms[0].watch.blocks(now_ms) {
             watch.take_block(now_ms, &row);
         }
@@ -290,7 +289,7 @@
         self.send_waiting();
     }
 
-    /// Ends the engines under crashers, and answers the other requests.
+    /// Ends the engines under crashing requests, and answers the other requests.
     pub fn end_runs(&mut self) {
         let now_ms = self.now_ms;
         let crashing = |it: &&Running| it.copy.crashes && it.ends_ms <= now_ms;
@@ -369,7 +368,7 @@
         for (_, engine, lost) in ended.collect::<Vec<_>>() {
             for copy in lost {
                 let watch = &mut self.vms[copy.vm].watch;
-                // One that ended by itself was not noted when its requests were lost.
+                // An engine that ended by itself was not recorded when its requests were lost.
                 if !copy.crashes && copy.returns == RETURNS {
                     let request = LostRequest {
                         fingerprint: copy.fingerprint,
@@ -383,7 +382,7 @@
         }
     }
 
-    /// Sends what waits for an engine and may be sent.
+    /// Sends the waiting requests that have an engine and a permit.
     pub fn send_waiting(&mut self) {
         let now_ms = self.now_ms;
         for copy in std::mem::take(&mut self.waiting) {
@@ -441,7 +440,8 @@
         });
     }
 
-    /// Returns how often a request was sent too late after its third copy had ended.
+    /// Returns how many times a crashing request was sent too late after the loss of its third
+    /// copy.
     pub fn late_sends(&self, which: u8) -> usize {
         let third_ms = self.ended.get(&crasher(which)).and_then(|it| it.get(2));
         let third_ms = third_ms.map(|(at_ms, _)| at_ms);
--- a/crates/quarantine/tests/crash_search/main.rs
+++ b/crates/quarantine/tests/crash_search/main.rs
@@ -1,9 +1,10 @@
-//! Orders of crashes, messages, restarts and resends, drawn at random over many VMs.
+//! Random search over orders of crashes, messages, restarts and retries at many VMs.
 //!
 //! Each VM is a [`CrashWatch`]. Engines, links between VMs and clocks are simulated: datagrams are
-//! late, lost and doubled, VMs freeze, start again and are cut off. Requests come in many copies,
-//! whose callers come back. Some of them crash each engine that runs them. Models have one engine or
-//! several; one that has crashed is replaced after a load, for which copies wait at their VMs.
+//! late, lost and duplicated, and VMs are paused, restarted and cut off. Requests come in many
+//! copies, whose callers retry. Some of them crash each engine that runs them. Models have one
+//! engine or several. An engine that has crashed is replaced after a load, for which copies wait at
+//! their VMs.
 
 mod courses;
 mod fleet;
@@ -26,7 +27,7 @@
 
 const LATE_SENDS: usize = 3;
 
-/// Courses on which ways are compared.
+/// Number of courses on which the strategies are compared.
 const COMPARED_COURSES: usize = 60;
 
 fn most_late_sends(fleet: &Fleet) -> usize {
@@ -41,14 +42,14 @@
         ..ProptestConfig::with_cases(96)
     })]
 
-    /// Guards against a request that goes on to crash engines under any order of events.
+    /// Guards against a request that continues to crash engines, under any order of events.
     #[test]
     fn crashers_are_stopped(course in crowded_course()) {
         let late = most_late_sends(&course.play(Way::OneOverAll));
         prop_assert!(late <= LATE_SENDS, "sent {late} times too late");
     }
 
-    /// Guards against blaming requests that stood beside others.
+    /// Guards against blocking requests that were in progress beside crashing ones.
     #[test]
     fn bystanders_are_free(course in sparse_course()) {
         let fleet = course.play(Way::OneOverAll);
@@ -59,7 +60,7 @@
     }
 }
 
-/// What some courses came to.
+/// Sums over some courses.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     courses: usize,
@@ -90,7 +91,7 @@
     outcome
 }
 
-/// Guards against blaming harmless requests where many copies crowd at few engines.
+/// Guards against blocking harmless requests where many copies run at few engines.
 #[test]
 fn false_blame_in_crowds() {
     let mut runner = TestRunner::deterministic();
--- a/crates/quarantine/tests/crash_search/messages.rs
+++ b/crates/quarantine/tests/crash_search/messages.rs
@@ -1,4 +1,4 @@
-//! Links between VMs and what they carry.
+//! Links between VMs, and the messages that they carry.
 
 use apricotdale_quarantine::BlockRow;
 use apricotdale_quarantine::CrashReport;
@@ -12,7 +12,7 @@
 use crate::fleet::Way;
 use crate::fleet::run_of;
 
-/// VMs that judge.
+/// Number of VMs that are judges.
 const JUDGES: usize = 5;
 
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     Over(usize, TrialEnd),
 }
 
-/// Draws what becomes of datagrams.
+/// Random loss, duplication and delay of datagrams.
 pub struct Link {
     pub state: u64,
     pub lost_in_256: u64,
@@ -40,7 +40,7 @@
         self.state >> 16
     }
 
-    /// Returns after how long each copy of a datagram arrives.
+    /// Returns the delay of each delivered copy of a datagram.
     pub fn delays_ms(&mut self) -> Vec<u64> {
         let draw = self.draw();
         match draw % 256 {
--- a/crates/quarantine/tests/crash_verdicts.rs
+++ b/crates/quarantine/tests/crash_verdicts.rs
@@ -1,4 +1,4 @@
-//! Which requests are blocked after which crashes.
+//! Requests that are blocked, and the crashes after which they are.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_quarantine::CallerHash;
@@ -9,7 +9,7 @@
 use apricotdale_quarantine::Scope;
 use apricotdale_quarantine::Suspect;
 
-/// The time between two crashes that have nothing to do with each other.
+/// Time between two unrelated crashes.
 const APART_MS: u64 = 1_000;
 
 fn request(number: u32) -> Fingerprint {
@@ -20,7 +20,7 @@
     Suspect::new(request(number), CallerHash::of(b"caller"))
 }
 
-/// `Fleet` is a quarantine that hears of every crash at once.
+/// Quarantine that receives the report of every crash at once.
 struct Fleet {
     quarantine: Quarantine,
     now_ms: u64,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Has upstreams crash at one moment, each under some requests.
+    /// Simulates upstreams that crash at the same time, each under some requests.
     fn crash_together(&mut self, upstreams: &[&[u32]]) {
         self.now_ms += APART_MS;
         for requests in upstreams {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Guards against a request that is known to crash upstreams and still sent.
+/// Guards against sending a request that has proven to crash upstreams.
 #[test]
 fn third_crash_blocks() {
     let mut fleet = Fleet::new();
@@ -81,7 +81,7 @@
     assert!((10..13).chain(20..23).all(|it| !fleet.is_blocked(it)));
 }
 
-/// Guards against blaming a request for crashes that another one explains.
+/// Guards against blocking a request for crashes that another one explains.
 #[test]
 fn bystander_is_free() {
     let mut fleet = Fleet::new();
@@ -95,7 +95,8 @@
     assert!(!fleet.is_blocked(2));
 }
 
-/// Guards against blaming a request that was beside two others, each of which crashes upstreams.
+/// Guards against blocking a request that was in progress beside two others, each of which crashes
+/// upstreams.
 #[test]
 fn beside_two_crashers() {
     let mut fleet = Fleet::new();
@@ -112,7 +113,7 @@
     assert!(fleet.is_blocked(1) && fleet.is_blocked(2) && !fleet.is_blocked(3));
 }
 
-/// Guards against blaming one of two requests that were at the same three upstreams.
+/// Guards against blocking one of two requests that were at the same three upstreams.
 #[test]
 fn rivals_wait_for_a_fourth() {
     let mut fleet = Fleet::new();
@@ -125,7 +126,7 @@
     assert!(!fleet.is_blocked(2));
 }
 
-/// Guards against two requests that shield each other.
+/// Guards against two requests that explain each other's crashes, so that neither is blocked.
 #[test]
 fn fifth_crash_blocks_rivals() {
     let mut fleet = Fleet::new();
@@ -135,7 +136,7 @@
     assert!(fleet.is_blocked(1) && fleet.is_blocked(2));
 }
 
-/// Guards against blaming a request that was in three racks, zones or the like as they were lost.
+/// Guards against blocking a request that was in three racks or zones when these were lost.
 #[test]
 fn lost_groups_blame_nobody() {
     let mut fleet = Fleet::new();
@@ -145,7 +146,7 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against blaming a request where two upstreams of one machine were lost three times.
+/// Guards against blocking a request where two upstreams of one machine were lost, three times.
 #[test]
 fn lost_pairs_blame_nobody() {
     let mut fleet = Fleet::new();
@@ -155,7 +156,7 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against requests that crash upstreams in step and so look like lost racks.
+/// Guards against requests that crash upstreams at the same times, and so look like lost racks.
 #[test]
 fn crashers_in_step_are_stopped() {
     let mut fleet = Fleet::new();
@@ -165,7 +166,7 @@
     assert!((1..4).all(|it| fleet.is_blocked(it)));
 }
 
-/// Guards against a second crasher that hides behind the first.
+/// Guards against overlooking a second crashing request because a first one explains its crashes.
 #[test]
 fn second_crasher_is_found() {
     let mut fleet = Fleet::new();
@@ -181,7 +182,7 @@
     assert!(fleet.is_blocked(2));
 }
 
-/// Guards against counting a crash as often as it is told.
+/// Guards against counting a crash as often as it is reported.
 #[test]
 fn told_again_counts_once() {
     let mut fleet = Fleet::new();
@@ -198,7 +199,7 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against judging before the other VMs' words of a crash have come.
+/// Guards against judging a crash before the other VMs' reports of it have arrived.
 #[test]
 fn late_word_of_a_rival() {
     let mut fleet = Fleet::new();
@@ -219,7 +220,7 @@
     assert!(!fleet.is_blocked(1) && !fleet.is_blocked(2));
 }
 
-/// Guards against a VM that hears no other and blames by what it alone knows.
+/// Guards against a VM without reports of others that blocks a request by what it alone has seen.
 #[test]
 fn own_requests_need_five() {
     let mut fleet = Fleet::new();
@@ -232,7 +233,7 @@
     assert!(fleet.is_blocked(1));
 }
 
-/// Guards against refusing a request for good whose upstreams have been mended.
+/// Guards against refusing a request forever though the upstreams have been fixed.
 #[test]
 fn block_ends_and_returns() {
     let options = Options::default();
@@ -259,8 +260,8 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against a request that is blocked again by one crash beside it, though it was answered
-/// after its block.
+/// Guards against blocking a request again for one crash beside it, though it was answered after
+/// its block.
 #[test]
 fn answered_after_the_block() {
     let mut fleet = Fleet::new();
@@ -298,7 +299,7 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against crashes long ago that count together with those of today.
+/// Guards against counting crashes of long ago together with recent ones.
 #[test]
 fn old_crashes_are_forgotten() {
     let mut fleet = Fleet::new();
@@ -310,7 +311,8 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against blaming what many callers send alike and upstreams answer all the time.
+/// Guards against blocking a request that many callers send alike and that upstreams keep
+/// answering.
 #[test]
 fn answered_request_is_clear() {
     let mut fleet = Fleet::new();
@@ -369,7 +371,7 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against taking crashes that follow each other closely for a rack.
+/// Guards against taking crashes that follow each other closely for the loss of a rack.
 #[test]
 fn quick_crasher_is_no_group() {
     let mut fleet = Fleet::new();
--- a/crates/quarantine/tests/false_blame.rs
+++ b/crates/quarantine/tests/false_blame.rs
@@ -1,7 +1,8 @@
-//! How often a request is blamed that was only beside others, or on engines that were lost anyway.
+//! Frequency with which requests are blocked for crashes that they did not cause.
 //!
-//! Engines crash by themselves, each at a time of its own, which no rule can tell from a request's
-//! doing. Each request runs on a random engine; one that is lost runs again, up to four times.
+//! Engines crash by themselves, one at a time, which no rule can distinguish from a crash that a
+//! request caused. Each request runs on a random engine. One that is lost runs again, up to four
+//! times.
 
 use std::collections::HashSet;
 
@@ -18,16 +19,17 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-/// Requests at an engine at once.
+/// Requests in progress at an engine.
 const PLACES: usize = 24;
 
-/// How long a request runs.
+/// Longest run of a request.
 const RUN_MS: u64 = 500;
 
-/// How often a request is sent: two attempts of its route, and one retry of its caller.
+/// Largest number of runs of a request: two attempts of its route, each for the first send and one
+/// retry of its caller.
 const RUNS: u32 = 4;
 
-/// How long one engine is down.
+/// Time for which an engine that crashed is down.
 const DOWN_MS: u64 = 5_000;
 
 struct Count {
@@ -35,14 +37,14 @@
     blamed: usize,
 }
 
-/// Plays engines that crash by themselves at a rate, and returns how many requests were lost and
-/// how many were blamed.
+/// Simulates engines that crash at a constant rate, and returns how many requests were lost and how
+/// many of them were blocked.
 fn play(engines: usize, crashes: usize, gap_ms: u64, seed: u64) -> Count {
     let options = Options::default();
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut quarantine = Quarantine::new(options.clone());
     let mut now_ms = 1_000_000;
-    // What runs where, with the number of its runs and when it ends.
+    // Requests on each engine: their number, how many times they have run, and when they end.
     let mut running: Vec<Vec<(u32, u32, u64)>> = vec![Vec::new(); engines];
     let mut up_from_ms = vec![0; engines];
     let mut next = 0_u32;
@@ -94,7 +96,7 @@
     }
 }
 
-/// Guards against blaming requests for engines that crash by themselves, one after the other.
+/// Guards against blocking requests for engines that crash by themselves, one after the other.
 #[rstest]
 #[case::small(18, 2_000)]
 #[case::large(134, 400)]
--- a/crates/quarantine/tests/same_request.rs
+++ b/crates/quarantine/tests/same_request.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one.
+//! Requests that have the same fingerprint.
 
 use apricotdale_quarantine::CallerHash;
 use apricotdale_quarantine::Fingerprint;
@@ -40,7 +40,7 @@
     );
 }
 
-/// Guards against a caller that is another one with each of its addresses.
+/// Guards against a caller that counts as another one with each of its addresses.
 #[test]
 fn nameless_caller() {
     let unnamed = || Fingerprint::of(None, "POST", &["a.example", "/x"], b"body");
--- a/crates/quarantine/tests/trials.rs
+++ b/crates/quarantine/tests/trials.rs
@@ -1,4 +1,4 @@
-//! Requests on probation and their trials.
+//! Requests on probation and their trial runs.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_quarantine::CallerHash;
@@ -13,7 +13,7 @@
 
 const START_MS: u64 = 100_000;
 
-/// When a judge that started at `START_MS` decides.
+/// Time from which a judge that started at `START_MS` decides.
 const DECIDES_MS: u64 = START_MS + 2_000;
 
 const LEFT_MS: u64 = 5_000;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Has an upstream end under copies of a request at one VM.
+/// Simulates the crash of an upstream under copies of a request at one VM.
 fn lose(watch: &mut CrashWatch, now_ms: u64, name: &str, fingerprint: Fingerprint, copies: u32) {
     for _ in 0..copies {
         let lost = LostRequest {
@@ -58,7 +58,7 @@
     watch.due(now_ms + 10, judge_of(1));
 }
 
-/// Returns the only judge of some VMs, which has judged for a while.
+/// Returns the only judge of some VMs, past the pause after its start.
 fn judge(vms: usize) -> CrashWatch {
     let mut watch = CrashWatch::new(1, Options::default());
     watch.due(START_MS, judge_of(vms));
@@ -74,7 +74,7 @@
     }
 }
 
-/// Guards against copies that run together after their upstream has ended under some of them.
+/// Guards against sending several copies at once after upstreams crashed under three of them.
 #[test]
 fn third_copy_begins_probation() {
     let mut watch = judge(1);
@@ -101,7 +101,7 @@
     );
 }
 
-/// Guards against a request that is held back though it was answered.
+/// Guards against holding a request back although it was answered.
 #[test]
 fn answer_ends_probation() {
     let mut watch = judge(1);
@@ -121,7 +121,7 @@
     assert!(watch.probations().is_empty());
 }
 
-/// Guards against two trials at a time, of one request or at one upstream.
+/// Guards against two trial runs at a time, of one request or at one upstream.
 #[test]
 fn one_trial_at_a_time() {
     let mut judge = judge(9);
@@ -139,7 +139,7 @@
     assert_eq!(elsewhere.after_ms, None);
 }
 
-/// Guards against a trial whose VM ended and that counts as under way for ever.
+/// Guards against a trial run that counts as in progress forever because its VM ended.
 #[test]
 fn trial_without_an_end() {
     let mut judge = judge(9);
@@ -152,7 +152,7 @@
     assert_eq!(answer.after_ms, None);
 }
 
-/// Guards against a judge that has just started and allows what the one before allowed already.
+/// Guards against a new judge that allows a trial run which its predecessor has allowed already.
 #[test]
 fn new_judge_waits() {
     let mut judge = judge(9);
@@ -160,7 +160,7 @@
     assert!(denied.after_ms.is_some());
 }
 
-/// Guards against a request that stops for good because no judge answers.
+/// Guards against a request that waits until its deadline because no judge answers.
 #[test]
 fn silent_judges() {
     let mut watch = CrashWatch::new(2, Options::default());
@@ -186,7 +186,7 @@
     assert_eq!(watch.permit(now_ms, bad, &upstream("i-2"), LEFT_MS), trial);
 }
 
-/// Guards against trials that go on after they have ended two upstreams.
+/// Guards against further trial runs after two of them were lost in crashes.
 #[test]
 fn second_lost_trial_blocks() {
     let mut watch = judge(1);
@@ -222,7 +222,7 @@
     assert!(watch.blocked_ms(now_ms, &bad).is_some());
 }
 
-/// Guards against counting the copies of one VM as often as they are told.
+/// Guards against counting the copies of one VM as often as they are reported.
 #[test]
 fn copies_are_counted_once() {
     let mut judge = judge(9);
@@ -237,7 +237,7 @@
     assert!(judge.probations().is_empty());
 }
 
-/// Guards against a report that carries some of many copies only.
+/// Guards against a report that carries only some of many copies.
 #[test]
 fn many_copies_in_one_report() {
     let mut watch = CrashWatch::new(2, Options::default());
@@ -248,8 +248,8 @@
     assert_eq!(reports[0].suspects[0].copies, 25);
 }
 
-/// Guards against blame for crashes before an answer that a judge did not hear of: the reports of VMs
-/// that were told of it say so.
+/// Guards against holding crashes against a request that was answered after them, if a judge did
+/// not receive the answer: the crash reports of the other VMs include it.
 #[test]
 fn told_answer_is_passed_on() {
     let mut watch = CrashWatch::new(2, Options::default());
