--- a/crates/quarantine/benches/recognising.rs
+++ b/crates/quarantine/benches/crash_detection.rs
@@ -41,13 +41,13 @@
     let options = Options::default();
     let mut quarantine = Quarantine::new(options.clone());
     for upstream in 0..CRASHES {
-        quarantine.note_crash(upstream * 1_000, &report(upstream));
+        quarantine.record_crash(upstream * 1_000, &report(upstream));
     }
     criterion.bench_function("judge_a_crash_after_100", |bencher| {
         bencher.iter_batched(
             || {
                 let mut quarantine = quarantine.clone();
-                quarantine.note_crash(CRASHES * 1_000, &report(CRASHES));
+                quarantine.record_crash(CRASHES * 1_000, &report(CRASHES));
                 quarantine
             },
             |mut quarantine| quarantine.judge(CRASHES * 1_000 + options.settle_ms, Scope::Fleet),
--- a/crates/quarantine/src/blocks.rs
+++ b/crates/quarantine/src/blocks.rs
@@ -12,7 +12,7 @@
 
 /// Time by which a block must outlast the known one to be new. Clocks and message delays of the VMs
 /// differ by less.
-const NEWS_MS: u64 = 2_000;
+const MIN_EXTENSION_MS: u64 = 2_000;
 
 /// Block as VMs send it to each other and as the store keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
             0 | 1 => options.first_block_ms,
             _ => options.block_ms.saturating_mul(factor),
         }
-        .min(options.most_block_ms)
+        .min(options.max_block_ms)
     }
 
     /// Returns until when the block is remembered. Until then, a single crash blocks the request
@@ -75,11 +75,11 @@
 
     /// Records a block that was received from another VM or read from the store. Returns whether it
     /// is new or longer than the known one.
-    pub fn note(&mut self, now_ms: u64, row: &BlockRow, options: &Options) -> bool {
-        let left_ms = row.left_ms.min(options.most_block_ms);
+    pub fn record(&mut self, now_ms: u64, row: &BlockRow, options: &Options) -> bool {
+        let left_ms = row.left_ms.min(options.max_block_ms);
         let until_ms = now_ms + left_ms;
         let known_until_ms = self.get(&row.fingerprint).map_or(0, |block| block.until_ms);
-        if left_ms == 0 || until_ms <= known_until_ms + NEWS_MS {
+        if left_ms == 0 || until_ms <= known_until_ms + MIN_EXTENSION_MS {
             return false;
         }
         let block = Block {
@@ -89,7 +89,7 @@
             upstreams: row.upstreams.clone(),
         };
         self.by_fingerprint.insert(row.fingerprint, block);
-        self.bound(row, options);
+        self.enforce_limits(row, options);
         true
     }
 
@@ -101,8 +101,8 @@
     /// Removes blocks that are no longer remembered, and returns their requests.
     pub fn forget(&mut self, now_ms: u64, options: &Options) -> Vec<Fingerprint> {
         let blocks = &mut self.by_fingerprint;
-        let over = blocks.extract_if(|_, block| block.remembered_ms(options) <= now_ms);
-        over.map(|(fingerprint, _)| fingerprint).collect()
+        let expired = blocks.extract_if(|_, block| block.remembered_ms(options) <= now_ms);
+        expired.map(|(fingerprint, _)| fingerprint).collect()
     }
 
     /// Returns the blocks in force, sorted by fingerprint.
@@ -125,11 +125,11 @@
 
     /// Removes the block that ends first if `new` makes too many: among those of its caller if
     /// these are too many, and among all.
-    fn bound(&mut self, new: &BlockRow, options: &Options) {
-        let own = self.by_fingerprint.values();
-        let own = own.filter(|block| block.caller == new.caller).count();
+    fn enforce_limits(&mut self, new: &BlockRow, options: &Options) {
+        let of_caller = self.by_fingerprint.values();
+        let of_caller = of_caller.filter(|block| block.caller == new.caller).count();
         let is_other = |fingerprint: &Fingerprint| *fingerprint != new.fingerprint;
-        if own > options.max_blocks_a_caller {
+        if of_caller > options.max_blocks_per_caller {
             self.remove_first(|it, block| is_other(it) && block.caller == new.caller);
         }
         if self.by_fingerprint.len() > options.max_blocks {
@@ -137,11 +137,11 @@
         }
     }
 
-    fn remove_first(&mut self, may_go: impl Fn(&Fingerprint, &Block) -> bool) {
+    fn remove_first(&mut self, is_removable: impl Fn(&Fingerprint, &Block) -> bool) {
         let first = self
             .by_fingerprint
             .iter()
-            .filter(|(fingerprint, block)| may_go(fingerprint, block))
+            .filter(|(fingerprint, block)| is_removable(fingerprint, block))
             .min_by_key(|(_, block)| block.until_ms)
             .map(|(fingerprint, _)| *fingerprint);
         if let Some(fingerprint) = first {
--- a/crates/quarantine/src/watch.rs
+++ b/crates/quarantine/src/crash_watch.rs
@@ -3,41 +3,41 @@
 
 use apricotdale_core::names::UpstreamName;
 
-use crate::answered::AnsweredLately;
 use crate::blocks::BlockRow;
-use crate::broken::BrokenUpstreams;
-use crate::broken::Recheck;
 use crate::crashes::CaseRow;
 use crate::crashes::CrashReport;
 use crate::crashes::Suspect;
 use crate::fingerprint::CallerHash;
 use crate::fingerprint::Fingerprint;
+use crate::local_reports::LocalReports;
 use crate::options::Options;
-use crate::own_reports::OwnReports;
 use crate::probation::Probations;
 use crate::quarantine::Quarantine;
 use crate::quarantine::Scope;
+use crate::recent_answers::RecentAnswers;
 use crate::trials::Permit;
-use crate::trials::Referee;
 use crate::trials::TrialAnswer;
 use crate::trials::TrialAsk;
-use crate::trials::TrialDesk;
+use crate::trials::TrialClient;
+use crate::trials::TrialCoordinator;
 use crate::trials::TrialEnd;
+use crate::unconfirmed_crashes::Recheck;
+use crate::unconfirmed_crashes::UnconfirmedCrashes;
 
 /// Delays after which the VM that found a block sends it again.
-const BLOCK_AGAIN_MS: [u64; 2] = [300, 1_500];
+const BLOCK_RESEND_DELAYS_MS: [u64; 2] = [300, 1_500];
 
 /// Interval at which the lease holder sends blocks in force.
-const BLOCKS_EVERY_MS: u64 = 5_000;
+const BLOCKS_INTERVAL_MS: u64 = 5_000;
 
 /// Blocks that it sends at a time.
-const BLOCKS_AT_A_TIME: usize = 10;
+const BLOCKS_PER_INTERVAL: usize = 10;
 
 /// Interval at which old records are removed.
-const FORGET_EVERY_MS: u64 = 1_000;
+const FORGET_INTERVAL_MS: u64 = 1_000;
 
 /// Number of answered requests that this VM remembers.
-const ANSWERED: usize = 2_048;
+const MAX_RECENT_ANSWERS: usize = 2_048;
 
 /// Role of a VM among the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -94,39 +94,39 @@
 #[derive(Clone, Debug)]
 pub struct CrashWatch {
     /// Incarnation of this VM's process.
-    run: u64,
+    incarnation: u64,
     quarantine: Quarantine,
     probations: Probations,
     /// Value of [`Quarantine::changes`] when requests were last put on probation.
     seen_changes: u64,
-    trials: TrialDesk,
-    referee: Referee,
-    answered: AnsweredLately,
-    broken: BrokenUpstreams,
-    own: OwnReports,
+    trial_client: TrialClient,
+    trial_coordinator: TrialCoordinator,
+    answered: RecentAnswers,
+    unconfirmed: UnconfirmedCrashes,
+    local_reports: LocalReports,
     /// Blocks that this VM found, and when it sends them again.
-    telling: Vec<(u64, Vec<BlockRow>)>,
-    next_rows_ms: u64,
-    next_row: usize,
+    announcements: Vec<(u64, Vec<BlockRow>)>,
+    next_blocks_ms: u64,
+    next_block: usize,
     next_forget_ms: u64,
 }
 
 impl CrashWatch {
     /// Returns the watch of one incarnation of a VM, without any records.
-    pub fn new(run: u64, options: Options) -> Self {
+    pub fn new(incarnation: u64, options: Options) -> Self {
         Self {
-            run,
+            incarnation,
             probations: Probations::default(),
             seen_changes: 0,
-            trials: TrialDesk::default(),
-            referee: Referee::default(),
+            trial_client: TrialClient::default(),
+            trial_coordinator: TrialCoordinator::default(),
             quarantine: Quarantine::new(options),
-            answered: AnsweredLately::new(ANSWERED),
-            broken: BrokenUpstreams::default(),
-            own: OwnReports::new(run),
-            telling: Vec::new(),
-            next_rows_ms: 0,
-            next_row: 0,
+            answered: RecentAnswers::new(MAX_RECENT_ANSWERS),
+            unconfirmed: UnconfirmedCrashes::default(),
+            local_reports: LocalReports::new(incarnation),
+            announcements: Vec::new(),
+            next_blocks_ms: 0,
+            next_block: 0,
             next_forget_ms: 0,
         }
     }
@@ -154,7 +154,7 @@
     /// Returns whether a request on probation has to wait for a judge or for a trial run in
     /// progress.
     pub fn holds_back(&self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
-        self.trials.holds_back(fingerprint) && self.is_on_probation(now_ms, fingerprint)
+        self.trial_client.holds_back(fingerprint) && self.is_on_probation(now_ms, fingerprint)
     }
 
     /// Decides whether a request may be sent to an upstream, and schedules a question to a judge if
@@ -167,14 +167,16 @@
         left_ms: u64,
     ) -> Permit {
         match self.is_on_probation(now_ms, &fingerprint) {
-            true => self.trials.permit(now_ms, fingerprint, upstream, left_ms),
+            true => self
+                .trial_client
+                .permit(now_ms, fingerprint, upstream, left_ms),
             false => Permit::Free,
         }
     }
 
     /// Records that a trial run of this VM has ended.
     pub fn note_trial_over(&mut self, now_ms: u64, fingerprint: Fingerprint, is_lost: bool) {
-        self.trials.over(now_ms, fingerprint, is_lost);
+        self.trial_client.end_trial(now_ms, fingerprint, is_lost);
     }
 
     /// Decides, as a judge, whether another VM may send a trial run.
@@ -182,18 +184,18 @@
         TrialAnswer {
             fingerprint: ask.fingerprint,
             number: ask.number,
-            after_ms: self.referee.decide(now_ms, asker, ask, vms),
+            after_ms: self.trial_coordinator.decide(now_ms, asker, ask, vms),
         }
     }
 
     /// Records a judge's answer. Returns whether requests that had to wait may be sent now.
     pub fn take_trial_answer(&mut self, now_ms: u64, answer: &TrialAnswer) -> bool {
-        self.trials.take_answer(now_ms, answer)
+        self.trial_client.record_answer(now_ms, answer)
     }
 
     /// Records, as a judge, that a trial run of another VM has ended.
     pub fn take_trial_end(&mut self, now_ms: u64, asker: u64, end: &TrialEnd) {
-        self.referee.ended(now_ms, asker, end);
+        self.trial_coordinator.end_grant(now_ms, asker, end);
     }
 
     /// Records requests that another VM has put on probation.
@@ -211,7 +213,7 @@
     /// Records that a request was answered at this VM. Returns whether it was on probation or
     /// blocked, also recently, so that the other VMs are to be told.
     pub fn note_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) -> bool {
-        self.answered.note(now_ms, fingerprint);
+        self.answered.record(now_ms, fingerprint);
         self.knows(&fingerprint) && self.take_cleared(now_ms, &fingerprint)
     }
 
@@ -219,11 +221,11 @@
     /// blocked. Later crash reports of this VM pass the answer on to judges that have not received
     /// it.
     pub fn take_cleared(&mut self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
-        self.answered.note(now_ms, *fingerprint);
-        for (_, rows) in &mut self.telling {
+        self.answered.record(now_ms, *fingerprint);
+        for (_, rows) in &mut self.announcements {
             rows.retain(|row| row.fingerprint != *fingerprint);
         }
-        self.trials.forget(fingerprint);
+        self.trial_client.forget(fingerprint);
         let was_on_probation = self.probations.remove(fingerprint);
         self.quarantine.clear(fingerprint) || was_on_probation
     }
@@ -237,46 +239,47 @@
         lost: LostRequest,
     ) {
         let suspect = Suspect {
-            served_ago_ms: self.answered.ago_ms(now_ms, &lost.fingerprint),
+            answered_ago_ms: self.answered.ago_ms(now_ms, &lost.fingerprint),
             trials: u32::from(lost.is_trial),
             ..Suspect::new(lost.fingerprint, lost.caller)
         };
-        if !self.own.add(now_ms, upstream, suspect) {
-            self.broken.note(now_ms, upstream, is_engine, suspect);
+        if !self.local_reports.add(now_ms, upstream, suspect) {
+            self.unconfirmed
+                .record(now_ms, upstream, is_engine, suspect);
         }
     }
 
     /// Records that an upstream answered a probe after it broke a connection.
     pub fn note_alive(&mut self, upstream: &UpstreamName) {
-        self.broken.take(upstream);
+        self.unconfirmed.take(upstream);
     }
 
     /// Records that an upstream neither answered nor refused the connection of a probe.
     pub fn note_unanswered(&mut self, now_ms: u64, upstream: &UpstreamName) {
-        self.broken.unanswered(now_ms, upstream);
+        self.unconfirmed.record_unanswered(now_ms, upstream);
     }
 
     /// Records that an upstream has ended. Returns the requests that were lost with it, or `None`
     /// if no connection had broken shortly before, so that it was no crash.
     pub fn note_ended(&mut self, now_ms: u64, upstream: &UpstreamName) -> Option<Vec<Suspect>> {
-        let broken = self.broken.take(upstream)?;
-        let lost = broken.suspects;
-        self.own
-            .push(now_ms, upstream.clone(), broken.since_ms, lost.clone());
+        let unconfirmed = self.unconfirmed.take(upstream)?;
+        let lost = unconfirmed.suspects;
+        self.local_reports
+            .push(now_ms, upstream.clone(), unconfirmed.since_ms, lost.clone());
         Some(lost)
     }
 
     /// Records crash reports of another VM.
     pub fn take_reports(&mut self, now_ms: u64, reports: &[CrashReport]) {
         for report in reports {
-            self.quarantine.note_crash(now_ms, report);
+            self.quarantine.record_crash(now_ms, report);
         }
     }
 
     /// Records a block that was received from another VM or read from the store. Returns whether it
     /// is new or longer than the known one.
     pub fn take_block(&mut self, now_ms: u64, row: &BlockRow) -> bool {
-        self.quarantine.note_block(now_ms, row)
+        self.quarantine.record_block(now_ms, row)
     }
 
     /// Returns the blocks in force.
@@ -296,7 +299,7 @@
 
     /// Returns this VM's crash reports, for a judge that starts.
     pub fn own_reports(&self, now_ms: u64) -> Vec<CrashReport> {
-        self.own.parts(now_ms)
+        self.local_reports.parts(now_ms)
     }
 
     /// Returns how many suspect requests are remembered, counted once per crash.
@@ -310,14 +313,14 @@
         if self.seen_changes != self.quarantine.changes() {
             return 0;
         }
-        let tellings = self.telling.iter().map(|(at_ms, _)| *at_ms);
+        let announcements = self.announcements.iter().map(|(at_ms, _)| *at_ms);
         [
-            tellings.min().unwrap_or(u64::MAX),
-            self.own.next_ms(),
+            announcements.min().unwrap_or(u64::MAX),
+            self.local_reports.next_ms(),
             self.probations.next_ms(),
             self.quarantine.next_ms(),
-            self.broken.next_ms(),
-            self.trials.next_ms(),
+            self.unconfirmed.next_ms(),
+            self.trial_client.next_ms(),
         ]
         .into_iter()
         .min()
@@ -332,47 +335,50 @@
     /// Returns what is due, and makes the decisions that are.
     pub fn due(&mut self, now_ms: u64, role: Role) -> Due {
         let mut due = Due {
-            rechecks: self.broken.due(now_ms),
+            rechecks: self.unconfirmed.due(now_ms),
             reports: self.due_reports(now_ms),
             ..Due::default()
         };
         let scope = match role.judge {
             Some(_) => Scope::Fleet,
-            None => Scope::OwnRequests,
+            None => Scope::LocalVm,
         };
         if role.judge.is_some() {
-            self.referee.begin(now_ms);
+            self.trial_coordinator.become_judge(now_ms);
         }
-        self.find_probations(now_ms);
+        self.begin_probations(now_ms);
         due.probations = self.due_probations(now_ms, role);
         self.add_due_trials(now_ms, role, &mut due);
         due.begun = self.quarantine.judge(now_ms, scope);
         due.blocks.extend(due.begun.iter().cloned());
         if !due.begun.is_empty() {
-            let again = BLOCK_AGAIN_MS.map(|after_ms| (now_ms + after_ms, due.begun.clone()));
-            self.telling.extend(again);
+            let again =
+                BLOCK_RESEND_DELAYS_MS.map(|after_ms| (now_ms + after_ms, due.begun.clone()));
+            self.announcements.extend(again);
         }
-        let tellings = self.telling.extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
-        due.blocks.extend(tellings.flat_map(|(_, rows)| rows));
-        if role.is_giver && now_ms >= self.next_rows_ms {
-            self.next_rows_ms = now_ms + BLOCKS_EVERY_MS;
+        let announcements = self
+            .announcements
+            .extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
+        due.blocks.extend(announcements.flat_map(|(_, rows)| rows));
+        if role.is_giver && now_ms >= self.next_blocks_ms {
+            self.next_blocks_ms = now_ms + BLOCKS_INTERVAL_MS;
             due.blocks.extend(self.next_rows(now_ms));
         }
         if now_ms >= self.next_forget_ms {
-            self.next_forget_ms = now_ms + FORGET_EVERY_MS;
+            self.next_forget_ms = now_ms + FORGET_INTERVAL_MS;
             due.ended = self.forget(now_ms);
         }
         due
     }
 
     /// Puts requests on probation of which enough was lost.
-    fn find_probations(&mut self, now_ms: u64) {
+    fn begin_probations(&mut self, now_ms: u64) {
         if self.seen_changes == self.quarantine.changes() {
             return;
         }
         self.seen_changes = self.quarantine.changes();
         for case in self.quarantine.cases(now_ms) {
-            self.probations.find(now_ms, case.fingerprint);
+            self.probations.begin_probation(now_ms, case.fingerprint);
         }
     }
 
@@ -386,35 +392,36 @@
     }
 
     fn add_due_trials(&mut self, now_ms: u64, role: Role, due: &mut Due) {
-        let trials = self.trials.due(now_ms, role.judges);
+        let trials = self.trial_client.due(now_ms, role.judges);
         due.may_continue |= trials.may_continue;
-        due.asked_judge = self.trials.judge();
-        let decides_itself = role.judge == Some(due.asked_judge);
+        due.asked_judge = self.trial_client.judge();
+        let is_own_judge = role.judge == Some(due.asked_judge);
         // A VM that no judge answers is cut off, and decides by itself.
         for ask in trials.unanswered {
-            due.may_continue |= self.ask_itself(now_ms, &ask, 1);
+            due.may_continue |= self.decide_own_trial(now_ms, &ask, 1);
         }
         for ask in trials.asks {
-            match decides_itself {
-                true => due.may_continue |= self.ask_itself(now_ms, &ask, role.vms),
+            match is_own_judge {
+                true => due.may_continue |= self.decide_own_trial(now_ms, &ask, role.vms),
                 false => due.asks.push(ask),
             }
         }
         for end in trials.ends {
-            self.referee.ended(now_ms, self.run, &end);
+            self.trial_coordinator
+                .end_grant(now_ms, self.incarnation, &end);
             due.trial_ends.push(end);
         }
     }
 
-    fn ask_itself(&mut self, now_ms: u64, ask: &TrialAsk, vms: usize) -> bool {
-        let answer = self.take_ask(now_ms, self.run, ask, vms);
-        self.trials.take_answer(now_ms, &answer)
+    fn decide_own_trial(&mut self, now_ms: u64, ask: &TrialAsk, vms: usize) -> bool {
+        let answer = self.take_ask(now_ms, self.incarnation, ask, vms);
+        self.trial_client.record_answer(now_ms, &answer)
     }
 
     fn due_reports(&mut self, now_ms: u64) -> Vec<CrashReport> {
-        let parts = self.own.due(now_ms);
+        let parts = self.local_reports.due(now_ms);
         for part in &parts {
-            self.quarantine.note_crash(now_ms, part);
+            self.quarantine.record_crash(now_ms, part);
         }
         parts
     }
@@ -424,19 +431,19 @@
         let rows = self.quarantine.rows(now_ms);
         let first = match rows.len() {
             0 => return rows,
-            count => self.next_row % count,
+            count => self.next_block % count,
         };
-        self.next_row = first + BLOCKS_AT_A_TIME;
+        self.next_block = first + BLOCKS_PER_INTERVAL;
         rows.into_iter()
             .skip(first)
-            .take(BLOCKS_AT_A_TIME)
+            .take(BLOCKS_PER_INTERVAL)
             .collect()
     }
 
     fn forget(&mut self, now_ms: u64) -> Vec<Fingerprint> {
-        self.broken.forget(now_ms);
+        self.unconfirmed.forget(now_ms);
         self.probations.forget(now_ms);
-        self.own.forget(now_ms);
+        self.local_reports.forget(now_ms);
         self.quarantine.forget(now_ms)
     }
 }
--- a/crates/quarantine/src/crashes.rs
+++ b/crates/quarantine/src/crashes.rs
@@ -14,7 +14,7 @@
 use crate::options::Options;
 
 /// Reporter of the crashes that were read from the store.
-const STORE: u64 = 0;
+const STORE_REPORTER: u64 = 0;
 
 /// Suspect request: it was in progress at an upstream that crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     pub caller: CallerHash,
     /// Time from the last answer to the same request that a VM saw until the crash, or `None` if it
     /// saw none.
-    pub served_ago_ms: Option<u64>,
+    pub answered_ago_ms: Option<u64>,
     /// Number of its copies that were in progress there.
     pub copies: u32,
     /// Number of these copies that were trial runs.
@@ -38,7 +38,7 @@
         Self {
             fingerprint,
             caller,
-            served_ago_ms: None,
+            answered_ago_ms: None,
             copies: 1,
             trials: 0,
         }
@@ -105,7 +105,7 @@
             .map(|crash| CrashReport {
                 upstream: crash.upstream.clone(),
                 ago_ms: crash.ago_ms + later_ms,
-                reporter: STORE,
+                reporter: STORE_REPORTER,
                 suspects: vec![Suspect {
                     copies: crash.copies,
                     trials: crash.trials,
@@ -123,7 +123,7 @@
 
 /// Copies of one request that were lost with one upstream.
 #[derive(Clone, Debug)]
-struct Loss {
+struct LostCopies {
     caller: CallerHash,
     /// Numbers of copies by reporter.
     reported: BTreeMap<u64, Copies>,
@@ -136,16 +136,24 @@
     trials: u32,
 }
 
-impl Loss {
+impl LostCopies {
     /// Returns the number of lost copies over all reporters. The store's number may include what
     /// VMs report, too, so that the larger one counts.
     fn copies(&self) -> Copies {
         let mut copies = Copies::default();
-        for (_, of_vm) in self.reported.iter().filter(|(it, _)| **it != STORE) {
+        for (_, of_vm) in self
+            .reported
+            .iter()
+            .filter(|(it, _)| **it != STORE_REPORTER)
+        {
             copies.all += of_vm.all;
             copies.trials += of_vm.trials;
         }
-        let stored = self.reported.get(&STORE).copied().unwrap_or_default();
+        let stored = self
+            .reported
+            .get(&STORE_REPORTER)
+            .copied()
+            .unwrap_or_default();
         Copies {
             all: copies.all.max(stored.all),
             trials: copies.trials.max(stored.trials),
@@ -157,8 +165,8 @@
 struct Crash {
     at_ms: u64,
     /// Time of its first report.
-    heard_ms: u64,
-    suspects: BTreeMap<Fingerprint, Loss>,
+    first_report_ms: u64,
+    suspects: BTreeMap<Fingerprint, LostCopies>,
 }
 
 /// Crashes of the last minutes.
@@ -168,7 +176,7 @@
     suspects_by_caller: HashMap<CallerHash, usize>,
     suspects: usize,
     /// Times at which suspect requests were last answered.
-    served: HashMap<Fingerprint, u64>,
+    last_answers: HashMap<Fingerprint, u64>,
     /// Time at which the requests under a crash are to be judged next.
     pub due_ms: Option<u64>,
     /// Grows with each report that adds to a crash.
@@ -177,7 +185,7 @@
 
 /// Crash that is held against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Charge {
+pub(crate) struct SuspectCrash {
     pub upstream: UpstreamName,
     pub at_ms: u64,
     /// Whether the upstream crashed outside a group, and under no other request that is known to
@@ -189,30 +197,30 @@
 
 /// All crashes that are held against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Case {
+pub(crate) struct CrashCase {
     pub fingerprint: Fingerprint,
     pub caller: CallerHash,
     /// Crashes under it in order of time.
-    pub charges: Vec<Charge>,
+    pub crashes: Vec<SuspectCrash>,
 }
 
-impl Case {
+impl CrashCase {
     /// Returns the crashes without another explanation.
-    pub fn unexplained(&self) -> impl Iterator<Item = &Charge> {
-        self.charges.iter().filter(|charge| charge.is_unexplained)
+    pub fn unexplained(&self) -> impl Iterator<Item = &SuspectCrash> {
+        self.crashes.iter().filter(|crash| crash.is_unexplained)
     }
 
     /// Returns the number of trial runs of the request that were lost.
     pub fn trials(&self) -> u32 {
-        self.charges.iter().map(|charge| charge.trials).sum()
+        self.crashes.iter().map(|crash| crash.trials).sum()
     }
 }
 
 impl CrashLog {
     /// Records a VM's crash report. The same report may be recorded several times.
-    pub fn note(&mut self, now_ms: u64, report: &CrashReport, options: &Options) {
+    pub fn record(&mut self, now_ms: u64, report: &CrashReport, options: &Options) {
         let at_ms = now_ms.saturating_sub(report.ago_ms);
-        if report.ago_ms >= options.memory_ms || report.suspects.is_empty() {
+        if report.ago_ms >= options.crash_ttl_ms || report.suspects.is_empty() {
             return;
         }
         let crash = self
@@ -220,29 +228,29 @@
             .entry(report.upstream.clone())
             .or_insert_with(|| Crash {
                 at_ms,
-                heard_ms: now_ms,
+                first_report_ms: now_ms,
                 suspects: BTreeMap::new(),
             });
         crash.at_ms = crash.at_ms.min(at_ms);
-        let (at_ms, heard_ms) = (crash.at_ms, crash.heard_ms);
+        let (at_ms, first_report_ms) = (crash.at_ms, crash.first_report_ms);
         let mut is_new = false;
         for suspect in &report.suspects {
-            let served_ms = suspect
-                .served_ago_ms
+            let answered_ms = suspect
+                .answered_ago_ms
                 .map(|ago_ms| at_ms.saturating_sub(ago_ms));
-            if let Some(served_ms) = served_ms {
-                self.note_served(suspect.fingerprint, served_ms, options);
+            if let Some(answered_ms) = answered_ms {
+                self.record_answered(suspect.fingerprint, answered_ms, options);
             }
-            let served_ms = self.served.get(&suspect.fingerprint);
-            if served_ms.is_none_or(|served_ms| *served_ms <= at_ms) {
+            let answered_ms = self.last_answers.get(&suspect.fingerprint);
+            if answered_ms.is_none_or(|answered_ms| *answered_ms <= at_ms) {
                 is_new |= self.add(&report.upstream, report.reporter, suspect);
             }
         }
         if is_new {
             self.changes += 1;
-            let judge_ms = (heard_ms + options.settle_ms).max(now_ms);
+            let judge_ms = (first_report_ms + options.settle_ms).max(now_ms);
             self.due_ms = Some(self.due_ms.map_or(judge_ms, |due_ms| due_ms.min(judge_ms)));
-            self.bound(options);
+            self.enforce_limits(options);
         }
     }
 
@@ -257,7 +265,7 @@
             .or_insert_with(|| {
                 *self.suspects_by_caller.entry(suspect.caller).or_default() += 1;
                 self.suspects += 1;
-                Loss {
+                LostCopies {
                     caller: suspect.caller,
                     reported: BTreeMap::new(),
                 }
@@ -270,16 +278,16 @@
     }
 
     /// Records that a request was answered, which clears it of earlier crashes.
-    fn note_served(&mut self, fingerprint: Fingerprint, served_ms: u64, options: &Options) {
-        if self.served.len() >= options.max_served {
-            let oldest = self.served.iter().min_by_key(|(_, at_ms)| **at_ms);
+    fn record_answered(&mut self, fingerprint: Fingerprint, answered_ms: u64, options: &Options) {
+        if self.last_answers.len() >= options.max_answered {
+            let oldest = self.last_answers.iter().min_by_key(|(_, at_ms)| **at_ms);
             let oldest = oldest.map(|(fingerprint, _)| *fingerprint);
-            oldest.and_then(|oldest| self.served.remove(&oldest));
+            oldest.and_then(|oldest| self.last_answers.remove(&oldest));
         }
-        let known_ms = self.served.entry(fingerprint).or_insert(served_ms);
-        *known_ms = served_ms.max(*known_ms);
-        let served_ms = *known_ms;
-        self.clear_if(&fingerprint, |crash| crash.at_ms < served_ms);
+        let known_ms = self.last_answers.entry(fingerprint).or_insert(answered_ms);
+        *known_ms = answered_ms.max(*known_ms);
+        let answered_ms = *known_ms;
+        self.clear_if(&fingerprint, |crash| crash.at_ms < answered_ms);
     }
 
     /// Removes crashes and answers from before a time.
@@ -291,7 +299,8 @@
             .map(|(name, _)| name.clone())
             .collect();
         old.iter().for_each(|name| self.remove(name));
-        self.served.retain(|_, served_ms| *served_ms >= at_ms);
+        self.last_answers
+            .retain(|_, answered_ms| *answered_ms >= at_ms);
     }
 
     /// Removes a request from all crashes.
@@ -299,19 +308,19 @@
         self.clear_if(fingerprint, |_| true);
     }
 
-    fn clear_if(&mut self, fingerprint: &Fingerprint, goes: impl Fn(&Crash) -> bool) {
-        for crash in self.crashes.values_mut().filter(|crash| goes(crash)) {
+    fn clear_if(&mut self, fingerprint: &Fingerprint, is_cleared: impl Fn(&Crash) -> bool) {
+        for crash in self.crashes.values_mut().filter(|crash| is_cleared(crash)) {
             if let Some(loss) = crash.suspects.remove(fingerprint) {
-                uncount(&mut self.suspects_by_caller, loss.caller);
+                decrement(&mut self.suspects_by_caller, loss.caller);
                 self.suspects -= 1;
             }
         }
     }
 
     /// Returns whether a request was answered at or after a time, according to crash reports.
-    pub fn is_served_since(&self, fingerprint: &Fingerprint, from_ms: u64) -> bool {
-        let served_ms = self.served.get(fingerprint);
-        served_ms.is_some_and(|served_ms| *served_ms >= from_ms)
+    pub fn is_answered_since(&self, fingerprint: &Fingerprint, from_ms: u64) -> bool {
+        let answered_ms = self.last_answers.get(fingerprint);
+        answered_ms.is_some_and(|answered_ms| *answered_ms >= from_ms)
     }
 
     /// Returns the crash cases that meet the limits for probation.
@@ -342,7 +351,7 @@
     /// Returns when the next crash has settled, if one has not yet.
     pub fn next_settled_ms(&self, now_ms: u64, options: &Options) -> Option<u64> {
         let settle = self.crashes.values();
-        let settle = settle.map(|crash| crash.heard_ms + options.settle_ms);
+        let settle = settle.map(|crash| crash.first_report_ms + options.settle_ms);
         settle.filter(|at_ms| *at_ms > now_ms).min()
     }
 
@@ -352,42 +361,42 @@
     }
 
     /// Returns the case of each request under a crash that has settled, the one with most crashes
-    /// first. Requests that are `guilty` explain the crashes under them.
+    /// first. Requests that are `is_known_crasher` explain the crashes under them.
     pub fn cases(
         &self,
         now_ms: u64,
         options: &Options,
-        guilty: impl Fn(&Fingerprint) -> bool,
-    ) -> Vec<Case> {
+        is_known_crasher: impl Fn(&Fingerprint) -> bool,
+    ) -> Vec<CrashCase> {
         let settled: Vec<(&UpstreamName, &Crash)> = self
             .crashes
             .iter()
-            .filter(|(_, crash)| crash.heard_ms + options.settle_ms <= now_ms)
+            .filter(|(_, crash)| crash.first_report_ms + options.settle_ms <= now_ms)
             .collect();
-        let mut cases: HashMap<Fingerprint, Case> = HashMap::new();
+        let mut cases: HashMap<Fingerprint, CrashCase> = HashMap::new();
         for (name, crash) in &settled {
-            let is_group = self.is_group(crash, options);
+            let is_in_group = self.is_in_group(crash, options);
             for (suspect, loss) in &crash.suspects {
-                let case = cases.entry(*suspect).or_insert_with(|| Case {
+                let case = cases.entry(*suspect).or_insert_with(|| CrashCase {
                     fingerprint: *suspect,
                     caller: loss.caller,
-                    charges: Vec::new(),
+                    crashes: Vec::new(),
                 });
                 let mut others = crash.suspects.keys().filter(|other| *other != suspect);
-                case.charges.push(Charge {
+                case.crashes.push(SuspectCrash {
                     upstream: (*name).clone(),
                     at_ms: crash.at_ms,
-                    is_unexplained: !is_group && !others.any(&guilty),
+                    is_unexplained: !is_in_group && !others.any(&is_known_crasher),
                     trials: loss.copies().trials,
                 });
             }
         }
-        let mut cases: Vec<Case> = cases.into_values().collect();
+        let mut cases: Vec<CrashCase> = cases.into_values().collect();
         for case in &mut cases {
-            case.charges.sort_by_key(|charge| charge.at_ms);
+            case.crashes.sort_by_key(|crash| crash.at_ms);
         }
         cases.sort_by_key(|case| {
-            let counts = (case.unexplained().count(), case.charges.len());
+            let counts = (case.unexplained().count(), case.crashes.len());
             (Reverse(counts), case.fingerprint)
         });
         cases
@@ -395,9 +404,9 @@
 
     /// Returns the largest number of crashes of any other request that was at one of the case's
     /// unexplained crashes.
-    pub fn most_beside(&self, case: &Case) -> usize {
+    pub fn max_beside(&self, case: &CrashCase) -> usize {
         let crashes = case.unexplained();
-        let crashes = crashes.filter_map(|charge| self.crashes.get(&charge.upstream));
+        let crashes = crashes.filter_map(|crash| self.crashes.get(&crash.upstream));
         let beside: BTreeSet<&Fingerprint> = crashes
             .flat_map(|crash| crash.suspects.keys())
             .filter(|it| **it != case.fingerprint)
@@ -412,7 +421,7 @@
     }
 
     /// Returns whether other upstreams crashed at the same time, as those of one rack do.
-    fn is_group(&self, crash: &Crash, options: &Options) -> bool {
+    fn is_in_group(&self, crash: &Crash, options: &Options) -> bool {
         let within = |most_ms: u64| {
             let near = |other: &&Crash| other.at_ms.abs_diff(crash.at_ms) <= most_ms;
             self.crashes.values().filter(near).count()
@@ -420,7 +429,7 @@
         within(options.group_ms) >= options.group_upstreams || within(options.pair_ms) >= 2
     }
 
-    fn bound(&mut self, options: &Options) {
+    fn enforce_limits(&mut self, options: &Options) {
         while self.crashes.len() > options.max_crashes {
             self.remove_oldest();
         }
@@ -430,21 +439,21 @@
                 .iter()
                 .max_by_key(|(_, count)| **count);
             match most.map(|(caller, _)| *caller) {
-                Some(caller) => self.remove_oldest_of(caller),
+                Some(caller) => self.remove_oldest_of_caller(caller),
                 None => return,
             }
         }
-        let over: Vec<CallerHash> = self
+        let callers_over_limit: Vec<CallerHash> = self
             .suspects_by_caller
             .iter()
-            .filter(|(_, count)| **count > options.max_suspects_a_caller)
+            .filter(|(_, count)| **count > options.max_suspects_per_caller)
             .map(|(caller, _)| *caller)
             .collect();
-        for caller in over {
+        for caller in callers_over_limit {
             while self.suspects_by_caller.get(&caller).copied()
-                > Some(options.max_suspects_a_caller)
+                > Some(options.max_suspects_per_caller)
             {
-                self.remove_oldest_of(caller);
+                self.remove_oldest_of_caller(caller);
             }
         }
     }
@@ -457,7 +466,7 @@
     }
 
     /// Removes the requests of a caller from the oldest crash that has any.
-    fn remove_oldest_of(&mut self, caller: CallerHash) {
+    fn remove_oldest_of_caller(&mut self, caller: CallerHash) {
         let has = |crash: &Crash| crash.suspects.values().any(|it| it.caller == caller);
         let oldest = self
             .crashes
@@ -473,7 +482,7 @@
         let removed = before - crash.suspects.len();
         self.suspects -= removed;
         for _ in 0..removed {
-            uncount(&mut self.suspects_by_caller, caller);
+            decrement(&mut self.suspects_by_caller, caller);
         }
     }
 
@@ -483,12 +492,12 @@
         };
         self.suspects -= crash.suspects.len();
         for loss in crash.suspects.into_values() {
-            uncount(&mut self.suspects_by_caller, loss.caller);
+            decrement(&mut self.suspects_by_caller, loss.caller);
         }
     }
 }
 
-fn uncount(counts: &mut HashMap<CallerHash, usize>, caller: CallerHash) {
+fn decrement(counts: &mut HashMap<CallerHash, usize>, caller: CallerHash) {
     if let Some(count) = counts.get_mut(&caller) {
         *count -= 1;
         if *count == 0 {
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -15,20 +15,23 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod answered;
 mod blocks;
-mod broken;
+mod crash_watch;
 mod crashes;
 mod fingerprint;
+mod local_reports;
 mod options;
-mod own_reports;
 mod probation;
 mod quarantine;
+mod recent_answers;
 mod trials;
-mod watch;
+mod unconfirmed_crashes;
 
 pub use blocks::BlockRow;
-pub use broken::Recheck;
+pub use crash_watch::CrashWatch;
+pub use crash_watch::Due;
+pub use crash_watch::LostRequest;
+pub use crash_watch::Role;
 pub use crashes::CaseCrash;
 pub use crashes::CaseRow;
 pub use crashes::CrashReport;
@@ -43,7 +46,4 @@
 pub use trials::TrialAnswer;
 pub use trials::TrialAsk;
 pub use trials::TrialEnd;
-pub use watch::CrashWatch;
-pub use watch::Due;
-pub use watch::LostRequest;
-pub use watch::Role;
+pub use unconfirmed_crashes::Recheck;
--- a/crates/quarantine/src/own_reports.rs
+++ b/crates/quarantine/src/local_reports.rs
@@ -8,55 +8,55 @@
 use crate::crashes::Suspect;
 
 /// Delays after which a report is sent again, since a datagram may be lost.
-const TELL_AGAIN_MS: [u64; 2] = [300, 1_000];
+const RESEND_DELAYS_MS: [u64; 2] = [300, 1_000];
 
 /// Time for which the requests lost with an upstream are collected before they are sent.
-const GATHER_MS: u64 = 5;
+const COLLECT_MS: u64 = 5;
 
 /// Time for which reports are kept for judges that restart.
-const KEPT_MS: u64 = 600_000;
+const REPORT_TTL_MS: u64 = 600_000;
 
 /// Number of reports that are kept.
 const MAX_REPORTS: usize = 64;
 
 /// Suspect requests in one part of a report.
-const SUSPECTS_A_PART: usize = 10;
+const SUSPECTS_PER_PART: usize = 10;
 
 /// This VM's requests that were in progress at one upstream.
 #[derive(Clone, Debug)]
-struct OwnReport {
+struct LocalReport {
     upstream: UpstreamName,
     at_ms: u64,
     suspects: Vec<Suspect>,
-    told: usize,
-    tell_ms: u64,
+    sends: usize,
+    next_send_ms: u64,
 }
 
 /// Crash reports of one VM.
 #[derive(Clone, Debug)]
-pub(crate) struct OwnReports {
+pub(crate) struct LocalReports {
     /// Incarnation of the VM's process.
-    run: u64,
-    reports: VecDeque<OwnReport>,
+    incarnation: u64,
+    reports: VecDeque<LocalReport>,
 }
 
-impl OwnReports {
+impl LocalReports {
     /// Returns an empty list of reports.
-    pub fn new(run: u64) -> Self {
+    pub fn new(incarnation: u64) -> Self {
         Self {
-            run,
+            incarnation,
             reports: VecDeque::new(),
         }
     }
 
     /// Adds the report of an upstream that has ended. `at_ms` is the time of its end.
     pub fn push(&mut self, now_ms: u64, upstream: UpstreamName, at_ms: u64, lost: Vec<Suspect>) {
-        self.reports.push_back(OwnReport {
+        self.reports.push_back(LocalReport {
             upstream,
             at_ms,
             suspects: lost,
-            told: 0,
-            tell_ms: now_ms + GATHER_MS,
+            sends: 0,
+            next_send_ms: now_ms + COLLECT_MS,
         });
         if self.reports.len() > MAX_REPORTS {
             self.reports.pop_front();
@@ -70,44 +70,50 @@
             return false;
         };
         suspect.add_to(&mut report.suspects);
-        report.told = 0;
-        report.tell_ms = now_ms + GATHER_MS;
+        report.sends = 0;
+        report.next_send_ms = now_ms + COLLECT_MS;
         true
     }
 
     /// Returns all reports, in parts of which several fit into a datagram.
     pub fn parts(&self, now_ms: u64) -> Vec<CrashReport> {
         let reports = self.reports.iter();
-        reports.flat_map(|it| it.parts(self.run, now_ms)).collect()
+        reports
+            .flat_map(|it| it.parts(self.incarnation, now_ms))
+            .collect()
     }
 
     /// Returns the parts that are to be sent now.
     pub fn due(&mut self, now_ms: u64) -> Vec<CrashReport> {
         let mut parts = Vec::new();
-        for report in self.reports.iter_mut().filter(|it| it.tell_ms <= now_ms) {
-            parts.extend(report.parts(self.run, now_ms));
-            let again_ms = TELL_AGAIN_MS.get(report.told);
-            report.tell_ms = again_ms.map_or(u64::MAX, |again_ms| now_ms + again_ms);
-            report.told += 1;
+        for report in self
+            .reports
+            .iter_mut()
+            .filter(|it| it.next_send_ms <= now_ms)
+        {
+            parts.extend(report.parts(self.incarnation, now_ms));
+            let again_ms = RESEND_DELAYS_MS.get(report.sends);
+            report.next_send_ms = again_ms.map_or(u64::MAX, |again_ms| now_ms + again_ms);
+            report.sends += 1;
         }
         parts
     }
 
     /// Returns when the next report is to be sent, or `u64::MAX` if none is.
     pub fn next_ms(&self) -> u64 {
-        let reports = self.reports.iter().map(|report| report.tell_ms);
+        let reports = self.reports.iter().map(|report| report.next_send_ms);
         reports.min().unwrap_or(u64::MAX)
     }
 
     pub fn forget(&mut self, now_ms: u64) {
-        self.reports.retain(|it| now_ms < it.at_ms + KEPT_MS);
+        self.reports.retain(|it| now_ms < it.at_ms + REPORT_TTL_MS);
     }
 }
 
-impl OwnReport {
+impl LocalReport {
     fn parts(&self, reporter: u64, now_ms: u64) -> impl Iterator<Item = CrashReport> {
         self.suspects
-            .chunks(SUSPECTS_A_PART)
+            .chunks(SUSPECTS_PER_PART)
             .map(move |suspects| CrashReport {
                 upstream: self.upstream.clone(),
                 ago_ms: now_ms.saturating_sub(self.at_ms),
--- a/crates/quarantine/src/options.rs
+++ b/crates/quarantine/src/options.rs
@@ -5,17 +5,17 @@
 pub struct Options {
     /// Upstreams that must have crashed under a request, without another explanation, before it is
     /// blocked.
-    pub crashes: usize,
+    pub unexplained_crashes: usize,
     /// Upstreams that crashed under a request from which on it is blocked whatever else explains
     /// the crashes.
-    pub most_crashes: usize,
+    pub total_crashes: usize,
     /// Upstreams that crashed under a request from which on it is on probation.
     pub probation_crashes: usize,
     /// Copies of a request that were lost in crashes from which on it is on probation.
     pub probation_copies: u32,
     /// Trial runs of a request that were lost in crashes from which on it is blocked whatever else
     /// explains the crashes.
-    pub trials: u32,
+    pub lost_trials: u32,
     /// Time from the first report of a crash until its requests are judged, in which the reports of
     /// all VMs arrive.
     pub settle_ms: u64,
@@ -27,50 +27,50 @@
     /// Window in which two crashes form such a group.
     pub pair_ms: u64,
     /// Time for which a crash is remembered.
-    pub memory_ms: u64,
+    pub crash_ttl_ms: u64,
     /// Length of a request's first block. After it the request is tried again, because it may have
     /// been blocked for crashes with another cause.
     pub first_block_ms: u64,
     /// Length of its second block. Each further one is four times as long.
     pub block_ms: u64,
     /// Largest length of a block.
-    pub most_block_ms: u64,
+    pub max_block_ms: u64,
     /// Number of crashes that are remembered.
     pub max_crashes: usize,
     /// Number of suspect requests that are remembered, counted once per crash.
     pub max_suspects: usize,
     /// The same for the requests of one caller.
-    pub max_suspects_a_caller: usize,
+    pub max_suspects_per_caller: usize,
     /// Number of requests of which the time of the last answer is remembered.
-    pub max_served: usize,
+    pub max_answered: usize,
     /// Number of blocks that are remembered.
     pub max_blocks: usize,
     /// The same for the requests of one caller.
-    pub max_blocks_a_caller: usize,
+    pub max_blocks_per_caller: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            crashes: 3,
-            most_crashes: 5,
+            unexplained_crashes: 3,
+            total_crashes: 5,
             probation_crashes: 2,
             probation_copies: 3,
-            trials: 2,
+            lost_trials: 2,
             settle_ms: 150,
             group_upstreams: 3,
             group_ms: 50,
             pair_ms: 20,
-            memory_ms: 600_000,
+            crash_ttl_ms: 600_000,
             first_block_ms: 30_000,
             block_ms: 600_000,
-            most_block_ms: 86_400_000,
+            max_block_ms: 86_400_000,
             max_crashes: 512,
             max_suspects: 8_192,
-            max_suspects_a_caller: 1_024,
-            max_served: 1_024,
+            max_suspects_per_caller: 1_024,
+            max_answered: 1_024,
             max_blocks: 4_096,
-            max_blocks_a_caller: 256,
+            max_blocks_per_caller: 256,
         }
     }
 }
--- a/crates/quarantine/src/probation.rs
+++ b/crates/quarantine/src/probation.rs
@@ -13,22 +13,22 @@
 
 /// Delays after which a judge announces a request that it put on probation, since datagrams may be
 /// lost.
-const TOLD_MS: [u64; 3] = [0, 300, 1_500];
+const ANNOUNCE_DELAYS_MS: [u64; 3] = [0, 300, 1_500];
 
 /// Requests of which one copy is sent at a time over all VMs, until one is answered.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probations {
     until_ms: BTreeMap<Fingerprint, u64>,
     /// Requests that are to be announced to the other VMs, and when.
-    telling: Vec<(u64, Fingerprint)>,
+    announcements: Vec<(u64, Fingerprint)>,
 }
 
 impl Probations {
     /// Adds a request that this VM put on probation, and schedules its announcements.
-    pub fn find(&mut self, now_ms: u64, fingerprint: Fingerprint) {
+    pub fn begin_probation(&mut self, now_ms: u64, fingerprint: Fingerprint) {
         if self.add(now_ms, fingerprint) {
-            let tellings = TOLD_MS.map(|after_ms| (now_ms + after_ms, fingerprint));
-            self.telling.extend(tellings);
+            let announcements = ANNOUNCE_DELAYS_MS.map(|after_ms| (now_ms + after_ms, fingerprint));
+            self.announcements.extend(announcements);
         }
     }
 
@@ -44,7 +44,7 @@
     }
 
     pub fn remove(&mut self, fingerprint: &Fingerprint) -> bool {
-        self.telling.retain(|(_, it)| it != fingerprint);
+        self.announcements.retain(|(_, it)| it != fingerprint);
         self.until_ms.remove(fingerprint).is_some()
     }
 
@@ -58,14 +58,16 @@
 
     /// Returns the requests that are to be announced now.
     pub fn due(&mut self, now_ms: u64) -> Vec<Fingerprint> {
-        let due = self.telling.extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
+        let due = self
+            .announcements
+            .extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
         due.map(|(_, fingerprint)| fingerprint).collect()
     }
 
     /// Returns when the next announcement is due, or `u64::MAX` if none is.
     pub fn next_ms(&self) -> u64 {
-        let tellings = self.telling.iter().map(|(at_ms, _)| *at_ms);
-        tellings.min().unwrap_or(u64::MAX)
+        let announcements = self.announcements.iter().map(|(at_ms, _)| *at_ms);
+        announcements.min().unwrap_or(u64::MAX)
     }
 
     pub fn forget(&mut self, now_ms: u64) {
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -5,8 +5,8 @@
 use crate::blocks::Block;
 use crate::blocks::BlockRow;
 use crate::blocks::Blocks;
-use crate::crashes::Case;
 use crate::crashes::CaseRow;
+use crate::crashes::CrashCase;
 use crate::crashes::CrashLog;
 use crate::crashes::CrashReport;
 use crate::fingerprint::Fingerprint;
@@ -21,8 +21,8 @@
     /// Reports of all VMs, which this VM receives as a judge.
     Fleet,
     /// Reports of this VM alone. Another VM's request may explain the crashes, so that only
-    /// [`Options::most_crashes`] or lost trial runs lead to a block.
-    OwnRequests,
+    /// [`Options::total_crashes`] or lost trial runs lead to a block.
+    LocalVm,
 }
 
 /// Finds requests that crash the upstreams that run them, and decides until when they are refused.
@@ -59,18 +59,18 @@
     }
 
     /// Records a VM's crash report. The same report may be recorded several times.
-    pub fn note_crash(&mut self, now_ms: u64, report: &CrashReport) {
+    pub fn record_crash(&mut self, now_ms: u64, report: &CrashReport) {
         let mut report = report.clone();
         report
             .suspects
             .retain(|it| !self.exempt.contains(&it.fingerprint));
-        self.crashes.note(now_ms, &report, &self.options);
+        self.crashes.record(now_ms, &report, &self.options);
     }
 
     /// Records a block that was received from another VM or read from the store. Returns whether it
     /// is new or longer than the known one.
-    pub fn note_block(&mut self, now_ms: u64, row: &BlockRow) -> bool {
-        !self.exempt.contains(&row.fingerprint) && self.blocks.note(now_ms, row, &self.options)
+    pub fn record_block(&mut self, now_ms: u64, row: &BlockRow) -> bool {
+        !self.exempt.contains(&row.fingerprint) && self.blocks.record(now_ms, row, &self.options)
     }
 
     /// Returns when [`Quarantine::judge`] is due, or `u64::MAX` if it is not.
@@ -86,9 +86,9 @@
         // Crashes that have not settled yet are judged later, together with the earlier ones.
         self.crashes.due_ms = None;
         let mut begun = Vec::new();
-        while let Some(case) = self.guilty_case(now_ms, scope) {
-            let row = self.begin_block(&case);
-            self.blocks.note(now_ms, &row, &self.options);
+        while let Some(case) = self.next_case_to_block(now_ms, scope) {
+            let row = self.new_block(&case);
+            self.blocks.record(now_ms, &row, &self.options);
             begun.push(row);
         }
         self.crashes.due_ms = self.crashes.next_settled_ms(now_ms, &self.options);
@@ -129,7 +129,7 @@
 
     /// Removes crashes and blocks that are too old. Returns the requests whose blocks were removed.
     pub fn forget(&mut self, now_ms: u64) -> Vec<Fingerprint> {
-        let from_ms = now_ms.saturating_sub(self.options.memory_ms);
+        let from_ms = now_ms.saturating_sub(self.options.crash_ttl_ms);
         self.crashes.forget_before(from_ms);
         self.blocks.forget(now_ms, &self.options)
     }
@@ -158,49 +158,49 @@
         self.crashes.suspects()
     }
 
-    fn guilty_case(&self, now_ms: u64, scope: Scope) -> Option<Case> {
-        let explains = |it: &Fingerprint| self.blocks.get(it).is_some();
-        let cases = self.crashes.cases(now_ms, &self.options, explains);
+    fn next_case_to_block(&self, now_ms: u64, scope: Scope) -> Option<CrashCase> {
+        let explains_crash = |it: &Fingerprint| self.blocks.get(it).is_some();
+        let cases = self.crashes.cases(now_ms, &self.options, explains_crash);
         cases
             .into_iter()
             .filter(|case| self.blocks.in_force(now_ms, &case.fingerprint).is_none())
-            .find(|case| self.is_guilty(case, scope))
+            .find(|case| self.should_block(case, scope))
     }
 
-    fn is_guilty(&self, case: &Case, scope: Scope) -> bool {
+    fn should_block(&self, case: &CrashCase, scope: Scope) -> bool {
         // After a block has ended, one more crash is enough, unless the request was answered.
         if let Some(block) = self.blocks.get(&case.fingerprint)
             && !self
                 .crashes
-                .is_served_since(&case.fingerprint, block.until_ms)
+                .is_answered_since(&case.fingerprint, block.until_ms)
         {
             return case.unexplained().any(|it| it.at_ms >= block.until_ms);
         }
         let unexplained = case.unexplained().count();
         match scope {
-            _ if case.trials() >= self.options.trials => true,
-            _ if case.charges.len() >= self.options.most_crashes => true,
-            Scope::OwnRequests => false,
-            Scope::Fleet if unexplained < self.options.crashes => false,
+            _ if case.trials() >= self.options.lost_trials => true,
+            _ if case.crashes.len() >= self.options.total_crashes => true,
+            Scope::LocalVm => false,
+            Scope::Fleet if unexplained < self.options.unexplained_crashes => false,
             // Another request that was there at two of the three crashes may be under a third one
             // later. One more crash tells the two apart.
-            Scope::Fleet if unexplained == self.options.crashes => {
-                self.crashes.most_beside(case) + 1 < unexplained
+            Scope::Fleet if unexplained == self.options.unexplained_crashes => {
+                self.crashes.max_beside(case) + 1 < unexplained
             }
-            Scope::Fleet => self.crashes.most_beside(case) < unexplained,
+            Scope::Fleet => self.crashes.max_beside(case) < unexplained,
         }
     }
 
-    fn begin_block(&self, case: &Case) -> BlockRow {
-        let before = self.blocks.get(&case.fingerprint);
-        let times = before.map_or(0, |block| block.times) + 1;
-        let last = case.charges.iter().rev().take(NAMED_UPSTREAMS);
+    fn new_block(&self, case: &CrashCase) -> BlockRow {
+        let previous = self.blocks.get(&case.fingerprint);
+        let times = previous.map_or(0, |block| block.times) + 1;
+        let last = case.crashes.iter().rev().take(NAMED_UPSTREAMS);
         BlockRow {
             fingerprint: case.fingerprint,
             caller: case.caller,
             times,
             left_ms: Block::length_ms(times, &self.options),
-            upstreams: last.map(|charge| charge.upstream.clone()).collect(),
+            upstreams: last.map(|crash| crash.upstream.clone()).collect(),
         }
     }
 }
--- a/crates/quarantine/src/answered.rs
+++ b/crates/quarantine/src/recent_answers.rs
@@ -7,28 +7,28 @@
 
 /// Times at which requests were last answered, for a bounded number of requests.
 #[derive(Clone, Debug)]
-pub(crate) struct AnsweredLately {
+pub(crate) struct RecentAnswers {
     at_ms: HashMap<Fingerprint, u64>,
     order: VecDeque<Fingerprint>,
-    most: usize,
+    max_requests: usize,
 }
 
-impl AnsweredLately {
-    /// Returns an empty record for up to `most` requests.
-    pub fn new(most: usize) -> Self {
+impl RecentAnswers {
+    /// Returns an empty record for up to `max_requests` requests.
+    pub fn new(max_requests: usize) -> Self {
         Self {
             at_ms: HashMap::new(),
             order: VecDeque::new(),
-            most,
+            max_requests,
         }
     }
 
-    pub fn note(&mut self, now_ms: u64, fingerprint: Fingerprint) {
+    pub fn record(&mut self, now_ms: u64, fingerprint: Fingerprint) {
         if self.at_ms.insert(fingerprint, now_ms).is_some() {
             return;
         }
         self.order.push_back(fingerprint);
-        if self.order.len() > self.most {
+        if self.order.len() > self.max_requests {
             let oldest = self.order.pop_front();
             oldest.and_then(|oldest| self.at_ms.remove(&oldest));
         }
--- a/crates/quarantine/src/trials.rs
+++ b/crates/quarantine/src/trials.rs
@@ -1,9 +1,9 @@
 //! Trial runs of requests on probation, one at a time over all VMs.
 //!
-//! A VM asks a judge before it sends a request on probation. [`Referee`] is the judge's side: it
-//! allows one trial run of a request at a time, and one at each upstream, so that of two suspect
-//! requests each is lost with an upstream of its own. [`TrialDesk`] is the side of the VM that
-//! asks. If no judge answers, a VM decides by itself.
+//! A VM asks a judge before it sends a request on probation. [`TrialCoordinator`] is the judge's
+//! side: it allows one trial run of a request at a time, and one at each upstream, so that of two
+//! suspect requests each is lost with an upstream of its own. [`TrialClient`] is the side of the VM
+//! that asks. If no judge answers, a VM decides by itself.
 
 use std::collections::BTreeMap;
 
@@ -14,32 +14,32 @@
 use crate::fingerprint::Fingerprint;
 
 /// Time after which a judge that has not answered is asked again.
-const ANSWER_MS: u64 = 90;
+const ANSWER_TIMEOUT_MS: u64 = 90;
 
 /// Number of times that a judge is asked before the next one is.
-const ASKS_A_JUDGE: u32 = 4;
+const QUERIES_PER_JUDGE: u32 = 4;
 
 /// Time for which another judge is asked after one did not answer.
-const OTHER_JUDGE_MS: u64 = 3_000;
+const FALLBACK_JUDGE_MS: u64 = 3_000;
 
 /// Time within which an allowed trial run must be sent.
-const UNUSED_MS: u64 = 300;
+const UNUSED_TRIAL_TTL_MS: u64 = 300;
 
 /// Time after its deadline for which a trial run still counts as in progress.
-const SLACK_MS: u64 = 500;
+const GRANT_SLACK_MS: u64 = 500;
 
 /// Time for which a new judge allows nothing, since its predecessor may have allowed trial runs.
-const START_MS: u64 = 1_500;
+const NEW_JUDGE_PAUSE_MS: u64 = 1_500;
 
 /// Pause after a lost trial run, in which its upstream's end is confirmed and judged.
 const LOST_PAUSE_MS: u64 = 400;
 
 /// Shortest pause before a VM asks again, and the pause per VM if that is longer.
-const PAUSE_MS: u64 = 50;
-const PAUSE_MS_A_VM: u64 = 4;
+const MIN_PAUSE_MS: u64 = 50;
+const PAUSE_MS_PER_VM: u64 = 4;
 
 /// Delay after which the end of a trial run is sent to the judge again.
-const END_AGAIN_MS: u64 = 300;
+const RESEND_END_MS: u64 = 300;
 
 /// Number of requests for which trial runs are asked or allowed at once.
 const MAX_TRIALS: usize = 1_024;
@@ -102,23 +102,23 @@
 
 /// Allows trial runs, as a judge.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Referee {
+pub(crate) struct TrialCoordinator {
     /// Time since which this VM is a judge.
     since_ms: Option<u64>,
     grants: BTreeMap<Fingerprint, Grant>,
 }
 
-impl Referee {
+impl TrialCoordinator {
     /// Records that this VM is a judge from now on.
-    pub fn begin(&mut self, now_ms: u64) {
+    pub fn become_judge(&mut self, now_ms: u64) {
         self.since_ms.get_or_insert(now_ms);
     }
 
     /// Decides on a trial run. Returns `None` if it is allowed, or the time after which to ask
     /// again. The same question may come several times.
     pub fn decide(&mut self, now_ms: u64, asker: u64, ask: &TrialAsk, vms: usize) -> Option<u64> {
-        let pause_ms = PAUSE_MS.max(PAUSE_MS_A_VM * vms as u64);
-        let begin_ms = self.since_ms.unwrap_or(now_ms) + START_MS;
+        let pause_ms = MIN_PAUSE_MS.max(PAUSE_MS_PER_VM * vms as u64);
+        let begin_ms = self.since_ms.unwrap_or(now_ms) + NEW_JUDGE_PAUSE_MS;
         if vms > 1 && now_ms < begin_ms {
             return Some(pause_ms.max(begin_ms - now_ms));
         }
@@ -135,14 +135,14 @@
             upstream: Some(ask.upstream.clone()),
             asker,
             number: ask.number,
-            until_ms: now_ms + ask.left_ms + SLACK_MS,
+            until_ms: now_ms + ask.left_ms + GRANT_SLACK_MS,
         };
         self.grants.insert(ask.fingerprint, grant);
         None
     }
 
     /// Records the end of a trial run.
-    pub fn ended(&mut self, now_ms: u64, asker: u64, end: &TrialEnd) {
+    pub fn end_grant(&mut self, now_ms: u64, asker: u64, end: &TrialEnd) {
         let Some(grant) = self.grants.get_mut(&end.fingerprint) else {
             return;
         };
@@ -160,10 +160,10 @@
 
 /// State of the next trial run of a request, at the VM that asks for it.
 #[derive(Clone, Debug)]
-enum State {
+enum TrialState {
     Asked {
         ask: TrialAsk,
-        asks: u32,
+        queries_sent: u32,
         next_ms: u64,
     },
     Denied {
@@ -191,8 +191,8 @@
 
 /// Asks judges for the trial runs of one VM.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct TrialDesk {
-    states: BTreeMap<Fingerprint, State>,
+pub(crate) struct TrialClient {
+    states: BTreeMap<Fingerprint, TrialState>,
     next_number: u64,
     /// Ends of trial runs that are to be sent to the judge, and when.
     ends: Vec<(u64, TrialEnd)>,
@@ -201,7 +201,7 @@
     judge_until_ms: u64,
 }
 
-impl TrialDesk {
+impl TrialClient {
     /// Returns the index of the judge that is asked.
     pub fn judge(&self) -> usize {
         self.judge
@@ -210,7 +210,7 @@
     /// Returns whether a request has to wait for a judge or for a trial run in progress.
     pub fn holds_back(&self, fingerprint: &Fingerprint) -> bool {
         let state = self.states.get(fingerprint);
-        state.is_some_and(|state| !matches!(state, State::Allowed { .. }))
+        state.is_some_and(|state| !matches!(state, TrialState::Allowed { .. }))
     }
 
     /// Decides whether a request on probation may be sent, and schedules a question to a judge if
@@ -223,10 +223,10 @@
         left_ms: u64,
     ) -> Permit {
         match self.states.get(&fingerprint) {
-            Some(State::Allowed { ask, .. }) => {
+            Some(TrialState::Allowed { ask, .. }) => {
                 let permit = Permit::Trial(ask.upstream.clone());
                 let number = ask.number;
-                self.states.insert(fingerprint, State::Sent { number });
+                self.states.insert(fingerprint, TrialState::Sent { number });
                 permit
             }
             None if self.states.len() < MAX_TRIALS => {
@@ -237,9 +237,9 @@
                     number: self.next_number,
                     left_ms,
                 };
-                let state = State::Asked {
+                let state = TrialState::Asked {
                     ask,
-                    asks: 0,
+                    queries_sent: 0,
                     next_ms: now_ms,
                 };
                 self.states.insert(fingerprint, state);
@@ -250,22 +250,22 @@
     }
 
     /// Records the answer of a judge. Returns whether a trial run may be sent.
-    pub fn take_answer(&mut self, now_ms: u64, answer: &TrialAnswer) -> bool {
+    pub fn record_answer(&mut self, now_ms: u64, answer: &TrialAnswer) -> bool {
         let Some(state) = self.states.get_mut(&answer.fingerprint) else {
             return false;
         };
-        let State::Asked { ask, .. } = state else {
+        let TrialState::Asked { ask, .. } = state else {
             return false;
         };
         if ask.number != answer.number {
             return false;
         }
         *state = match answer.after_ms {
-            None => State::Allowed {
+            None => TrialState::Allowed {
                 ask: ask.clone(),
-                until_ms: now_ms + UNUSED_MS,
+                until_ms: now_ms + UNUSED_TRIAL_TTL_MS,
             },
-            Some(after_ms) => State::Denied {
+            Some(after_ms) => TrialState::Denied {
                 until_ms: now_ms + after_ms,
             },
         };
@@ -273,38 +273,39 @@
     }
 
     /// Records that the trial run of a request has ended.
-    pub fn over(&mut self, now_ms: u64, fingerprint: Fingerprint, is_lost: bool) {
-        if let Some(State::Sent { number }) = self.states.get(&fingerprint) {
+    pub fn end_trial(&mut self, now_ms: u64, fingerprint: Fingerprint, is_lost: bool) {
+        if let Some(TrialState::Sent { number }) = self.states.get(&fingerprint) {
             let end = TrialEnd {
                 fingerprint,
                 number: *number,
                 is_lost,
             };
-            self.tell_end(now_ms, end);
+            self.schedule_end(now_ms, end);
             // The judge has to receive the end of this trial run before it is asked for the next.
-            let until_ms = now_ms + PAUSE_MS;
-            self.states.insert(fingerprint, State::Denied { until_ms });
+            let until_ms = now_ms + MIN_PAUSE_MS;
+            self.states
+                .insert(fingerprint, TrialState::Denied { until_ms });
         }
     }
 
     /// Removes the state of a request that is no longer on probation.
     pub fn forget(&mut self, fingerprint: &Fingerprint) {
-        if !matches!(self.states.get(fingerprint), Some(State::Sent { .. })) {
+        if !matches!(self.states.get(fingerprint), Some(TrialState::Sent { .. })) {
             self.states.remove(fingerprint);
         }
     }
 
-    fn tell_end(&mut self, now_ms: u64, end: TrialEnd) {
+    fn schedule_end(&mut self, now_ms: u64, end: TrialEnd) {
         self.ends.push((now_ms, end));
-        self.ends.push((now_ms + END_AGAIN_MS, end));
+        self.ends.push((now_ms + RESEND_END_MS, end));
     }
 
     /// Returns when something is due, or `u64::MAX` if nothing is.
     pub fn next_ms(&self) -> u64 {
         let states = self.states.values().map(|state| match state {
-            State::Asked { next_ms, .. } => *next_ms,
-            State::Denied { until_ms } | State::Allowed { until_ms, .. } => *until_ms,
-            State::Sent { .. } => u64::MAX,
+            TrialState::Asked { next_ms, .. } => *next_ms,
+            TrialState::Denied { until_ms } | TrialState::Allowed { until_ms, .. } => *until_ms,
+            TrialState::Sent { .. } => u64::MAX,
         });
         let ends = self.ends.iter().map(|(at_ms, _)| *at_ms);
         states.chain(ends).min().unwrap_or(u64::MAX)
@@ -316,33 +317,37 @@
         if self.judge >= judges || self.judge_until_ms <= now_ms {
             self.judge = 0;
         }
-        let mut passes_on = false;
+        let mut use_next_judge = false;
         for state in self.states.values_mut() {
             match state {
-                State::Asked { ask, asks, next_ms } if *next_ms <= now_ms => {
-                    passes_on |= *asks > 0 && *asks % ASKS_A_JUDGE == 0;
-                    let most_asks = judges as u32 * ASKS_A_JUDGE;
-                    match *asks < most_asks {
+                TrialState::Asked {
+                    ask,
+                    queries_sent,
+                    next_ms,
+                } if *next_ms <= now_ms => {
+                    use_next_judge |= *queries_sent > 0 && *queries_sent % QUERIES_PER_JUDGE == 0;
+                    let max_queries = judges as u32 * QUERIES_PER_JUDGE;
+                    match *queries_sent < max_queries {
                         true => due.asks.push(ask.clone()),
                         false => due.unanswered.push(ask.clone()),
                     }
-                    *asks += 1;
-                    *next_ms = now_ms + ANSWER_MS;
+                    *queries_sent += 1;
+                    *next_ms = now_ms + ANSWER_TIMEOUT_MS;
                 }
                 _ => {}
             }
         }
-        if passes_on && judges > 0 {
+        if use_next_judge && judges > 0 {
             self.judge = (self.judge + 1) % judges;
-            self.judge_until_ms = now_ms + OTHER_JUDGE_MS;
+            self.judge_until_ms = now_ms + FALLBACK_JUDGE_MS;
         }
         let mut unused = Vec::new();
         self.states.retain(|_, state| match state {
-            State::Denied { until_ms } if *until_ms <= now_ms => {
+            TrialState::Denied { until_ms } if *until_ms <= now_ms => {
                 due.may_continue = true;
                 false
             }
-            State::Allowed { ask, until_ms } if *until_ms <= now_ms => {
+            TrialState::Allowed { ask, until_ms } if *until_ms <= now_ms => {
                 unused.push(TrialEnd {
                     fingerprint: ask.fingerprint,
                     number: ask.number,
@@ -354,7 +359,7 @@
             _ => true,
         });
         for end in unused {
-            self.tell_end(now_ms, end);
+            self.schedule_end(now_ms, end);
         }
         let ends = self.ends.extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
         due.ends.extend(ends.map(|(_, end)| end));
--- a/crates/quarantine/tests/crash_verdicts.rs
+++ b/crates/quarantine/tests/block_decisions.rs
@@ -49,7 +49,7 @@
                 reporter: 1,
                 suspects: requests.iter().copied().map(suspect).collect(),
             };
-            self.quarantine.note_crash(self.now_ms, &report);
+            self.quarantine.record_crash(self.now_ms, &report);
         }
         self.settle();
     }
@@ -83,7 +83,7 @@
 
 /// Guards against blocking a request for crashes that another one explains.
 #[test]
-fn bystander_is_free() {
+fn bystander() {
     let mut fleet = Fleet::new();
     fleet.crash(&[1, 2]);
     fleet.crash(&[1, 2]);
@@ -115,7 +115,7 @@
 
 /// Guards against blocking one of two requests that were at the same three upstreams.
 #[test]
-fn rivals_wait_for_a_fourth() {
+fn fourth_crash_of_rivals() {
     let mut fleet = Fleet::new();
     for _ in 0..3 {
         fleet.crash(&[1, 2]);
@@ -128,7 +128,7 @@
 
 /// Guards against two requests that explain each other's crashes, so that neither is blocked.
 #[test]
-fn fifth_crash_blocks_rivals() {
+fn fifth_crash_of_rivals() {
     let mut fleet = Fleet::new();
     for _ in 0..5 {
         fleet.crash(&[1, 2]);
@@ -138,7 +138,7 @@
 
 /// Guards against blocking a request that was in three racks or zones when these were lost.
 #[test]
-fn lost_groups_blame_nobody() {
+fn lost_groups() {
     let mut fleet = Fleet::new();
     for round in 0..4 {
         fleet.crash_together(&[&[1], &[10 + round], &[20 + round]]);
@@ -148,7 +148,7 @@
 
 /// Guards against blocking a request where two upstreams of one machine were lost, three times.
 #[test]
-fn lost_pairs_blame_nobody() {
+fn lost_pairs() {
     let mut fleet = Fleet::new();
     for round in 0..4 {
         fleet.crash_together(&[&[1], &[10 + round]]);
@@ -158,7 +158,7 @@
 
 /// Guards against requests that crash upstreams at the same times, and so look like lost racks.
 #[test]
-fn crashers_in_step_are_stopped() {
+fn simultaneous_crashers() {
     let mut fleet = Fleet::new();
     for _ in 0..5 {
         fleet.crash_together(&[&[1], &[2], &[3]]);
@@ -168,7 +168,7 @@
 
 /// Guards against overlooking a second crashing request because a first one explains its crashes.
 #[test]
-fn second_crasher_is_found() {
+fn second_crasher() {
     let mut fleet = Fleet::new();
     fleet.crash(&[1, 2]);
     fleet.crash(&[1, 2]);
@@ -184,7 +184,7 @@
 
 /// Guards against counting a crash as often as it is reported.
 #[test]
-fn told_again_counts_once() {
+fn repeated_report() {
     let mut fleet = Fleet::new();
     let report = CrashReport {
         upstream: UpstreamName::from("i-1"),
@@ -193,7 +193,7 @@
         suspects: vec![suspect(1)],
     };
     for _ in 0..6 {
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
         fleet.settle();
     }
     assert!(!fleet.is_blocked(1));
@@ -201,7 +201,7 @@
 
 /// Guards against judging a crash before the other VMs' reports of it have arrived.
 #[test]
-fn late_word_of_a_rival() {
+fn late_report() {
     let mut fleet = Fleet::new();
     fleet.crash(&[1, 2]);
     fleet.crash(&[1, 2]);
@@ -212,19 +212,19 @@
         reporter: 1,
         suspects: vec![suspect(number)],
     };
-    fleet.quarantine.note_crash(fleet.now_ms, &report(1));
+    fleet.quarantine.record_crash(fleet.now_ms, &report(1));
     fleet.quarantine.judge(fleet.now_ms, Scope::Fleet);
     fleet.now_ms += 100;
-    fleet.quarantine.note_crash(fleet.now_ms, &report(2));
+    fleet.quarantine.record_crash(fleet.now_ms, &report(2));
     fleet.settle();
     assert!(!fleet.is_blocked(1) && !fleet.is_blocked(2));
 }
 
 /// Guards against a VM without reports of others that blocks a request by what it alone has seen.
 #[test]
-fn own_requests_need_five() {
+fn local_reports_only() {
     let mut fleet = Fleet::new();
-    fleet.scope = Scope::OwnRequests;
+    fleet.scope = Scope::LocalVm;
     for _ in 0..4 {
         fleet.crash(&[1]);
     }
@@ -235,7 +235,7 @@
 
 /// Guards against refusing a request forever though the upstreams have been fixed.
 #[test]
-fn block_ends_and_returns() {
+fn block_expiry() {
     let options = Options::default();
     let mut fleet = Fleet::new();
     for _ in 0..3 {
@@ -254,7 +254,7 @@
         assert!(!fleet.is_blocked(1));
         fleet.crash(&[1]);
     }
-    fleet.now_ms += 2 * options.most_block_ms + 1;
+    fleet.now_ms += 2 * options.max_block_ms + 1;
     fleet.quarantine.forget(fleet.now_ms);
     fleet.crash(&[1]);
     assert!(!fleet.is_blocked(1));
@@ -263,7 +263,7 @@
 /// Guards against blocking a request again for one crash beside it, though it was answered after
 /// its block.
 #[test]
-fn answered_after_the_block() {
+fn answered_after_block() {
     let mut fleet = Fleet::new();
     for _ in 0..3 {
         fleet.crash(&[1]);
@@ -276,18 +276,18 @@
             ago_ms: 0,
             reporter: 1,
             suspects: vec![Suspect {
-                served_ago_ms: Some(10),
+                answered_ago_ms: Some(10),
                 ..suspect(1)
             }],
         };
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
         fleet.settle();
         assert!(!fleet.is_blocked(1));
     }
 }
 
 #[test]
-fn answered_block_is_lifted() {
+fn answered_block() {
     let mut fleet = Fleet::new();
     for _ in 0..3 {
         fleet.crash(&[1]);
@@ -301,11 +301,11 @@
 
 /// Guards against counting crashes of long ago together with recent ones.
 #[test]
-fn old_crashes_are_forgotten() {
+fn old_crashes() {
     let mut fleet = Fleet::new();
     for _ in 0..6 {
         fleet.crash(&[1]);
-        fleet.now_ms += Options::default().memory_ms / 2;
+        fleet.now_ms += Options::default().crash_ttl_ms / 2;
         fleet.quarantine.forget(fleet.now_ms);
     }
     assert!(!fleet.is_blocked(1));
@@ -314,7 +314,7 @@
 /// Guards against blocking a request that many callers send alike and that upstreams keep
 /// answering.
 #[test]
-fn answered_request_is_clear() {
+fn answered_request() {
     let mut fleet = Fleet::new();
     for upstream in 0..8 {
         fleet.now_ms += APART_MS;
@@ -323,11 +323,11 @@
             ago_ms: 0,
             reporter: 1,
             suspects: vec![Suspect {
-                served_ago_ms: Some(APART_MS / 2),
+                answered_ago_ms: Some(APART_MS / 2),
                 ..suspect(1)
             }],
         };
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
         fleet.settle();
     }
     assert!(!fleet.is_blocked(1));
@@ -335,7 +335,7 @@
 
 /// Guards against a request that was answered once, and crashes upstreams since they changed.
 #[test]
-fn formerly_answered_is_stopped() {
+fn formerly_answered() {
     let mut fleet = Fleet::new();
     let began_ms = fleet.now_ms;
     for upstream in 0..3 {
@@ -345,18 +345,18 @@
             ago_ms: 0,
             reporter: 1,
             suspects: vec![Suspect {
-                served_ago_ms: Some(fleet.now_ms - began_ms),
+                answered_ago_ms: Some(fleet.now_ms - began_ms),
                 ..suspect(1)
             }],
         };
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
         fleet.settle();
     }
     assert!(fleet.is_blocked(1));
 }
 
 #[test]
-fn exempt_request_passes() {
+fn exempt_request() {
     let mut fleet = Fleet::new();
     for _ in 0..3 {
         fleet.crash(&[1]);
@@ -364,7 +364,7 @@
     let rows = fleet.quarantine.rows(fleet.now_ms);
     fleet.quarantine.exempt([request(1)].into());
     assert!(!fleet.is_blocked(1));
-    assert!(!fleet.quarantine.note_block(fleet.now_ms, &rows[0]));
+    assert!(!fleet.quarantine.record_block(fleet.now_ms, &rows[0]));
     for _ in 0..6 {
         fleet.crash(&[1]);
     }
@@ -373,7 +373,7 @@
 
 /// Guards against taking crashes that follow each other closely for the loss of a rack.
 #[test]
-fn quick_crasher_is_no_group() {
+fn quick_crasher() {
     let mut fleet = Fleet::new();
     for upstream in 0..3 {
         fleet.now_ms += 100;
@@ -383,7 +383,7 @@
             reporter: 1,
             suspects: vec![suspect(1)],
         };
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
     }
     fleet.settle();
     assert!(fleet.is_blocked(1));
--- a/crates/quarantine/tests/bounded_memory.rs
+++ b/crates/quarantine/tests/bounded_memory.rs
@@ -23,7 +23,7 @@
 
 fn suspect(caller_number: u32, number: u32) -> Suspect {
     Suspect {
-        served_ago_ms: Some(1_000_000),
+        answered_ago_ms: Some(1_000_000),
         ..Suspect::new(request(caller_number, number), caller(caller_number))
     }
 }
@@ -54,16 +54,16 @@
     let mut quarantine = Quarantine::new(options.clone());
     let mut now_ms = NOW_MS;
     for upstream in 0..2 {
-        quarantine.note_crash(now_ms, &report(upstream, vec![suspect(7, 7)]));
+        quarantine.record_crash(now_ms, &report(upstream, vec![suspect(7, 7)]));
         now_ms += 1_000;
     }
     for upstream in 2..200 {
         let suspects = (0..64).map(|it| suspect(8, upstream * 64 + it)).collect();
-        quarantine.note_crash(now_ms, &report(upstream, suspects));
+        quarantine.record_crash(now_ms, &report(upstream, suspects));
         now_ms += 1_000;
     }
-    assert!(quarantine.suspects() <= options.max_suspects_a_caller + 2);
-    quarantine.note_crash(now_ms, &report(900, vec![suspect(7, 7)]));
+    assert!(quarantine.suspects() <= options.max_suspects_per_caller + 2);
+    quarantine.record_crash(now_ms, &report(900, vec![suspect(7, 7)]));
     quarantine.judge(now_ms + options.settle_ms, Scope::Fleet);
     let blocked_ms = quarantine.blocked_ms(now_ms + options.settle_ms, &request(7, 7));
     assert!(blocked_ms.is_some());
@@ -76,7 +76,7 @@
     let mut quarantine = Quarantine::new(options.clone());
     for upstream in 0..500 {
         let suspects = (0..64).map(|it| suspect(it, upstream * 64 + it)).collect();
-        quarantine.note_crash(NOW_MS + u64::from(upstream), &report(upstream, suspects));
+        quarantine.record_crash(NOW_MS + u64::from(upstream), &report(upstream, suspects));
         assert!(quarantine.suspects() <= options.max_suspects);
     }
 }
@@ -85,12 +85,12 @@
 fn blocks_of_one_caller() {
     let options = Options::default();
     let mut quarantine = Quarantine::new(options.clone());
-    quarantine.note_block(NOW_MS, &row(7, 7, 10_000));
-    for number in 0..options.max_blocks_a_caller as u32 + 100 {
-        quarantine.note_block(NOW_MS, &row(8, number, 600_000));
+    quarantine.record_block(NOW_MS, &row(7, 7, 10_000));
+    for number in 0..options.max_blocks_per_caller as u32 + 100 {
+        quarantine.record_block(NOW_MS, &row(8, number, 600_000));
     }
     let rows = quarantine.rows(NOW_MS);
-    assert_eq!(rows.len(), options.max_blocks_a_caller + 1);
+    assert_eq!(rows.len(), options.max_blocks_per_caller + 1);
     assert!(quarantine.blocked_ms(NOW_MS, &request(7, 7)).is_some());
 }
 
@@ -99,41 +99,41 @@
     let options = Options::default();
     let mut quarantine = Quarantine::new(options.clone());
     for number in 0..options.max_blocks as u32 + 100 {
-        quarantine.note_block(NOW_MS, &row(number, number, 600_000));
+        quarantine.record_block(NOW_MS, &row(number, number, 600_000));
     }
     assert_eq!(quarantine.rows(NOW_MS).len(), options.max_blocks);
 }
 
 /// Guards against a block received from another VM that never ends.
 #[test]
-fn told_block_is_bounded() {
+fn received_block() {
     let options = Options::default();
     let mut quarantine = Quarantine::new(options.clone());
     let row = BlockRow {
         times: u32::MAX,
         ..row(1, 1, u64::MAX)
     };
-    assert!(quarantine.note_block(NOW_MS, &row));
+    assert!(quarantine.record_block(NOW_MS, &row));
     let left_ms = quarantine.blocked_ms(NOW_MS, &request(1, 1));
-    assert_eq!(left_ms, Some(options.most_block_ms));
+    assert_eq!(left_ms, Some(options.max_block_ms));
 }
 
 /// Guards against a new block that is dropped at once, and begun again and again, because it is the
 /// shortest one of a caller at its limit.
 #[test]
-fn new_block_of_a_full_caller() {
+fn block_at_limit() {
     let options = Options::default();
     let mut quarantine = Quarantine::new(options.clone());
-    for number in 0..options.max_blocks_a_caller as u32 {
-        quarantine.note_block(NOW_MS, &row(8, 1_000 + number, options.most_block_ms));
+    for number in 0..options.max_blocks_per_caller as u32 {
+        quarantine.record_block(NOW_MS, &row(8, 1_000 + number, options.max_block_ms));
     }
     let mut now_ms = NOW_MS;
     for upstream in 0..3 {
         now_ms += 1_000;
-        quarantine.note_crash(now_ms, &report(upstream, vec![suspect(8, 8)]));
+        quarantine.record_crash(now_ms, &report(upstream, vec![suspect(8, 8)]));
     }
     now_ms += options.settle_ms;
     assert_eq!(quarantine.judge(now_ms, Scope::Fleet).len(), 1);
     assert!(quarantine.blocked_ms(now_ms, &request(8, 8)).is_some());
-    assert_eq!(quarantine.rows(now_ms).len(), options.max_blocks_a_caller);
+    assert_eq!(quarantine.rows(now_ms).len(), options.max_blocks_per_caller);
 }
--- a/crates/quarantine/tests/crash_search/courses.rs
+++ b/crates/quarantine/tests/crash_search/courses.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 
+use crate::fleet::CALLER_TIMEOUT_MS;
 use crate::fleet::Fleet;
+use crate::fleet::MAX_RETRIES;
 use crate::fleet::MODELS;
-use crate::fleet::PATIENCE_MS;
-use crate::fleet::RETURNS;
-use crate::fleet::Way;
+use crate::fleet::Policy;
 
 /// Number of requests that crash engines. Each needs one model, which other ones may share.
 pub const CRASHERS: u8 = 4;
@@ -19,7 +19,7 @@
         which: u8,
         vm: usize,
         copies: u8,
-        beside: u8,
+        bystanders: u8,
     },
     /// Copies of a harmless request arrive that many callers send alike.
     Popular { model: usize, vm: usize, copies: u8 },
@@ -28,7 +28,7 @@
     /// The last VM's process is restarted.
     Restart,
     /// A VM's process is paused.
-    Freeze { vm: usize, for_ms: u64 },
+    Pause { vm: usize, for_ms: u64 },
 }
 
 /// Course of events over some VMs.
@@ -40,21 +40,21 @@
     /// Number of engines of each model.
     pub engines: Vec<usize>,
     pub load_ms: u64,
-    pub returns: u32,
+    pub retries: u32,
     /// Pauses, the events after them, and the VMs at which they happen.
     pub events: Vec<(u64, Event, usize)>,
 }
 
 impl Course {
-    pub fn play(&self, way: Way) -> Fleet {
-        let mut fleet = Fleet::new(way, self.vms, self.seed, self.lost_in_256, &self.engines);
+    pub fn simulate(&self, policy: Policy) -> Fleet {
+        let mut fleet = Fleet::new(policy, self.vms, self.seed, self.lost_in_256, &self.engines);
         fleet.load_ms = self.load_ms;
-        fleet.returns = self.returns;
-        for (pause_ms, event, place) in &self.events {
+        fleet.retries = self.retries;
+        for (pause_ms, event, vm_index) in &self.events {
             fleet.run_until(fleet.now_ms + pause_ms);
-            fleet.happen(event.at(place % self.vms));
+            fleet.apply(event.at(vm_index % self.vms));
         }
-        fleet.run_until(fleet.now_ms + PATIENCE_MS);
+        fleet.run_until(fleet.now_ms + CALLER_TIMEOUT_MS);
         fleet
     }
 }
@@ -62,42 +62,45 @@
 pub fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => (0..CRASHERS, prop_oneof![3 => 1..4_u8, 1 => 4..30_u8], 0..6_u8).prop_map(
-            |(which, copies, beside)| Event::Crashers { which, vm: 0, copies, beside }
+            |(which, copies, bystanders)| Event::Crashers { which, vm: 0, copies, bystanders }
         ),
         3 => (0..MODELS, 1..12_u8)
             .prop_map(|(model, copies)| Event::Popular { model, vm: 0, copies }),
         2 => (1..20_u8).prop_map(|requests| Event::Loss { vm: 0, requests }),
         1 => Just(Event::Restart),
-        1 => (50..4_000_u64).prop_map(|for_ms| Event::Freeze { vm: 0, for_ms }),
+        1 => (50..4_000_u64).prop_map(|for_ms| Event::Pause { vm: 0, for_ms }),
     ]
 }
 
 impl Event {
     /// Returns the same event at a VM.
-    pub fn at(self, place: usize) -> Self {
+    pub fn at(self, vm_index: usize) -> Self {
         match self {
             Self::Crashers {
                 which,
                 copies,
-                beside,
+                bystanders,
                 ..
             } => Self::Crashers {
                 which,
-                vm: place,
+                vm: vm_index,
                 copies,
-                beside,
+                bystanders,
             },
             Self::Popular { model, copies, .. } => Self::Popular {
                 model,
-                vm: place,
+                vm: vm_index,
                 copies,
             },
             Self::Loss { requests, .. } => Self::Loss {
-                vm: place,
+                vm: vm_index,
                 requests,
             },
             Self::Restart => Self::Restart,
-            Self::Freeze { for_ms, .. } => Self::Freeze { vm: place, for_ms },
+            Self::Pause { for_ms, .. } => Self::Pause {
+                vm: vm_index,
+                for_ms,
+            },
         }
     }
 }
@@ -105,7 +108,7 @@
 pub fn course(
     event: impl Strategy<Value = Event>,
     engines: impl Strategy<Value = usize>,
-    returns: u32,
+    retries: u32,
 ) -> impl Strategy<Value = Course> {
     let events = prop::collection::vec((1..700_u64, event, 0..24_usize), 20..60);
     let engines = prop::collection::vec(engines, MODELS);
@@ -118,27 +121,30 @@
             lost_in_256,
             engines,
             load_ms,
-            returns,
+            retries,
             events,
         }
     })
 }
 
 /// Returns courses with many copies, models with few engines, and callers that retry.
-pub fn crowded_course() -> impl Strategy<Value = Course> {
-    course(event(), prop_oneof![Just(1), 2..12_usize], RETURNS)
+pub fn dense_course() -> impl Strategy<Value = Course> {
+    course(event(), prop_oneof![Just(1), 2..12_usize], MAX_RETRIES)
 }
 
 /// Returns courses with single copies, whose requests meet others only by chance.
 pub fn sparse_course() -> impl Strategy<Value = Course> {
     let event = event().prop_map(|event| match event {
         Event::Crashers {
-            which, vm, beside, ..
+            which,
+            vm,
+            bystanders,
+            ..
         } => Event::Crashers {
             which,
             vm,
             copies: 1,
-            beside,
+            bystanders,
         },
         Event::Popular { .. } => Event::Restart,
         other => other,
--- a/crates/quarantine/tests/crash_search/fleet.rs
+++ b/crates/quarantine/tests/crash_search/fleet.rs
@@ -25,12 +25,12 @@
 pub const CONFIRM_MS: u64 = 5;
 
 /// Time before it is killed for which a VM may not have reported what it lost.
-pub const TOLD_MS: u64 = 1_500;
+pub const REPORT_MS: u64 = 1_500;
 
 /// Time for which a caller waits for an answer, and how many times it retries.
-pub const PATIENCE_MS: u64 = 9_000;
+pub const CALLER_TIMEOUT_MS: u64 = 9_000;
 
-pub const RETURNS: u32 = 4;
+pub const MAX_RETRIES: u32 = 4;
 
 /// Time after the loss of a request's third copy in which its sends are not counted as late.
 pub const WINDOW_MS: u64 = 3_000;
@@ -41,25 +41,25 @@
 
 pub struct Vm {
     pub watch: CrashWatch,
-    pub frozen_until_ms: u64,
+    pub paused_until_ms: u64,
     pub inbox: Vec<(u64, Message)>,
     /// Time since which it has run without a disturbance.
-    pub calm_ms: u64,
+    pub undisturbed_since_ms: u64,
 }
 
 /// Caller's request, at a VM or on its way there.
 #[derive(Clone, Copy, Debug)]
-pub struct Copy {
+pub struct RequestCopy {
     pub vm: usize,
     pub fingerprint: Fingerprint,
     pub model: usize,
     pub crashes: bool,
     pub from_ms: u64,
-    pub returns: u32,
+    pub retries: u32,
 }
 
 pub struct Running {
-    pub copy: Copy,
+    pub copy: RequestCopy,
     pub engine: UpstreamName,
     pub ends_ms: u64,
     pub is_trial: bool,
@@ -74,16 +74,16 @@
     pub now_ms: u64,
     pub vms: Vec<Vm>,
     pub link: Link,
-    pub engines_begun: u32,
+    pub engines_started: u32,
     /// Engines of each model.
     pub models: Vec<Vec<Engine>>,
     pub load_ms: u64,
     /// Number of times that a caller retries.
-    pub returns: u32,
-    pub waiting: Vec<Copy>,
+    pub retries: u32,
+    pub waiting: Vec<RequestCopy>,
     pub running: Vec<Running>,
     /// Requests lost with an engine, and the time of its end.
-    pub ends: Vec<(u64, UpstreamName, Vec<Copy>)>,
+    pub ends: Vec<(u64, UpstreamName, Vec<RequestCopy>)>,
     /// Sends that reached engines: when, and whether from a VM without a recent disturbance.
     pub sends: BTreeMap<Fingerprint, Vec<(u64, bool)>>,
     /// Times at which copies were lost with their engines, and the VMs that had sent them.
@@ -93,28 +93,28 @@
     /// Harmless requests that were blocked.
     pub harmless_blocked: BTreeSet<Fingerprint>,
     /// Total time for which harmless requests waited for a permit.
-    pub held_back_ms: u64,
-    pub way: Way,
+    pub waited_ms: u64,
+    pub policy: Policy,
 }
 
 /// Strategies that keep a request from crashing more engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Policy {
     /// Crashes are counted, and any number of copies is sent until a request is blocked.
-    Counted,
+    CountOnly,
     /// Each VM sends one copy of a request on probation at a time.
-    OneAVm,
+    OnePerVm,
     /// One copy of a request on probation is sent at a time over all VMs.
-    OneOverAll,
+    OnePerFleet,
 }
 
-impl Way {
+impl Policy {
     pub fn options(self) -> Options {
         match self {
-            Self::Counted => Options {
+            Self::CountOnly => Options {
                 probation_crashes: usize::MAX,
                 probation_copies: u32::MAX,
-                trials: u32::MAX,
+                lost_trials: u32::MAX,
                 ..Options::default()
             },
             _ => Options::default(),
@@ -130,7 +130,7 @@
     request(&format!("crasher-{which}"))
 }
 
-pub fn run_of(vm: usize) -> u64 {
+pub fn incarnation_of(vm: usize) -> u64 {
     1 + vm as u64
 }
 
@@ -139,12 +139,12 @@
 }
 
 impl Fleet {
-    pub fn new(way: Way, vms: usize, seed: u64, lost_in_256: u64, engines: &[usize]) -> Self {
+    pub fn new(policy: Policy, vms: usize, seed: u64, lost_in_256: u64, engines: &[usize]) -> Self {
         let vm = |run: usize| Vm {
-            watch: CrashWatch::new(run_of(run), way.options()),
-            frozen_until_ms: 0,
+            watch: CrashWatch::new(incarnation_of(run), policy.options()),
+            paused_until_ms: 0,
             inbox: Vec::new(),
-            calm_ms: 0,
+            undisturbed_since_ms: 0,
         };
         let mut fleet = Self {
             now_ms: 100_000,
@@ -153,10 +153,10 @@
                 state: seed | 1,
                 lost_in_256,
             },
-            engines_begun: 0,
+            engines_started: 0,
             models: Vec::new(),
             load_ms: 0,
-            returns: RETURNS,
+            retries: MAX_RETRIES,
             waiting: Vec::new(),
             running: Vec::new(),
             ends: Vec::new(),
@@ -164,8 +164,8 @@
             ended: BTreeMap::new(),
             harmless_lost: BTreeSet::new(),
             harmless_blocked: BTreeSet::new(),
-            held_back_ms: 0,
-            way,
+            waited_ms: 0,
+            policy,
         };
         for count in engines {
             let engines = (0..*count).map(|_| fleet.engine(0)).collect();
@@ -175,38 +175,38 @@
     }
 
     pub fn engine(&mut self, ready_ms: u64) -> Engine {
-        self.engines_begun += 1;
+        self.engines_started += 1;
         Engine {
-            name: UpstreamName::from(format!("i-{}", self.engines_begun)),
+            name: UpstreamName::from(format!("i-{}", self.engines_started)),
             ready_ms,
         }
     }
 
     pub fn arrive(&mut self, vm: usize, fingerprint: Fingerprint, model: usize, crashes: bool) {
-        self.waiting.push(Copy {
+        self.waiting.push(RequestCopy {
             vm: vm % self.vms.len(),
             fingerprint,
             model,
             crashes,
             from_ms: self.now_ms,
-            returns: 0,
+            retries: 0,
         });
     }
 
-    pub fn happen(&mut self, event: Event) {
+    pub fn apply(&mut self, event: Event) {
         let now_ms = self.now_ms;
         match event {
             Event::Crashers {
                 which,
                 vm,
                 copies,
-                beside,
+                bystanders,
             } => {
                 let model = usize::from(which) % MODELS;
                 for number in 0..usize::from(copies) {
                     self.arrive(vm + number / 4, crasher(which), model, true);
                 }
-                for number in 0..usize::from(beside) {
+                for number in 0..usize::from(bystanders) {
                     let name = format!("beside-{now_ms}-{number}");
                     self.arrive(vm + number, request(&name), model, false);
                 }
@@ -219,22 +219,22 @@
             }
             Event::Loss { vm, requests } => {
                 let engine = self.engine(0).name;
-                let lost = (0..requests).map(|it| Copy {
+                let lost = (0..requests).map(|it| RequestCopy {
                     vm,
-                    fingerprint: request(&format!("lost-{}-{it}", self.engines_begun)),
+                    fingerprint: request(&format!("lost-{}-{it}", self.engines_started)),
                     model: 0,
                     crashes: false,
                     from_ms: now_ms,
-                    returns: RETURNS,
+                    retries: MAX_RETRIES,
                 });
                 self.ends.push((now_ms, engine, lost.collect()));
             }
             // The other VMs keep what they received; what only the last VM holds is lost with it.
             Event::Restart if self.vms.len() == 1 => {}
             Event::Restart => self.restart(self.vms.len() - 1),
-            Event::Freeze { vm, for_ms } => {
-                self.vms[vm].frozen_until_ms = now_ms + for_ms;
-                self.vms[vm].calm_ms = now_ms + for_ms;
+            Event::Pause { vm, for_ms } => {
+                self.vms[vm].paused_until_ms = now_ms + for_ms;
+                self.vms[vm].undisturbed_since_ms = now_ms + for_ms;
             }
         }
     }
@@ -247,9 +247,9 @@
         self.waiting.retain(|copy| copy.vm != vm);
         self.running.retain(|it| it.copy.vm != vm);
         for ended in self.ended.values_mut() {
-            ended.retain(|(at_ms, of)| *of != vm || at_ms + TOLD_MS <= now_ms);
+            ended.retain(|(at_ms, of)| *of != vm || at_ms + REPORT_MS <= now_ms);
         }
-        let mut watch = CrashWatch::new(run_of(vm), self.way.options());
+        let mut watch = CrashWatch::new(incarnation_of(vm), self.policy.options());
         // What the lease holder and the other VMs send to a VM that says hello.
         for row in self.vms[0].watch.blocks(now_ms) {
             watch.take_block(now_ms, &row);
@@ -260,9 +260,9 @@
         }
         self.vms[vm] = Vm {
             watch,
-            frozen_until_ms: 0,
+            paused_until_ms: 0,
             inbox: Vec::new(),
-            calm_ms: now_ms,
+            undisturbed_since_ms: now_ms,
         };
     }
 
@@ -273,17 +273,17 @@
         }
     }
 
-    pub fn is_frozen(&self, vm: usize) -> bool {
-        self.vms[vm].frozen_until_ms > self.now_ms
+    pub fn is_paused(&self, vm: usize) -> bool {
+        self.vms[vm].paused_until_ms > self.now_ms
     }
 
     pub fn step(&mut self) {
         self.end_runs();
-        self.tell_ends();
+        self.confirm_ends();
         for index in 0..self.vms.len() {
-            if !self.is_frozen(index) {
-                self.take_messages(index);
-                self.do_due(index);
+            if !self.is_paused(index) {
+                self.handle_messages(index);
+                self.perform_due(index);
             }
         }
         self.send_waiting();
@@ -312,7 +312,7 @@
                 let ended = self.ended.entry(run.copy.fingerprint).or_default();
                 ended.push((now_ms, run.copy.vm));
             }
-            self.note_losses(&engine, lost);
+            self.record_losses(&engine, lost);
             let replacement = self.engine(now_ms + self.load_ms);
             for engines in &mut self.models {
                 if let Some(it) = engines.iter_mut().find(|it| it.name == engine) {
@@ -333,7 +333,7 @@
         }
     }
 
-    pub fn note_losses(&mut self, engine: &UpstreamName, lost: Vec<Running>) {
+    pub fn record_losses(&mut self, engine: &UpstreamName, lost: Vec<Running>) {
         let now_ms = self.now_ms;
         for run in &lost {
             let watch = &mut self.vms[run.copy.vm].watch;
@@ -347,20 +347,20 @@
                 watch.note_trial_over(now_ms, run.copy.fingerprint, true);
             }
         }
-        let copies: Vec<Copy> = lost.iter().map(|run| run.copy).collect();
-        for copy in copies.iter().filter(|copy| copy.returns < self.returns) {
+        let copies: Vec<RequestCopy> = lost.iter().map(|run| run.copy).collect();
+        for copy in copies.iter().filter(|copy| copy.retries < self.retries) {
             let vm = self.link.draw() as usize % self.vms.len();
-            self.waiting.push(Copy {
+            self.waiting.push(RequestCopy {
                 vm,
                 from_ms: now_ms,
-                returns: copy.returns + 1,
+                retries: copy.retries + 1,
                 ..*copy
             });
         }
         self.ends.push((now_ms, engine.clone(), copies));
     }
 
-    pub fn tell_ends(&mut self) {
+    pub fn confirm_ends(&mut self) {
         let now_ms = self.now_ms;
         let ended = self
             .ends
@@ -369,7 +369,7 @@
             for copy in lost {
                 let watch = &mut self.vms[copy.vm].watch;
                 // An engine that ended by itself was not recorded when its requests were lost.
-                if !copy.crashes && copy.returns == RETURNS {
+                if !copy.crashes && copy.retries == MAX_RETRIES {
                     let request = LostRequest {
                         fingerprint: copy.fingerprint,
                         caller: caller(),
@@ -386,13 +386,13 @@
     pub fn send_waiting(&mut self) {
         let now_ms = self.now_ms;
         for copy in std::mem::take(&mut self.waiting) {
-            if self.is_frozen(copy.vm) {
+            if self.is_paused(copy.vm) {
                 self.waiting.push(copy);
                 continue;
             }
             let watch = &mut self.vms[copy.vm].watch;
             let is_blocked = watch.blocked_ms(now_ms, &copy.fingerprint).is_some();
-            if is_blocked || now_ms >= copy.from_ms + PATIENCE_MS {
+            if is_blocked || now_ms >= copy.from_ms + CALLER_TIMEOUT_MS {
                 if is_blocked && !copy.crashes {
                     self.harmless_blocked.insert(copy.fingerprint);
                 }
@@ -402,13 +402,13 @@
             let ready: Vec<&Engine> = engines.filter(|it| it.ready_ms <= now_ms).collect();
             if ready.is_empty() || watch.holds_back(now_ms, &copy.fingerprint) {
                 if !ready.is_empty() && !copy.crashes {
-                    self.held_back_ms += STEP_MS;
+                    self.waited_ms += STEP_MS;
                 }
                 self.waiting.push(copy);
                 continue;
             }
             let engine = &ready[self.link.draw() as usize % ready.len()].name;
-            let left_ms = copy.from_ms + PATIENCE_MS - now_ms;
+            let left_ms = copy.from_ms + CALLER_TIMEOUT_MS - now_ms;
             match watch.permit(now_ms, copy.fingerprint, engine, left_ms) {
                 Permit::Free => self.run(copy, engine.clone(), false),
                 Permit::Trial(engine) => self.run(copy, engine, true),
@@ -417,7 +417,7 @@
         }
     }
 
-    pub fn run(&mut self, copy: Copy, engine: UpstreamName, is_trial: bool) {
+    pub fn run(&mut self, copy: RequestCopy, engine: UpstreamName, is_trial: bool) {
         let now_ms = self.now_ms;
         let is_there = self.models.iter().flatten().any(|it| it.name == engine);
         if !is_there {
@@ -428,9 +428,9 @@
             self.waiting.push(copy);
             return;
         }
-        let is_calm = self.vms[copy.vm].calm_ms + WINDOW_MS <= now_ms;
+        let is_undisturbed = self.vms[copy.vm].undisturbed_since_ms + WINDOW_MS <= now_ms;
         let sends = self.sends.entry(copy.fingerprint).or_default();
-        sends.push((now_ms, is_calm));
+        sends.push((now_ms, is_undisturbed));
         let run_ms = if copy.crashes { RUN_MS } else { ANSWER_MS };
         self.running.push(Running {
             copy,
@@ -451,7 +451,7 @@
         };
         let late = sends
             .iter()
-            .filter(|(at_ms, calm)| *at_ms > third_ms + WINDOW_MS && *calm);
+            .filter(|(at_ms, is_undisturbed)| *at_ms > third_ms + WINDOW_MS && *is_undisturbed);
         late.count()
     }
 }
--- a/crates/quarantine/tests/crash_search/messages.rs
+++ b/crates/quarantine/tests/crash_search/messages.rs
@@ -9,11 +9,11 @@
 use apricotdale_quarantine::TrialEnd;
 
 use crate::fleet::Fleet;
-use crate::fleet::Way;
-use crate::fleet::run_of;
+use crate::fleet::Policy;
+use crate::fleet::incarnation_of;
 
 /// Number of VMs that are judges.
-const JUDGES: usize = 5;
+const MAX_JUDGES: usize = 5;
 
 #[derive(Clone, Debug)]
 pub enum Message {
@@ -21,9 +21,9 @@
     Blocks(Vec<BlockRow>),
     Probations(Vec<Fingerprint>),
     Cleared(Fingerprint),
-    Wanted(usize, TrialAsk),
-    Decided(TrialAnswer),
-    Over(usize, TrialEnd),
+    TrialAsked(usize, TrialAsk),
+    TrialDecided(TrialAnswer),
+    TrialEnded(usize, TrialEnd),
 }
 
 /// Random loss, duplication and delay of datagrams.
@@ -53,10 +53,10 @@
 
 impl Fleet {
     pub fn judges(&self) -> usize {
-        self.vms.len().min(JUDGES)
+        self.vms.len().min(MAX_JUDGES)
     }
 
-    pub fn take_messages(&mut self, index: usize) {
+    pub fn handle_messages(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let vms = self.vms.len();
         let vm = &mut self.vms[index];
@@ -73,21 +73,26 @@
                 Message::Cleared(it) => {
                     watch.take_cleared(now_ms, &it);
                 }
-                Message::Wanted(from, ask) => {
-                    answers.push((from, watch.take_ask(now_ms, run_of(from), &ask, vms)));
+                Message::TrialAsked(from, ask) => {
+                    answers.push((
+                        from,
+                        watch.take_ask(now_ms, incarnation_of(from), &ask, vms),
+                    ));
                 }
-                Message::Decided(answer) => {
+                Message::TrialDecided(answer) => {
                     watch.take_trial_answer(now_ms, &answer);
                 }
-                Message::Over(from, end) => watch.take_trial_end(now_ms, run_of(from), &end),
+                Message::TrialEnded(from, end) => {
+                    watch.take_trial_end(now_ms, incarnation_of(from), &end)
+                }
             }
         }
         for (from, answer) in answers {
-            self.send(from, &Message::Decided(answer));
+            self.send(from, &Message::TrialDecided(answer));
         }
     }
 
-    pub fn do_due(&mut self, index: usize) {
+    pub fn perform_due(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let judges = self.judges();
         let role = Role {
@@ -109,18 +114,18 @@
             self.send_all(index, &Message::Probations(due.probations));
         }
         for ask in due.asks {
-            if self.way == Way::OneAVm {
+            if self.policy == Policy::OnePerVm {
                 let watch = &mut self.vms[index].watch;
-                let answer = watch.take_ask(now_ms, run_of(index), &ask, 1);
+                let answer = watch.take_ask(now_ms, incarnation_of(index), &ask, 1);
                 watch.take_trial_answer(now_ms, &answer);
                 continue;
             }
-            self.send(due.asked_judge, &Message::Wanted(index, ask));
+            self.send(due.asked_judge, &Message::TrialAsked(index, ask));
         }
         for end in due.trial_ends {
             let own = &mut self.vms[index].watch;
-            own.take_trial_end(now_ms, run_of(index), &end);
-            self.send(due.asked_judge, &Message::Over(index, end));
+            own.take_trial_end(now_ms, incarnation_of(index), &end);
+            self.send(due.asked_judge, &Message::TrialEnded(index, end));
         }
     }
 
--- a/crates/quarantine/tests/false_blame.rs
+++ b/crates/quarantine/tests/false_blocks.rs
@@ -20,7 +20,7 @@
 use rstest::rstest;
 
 /// Requests in progress at an engine.
-const PLACES: usize = 24;
+const SLOTS: usize = 24;
 
 /// Longest run of a request.
 const RUN_MS: u64 = 500;
@@ -34,12 +34,12 @@
 
 struct Count {
     lost: usize,
-    blamed: usize,
+    blocked: usize,
 }
 
 /// Simulates engines that crash at a constant rate, and returns how many requests were lost and how
 /// many of them were blocked.
-fn play(engines: usize, crashes: usize, gap_ms: u64, seed: u64) -> Count {
+fn simulate(engines: usize, crashes: usize, gap_ms: u64, seed: u64) -> Count {
     let options = Options::default();
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut quarantine = Quarantine::new(options.clone());
@@ -49,14 +49,14 @@
     let mut up_from_ms = vec![0; engines];
     let mut next = 0_u32;
     let mut lost = HashSet::new();
-    let mut blamed = HashSet::new();
+    let mut blocked = HashSet::new();
     for crash in 0..crashes {
         now_ms += gap_ms;
-        for places in &mut running {
-            places.retain(|(.., until_ms)| *until_ms > now_ms);
-            while places.len() < PLACES {
+        for slots in &mut running {
+            slots.retain(|(.., until_ms)| *until_ms > now_ms);
+            while slots.len() < SLOTS {
                 next += 1;
-                places.push((next, 1, now_ms + random.random_range(1..RUN_MS)));
+                slots.push((next, 1, now_ms + random.random_range(1..RUN_MS)));
             }
         }
         let alive: Vec<usize> = (0..engines)
@@ -65,9 +65,9 @@
         if alive.len() < 2 {
             continue;
         }
-        let victim = alive[random.random_range(0..alive.len())];
-        up_from_ms[victim] = now_ms + DOWN_MS;
-        let ended = std::mem::take(&mut running[victim]);
+        let crashed = alive[random.random_range(0..alive.len())];
+        up_from_ms[crashed] = now_ms + DOWN_MS;
+        let ended = std::mem::take(&mut running[crashed]);
         let suspects = ended.iter().map(|(number, ..)| {
             let fingerprint = Fingerprint::of(None, "POST", &[], &number.to_le_bytes());
             Suspect::new(fingerprint, CallerHash::of(&number.to_le_bytes()))
@@ -78,21 +78,21 @@
             reporter: 1,
             suspects: suspects.collect(),
         };
-        quarantine.note_crash(now_ms, &report);
+        quarantine.record_crash(now_ms, &report);
         let rows = quarantine.judge(now_ms + options.settle_ms, Scope::Fleet);
-        blamed.extend(rows.into_iter().map(|row| row.fingerprint));
+        blocked.extend(rows.into_iter().map(|row| row.fingerprint));
         for (number, runs, _) in ended {
             lost.insert(number);
-            let others: Vec<usize> = alive.iter().copied().filter(|it| *it != victim).collect();
-            let place = others[random.random_range(0..others.len())];
+            let others: Vec<usize> = alive.iter().copied().filter(|it| *it != crashed).collect();
+            let slot = others[random.random_range(0..others.len())];
             if runs < RUNS {
-                running[place].push((number, runs + 1, now_ms + RUN_MS));
+                running[slot].push((number, runs + 1, now_ms + RUN_MS));
             }
         }
     }
     Count {
         lost: lost.len(),
-        blamed: blamed.len(),
+        blocked: blocked.len(),
     }
 }
 
@@ -100,14 +100,14 @@
 #[rstest]
 #[case::small(18, 2_000)]
 #[case::large(134, 400)]
-fn lone_crashes(#[case] engines: usize, #[case] gap_ms: u64) {
-    let (mut lost, mut blamed) = (0, 0);
+fn isolated_crashes(#[case] engines: usize, #[case] gap_ms: u64) {
+    let (mut lost, mut blocked) = (0, 0);
     for seed in 0..40 {
-        let count = play(engines, 60, gap_ms, seed);
+        let count = simulate(engines, 60, gap_ms, seed);
         lost += count.lost;
-        blamed += count.blamed;
+        blocked += count.blocked;
     }
-    println!("{engines} engines: {blamed} of {lost} lost requests blamed");
+    println!("{engines} engines: {blocked} of {lost} lost requests blocked");
     assert!(lost > 10_000);
-    assert!(blamed * 1_000 <= lost, "{blamed} of {lost}");
+    assert!(blocked * 1_000 <= lost, "{blocked} of {lost}");
 }
--- a/crates/quarantine/tests/same_request.rs
+++ b/crates/quarantine/tests/request_fingerprints.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn same_again() {
+fn same_request() {
     let first = fingerprint("10.0.0.1", "POST", &["a.example", "/x"], b"body");
     let second = fingerprint("10.0.0.1", "POST", &["a.example", "/x"], b"body");
     assert_eq!(first, second);
@@ -42,7 +42,7 @@
 
 /// Guards against a caller that counts as another one with each of its addresses.
 #[test]
-fn nameless_caller() {
+fn anonymous_caller() {
     let unnamed = || Fingerprint::of(None, "POST", &["a.example", "/x"], b"body");
     assert_eq!(unnamed(), unnamed());
     let named = fingerprint("10.0.0.1", "POST", &["a.example", "/x"], b"body");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn text_and_back() {
+fn text_round_trip() {
     let fingerprint = fingerprint("10.0.0.1", "POST", &["a.example", "/x"], b"body");
     assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     assert!("0-0".parse::<Fingerprint>().is_err());
--- a/crates/quarantine/tests/trials.rs
+++ b/crates/quarantine/tests/trial_runs.rs
@@ -76,7 +76,7 @@
 
 /// Guards against sending several copies at once after upstreams crashed under three of them.
 #[test]
-fn third_copy_begins_probation() {
+fn third_lost_copy() {
     let mut watch = judge(1);
     let bad = request("bad");
     lose(&mut watch, DECIDES_MS, "i-1", bad, 2);
@@ -123,7 +123,7 @@
 
 /// Guards against two trial runs at a time, of one request or at one upstream.
 #[test]
-fn one_trial_at_a_time() {
+fn one_trial() {
     let mut judge = judge(9);
     let (first, second) = (request("first"), request("second"));
     let now_ms = DECIDES_MS;
@@ -141,7 +141,7 @@
 
 /// Guards against a trial run that counts as in progress forever because its VM ended.
 #[test]
-fn trial_without_an_end() {
+fn unended_trial() {
     let mut judge = judge(9);
     let bad = request("bad");
     judge.take_ask(DECIDES_MS, 7, &ask(bad, "i-1", 1), 9);
@@ -188,7 +188,7 @@
 
 /// Guards against further trial runs after two of them were lost in crashes.
 #[test]
-fn second_lost_trial_blocks() {
+fn second_lost_trial() {
     let mut watch = judge(1);
     let bad = request("bad");
     lose(&mut watch, DECIDES_MS, "i-0", bad, 3);
@@ -224,7 +224,7 @@
 
 /// Guards against counting the copies of one VM as often as they are reported.
 #[test]
-fn copies_are_counted_once() {
+fn repeated_reports() {
     let mut judge = judge(9);
     let mut other = CrashWatch::new(2, Options::default());
     let twice = request("twice");
@@ -239,7 +239,7 @@
 
 /// Guards against a report that carries only some of many copies.
 #[test]
-fn many_copies_in_one_report() {
+fn many_copies() {
     let mut watch = CrashWatch::new(2, Options::default());
     lose(&mut watch, DECIDES_MS, "i-1", request("many"), 25);
     let reports = watch.own_reports(DECIDES_MS);
@@ -251,11 +251,11 @@
 /// Guards against holding crashes against a request that was answered after them, if a judge did
 /// not receive the answer: the crash reports of the other VMs include it.
 #[test]
-fn told_answer_is_passed_on() {
+fn forwarded_answer() {
     let mut watch = CrashWatch::new(2, Options::default());
     let popular = request("popular");
     watch.take_cleared(DECIDES_MS, &popular);
     lose(&mut watch, DECIDES_MS + 500, "i-1", popular, 1);
     let reports = watch.own_reports(DECIDES_MS + 500);
-    assert_eq!(reports[0].suspects[0].served_ago_ms, Some(500));
+    assert_eq!(reports[0].suspects[0].answered_ago_ms, Some(500));
 }
