--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -92,15 +92,18 @@
     }
 
     /// Notes requests whose blocks are over.
-    pub fn note_ended(&mut self, ended: Vec<Fingerprint>) {
+    pub fn record_ended(&mut self, ended: Vec<Fingerprint>) {
         self.ended.extend(ended);
         self.ended.truncate(MAX_ENDED);
     }
 
     /// Notes whether this VM gives orders. A new giver writes all that it knows, since the one
     /// before may not have.
-    fn note_giver(&mut self, is_giver: bool, rows: impl FnOnce() -> Vec<BlockRow>) {
-        match (is_giver, std::mem::replace(&mut self.was_giver, is_giver)) {
+    fn note_giver(&mut self, is_lease_holder: bool, rows: impl FnOnce() -> Vec<BlockRow>) {
+        match (
+            is_lease_holder,
+            std::mem::replace(&mut self.was_giver, is_lease_holder),
+        ) {
             (true, false) => {
                 self.unwritten = rows();
                 self.cases.clear();
@@ -152,14 +155,14 @@
     /// Reads the blocks from the store once, and writes them as the giver of orders.
     pub(crate) fn advance_block_store(&mut self) {
         let now_ms = self.now_ms;
-        let is_giver = self.ordering.held_lease_end(now_ms).is_some();
+        let is_lease_holder = self.ordering.held_lease_end(now_ms).is_some();
         let watch = &self.crash_watch;
         let store = &mut self.block_store;
-        store.note_giver(is_giver, || watch.blocks(now_ms));
+        store.note_giver(is_lease_holder, || watch.blocks(now_ms));
         if store.is_calling || now_ms < store.next_ms {
             return;
         }
-        if is_giver && store.is_read && store.seen_changes != Some(watch.changes()) {
+        if is_lease_holder && store.is_read && store.seen_changes != Some(watch.changes()) {
             store.seen_changes = Some(watch.changes());
             store.note_cases(watch.cases(now_ms));
         }
@@ -169,7 +172,7 @@
         match store.is_read {
             // The lists come first: without them nothing is served.
             false if self.directory.is_complete() => self.read_blocks(),
-            true if is_giver && has_records => self.write_blocks(),
+            true if is_lease_holder && has_records => self.write_blocks(),
             _ => {}
         }
     }
@@ -212,11 +215,11 @@
                 }) => {
                     let later_ms = unix_ms().saturating_sub(written_unix_ms);
                     let reports = row.reports(later_ms);
-                    self.crash_watch.take_reports(self.now_ms, &reports);
+                    self.crash_watch.record_reports(self.now_ms, &reports);
                 }
                 Ok(Record::Former) | Err(_) => {
                     let ended = record.key.parse().into_iter().collect();
-                    self.block_store.note_ended(ended);
+                    self.block_store.record_ended(ended);
                 }
             }
         }
@@ -232,8 +235,8 @@
             ..row
         };
         match row.left_ms {
-            0 => self.block_store.note_ended(vec![row.fingerprint]),
-            _ if self.crash_watch.take_block(self.now_ms, &row) => {
+            0 => self.block_store.record_ended(vec![row.fingerprint]),
+            _ if self.crash_watch.record_block(self.now_ms, &row) => {
                 self.block_began(&row, "read");
             }
             _ => {}
--- a/crates/entry/src/calling.rs
+++ b/crates/entry/src/calling.rs
@@ -45,7 +45,7 @@
     /// An engine's report, to see whether a silent engine answers.
     Look(UpstreamName),
     /// An engine's report, to see whether an engine that broke a connection is still there.
-    Recheck(UpstreamName),
+    UpstreamProbe(UpstreamName),
     /// Blocked requests that are kept in the store.
     BlocksNewest,
     /// A write of these.
@@ -69,7 +69,7 @@
             Self::Order(..) => "order",
             Self::Report(_) => "report",
             Self::Look(_) => "look",
-            Self::Recheck(_) => "recheck",
+            Self::UpstreamProbe(_) => "recheck",
             Self::BlocksNewest => "blocks_newest",
             Self::BlocksAppend => "blocks_append",
         }
@@ -79,7 +79,7 @@
     pub fn is_of_store(&self) -> bool {
         !matches!(
             self,
-            Self::Order(..) | Self::Report(_) | Self::Look(_) | Self::Recheck(_)
+            Self::Order(..) | Self::Report(_) | Self::Look(_) | Self::UpstreamProbe(_)
         )
     }
 
@@ -279,7 +279,7 @@
             Peer::Upstream(upstream) if unreached => {
                 self.upstream_unreachable(upstream);
                 if refused {
-                    self.note_ended(upstream);
+                    self.record_ended(upstream);
                 }
             }
             _ => {}
@@ -312,7 +312,7 @@
             CallTag::Order(engine, kind) => self.order_ended(&engine, &kind, outcome),
             CallTag::Report(engine) => self.report_ended(&engine, outcome),
             CallTag::Look(engine) => self.look_ended(&engine, true),
-            CallTag::Recheck(upstream) => self.recheck_ended(&upstream, &outcome),
+            CallTag::UpstreamProbe(upstream) => self.recheck_ended(&upstream, &outcome),
             CallTag::BlocksNewest => self.blocks_read(outcome),
             CallTag::BlocksAppend => self.blocks_written(outcome),
             CallTag::LeaseRead | CallTag::LeaseAppend => self.lease_call_ended(&tag, outcome),
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -21,9 +21,9 @@
 use apricotdale_quarantine::CrashReport;
 use apricotdale_quarantine::Fingerprint;
 use apricotdale_quarantine::LostRequest;
-use apricotdale_quarantine::Recheck;
 use apricotdale_quarantine::Role;
-use apricotdale_quarantine::TrialAsk;
+use apricotdale_quarantine::TrialQuery;
+use apricotdale_quarantine::UpstreamProbe;
 
 use crate::active::Phase;
 use crate::calling::CallOutcome;
@@ -70,7 +70,7 @@
         if !is_serving || self.watch.is_unresponsive(upstream) {
             return;
         }
-        self.crash_watch.note_lost(
+        self.crash_watch.record_lost(
             self.now_ms,
             upstream,
             request.job.wanted.is_some(),
@@ -84,7 +84,7 @@
 
     /// Asks an upstream that broke a connection whether it is still there. A plain service's
     /// instance is only connected to: it could take a question for a request.
-    fn recheck(&mut self, recheck: &Recheck) {
+    fn recheck(&mut self, recheck: &UpstreamProbe) {
         let Some(known) = self.directory.upstream(&recheck.upstream) else {
             return;
         };
@@ -94,7 +94,7 @@
             false => Vec::new(),
         };
         let peer = Peer::Upstream(recheck.upstream.clone());
-        let tag = CallTag::Recheck(recheck.upstream.clone());
+        let tag = CallTag::UpstreamProbe(recheck.upstream.clone());
         self.call_anew(peer, address, tag, &bytes, RECHECK_MS);
     }
 
@@ -102,24 +102,24 @@
     /// another answers in its place, it has.
     pub(crate) fn recheck_ended(&mut self, upstream: &UpstreamName, outcome: &CallOutcome) {
         let CallOutcome::Answered { status, body } = outcome else {
-            self.crash_watch.note_unanswered(self.now_ms, upstream);
+            self.crash_watch.record_unanswered(self.now_ms, upstream);
             return;
         };
         let born_ms = self.directory.upstream(upstream).map(|it| it.born_ms);
         let report = self.codecs.engines.report_answer(*status, body);
         match report {
             Ok(report) if born_ms.is_some_and(|born_ms| report.born_ms <= born_ms) => {
-                self.crash_watch.note_alive(upstream);
+                self.crash_watch.record_alive(upstream);
             }
-            Ok(_) => self.note_ended(upstream),
-            Err(_) if *status == 421 => self.note_ended(upstream),
+            Ok(_) => self.record_ended(upstream),
+            Err(_) if *status == 421 => self.record_ended(upstream),
             Err(_) => {}
         }
     }
 
     /// Takes in that an upstream has ended.
-    pub(crate) fn note_ended(&mut self, upstream: &UpstreamName) {
-        let Some(lost) = self.crash_watch.note_ended(self.now_ms, upstream) else {
+    pub(crate) fn record_ended(&mut self, upstream: &UpstreamName) {
+        let Some(lost) = self.crash_watch.record_ended(self.now_ms, upstream) else {
             return;
         };
         let mut lost = lost;
@@ -152,15 +152,15 @@
             judge: judges.iter().position(|(vm, _)| *vm == own),
             judges: judges.len(),
             vms: self.peers.others() + 1,
-            is_giver: self.ordering.held_lease_end(self.now_ms).is_some(),
+            is_lease_holder: self.ordering.held_lease_end(self.now_ms).is_some(),
         };
         let due = self.crash_watch.due(self.now_ms, role);
-        due.rechecks.iter().for_each(|it| self.recheck(it));
+        due.probes.iter().for_each(|it| self.recheck(it));
         self.look_again |= due.may_continue;
-        if let Some((vm, address)) = judges.get(due.asked_judge) {
+        if let Some((vm, address)) = judges.get(due.trial_judge) {
             let is_other = *vm != own;
             let asker = self.run;
-            for ask in due.asks {
+            for ask in due.trial_queries {
                 self.peers
                     .send(*address, &PeerMessage::TrialWanted { asker, ask });
             }
@@ -178,20 +178,20 @@
                 self.send_reports(address, &due.reports);
             }
         }
-        for row in &due.begun {
+        for row in &due.new_blocks {
             self.metrics.begun_block();
             self.block_began(row, "found");
         }
         for part in due.blocks.chunks(BLOCKS_A_DATAGRAM) {
             self.peers.send_all(&PeerMessage::Blocks(part.to_vec()));
         }
-        self.block_store.note_ended(due.ended);
+        self.block_store.record_ended(due.ended);
     }
 
     /// Decides for another VM whether it may send a request on probation.
-    pub(crate) fn decide_trial(&mut self, from: SocketAddr, asker: u64, ask: &TrialAsk) {
+    pub(crate) fn decide_trial(&mut self, from: SocketAddr, asker: u64, ask: &TrialQuery) {
         let vms = self.peers.others() + 1;
-        let answer = self.crash_watch.take_ask(self.now_ms, asker, ask, vms);
+        let answer = self.crash_watch.decide_trial(self.now_ms, asker, ask, vms);
         self.peers.send(from, &PeerMessage::TrialDecided(answer));
     }
 
@@ -203,7 +203,7 @@
         let is_sent = matches!(request.phase, Phase::Sent { .. });
         if !is_sent && std::mem::take(&mut request.is_trial) {
             self.crash_watch
-                .note_trial_over(self.now_ms, request.fingerprint, false);
+                .record_trial_end(self.now_ms, request.fingerprint, false);
         }
     }
 
@@ -257,12 +257,12 @@
 
     /// Takes in what another VM had in progress at upstreams that crashed.
     pub(crate) fn take_crash_reports(&mut self, reports: &[CrashReport]) {
-        self.crash_watch.take_reports(self.now_ms, reports);
+        self.crash_watch.record_reports(self.now_ms, reports);
     }
 
     /// Notes a request that was answered.
-    pub(crate) fn note_answered(&mut self, fingerprint: Fingerprint) {
-        if self.crash_watch.note_answered(self.now_ms, fingerprint) {
+    pub(crate) fn record_answered(&mut self, fingerprint: Fingerprint) {
+        if self.crash_watch.record_answered(self.now_ms, fingerprint) {
             self.log_cleared(&fingerprint, "answered");
             self.peers.send_all(&PeerMessage::Cleared(fingerprint));
         }
@@ -270,7 +270,7 @@
 
     /// Takes in that a blocked request was answered.
     pub(crate) fn request_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
-        if self.crash_watch.take_cleared(self.now_ms, fingerprint) {
+        if self.crash_watch.record_cleared(self.now_ms, fingerprint) {
             self.log_cleared(fingerprint, how);
         }
     }
@@ -284,7 +284,7 @@
     }
 
     fn log_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
-        self.block_store.note_ended(vec![*fingerprint]);
+        self.block_store.record_ended(vec![*fingerprint]);
         self.look_again = true;
         log::info!(fingerprint = fingerprint.to_string(), how; "request no longer blocked");
     }
@@ -292,7 +292,7 @@
     /// Takes in blocks that another VM tells of.
     pub(crate) fn take_blocks(&mut self, rows: &[BlockRow]) {
         for row in rows {
-            if self.crash_watch.take_block(self.now_ms, row) {
+            if self.crash_watch.record_block(self.now_ms, row) {
                 self.block_began(row, "told");
             }
         }
@@ -309,7 +309,7 @@
 
     /// Tells a judge that has started what this VM had in progress at upstreams that crashed.
     pub(crate) fn tell_own_reports_to(&self, address: SocketAddr, vm: &VmName) {
-        let reports = self.crash_watch.own_reports(self.now_ms);
+        let reports = self.crash_watch.local_reports(self.now_ms);
         if !reports.is_empty() && self.peers.judges().iter().any(|(judge, _)| judge == vm) {
             self.send_reports(address, &reports);
         }
--- a/crates/entry/src/failing.rs
+++ b/crates/entry/src/failing.rs
@@ -48,7 +48,7 @@
             if std::mem::take(&mut request.is_trial) {
                 let is_lost = outcome == UpstreamOutcome::Lost;
                 self.crash_watch
-                    .note_trial_over(self.now_ms, request.fingerprint, is_lost);
+                    .record_trial_end(self.now_ms, request.fingerprint, is_lost);
             }
         }
     }
@@ -99,7 +99,7 @@
                     self.upstream_unreachable(upstream);
                 }
                 if refused {
-                    self.note_ended(upstream);
+                    self.record_ended(upstream);
                 }
             }
         }
--- a/crates/entry/src/feeds/listing.rs
+++ b/crates/entry/src/feeds/listing.rs
@@ -224,7 +224,7 @@
             self.end_former_runs();
         }
         if self.directory.upstream(name).is_none() {
-            self.note_ended(name);
+            self.record_ended(name);
             self.dispatcher.removed(self.now_ms, name);
             self.watch.removed(name);
         }
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -14,8 +14,8 @@
 use apricotdale_quarantine::CrashReport;
 use apricotdale_quarantine::Fingerprint;
 use apricotdale_quarantine::TrialAnswer;
-use apricotdale_quarantine::TrialAsk;
 use apricotdale_quarantine::TrialEnd;
+use apricotdale_quarantine::TrialQuery;
 use apricotdale_quota::Answer;
 use apricotdale_quota::Report;
 use serde::Deserialize;
@@ -99,7 +99,7 @@
     TrialWanted {
         /// The run of the VM that asks.
         asker: u64,
-        ask: TrialAsk,
+        ask: TrialQuery,
     },
     /// The judge's answer.
     TrialDecided(TrialAnswer),
--- a/crates/entry/src/serving.rs
+++ b/crates/entry/src/serving.rs
@@ -265,7 +265,7 @@
         };
         if self
             .crash_watch
-            .holds_back(self.now_ms, &request.fingerprint)
+            .must_wait(self.now_ms, &request.fingerprint)
         {
             request.phase = Phase::Waiting(WaitReason::Suspected);
             return;
--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -157,16 +157,16 @@
                 self.tell_probations_to(from);
             }
             PeerMessage::Probations(fingerprints) => {
-                self.crash_watch.take_probations(now_ms, &fingerprints);
+                self.crash_watch.record_probations(now_ms, &fingerprints);
             }
             PeerMessage::TrialWanted { asker, ask } => self.decide_trial(from, asker, &ask),
             PeerMessage::TrialDecided(answer) => {
-                self.look_again |= self.crash_watch.take_trial_answer(now_ms, &answer);
+                self.look_again |= self.crash_watch.record_trial_answer(now_ms, &answer);
             }
             PeerMessage::Spent(report) => self.take_report(Some(from), &report),
             PeerMessage::Allowed(answer) => self.take_allowed(&answer),
             PeerMessage::TrialOver { asker, end } => {
-                self.crash_watch.take_trial_end(now_ms, asker, &end);
+                self.crash_watch.record_peer_trial_end(now_ms, asker, &end);
             }
         }
     }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -51,7 +51,7 @@
     pub(crate) fn refusal(&self, now_ms: u64, identity: &Identity) -> Option<Refusal> {
         let mut watch = self.watch.lock();
         if watch.is_due(now_ms) {
-            for row in watch.due(now_ms, Role::default()).begun {
+            for row in watch.due(now_ms, Role::default()).new_blocks {
                 log::warn!(
                     fingerprint = row.fingerprint.to_string().as_str(), left_ms = row.left_ms;
                     "request blocked"
@@ -82,8 +82,8 @@
         let fingerprint = identity.fingerprint;
         match outcome {
             UpstreamOutcome::Answered => {
-                watch.note_alive(upstream);
-                watch.note_answered(now_ms, fingerprint);
+                watch.record_alive(upstream);
+                watch.record_answered(now_ms, fingerprint);
             }
             UpstreamOutcome::Lost if is_cut => {
                 let lost = LostRequest {
@@ -91,10 +91,10 @@
                     caller: identity.caller,
                     is_trial: false,
                 };
-                watch.note_lost(now_ms, upstream, true, lost);
+                watch.record_lost(now_ms, upstream, true, lost);
             }
             UpstreamOutcome::Unreachable => {
-                watch.note_ended(now_ms, upstream);
+                watch.record_ended(now_ms, upstream);
             }
             _ => {}
         }
@@ -102,6 +102,6 @@
 
     /// Takes in that an upstream is gone.
     pub(crate) fn note_gone(&self, now_ms: u64, upstream: &UpstreamName) {
-        self.watch.lock().note_ended(now_ms, upstream);
+        self.watch.lock().record_ended(now_ms, upstream);
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -191,7 +191,7 @@
 
     fn answered(&mut self, status: u16) -> Relayed {
         let first_ms = self.first_event_ms.unwrap_or_else(|| self.shared.now_ms());
-        self.shared.note_answered(self.context, first_ms, status);
+        self.shared.record_answered(self.context, first_ms, status);
         Relayed::End(TryEnd::Answered)
     }
 
--- a/crates/gateway/src/service_flow.rs
+++ b/crates/gateway/src/service_flow.rs
@@ -116,7 +116,7 @@
     }
     match answer.send(response) {
         Ok(()) => {
-            shared.note_answered(context, shared.now_ms(), status);
+            shared.record_answered(context, shared.now_ms(), status);
             Ok(())
         }
         Err(_) => Err(Refusal::ran(
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -149,7 +149,7 @@
     }
 
     /// Counts and traces a whole answer.
-    pub(crate) fn note_answered(&self, context: &Context, first_ms: u64, status: u16) {
+    pub(crate) fn record_answered(&self, context: &Context, first_ms: u64, status: u16) {
         let now_ms = self.now_ms();
         let first_answer_ms = first_ms.saturating_sub(context.arrived_ms);
         self.observer.observe(&ServingEvent::Answered {
--- a/crates/quarantine/src/crash_watch.rs
+++ b/crates/quarantine/src/crash_watch.rs
@@ -17,12 +17,12 @@
 use crate::recent_answers::RecentAnswers;
 use crate::trials::Permit;
 use crate::trials::TrialAnswer;
-use crate::trials::TrialAsk;
 use crate::trials::TrialClient;
 use crate::trials::TrialCoordinator;
 use crate::trials::TrialEnd;
-use crate::unconfirmed_crashes::Recheck;
+use crate::trials::TrialQuery;
 use crate::unconfirmed_crashes::UnconfirmedCrashes;
+use crate::unconfirmed_crashes::UpstreamProbe;
 
 /// Delays after which the VM that found a block sends it again.
 const BLOCK_RESEND_DELAYS_MS: [u64; 2] = [300, 1_500];
@@ -50,7 +50,7 @@
     /// Number of VMs.
     pub vms: usize,
     /// Whether it holds the order lease, and therefore repeats the blocks for all.
-    pub is_giver: bool,
+    pub is_lease_holder: bool,
 }
 
 /// Request that was lost because an upstream broke its connection.
@@ -68,23 +68,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Due {
     /// Upstreams to probe.
-    pub rechecks: Vec<Recheck>,
+    pub probes: Vec<UpstreamProbe>,
     /// Crash reports to send to the judges.
     pub reports: Vec<CrashReport>,
     /// Blocks to send to all VMs.
     pub blocks: Vec<BlockRow>,
     /// Blocks that begin now by this VM's decision.
-    pub begun: Vec<BlockRow>,
+    pub new_blocks: Vec<BlockRow>,
     /// Requests whose blocks have ended and are no longer remembered.
     pub ended: Vec<Fingerprint>,
     /// Requests on probation to announce to all VMs.
     pub probations: Vec<Fingerprint>,
     /// Questions about trial runs to send to the judge that is asked.
-    pub asks: Vec<TrialAsk>,
+    pub trial_queries: Vec<TrialQuery>,
     /// Ends of trial runs to send to that judge.
     pub trial_ends: Vec<TrialEnd>,
     /// Index of that judge.
-    pub asked_judge: usize,
+    pub trial_judge: usize,
     /// Whether requests that had to wait may be sent now.
     pub may_continue: bool,
 }
@@ -153,8 +153,8 @@
 
     /// Returns whether a request on probation has to wait for a judge or for a trial run in
     /// progress.
-    pub fn holds_back(&self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
-        self.trial_client.holds_back(fingerprint) && self.is_on_probation(now_ms, fingerprint)
+    pub fn must_wait(&self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
+        self.trial_client.must_wait(fingerprint) && self.is_on_probation(now_ms, fingerprint)
     }
 
     /// Decides whether a request may be sent to an upstream, and schedules a question to a judge if
@@ -175,12 +175,18 @@
     }
 
     /// Records that a trial run of this VM has ended.
-    pub fn note_trial_over(&mut self, now_ms: u64, fingerprint: Fingerprint, is_lost: bool) {
+    pub fn record_trial_end(&mut self, now_ms: u64, fingerprint: Fingerprint, is_lost: bool) {
         self.trial_client.end_trial(now_ms, fingerprint, is_lost);
     }
 
     /// Decides, as a judge, whether another VM may send a trial run.
-    pub fn take_ask(&mut self, now_ms: u64, asker: u64, ask: &TrialAsk, vms: usize) -> TrialAnswer {
+    pub fn decide_trial(
+        &mut self,
+        now_ms: u64,
+        asker: u64,
+        ask: &TrialQuery,
+        vms: usize,
+    ) -> TrialAnswer {
         TrialAnswer {
             fingerprint: ask.fingerprint,
             number: ask.number,
@@ -189,17 +195,17 @@
     }
 
     /// Records a judge's answer. Returns whether requests that had to wait may be sent now.
-    pub fn take_trial_answer(&mut self, now_ms: u64, answer: &TrialAnswer) -> bool {
+    pub fn record_trial_answer(&mut self, now_ms: u64, answer: &TrialAnswer) -> bool {
         self.trial_client.record_answer(now_ms, answer)
     }
 
     /// Records, as a judge, that a trial run of another VM has ended.
-    pub fn take_trial_end(&mut self, now_ms: u64, asker: u64, end: &TrialEnd) {
+    pub fn record_peer_trial_end(&mut self, now_ms: u64, asker: u64, end: &TrialEnd) {
         self.trial_coordinator.end_grant(now_ms, asker, end);
     }
 
     /// Records requests that another VM has put on probation.
-    pub fn take_probations(&mut self, now_ms: u64, fingerprints: &[Fingerprint]) {
+    pub fn record_probations(&mut self, now_ms: u64, fingerprints: &[Fingerprint]) {
         for fingerprint in fingerprints {
             self.probations.add(now_ms, *fingerprint);
         }
@@ -212,15 +218,15 @@
 
     /// Records that a request was answered at this VM. Returns whether it was on probation or
     /// blocked, also recently, so that the other VMs are to be told.
-    pub fn note_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) -> bool {
+    pub fn record_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) -> bool {
         self.answered.record(now_ms, fingerprint);
-        self.knows(&fingerprint) && self.take_cleared(now_ms, &fingerprint)
+        self.knows(&fingerprint) && self.record_cleared(now_ms, &fingerprint)
     }
 
     /// Records that a request was answered at another VM. Returns whether it was on probation or
     /// blocked. Later crash reports of this VM pass the answer on to judges that have not received
     /// it.
-    pub fn take_cleared(&mut self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
+    pub fn record_cleared(&mut self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
         self.answered.record(now_ms, *fingerprint);
         for (_, rows) in &mut self.announcements {
             rows.retain(|row| row.fingerprint != *fingerprint);
@@ -231,7 +237,7 @@
     }
 
     /// Records a request that was lost because an upstream broke its connection.
-    pub fn note_lost(
+    pub fn record_lost(
         &mut self,
         now_ms: u64,
         upstream: &UpstreamName,
@@ -250,18 +256,18 @@
     }
 
     /// Records that an upstream answered a probe after it broke a connection.
-    pub fn note_alive(&mut self, upstream: &UpstreamName) {
+    pub fn record_alive(&mut self, upstream: &UpstreamName) {
         self.unconfirmed.take(upstream);
     }
 
     /// Records that an upstream neither answered nor refused the connection of a probe.
-    pub fn note_unanswered(&mut self, now_ms: u64, upstream: &UpstreamName) {
+    pub fn record_unanswered(&mut self, now_ms: u64, upstream: &UpstreamName) {
         self.unconfirmed.record_unanswered(now_ms, upstream);
     }
 
     /// Records that an upstream has ended. Returns the requests that were lost with it, or `None`
     /// if no connection had broken shortly before, so that it was no crash.
-    pub fn note_ended(&mut self, now_ms: u64, upstream: &UpstreamName) -> Option<Vec<Suspect>> {
+    pub fn record_ended(&mut self, now_ms: u64, upstream: &UpstreamName) -> Option<Vec<Suspect>> {
         let unconfirmed = self.unconfirmed.take(upstream)?;
         let lost = unconfirmed.suspects;
         self.local_reports
@@ -270,7 +276,7 @@
     }
 
     /// Records crash reports of another VM.
-    pub fn take_reports(&mut self, now_ms: u64, reports: &[CrashReport]) {
+    pub fn record_reports(&mut self, now_ms: u64, reports: &[CrashReport]) {
         for report in reports {
             self.quarantine.record_crash(now_ms, report);
         }
@@ -278,7 +284,7 @@
 
     /// Records a block that was received from another VM or read from the store. Returns whether it
     /// is new or longer than the known one.
-    pub fn take_block(&mut self, now_ms: u64, row: &BlockRow) -> bool {
+    pub fn record_block(&mut self, now_ms: u64, row: &BlockRow) -> bool {
         self.quarantine.record_block(now_ms, row)
     }
 
@@ -298,7 +304,7 @@
     }
 
     /// Returns this VM's crash reports, for a judge that starts.
-    pub fn own_reports(&self, now_ms: u64) -> Vec<CrashReport> {
+    pub fn local_reports(&self, now_ms: u64) -> Vec<CrashReport> {
         self.local_reports.parts(now_ms)
     }
 
@@ -335,7 +341,7 @@
     /// Returns what is due, and makes the decisions that are.
     pub fn due(&mut self, now_ms: u64, role: Role) -> Due {
         let mut due = Due {
-            rechecks: self.unconfirmed.due(now_ms),
+            probes: self.unconfirmed.due(now_ms),
             reports: self.due_reports(now_ms),
             ..Due::default()
         };
@@ -349,18 +355,18 @@
         self.begin_probations(now_ms);
         due.probations = self.due_probations(now_ms, role);
         self.add_due_trials(now_ms, role, &mut due);
-        due.begun = self.quarantine.judge(now_ms, scope);
-        due.blocks.extend(due.begun.iter().cloned());
-        if !due.begun.is_empty() {
+        due.new_blocks = self.quarantine.judge(now_ms, scope);
+        due.blocks.extend(due.new_blocks.iter().cloned());
+        if !due.new_blocks.is_empty() {
             let again =
-                BLOCK_RESEND_DELAYS_MS.map(|after_ms| (now_ms + after_ms, due.begun.clone()));
+                BLOCK_RESEND_DELAYS_MS.map(|after_ms| (now_ms + after_ms, due.new_blocks.clone()));
             self.announcements.extend(again);
         }
         let announcements = self
             .announcements
             .extract_if(.., |(at_ms, _)| *at_ms <= now_ms);
         due.blocks.extend(announcements.flat_map(|(_, rows)| rows));
-        if role.is_giver && now_ms >= self.next_blocks_ms {
+        if role.is_lease_holder && now_ms >= self.next_blocks_ms {
             self.next_blocks_ms = now_ms + BLOCKS_INTERVAL_MS;
             due.blocks.extend(self.next_rows(now_ms));
         }
@@ -394,16 +400,16 @@
     fn add_due_trials(&mut self, now_ms: u64, role: Role, due: &mut Due) {
         let trials = self.trial_client.due(now_ms, role.judges);
         due.may_continue |= trials.may_continue;
-        due.asked_judge = self.trial_client.judge();
-        let is_own_judge = role.judge == Some(due.asked_judge);
+        due.trial_judge = self.trial_client.judge();
+        let is_own_judge = role.judge == Some(due.trial_judge);
         // A VM that no judge answers is cut off, and decides by itself.
         for ask in trials.unanswered {
             due.may_continue |= self.decide_own_trial(now_ms, &ask, 1);
         }
-        for ask in trials.asks {
+        for ask in trials.trial_queries {
             match is_own_judge {
                 true => due.may_continue |= self.decide_own_trial(now_ms, &ask, role.vms),
-                false => due.asks.push(ask),
+                false => due.trial_queries.push(ask),
             }
         }
         for end in trials.ends {
@@ -413,8 +419,8 @@
         }
     }
 
-    fn decide_own_trial(&mut self, now_ms: u64, ask: &TrialAsk, vms: usize) -> bool {
-        let answer = self.take_ask(now_ms, self.incarnation, ask, vms);
+    fn decide_own_trial(&mut self, now_ms: u64, ask: &TrialQuery, vms: usize) -> bool {
+        let answer = self.decide_trial(now_ms, self.incarnation, ask, vms);
         self.trial_client.record_answer(now_ms, &answer)
     }
 
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -44,6 +44,6 @@
 pub use quarantine::Scope;
 pub use trials::Permit;
 pub use trials::TrialAnswer;
-pub use trials::TrialAsk;
 pub use trials::TrialEnd;
-pub use unconfirmed_crashes::Recheck;
+pub use trials::TrialQuery;
+pub use unconfirmed_crashes::UpstreamProbe;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -85,14 +85,14 @@
         }
         // Crashes that have not settled yet are judged later, together with the earlier ones.
         self.crashes.due_ms = None;
-        let mut begun = Vec::new();
+        let mut new_blocks = Vec::new();
         while let Some(case) = self.next_case_to_block(now_ms, scope) {
             let row = self.new_block(&case);
             self.blocks.record(now_ms, &row, &self.options);
-            begun.push(row);
+            new_blocks.push(row);
         }
         self.crashes.due_ms = self.crashes.next_settled_ms(now_ms, &self.options);
-        begun
+        new_blocks
     }
 
     /// Returns for how long a request is still refused, or `None` if it is not blocked.
--- a/crates/quarantine/src/trials.rs
+++ b/crates/quarantine/src/trials.rs
@@ -46,7 +46,7 @@
 
 /// Question of a VM to a judge whether it may send a request on probation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TrialAsk {
+pub struct TrialQuery {
     /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Upstream to which it would be sent.
@@ -57,7 +57,7 @@
     pub left_ms: u64,
 }
 
-/// Judge's answer to a [`TrialAsk`].
+/// Judge's answer to a [`TrialQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialAnswer {
     /// Fingerprint of the request.
@@ -116,7 +116,7 @@
 
     /// Decides on a trial run. Returns `None` if it is allowed, or the time after which to ask
     /// again. The same question may come several times.
-    pub fn decide(&mut self, now_ms: u64, asker: u64, ask: &TrialAsk, vms: usize) -> Option<u64> {
+    pub fn decide(&mut self, now_ms: u64, asker: u64, ask: &TrialQuery, vms: usize) -> Option<u64> {
         let pause_ms = MIN_PAUSE_MS.max(PAUSE_MS_PER_VM * vms as u64);
         let begin_ms = self.since_ms.unwrap_or(now_ms) + NEW_JUDGE_PAUSE_MS;
         if vms > 1 && now_ms < begin_ms {
@@ -162,7 +162,7 @@
 #[derive(Clone, Debug)]
 enum TrialState {
     Asked {
-        ask: TrialAsk,
+        ask: TrialQuery,
         queries_sent: u32,
         next_ms: u64,
     },
@@ -170,7 +170,7 @@
         until_ms: u64,
     },
     Allowed {
-        ask: TrialAsk,
+        ask: TrialQuery,
         until_ms: u64,
     },
     Sent {
@@ -181,10 +181,10 @@
 /// Messages that are due and what else has changed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DueTrials {
-    pub asks: Vec<TrialAsk>,
+    pub trial_queries: Vec<TrialQuery>,
     pub ends: Vec<TrialEnd>,
     /// Questions that no judge has answered.
-    pub unanswered: Vec<TrialAsk>,
+    pub unanswered: Vec<TrialQuery>,
     /// Whether a request that had to wait may be sent now.
     pub may_continue: bool,
 }
@@ -208,7 +208,7 @@
     }
 
     /// Returns whether a request has to wait for a judge or for a trial run in progress.
-    pub fn holds_back(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn must_wait(&self, fingerprint: &Fingerprint) -> bool {
         let state = self.states.get(fingerprint);
         state.is_some_and(|state| !matches!(state, TrialState::Allowed { .. }))
     }
@@ -231,7 +231,7 @@
             }
             None if self.states.len() < MAX_TRIALS => {
                 self.next_number += 1;
-                let ask = TrialAsk {
+                let ask = TrialQuery {
                     fingerprint,
                     upstream: upstream.clone(),
                     number: self.next_number,
@@ -328,7 +328,7 @@
                     use_next_judge |= *queries_sent > 0 && *queries_sent % QUERIES_PER_JUDGE == 0;
                     let max_queries = judges as u32 * QUERIES_PER_JUDGE;
                     match *queries_sent < max_queries {
-                        true => due.asks.push(ask.clone()),
+                        true => due.trial_queries.push(ask.clone()),
                         false => due.unanswered.push(ask.clone()),
                     }
                     *queries_sent += 1;
--- a/crates/quarantine/src/unconfirmed_crashes.rs
+++ b/crates/quarantine/src/unconfirmed_crashes.rs
@@ -24,7 +24,7 @@
 
 /// Probe that is to be sent to an upstream that broke a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Recheck {
+pub struct UpstreamProbe {
     /// Upstream to probe.
     pub upstream: UpstreamName,
     /// Whether it is an engine and can be asked for a load report. Other upstreams are only
@@ -64,14 +64,14 @@
     }
 
     /// Returns the upstreams to probe now.
-    pub fn due(&mut self, now_ms: u64) -> Vec<Recheck> {
+    pub fn due(&mut self, now_ms: u64) -> Vec<UpstreamProbe> {
         let unconfirmed = self.by_name.iter_mut();
         unconfirmed
             .filter(|(_, unconfirmed)| unconfirmed.next_probe_ms <= now_ms)
             .map(|(upstream, unconfirmed)| {
                 unconfirmed.next_probe_ms = u64::MAX;
                 unconfirmed.probes_sent += 1;
-                Recheck {
+                UpstreamProbe {
                     upstream: upstream.clone(),
                     is_engine: unconfirmed.is_engine,
                 }
@@ -104,10 +104,10 @@
     }
 
     pub fn next_ms(&self) -> u64 {
-        let rechecks = self
+        let probes = self
             .by_name
             .values()
             .map(|unconfirmed| unconfirmed.next_probe_ms);
-        rechecks.min().unwrap_or(u64::MAX)
+        probes.min().unwrap_or(u64::MAX)
     }
 }
--- a/crates/quarantine/tests/crash_search/fleet.rs
+++ b/crates/quarantine/tests/crash_search/fleet.rs
@@ -252,11 +252,11 @@
         let mut watch = CrashWatch::new(incarnation_of(vm), self.policy.options());
         // What the lease holder and the other VMs send to a VM that says hello.
         for row in self.vms[0].watch.blocks(now_ms) {
-            watch.take_block(now_ms, &row);
+            watch.record_block(now_ms, &row);
         }
-        watch.take_probations(now_ms, &self.vms[0].watch.probations());
+        watch.record_probations(now_ms, &self.vms[0].watch.probations());
         for other in self.vms.iter().take(vm) {
-            watch.take_reports(now_ms, &other.watch.own_reports(now_ms));
+            watch.record_reports(now_ms, &other.watch.local_reports(now_ms));
         }
         self.vms[vm] = Vm {
             watch,
@@ -325,9 +325,9 @@
         for run in answered.collect::<Vec<_>>() {
             let watch = &mut self.vms[run.copy.vm].watch;
             if run.is_trial {
-                watch.note_trial_over(now_ms, run.copy.fingerprint, false);
+                watch.record_trial_end(now_ms, run.copy.fingerprint, false);
             }
-            if watch.note_answered(now_ms, run.copy.fingerprint) {
+            if watch.record_answered(now_ms, run.copy.fingerprint) {
                 self.send_all(run.copy.vm, &Message::Cleared(run.copy.fingerprint));
             }
         }
@@ -342,9 +342,9 @@
                 caller: caller(),
                 is_trial: run.is_trial,
             };
-            watch.note_lost(now_ms, engine, true, request);
+            watch.record_lost(now_ms, engine, true, request);
             if run.is_trial {
-                watch.note_trial_over(now_ms, run.copy.fingerprint, true);
+                watch.record_trial_end(now_ms, run.copy.fingerprint, true);
             }
         }
         let copies: Vec<RequestCopy> = lost.iter().map(|run| run.copy).collect();
@@ -375,9 +375,9 @@
                         caller: caller(),
                         is_trial: false,
                     };
-                    watch.note_lost(now_ms, &engine, true, request);
+                    watch.record_lost(now_ms, &engine, true, request);
                 }
-                watch.note_ended(now_ms, &engine);
+                watch.record_ended(now_ms, &engine);
             }
         }
     }
@@ -400,7 +400,7 @@
             }
             let engines = self.models[copy.model].iter();
             let ready: Vec<&Engine> = engines.filter(|it| it.ready_ms <= now_ms).collect();
-            if ready.is_empty() || watch.holds_back(now_ms, &copy.fingerprint) {
+            if ready.is_empty() || watch.must_wait(now_ms, &copy.fingerprint) {
                 if !ready.is_empty() && !copy.crashes {
                     self.waited_ms += STEP_MS;
                 }
@@ -423,7 +423,7 @@
         if !is_there {
             if is_trial {
                 let watch = &mut self.vms[copy.vm].watch;
-                watch.note_trial_over(now_ms, copy.fingerprint, false);
+                watch.record_trial_end(now_ms, copy.fingerprint, false);
             }
             self.waiting.push(copy);
             return;
--- a/crates/quarantine/tests/crash_search/messages.rs
+++ b/crates/quarantine/tests/crash_search/messages.rs
@@ -5,8 +5,8 @@
 use apricotdale_quarantine::Fingerprint;
 use apricotdale_quarantine::Role;
 use apricotdale_quarantine::TrialAnswer;
-use apricotdale_quarantine::TrialAsk;
 use apricotdale_quarantine::TrialEnd;
+use apricotdale_quarantine::TrialQuery;
 
 use crate::fleet::Fleet;
 use crate::fleet::Policy;
@@ -21,7 +21,7 @@
     Blocks(Vec<BlockRow>),
     Probations(Vec<Fingerprint>),
     Cleared(Fingerprint),
-    TrialAsked(usize, TrialAsk),
+    TrialAsked(usize, TrialQuery),
     TrialDecided(TrialAnswer),
     TrialEnded(usize, TrialEnd),
 }
@@ -65,25 +65,25 @@
         for (_, message) in arrived.collect::<Vec<_>>() {
             let watch = &mut vm.watch;
             match message {
-                Message::Reports(reports) => watch.take_reports(now_ms, &reports),
+                Message::Reports(reports) => watch.record_reports(now_ms, &reports),
                 Message::Blocks(rows) => rows.iter().for_each(|row| {
-                    watch.take_block(now_ms, row);
+                    watch.record_block(now_ms, row);
                 }),
-                Message::Probations(them) => watch.take_probations(now_ms, &them),
+                Message::Probations(them) => watch.record_probations(now_ms, &them),
                 Message::Cleared(it) => {
-                    watch.take_cleared(now_ms, &it);
+                    watch.record_cleared(now_ms, &it);
                 }
                 Message::TrialAsked(from, ask) => {
                     answers.push((
                         from,
-                        watch.take_ask(now_ms, incarnation_of(from), &ask, vms),
+                        watch.decide_trial(now_ms, incarnation_of(from), &ask, vms),
                     ));
                 }
                 Message::TrialDecided(answer) => {
-                    watch.take_trial_answer(now_ms, &answer);
+                    watch.record_trial_answer(now_ms, &answer);
                 }
                 Message::TrialEnded(from, end) => {
-                    watch.take_trial_end(now_ms, incarnation_of(from), &end)
+                    watch.record_peer_trial_end(now_ms, incarnation_of(from), &end)
                 }
             }
         }
@@ -99,7 +99,7 @@
             judge: (index < judges).then_some(index),
             judges,
             vms: self.vms.len(),
-            is_giver: index == 0,
+            is_lease_holder: index == 0,
         };
         let due = self.vms[index].watch.due(now_ms, role);
         if !due.reports.is_empty() {
@@ -113,19 +113,19 @@
         if !due.probations.is_empty() {
             self.send_all(index, &Message::Probations(due.probations));
         }
-        for ask in due.asks {
+        for ask in due.trial_queries {
             if self.policy == Policy::OnePerVm {
                 let watch = &mut self.vms[index].watch;
-                let answer = watch.take_ask(now_ms, incarnation_of(index), &ask, 1);
-                watch.take_trial_answer(now_ms, &answer);
+                let answer = watch.decide_trial(now_ms, incarnation_of(index), &ask, 1);
+                watch.record_trial_answer(now_ms, &answer);
                 continue;
             }
-            self.send(due.asked_judge, &Message::TrialAsked(index, ask));
+            self.send(due.trial_judge, &Message::TrialAsked(index, ask));
         }
         for end in due.trial_ends {
             let own = &mut self.vms[index].watch;
-            own.take_trial_end(now_ms, incarnation_of(index), &end);
-            self.send(due.asked_judge, &Message::TrialEnded(index, end));
+            own.record_peer_trial_end(now_ms, incarnation_of(index), &end);
+            self.send(due.trial_judge, &Message::TrialEnded(index, end));
         }
     }
 
--- a/crates/quarantine/tests/trial_runs.rs
+++ b/crates/quarantine/tests/trial_runs.rs
@@ -9,7 +9,7 @@
 use apricotdale_quarantine::Options;
 use apricotdale_quarantine::Permit;
 use apricotdale_quarantine::Role;
-use apricotdale_quarantine::TrialAsk;
+use apricotdale_quarantine::TrialQuery;
 
 const START_MS: u64 = 100_000;
 
@@ -31,7 +31,7 @@
         judge: Some(0),
         judges: 1,
         vms,
-        is_giver: true,
+        is_lease_holder: true,
     }
 }
 
@@ -40,7 +40,7 @@
         judge: None,
         judges: 2,
         vms: 9,
-        is_giver: false,
+        is_lease_holder: false,
     }
 }
 
@@ -52,9 +52,9 @@
             caller: CallerHash::of(b"caller"),
             is_trial: false,
         };
-        watch.note_lost(now_ms, &upstream(name), true, lost);
+        watch.record_lost(now_ms, &upstream(name), true, lost);
     }
-    watch.note_ended(now_ms, &upstream(name));
+    watch.record_ended(now_ms, &upstream(name));
     watch.due(now_ms + 10, judge_of(1));
 }
 
@@ -65,8 +65,8 @@
     watch
 }
 
-fn ask(fingerprint: Fingerprint, at: &str, number: u64) -> TrialAsk {
-    TrialAsk {
+fn ask(fingerprint: Fingerprint, at: &str, number: u64) -> TrialQuery {
+    TrialQuery {
         fingerprint,
         upstream: upstream(at),
         number,
@@ -91,10 +91,10 @@
         Permit::Wait
     );
     assert!(watch.due(now_ms, judge_of(1)).may_continue);
-    assert!(!watch.holds_back(now_ms, &bad));
+    assert!(!watch.must_wait(now_ms, &bad));
     let trial = Permit::Trial(upstream("i-3"));
     assert_eq!(watch.permit(now_ms, bad, &upstream("i-4"), LEFT_MS), trial);
-    assert!(watch.holds_back(now_ms, &bad));
+    assert!(watch.must_wait(now_ms, &bad));
     assert_eq!(
         watch.permit(now_ms, bad, &upstream("i-4"), LEFT_MS),
         Permit::Wait
@@ -112,8 +112,8 @@
         watch.permit(now_ms, popular, &upstream("i-2"), LEFT_MS),
         Permit::Wait
     );
-    assert!(watch.note_answered(now_ms, popular));
-    assert!(!watch.holds_back(now_ms, &popular));
+    assert!(watch.record_answered(now_ms, popular));
+    assert!(!watch.must_wait(now_ms, &popular));
     assert_eq!(
         watch.permit(now_ms, popular, &upstream("i-2"), LEFT_MS),
         Permit::Free
@@ -127,15 +127,15 @@
     let mut judge = judge(9);
     let (first, second) = (request("first"), request("second"));
     let now_ms = DECIDES_MS;
-    let answer = judge.take_ask(now_ms, 7, &ask(first, "i-1", 1), 9);
+    let answer = judge.decide_trial(now_ms, 7, &ask(first, "i-1", 1), 9);
     assert_eq!(answer.after_ms, None);
-    let again = judge.take_ask(now_ms, 7, &ask(first, "i-1", 1), 9);
+    let again = judge.decide_trial(now_ms, 7, &ask(first, "i-1", 1), 9);
     assert_eq!(again.after_ms, None);
     for other in [ask(first, "i-2", 1), ask(second, "i-1", 1)] {
-        let denied = judge.take_ask(now_ms, 8, &other, 9);
+        let denied = judge.decide_trial(now_ms, 8, &other, 9);
         assert!(denied.after_ms.is_some());
     }
-    let elsewhere = judge.take_ask(now_ms, 8, &ask(second, "i-2", 2), 9);
+    let elsewhere = judge.decide_trial(now_ms, 8, &ask(second, "i-2", 2), 9);
     assert_eq!(elsewhere.after_ms, None);
 }
 
@@ -144,11 +144,11 @@
 fn unended_trial() {
     let mut judge = judge(9);
     let bad = request("bad");
-    judge.take_ask(DECIDES_MS, 7, &ask(bad, "i-1", 1), 9);
+    judge.decide_trial(DECIDES_MS, 7, &ask(bad, "i-1", 1), 9);
     let later_ms = DECIDES_MS + LEFT_MS;
-    let denied = judge.take_ask(later_ms, 8, &ask(bad, "i-2", 1), 9);
+    let denied = judge.decide_trial(later_ms, 8, &ask(bad, "i-2", 1), 9);
     assert!(denied.after_ms.is_some());
-    let answer = judge.take_ask(later_ms + 1_000, 8, &ask(bad, "i-2", 1), 9);
+    let answer = judge.decide_trial(later_ms + 1_000, 8, &ask(bad, "i-2", 1), 9);
     assert_eq!(answer.after_ms, None);
 }
 
@@ -156,7 +156,7 @@
 #[test]
 fn new_judge_waits() {
     let mut judge = judge(9);
-    let denied = judge.take_ask(START_MS + 100, 7, &ask(request("bad"), "i-1", 1), 9);
+    let denied = judge.decide_trial(START_MS + 100, 7, &ask(request("bad"), "i-1", 1), 9);
     assert!(denied.after_ms.is_some());
 }
 
@@ -173,11 +173,13 @@
     );
     let mut asked = Vec::new();
     let mut now_ms = began_ms;
-    while watch.holds_back(now_ms, &bad) {
+    while watch.must_wait(now_ms, &bad) {
         let Due {
-            asks, asked_judge, ..
+            trial_queries,
+            trial_judge,
+            ..
         } = watch.due(now_ms, member());
-        asked.extend(asks.iter().map(|_| asked_judge));
+        asked.extend(trial_queries.iter().map(|_| trial_judge));
         now_ms += 5;
         assert!(now_ms < began_ms + 2_000);
     }
@@ -211,9 +213,9 @@
             caller: CallerHash::of(b"caller"),
             is_trial: true,
         };
-        watch.note_lost(now_ms, &at, true, lost);
-        watch.note_trial_over(now_ms, bad, true);
-        watch.note_ended(now_ms, &at);
+        watch.record_lost(now_ms, &at, true, lost);
+        watch.record_trial_end(now_ms, bad, true);
+        watch.record_ended(now_ms, &at);
         for _ in 0..200 {
             now_ms += 5;
             watch.due(now_ms, judge_of(1));
@@ -231,7 +233,7 @@
     lose(&mut other, DECIDES_MS, "i-1", twice, 2);
     for again_ms in [0, 10, 300] {
         let now_ms = DECIDES_MS + again_ms;
-        judge.take_reports(now_ms, &other.own_reports(now_ms));
+        judge.record_reports(now_ms, &other.local_reports(now_ms));
         judge.due(now_ms, judge_of(9));
     }
     assert!(judge.probations().is_empty());
@@ -242,7 +244,7 @@
 fn many_copies() {
     let mut watch = CrashWatch::new(2, Options::default());
     lose(&mut watch, DECIDES_MS, "i-1", request("many"), 25);
-    let reports = watch.own_reports(DECIDES_MS);
+    let reports = watch.local_reports(DECIDES_MS);
     assert_eq!(reports.len(), 1);
     assert_eq!(reports[0].suspects.len(), 1);
     assert_eq!(reports[0].suspects[0].copies, 25);
@@ -254,8 +256,8 @@
 fn forwarded_answer() {
     let mut watch = CrashWatch::new(2, Options::default());
     let popular = request("popular");
-    watch.take_cleared(DECIDES_MS, &popular);
+    watch.record_cleared(DECIDES_MS, &popular);
     lose(&mut watch, DECIDES_MS + 500, "i-1", popular, 1);
-    let reports = watch.own_reports(DECIDES_MS + 500);
+    let reports = watch.local_reports(DECIDES_MS + 500);
     assert_eq!(reports[0].suspects[0].answered_ago_ms, Some(500));
 }
