--- a/crates/quarantine/src/crash_watch.rs
+++ b/crates/quarantine/src/crash_watch.rs
@@ -184,13 +184,13 @@
         &mut self,
         now_ms: u64,
         asker: u64,
-        ask: &TrialQuery,
+        query: &TrialQuery,
         vms: usize,
     ) -> TrialAnswer {
         TrialAnswer {
-            fingerprint: ask.fingerprint,
-            number: ask.number,
-            after_ms: self.trial_coordinator.decide(now_ms, asker, ask, vms),
+            fingerprint: query.fingerprint,
+            number: query.number,
+            after_ms: self.trial_coordinator.decide(now_ms, asker, query, vms),
         }
     }
 
@@ -403,13 +403,13 @@
         due.trial_judge = self.trial_client.judge();
         let is_own_judge = role.judge == Some(due.trial_judge);
         // A VM that no judge answers is cut off, and decides by itself.
-        for ask in trials.unanswered {
-            due.may_continue |= self.decide_own_trial(now_ms, &ask, 1);
+        for query in trials.unanswered {
+            due.may_continue |= self.decide_own_trial(now_ms, &query, 1);
         }
-        for ask in trials.trial_queries {
+        for query in trials.trial_queries {
             match is_own_judge {
-                true => due.may_continue |= self.decide_own_trial(now_ms, &ask, role.vms),
-                false => due.trial_queries.push(ask),
+                true => due.may_continue |= self.decide_own_trial(now_ms, &query, role.vms),
+                false => due.trial_queries.push(query),
             }
         }
         for end in trials.ends {
@@ -419,8 +419,8 @@
         }
     }
 
-    fn decide_own_trial(&mut self, now_ms: u64, ask: &TrialQuery, vms: usize) -> bool {
-        let answer = self.decide_trial(now_ms, self.incarnation, ask, vms);
+    fn decide_own_trial(&mut self, now_ms: u64, query: &TrialQuery, vms: usize) -> bool {
+        let answer = self.decide_trial(now_ms, self.incarnation, query, vms);
         self.trial_client.record_answer(now_ms, &answer)
     }
 
--- a/crates/quarantine/src/trials.rs
+++ b/crates/quarantine/src/trials.rs
@@ -116,28 +116,34 @@
 
     /// Decides on a trial run. Returns `None` if it is allowed, or the time after which to ask
     /// again. The same question may come several times.
-    pub fn decide(&mut self, now_ms: u64, asker: u64, ask: &TrialQuery, vms: usize) -> Option<u64> {
+    pub fn decide(
+        &mut self,
+        now_ms: u64,
+        asker: u64,
+        query: &TrialQuery,
+        vms: usize,
+    ) -> Option<u64> {
         let pause_ms = MIN_PAUSE_MS.max(PAUSE_MS_PER_VM * vms as u64);
         let begin_ms = self.since_ms.unwrap_or(now_ms) + NEW_JUDGE_PAUSE_MS;
         if vms > 1 && now_ms < begin_ms {
             return Some(pause_ms.max(begin_ms - now_ms));
         }
         self.grants.retain(|_, grant| now_ms < grant.until_ms);
-        if let Some(grant) = self.grants.get(&ask.fingerprint) {
-            let is_same = (grant.asker, grant.number) == (asker, ask.number);
+        if let Some(grant) = self.grants.get(&query.fingerprint) {
+            let is_same = (grant.asker, grant.number) == (asker, query.number);
             return (!is_same).then_some(pause_ms);
         }
-        let is_taken = |grant: &Grant| grant.upstream.as_ref() == Some(&ask.upstream);
+        let is_taken = |grant: &Grant| grant.upstream.as_ref() == Some(&query.upstream);
         if self.grants.len() >= MAX_TRIALS || self.grants.values().any(is_taken) {
             return Some(pause_ms);
         }
         let grant = Grant {
-            upstream: Some(ask.upstream.clone()),
+            upstream: Some(query.upstream.clone()),
             asker,
-            number: ask.number,
-            until_ms: now_ms + ask.left_ms + GRANT_SLACK_MS,
+            number: query.number,
+            until_ms: now_ms + query.left_ms + GRANT_SLACK_MS,
         };
-        self.grants.insert(ask.fingerprint, grant);
+        self.grants.insert(query.fingerprint, grant);
         None
     }
 
@@ -161,8 +167,8 @@
 /// State of the next trial run of a request, at the VM that asks for it.
 #[derive(Clone, Debug)]
 enum TrialState {
-    Asked {
-        ask: TrialQuery,
+    Queried {
+        query: TrialQuery,
         queries_sent: u32,
         next_ms: u64,
     },
@@ -170,7 +176,7 @@
         until_ms: u64,
     },
     Allowed {
-        ask: TrialQuery,
+        query: TrialQuery,
         until_ms: u64,
     },
     Sent {
@@ -223,22 +229,22 @@
         left_ms: u64,
     ) -> Permit {
         match self.states.get(&fingerprint) {
-            Some(TrialState::Allowed { ask, .. }) => {
-                let permit = Permit::Trial(ask.upstream.clone());
-                let number = ask.number;
+            Some(TrialState::Allowed { query, .. }) => {
+                let permit = Permit::Trial(query.upstream.clone());
+                let number = query.number;
                 self.states.insert(fingerprint, TrialState::Sent { number });
                 permit
             }
             None if self.states.len() < MAX_TRIALS => {
                 self.next_number += 1;
-                let ask = TrialQuery {
+                let query = TrialQuery {
                     fingerprint,
                     upstream: upstream.clone(),
                     number: self.next_number,
                     left_ms,
                 };
-                let state = TrialState::Asked {
-                    ask,
+                let state = TrialState::Queried {
+                    query,
                     queries_sent: 0,
                     next_ms: now_ms,
                 };
@@ -254,15 +260,15 @@
         let Some(state) = self.states.get_mut(&answer.fingerprint) else {
             return false;
         };
-        let TrialState::Asked { ask, .. } = state else {
+        let TrialState::Queried { query, .. } = state else {
             return false;
         };
-        if ask.number != answer.number {
+        if query.number != answer.number {
             return false;
         }
         *state = match answer.after_ms {
             None => TrialState::Allowed {
-                ask: ask.clone(),
+                query: query.clone(),
                 until_ms: now_ms + UNUSED_TRIAL_TTL_MS,
             },
             Some(after_ms) => TrialState::Denied {
@@ -303,7 +309,7 @@
     /// Returns when something is due, or `u64::MAX` if nothing is.
     pub fn next_ms(&self) -> u64 {
         let states = self.states.values().map(|state| match state {
-            TrialState::Asked { next_ms, .. } => *next_ms,
+            TrialState::Queried { next_ms, .. } => *next_ms,
             TrialState::Denied { until_ms } | TrialState::Allowed { until_ms, .. } => *until_ms,
             TrialState::Sent { .. } => u64::MAX,
         });
@@ -320,16 +326,16 @@
         let mut use_next_judge = false;
         for state in self.states.values_mut() {
             match state {
-                TrialState::Asked {
-                    ask,
+                TrialState::Queried {
+                    query,
                     queries_sent,
                     next_ms,
                 } if *next_ms <= now_ms => {
                     use_next_judge |= *queries_sent > 0 && *queries_sent % QUERIES_PER_JUDGE == 0;
                     let max_queries = judges as u32 * QUERIES_PER_JUDGE;
                     match *queries_sent < max_queries {
-                        true => due.trial_queries.push(ask.clone()),
-                        false => due.unanswered.push(ask.clone()),
+                        true => due.trial_queries.push(query.clone()),
+                        false => due.unanswered.push(query.clone()),
                     }
                     *queries_sent += 1;
                     *next_ms = now_ms + ANSWER_TIMEOUT_MS;
@@ -347,10 +353,10 @@
                 due.may_continue = true;
                 false
             }
-            TrialState::Allowed { ask, until_ms } if *until_ms <= now_ms => {
+            TrialState::Allowed { query, until_ms } if *until_ms <= now_ms => {
                 unused.push(TrialEnd {
-                    fingerprint: ask.fingerprint,
-                    number: ask.number,
+                    fingerprint: query.fingerprint,
+                    number: query.number,
                     is_lost: false,
                 });
                 due.may_continue = true;
--- a/crates/quarantine/tests/crash_search/messages.rs
+++ b/crates/quarantine/tests/crash_search/messages.rs
@@ -73,10 +73,10 @@
                 Message::Cleared(it) => {
                     watch.record_cleared(now_ms, &it);
                 }
-                Message::TrialAsked(from, ask) => {
+                Message::TrialAsked(from, query) => {
                     answers.push((
                         from,
-                        watch.decide_trial(now_ms, incarnation_of(from), &ask, vms),
+                        watch.decide_trial(now_ms, incarnation_of(from), &query, vms),
                     ));
                 }
                 Message::TrialDecided(answer) => {
@@ -113,14 +113,14 @@
         if !due.probations.is_empty() {
             self.send_all(index, &Message::Probations(due.probations));
         }
-        for ask in due.trial_queries {
+        for query in due.trial_queries {
             if self.policy == Policy::OnePerVm {
                 let watch = &mut self.vms[index].watch;
-                let answer = watch.decide_trial(now_ms, incarnation_of(index), &ask, 1);
+                let answer = watch.decide_trial(now_ms, incarnation_of(index), &query, 1);
                 watch.record_trial_answer(now_ms, &answer);
                 continue;
             }
-            self.send(due.trial_judge, &Message::TrialAsked(index, ask));
+            self.send(due.trial_judge, &Message::TrialAsked(index, query));
         }
         for end in due.trial_ends {
             let own = &mut self.vms[index].watch;
--- a/crates/quarantine/tests/trial_runs.rs
+++ b/crates/quarantine/tests/trial_runs.rs
@@ -65,7 +65,7 @@
     watch
 }
 
-fn ask(fingerprint: Fingerprint, at: &str, number: u64) -> TrialQuery {
+fn query(fingerprint: Fingerprint, at: &str, number: u64) -> TrialQuery {
     TrialQuery {
         fingerprint,
         upstream: upstream(at),
@@ -127,15 +127,15 @@
     let mut judge = judge(9);
     let (first, second) = (request("first"), request("second"));
     let now_ms = DECIDES_MS;
-    let answer = judge.decide_trial(now_ms, 7, &ask(first, "i-1", 1), 9);
+    let answer = judge.decide_trial(now_ms, 7, &query(first, "i-1", 1), 9);
     assert_eq!(answer.after_ms, None);
-    let again = judge.decide_trial(now_ms, 7, &ask(first, "i-1", 1), 9);
+    let again = judge.decide_trial(now_ms, 7, &query(first, "i-1", 1), 9);
     assert_eq!(again.after_ms, None);
-    for other in [ask(first, "i-2", 1), ask(second, "i-1", 1)] {
+    for other in [query(first, "i-2", 1), query(second, "i-1", 1)] {
         let denied = judge.decide_trial(now_ms, 8, &other, 9);
         assert!(denied.after_ms.is_some());
     }
-    let elsewhere = judge.decide_trial(now_ms, 8, &ask(second, "i-2", 2), 9);
+    let elsewhere = judge.decide_trial(now_ms, 8, &query(second, "i-2", 2), 9);
     assert_eq!(elsewhere.after_ms, None);
 }
 
@@ -144,11 +144,11 @@
 fn unended_trial() {
     let mut judge = judge(9);
     let bad = request("bad");
-    judge.decide_trial(DECIDES_MS, 7, &ask(bad, "i-1", 1), 9);
+    judge.decide_trial(DECIDES_MS, 7, &query(bad, "i-1", 1), 9);
     let later_ms = DECIDES_MS + LEFT_MS;
-    let denied = judge.decide_trial(later_ms, 8, &ask(bad, "i-2", 1), 9);
+    let denied = judge.decide_trial(later_ms, 8, &query(bad, "i-2", 1), 9);
     assert!(denied.after_ms.is_some());
-    let answer = judge.decide_trial(later_ms + 1_000, 8, &ask(bad, "i-2", 1), 9);
+    let answer = judge.decide_trial(later_ms + 1_000, 8, &query(bad, "i-2", 1), 9);
     assert_eq!(answer.after_ms, None);
 }
 
@@ -156,7 +156,7 @@
 #[test]
 fn new_judge_waits() {
     let mut judge = judge(9);
-    let denied = judge.decide_trial(START_MS + 100, 7, &ask(request("bad"), "i-1", 1), 9);
+    let denied = judge.decide_trial(START_MS + 100, 7, &query(request("bad"), "i-1", 1), 9);
     assert!(denied.after_ms.is_some());
 }
 
@@ -171,7 +171,7 @@
         watch.permit(began_ms, bad, &upstream("i-2"), LEFT_MS),
         Permit::Wait
     );
-    let mut asked = Vec::new();
+    let mut asked_judges = Vec::new();
     let mut now_ms = began_ms;
     while watch.must_wait(now_ms, &bad) {
         let Due {
@@ -179,11 +179,11 @@
             trial_judge,
             ..
         } = watch.due(now_ms, member());
-        asked.extend(trial_queries.iter().map(|_| trial_judge));
+        asked_judges.extend(trial_queries.iter().map(|_| trial_judge));
         now_ms += 5;
         assert!(now_ms < began_ms + 2_000);
     }
-    assert!(asked.contains(&0) && asked.contains(&1));
+    assert!(asked_judges.contains(&0) && asked_judges.contains(&1));
     let trial = Permit::Trial(upstream("i-2"));
     assert_eq!(watch.permit(now_ms, bad, &upstream("i-2"), LEFT_MS), trial);
 }
