--- a/crates/quarantine/src/crash_watch.rs
+++ b/crates/quarantine/src/crash_watch.rs
@@ -217,7 +217,7 @@
     }
 
     /// Records that a request was answered at this VM. Returns whether it was on probation or
-    /// blocked, also recently, so that the other VMs are to be told.
+    /// blocked, also recently, so that this VM has to inform the other VMs.
     pub fn record_answered(&mut self, now_ms: u64, fingerprint: Fingerprint) -> bool {
         self.answered.record(now_ms, fingerprint);
         self.knows(&fingerprint) && self.record_cleared(now_ms, &fingerprint)
