--- a/crates/routing/examples/routing_figures.rs
+++ b/crates/routing/examples/routing_figures.rs
@@ -1,5 +1,5 @@
-//! Prints the figures of docs/design/routing.md and docs/design/retries.md: models of many VMs
-//! before a group of engines, and the time that one decision takes on the machine at hand.
+//! Prints the figures of docs/design/routing.md and docs/design/retries.md: simulations of many VMs
+//! that send to a group of engines, and the time that one decision takes on this machine.
 
 use std::time::Instant;
 
@@ -87,8 +87,8 @@
     );
 }
 
-/// Compares tunings where all VMs reach all engines alike, and where other systems keep a third of
-/// the engines busy.
+/// Compares tunings, for engines that serve only the simulated VMs and for engines of which a third
+/// is busy with requests of other systems.
 fn tunings() {
     let uneven: Vec<(usize, f64)> = (0..6).map(|engine| (engine, 0.6)).collect();
     for (kind, load, background) in [("even", 0.9, Vec::new()), ("uneven", 0.7, uneven)] {
@@ -124,8 +124,8 @@
     }
 }
 
-/// Compares caps on the extra load for a cached prefix: with many prefixes, and with one that half
-/// of all requests share.
+/// Compares limits of the extra load for a cached prefix: with many prefixes, and with one that
+/// half of all requests share.
 fn prefixes() {
     for (kind, prefixes) in [("many prefixes", 2_000), ("one hot prefix", 10)] {
         for affinity_pressure in [-10.0, 0.0, 0.25, 0.5, 1.0, 10.0] {
@@ -169,7 +169,7 @@
     );
 }
 
-/// Counts the tries that reach a group which fails every request, for 10,000 first tries.
+/// Counts the attempts that reach a group that fails every request, for 10,000 first attempts.
 fn outage() {
     for name in RETRY_POLICIES {
         let mut policy = retry_policy(name, RetryOptions::default()).expect("a known policy");
--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -1,16 +1,16 @@
-//! Which upstreams have probably cached a prompt prefix.
+//! Upstreams that have probably cached a prompt prefix.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
 use apricotdale_core::names::UpstreamName;
 
-/// The upstreams that are remembered for one prefix. One that is asked for often spreads over as
-/// many and is then balanced among them like any other request.
+/// Upstreams that are remembered per prefix. A prefix that is requested often spreads over as many,
+/// among which its requests are then balanced like any others.
 const UPSTREAMS_PER_PREFIX: usize = 16;
 
-/// `PrefixMemory` remembers where this VM sent each prompt prefix, within a fixed number of
-/// prefixes. The engines' own cache events come late and with gaps; this needs none of them.
+/// Upstreams to which this VM has sent each prompt prefix, for a bounded number of prefixes. It
+/// does not depend on the engines' cache events, which arrive late and incompletely.
 #[derive(Debug)]
 pub(crate) struct PrefixMemory {
     entries: usize,
@@ -33,7 +33,7 @@
 }
 
 impl PrefixMemory {
-    /// Returns an empty memory.
+    /// Returns an empty history of up to `entries` prefixes.
     pub(crate) fn new(entries: usize, ttl_ms: u64) -> Self {
         Self {
             entries,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Notes that a request with the prefix was sent to an upstream.
+    /// Records that a request with the prefix was sent to an upstream.
     pub(crate) fn sent(&mut self, now_ms: u64, prefix_hash: u64, upstream: UpstreamName) {
         let age = self.next_age;
         self.next_age += 1;
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Returns where the prefix was sent recently enough for it to be cached still.
+    /// Returns the upstreams to which the prefix was sent so recently that they probably still
+    /// cache it.
     pub(crate) fn recent(
         &self,
         now_ms: u64,
--- a/crates/routing/src/budgeted_retry.rs
+++ b/crates/routing/src/budgeted_retry.rs
@@ -1,4 +1,4 @@
-//! The chosen retry policy.
+//! Retry policy with a budget per group.
 
 use std::collections::HashMap;
 
@@ -14,11 +14,12 @@
 use crate::fixed_retry::forbidden;
 use crate::options::RetryOptions;
 
-/// `BudgetedRetry` is the chosen retry policy: it repeats only what may be repeated, within a
-/// budget that all requests to a group share, after a random pause.
+/// Retry policy that retries only what may be retried, after a random pause, and within a budget
+/// that all requests to a group share.
 ///
-/// Without the budget an outage multiplies the load by the number of tries at the moment when the
-/// group can bear it least. The budget bounds the multiple to one plus the earned share.
+/// Without the budget, an outage multiplies the load by the number of attempts when the group can
+/// bear it least. The budget limits the factor to one plus the share of retries that a first
+/// attempt earns.
 #[derive(Debug)]
 pub struct BudgetedRetry {
     options: RetryOptions,
@@ -26,7 +27,7 @@
     random: ChaCha8Rng,
 }
 
-/// `Budget` is a bucket of tokens, one a retry.
+/// Token bucket with one token per retry.
 #[derive(Debug)]
 struct Budget {
     saved: f64,
@@ -34,7 +35,7 @@
 }
 
 impl Budget {
-    /// Adds what time has earned. Time alone fills the bucket to a few tokens only.
+    /// Adds the tokens that accrue with time, up to [`RetryOptions::idle_saved`].
     fn advance(&mut self, now_ms: u64, options: &RetryOptions) {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms);
         self.at_ms = self.at_ms.max(now_ms);
@@ -57,7 +58,7 @@
 }
 
 impl BudgetedRetry {
-    /// Returns the policy.
+    /// Returns the policy with the given tunables.
     pub fn new(options: RetryOptions) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(options.seed),
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Replaces the tunables. What a group has saved beyond the new most is lost.
+    /// Replaces the tunables. Tokens above the new maximum are dropped.
     pub fn set_options(&mut self, options: RetryOptions) {
         for budget in self.budgets.values_mut() {
             budget.saved = budget.saved.min(options.max_saved);
@@ -84,9 +85,9 @@
         budget
     }
 
-    /// Draws a pause between zero and a bound that doubles with each try, and that leaves enough
-    /// time for the try after it. Pauses that were not random would bring all failed requests of
-    /// one moment back at one moment.
+    /// Draws a pause between zero and a limit that doubles with each attempt and leaves enough time
+    /// for the next one. Without jitter, all requests that failed together would be retried
+    /// together.
     fn pause_ms(&mut self, request: &RetryRequest) -> u64 {
         let options = &self.options;
         let doublings = request.tries.saturating_sub(1).min(u64::BITS - 1);
--- a/crates/routing/src/corrected_load.rs
+++ b/crates/routing/src/corrected_load.rs
@@ -1,4 +1,4 @@
-//! The chosen routing policy.
+//! Routing policy by delayed load reports, corrected by this VM's own requests.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -15,16 +15,16 @@
 use crate::group::Group;
 use crate::options::Options;
 
-/// `CorrectedLoad` is the chosen routing policy.
+/// Routing policy that corrects delayed load reports and combines them with random choice.
 ///
-/// It corrects each lagging report by what this VM sent since, draws a few candidates at random and
-/// takes the one of lowest cost. So many VMs that read the same old report don't all send to the
-/// upstream that looked best in it. A prompt prefix goes where it is probably cached as long as
-/// that upstream is not much busier. Upstreams whose outcomes stand out from their group are
-/// ejected and come back by probes.
+/// It weighs the upstreams by their reports, draws a few of them at random, and chooses the one
+/// with the fewest requests of this VM for its weight. Many VMs that read the same old report
+/// therefore don't all send to the upstream that looked best in it. A request with a prompt prefix
+/// is sent to an upstream that has probably cached the prefix, unless that upstream is much busier.
+/// Upstreams whose outcomes differ from their group's are ejected and return by probes.
 ///
-/// The times of reports have to be on the clock of `now_ms`; a time that can't be is taken as
-/// [`Options::assumed_lag_ms`] old.
+/// The times of reports have to be on the clock of `now_ms`. A report with a time in the future is
+/// assumed to be [`Options::assumed_lag_ms`] old.
 #[derive(Debug)]
 pub struct CorrectedLoad {
     options: Options,
@@ -44,9 +44,9 @@
         }
     }
 
-    /// Returns the places of the candidates that may be used, best standing first: not tried and in
-    /// service, else not tried, else in service, else all. With nobody in good standing a request
-    /// to one in bad standing may still be answered; a refusal never is.
+    /// Returns the indices of the best class of candidates: not tried and in service, else not
+    /// tried, else in service, else all. If no candidate is in service, an ejected one may still
+    /// answer, while a refusal never does.
     fn usable(&self, request: &RouteRequest, candidates: &[Candidate]) -> Vec<usize> {
         let mut classes = [const { Vec::new() }; 4];
         for (place, candidate) in candidates.iter().enumerate() {
@@ -63,8 +63,8 @@
         usable.unwrap_or_default()
     }
 
-    /// Returns the place of a candidate that is due for a probe. A retried request is no probe: it
-    /// has already met one bad upstream.
+    /// Returns the index of a candidate that is due for a probe. A retried request is not used as a
+    /// probe, because one upstream has already failed it.
     fn probe(
         &mut self,
         now_ms: u64,
@@ -89,7 +89,7 @@
         own_zone.is_none_or(|own_zone| candidate.zone == *own_zone)
     }
 
-    /// Returns how often each usable candidate is to be drawn.
+    /// Returns the usable candidates with their weights.
     fn weigh(&self, now_ms: u64, candidates: &[Candidate], usable: &[usize]) -> Vec<Weighed> {
         let load = self.group.load();
         let weigh = |&place: &usize| {
@@ -108,7 +108,7 @@
         usable.iter().map(weigh).collect()
     }
 
-    /// Draws some candidates, in the order in which they were drawn.
+    /// Draws some candidates without replacement, and returns them in the order of the draw.
     fn draw(&mut self, mut weighed: Vec<Weighed>) -> Vec<Weighed> {
         let mut all: f64 = weighed.iter().map(|candidate| candidate.odds).sum();
         let mut drawn = Vec::with_capacity(self.options.choices);
@@ -126,8 +126,8 @@
     }
 
     /// Returns the drawn candidate with the fewest requests of this VM for its weight. Only these
-    /// are known as they are now. Candidates with equally many are told apart by the draw's order,
-    /// which follows the weights.
+    /// requests are known as of now. Among equal candidates the first one drawn is chosen, and the
+    /// draw follows the weights.
     fn least_used(&self, candidates: &[Candidate], drawn: &[Weighed]) -> Option<usize> {
         let used = |candidate: &&Weighed| {
             let upstream = &candidates[candidate.place];
@@ -143,8 +143,8 @@
         least.map(|candidate| candidate.place)
     }
 
-    /// Returns the usable candidates that have probably cached the prefix: those that this VM sent
-    /// it to, or else the one that all VMs prefer for it.
+    /// Returns the usable candidates that have probably cached the prefix: those to which this VM
+    /// has recently sent it, or else the one that all VMs prefer for it.
     fn cached_at(
         &self,
         now_ms: u64,
@@ -166,8 +166,8 @@
         weighed.iter().find(is_home).copied().into_iter().collect()
     }
 
-    /// Returns the candidate that takes a request with a prefix: `best` if it has the prefix cached
-    /// or if those that have are too busy, else the least used of these.
+    /// Returns the candidate for a request with a prefix. That is `best` if it has probably cached
+    /// the prefix or if those that have are too busy, and else the least used of these.
     fn cached_or(&self, best: usize, cached: Vec<Weighed>, candidates: &[Candidate]) -> usize {
         if cached.iter().any(|candidate| candidate.place == best) {
             return best;
@@ -183,7 +183,7 @@
     }
 }
 
-/// `Weighed` is a candidate with how often it is to be drawn.
+/// Candidate with the weight of its load and the weight with which it is drawn.
 #[derive(Clone, Copy, Debug)]
 struct Weighed {
     place: usize,
--- a/crates/routing/src/fixed_retry.rs
+++ b/crates/routing/src/fixed_retry.rs
@@ -1,4 +1,4 @@
-//! The plain baseline of retries.
+//! Retry policy with a fixed pause, as a baseline for comparison.
 
 use apricotdale_core::names::GroupName;
 use apricotdale_core::policy::RetryDecision;
@@ -7,7 +7,7 @@
 
 use crate::options::RetryOptions;
 
-/// Returns why a retry is out of the question, or none if it may be considered.
+/// Returns why a request must not be retried, or `None` if it may be.
 pub(crate) fn forbidden(request: &RetryRequest, options: &RetryOptions) -> Option<RetryDecision> {
     let may_repeat = request.idempotent || request.certainly_not_run;
     match request {
@@ -19,15 +19,15 @@
     }
 }
 
-/// `FixedRetry` is the plain baseline: it repeats what may be repeated after a fixed pause and
-/// knows no budget. It is kept for comparison.
+/// Retry policy that retries whatever may be retried after a fixed pause, without a budget. It is a
+/// baseline for comparison with [`BudgetedRetry`](crate::BudgetedRetry).
 #[derive(Debug)]
 pub struct FixedRetry {
     options: RetryOptions,
 }
 
 impl FixedRetry {
-    /// Returns the policy.
+    /// Returns the policy with the given tunables.
     pub fn new(options: RetryOptions) -> Self {
         Self { options }
     }
--- a/crates/routing/src/group.rs
+++ b/crates/routing/src/group.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one group, judged against each other.
+//! Upstreams of one group, compared with each other.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -16,10 +16,10 @@
 use crate::residence::Residence;
 use crate::standing::Standing;
 
-/// The time for which the group's median is used before it is worked out again.
+/// Time for which the group's median is used before it is computed again.
 const MEDIAN_VALID_MS: u64 = 500;
 
-/// `Upstream` is what this VM knows of one upstream.
+/// State of one upstream as this VM sees it.
 #[derive(Debug)]
 struct Upstream {
     load: LoadEstimate,
@@ -37,7 +37,7 @@
     }
 }
 
-/// `Group` is what this VM knows of a group of equal upstreams.
+/// State of a group of equal upstreams as this VM sees it.
 #[derive(Debug)]
 pub(crate) struct Group {
     options: Options,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Forgets an upstream.
+    /// Removes an upstream and all its state.
     pub(crate) fn remove(&mut self, name: &UpstreamName) {
         self.out_of_service.remove(name);
         let removed = self.upstreams.remove(name);
@@ -73,7 +73,7 @@
         self.count_total(total, None);
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub(crate) fn sent(&mut self, now_ms: u64, name: &UpstreamName) {
         let horizon_ms = self.options.max_lag_ms;
         self.residence.sent(now_ms);
@@ -82,7 +82,7 @@
         upstream.standing.sent(now_ms);
     }
 
-    /// Notes that a request ended and ejects its upstream if it now stands out.
+    /// Records that a request ended, and ejects its upstream if that has become an outlier.
     pub(crate) fn ended(
         &mut self,
         now_ms: u64,
@@ -92,7 +92,7 @@
     ) {
         let options = self.options.outliers;
         self.residence.ended(now_ms);
-        // A request may end after its upstream was removed; that must not bring it back.
+        // A request may end after its upstream was removed, which must not add it again.
         let Some(upstream) = self.upstreams.get_mut(name) else {
             return;
         };
@@ -113,7 +113,7 @@
         self.judge(now_ms, name, &options);
     }
 
-    /// Takes in a load report.
+    /// Records a load report.
     pub(crate) fn reported(&mut self, now_ms: u64, name: &UpstreamName, report: &LoadReport) {
         let options = self.options.clone();
         let group = self.load();
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Returns whether an upstream takes a share of the work. One that is not yet known does.
+    /// Returns whether an upstream takes a share of the requests. An unknown upstream does.
     pub(crate) fn in_service(&self, name: &UpstreamName) -> bool {
         !self.out_of_service.contains(name)
     }
 
-    /// Returns what the reports of the group say together.
+    /// Returns the load of the group according to all its reports.
     pub(crate) fn load(&self) -> GroupLoad {
         GroupLoad {
             mean_total: self.sum_total.max(0.0) / f64::from(self.reported.max(1)),
@@ -138,8 +138,9 @@
         }
     }
 
-    /// Returns how often an upstream is to be drawn, compared with others: less while its reports
-    /// show it busier, while it is slow compared with its group, and while it returns.
+    /// Returns the weight with which an upstream is drawn. It is lower while the upstream's reports
+    /// show more load than the group's mean, while it is slow compared with its group, and while it
+    /// returns from an ejection.
     pub(crate) fn weight(&self, now_ms: u64, name: &UpstreamName, load: GroupLoad) -> f64 {
         let Some(upstream) = self.upstreams.get(name) else {
             return f64::from(self.options.default_slots.max(1));
@@ -151,13 +152,13 @@
         upstream.load.weight(now_ms, load, &self.options) / factor
     }
 
-    /// Returns this VM's own requests at an upstream.
+    /// Returns the number of this VM's requests at an upstream.
     pub(crate) fn own(&self, name: &UpstreamName) -> u32 {
         let upstream = self.upstreams.get(name);
         upstream.map_or(0, |upstream| upstream.load.own.now())
     }
 
-    /// Returns an upstream's requests as a share of its places, as far as this VM can tell.
+    /// Returns an upstream's estimated requests as a share of its slots.
     pub(crate) fn pressure(&self, name: &UpstreamName, load: GroupLoad) -> f64 {
         let upstream = self.upstreams.get(name);
         upstream.map_or(load.mean_total, |upstream| {
@@ -165,8 +166,8 @@
         })
     }
 
-    /// Returns an upstream out of service that is due for a probe, and counts the probe as handed
-    /// out.
+    /// Returns an upstream out of service that is due for a probe, and records that it was
+    /// returned.
     pub(crate) fn next_probe(
         &mut self,
         now_ms: u64,
@@ -224,7 +225,8 @@
         let mut means: Vec<f64> = upstreams
             .filter_map(|upstream| upstream.outcomes.first_byte_ms(options))
             .collect();
-        // With two upstreams the lower one is the yardstick, or a slow one would hide itself.
+        // Of two upstreams the faster one is the reference, or a slow one would raise its own
+        // reference.
         let middle = means.len().checked_sub(1)? / 2;
         let (_, median_ms, _) = means.select_nth_unstable_by(middle, f64::total_cmp);
         Some(*median_ms)
@@ -263,8 +265,8 @@
         enough && self.slowness(outcomes, options) >= options.eject_slowness
     }
 
-    /// Returns the share of failures among the others in service. When all fail, the cause lies
-    /// elsewhere, such as in this VM's own network, and nobody stands out.
+    /// Returns the share of failures among the other upstreams in service. If all fail, the cause
+    /// lies elsewhere, such as in this VM's own network, and no upstream is an outlier.
     fn failure_share_of_others(
         &self,
         now_ms: u64,
--- a/crates/routing/src/in_flight.rs
+++ b/crates/routing/src/in_flight.rs
@@ -1,12 +1,12 @@
-//! This VM's own requests in flight at one upstream, now and at a past moment.
+//! Number of this VM's requests in flight at one upstream, now and in the recent past.
 
 use std::collections::VecDeque;
 
-/// The width of the steps in which past moments are told apart.
+/// Time resolution of past counts.
 const STEP_MS: u64 = 50;
 
-/// `InFlight` counts the requests that this VM has in flight at one upstream and remembers how the
-/// count changed, so that its own part of a report about the past can be told.
+/// Counts this VM's requests in flight at one upstream, and keeps the recent changes of the count,
+/// so that this VM's part of a delayed report can be computed.
 #[derive(Debug, Default)]
 pub(crate) struct InFlight {
     now: u32,
@@ -20,13 +20,13 @@
 }
 
 impl InFlight {
-    /// Returns the requests in flight now.
+    /// Returns the number of requests in flight now.
     pub(crate) fn now(&self) -> u32 {
         self.now
     }
 
-    /// Returns the requests that were in flight at a past moment, within the horizon and to the
-    /// nearest step.
+    /// Returns the number of requests that were in flight at a past time, to the nearest step and
+    /// within the horizon.
     pub(crate) fn at(&self, then_ms: u64) -> u32 {
         let then = then_ms / STEP_MS;
         let since = self.changes.iter().rev();
@@ -37,13 +37,13 @@
         (i64::from(self.now) - grown).max(0) as u32
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent. Changes older than `horizon_ms` are removed.
     pub(crate) fn sent(&mut self, now_ms: u64, horizon_ms: u64) {
         self.now = self.now.saturating_add(1);
         self.change(now_ms, 1, horizon_ms);
     }
 
-    /// Notes that a request ended. Returns whether it was known.
+    /// Records that a request ended. Returns `false` if none was in flight.
     pub(crate) fn ended(&mut self, now_ms: u64, horizon_ms: u64) -> bool {
         if self.now == 0 {
             return false;
--- a/crates/routing/src/least_reported.rs
+++ b/crates/routing/src/least_reported.rs
@@ -1,4 +1,4 @@
-//! The plain baseline of routing: the upstream whose last report showed the least load.
+//! Routing policy by the last load reports, as a baseline for comparison.
 
 use std::collections::HashMap;
 
@@ -8,9 +8,9 @@
 use apricotdale_core::policy::RoutingEvent;
 use apricotdale_core::policy::RoutingPolicy;
 
-/// `LeastReported` believes the last report of each upstream and sends to the one that showed the
-/// fewest requests. Every VM that read the same reports sends to the same upstream until the next
-/// report. It is kept for comparison.
+/// Routing policy that chooses the upstream with the fewest requests in its last report. All VMs
+/// that read the same reports send to the same upstream until the next report. It is a baseline for
+/// comparison with [`CorrectedLoad`](crate::CorrectedLoad).
 #[derive(Debug, Default)]
 pub struct LeastReported {
     reported: HashMap<UpstreamName, u32>,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,9 +1,9 @@
-//! Routing and retry policies: which upstream takes a request, and whether a failed try is
-//! repeated.
+//! Routing and retry policies: choice of the upstream that a request is sent to, and decision on
+//! whether a failed attempt is retried.
 //!
-//! [`routing_policy`] and [`retry_policy`] build a policy by its name. One routing policy serves
-//! one group of equal upstreams, because upstreams are judged by comparison with their group. All
-//! policies are pure: the time and the events come in, and the only randomness is seeded.
+//! [`routing_policy`] and [`retry_policy`] build a policy by its name. A routing policy serves one
+//! group of equal upstreams, because it finds faulty upstreams by comparing them with their group.
+//! The policies do no I/O: the time and the events are passed in, and all randomness is seeded.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/routing/src/load_estimate.rs
+++ b/crates/routing/src/load_estimate.rs
@@ -1,20 +1,21 @@
-//! How busy an upstream is, from lagging reports and from this VM's own requests.
+//! Estimate of an upstream's load from delayed reports and from this VM's own requests.
 
 use apricotdale_core::engine::LoadReport;
 
 use crate::in_flight::InFlight;
 use crate::options::Options;
 
-/// The mean pressure below which a group counts as idle, so that single requests on idle upstreams
-/// do not shift the weights.
+/// Mean pressure below which a group counts as idle, so that single requests on idle upstreams do
+/// not shift the weights.
 const IDLE_PRESSURE: f64 = 0.25;
 
-/// `LoadEstimate` keeps one upstream's last report, its weight and this VM's own requests there.
+/// Last report of one upstream, its weight, and this VM's requests there.
 ///
-/// A report shows the requests of all VMs as they were some seconds ago. This VM knows its own ones
-/// at that time and now. The rest is known for that time only; by now those requests have probably
-/// left, and the other VMs have sent theirs where the same report looked best. So single reports
-/// only move the upstream's weight, step by step.
+/// A report shows the requests of all VMs as of some seconds ago. This VM knows how many of them
+/// were its own, and how many of its own are there now. The other VMs' requests are known for the
+/// time of the report only: by now they have probably ended, and the other VMs have sent new ones
+/// to the upstreams that looked best in the same report. A single report therefore only moves the
+/// upstream's weight by a step.
 #[derive(Debug)]
 pub(crate) struct LoadEstimate {
     pub(crate) own: InFlight,
@@ -24,24 +25,24 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    /// The time of which the report speaks, as the engine gave it.
+    /// Time at which the report was made, on the engine's clock.
     as_of_ms: u64,
     /// The same time on this VM's clock.
     placed_ms: u64,
     read_at_ms: u64,
-    /// All requests as a share of the places.
+    /// All requests as a share of the slots.
     total: f64,
-    /// The other VMs' requests as a share of the places.
+    /// Requests of the other VMs as a share of the slots.
     others: f64,
     slots: u32,
 }
 
-/// `GroupLoad` is what the reports of a group say together.
+/// Load of a group according to all its reports.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GroupLoad {
-    /// The mean of all upstreams' requests as a share of their places.
+    /// Mean over the upstreams of all requests as a share of the slots.
     pub(crate) mean_total: f64,
-    /// The time for which a request stays at an upstream in the mean.
+    /// Mean time from the send of a request to its end.
     pub(crate) residence_ms: f64,
 }
 
@@ -55,8 +56,9 @@
         }
     }
 
-    /// Takes in a report. One that is older than the last is ignored, unless none has come for so
-    /// long that the engine's clock must have been set back. Returns whether it was taken in.
+    /// Records a report, and returns whether it was used. A report older than the last one is
+    /// ignored, unless no report was used for so long that the engine's clock must have been set
+    /// back.
     pub(crate) fn reported(
         &mut self,
         now_ms: u64,
@@ -92,24 +94,24 @@
         true
     }
 
-    /// Returns all requests as last reported, as a share of the places.
+    /// Returns all requests in the last report, as a share of the slots.
     pub(crate) fn total(&self) -> Option<f64> {
         self.report.map(|report| report.total)
     }
 
-    /// Returns this VM's own requests as a share of the places.
+    /// Returns this VM's requests as a share of the slots.
     pub(crate) fn own_pressure(&self, options: &Options) -> f64 {
         f64::from(self.own.now()) / f64::from(self.slots(options))
     }
 
-    /// Returns all requests as a share of the places: this VM's as they are now, the others' as
-    /// last reported.
+    /// Returns all requests as a share of the slots: this VM's as of now, and the other VMs' as of
+    /// the last report.
     pub(crate) fn pressure(&self, mean_total: f64, options: &Options) -> f64 {
         let others = self.report.map_or(mean_total, |report| report.others);
         self.own_pressure(options) + others
     }
 
-    /// Returns how often the upstream is to be drawn, compared with others of its group.
+    /// Returns the weight with which the upstream is drawn from its group.
     pub(crate) fn weight(&self, now_ms: u64, group: GroupLoad, options: &Options) -> f64 {
         let slots = f64::from(self.slots(options));
         let Some(report) = self.report else {
@@ -126,9 +128,11 @@
         self.report.map_or(default_slots, |report| report.slots)
     }
 
-    /// Moves the weight against the report's distance from the group's mean. A step counts by the
-    /// time between the two reports over the time after which its effect shows in a report. So the
-    /// VMs, which all see the same reports and move alike, don't correct the same distance twice.
+    /// Moves the weight against the report's distance from the group's mean.
+    ///
+    /// A step is scaled by the time between the two reports over the time until its effect shows in
+    /// a report. All VMs see the same reports and move alike, and would otherwise correct the same
+    /// distance more than once.
     fn move_weight(&mut self, last: Report, next: Report, group: GroupLoad, options: &Options) {
         let gap_ms = next.placed_ms.saturating_sub(last.placed_ms) as f64;
         let lag_ms = next.read_at_ms.saturating_sub(next.placed_ms) as f64;
@@ -142,8 +146,8 @@
     }
 }
 
-/// Returns an engine's time on this VM's clock. A time that lies ahead of this clock is of another
-/// clock, so the usual lag is assumed.
+/// Converts an engine's time to this VM's clock. A time in the future must be of another clock, so
+/// that the usual delay is assumed.
 fn placed_ms(now_ms: u64, as_of_ms: u64, options: &Options) -> u64 {
     if as_of_ms > now_ms {
         return now_ms.saturating_sub(options.assumed_lag_ms);
--- a/crates/routing/src/options.rs
+++ b/crates/routing/src/options.rs
@@ -2,46 +2,48 @@
 
 use apricotdale_core::names::ZoneName;
 
-/// `Options` holds the tunables of the routing policies. Loads are compared as pressure: requests
-/// on an upstream as a share of the places in its batch.
+/// Tunables of the routing policies. Loads are compared as pressure: the requests at an upstream as
+/// a share of the slots in its batch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// The seed of the policy's random choices. Each VM needs its own, or all VMs draw alike.
+    /// Seed of the policy's random choices. Each VM needs its own, or all VMs choose alike.
     pub seed: u64,
-    /// The availability zone of this VM, or none to ignore zones.
+    /// Availability zone of this VM, or `None` to ignore zones.
     pub own_zone: Option<ZoneName>,
-    /// Upstreams drawn at random, of which the one with the fewest requests of this VM is taken.
+    /// Number of upstreams drawn at random, of which the one with the fewest requests of this VM is
+    /// chosen.
     pub choices: usize,
-    /// How often an upstream of another availability zone is drawn, compared with one of the own.
+    /// Weight with which an upstream of another availability zone is drawn, relative to one of this
+    /// VM's.
     pub other_zone_weight: f64,
-    /// The pressure of this VM's own requests by which an upstream of the own availability zone may
-    /// be busier than one of another and is still taken.
+    /// Extra pressure of this VM's requests up to which an upstream of this VM's availability zone
+    /// is preferred to one of another zone.
     pub other_zone_pressure: f64,
-    /// The pressure by which an upstream may be busier and is still taken for the prompt prefix
-    /// that it has cached.
+    /// Extra pressure up to which an upstream is preferred because it has probably cached the
+    /// prompt prefix.
     pub affinity_pressure: f64,
-    /// The prompt prefixes that are remembered.
+    /// Number of prompt prefixes that are remembered.
     pub prefix_entries: usize,
-    /// How long an upstream is expected to keep a prompt prefix cached.
+    /// Time for which an upstream is expected to keep a prompt prefix cached.
     pub prefix_ttl_ms: u64,
-    /// The places in the batch of an upstream that has not reported.
+    /// Number of slots assumed for an upstream that has not reported.
     pub default_slots: u32,
-    /// The lag assumed of a report whose time can't be that of this VM's clock.
+    /// Delay assumed for a report whose time can't be of this VM's clock.
     pub assumed_lag_ms: u64,
-    /// The longest lag of a report that is corrected for.
+    /// Largest delay of a report that is corrected for.
     pub max_lag_ms: u64,
-    /// How strongly an upstream's weight follows its reports, over the time that it takes for a
-    /// change of weight to show in them. Above one, all VMs together swing to and fro.
+    /// Gain with which an upstream's weight follows its reports, over the time until a change of
+    /// the weight shows in them. Above one, the weights of all VMs oscillate.
     pub weight_gain: f64,
-    /// The time in which a weight loses half of its distance to one.
+    /// Time in which the logarithm of a weight decays to one half.
     pub weight_half_life_ms: u64,
-    /// The most by which a weight differs from one, as a factor.
+    /// Largest factor between a weight and one, in either direction.
     pub max_weight: f64,
-    /// How strongly a report that is still true at its age shifts the draw. Zero ignores it.
+    /// Gain with which a report shifts the weight as long as it is recent. Zero turns this off.
     pub fresh_gain: f64,
-    /// The time for which requests are taken to stay at an upstream until it has been measured.
+    /// Time that a request is assumed to spend at an upstream until that has been measured.
     pub assumed_run_ms: u64,
-    /// How upstreams are judged by their outcomes.
+    /// Detection of faulty and slow upstreams by the outcomes of their requests.
     pub outliers: OutlierOptions,
 }
 
@@ -69,44 +71,47 @@
     }
 }
 
-/// `OutlierOptions` holds the tunables by which an upstream is judged against its group.
+/// Tunables of outlier ejection, which compares an upstream with its group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierOptions {
-    /// The time in which an outcome loses half of its weight.
+    /// Half-life of an outcome's weight.
     pub half_life_ms: u64,
-    /// The weight of outcomes below which an upstream is not judged by its share of failures or
-    /// its slowness. One outcome weighs one.
+    /// Weight of outcomes from which on an upstream's share of failures and slowness count. A new
+    /// outcome has weight one.
     pub min_weight: f64,
-    /// How far an upstream's share of failures must exceed that of the others to be ejected.
+    /// Difference between an upstream's share of failures and that of the others above which it is
+    /// ejected.
     pub failure_margin: f64,
-    /// Failures in a row after which an upstream is ejected while the others do better.
+    /// Consecutive failures after which an upstream is ejected, if the others fail less.
     pub failures_in_a_row: u32,
-    /// The share of failures among the others above which nobody is ejected for failures in a row.
+    /// Share of failures among the others from which on no upstream is ejected for consecutive
+    /// failures.
     pub common_failure: f64,
-    /// The weight of a refusal among the failures.
+    /// Weight of a refusal, relative to a failure.
     pub refusal_weight: f64,
-    /// How many times the group's median first byte an upstream may take before it is ejected.
+    /// Ratio of an upstream's mean time to the first byte to the group's median from which on it is
+    /// ejected.
     pub eject_slowness: f64,
-    /// The most by which slowness raises an upstream's cost before it is ejected.
+    /// Largest factor by which slowness lowers the weight of an upstream that is not ejected.
     pub max_slowness: f64,
-    /// How much later than the median a first byte must be to count as slow at all.
+    /// Difference to the median below which a time to the first byte does not count as slow.
     pub slow_floor_ms: f64,
-    /// The largest share of the group that is ejected at a time; one upstream of two or more
-    /// always may be.
+    /// Largest share of the group that is ejected at a time. In a group of two or more, one
+    /// upstream may always be.
     pub max_ejected_share: f64,
-    /// The length of the first ejection; it doubles with each further one.
+    /// Length of the first ejection. It doubles with each further one.
     pub ejection_ms: u64,
-    /// The longest ejection.
+    /// Largest length of an ejection.
     pub max_ejection_ms: u64,
     /// Time between two probes of an ejected upstream.
     pub probe_interval_ms: u64,
-    /// The time after which a probe without an outcome is given up.
+    /// Time after which another probe may be sent although the last one has no outcome.
     pub probe_timeout_ms: u64,
-    /// Probes answered in a row after which an upstream gets work again.
+    /// Consecutive probes that must be answered before an upstream takes requests again.
     pub probes_to_return: u32,
-    /// How long its share of the work then takes to grow to the full one.
+    /// Time in which its share of the requests then grows to the full one.
     pub ramp_ms: u64,
-    /// How long an upstream must do well for earlier ejections to be forgotten.
+    /// Time without an ejection after which earlier ones no longer count.
     pub forgive_after_ms: u64,
 }
 
@@ -134,27 +139,27 @@
     }
 }
 
-/// `RetryOptions` holds the tunables of the retry policies.
+/// Tunables of the retry policies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryOptions {
-    /// The seed of the pauses. Each VM needs its own, or all VMs retry at the same moments.
+    /// Seed of the pauses. Each VM needs its own, or all VMs retry at the same times.
     pub seed: u64,
-    /// The most tries for one request, the first included.
+    /// Largest number of attempts of one request, the first included.
     pub max_tries: u32,
-    /// The bound of the first pause; it doubles with each try.
+    /// Upper limit of the first pause. It doubles with each attempt.
     pub base_pause_ms: u64,
-    /// The most that the bound of a pause grows to.
+    /// Value above which the upper limit of a pause does not grow.
     pub max_pause_ms: u64,
-    /// The time that must be left after the pause for another try to be worth it.
+    /// Least time before the deadline, after the pause, with which a request is retried.
     pub min_left_ms: u64,
-    /// The retries that each first try at a group earns.
+    /// Retries that each first attempt at a group earns.
     pub earned_per_first_try: f64,
-    /// The most retries that a group saves up; it starts with them.
+    /// Largest number of retries that a group saves, and the number that it starts with.
     pub max_saved: f64,
-    /// The retries that a group earns in a second without any first try, so that a group that is
-    /// rarely called has some.
+    /// Retries that a group earns per second without any first attempt, so that a rarely called
+    /// group has some.
     pub earned_per_s: f64,
-    /// The saved retries up to which time alone earns more.
+    /// Saved retries up to which time earns more.
     pub idle_saved: f64,
 }
 
--- a/crates/routing/src/outcomes.rs
+++ b/crates/routing/src/outcomes.rs
@@ -1,10 +1,10 @@
-//! An upstream's outcomes, with older ones weighing less.
+//! Outcomes of an upstream's requests, weighted by their age.
 
 use apricotdale_core::policy::UpstreamOutcome;
 
 use crate::options::OutlierOptions;
 
-/// `Outcomes` sums up the outcomes of one upstream.
+/// Sums over the outcomes of one upstream, whose weight decays exponentially.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcomes {
     at_ms: u64,
@@ -16,7 +16,8 @@
 }
 
 impl Outcomes {
-    /// Takes in one outcome. Those that the caller caused say nothing and are to be left out.
+    /// Records one outcome. Outcomes that the caller caused say nothing about the upstream and must
+    /// be left out.
     pub(crate) fn learn(
         &mut self,
         now_ms: u64,
@@ -30,8 +31,8 @@
                 self.good += 1.0;
                 self.failures_in_a_row = 0;
             }
-            // A refusal may be right, as of a model that was just unloaded, so it weighs less and
-            // does not count among the failures in a row.
+            // A refusal may be right, such as for a model that was just unloaded. It weighs less
+            // and does not count among the consecutive failures.
             UpstreamOutcome::Refused => self.bad += options.refusal_weight,
             UpstreamOutcome::Unreachable | UpstreamOutcome::Lost => {
                 self.bad += 1.0;
@@ -55,23 +56,23 @@
         self.bad
     }
 
-    /// Returns the share of failures, zero without outcomes.
+    /// Returns the share of failures, or zero without outcomes.
     pub(crate) fn failure_share(&self) -> f64 {
         share(self.bad, self.weight())
     }
 
-    /// Returns how many of the last outcomes were failures without a good one in between.
+    /// Returns the number of failures since the last answer, without refusals.
     pub(crate) fn failures_in_a_row(&self) -> u32 {
         self.failures_in_a_row
     }
 
-    /// Returns the mean time to the first byte, or none before there is enough to tell.
+    /// Returns the mean time to the first byte, or `None` if there are too few outcomes.
     pub(crate) fn first_byte_ms(&self, options: &OutlierOptions) -> Option<f64> {
         let enough = self.first_bytes >= options.min_weight / 2.0;
         enough.then(|| self.first_byte_sum_ms / self.first_bytes)
     }
 
-    /// Returns the outcomes as they weigh at a later moment.
+    /// Returns the outcomes with their weights at a later time.
     pub(crate) fn faded(&self, now_ms: u64, options: &OutlierOptions) -> Self {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let factor = 0.5_f64.powf(elapsed_ms / options.half_life_ms.max(1) as f64);
@@ -86,7 +87,7 @@
     }
 }
 
-/// Returns a share, zero of nothing.
+/// Returns `part / whole`, or zero if `whole` is zero.
 pub(crate) fn share(part: f64, whole: f64) -> f64 {
     if whole <= f64::EPSILON {
         return 0.0;
--- a/crates/routing/src/registry.rs
+++ b/crates/routing/src/registry.rs
@@ -1,4 +1,4 @@
-//! Policies by name.
+//! Construction of policies by name.
 
 use apricotdale_core::policy::RetryPolicy;
 use apricotdale_core::policy::RoutingPolicy;
@@ -12,17 +12,17 @@
 use crate::options::Options;
 use crate::options::RetryOptions;
 
-/// The names that [`routing_policy`] knows.
+/// Names that [`routing_policy`] accepts.
 pub const ROUTING_POLICIES: &[&str] = &["corrected_load", "least_reported"];
 
-/// The names that [`retry_policy`] knows.
+/// Names that [`retry_policy`] accepts.
 pub const RETRY_POLICIES: &[&str] = &["budgeted", "fixed"];
 
-/// Returns the routing policy of the given name.
+/// Returns the routing policy with the given name.
 ///
 /// # Errors
 ///
-/// [`Error::UnknownPolicy`] if the name is not one of [`ROUTING_POLICIES`].
+/// Returns [`Error::UnknownPolicy`] if the name is not one of [`ROUTING_POLICIES`].
 pub fn routing_policy(name: &str, options: Options) -> Result<Box<dyn RoutingPolicy>> {
     match name {
         "corrected_load" => Ok(Box::new(CorrectedLoad::new(options))),
@@ -31,11 +31,11 @@
     }
 }
 
-/// Returns the retry policy of the given name.
+/// Returns the retry policy with the given name.
 ///
 /// # Errors
 ///
-/// [`Error::UnknownPolicy`] if the name is not one of [`RETRY_POLICIES`].
+/// Returns [`Error::UnknownPolicy`] if the name is not one of [`RETRY_POLICIES`].
 pub fn retry_policy(name: &str, options: RetryOptions) -> Result<Box<dyn RetryPolicy>> {
     match name {
         "budgeted" => Ok(Box::new(BudgetedRetry::new(options))),
--- a/crates/routing/src/residence.rs
+++ b/crates/routing/src/residence.rs
@@ -1,8 +1,7 @@
-//! How long a request usually stays at an upstream.
+//! Mean time that a request spends at an upstream.
 
-/// `Residence` measures the mean time from sending to end by Little's law: the requests in flight
-/// in the mean, over the requests that end in a unit of time. It needs no record of single
-/// requests.
+/// Measures the mean time from the send of a request to its end by Little's law: the mean number of
+/// requests in flight over the rate at which requests end. It needs no record of single requests.
 #[derive(Debug)]
 pub(crate) struct Residence {
     half_life_ms: f64,
@@ -12,7 +11,7 @@
     ended: f64,
 }
 
-/// The ended requests that the assumed time counts for, until enough are measured.
+/// Weight of the assumed time, in ended requests.
 const ASSUMED_ENDED: f64 = 3.0;
 
 impl Residence {
@@ -27,20 +26,20 @@
         }
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub(crate) fn sent(&mut self, now_ms: u64) {
         self.advance(now_ms);
         self.in_flight = self.in_flight.saturating_add(1);
     }
 
-    /// Notes that a request ended.
+    /// Records that a request ended.
     pub(crate) fn ended(&mut self, now_ms: u64) {
         self.advance(now_ms);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.ended += 1.0;
     }
 
-    /// Returns the mean time, at least one millisecond.
+    /// Returns the mean time, which is at least one millisecond.
     pub(crate) fn mean_ms(&self) -> f64 {
         (self.area_ms / self.ended.max(f64::EPSILON)).max(1.0)
     }
@@ -49,7 +48,7 @@
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         self.at_ms = self.at_ms.max(now_ms);
         let factor = 0.5_f64.powf(elapsed_ms / self.half_life_ms);
-        // While nothing is in flight nothing is learned, and nothing is forgotten either.
+        // While no request is in flight, nothing is measured and nothing decays.
         if self.in_flight == 0 {
             return;
         }
--- a/crates/routing/src/standing.rs
+++ b/crates/routing/src/standing.rs
@@ -1,13 +1,13 @@
-//! An upstream's standing: in service, ejected, probed, or on its way back.
+//! Health state of an upstream: in service, ejected, probed, or returning.
 
 use crate::options::OutlierOptions;
 
-/// The smallest share of its work that a returning upstream begins with.
+/// Share of its work with which a returning upstream begins.
 const FIRST_RAMP_SHARE: f64 = 0.1;
 
-/// `Standing` is the state machine of one upstream. An ejected upstream comes back by single probes
-/// and then by a growing share of work: a fault that shows only under load would otherwise cost a
-/// full share of the requests with each return.
+/// State machine of one upstream's health. An ejected upstream returns by single probes and then by
+/// a growing share of requests. Otherwise a fault that shows only under load would cost a full
+/// share of the requests with each return.
 #[derive(Clone, Debug)]
 pub(crate) struct Standing {
     state: State,
@@ -31,7 +31,7 @@
 }
 
 impl Standing {
-    /// Returns the standing of an upstream that is new to this VM.
+    /// Returns the state of an upstream that is new to this VM.
     pub(crate) fn new(now_ms: u64) -> Self {
         Self {
             state: State::InService,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Returns whether the upstream takes a share of the work.
+    /// Returns whether the upstream takes a share of the requests.
     pub(crate) fn in_service(&self) -> bool {
         matches!(self.state, State::InService | State::Returning)
     }
 
-    /// Returns the factor by which the upstream's cost is raised while it returns.
+    /// Returns the factor by which the upstream's weight is divided while it returns.
     pub(crate) fn cost_factor(&self, now_ms: u64, options: &OutlierOptions) -> f64 {
         if self.state != State::Returning {
             return 1.0;
@@ -55,7 +55,7 @@
         1.0 / share.clamp(FIRST_RAMP_SHARE, 1.0)
     }
 
-    /// Moves on with time.
+    /// Makes the transitions that are due by now.
     pub(crate) fn advance(&mut self, now_ms: u64, options: &OutlierOptions) {
         let elapsed_ms = now_ms.saturating_sub(self.changed_at_ms);
         match self.state {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes the upstream out of service, each time for longer.
+    /// Ejects the upstream, each time for twice as long.
     pub(crate) fn eject(&mut self, now_ms: u64, options: &OutlierOptions) {
         let doublings = self.ejections.min(u64::BITS - 1);
         let factor = 1_u64 << doublings;
@@ -89,28 +89,28 @@
         now_ms >= probing.next_probe_ms && probing.sent_at_ms.is_none_or(given_up)
     }
 
-    /// Notes that the next probe was handed out, whether or not it will be sent.
+    /// Records that the upstream was returned for a probe, whether or not that is sent.
     pub(crate) fn probe_offered(&mut self, now_ms: u64, options: &OutlierOptions) {
         if let State::Probing(probing) = &mut self.state {
             probing.next_probe_ms = now_ms + options.probe_interval_ms;
         }
     }
 
-    /// Notes that a request was sent to the upstream.
+    /// Records that a request was sent to the upstream.
     pub(crate) fn sent(&mut self, now_ms: u64) {
         if let State::Probing(probing) = &mut self.state {
             probing.sent_at_ms = Some(now_ms);
         }
     }
 
-    /// Notes that a request ended without a word on the upstream.
+    /// Records that a request ended without saying anything about the upstream.
     pub(crate) fn cancelled(&mut self) {
         if let State::Probing(probing) = &mut self.state {
             probing.sent_at_ms = None;
         }
     }
 
-    /// Notes that a request ended. Returns whether the upstream has just begun to return.
+    /// Records that a request ended. Returns whether the upstream begins to return.
     pub(crate) fn ended(&mut self, now_ms: u64, good: bool, options: &OutlierOptions) -> bool {
         let State::Probing(mut probing) = self.state else {
             return false;
--- a/crates/routing/tests/grey_failure.rs
+++ b/crates/routing/tests/grey_failure.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are slow, lose requests or refuse them, while they look well.
+//! Upstreams that are slow, lose requests or refuse them although they report a low load.
 
 use rstest::rstest;
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns how often each upstream is chosen, with every request ended at once.
+    /// Returns how many times each upstream is chosen if every request is answered at once.
     fn chosen(&mut self, requests: usize) -> Vec<usize> {
         let mut chosen = vec![0; self.candidates.len()];
         for _ in 0..requests {
@@ -91,9 +91,8 @@
     OutlierOptions::default().ejection_ms
 }
 
-/// Symptom: a share of all requests is slow or lost for as long as one engine is ill.
-/// Sequence: the engine accepts connections and reports a low load, but answers badly.
-/// Cause: only the load is looked at, and an engine that fails fast always looks idle.
+/// Guards against a faulty engine that keeps its share of the requests because only its load
+/// counts. It accepts connections and reports a low load, and looks idle if it fails fast.
 #[rstest]
 #[case::slow(Fault::Slow(10.0), 0.01)]
 #[case::refuses_at_once(Fault::Refuses, 0.03)]
@@ -146,9 +145,8 @@
     assert!(share > 0.5 / 18.0, "{share}");
 }
 
-/// Symptom: a VM whose own network is cut ejects all upstreams one after another.
-/// Sequence: every request fails, wherever it is sent.
-/// Cause: upstreams are judged by themselves and not by comparison with their group.
+/// Guards against ejecting all upstreams one after another while this VM's own network is down: if
+/// every request fails, no upstream fails more than its group.
 #[test]
 fn when_all_fail_nobody_is_ejected() {
     let mut group = Group::new(6);
@@ -161,9 +159,8 @@
     assert!(chosen.iter().all(|count| *count > 0), "{chosen:?}");
 }
 
-/// Symptom: half of a group is ejected and the other half collapses under the load.
-/// Sequence: several upstreams fail one after another.
-/// Cause: nothing caps the share of the group that is out of service.
+/// Guards against ejecting so much of a group that the rest is overloaded, when several upstreams
+/// fail one after another.
 #[rstest]
 #[case(18, 6)]
 #[case(6, 2)]
@@ -183,9 +180,8 @@
     assert_eq!(unused, most_ejected, "{chosen:?}");
 }
 
-/// Symptom: an upstream is ejected because its callers hang up.
-/// Sequence: callers cancel their requests, as shoppers who leave a page do.
-/// Cause: an end that the caller caused counts as the upstream's failure.
+/// Guards against ejecting an upstream because its callers cancel their requests, as shoppers do
+/// who leave a page.
 #[test]
 fn cancelled_requests_say_nothing() {
     let mut group = Group::new(3);
@@ -197,9 +193,8 @@
     assert!(chosen[0] >= 50, "{chosen:?}");
 }
 
-/// Symptom: every few seconds many requests are lost at once at the same engine.
-/// Sequence: the engine is still ill when its ejection ends and it gets its full share again.
-/// Cause: an upstream returns with a full share and not by single probes.
+/// Guards against losing many requests at once every few seconds: an engine that is still faulty
+/// after its ejection must return by single probes and not with its full share.
 #[test]
 fn an_ejected_upstream_returns_by_single_probes_and_a_ramp() {
     let mut group = Group::new(4);
@@ -276,9 +271,8 @@
     }
 }
 
-/// Symptom: a model's requests are refused although its only engine answers some of them.
-/// Sequence: the engine is ejected, and no other holds the model.
-/// Cause: an ejection counts as a ban and not as a preference.
+/// Guards against refusing requests for a model whose only engine is ejected but still answers some
+/// of them: an ejection is a preference and no ban.
 #[test]
 fn the_only_replica_is_used_even_when_ejected() {
     let mut group = Group::new(4);
@@ -293,9 +287,8 @@
     );
 }
 
-/// Symptom: an upstream that came back under its old name never gets work.
-/// Sequence: it is ejected, then removed from the list, then listed again.
-/// Cause: what was known of the earlier one is kept.
+/// Guards against an upstream that never gets requests after it was ejected, removed from the list,
+/// and listed again under the same name: its earlier state must be dropped.
 #[test]
 fn a_removed_upstream_starts_afresh() {
     let mut group = Group::new(3);
--- a/crates/routing/tests/lagging_reports.rs
+++ b/crates/routing/tests/lagging_reports.rs
@@ -1,4 +1,4 @@
-//! Choices by reports that lag, in a model of many VMs and by single events.
+//! Routing by delayed load reports, in simulations of many VMs and by single events.
 
 use rstest::rstest;
 
@@ -44,9 +44,9 @@
     choices.filter(|chosen| *chosen == Some(0)).count() as f64 / 400.0
 }
 
-/// Symptom: one engine's queue grows for seconds while its neighbours idle, then the next one's.
-/// Sequence: many VMs read the same report and send all they have to the engine that looks best.
-/// Cause: the report is believed until the next one, and every VM draws the same conclusion.
+/// Guards against engines whose queues grow one after another while the others are idle. Many VMs
+/// read the same report, draw the same conclusion, and all send to the engine that looks best until
+/// the next report.
 #[rstest]
 #[case::few_vms(7, 2_000)]
 #[case::many_vms(50, 2_000)]
@@ -72,10 +72,9 @@
     assert!(baseline.longest_queue > 10 * figures.longest_queue);
 }
 
-/// Symptom: engines that other systems keep busy get as much as idle ones, and their queues grow.
-/// Sequence: a third of the engines has other work all the time; each VM has few requests of its
-/// own, too few to notice.
-/// Cause: the reports are mistrusted altogether.
+/// Guards against sending as much to engines that are busy with other systems' requests as to idle
+/// ones. A third of the engines is busy all the time, and each VM has too few requests to notice
+/// that without the reports.
 #[test]
 fn load_that_lasts_is_avoided() {
     let background = (0..6).map(|engine| (engine, 0.6)).collect();
@@ -141,9 +140,8 @@
     assert!((0.4..0.6).contains(&share), "{share}");
 }
 
-/// Symptom: an engine that restarted with its clock set back gets no share, or all, for hours.
-/// Sequence: its reports carry earlier times than the last one before the restart.
-/// Cause: reports are ordered by their own time alone.
+/// Guards against an engine that gets no requests, or all, for hours after a restart that set its
+/// clock back: its reports have earlier times than the last one before the restart.
 #[test]
 fn reports_of_a_clock_set_back_are_taken_after_a_silence() {
     let candidates = candidates(2, 1);
@@ -161,9 +159,8 @@
     assert!((0.4..0.6).contains(&share), "{share}");
 }
 
-/// Symptom: all VMs herd again, though each report is said to be old.
-/// Sequence: the daemon passes Unix times where the policy expects its monotonic clock.
-/// Cause: a report whose time lies ahead counts as one of this moment.
+/// Guards against trusting reports as if they were new because their times are on another clock,
+/// such as Unix time instead of this VM's monotonic clock, and lie in the future.
 #[test]
 fn a_report_on_another_clock_is_taken_with_the_usual_lag() {
     let share_with = |as_of_ms: u64| {
--- a/crates/routing/tests/prefix_affinity.rs
+++ b/crates/routing/tests/prefix_affinity.rs
@@ -1,4 +1,4 @@
-//! Cached prompt prefixes against queueing.
+//! Preference for upstreams that have cached a prompt prefix, limited by their load.
 
 use apricotdale_routing::Options;
 
@@ -33,9 +33,8 @@
     assert!(with.wait_ms(99) <= without.wait_ms(99));
 }
 
-/// Symptom: one engine's queue holds a hundred requests while the others idle.
-/// Sequence: half of all requests share one prompt prefix, which every VM sends to the same engine.
-/// Cause: the cached prefix is preferred whatever the load of the engine that has it.
+/// Guards against preferring the engine with a cached prefix whatever its load: if half of all
+/// requests share one prefix, its queue grows while the other engines are idle.
 #[test]
 fn a_prefix_that_all_share_spreads_over_the_engines() {
     let capped = with_cap(Options::default().affinity_pressure, 10);
--- a/crates/routing/tests/retry_budget.rs
+++ b/crates/routing/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Which failed tries are repeated, when, and how many.
+//! Failed attempts that are retried, their pauses, and their number.
 
 use std::collections::BTreeSet;
 
@@ -35,7 +35,7 @@
     )
 }
 
-/// Spends a group's whole budget.
+/// Spends all of a group's budget.
 fn exhaust(policy: &mut dyn RetryPolicy, request: &RetryRequest) {
     let spent = (0..1_000)
         .take_while(|_| retries(policy, 0, request))
@@ -77,9 +77,8 @@
     }
 }
 
-/// Symptom: an outage of a group turns into three times the load, and the group can't come back.
-/// Sequence: every request fails, and every failed one is repeated.
-/// Cause: retries are limited for each request, but not for the group.
+/// Guards against retries that multiply the load in an outage, under which the group can't recover.
+/// Every request fails, and a limit per request alone allows a retry for each.
 #[test]
 fn an_outage_does_not_multiply_the_load() {
     let mut policy = BudgetedRetry::new(RetryOptions::default());
@@ -150,9 +149,8 @@
     decisions.map(pause).collect()
 }
 
-/// Symptom: failed requests come back in waves.
-/// Sequence: many requests fail at one moment and are repeated after the same pause.
-/// Cause: the pause is the same for all, or only slightly varied.
+/// Guards against retries that arrive in waves: requests that fail together need different pauses,
+/// drawn from the full range.
 #[rstest]
 #[case::first(1, 10_000, 25)]
 #[case::second(2, 10_000, 50)]
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small model of many VMs before a group of engines whose reports lag.
+//! Simulation of many VMs that send to a group of engines with delayed load reports.
 
 #![allow(dead_code)]
 
@@ -22,22 +22,22 @@
 use apricotdale_routing::Options;
 use apricotdale_routing::routing_policy;
 
-/// The time that a refusal or a broken connection takes.
+/// Time until a refusal or a broken connection reaches the VM.
 const FAILURE_MS: u64 = 2;
 
-/// `Fault` is what is wrong with an engine.
+/// Fault of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
     /// Runs take this many times as long.
     Slow(f64),
-    /// Each request is refused at once, so that the engine always looks idle.
+    /// Every request is refused at once, so that the engine always looks idle.
     Refuses,
-    /// This share of the requests is lost in the middle.
+    /// This share of the requests is lost while it runs.
     Loses(f64),
 }
 
-/// `Fleet` describes one run of the model.
+/// Parameters of one simulation.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub policy: &'static str,
@@ -46,19 +46,21 @@
     pub engines: usize,
     pub slots: u32,
     pub run_ms: f64,
-    /// Arrivals as a share of what all slots can serve.
+    /// Arrivals as a share of the capacity of all slots.
     pub load: f64,
     pub report_every_ms: u64,
     pub report_lag_ms: u64,
     pub zones: usize,
-    /// Prompt prefixes, the first half of the requests using a tenth of them; none for no prompts.
+    /// Number of prompt prefixes, or 0 for requests without prompts. Half of the requests use a
+    /// tenth of the prefixes.
     pub prefixes: u64,
-    /// Prefixes that one engine keeps cached.
+    /// Number of prefixes that one engine keeps cached.
     pub cached: usize,
-    /// Engines that other systems keep busy, with the share of their places.
+    /// Engines that are busy with requests of other systems, and the share of their slots for
+    /// these.
     pub background: Vec<(usize, f64)>,
     pub faults: Vec<(usize, Fault)>,
-    /// When the faults end.
+    /// Time at which the faults end.
     pub faults_end_ms: u64,
     pub length_ms: u64,
     pub seed: u64,
@@ -88,7 +90,7 @@
     }
 }
 
-/// `Figures` is what one run of the model showed.
+/// Result of one simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     pub waits_ms: Vec<u64>,
@@ -101,7 +103,7 @@
 }
 
 impl Figures {
-    /// Returns a percentile of the waits at the engines.
+    /// Returns a percentile of the waiting times at the engines.
     pub fn wait_ms(&self, percent: usize) -> u64 {
         let index = self.waits_ms.len().saturating_sub(1) * percent / 100;
         self.waits_ms.get(index).copied().unwrap_or(0)
@@ -167,7 +169,7 @@
     figures: Figures,
 }
 
-/// Plays one run of the model.
+/// Runs one simulation.
 pub fn play(fleet: &Fleet) -> Figures {
     let mut run = Run::new(fleet.clone());
     run.events.push(Reverse((0, Event::Arrive)));
@@ -264,7 +266,7 @@
         self.send(now_ms, vm, chosen.expect("there are candidates"), prefix);
     }
 
-    /// Lets another system's request take a place at once, beyond the batch if need be.
+    /// Lets another system's request take a slot at once, even if all slots are taken.
     fn arrive_from_elsewhere(&mut self, now_ms: u64, engine: usize) {
         let background = self.fleet.background.iter();
         let share: f64 = background
--- a/crates/routing/tests/zone_preference.rs
+++ b/crates/routing/tests/zone_preference.rs
@@ -1,4 +1,4 @@
-//! The own availability zone before the others, unless it is busier.
+//! Preference for upstreams in this VM's availability zone.
 
 use apricotdale_core::names::ZoneName;
 use apricotdale_core::policy::RouteRequest;
@@ -32,9 +32,8 @@
     assert!(figures.wait_ms(99) <= 800, "{} ms", figures.wait_ms(99));
 }
 
-/// Symptom: requests queue in one availability zone while the engines of the others idle.
-/// Sequence: other systems keep one availability zone's engines nearly busy.
-/// Cause: the own availability zone is preferred whatever its load.
+/// Guards against preferring this VM's availability zone whatever its load: requests queue there
+/// when other systems keep its engines busy, while those of the other zones are idle.
 #[test]
 fn a_busy_zone_sends_its_requests_to_the_others() {
     let zone_0 = (0..18).filter(|engine| engine % 3 == 0);
