--- a/crates/routing/examples/routing_figures.rs
+++ b/crates/routing/examples/routing_figures.rs
@@ -21,10 +21,10 @@
 mod support;
 
 use support::Fault;
-use support::Figures;
 use support::Fleet;
+use support::Results;
 use support::candidates;
-use support::play;
+use support::simulate;
 
 fn main() {
     for vms in [1, 7, 50] {
@@ -63,27 +63,27 @@
 
 fn compare(title: &str, fleet: &Fleet) {
     for policy in ROUTING_POLICIES {
-        let figures = play(&Fleet {
+        let results = simulate(&Fleet {
             policy,
             ..fleet.clone()
         });
-        print_line(&format!("{title} | {policy}"), &figures);
+        print_line(&format!("{title} | {policy}"), &results);
     }
 }
 
-fn print_line(title: &str, figures: &Figures) {
-    let requests = figures.requests().max(1);
+fn print_line(title: &str, results: &Results) {
+    let requests = results.requests().max(1);
     let percent = |count: u32| 100.0 * f64::from(count) / f64::from(requests);
     println!(
         "{title} | {requests} requests | wait p50 {} p95 {} p99 {} ms | longest queue {} | failed \
          {:.2} % | own zone {:.0} % | prefix hits {:.0} %",
-        figures.wait_ms(50),
-        figures.wait_ms(95),
-        figures.wait_ms(99),
-        figures.longest_queue,
-        percent(figures.failed),
-        percent(figures.own_zone),
-        percent(figures.prefix_hits),
+        results.wait_ms(50),
+        results.wait_ms(95),
+        results.wait_ms(99),
+        results.longest_queue,
+        percent(results.failed),
+        percent(results.own_zone),
+        percent(results.prefix_hits),
     );
 }
 
@@ -119,7 +119,7 @@
                 ..fleet.clone()
             };
             let title = format!("{title}, choices {choices}, gains {weight_gain} {fresh_gain}");
-            print_line(&title, &play(&fleet));
+            print_line(&title, &simulate(&fleet));
         }
     }
 }
@@ -139,7 +139,10 @@
                 load: 1.0,
                 ..Fleet::default()
             };
-            print_line(&format!("{kind}, cap {affinity_pressure}"), &play(&fleet));
+            print_line(
+                &format!("{kind}, cap {affinity_pressure}"),
+                &simulate(&fleet),
+            );
         }
     }
 }
--- a/crates/routing/src/budgeted_retry.rs
+++ b/crates/routing/src/budgeted_retry.rs
@@ -11,7 +11,7 @@
 use apricotdale_core::policy::RetryPolicy;
 use apricotdale_core::policy::RetryRequest;
 
-use crate::fixed_retry::forbidden;
+use crate::fixed_retry::refusal_reason;
 use crate::options::RetryOptions;
 
 /// Retry policy that retries only what may be retried, after a random pause, and within a budget
@@ -30,7 +30,7 @@
 /// Token bucket with one token per retry.
 #[derive(Debug)]
 struct Budget {
-    saved: f64,
+    tokens: f64,
     at_ms: u64,
 }
 
@@ -40,20 +40,20 @@
         let elapsed_ms = now_ms.saturating_sub(self.at_ms);
         self.at_ms = self.at_ms.max(now_ms);
         let earned = options.earned_per_s * elapsed_ms as f64 / 1_000.0;
-        let room = (options.idle_saved - self.saved).max(0.0);
-        self.saved += earned.min(room);
+        let room = (options.idle_saved - self.tokens).max(0.0);
+        self.tokens += earned.min(room);
     }
 
     fn earn(&mut self, options: &RetryOptions) {
-        self.saved = (self.saved + options.earned_per_first_try).min(options.max_saved);
+        self.tokens = (self.tokens + options.earned_per_first_try).min(options.max_saved);
     }
 
     fn spend(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
-        if enough {
-            self.saved -= 1.0;
+        let is_enough = self.tokens >= 1.0;
+        if is_enough {
+            self.tokens -= 1.0;
         }
-        enough
+        is_enough
     }
 }
 
@@ -70,17 +70,17 @@
     /// Replaces the tunables. Tokens above the new maximum are dropped.
     pub fn set_options(&mut self, options: RetryOptions) {
         for budget in self.budgets.values_mut() {
-            budget.saved = budget.saved.min(options.max_saved);
+            budget.tokens = budget.tokens.min(options.max_saved);
         }
         self.options = options;
     }
 
     fn budget(&mut self, now_ms: u64, group: &GroupName) -> &mut Budget {
-        let fresh = Budget {
-            saved: self.options.max_saved,
+        let full_budget = Budget {
+            tokens: self.options.max_saved,
             at_ms: now_ms,
         };
-        let budget = self.budgets.entry(group.clone()).or_insert(fresh);
+        let budget = self.budgets.entry(group.clone()).or_insert(full_budget);
         budget.advance(now_ms, &self.options);
         budget
     }
@@ -92,8 +92,8 @@
         let options = &self.options;
         let doublings = request.tries.saturating_sub(1).min(u64::BITS - 1);
         let bound_ms = options.base_pause_ms.saturating_mul(1 << doublings);
-        let longest_ms = request.left_ms.saturating_sub(options.min_left_ms);
-        let bound_ms = bound_ms.min(options.max_pause_ms).min(longest_ms);
+        let time_left_ms = request.left_ms.saturating_sub(options.min_left_ms);
+        let bound_ms = bound_ms.min(options.max_pause_ms).min(time_left_ms);
         self.random.random_range(0..=bound_ms)
     }
 }
@@ -105,7 +105,7 @@
     }
 
     fn decide(&mut self, now_ms: u64, request: &RetryRequest) -> RetryDecision {
-        if let Some(decision) = forbidden(request, &self.options) {
+        if let Some(decision) = refusal_reason(request, &self.options) {
             return decision;
         }
         if !self.budget(now_ms, &request.group).spend() {
--- a/crates/routing/src/corrected_load.rs
+++ b/crates/routing/src/corrected_load.rs
@@ -11,9 +11,9 @@
 use apricotdale_core::policy::RoutingPolicy;
 use apricotdale_core::rendezvous;
 
-use crate::affinity::PrefixMemory;
 use crate::group::Group;
 use crate::options::Options;
+use crate::prefix_history::PrefixHistory;
 
 /// Routing policy that corrects delayed load reports and combines them with random choice.
 ///
@@ -29,7 +29,7 @@
 pub struct CorrectedLoad {
     options: Options,
     group: Group,
-    prefixes: PrefixMemory,
+    prefix_history: PrefixHistory,
     random: ChaCha8Rng,
 }
 
@@ -38,7 +38,7 @@
     pub fn new(options: Options) -> Self {
         Self {
             group: Group::new(options.clone()),
-            prefixes: PrefixMemory::new(options.prefix_entries, options.prefix_ttl_ms),
+            prefix_history: PrefixHistory::new(options.prefix_entries, options.prefix_ttl_ms),
             random: ChaCha8Rng::seed_from_u64(options.seed),
             options,
         }
@@ -49,15 +49,15 @@
     /// answer, while a refusal never does.
     fn usable(&self, request: &RouteRequest, candidates: &[Candidate]) -> Vec<usize> {
         let mut classes = [const { Vec::new() }; 4];
-        for (place, candidate) in candidates.iter().enumerate() {
+        for (index, candidate) in candidates.iter().enumerate() {
             let tried = request.tried.contains(&candidate.upstream);
-            let class = match (tried, self.group.in_service(&candidate.upstream)) {
+            let class = match (tried, self.group.is_in_service(&candidate.upstream)) {
                 (false, true) => 0,
                 (false, false) => 1,
                 (true, true) => 2,
                 (true, false) => 3,
             };
-            classes[class].push(place);
+            classes[class].push(index);
         }
         let usable = classes.into_iter().find(|class| !class.is_empty());
         usable.unwrap_or_default()
@@ -74,52 +74,57 @@
         if !request.tried.is_empty() {
             return None;
         }
-        let place_of = |name: &UpstreamName| {
+        let index_of = |name: &UpstreamName| {
             let mut candidates = candidates.iter();
             candidates.position(|candidate| candidate.upstream == *name)
         };
         let due = self
             .group
-            .next_probe(now_ms, |name| place_of(name).is_some())?;
-        place_of(&due)
+            .next_probe(now_ms, |name| index_of(name).is_some())?;
+        index_of(&due)
     }
 
-    fn is_near(&self, candidate: &Candidate) -> bool {
+    fn is_in_own_zone(&self, candidate: &Candidate) -> bool {
         let own_zone = self.options.own_zone.as_ref();
         own_zone.is_none_or(|own_zone| candidate.zone == *own_zone)
     }
 
     /// Returns the usable candidates with their weights.
-    fn weigh(&self, now_ms: u64, candidates: &[Candidate], usable: &[usize]) -> Vec<Weighed> {
+    fn weighted_candidates(
+        &self,
+        now_ms: u64,
+        candidates: &[Candidate],
+        usable: &[usize],
+    ) -> Vec<WeightedCandidate> {
         let load = self.group.load();
-        let weigh = |&place: &usize| {
-            let candidate = &candidates[place];
-            let zone = match self.is_near(candidate) {
+        let weighted_candidates = |&index: &usize| {
+            let candidate = &candidates[index];
+            let zone = match self.is_in_own_zone(candidate) {
                 true => 1.0,
                 false => self.options.other_zone_weight,
             };
             let weight = self.group.weight(now_ms, &candidate.upstream, load);
-            Weighed {
-                place,
+            WeightedCandidate {
+                index,
                 weight,
-                odds: weight * zone,
+                draw_weight: weight * zone,
             }
         };
-        usable.iter().map(weigh).collect()
+        usable.iter().map(weighted_candidates).collect()
     }
 
     /// Draws some candidates without replacement, and returns them in the order of the draw.
-    fn draw(&mut self, mut weighed: Vec<Weighed>) -> Vec<Weighed> {
-        let mut all: f64 = weighed.iter().map(|candidate| candidate.odds).sum();
+    fn draw(&mut self, mut weighted: Vec<WeightedCandidate>) -> Vec<WeightedCandidate> {
+        let mut total: f64 = weighted.iter().map(|candidate| candidate.draw_weight).sum();
         let mut drawn = Vec::with_capacity(self.options.choices);
-        while drawn.len() < self.options.choices.max(1) && !weighed.is_empty() {
-            let mut point = self.random.random_range(0.0..=all.max(f64::EPSILON));
-            let hit = weighed.iter().position(|candidate| {
-                point -= candidate.odds;
+        while drawn.len() < self.options.choices.max(1) && !weighted.is_empty() {
+            let mut point = self.random.random_range(0.0..=total.max(f64::EPSILON));
+            let hit = weighted.iter().position(|candidate| {
+                point -= candidate.draw_weight;
                 point <= 0.0
             });
-            let picked = weighed.swap_remove(hit.unwrap_or(0));
-            all -= picked.odds;
+            let picked = weighted.swap_remove(hit.unwrap_or(0));
+            total -= picked.draw_weight;
             drawn.push(picked);
         }
         drawn
@@ -128,67 +133,81 @@
     /// Returns the drawn candidate with the fewest requests of this VM for its weight. Only these
     /// requests are known as of now. Among equal candidates the first one drawn is chosen, and the
     /// draw follows the weights.
-    fn least_used(&self, candidates: &[Candidate], drawn: &[Weighed]) -> Option<usize> {
-        let used = |candidate: &&Weighed| {
-            let upstream = &candidates[candidate.place];
-            let zone = match self.is_near(upstream) {
+    fn least_used(&self, candidates: &[Candidate], drawn: &[WeightedCandidate]) -> Option<usize> {
+        let used = |candidate: &&WeightedCandidate| {
+            let upstream = &candidates[candidate.index];
+            let zone = match self.is_in_own_zone(upstream) {
                 true => 0.0,
                 false => self.options.other_zone_pressure,
             };
-            f64::from(self.group.own(&upstream.upstream)) / candidate.weight + zone
+            f64::from(self.group.local_requests(&upstream.upstream)) / candidate.weight + zone
         };
         let least = drawn
             .iter()
             .min_by(|left, right| used(left).total_cmp(&used(right)));
-        least.map(|candidate| candidate.place)
+        least.map(|candidate| candidate.index)
     }
 
     /// Returns the usable candidates that have probably cached the prefix: those to which this VM
     /// has recently sent it, or else the one that all VMs prefer for it.
-    fn cached_at(
+    fn probably_cached(
         &self,
         now_ms: u64,
         prefix_hash: u64,
         candidates: &[Candidate],
-        weighed: &[Weighed],
-    ) -> Vec<Weighed> {
-        let name_of = |candidate: &Weighed| &candidates[candidate.place].upstream;
-        let recent: Vec<&UpstreamName> = self.prefixes.recent(now_ms, prefix_hash).collect();
-        let cached = weighed
+        weighted: &[WeightedCandidate],
+    ) -> Vec<WeightedCandidate> {
+        let name_of = |candidate: &WeightedCandidate| &candidates[candidate.index].upstream;
+        let recent_upstreams: Vec<&UpstreamName> = self
+            .prefix_history
+            .recent_upstreams(now_ms, prefix_hash)
+            .collect();
+        let cached = weighted
             .iter()
-            .filter(|candidate| recent.contains(&name_of(candidate)));
-        let cached: Vec<Weighed> = cached.copied().collect();
+            .filter(|candidate| recent_upstreams.contains(&name_of(candidate)));
+        let cached: Vec<WeightedCandidate> = cached.copied().collect();
         if !cached.is_empty() {
             return cached;
         }
-        let home = rendezvous::preferred(weighed.iter().map(name_of), &prefix_hash);
-        let is_home = |candidate: &&Weighed| Some(name_of(candidate)) == home;
-        weighed.iter().find(is_home).copied().into_iter().collect()
+        let preferred_upstream = rendezvous::preferred(weighted.iter().map(name_of), &prefix_hash);
+        let is_preferred_upstream =
+            |candidate: &&WeightedCandidate| Some(name_of(candidate)) == preferred_upstream;
+        weighted
+            .iter()
+            .find(is_preferred_upstream)
+            .copied()
+            .into_iter()
+            .collect()
     }
 
     /// Returns the candidate for a request with a prefix. That is `best` if it has probably cached
     /// the prefix or if those that have are too busy, and else the least used of these.
-    fn cached_or(&self, best: usize, cached: Vec<Weighed>, candidates: &[Candidate]) -> usize {
-        if cached.iter().any(|candidate| candidate.place == best) {
+    fn cached_or(
+        &self,
+        best: usize,
+        cached: Vec<WeightedCandidate>,
+        candidates: &[Candidate],
+    ) -> usize {
+        if cached.iter().any(|candidate| candidate.index == best) {
             return best;
         }
         let load = self.group.load();
-        let pressure = |place: usize| self.group.pressure(&candidates[place].upstream, load);
-        let most = pressure(best) + self.options.affinity_pressure;
-        let bearable = cached
+        let pressure = |index: usize| self.group.pressure(&candidates[index].upstream, load);
+        let max_pressure = pressure(best) + self.options.affinity_pressure;
+        let not_too_busy = cached
             .into_iter()
-            .filter(|candidate| pressure(candidate.place) <= most);
-        let bearable: Vec<Weighed> = bearable.collect();
-        self.least_used(candidates, &bearable).unwrap_or(best)
+            .filter(|candidate| pressure(candidate.index) <= max_pressure);
+        let not_too_busy: Vec<WeightedCandidate> = not_too_busy.collect();
+        self.least_used(candidates, &not_too_busy).unwrap_or(best)
     }
 }
 
 /// Candidate with the weight of its load and the weight with which it is drawn.
 #[derive(Clone, Copy, Debug)]
-struct Weighed {
-    place: usize,
+struct WeightedCandidate {
+    index: usize,
     weight: f64,
-    odds: f64,
+    draw_weight: f64,
 }
 
 impl RoutingPolicy for CorrectedLoad {
@@ -200,7 +219,7 @@
             } => {
                 self.group.sent(now_ms, &upstream);
                 if let Some(prefix_hash) = prefix_hash {
-                    self.prefixes.sent(now_ms, prefix_hash, upstream);
+                    self.prefix_history.sent(now_ms, prefix_hash, upstream);
                 }
             }
             RoutingEvent::Ended {
@@ -225,13 +244,13 @@
             return Some(probe);
         }
         let usable = self.usable(request, candidates);
-        let weighed = self.weigh(now_ms, candidates, &usable);
-        let drawn = self.draw(weighed.clone());
+        let weighted = self.weighted_candidates(now_ms, candidates, &usable);
+        let drawn = self.draw(weighted.clone());
         let best = self.least_used(candidates, &drawn)?;
         let Some(prefix_hash) = request.prefix_hash else {
             return Some(best);
         };
-        let cached = self.cached_at(now_ms, prefix_hash, candidates, &weighed);
+        let cached = self.probably_cached(now_ms, prefix_hash, candidates, &weighted);
         Some(self.cached_or(best, cached, candidates))
     }
 }
--- a/crates/routing/src/fixed_retry.rs
+++ b/crates/routing/src/fixed_retry.rs
@@ -8,11 +8,14 @@
 use crate::options::RetryOptions;
 
 /// Returns why a request must not be retried, or `None` if it may be.
-pub(crate) fn forbidden(request: &RetryRequest, options: &RetryOptions) -> Option<RetryDecision> {
-    let may_repeat = request.idempotent || request.certainly_not_run;
+pub(crate) fn refusal_reason(
+    request: &RetryRequest,
+    options: &RetryOptions,
+) -> Option<RetryDecision> {
+    let may_retry = request.idempotent || request.certainly_not_run;
     match request {
         _ if request.answer_begun => Some(RetryDecision::AnswerBegun),
-        _ if !may_repeat => Some(RetryDecision::MayHaveRun),
+        _ if !may_retry => Some(RetryDecision::MayHaveRun),
         _ if request.tries >= options.max_tries => Some(RetryDecision::TooManyTries),
         _ if request.left_ms < options.min_left_ms => Some(RetryDecision::NoTimeLeft),
         _ => None,
@@ -37,10 +40,10 @@
     fn first_try(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, request: &RetryRequest) -> RetryDecision {
-        if let Some(decision) = forbidden(request, &self.options) {
+        if let Some(decision) = refusal_reason(request, &self.options) {
             return decision;
         }
-        let longest_ms = request.left_ms - self.options.min_left_ms;
-        RetryDecision::RetryAfterMs(self.options.base_pause_ms.min(longest_ms))
+        let time_left_ms = request.left_ms - self.options.min_left_ms;
+        RetryDecision::RetryAfterMs(self.options.base_pause_ms.min(time_left_ms))
     }
 }
--- a/crates/routing/src/group.rs
+++ b/crates/routing/src/group.rs
@@ -7,14 +7,14 @@
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::policy::UpstreamOutcome;
 
+use crate::health::Health;
 use crate::load_estimate::GroupLoad;
 use crate::load_estimate::LoadEstimate;
 use crate::options::Options;
 use crate::options::OutlierOptions;
 use crate::outcomes::Outcomes;
 use crate::outcomes::share;
-use crate::residence::Residence;
-use crate::standing::Standing;
+use crate::residence_time::ResidenceTime;
 
 /// Time for which the group's median is used before it is computed again.
 const MEDIAN_VALID_MS: u64 = 500;
@@ -24,7 +24,7 @@
 struct Upstream {
     load: LoadEstimate,
     outcomes: Outcomes,
-    standing: Standing,
+    health: Health,
 }
 
 impl Upstream {
@@ -32,7 +32,7 @@
         Self {
             load: LoadEstimate::new(),
             outcomes: Outcomes::default(),
-            standing: Standing::new(now_ms),
+            health: Health::new(now_ms),
         }
     }
 }
@@ -43,7 +43,7 @@
     options: Options,
     upstreams: HashMap<UpstreamName, Upstream>,
     out_of_service: BTreeSet<UpstreamName>,
-    residence: Residence,
+    residence_time: ResidenceTime,
     reported: u32,
     sum_total: f64,
     median_first_byte_ms: Option<f64>,
@@ -54,7 +54,10 @@
     /// Returns a group without upstreams.
     pub(crate) fn new(options: Options) -> Self {
         Self {
-            residence: Residence::new(options.assumed_run_ms, options.outliers.half_life_ms),
+            residence_time: ResidenceTime::new(
+                options.assumed_run_ms,
+                options.outliers.half_life_ms,
+            ),
             options,
             upstreams: HashMap::new(),
             out_of_service: BTreeSet::new(),
@@ -70,16 +73,16 @@
         self.out_of_service.remove(name);
         let removed = self.upstreams.remove(name);
         let total = removed.and_then(|upstream| upstream.load.total());
-        self.count_total(total, None);
+        self.update_total(total, None);
     }
 
     /// Records that a request was sent.
     pub(crate) fn sent(&mut self, now_ms: u64, name: &UpstreamName) {
         let horizon_ms = self.options.max_lag_ms;
-        self.residence.sent(now_ms);
+        self.residence_time.sent(now_ms);
         let upstream = self.upstream(now_ms, name);
-        upstream.load.own.sent(now_ms, horizon_ms);
-        upstream.standing.sent(now_ms);
+        upstream.load.local.sent(now_ms, horizon_ms);
+        upstream.health.sent(now_ms);
     }
 
     /// Records that a request ended, and ejects its upstream if that has become an outlier.
@@ -91,26 +94,26 @@
         first_byte_ms: Option<u64>,
     ) {
         let options = self.options.outliers;
-        self.residence.ended(now_ms);
+        self.residence_time.ended(now_ms);
         // A request may end after its upstream was removed, which must not add it again.
         let Some(upstream) = self.upstreams.get_mut(name) else {
             return;
         };
-        upstream.load.own.ended(now_ms, self.options.max_lag_ms);
+        upstream.load.local.ended(now_ms, self.options.max_lag_ms);
         if outcome == UpstreamOutcome::Cancelled {
-            upstream.standing.cancelled();
+            upstream.health.cancelled();
             return;
         }
         upstream
             .outcomes
-            .learn(now_ms, outcome, first_byte_ms, &options);
-        let good = outcome == UpstreamOutcome::Answered;
-        if upstream.standing.ended(now_ms, good, &options) {
+            .record(now_ms, outcome, first_byte_ms, &options);
+        let answered = outcome == UpstreamOutcome::Answered;
+        if upstream.health.ended(now_ms, answered, &options) {
             upstream.outcomes = Outcomes::default();
             self.out_of_service.remove(name);
         }
         self.refresh_median(now_ms);
-        self.judge(now_ms, name, &options);
+        self.eject_if_outlier(now_ms, name, &options);
     }
 
     /// Records a load report.
@@ -121,12 +124,12 @@
         let before = upstream.load.total();
         if upstream.load.reported(now_ms, report, group, &options) {
             let after = upstream.load.total();
-            self.count_total(before, after);
+            self.update_total(before, after);
         }
     }
 
     /// Returns whether an upstream takes a share of the requests. An unknown upstream does.
-    pub(crate) fn in_service(&self, name: &UpstreamName) -> bool {
+    pub(crate) fn is_in_service(&self, name: &UpstreamName) -> bool {
         !self.out_of_service.contains(name)
     }
 
@@ -134,7 +137,7 @@
     pub(crate) fn load(&self) -> GroupLoad {
         GroupLoad {
             mean_total: self.sum_total.max(0.0) / f64::from(self.reported.max(1)),
-            residence_ms: self.residence.mean_ms(),
+            residence_ms: self.residence_time.mean_ms(),
         }
     }
 
@@ -148,14 +151,14 @@
         let options = &self.options.outliers;
         let slowness = self.slowness(&upstream.outcomes, options);
         let slowness = slowness.clamp(1.0, options.max_slowness.max(1.0));
-        let factor = slowness * upstream.standing.cost_factor(now_ms, options);
+        let factor = slowness * upstream.health.weight_divisor(now_ms, options);
         upstream.load.weight(now_ms, load, &self.options) / factor
     }
 
     /// Returns the number of this VM's requests at an upstream.
-    pub(crate) fn own(&self, name: &UpstreamName) -> u32 {
+    pub(crate) fn local_requests(&self, name: &UpstreamName) -> u32 {
         let upstream = self.upstreams.get(name);
-        upstream.map_or(0, |upstream| upstream.load.own.now())
+        upstream.map_or(0, |upstream| upstream.load.local.now())
     }
 
     /// Returns an upstream's estimated requests as a share of its slots.
@@ -178,9 +181,9 @@
             let Some(upstream) = self.upstreams.get_mut(name) else {
                 continue;
             };
-            upstream.standing.advance(now_ms, options);
-            if upstream.standing.wants_probe(now_ms, options) && may_probe(name) {
-                upstream.standing.probe_offered(now_ms, options);
+            upstream.health.advance(now_ms, options);
+            if upstream.health.is_probe_due(now_ms, options) && may_probe(name) {
+                upstream.health.record_probe_offered(now_ms, options);
                 return Some(name.clone());
             }
         }
@@ -195,20 +198,21 @@
         upstream.expect("the upstream was inserted if it was missing")
     }
 
-    fn count_total(&mut self, before: Option<f64>, after: Option<f64>) {
+    fn update_total(&mut self, before: Option<f64>, after: Option<f64>) {
         self.reported = self.reported + u32::from(after.is_some()) - u32::from(before.is_some());
         self.sum_total += after.unwrap_or(0.0) - before.unwrap_or(0.0);
     }
 
     fn slowness(&self, outcomes: &Outcomes, options: &OutlierOptions) -> f64 {
         let first_byte_ms = outcomes.first_byte_ms(options);
-        let (Some(own_ms), Some(median_ms)) = (first_byte_ms, self.median_first_byte_ms) else {
+        let (Some(upstream_ms), Some(median_ms)) = (first_byte_ms, self.median_first_byte_ms)
+        else {
             return 1.0;
         };
-        if own_ms < median_ms + options.slow_floor_ms {
+        if upstream_ms < median_ms + options.slow_floor_ms {
             return 1.0;
         }
-        own_ms / median_ms.max(1.0)
+        upstream_ms / median_ms.max(1.0)
     }
 
     fn refresh_median(&mut self, now_ms: u64) {
@@ -232,37 +236,42 @@
         Some(*median_ms)
     }
 
-    fn judge(&mut self, now_ms: u64, name: &UpstreamName, options: &OutlierOptions) {
+    fn eject_if_outlier(&mut self, now_ms: u64, name: &UpstreamName, options: &OutlierOptions) {
         let upstream = &self.upstreams[name];
-        let stands_out = upstream.standing.in_service()
-            && (self.fails_alone(now_ms, name, options)
+        let is_outlier = upstream.health.is_in_service()
+            && (self.fails_more_than_others(now_ms, name, options)
                 || self.is_too_slow(&upstream.outcomes, options));
-        if !stands_out || !self.may_eject(options) {
+        if !is_outlier || !self.may_eject(options) {
             return;
         }
         self.out_of_service.insert(name.clone());
         let upstream = self.upstream(now_ms, name);
         upstream.outcomes = Outcomes::default();
-        upstream.standing.advance(now_ms, options);
-        upstream.standing.eject(now_ms, options);
+        upstream.health.advance(now_ms, options);
+        upstream.health.eject(now_ms, options);
     }
 
-    fn fails_alone(&self, now_ms: u64, name: &UpstreamName, options: &OutlierOptions) -> bool {
+    fn fails_more_than_others(
+        &self,
+        now_ms: u64,
+        name: &UpstreamName,
+        options: &OutlierOptions,
+    ) -> bool {
         let outcomes = &self.upstreams[name].outcomes;
-        let in_a_row = outcomes.failures_in_a_row() >= options.failures_in_a_row;
+        let by_consecutive = outcomes.consecutive_failures() >= options.consecutive_failures;
         let by_share = outcomes.weight() >= options.min_weight
             && outcomes.failure_share() > options.failure_margin;
-        if !in_a_row && !by_share {
+        if !by_consecutive && !by_share {
             return false;
         }
         let others = self.failure_share_of_others(now_ms, name, options);
-        (in_a_row && others < options.common_failure)
+        (by_consecutive && others < options.common_failure)
             || (by_share && outcomes.failure_share() > others + options.failure_margin)
     }
 
     fn is_too_slow(&self, outcomes: &Outcomes, options: &OutlierOptions) -> bool {
-        let enough = outcomes.weight() >= options.min_weight;
-        enough && self.slowness(outcomes, options) >= options.eject_slowness
+        let is_enough = outcomes.weight() >= options.min_weight;
+        is_enough && self.slowness(outcomes, options) >= options.eject_slowness
     }
 
     /// Returns the share of failures among the other upstreams in service. If all fail, the cause
@@ -273,17 +282,17 @@
         name: &UpstreamName,
         options: &OutlierOptions,
     ) -> f64 {
-        let mut bad = 0.0;
+        let mut failures = 0.0;
         let mut weight = 0.0;
         for (other, upstream) in &self.upstreams {
-            if other == name || !upstream.standing.in_service() {
+            if other == name || !upstream.health.is_in_service() {
                 continue;
             }
-            let faded = upstream.outcomes.faded(now_ms, options);
-            bad += faded.bad();
-            weight += faded.weight();
+            let decayed = upstream.outcomes.decayed(now_ms, options);
+            failures += decayed.failures();
+            weight += decayed.weight();
         }
-        share(bad, weight)
+        share(failures, weight)
     }
 
     fn may_eject(&self, options: &OutlierOptions) -> bool {
--- a/crates/routing/src/in_flight.rs
+++ b/crates/routing/src/in_flight.rs
@@ -30,11 +30,11 @@
     pub(crate) fn at(&self, then_ms: u64) -> u32 {
         let then = then_ms / STEP_MS;
         let since = self.changes.iter().rev();
-        let grown: i64 = since
+        let growth: i64 = since
             .take_while(|change| change.step > then)
             .map(|change| change.difference)
             .sum();
-        (i64::from(self.now) - grown).max(0) as u32
+        (i64::from(self.now) - growth).max(0) as u32
     }
 
     /// Records that a request was sent. Changes older than `horizon_ms` are removed.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -8,20 +8,20 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod affinity;
 mod budgeted_retry;
 mod corrected_load;
 mod errors;
 mod fixed_retry;
 mod group;
+mod health;
 mod in_flight;
 mod least_reported;
 mod load_estimate;
 mod options;
 mod outcomes;
+mod prefix_history;
 mod registry;
-mod residence;
-mod standing;
+mod residence_time;
 
 pub use budgeted_retry::BudgetedRetry;
 pub use corrected_load::CorrectedLoad;
--- a/crates/routing/src/load_estimate.rs
+++ b/crates/routing/src/load_estimate.rs
@@ -7,7 +7,7 @@
 
 /// Mean pressure below which a group counts as idle, so that single requests on idle upstreams do
 /// not shift the weights.
-const IDLE_PRESSURE: f64 = 0.25;
+const MIN_REFERENCE_PRESSURE: f64 = 0.25;
 
 /// Last report of one upstream, its weight, and this VM's requests there.
 ///
@@ -18,7 +18,7 @@
 /// upstream's weight by a step.
 #[derive(Debug)]
 pub(crate) struct LoadEstimate {
-    pub(crate) own: InFlight,
+    pub(crate) local: InFlight,
     report: Option<Report>,
     log_weight: f64,
 }
@@ -28,7 +28,7 @@
     /// Time at which the report was made, on the engine's clock.
     as_of_ms: u64,
     /// The same time on this VM's clock.
-    placed_ms: u64,
+    local_as_of_ms: u64,
     read_at_ms: u64,
     /// All requests as a share of the slots.
     total: f64,
@@ -50,7 +50,7 @@
     /// Returns the estimate of an upstream that has not reported.
     pub(crate) fn new() -> Self {
         Self {
-            own: InFlight::default(),
+            local: InFlight::default(),
             report: None,
             log_weight: 0.0,
         }
@@ -66,30 +66,30 @@
         group: GroupLoad,
         options: &Options,
     ) -> bool {
-        let older = self.report.is_some_and(|last| {
-            let silent_ms = now_ms.saturating_sub(last.read_at_ms);
-            report.as_of_ms < last.as_of_ms && silent_ms < options.max_lag_ms
+        let is_older = self.report.is_some_and(|previous| {
+            let unread_ms = now_ms.saturating_sub(previous.read_at_ms);
+            report.as_of_ms < previous.as_of_ms && unread_ms < options.max_lag_ms
         });
-        if older {
+        if is_older {
             return false;
         }
-        let placed_ms = placed_ms(now_ms, report.as_of_ms, options);
+        let local_as_of_ms = local_as_of_ms(now_ms, report.as_of_ms, options);
         let slots = match report.slots {
             0 => options.default_slots.max(1),
             slots => slots,
         };
         let load = report.running.saturating_add(report.waiting);
-        let others = load.saturating_sub(self.own.at(placed_ms));
+        let others = load.saturating_sub(self.local.at(local_as_of_ms));
         let next = Report {
             as_of_ms: report.as_of_ms,
-            placed_ms,
+            local_as_of_ms,
             read_at_ms: now_ms,
             total: f64::from(load) / f64::from(slots),
             others: f64::from(others) / f64::from(slots),
             slots,
         };
-        if let Some(last) = self.report.replace(next) {
-            self.move_weight(last, next, group, options);
+        if let Some(previous) = self.report.replace(next) {
+            self.move_weight(previous, next, group, options);
         }
         true
     }
@@ -100,15 +100,15 @@
     }
 
     /// Returns this VM's requests as a share of the slots.
-    pub(crate) fn own_pressure(&self, options: &Options) -> f64 {
-        f64::from(self.own.now()) / f64::from(self.slots(options))
+    pub(crate) fn local_pressure(&self, options: &Options) -> f64 {
+        f64::from(self.local.now()) / f64::from(self.slots(options))
     }
 
     /// Returns all requests as a share of the slots: this VM's as of now, and the other VMs' as of
     /// the last report.
     pub(crate) fn pressure(&self, mean_total: f64, options: &Options) -> f64 {
         let others = self.report.map_or(mean_total, |report| report.others);
-        self.own_pressure(options) + others
+        self.local_pressure(options) + others
     }
 
     /// Returns the weight with which the upstream is drawn from its group.
@@ -117,10 +117,10 @@
         let Some(report) = self.report else {
             return slots;
         };
-        let age_ms = now_ms.saturating_sub(report.placed_ms) as f64;
-        let still_true = (-age_ms / group.residence_ms).exp();
-        let fresh = options.fresh_gain * still_true * (report.total - group.mean_total);
-        slots * (self.log_weight - fresh).exp()
+        let age_ms = now_ms.saturating_sub(report.local_as_of_ms) as f64;
+        let recency = (-age_ms / group.residence_ms).exp();
+        let recent_shift = options.fresh_gain * recency * (report.total - group.mean_total);
+        slots * (self.log_weight - recent_shift).exp()
     }
 
     fn slots(&self, options: &Options) -> u32 {
@@ -133,22 +133,22 @@
     /// A step is scaled by the time between the two reports over the time until its effect shows in
     /// a report. All VMs see the same reports and move alike, and would otherwise correct the same
     /// distance more than once.
-    fn move_weight(&mut self, last: Report, next: Report, group: GroupLoad, options: &Options) {
-        let gap_ms = next.placed_ms.saturating_sub(last.placed_ms) as f64;
-        let lag_ms = next.read_at_ms.saturating_sub(next.placed_ms) as f64;
+    fn move_weight(&mut self, previous: Report, next: Report, group: GroupLoad, options: &Options) {
+        let gap_ms = next.local_as_of_ms.saturating_sub(previous.local_as_of_ms) as f64;
+        let lag_ms = next.read_at_ms.saturating_sub(next.local_as_of_ms) as f64;
         let effect_ms = (lag_ms + gap_ms + group.residence_ms).max(1.0);
-        let yardstick = group.mean_total.max(IDLE_PRESSURE);
-        let distance = ((group.mean_total - next.total) / yardstick).clamp(-1.0, 1.0);
-        let keep = 0.5_f64.powf(gap_ms / options.weight_half_life_ms.max(1) as f64);
+        let reference = group.mean_total.max(MIN_REFERENCE_PRESSURE);
+        let distance = ((group.mean_total - next.total) / reference).clamp(-1.0, 1.0);
+        let decay = 0.5_f64.powf(gap_ms / options.weight_half_life_ms.max(1) as f64);
         let step = options.weight_gain * distance * (gap_ms / effect_ms).min(1.0);
-        let bound = options.max_weight.max(1.0).ln();
-        self.log_weight = (self.log_weight * keep + step).clamp(-bound, bound);
+        let max_log_weight = options.max_weight.max(1.0).ln();
+        self.log_weight = (self.log_weight * decay + step).clamp(-max_log_weight, max_log_weight);
     }
 }
 
 /// Converts an engine's time to this VM's clock. A time in the future must be of another clock, so
 /// that the usual delay is assumed.
-fn placed_ms(now_ms: u64, as_of_ms: u64, options: &Options) -> u64 {
+fn local_as_of_ms(now_ms: u64, as_of_ms: u64, options: &Options) -> u64 {
     if as_of_ms > now_ms {
         return now_ms.saturating_sub(options.assumed_lag_ms);
     }
--- a/crates/routing/src/options.rs
+++ b/crates/routing/src/options.rs
@@ -83,7 +83,7 @@
     /// ejected.
     pub failure_margin: f64,
     /// Consecutive failures after which an upstream is ejected, if the others fail less.
-    pub failures_in_a_row: u32,
+    pub consecutive_failures: u32,
     /// Share of failures among the others from which on no upstream is ejected for consecutive
     /// failures.
     pub common_failure: f64,
@@ -121,7 +121,7 @@
             half_life_ms: 30_000,
             min_weight: 8.0,
             failure_margin: 0.3,
-            failures_in_a_row: 3,
+            consecutive_failures: 3,
             common_failure: 0.5,
             refusal_weight: 0.5,
             eject_slowness: 5.0,
--- a/crates/routing/src/residence.rs
+++ b/crates/routing/src/residence_time.rs
@@ -3,25 +3,25 @@
 /// Measures the mean time from the send of a request to its end by Little's law: the mean number of
 /// requests in flight over the rate at which requests end. It needs no record of single requests.
 #[derive(Debug)]
-pub(crate) struct Residence {
+pub(crate) struct ResidenceTime {
     half_life_ms: f64,
     at_ms: u64,
     in_flight: u32,
-    area_ms: f64,
+    in_flight_area_ms: f64,
     ended: f64,
 }
 
 /// Weight of the assumed time, in ended requests.
 const ASSUMED_ENDED: f64 = 3.0;
 
-impl Residence {
+impl ResidenceTime {
     /// Returns a measurement that begins with an assumed time.
     pub(crate) fn new(assumed_ms: u64, half_life_ms: u64) -> Self {
         Self {
             half_life_ms: half_life_ms.max(1) as f64,
             at_ms: 0,
             in_flight: 0,
-            area_ms: assumed_ms as f64 * ASSUMED_ENDED,
+            in_flight_area_ms: assumed_ms as f64 * ASSUMED_ENDED,
             ended: ASSUMED_ENDED,
         }
     }
@@ -41,7 +41,7 @@
 
     /// Returns the mean time, which is at least one millisecond.
     pub(crate) fn mean_ms(&self) -> f64 {
-        (self.area_ms / self.ended.max(f64::EPSILON)).max(1.0)
+        (self.in_flight_area_ms / self.ended.max(f64::EPSILON)).max(1.0)
     }
 
     fn advance(&mut self, now_ms: u64) {
@@ -52,7 +52,8 @@
         if self.in_flight == 0 {
             return;
         }
-        self.area_ms = self.area_ms * factor + f64::from(self.in_flight) * elapsed_ms;
+        self.in_flight_area_ms =
+            self.in_flight_area_ms * factor + f64::from(self.in_flight) * elapsed_ms;
         self.ended *= factor;
     }
 }
--- a/crates/routing/tests/lagging_reports.rs
+++ b/crates/routing/tests/delayed_reports.rs
@@ -14,7 +14,7 @@
 
 use support::Fleet;
 use support::candidates;
-use support::play;
+use support::simulate;
 
 fn report(policy: &mut CorrectedLoad, now_ms: u64, to: &Candidate, as_of_ms: u64, running: u32) {
     let report = LoadReport {
@@ -50,33 +50,33 @@
 #[rstest]
 #[case::few_vms(7, 2_000)]
 #[case::many_vms(50, 2_000)]
-#[case::late_reports(7, 20_000)]
-#[case::many_vms_late_reports(50, 10_000)]
-fn many_vms_do_not_herd(#[case] vms: usize, #[case] report_lag_ms: u64) {
+#[case::delayed_reports(7, 20_000)]
+#[case::many_vms_delayed_reports(50, 10_000)]
+fn no_herding(#[case] vms: usize, #[case] report_lag_ms: u64) {
     let fleet = Fleet {
         vms,
         report_lag_ms,
         ..Fleet::default()
     };
-    let figures = play(&fleet);
+    let results = simulate(&fleet);
     assert!(
-        figures.longest_queue <= 3 * fleet.slots as usize,
+        results.longest_queue <= 3 * fleet.slots as usize,
         "{}",
-        figures.longest_queue
+        results.longest_queue
     );
-    assert!(figures.wait_ms(99) <= 1_200, "{} ms", figures.wait_ms(99));
-    let baseline = play(&Fleet {
+    assert!(results.wait_ms(99) <= 1_200, "{} ms", results.wait_ms(99));
+    let baseline = simulate(&Fleet {
         policy: "least_reported",
         ..fleet
     });
-    assert!(baseline.longest_queue > 10 * figures.longest_queue);
+    assert!(baseline.longest_queue > 10 * results.longest_queue);
 }
 
 /// Guards against sending as much to engines that are busy with other systems' requests as to idle
 /// ones. A third of the engines is busy all the time, and each VM has too few requests to notice
 /// that without the reports.
 #[test]
-fn load_that_lasts_is_avoided() {
+fn lasting_load() {
     let background = (0..6).map(|engine| (engine, 0.6)).collect();
     let fleet = Fleet {
         vms: 50,
@@ -84,17 +84,17 @@
         background,
         ..Fleet::default()
     };
-    let figures = play(&fleet);
-    assert!(figures.wait_ms(95) <= 1_800, "{} ms", figures.wait_ms(95));
-    let busy: u32 = figures.sent[..6].iter().sum();
+    let results = simulate(&fleet);
+    assert!(results.wait_ms(95) <= 1_800, "{} ms", results.wait_ms(95));
+    let busy: u32 = results.sent[..6].iter().sum();
     assert!(
-        f64::from(busy) < 0.25 * f64::from(figures.requests()),
+        f64::from(busy) < 0.25 * f64::from(results.requests()),
         "{busy}"
     );
 }
 
 #[test]
-fn own_requests_count_before_the_next_report() {
+fn unreported_requests() {
     let candidates = candidates(4, 1);
     let mut policy = CorrectedLoad::new(Options::default());
     for candidate in &candidates {
@@ -108,14 +108,14 @@
 }
 
 #[test]
-fn a_report_that_stays_high_lowers_the_share_step_by_step() {
+fn lasting_high_reports() {
     let candidates = candidates(4, 1);
     let mut policy = CorrectedLoad::new(Options::default());
     let mut shares = Vec::new();
     for second in 1..=20 {
         let now_ms = second * 1_000;
-        for (place, candidate) in candidates.iter().enumerate() {
-            let running = if place == 0 { 16 } else { 2 };
+        for (index, candidate) in candidates.iter().enumerate() {
+            let running = if index == 0 { 16 } else { 2 };
             report(&mut policy, now_ms + 5_000, candidate, now_ms, running);
         }
         shares.push(share_of_first(&mut policy, now_ms + 60_000, &candidates));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_report_older_than_the_last_changes_nothing() {
+fn older_report() {
     let candidates = candidates(2, 1);
     let options = Options {
         fresh_gain: 10.0,
@@ -143,7 +143,7 @@
 /// Guards against an engine that gets no requests, or all, for hours after a restart that set its
 /// clock back: its reports have earlier times than the last one before the restart.
 #[test]
-fn reports_of_a_clock_set_back_are_taken_after_a_silence() {
+fn clock_set_back() {
     let candidates = candidates(2, 1);
     let options = Options {
         fresh_gain: 10.0,
@@ -162,7 +162,7 @@
 /// Guards against trusting reports as if they were new because their times are on another clock,
 /// such as Unix time instead of this VM's monotonic clock, and lie in the future.
 #[test]
-fn a_report_on_another_clock_is_taken_with_the_usual_lag() {
+fn report_from_future() {
     let share_with = |as_of_ms: u64| {
         let candidates = candidates(2, 1);
         let mut policy = CorrectedLoad::new(Options::default());
@@ -171,7 +171,7 @@
         share_of_first(&mut policy, 10_000, &candidates)
     };
     let fresh = share_with(10_000);
-    let lagging = share_with(10_000 - Options::default().assumed_lag_ms);
-    assert!(fresh + 0.1 < lagging, "{fresh} {lagging}");
-    assert_eq!(share_with(1_790_000_000_000), lagging);
+    let delayed = share_with(10_000 - Options::default().assumed_lag_ms);
+    assert!(fresh + 0.1 < delayed, "{fresh} {delayed}");
+    assert_eq!(share_with(1_790_000_000_000), delayed);
 }
--- a/crates/routing/tests/grey_failure.rs
+++ b/crates/routing/tests/grey_failure.rs
@@ -16,7 +16,7 @@
 use support::Fault;
 use support::Fleet;
 use support::candidates;
-use support::play;
+use support::simulate;
 
 struct Group {
     policy: CorrectedLoad,
@@ -40,37 +40,37 @@
         chosen.expect("a candidate")
     }
 
-    fn send(&mut self, place: usize) {
+    fn send(&mut self, index: usize) {
         let sent = RoutingEvent::Sent {
-            upstream: self.candidates[place].upstream.clone(),
+            upstream: self.candidates[index].upstream.clone(),
             prefix_hash: None,
         };
         self.policy.learn(self.now_ms, sent);
     }
 
-    fn end(&mut self, place: usize, outcome: UpstreamOutcome) {
-        self.end_after(place, outcome, 100);
+    fn end(&mut self, index: usize, outcome: UpstreamOutcome) {
+        self.end_after(index, outcome, 100);
     }
 
-    fn end_after(&mut self, place: usize, outcome: UpstreamOutcome, first_byte_ms: u64) {
+    fn end_after(&mut self, index: usize, outcome: UpstreamOutcome, first_byte_ms: u64) {
         let ended = RoutingEvent::Ended {
-            upstream: self.candidates[place].upstream.clone(),
+            upstream: self.candidates[index].upstream.clone(),
             outcome,
             first_byte_ms: (outcome == UpstreamOutcome::Answered).then_some(first_byte_ms),
         };
         self.policy.learn(self.now_ms, ended);
     }
 
-    fn round_trip(&mut self, place: usize, outcome: UpstreamOutcome) {
-        self.send(place);
-        self.end(place, outcome);
+    fn round_trip(&mut self, index: usize, outcome: UpstreamOutcome) {
+        self.send(index);
+        self.end(index, outcome);
     }
 
     /// Lets all upstreams answer some requests.
     fn warm_up(&mut self) {
-        for place in 0..self.candidates.len() {
+        for index in 0..self.candidates.len() {
             for _ in 0..10 {
-                self.round_trip(place, UpstreamOutcome::Answered);
+                self.round_trip(index, UpstreamOutcome::Answered);
             }
         }
     }
@@ -79,9 +79,9 @@
     fn chosen(&mut self, requests: usize) -> Vec<usize> {
         let mut chosen = vec![0; self.candidates.len()];
         for _ in 0..requests {
-            let place = self.choose();
-            chosen[place] += 1;
-            self.round_trip(place, UpstreamOutcome::Answered);
+            let index = self.choose();
+            chosen[index] += 1;
+            self.round_trip(index, UpstreamOutcome::Answered);
         }
         chosen
     }
@@ -98,40 +98,40 @@
 #[case::refuses_at_once(Fault::Refuses, 0.03)]
 #[case::loses_half(Fault::Loses(0.5), 0.02)]
 #[case::loses_all(Fault::Loses(1.0), 0.02)]
-fn an_ill_engine_loses_its_share(#[case] fault: Fault, #[case] most_failed: f64) {
+fn faulty_engine(#[case] fault: Fault, #[case] max_failed: f64) {
     let fleet = Fleet {
         load: 0.6,
         faults: vec![(3, fault)],
         ..Fleet::default()
     };
-    let figures = play(&fleet);
-    let failed = f64::from(figures.failed) / f64::from(figures.requests());
-    assert!(failed <= most_failed, "{failed}");
-    let late: u32 = figures.sent_late.iter().sum();
-    let share = f64::from(figures.sent_late[3]) / f64::from(late);
+    let results = simulate(&fleet);
+    let failed = f64::from(results.failed) / f64::from(results.requests());
+    assert!(failed <= max_failed, "{failed}");
+    let late: u32 = results.sent_late.iter().sum();
+    let share = f64::from(results.sent_late[3]) / f64::from(late);
     assert!(share < 0.02, "{share}");
 }
 
 #[test]
-fn a_slower_upstream_is_drawn_less_before_it_is_ejected() {
+fn slow_upstream_weight() {
     let mut group = Group::new(4);
     group.policy = CorrectedLoad::new(Options {
         choices: 1,
         ..Options::default()
     });
-    for place in [0, 1, 2, 3].repeat(10) {
+    for index in [0, 1, 2, 3].repeat(10) {
         group.now_ms += 100;
-        group.send(place);
-        let first_byte_ms = if place == 0 { 400 } else { 100 };
-        group.end_after(place, UpstreamOutcome::Answered, first_byte_ms);
+        group.send(index);
+        let first_byte_ms = if index == 0 { 400 } else { 100 };
+        group.end_after(index, UpstreamOutcome::Answered, first_byte_ms);
     }
     let chosen: Vec<usize> = (0..1_000).map(|_| group.choose()).collect();
-    let slow = chosen.iter().filter(|place| **place == 0).count();
+    let slow = chosen.iter().filter(|index| **index == 0).count();
     assert!((30..150).contains(&slow), "{slow} of 1000");
 }
 
 #[test]
-fn an_engine_that_recovers_gets_its_share_back() {
+fn recovered_engine() {
     let fleet = Fleet {
         load: 0.6,
         faults: vec![(3, Fault::Loses(1.0))],
@@ -139,20 +139,20 @@
         length_ms: 240_000,
         ..Fleet::default()
     };
-    let figures = play(&fleet);
-    let late: u32 = figures.sent_late.iter().sum();
-    let share = f64::from(figures.sent_late[3]) / f64::from(late);
+    let results = simulate(&fleet);
+    let late: u32 = results.sent_late.iter().sum();
+    let share = f64::from(results.sent_late[3]) / f64::from(late);
     assert!(share > 0.5 / 18.0, "{share}");
 }
 
 /// Guards against ejecting all upstreams one after another while this VM's own network is down: if
 /// every request fails, no upstream fails more than its group.
 #[test]
-fn when_all_fail_nobody_is_ejected() {
+fn no_ejection_if_all_fail() {
     let mut group = Group::new(6);
     for _ in 0..20 {
-        for place in 0..6 {
-            group.round_trip(place, UpstreamOutcome::Lost);
+        for index in 0..6 {
+            group.round_trip(index, UpstreamOutcome::Lost);
         }
     }
     let chosen = group.chosen(600);
@@ -167,23 +167,23 @@
 #[case(3, 1)]
 #[case(2, 1)]
 #[case(1, 0)]
-fn at_most_a_third_is_ejected(#[case] count: usize, #[case] most_ejected: usize) {
+fn ejection_limit(#[case] count: usize, #[case] max_ejected: usize) {
     let mut group = Group::new(count);
     group.warm_up();
-    for place in 0..count.div_ceil(2) {
+    for index in 0..count.div_ceil(2) {
         for _ in 0..5 {
-            group.round_trip(place, UpstreamOutcome::Lost);
+            group.round_trip(index, UpstreamOutcome::Lost);
         }
     }
     let chosen = group.chosen(count * 100);
     let unused = chosen.iter().filter(|count| **count == 0).count();
-    assert_eq!(unused, most_ejected, "{chosen:?}");
+    assert_eq!(unused, max_ejected, "{chosen:?}");
 }
 
 /// Guards against ejecting an upstream because its callers cancel their requests, as shoppers do
 /// who leave a page.
 #[test]
-fn cancelled_requests_say_nothing() {
+fn cancelled_requests() {
     let mut group = Group::new(3);
     group.warm_up();
     for _ in 0..50 {
@@ -196,7 +196,7 @@
 /// Guards against losing many requests at once every few seconds: an engine that is still faulty
 /// after its ejection must return by single probes and not with its full share.
 #[test]
-fn an_ejected_upstream_returns_by_single_probes_and_a_ramp() {
+fn return_from_ejection() {
     let mut group = Group::new(4);
     group.warm_up();
     for _ in 0..3 {
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_cancelled_probe_is_followed_by_another() {
+fn cancelled_probe() {
     let mut group = Group::new(4);
     group.warm_up();
     for _ in 0..3 {
@@ -249,7 +249,7 @@
 #[case::one_tried(&[0], &[1, 2])]
 #[case::two_tried(&[0, 2], &[1])]
 #[case::all_tried(&[0, 1, 2], &[0, 1, 2])]
-fn tried_upstreams_come_last(
+fn tried_upstreams_last(
     #[case] tried: &[usize],
     #[case] expected: &[usize],
     #[values(None, Some(7), Some(8), Some(9))] prefix_hash: Option<u64>,
@@ -259,13 +259,13 @@
         prefix_hash,
         tried: tried
             .iter()
-            .map(|place| group.candidates[*place].upstream.clone())
+            .map(|index| group.candidates[*index].upstream.clone())
             .collect(),
     };
     for _ in 0..50 {
         let chosen = group.policy.choose(0, &request, &group.candidates);
         assert!(
-            chosen.is_some_and(|place| expected.contains(&place)),
+            chosen.is_some_and(|index| expected.contains(&index)),
             "{chosen:?}"
         );
     }
@@ -274,7 +274,7 @@
 /// Guards against refusing requests for a model whose only engine is ejected but still answers some
 /// of them: an ejection is a preference and no ban.
 #[test]
-fn the_only_replica_is_used_even_when_ejected() {
+fn ejected_only_replica() {
     let mut group = Group::new(4);
     group.warm_up();
     for _ in 0..3 {
@@ -290,7 +290,7 @@
 /// Guards against an upstream that never gets requests after it was ejected, removed from the list,
 /// and listed again under the same name: its earlier state must be dropped.
 #[test]
-fn a_removed_upstream_starts_afresh() {
+fn removed_upstream() {
     let mut group = Group::new(3);
     group.warm_up();
     group.send(0);
--- a/crates/routing/tests/retry_budget.rs
+++ b/crates/routing/tests/retry_budget.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn retries(policy: &mut dyn RetryPolicy, now_ms: u64, request: &RetryRequest) -> bool {
+fn is_retried(policy: &mut dyn RetryPolicy, now_ms: u64, request: &RetryRequest) -> bool {
     matches!(
         policy.decide(now_ms, request),
         RetryDecision::RetryAfterMs(_)
@@ -36,9 +36,9 @@
 }
 
 /// Spends all of a group's budget.
-fn exhaust(policy: &mut dyn RetryPolicy, request: &RetryRequest) {
+fn spend_budget(policy: &mut dyn RetryPolicy, request: &RetryRequest) {
     let spent = (0..1_000)
-        .take_while(|_| retries(policy, 0, request))
+        .take_while(|_| is_retried(policy, 0, request))
         .count();
     assert!(spent < 1_000, "the budget has no end");
 }
@@ -61,7 +61,7 @@
 #[case::too_many_tries(RetryRequest { tries: 3, ..request() }, Some(RetryDecision::TooManyTries))]
 #[case::no_time_left(RetryRequest { left_ms: 49, ..request() }, Some(RetryDecision::NoTimeLeft))]
 #[case::just_enough_time(RetryRequest { left_ms: 50, ..request() }, None)]
-fn only_safe_retries_are_made(
+fn safe_retries_only(
     #[case] request: RetryRequest,
     #[case] expected: Option<RetryDecision>,
     #[values("budgeted", "fixed")] name: &str,
@@ -80,12 +80,12 @@
 /// Guards against retries that multiply the load in an outage, under which the group can't recover.
 /// Every request fails, and a limit per request alone allows a retry for each.
 #[test]
-fn an_outage_does_not_multiply_the_load() {
+fn outage_load_limit() {
     let mut policy = BudgetedRetry::new(RetryOptions::default());
     let mut retried = 0;
     for first in 0..10_000 {
         policy.first_try(first, &request().group);
-        retried += u32::from(retries(&mut policy, first, &request()));
+        retried += u32::from(is_retried(&mut policy, first, &request()));
     }
     assert!((1_000..=1_020).contains(&retried), "{retried}");
     assert_eq!(
@@ -95,28 +95,28 @@
 }
 
 #[test]
-fn a_rarely_called_group_may_still_retry() {
+fn rarely_called_group() {
     let mut policy = BudgetedRetry::new(RetryOptions::default());
-    exhaust(&mut policy, &request());
-    assert!(!retries(&mut policy, 5_000, &request()));
-    assert!(retries(&mut policy, 15_000, &request()));
-    let spent_after_long_idle = (0..10).filter(|_| retries(&mut policy, 10_000_000, &request()));
+    spend_budget(&mut policy, &request());
+    assert!(!is_retried(&mut policy, 5_000, &request()));
+    assert!(is_retried(&mut policy, 15_000, &request()));
+    let spent_after_long_idle = (0..10).filter(|_| is_retried(&mut policy, 10_000_000, &request()));
     assert_eq!(spent_after_long_idle.count(), 2);
 }
 
 #[test]
-fn groups_do_not_share_a_budget() {
+fn separate_group_budgets() {
     let mut policy = BudgetedRetry::new(RetryOptions::default());
-    exhaust(&mut policy, &request());
+    spend_budget(&mut policy, &request());
     let other = RetryRequest {
         group: GroupName::new("booking-app"),
         ..request()
     };
-    assert!(retries(&mut policy, 0, &other));
+    assert!(is_retried(&mut policy, 0, &other));
 }
 
 #[test]
-fn a_forbidden_retry_spends_nothing() {
+fn forbidden_retry_is_free() {
     let mut policy = BudgetedRetry::new(RetryOptions::default());
     let forbidden = RetryRequest {
         tries: 3,
@@ -125,7 +125,7 @@
     for _ in 0..100 {
         policy.decide(0, &forbidden);
     }
-    assert!(retries(&mut policy, 0, &request()));
+    assert!(is_retried(&mut policy, 0, &request()));
 }
 
 fn pauses_ms(seed: u64, tries: u32, left_ms: u64) -> Vec<u64> {
@@ -157,11 +157,7 @@
 #[case::third(3, 10_000, 100)]
 #[case::bounded(9, 10_000, 1_000)]
 #[case::little_time_left(9, 90, 40)]
-fn pauses_are_spread_over_the_whole_bound(
-    #[case] tries: u32,
-    #[case] left_ms: u64,
-    #[case] bound_ms: u64,
-) {
+fn pause_jitter(#[case] tries: u32, #[case] left_ms: u64, #[case] bound_ms: u64) {
     let pauses = pauses_ms(1, tries, left_ms);
     assert!(pauses.iter().all(|pause_ms| *pause_ms <= bound_ms));
     let lower = pauses
@@ -179,7 +175,7 @@
 }
 
 #[test]
-fn policies_are_found_by_name() {
+fn policy_names() {
     for name in ROUTING_POLICIES {
         assert!(routing_policy(name, Options::default()).is_ok());
     }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -48,7 +48,7 @@
     pub run_ms: f64,
     /// Arrivals as a share of the capacity of all slots.
     pub load: f64,
-    pub report_every_ms: u64,
+    pub report_interval_ms: u64,
     pub report_lag_ms: u64,
     pub zones: usize,
     /// Number of prompt prefixes, or 0 for requests without prompts. Half of the requests use a
@@ -76,7 +76,7 @@
             slots: 8,
             run_ms: 1_000.0,
             load: 0.8,
-            report_every_ms: 1_000,
+            report_interval_ms: 1_000,
             report_lag_ms: 2_000,
             zones: 1,
             prefixes: 0,
@@ -92,7 +92,7 @@
 
 /// Result of one simulation.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct Results {
     pub waits_ms: Vec<u64>,
     pub sent: Vec<u32>,
     pub sent_late: Vec<u32>,
@@ -102,7 +102,7 @@
     pub longest_queue: usize,
 }
 
-impl Figures {
+impl Results {
     /// Returns a percentile of the waiting times at the engines.
     pub fn wait_ms(&self, percent: usize) -> u64 {
         let index = self.waits_ms.len().saturating_sub(1) * percent / 100;
@@ -158,7 +158,7 @@
     cache: VecDeque<u64>,
 }
 
-struct Run {
+struct Simulation {
     fleet: Fleet,
     random: ChaCha8Rng,
     policies: Vec<Box<dyn RoutingPolicy>>,
@@ -166,23 +166,24 @@
     engines: Vec<Engine>,
     requests: Vec<Request>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    figures: Figures,
+    results: Results,
 }
 
 /// Runs one simulation.
-pub fn play(fleet: &Fleet) -> Figures {
-    let mut run = Run::new(fleet.clone());
-    run.events.push(Reverse((0, Event::Arrive)));
-    run.events.push(Reverse((0, Event::Measure)));
+pub fn simulate(fleet: &Fleet) -> Results {
+    let mut simulation = Simulation::new(fleet.clone());
+    simulation.events.push(Reverse((0, Event::Arrive)));
+    simulation.events.push(Reverse((0, Event::Measure)));
     for (engine, _) in &fleet.background {
-        run.events
+        simulation
+            .events
             .push(Reverse((0, Event::Background { engine: *engine })));
     }
-    while let Some(Reverse((now_ms, event))) = run.events.pop() {
-        run.handle(now_ms, event);
+    while let Some(Reverse((now_ms, event))) = simulation.events.pop() {
+        simulation.handle(now_ms, event);
     }
-    run.figures.waits_ms.sort_unstable();
-    run.figures
+    simulation.results.waits_ms.sort_unstable();
+    simulation.results
 }
 
 /// Returns the candidates of a group, spread evenly over some availability zones.
@@ -196,12 +197,12 @@
 }
 
 impl Engine {
-    fn taken(&self) -> u32 {
+    fn busy_slots(&self) -> u32 {
         self.running + self.background
     }
 }
 
-impl Run {
+impl Simulation {
     fn new(fleet: Fleet) -> Self {
         let policy = |vm: usize| {
             let options = Options {
@@ -218,10 +219,10 @@
             engines: vec![Engine::default(); fleet.engines],
             requests: Vec::new(),
             events: BinaryHeap::new(),
-            figures: Figures {
+            results: Results {
                 sent: vec![0; fleet.engines],
                 sent_late: vec![0; fleet.engines],
-                ..Figures::default()
+                ..Results::default()
             },
             fleet,
         }
@@ -232,7 +233,7 @@
             Event::Arrive if now_ms < self.fleet.length_ms => self.arrive(now_ms),
             Event::Measure if now_ms < self.fleet.length_ms => self.measure(now_ms),
             Event::Background { engine } if now_ms < self.fleet.length_ms => {
-                self.arrive_from_elsewhere(now_ms, engine);
+                self.arrive_background(now_ms, engine);
             }
             Event::Arrive | Event::Measure | Event::Background { .. } => {}
             Event::BackgroundEnd { engine } => {
@@ -240,7 +241,9 @@
                 self.start_next(now_ms, engine);
             }
             Event::End { engine, request } => self.end(now_ms, engine, request),
-            Event::Fail { request } => self.tell(now_ms, request, UpstreamOutcome::Refused, None),
+            Event::Fail { request } => {
+                self.record_end(now_ms, request, UpstreamOutcome::Refused, None)
+            }
             Event::Report {
                 engine,
                 running,
@@ -267,10 +270,10 @@
     }
 
     /// Lets another system's request take a slot at once, even if all slots are taken.
-    fn arrive_from_elsewhere(&mut self, now_ms: u64, engine: usize) {
+    fn arrive_background(&mut self, now_ms: u64, engine: usize) {
         let background = self.fleet.background.iter();
         let share: f64 = background
-            .filter(|(place, _)| *place == engine)
+            .filter(|(index, _)| *index == engine)
             .map(|(_, s)| s)
             .sum();
         let per_ms = share * f64::from(self.fleet.slots) / self.fleet.run_ms;
@@ -289,19 +292,19 @@
             return None;
         }
         let popular = self.random.random_bool(0.5);
-        let among = if popular {
+        let range = if popular {
             self.fleet.prefixes.div_ceil(10)
         } else {
             self.fleet.prefixes
         };
-        Some(self.random.random_range(0..among))
+        Some(self.random.random_range(0..range))
     }
 
     fn send(&mut self, now_ms: u64, vm: usize, engine: usize, prefix: Option<u64>) {
-        self.figures.sent[engine] += 1;
-        self.figures.sent_late[engine] += u32::from(now_ms >= self.fleet.length_ms / 2);
+        self.results.sent[engine] += 1;
+        self.results.sent_late[engine] += u32::from(now_ms >= self.fleet.length_ms / 2);
         let near = self.candidates[engine].zone == zone_of(vm, self.fleet.zones);
-        self.figures.own_zone += u32::from(near);
+        self.results.own_zone += u32::from(near);
         let sent = RoutingEvent::Sent {
             upstream: self.candidates[engine].upstream.clone(),
             prefix_hash: prefix,
@@ -310,18 +313,18 @@
         let fault = self.fault(now_ms, engine);
         let request = self.request(now_ms, vm, engine, prefix, fault);
         self.requests.push(request);
-        let place = self.requests.len() - 1;
+        let index = self.requests.len() - 1;
         if fault == Fault::Refuses {
-            self.figures.failed += 1;
+            self.results.failed += 1;
             self.events.push(Reverse((
                 now_ms + FAILURE_MS,
-                Event::Fail { request: place },
+                Event::Fail { request: index },
             )));
             return;
         }
-        self.engines[engine].queue.push_back(place);
+        self.engines[engine].queue.push_back(index);
         let queue = self.engines[engine].queue.len();
-        self.figures.longest_queue = self.figures.longest_queue.max(queue);
+        self.results.longest_queue = self.results.longest_queue.max(queue);
         self.start_next(now_ms, engine);
     }
 
@@ -351,7 +354,7 @@
 
     fn fault(&self, now_ms: u64, engine: usize) -> Fault {
         let faults = self.fleet.faults.iter();
-        let mut of_engine = faults.filter(|(place, _)| *place == engine);
+        let mut of_engine = faults.filter(|(index, _)| *index == engine);
         let active = now_ms < self.fleet.faults_end_ms;
         of_engine
             .next()
@@ -360,17 +363,17 @@
     }
 
     fn start_next(&mut self, now_ms: u64, engine: usize) {
-        while self.engines[engine].taken() < self.fleet.slots {
+        while self.engines[engine].busy_slots() < self.fleet.slots {
             let Some(request) = self.engines[engine].queue.pop_front() else {
                 return;
             };
             self.engines[engine].running += 1;
             let started = self.requests[request];
-            self.figures.waits_ms.push(now_ms - started.sent_ms);
+            self.results.waits_ms.push(now_ms - started.sent_ms);
             let cached = started
                 .prefix
-                .is_some_and(|prefix| self.use_cache(engine, prefix));
-            self.figures.prefix_hits += u32::from(cached);
+                .is_some_and(|prefix| self.touch_cache(engine, prefix));
+            self.results.prefix_hits += u32::from(cached);
             let run_ms = if cached {
                 started.run_ms / 2
             } else {
@@ -383,33 +386,33 @@
         }
     }
 
-    fn use_cache(&mut self, engine: usize, prefix: u64) -> bool {
+    fn touch_cache(&mut self, engine: usize, prefix: u64) -> bool {
         let cache = &mut self.engines[engine].cache;
-        let place = cache.iter().position(|cached| *cached == prefix);
-        if let Some(place) = place {
-            cache.remove(place);
+        let index = cache.iter().position(|cached| *cached == prefix);
+        if let Some(index) = index {
+            cache.remove(index);
         }
         cache.push_back(prefix);
         if cache.len() > self.fleet.cached {
             cache.pop_front();
         }
-        place.is_some()
+        index.is_some()
     }
 
     fn end(&mut self, now_ms: u64, engine: usize, request: usize) {
         self.engines[engine].running -= 1;
         let ended = self.requests[request];
-        self.figures.failed += u32::from(ended.lost);
+        self.results.failed += u32::from(ended.lost);
         let outcome = match ended.lost {
             true => UpstreamOutcome::Lost,
             false => UpstreamOutcome::Answered,
         };
         let first_byte_ms = (!ended.lost).then(|| now_ms - ended.sent_ms);
-        self.tell(now_ms, request, outcome, first_byte_ms);
+        self.record_end(now_ms, request, outcome, first_byte_ms);
         self.start_next(now_ms, engine);
     }
 
-    fn tell(
+    fn record_end(
         &mut self,
         now_ms: u64,
         request: usize,
@@ -426,17 +429,17 @@
     }
 
     fn measure(&mut self, now_ms: u64) {
-        for (place, engine) in self.engines.iter().enumerate() {
+        for (index, engine) in self.engines.iter().enumerate() {
             let report = Event::Report {
-                engine: place,
-                running: engine.taken(),
+                engine: index,
+                running: engine.busy_slots(),
                 waiting: engine.queue.len() as u32,
                 as_of_ms: now_ms,
             };
             let read_ms = now_ms + self.fleet.report_lag_ms;
             self.events.push(Reverse((read_ms, report)));
         }
-        let next_ms = now_ms + self.fleet.report_every_ms;
+        let next_ms = now_ms + self.fleet.report_interval_ms;
         self.events.push(Reverse((next_ms, Event::Measure)));
     }
 
--- a/crates/routing/tests/zone_preference.rs
+++ b/crates/routing/tests/zone_preference.rs
@@ -10,11 +10,11 @@
 
 use support::Fleet;
 use support::candidates;
-use support::play;
+use support::simulate;
 
 fn own_zone_share(fleet: &Fleet) -> f64 {
-    let figures = play(fleet);
-    f64::from(figures.own_zone) / f64::from(figures.requests())
+    let results = simulate(fleet);
+    f64::from(results.own_zone) / f64::from(results.requests())
 }
 
 fn three_zones() -> Fleet {
@@ -26,32 +26,32 @@
 }
 
 #[test]
-fn most_requests_stay_in_their_zone() {
-    let figures = play(&three_zones());
+fn own_zone_preferred() {
+    let results = simulate(&three_zones());
     assert!(own_zone_share(&three_zones()) >= 0.7);
-    assert!(figures.wait_ms(99) <= 800, "{} ms", figures.wait_ms(99));
+    assert!(results.wait_ms(99) <= 800, "{} ms", results.wait_ms(99));
 }
 
 /// Guards against preferring this VM's availability zone whatever its load: requests queue there
 /// when other systems keep its engines busy, while those of the other zones are idle.
 #[test]
-fn a_busy_zone_sends_its_requests_to_the_others() {
+fn busy_own_zone() {
     let zone_0 = (0..18).filter(|engine| engine % 3 == 0);
     let fleet = Fleet {
         load: 0.55,
         background: zone_0.map(|engine| (engine, 0.9)).collect(),
         ..three_zones()
     };
-    let figures = play(&fleet);
-    let to_busy: u32 = figures.sent.iter().step_by(3).sum();
+    let results = simulate(&fleet);
+    let to_busy: u32 = results.sent.iter().step_by(3).sum();
     assert!(
-        f64::from(to_busy) < 0.2 * f64::from(figures.requests()),
+        f64::from(to_busy) < 0.2 * f64::from(results.requests()),
         "{to_busy}"
     );
 }
 
 #[test]
-fn without_a_candidate_in_the_own_zone_another_is_taken() {
+fn no_own_zone_candidate() {
     let options = Options {
         own_zone: Some(ZoneName::new("zone-9")),
         ..Options::default()
