--- a/crates/dispatch/tests/send_choice.rs
+++ b/crates/dispatch/tests/send_decisions.rs
@@ -1,4 +1,4 @@
-//! Where a request is sent, when it waits and when it is refused.
+//! Decisions to send a request, to keep it waiting, or to refuse it.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use apricotdale_core::policy::UpstreamOutcome;
 use apricotdale_core::refusal::Ran;
 use apricotdale_core::refusal::Refusal;
+use apricotdale_dispatch::DispatchDecision;
 use apricotdale_dispatch::Job;
 use apricotdale_dispatch::LoadForecast;
 use apricotdale_dispatch::LoadSample;
-use apricotdale_dispatch::Verdict;
 use apricotdale_dispatch::WaitReason;
 use apricotdale_fleet::RouteKind;
 use apricotdale_fleet::WantedModel;
@@ -23,17 +23,17 @@
 use support::stream;
 
 #[test]
-fn engine_that_holds_the_model() {
+fn engine_with_model() {
     let directory = directory(&[("e0", "a", &["m0"]), ("e1", "a", &["m1"])]);
     let mut dispatcher = dispatcher();
     for _ in 0..20 {
         let verdict = dispatcher.decide(1_000, &directory, &stream("m1", false));
-        assert_eq!(verdict, Verdict::Send(UpstreamName::from("e1")));
+        assert_eq!(verdict, DispatchDecision::Send(UpstreamName::from("e1")));
     }
 }
 
 #[test]
-fn adapter_that_is_missing() {
+fn missing_adapter() {
     let mut directory = directory(&[("e0", "a", &["m0"])]);
     let mut job = stream("m0", false);
     let adapter = ModelName::from("a1");
@@ -43,7 +43,7 @@
     });
     let mut dispatcher = dispatcher();
     let verdict = dispatcher.decide(1_000, &directory, &job);
-    assert_eq!(verdict, Verdict::Wait(WaitReason::Missing));
+    assert_eq!(verdict, DispatchDecision::Wait(WaitReason::Missing));
     let engine = directory
         .upstream_mut(&UpstreamName::from("e0"))
         .expect("listed");
@@ -51,13 +51,13 @@
         .residence
         .record_adapter_loaded(&ModelName::from("m0"), &adapter);
     let verdict = dispatcher.decide(1_000, &directory, &job);
-    assert_eq!(verdict, Verdict::Send(UpstreamName::from("e0")));
+    assert_eq!(verdict, DispatchDecision::Send(UpstreamName::from("e0")));
 }
 
-/// Guards against requests that wait at a full engine while another has places: the VM sends no
-/// more than the places, less what other VMs have sent by the engine's report.
+/// Guards against requests that queue at a full engine while another has free slots: the VM sends
+/// no more than the slots, less the other VMs' requests in the engine's report.
 #[rstest]
-#[case::own_requests(SLOTS, 0)]
+#[case::local_requests(SLOTS, 0)]
 #[case::reported(0, SLOTS)]
 #[case::both(1, SLOTS - 1)]
 fn full_engine(#[case] own: u32, #[case] others: u32) {
@@ -76,7 +76,7 @@
     for _ in 0..own {
         dispatcher.sent(1_000, &job, &engine);
     }
-    let full = Verdict::Wait(WaitReason::Crowded);
+    let full = DispatchDecision::Wait(WaitReason::Full);
     assert_eq!(dispatcher.decide(1_001, &directory, &job), full);
     if own > 0 {
         dispatcher.ended(
@@ -88,14 +88,14 @@
         );
         assert_eq!(
             dispatcher.decide(1_003, &directory, &job),
-            Verdict::Send(engine)
+            DispatchDecision::Send(engine)
         );
     }
 }
 
-/// A report that is older than the requests it counted must not hold work back.
+/// Guards against holding requests back because of a report whose requests may have ended.
 #[test]
-fn old_report_is_forgotten() {
+fn expired_report() {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let mut dispatcher = dispatcher();
     let job = stream("m0", false);
@@ -108,11 +108,11 @@
     dispatcher.reported(1_000, &job.service, &engine, sample);
     assert_eq!(
         dispatcher.decide(1_100, &directory, &job),
-        Verdict::Wait(WaitReason::Crowded)
+        DispatchDecision::Wait(WaitReason::Full)
     );
     assert_eq!(
         dispatcher.decide(2_600, &directory, &job),
-        Verdict::Send(engine)
+        DispatchDecision::Send(engine)
     );
 }
 
@@ -121,85 +121,87 @@
     let directory = directory(&[("e0", "a", &["m0"])]);
     let mut dispatcher = dispatcher();
     let verdict = dispatcher.decide(1_000, &directory, &stream("m2", false));
-    assert_eq!(verdict, Verdict::Wait(WaitReason::Missing));
+    assert_eq!(verdict, DispatchDecision::Wait(WaitReason::Missing));
 }
 
-/// A request whose model can't be there in time is refused at once and not held until its
-/// deadline.
+/// Guards against holding a request until its deadline whose model can't be loaded in time: it is
+/// refused at once.
 #[test]
-fn model_that_comes_too_late() {
+fn model_too_late() {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let mut dispatcher = dispatcher();
     let forecast = LoadForecast {
         ready_ms: Some(5_900),
     };
-    dispatcher.note_forecast(1_000, ModelName::from("m2"), forecast);
+    dispatcher.record_forecast(1_000, ModelName::from("m2"), forecast);
     match dispatcher.decide(1_000, &directory, &stream("m2", false)) {
-        Verdict::Refuse(refusal) => assert_eq!(refusal.ran, Ran::NotRun),
+        DispatchDecision::Refuse(refusal) => assert_eq!(refusal.ran, Ran::NotRun),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn model_that_comes_in_time() {
+fn model_in_time() {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let mut dispatcher = dispatcher();
     let forecast = LoadForecast {
         ready_ms: Some(4_000),
     };
-    dispatcher.note_forecast(1_000, ModelName::from("m2"), forecast);
+    dispatcher.record_forecast(1_000, ModelName::from("m2"), forecast);
     let verdict = dispatcher.decide(1_000, &directory, &stream("m2", false));
-    assert_eq!(verdict, Verdict::Wait(WaitReason::Missing));
+    assert_eq!(verdict, DispatchDecision::Wait(WaitReason::Missing));
 }
 
 #[test]
-fn model_of_no_catalogue() {
+fn unconfigured_model() {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let verdict = dispatcher().decide(1_000, &directory, &stream("other", false));
-    assert!(matches!(verdict, Verdict::Refuse(refusal) if refusal.retry_after_ms.is_none()));
+    assert!(
+        matches!(verdict, DispatchDecision::Refuse(refusal) if refusal.retry_after_ms.is_none())
+    );
 }
 
 #[test]
-fn no_time_left() {
+fn deadline_reached() {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let verdict = dispatcher().decide(5_990, &directory, &stream("m0", false));
-    assert!(matches!(verdict, Verdict::Refuse(refusal) if refusal.ran == Ran::NotRun));
+    assert!(matches!(verdict, DispatchDecision::Refuse(refusal) if refusal.ran == Ran::NotRun));
 }
 
-/// Guards against a refusal that says "not run" after a try that may have run.
+/// Guards against a refusal that says "not run" after a send that may have run.
 #[rstest]
-#[case::of_no_catalogue("other", 1_000)]
-#[case::comes_too_late("m2", 1_000)]
-#[case::can_not_come("m1", 5_800)]
-#[case::no_time_left("m0", 5_990)]
-fn refusal_after_a_run(#[case] model: &str, #[case] now_ms: u64) {
+#[case::unconfigured("other", 1_000)]
+#[case::load_too_late("m2", 1_000)]
+#[case::no_time_to_run("m1", 5_800)]
+#[case::deadline_reached("m0", 5_990)]
+fn refusal_after_run(#[case] model: &str, #[case] now_ms: u64) {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let mut dispatcher = dispatcher();
     let forecast = LoadForecast {
         ready_ms: Some(5_900),
     };
-    dispatcher.note_forecast(now_ms, ModelName::from("m2"), forecast);
+    dispatcher.record_forecast(now_ms, ModelName::from("m2"), forecast);
     let job = Job {
         runs: 1,
         ..stream(model, true)
     };
     let verdict = dispatcher.decide(now_ms, &directory, &job);
-    let promises =
+    let claims_to_know =
         |refusal: &Refusal| refusal.ran != Ran::Unknown || refusal.retry_after_ms.is_some();
     assert!(
-        matches!(&verdict, Verdict::Refuse(refusal) if !promises(refusal)),
+        matches!(&verdict, DispatchDecision::Refuse(refusal) if !claims_to_know(refusal)),
         "{verdict:?}"
     );
 }
 
 #[test]
-fn both_instances_get_calls() {
+fn instances_share_calls() {
     let directory = directory(&[]);
     let mut dispatcher = dispatcher();
     let job = call(RouteKind::Idempotent);
     let mut chosen = std::collections::BTreeSet::new();
     for _ in 0..4 {
-        if let Verdict::Send(upstream) = dispatcher.decide(1_000, &directory, &job) {
+        if let DispatchDecision::Send(upstream) = dispatcher.decide(1_000, &directory, &job) {
             dispatcher.sent(1_000, &job, &upstream);
             chosen.insert(upstream.to_string());
         }
@@ -207,23 +209,23 @@
     assert_eq!(chosen.len(), 2);
 }
 
-/// Guards against a crashed engine that is still listed and still counts as holding its models, so
-/// that they are loaded nowhere else.
+/// Guards against a crashed engine that is still listed and counts as holding its models, so that
+/// they are loaded on no other engine.
 #[test]
-fn unreachable_engine_holds_nothing() {
+fn unreachable_engine() {
     let directory = directory(&[("e0", "a", &["m0"])]);
     let mut dispatcher = dispatcher();
     let engine = UpstreamName::from("e0");
-    assert!(dispatcher.note_unreachable(1_000, &engine));
-    assert!(!dispatcher.note_unreachable(1_001, &engine));
+    assert!(dispatcher.record_unreachable(1_000, &engine));
+    assert!(!dispatcher.record_unreachable(1_001, &engine));
     let job = stream("m0", false);
-    let missing = Verdict::Wait(WaitReason::Missing);
+    let missing = DispatchDecision::Wait(WaitReason::Missing);
     assert_eq!(dispatcher.decide(1_100, &directory, &job), missing);
     assert_eq!(
         dispatcher.decide(1_500, &directory, &job),
-        Verdict::Send(engine.clone())
+        DispatchDecision::Send(engine.clone())
     );
-    dispatcher.note_unreachable(1_500, &engine);
+    dispatcher.record_unreachable(1_500, &engine);
     assert_eq!(dispatcher.decide(2_400, &directory, &job), missing);
     dispatcher.ended(
         2_400,
@@ -234,17 +236,17 @@
     );
     assert_eq!(
         dispatcher.decide(2_401, &directory, &job),
-        Verdict::Send(engine)
+        DispatchDecision::Send(engine)
     );
 }
 
 #[test]
-fn unreachable_instances_are_tried() {
+fn unreachable_instances() {
     let directory = directory(&[]);
     let mut dispatcher = dispatcher();
     for name in ["p0", "p1"] {
-        dispatcher.note_unreachable(1_000, &UpstreamName::from(name));
+        dispatcher.record_unreachable(1_000, &UpstreamName::from(name));
     }
     let verdict = dispatcher.decide(1_001, &directory, &call(RouteKind::Idempotent));
-    assert!(matches!(verdict, Verdict::Send(_)));
+    assert!(matches!(verdict, DispatchDecision::Send(_)));
 }
--- a/crates/entry/src/answering.rs
+++ b/crates/entry/src/answering.rs
@@ -2,9 +2,9 @@
 
 use apricotdale_core::names::RequestId;
 use apricotdale_core::policy::UpstreamOutcome;
-use apricotdale_delivery::Misfit;
-use apricotdale_dispatch::Attempt;
-use apricotdale_dispatch::FailedTry;
+use apricotdale_delivery::ContinuationMismatch;
+use apricotdale_dispatch::FailedAttempt;
+use apricotdale_dispatch::RetryAction;
 use apricotdale_http1::ResponseHead;
 use mio::Token;
 
@@ -30,9 +30,9 @@
     /// It answers another request; this request's own may follow.
     Skip,
     /// The try has failed.
-    Fail(FailedTry),
+    Fail(FailedAttempt),
     /// It is the request's own, and does not fit behind what the caller has been given.
-    Misfit(Misfit),
+    ContinuationMismatch(ContinuationMismatch),
 }
 
 impl Daemon {
@@ -116,7 +116,7 @@
         let verdict = match judge(&head, &fields, &request.serving.id) {
             HeadVerdict::Take => match request.delivery.head(head, fields.version) {
                 Ok(()) => HeadVerdict::Take,
-                Err(misfit) => HeadVerdict::Misfit(misfit),
+                Err(misfit) => HeadVerdict::ContinuationMismatch(misfit),
             },
             verdict => verdict,
         };
@@ -138,7 +138,7 @@
             HeadVerdict::Take => {}
             HeadVerdict::Skip => self.metrics.failed_try("crossed_answer"),
             HeadVerdict::Fail(failed) => {
-                if failed == FailedTry::Misdirected {
+                if failed == FailedAttempt::Misdirected {
                     self.note_misdirected(key, &fields);
                 }
                 match failed.is_not_run() {
@@ -148,7 +148,9 @@
                 self.try_failed(key, failed);
                 self.advance_drain(token);
             }
-            HeadVerdict::Misfit(misfit) => self.answer_does_not_fit(token, key, misfit),
+            HeadVerdict::ContinuationMismatch(misfit) => {
+                self.answer_does_not_fit(token, key, misfit)
+            }
         }
     }
 
@@ -165,7 +167,7 @@
     }
 
     /// Gives up an answer that does not fit behind what the caller has been given.
-    fn answer_does_not_fit(&mut self, token: Token, key: u64, misfit: Misfit) {
+    fn answer_does_not_fit(&mut self, token: Token, key: u64, misfit: ContinuationMismatch) {
         self.metrics.misfit(misfit.as_str());
         if let Some(request) = self.active.get(key)
             && self.lines.take(self.now_ms, false)
@@ -181,10 +183,10 @@
         }
         match misfit {
             // The answer has ended, and its connection was released.
-            Misfit::Unfinished | Misfit::Empty => {}
+            ContinuationMismatch::Unfinished | ContinuationMismatch::Empty => {}
             _ => self.leave(token),
         }
-        self.try_failed(key, FailedTry::Misfit);
+        self.try_failed(key, FailedAttempt::ContinuationMismatch);
     }
 
     /// Logs that an upstream answers a request of which the caller already has a part.
@@ -320,15 +322,15 @@
         request.job.runs += 1;
         let attempt =
             self.dispatcher
-                .after_failure(self.now_ms, &request.job, FailedTry::Failed, false);
+                .after_failure(self.now_ms, &request.job, FailedAttempt::Failed, false);
         match attempt {
-            Attempt::AgainAfterMs(pause_ms) => {
-                self.metrics.failed_try(FailedTry::Failed.as_str());
+            RetryAction::AfterMs(pause_ms) => {
+                self.metrics.failed_try(FailedAttempt::Failed.as_str());
                 self.end_try(key, UpstreamOutcome::Lost);
                 self.pause(key, pause_ms);
                 true
             }
-            Attempt::OnceAllowed | Attempt::GiveUp => false,
+            RetryAction::OnceBudgetAllows | RetryAction::GiveUp => false,
         }
     }
 
@@ -352,7 +354,7 @@
             self.write_to_caller(caller, bytes);
             self.finish_answer(caller);
             let how = if status < 400 {
-                self.note_answered(fingerprint);
+                self.record_answered(fingerprint);
                 "answered"
             } else {
                 "upstream_failed"
@@ -369,12 +371,12 @@
     let success = (200..300).contains(&head.status);
     match &fields.request {
         Some(other) if other != id => HeadVerdict::Skip,
-        _ if fields.misdirected => HeadVerdict::Fail(FailedTry::Misdirected),
-        _ if fields.not_run => HeadVerdict::Fail(FailedTry::TurnedAway),
+        _ if fields.misdirected => HeadVerdict::Fail(FailedAttempt::Misdirected),
+        _ if fields.not_run => HeadVerdict::Fail(FailedAttempt::Rejected),
         // Without the identity or the signature it may be anybody's answer.
-        None => HeadVerdict::Fail(FailedTry::Lost),
-        Some(_) if !fields.signed || fields.encoded => HeadVerdict::Fail(FailedTry::Lost),
+        None => HeadVerdict::Fail(FailedAttempt::Lost),
+        Some(_) if !fields.signed || fields.encoded => HeadVerdict::Fail(FailedAttempt::Lost),
         Some(_) if success || head.status >= 400 => HeadVerdict::Take,
-        Some(_) => HeadVerdict::Fail(FailedTry::Lost),
+        Some(_) => HeadVerdict::Fail(FailedAttempt::Lost),
     }
 }
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -14,8 +14,8 @@
 use apricotdale_quarantine::CrashReport;
 use apricotdale_quarantine::Fingerprint;
 use apricotdale_quarantine::TrialAnswer;
-use apricotdale_quarantine::TrialAsk;
 use apricotdale_quarantine::TrialEnd;
+use apricotdale_quarantine::TrialQuery;
 use apricotdale_quota::Answer;
 use apricotdale_quota::Report;
 use serde::Deserialize;
@@ -70,12 +70,12 @@
     /// What engines hold.
     News(Vec<ResidenceUpdate>),
     /// An engine turned a request away because it does not hold the model.
-    TurnedAway {
+    Rejected {
         engine: UpstreamName,
         model: ModelName,
     },
     /// An engine with requests in progress does not answer.
-    Dark(UpstreamName),
+    Unresponsive(UpstreamName),
     /// Such an engine answers again.
     Lit(UpstreamName),
     /// The giver of orders has given the lease back.
@@ -99,7 +99,7 @@
     TrialWanted {
         /// The run of the VM that asks.
         asker: u64,
-        ask: TrialAsk,
+        ask: TrialQuery,
     },
     /// The judge's answer.
     TrialDecided(TrialAnswer),
--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -142,8 +142,8 @@
             }
             PeerMessage::Entries { read_to, entries } => self.take_told_entries(read_to, entries),
             PeerMessage::News(news) => self.take_news(news),
-            PeerMessage::TurnedAway { engine, model } => self.engine_lacks(&engine, &model),
-            PeerMessage::Dark(engine) => self.told_dark(&engine),
+            PeerMessage::Rejected { engine, model } => self.engine_lacks(&engine, &model),
+            PeerMessage::Unresponsive(engine) => self.told_dark(&engine),
             PeerMessage::Lit(engine) => self.engine_lit(&engine),
             PeerMessage::Released {
                 lease_end,
@@ -157,16 +157,16 @@
                 self.tell_probations_to(from);
             }
             PeerMessage::Probations(fingerprints) => {
-                self.crash_watch.take_probations(now_ms, &fingerprints);
+                self.crash_watch.record_probations(now_ms, &fingerprints);
             }
             PeerMessage::TrialWanted { asker, ask } => self.decide_trial(from, asker, &ask),
             PeerMessage::TrialDecided(answer) => {
-                self.look_again |= self.crash_watch.take_trial_answer(now_ms, &answer);
+                self.look_again |= self.crash_watch.record_trial_answer(now_ms, &answer);
             }
             PeerMessage::Spent(report) => self.take_report(Some(from), &report),
             PeerMessage::Allowed(answer) => self.take_allowed(&answer),
             PeerMessage::TrialOver { asker, end } => {
-                self.crash_watch.take_trial_end(now_ms, asker, &end);
+                self.crash_watch.record_peer_trial_end(now_ms, asker, &end);
             }
         }
     }
@@ -177,7 +177,7 @@
         if self.ordering.held_lease_end(self.now_ms).is_some() {
             self.engine_lacks(engine, model);
         } else if let Some((_, address, _)) = self.peers.holder {
-            let message = PeerMessage::TurnedAway {
+            let message = PeerMessage::Rejected {
                 engine: engine.clone(),
                 model: model.clone(),
             };
@@ -283,7 +283,7 @@
         for row in forecasts {
             let ready_ms = row.ready_in_ms.map(|in_ms| now_ms + in_ms);
             self.dispatcher
-                .note_forecast(now_ms, row.model, LoadForecast { ready_ms });
+                .record_forecast(now_ms, row.model, LoadForecast { ready_ms });
         }
         self.look_again = true;
     }
@@ -384,7 +384,7 @@
         let active = self.active.iter().filter_map(|(_, request)| {
             let state = match request.phase {
                 Phase::Waiting(WaitReason::Missing) => RequestState::Missing,
-                Phase::Waiting(WaitReason::Crowded) => RequestState::Crowded,
+                Phase::Waiting(WaitReason::Full) => RequestState::Full,
                 _ => RequestState::Running,
             };
             Some((request.job.wanted.as_ref()?, state))
--- a/crates/holder/src/local_demand.rs
+++ b/crates/holder/src/local_demand.rs
@@ -15,7 +15,7 @@
     /// The request waits because no engine holds its model or adapter.
     Missing,
     /// The request waits because all engines that hold its model are full.
-    Crowded,
+    Full,
     /// The request runs on an engine.
     Running,
 }
@@ -64,7 +64,7 @@
                 .or_insert_with(|| idle_row(wanted, row.arrived));
             match state {
                 RequestState::Missing => current.waiting_for_load += 1,
-                RequestState::Crowded => current.waiting_for_slot += 1,
+                RequestState::Full => current.waiting_for_slot += 1,
                 RequestState::Running => current.running += 1,
             }
         }
--- a/crates/holder/tests/local_demand.rs
+++ b/crates/holder/tests/local_demand.rs
@@ -51,7 +51,7 @@
 
 #[rstest]
 #[case::waiting_for_load(RequestState::Missing, [1, 0, 0])]
-#[case::waiting_for_slot(RequestState::Crowded, [0, 1, 0])]
+#[case::waiting_for_slot(RequestState::Full, [0, 1, 0])]
 #[case::running(RequestState::Running, [0, 0, 1])]
 fn active_request_repeated(#[case] state: RequestState, #[case] counts: [u32; 3]) {
     let requested = wanted(0);
--- a/crates/quarantine/benches/recognising.rs
+++ b/crates/quarantine/benches/crash_detection.rs
@@ -1,4 +1,4 @@
-//! How long it takes to know a request again, by the size of its body, and to judge a crash.
+//! Time to compute a fingerprint, by the size of the body, and to judge a crash.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_quarantine::CallerHash;
@@ -12,7 +12,7 @@
 
 const BODIES_BYTES: [usize; 4] = [0, 2_500, 64 * 1024, 1024 * 1024];
 
-/// Crashes that are remembered, and requests under each.
+/// Number of remembered crashes, and of requests under each.
 const CRASHES: u64 = 100;
 const REQUESTS: u32 = 24;
 
@@ -41,13 +41,13 @@
     let options = Options::default();
     let mut quarantine = Quarantine::new(options.clone());
     for upstream in 0..CRASHES {
-        quarantine.note_crash(upstream * 1_000, &report(upstream));
+        quarantine.record_crash(upstream * 1_000, &report(upstream));
     }
     criterion.bench_function("judge_a_crash_after_100", |bencher| {
         bencher.iter_batched(
             || {
                 let mut quarantine = quarantine.clone();
-                quarantine.note_crash(CRASHES * 1_000, &report(CRASHES));
+                quarantine.record_crash(CRASHES * 1_000, &report(CRASHES));
                 quarantine
             },
             |mut quarantine| quarantine.judge(CRASHES * 1_000 + options.settle_ms, Scope::Fleet),
--- a/crates/quarantine/src/crashes.rs
+++ b/crates/quarantine/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests were in progress at upstreams that crashed.
+//! Crashes of upstreams, and the requests that were in progress there.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,37 +13,39 @@
 use crate::fingerprint::Fingerprint;
 use crate::options::Options;
 
-/// Who reports what the store keeps.
-const STORE: u64 = 0;
+/// Reporter of the crashes that were read from the store.
+const STORE_REPORTER: u64 = 0;
 
-/// `Suspect` is a request that was in progress at an upstream that crashed.
+/// Suspect request: it was in progress at an upstream that crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Whose it is, by which the memory is shared out.
+    /// Caller of the request, for the limits per caller.
     pub caller: CallerHash,
-    /// How long before the crash a VM saw the same request answered; none if it did not.
-    pub served_ago_ms: Option<u64>,
-    /// How many copies of it were in progress there.
+    /// Time from the last answer to the same request that a VM saw until the crash, or `None` if it
+    /// saw none.
+    pub answered_ago_ms: Option<u64>,
+    /// Number of its copies that were in progress there.
     pub copies: u32,
-    /// How many of these were trials.
+    /// Number of these copies that were trial runs.
     pub trials: u32,
 }
 
 impl Suspect {
-    /// Returns a suspect of which one copy was in progress, and none was answered before.
+    /// Returns a suspect with one copy that was no trial run, and without an earlier answer.
     pub fn new(fingerprint: Fingerprint, caller: CallerHash) -> Self {
         Self {
             fingerprint,
             caller,
-            served_ago_ms: None,
+            answered_ago_ms: None,
             copies: 1,
             trials: 0,
         }
     }
 
-    /// Adds a suspect to those of one upstream, as another copy where it is among them.
+    /// Adds the suspect to those of one upstream. If it is among them already, the numbers of
+    /// copies are added.
     pub(crate) fn add_to(self, suspects: &mut Vec<Self>) {
         let known = suspects
             .iter_mut()
@@ -58,52 +60,52 @@
     }
 }
 
-/// `CrashReport` is what one VM had in progress at an upstream that crashed.
+/// One VM's requests that were in progress at an upstream that crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The run of the upstream.
+    /// Incarnation of the upstream.
     pub upstream: UpstreamName,
-    /// How long ago it crashed.
+    /// Time since the crash.
     pub ago_ms: u64,
-    /// The run of the VM that reports, whose word replaces its word of before.
+    /// Incarnation of the VM that reports. A later report of the same one replaces its earlier one.
     pub reporter: u64,
-    /// The requests that were in progress there.
+    /// Requests that were in progress there.
     pub suspects: Vec<Suspect>,
 }
 
-/// `CaseRow` is a request under which several upstreams crashed, as the store keeps it.
+/// Crash case: a request and the crashes under it, as the store keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseRow {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Whose it is.
+    /// Caller of the request.
     pub caller: CallerHash,
-    /// The crashes under it.
+    /// Crashes of upstreams at which it was in progress.
     pub crashes: Vec<CaseCrash>,
 }
 
-/// `CaseCrash` is a crash under a request, as the store keeps it.
+/// One crash of a crash case.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseCrash {
-    /// The upstream.
+    /// Incarnation of the upstream.
     pub upstream: UpstreamName,
-    /// How long ago it crashed.
+    /// Time since the crash.
     pub ago_ms: u64,
-    /// How many copies were lost with it.
+    /// Number of copies of the request that were lost.
     pub copies: u32,
-    /// How many of these were trials.
+    /// Number of these copies that were trial runs.
     pub trials: u32,
 }
 
 impl CaseRow {
-    /// Returns the case as reports, some time later.
+    /// Returns the case as crash reports, `later_ms` after it was read.
     pub fn reports(&self, later_ms: u64) -> Vec<CrashReport> {
         let crashes = self.crashes.iter();
         crashes
             .map(|crash| CrashReport {
                 upstream: crash.upstream.clone(),
                 ago_ms: crash.ago_ms + later_ms,
-                reporter: STORE,
+                reporter: STORE_REPORTER,
                 suspects: vec![Suspect {
                     copies: crash.copies,
                     trials: crash.trials,
@@ -113,36 +115,45 @@
             .collect()
     }
 
-    /// Returns how many copies were lost.
+    /// Returns the number of copies that were lost in all crashes.
     pub fn copies(&self) -> u32 {
         self.crashes.iter().map(|crash| crash.copies).sum()
     }
 }
 
-/// What was lost of one request with one upstream.
+/// Copies of one request that were lost with one upstream.
 #[derive(Clone, Debug)]
-struct Loss {
+struct LostCopies {
     caller: CallerHash,
-    /// The copies by who reports them.
+    /// Numbers of copies by reporter.
     reported: BTreeMap<u64, Copies>,
 }
 
-/// How many copies were lost, and how many of them were trials.
+/// Number of lost copies, and of the trial runs among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Copies {
     all: u32,
     trials: u32,
 }
 
-impl Loss {
-    /// Returns how many copies were lost. The store may keep what some of the VMs report, too.
+impl LostCopies {
+    /// Returns the number of lost copies over all reporters. The store's number may include what
+    /// VMs report, too, so that the larger one counts.
     fn copies(&self) -> Copies {
         let mut copies = Copies::default();
-        for (_, of_vm) in self.reported.iter().filter(|(it, _)| **it != STORE) {
+        for (_, of_vm) in self
+            .reported
+            .iter()
+            .filter(|(it, _)| **it != STORE_REPORTER)
+        {
             copies.all += of_vm.all;
             copies.trials += of_vm.trials;
         }
-        let stored = self.reported.get(&STORE).copied().unwrap_or_default();
+        let stored = self
+            .reported
+            .get(&STORE_REPORTER)
+            .copied()
+            .unwrap_or_default();
         Copies {
             all: copies.all.max(stored.all),
             trials: copies.trials.max(stored.trials),
@@ -153,63 +164,63 @@
 #[derive(Clone, Debug)]
 struct Crash {
     at_ms: u64,
-    /// When it was first heard of.
-    heard_ms: u64,
-    suspects: BTreeMap<Fingerprint, Loss>,
+    /// Time of its first report.
+    first_report_ms: u64,
+    suspects: BTreeMap<Fingerprint, LostCopies>,
 }
 
-/// `CrashLog` holds the crashes of the last minutes.
+/// Crashes of the last minutes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashLog {
     crashes: BTreeMap<UpstreamName, Crash>,
     suspects_by_caller: HashMap<CallerHash, usize>,
     suspects: usize,
-    /// When requests under crashes were last answered.
-    served: HashMap<Fingerprint, u64>,
-    /// When the requests under a crash are next to be judged.
+    /// Times at which suspect requests were last answered.
+    last_answers: HashMap<Fingerprint, u64>,
+    /// Time at which the requests under a crash are to be judged next.
     pub due_ms: Option<u64>,
-    /// Grows with each crash that is heard of.
+    /// Grows with each report that adds to a crash.
     pub changes: u64,
 }
 
-/// `Charge` is a crash under a request.
+/// Crash that is held against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Charge {
+pub(crate) struct SuspectCrash {
     pub upstream: UpstreamName,
     pub at_ms: u64,
-    /// Whether the upstream crashed by itself, and under no other request that is known to crash
-    /// upstreams.
+    /// Whether the upstream crashed outside a group, and under no other request that is known to
+    /// crash upstreams.
     pub is_unexplained: bool,
-    /// How many trials of the request were lost with it.
+    /// Number of trial runs of the request that were lost.
     pub trials: u32,
 }
 
-/// `Case` is what speaks against a request.
+/// All crashes that are held against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Case {
+pub(crate) struct CrashCase {
     pub fingerprint: Fingerprint,
     pub caller: CallerHash,
-    /// The crashes under it in order of time.
-    pub charges: Vec<Charge>,
+    /// Crashes under it in order of time.
+    pub crashes: Vec<SuspectCrash>,
 }
 
-impl Case {
-    /// Returns the upstreams whose crash nothing else explains.
-    pub fn unexplained(&self) -> impl Iterator<Item = &Charge> {
-        self.charges.iter().filter(|charge| charge.is_unexplained)
+impl CrashCase {
+    /// Returns the crashes without another explanation.
+    pub fn unexplained(&self) -> impl Iterator<Item = &SuspectCrash> {
+        self.crashes.iter().filter(|crash| crash.is_unexplained)
     }
 
-    /// Returns how many trials of the request were lost.
+    /// Returns the number of trial runs of the request that were lost.
     pub fn trials(&self) -> u32 {
-        self.charges.iter().map(|charge| charge.trials).sum()
+        self.crashes.iter().map(|crash| crash.trials).sum()
     }
 }
 
 impl CrashLog {
-    /// Takes in what a VM had in progress at an upstream that crashed. The same may come again.
-    pub fn note(&mut self, now_ms: u64, report: &CrashReport, options: &Options) {
+    /// Records a VM's crash report. The same report may be recorded several times.
+    pub fn record(&mut self, now_ms: u64, report: &CrashReport, options: &Options) {
         let at_ms = now_ms.saturating_sub(report.ago_ms);
-        if report.ago_ms >= options.memory_ms || report.suspects.is_empty() {
+        if report.ago_ms >= options.crash_ttl_ms || report.suspects.is_empty() {
             return;
         }
         let crash = self
@@ -217,33 +228,33 @@
             .entry(report.upstream.clone())
             .or_insert_with(|| Crash {
                 at_ms,
-                heard_ms: now_ms,
+                first_report_ms: now_ms,
                 suspects: BTreeMap::new(),
             });
         crash.at_ms = crash.at_ms.min(at_ms);
-        let (at_ms, heard_ms) = (crash.at_ms, crash.heard_ms);
+        let (at_ms, first_report_ms) = (crash.at_ms, crash.first_report_ms);
         let mut is_new = false;
         for suspect in &report.suspects {
-            let served_ms = suspect
-                .served_ago_ms
+            let answered_ms = suspect
+                .answered_ago_ms
                 .map(|ago_ms| at_ms.saturating_sub(ago_ms));
-            if let Some(served_ms) = served_ms {
-                self.note_served(suspect.fingerprint, served_ms, options);
+            if let Some(answered_ms) = answered_ms {
+                self.record_answered(suspect.fingerprint, answered_ms, options);
             }
-            let served_ms = self.served.get(&suspect.fingerprint);
-            if served_ms.is_none_or(|served_ms| *served_ms <= at_ms) {
+            let answered_ms = self.last_answers.get(&suspect.fingerprint);
+            if answered_ms.is_none_or(|answered_ms| *answered_ms <= at_ms) {
                 is_new |= self.add(&report.upstream, report.reporter, suspect);
             }
         }
         if is_new {
             self.changes += 1;
-            let judge_ms = (heard_ms + options.settle_ms).max(now_ms);
+            let judge_ms = (first_report_ms + options.settle_ms).max(now_ms);
             self.due_ms = Some(self.due_ms.map_or(judge_ms, |due_ms| due_ms.min(judge_ms)));
-            self.bound(options);
+            self.enforce_limits(options);
         }
     }
 
-    /// Returns whether the word of a suspect says something new.
+    /// Adds a suspect to a crash. Returns whether that changes the number of lost copies.
     fn add(&mut self, upstream: &UpstreamName, reporter: u64, suspect: &Suspect) -> bool {
         let Some(crash) = self.crashes.get_mut(upstream) else {
             return false;
@@ -254,7 +265,7 @@
             .or_insert_with(|| {
                 *self.suspects_by_caller.entry(suspect.caller).or_default() += 1;
                 self.suspects += 1;
-                Loss {
+                LostCopies {
                     caller: suspect.caller,
                     reported: BTreeMap::new(),
                 }
@@ -266,20 +277,20 @@
         before != loss.copies()
     }
 
-    /// Takes in that a request was answered: the crashes before were not its doing.
-    fn note_served(&mut self, fingerprint: Fingerprint, served_ms: u64, options: &Options) {
-        if self.served.len() >= options.max_served {
-            let oldest = self.served.iter().min_by_key(|(_, at_ms)| **at_ms);
+    /// Records that a request was answered, which clears it of earlier crashes.
+    fn record_answered(&mut self, fingerprint: Fingerprint, answered_ms: u64, options: &Options) {
+        if self.last_answers.len() >= options.max_answered {
+            let oldest = self.last_answers.iter().min_by_key(|(_, at_ms)| **at_ms);
             let oldest = oldest.map(|(fingerprint, _)| *fingerprint);
-            oldest.and_then(|oldest| self.served.remove(&oldest));
+            oldest.and_then(|oldest| self.last_answers.remove(&oldest));
         }
-        let known_ms = self.served.entry(fingerprint).or_insert(served_ms);
-        *known_ms = served_ms.max(*known_ms);
-        let served_ms = *known_ms;
-        self.clear_if(&fingerprint, |crash| crash.at_ms < served_ms);
+        let known_ms = self.last_answers.entry(fingerprint).or_insert(answered_ms);
+        *known_ms = answered_ms.max(*known_ms);
+        let answered_ms = *known_ms;
+        self.clear_if(&fingerprint, |crash| crash.at_ms < answered_ms);
     }
 
-    /// Forgets crashes that are too old.
+    /// Removes crashes and answers from before a time.
     pub fn forget_before(&mut self, at_ms: u64) {
         let old: Vec<UpstreamName> = self
             .crashes
@@ -288,30 +299,31 @@
             .map(|(name, _)| name.clone())
             .collect();
         old.iter().for_each(|name| self.remove(name));
-        self.served.retain(|_, served_ms| *served_ms >= at_ms);
+        self.last_answers
+            .retain(|_, answered_ms| *answered_ms >= at_ms);
     }
 
-    /// Forgets what speaks against a request.
+    /// Removes a request from all crashes.
     pub fn clear(&mut self, fingerprint: &Fingerprint) {
         self.clear_if(fingerprint, |_| true);
     }
 
-    fn clear_if(&mut self, fingerprint: &Fingerprint, goes: impl Fn(&Crash) -> bool) {
-        for crash in self.crashes.values_mut().filter(|crash| goes(crash)) {
+    fn clear_if(&mut self, fingerprint: &Fingerprint, is_cleared: impl Fn(&Crash) -> bool) {
+        for crash in self.crashes.values_mut().filter(|crash| is_cleared(crash)) {
             if let Some(loss) = crash.suspects.remove(fingerprint) {
-                uncount(&mut self.suspects_by_caller, loss.caller);
+                decrement(&mut self.suspects_by_caller, loss.caller);
                 self.suspects -= 1;
             }
         }
     }
 
-    /// Returns whether a request was answered since a time, as far as reports have told.
-    pub fn is_served_since(&self, fingerprint: &Fingerprint, from_ms: u64) -> bool {
-        let served_ms = self.served.get(fingerprint);
-        served_ms.is_some_and(|served_ms| *served_ms >= from_ms)
+    /// Returns whether a request was answered at or after a time, according to crash reports.
+    pub fn is_answered_since(&self, fingerprint: &Fingerprint, from_ms: u64) -> bool {
+        let answered_ms = self.last_answers.get(fingerprint);
+        answered_ms.is_some_and(|answered_ms| *answered_ms >= from_ms)
     }
 
-    /// Returns the requests of which enough was lost for probation.
+    /// Returns the crash cases that meet the limits for probation.
     pub fn rows(&self, now_ms: u64, options: &Options) -> Vec<CaseRow> {
         let mut rows: BTreeMap<Fingerprint, CaseRow> = BTreeMap::new();
         for (upstream, crash) in &self.crashes {
@@ -336,65 +348,65 @@
         rows.into_values().filter(is_case).collect()
     }
 
-    /// Returns when the next crash settles.
+    /// Returns when the next crash has settled, if one has not yet.
     pub fn next_settled_ms(&self, now_ms: u64, options: &Options) -> Option<u64> {
         let settle = self.crashes.values();
-        let settle = settle.map(|crash| crash.heard_ms + options.settle_ms);
+        let settle = settle.map(|crash| crash.first_report_ms + options.settle_ms);
         settle.filter(|at_ms| *at_ms > now_ms).min()
     }
 
-    /// Returns how many requests are remembered, counted once for each crash.
+    /// Returns how many suspect requests are remembered, counted once per crash.
     pub fn suspects(&self) -> usize {
         self.suspects
     }
 
-    /// Returns what speaks against each request under a crash that has settled. Requests that are
-    /// `guilty` explain the crashes under them.
+    /// Returns the case of each request under a crash that has settled, the one with most crashes
+    /// first. Requests that are `is_known_crasher` explain the crashes under them.
     pub fn cases(
         &self,
         now_ms: u64,
         options: &Options,
-        guilty: impl Fn(&Fingerprint) -> bool,
-    ) -> Vec<Case> {
+        is_known_crasher: impl Fn(&Fingerprint) -> bool,
+    ) -> Vec<CrashCase> {
         let settled: Vec<(&UpstreamName, &Crash)> = self
             .crashes
             .iter()
-            .filter(|(_, crash)| crash.heard_ms + options.settle_ms <= now_ms)
+            .filter(|(_, crash)| crash.first_report_ms + options.settle_ms <= now_ms)
             .collect();
-        let mut cases: HashMap<Fingerprint, Case> = HashMap::new();
+        let mut cases: HashMap<Fingerprint, CrashCase> = HashMap::new();
         for (name, crash) in &settled {
-            let is_group = self.is_group(crash, options);
+            let is_in_group = self.is_in_group(crash, options);
             for (suspect, loss) in &crash.suspects {
-                let case = cases.entry(*suspect).or_insert_with(|| Case {
+                let case = cases.entry(*suspect).or_insert_with(|| CrashCase {
                     fingerprint: *suspect,
                     caller: loss.caller,
-                    charges: Vec::new(),
+                    crashes: Vec::new(),
                 });
                 let mut others = crash.suspects.keys().filter(|other| *other != suspect);
-                case.charges.push(Charge {
+                case.crashes.push(SuspectCrash {
                     upstream: (*name).clone(),
                     at_ms: crash.at_ms,
-                    is_unexplained: !is_group && !others.any(&guilty),
+                    is_unexplained: !is_in_group && !others.any(&is_known_crasher),
                     trials: loss.copies().trials,
                 });
             }
         }
-        let mut cases: Vec<Case> = cases.into_values().collect();
+        let mut cases: Vec<CrashCase> = cases.into_values().collect();
         for case in &mut cases {
-            case.charges.sort_by_key(|charge| charge.at_ms);
+            case.crashes.sort_by_key(|crash| crash.at_ms);
         }
         cases.sort_by_key(|case| {
-            let counts = (case.unexplained().count(), case.charges.len());
+            let counts = (case.unexplained().count(), case.crashes.len());
             (Reverse(counts), case.fingerprint)
         });
         cases
     }
 
-    /// Returns the most crashes under any other request that was in progress at one of these
-    /// upstreams when it crashed.
-    pub fn most_beside(&self, case: &Case) -> usize {
+    /// Returns the largest number of crashes of any other request that was at one of the case's
+    /// unexplained crashes.
+    pub fn max_beside(&self, case: &CrashCase) -> usize {
         let crashes = case.unexplained();
-        let crashes = crashes.filter_map(|charge| self.crashes.get(&charge.upstream));
+        let crashes = crashes.filter_map(|crash| self.crashes.get(&crash.upstream));
         let beside: BTreeSet<&Fingerprint> = crashes
             .flat_map(|crash| crash.suspects.keys())
             .filter(|it| **it != case.fingerprint)
@@ -408,8 +420,8 @@
         most
     }
 
-    /// Returns whether other upstreams crashed at the same moment, as those of one rack do.
-    fn is_group(&self, crash: &Crash, options: &Options) -> bool {
+    /// Returns whether other upstreams crashed at the same time, as those of one rack do.
+    fn is_in_group(&self, crash: &Crash, options: &Options) -> bool {
         let within = |most_ms: u64| {
             let near = |other: &&Crash| other.at_ms.abs_diff(crash.at_ms) <= most_ms;
             self.crashes.values().filter(near).count()
@@ -417,7 +429,7 @@
         within(options.group_ms) >= options.group_upstreams || within(options.pair_ms) >= 2
     }
 
-    fn bound(&mut self, options: &Options) {
+    fn enforce_limits(&mut self, options: &Options) {
         while self.crashes.len() > options.max_crashes {
             self.remove_oldest();
         }
@@ -427,21 +439,21 @@
                 .iter()
                 .max_by_key(|(_, count)| **count);
             match most.map(|(caller, _)| *caller) {
-                Some(caller) => self.remove_oldest_of(caller),
+                Some(caller) => self.remove_oldest_of_caller(caller),
                 None => return,
             }
         }
-        let over: Vec<CallerHash> = self
+        let callers_over_limit: Vec<CallerHash> = self
             .suspects_by_caller
             .iter()
-            .filter(|(_, count)| **count > options.max_suspects_a_caller)
+            .filter(|(_, count)| **count > options.max_suspects_per_caller)
             .map(|(caller, _)| *caller)
             .collect();
-        for caller in over {
+        for caller in callers_over_limit {
             while self.suspects_by_caller.get(&caller).copied()
-                > Some(options.max_suspects_a_caller)
+                > Some(options.max_suspects_per_caller)
             {
-                self.remove_oldest_of(caller);
+                self.remove_oldest_of_caller(caller);
             }
         }
     }
@@ -453,8 +465,8 @@
         }
     }
 
-    /// Forgets the requests of a caller under the oldest crash that has any.
-    fn remove_oldest_of(&mut self, caller: CallerHash) {
+    /// Removes the requests of a caller from the oldest crash that has any.
+    fn remove_oldest_of_caller(&mut self, caller: CallerHash) {
         let has = |crash: &Crash| crash.suspects.values().any(|it| it.caller == caller);
         let oldest = self
             .crashes
@@ -470,7 +482,7 @@
         let removed = before - crash.suspects.len();
         self.suspects -= removed;
         for _ in 0..removed {
-            uncount(&mut self.suspects_by_caller, caller);
+            decrement(&mut self.suspects_by_caller, caller);
         }
     }
 
@@ -480,12 +492,12 @@
         };
         self.suspects -= crash.suspects.len();
         for loss in crash.suspects.into_values() {
-            uncount(&mut self.suspects_by_caller, loss.caller);
+            decrement(&mut self.suspects_by_caller, loss.caller);
         }
     }
 }
 
-fn uncount(counts: &mut HashMap<CallerHash, usize>, caller: CallerHash) {
+fn decrement(counts: &mut HashMap<CallerHash, usize>, caller: CallerHash) {
     if let Some(count) = counts.get_mut(&caller) {
         *count -= 1;
         if *count == 0 {
--- a/crates/quarantine/tests/crash_verdicts.rs
+++ b/crates/quarantine/tests/block_decisions.rs
@@ -1,4 +1,4 @@
-//! Which requests are blocked after which crashes.
+//! Requests that are blocked, and the crashes after which they are.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_quarantine::CallerHash;
@@ -9,7 +9,7 @@
 use apricotdale_quarantine::Scope;
 use apricotdale_quarantine::Suspect;
 
-/// The time between two crashes that have nothing to do with each other.
+/// Time between two unrelated crashes.
 const APART_MS: u64 = 1_000;
 
 fn request(number: u32) -> Fingerprint {
@@ -20,7 +20,7 @@
     Suspect::new(request(number), CallerHash::of(b"caller"))
 }
 
-/// `Fleet` is a quarantine that hears of every crash at once.
+/// Quarantine that receives the report of every crash at once.
 struct Fleet {
     quarantine: Quarantine,
     now_ms: u64,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Has upstreams crash at one moment, each under some requests.
+    /// Simulates upstreams that crash at the same time, each under some requests.
     fn crash_together(&mut self, upstreams: &[&[u32]]) {
         self.now_ms += APART_MS;
         for requests in upstreams {
@@ -49,7 +49,7 @@
                 reporter: 1,
                 suspects: requests.iter().copied().map(suspect).collect(),
             };
-            self.quarantine.note_crash(self.now_ms, &report);
+            self.quarantine.record_crash(self.now_ms, &report);
         }
         self.settle();
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Guards against a request that is known to crash upstreams and still sent.
+/// Guards against sending a request that has proven to crash upstreams.
 #[test]
 fn third_crash_blocks() {
     let mut fleet = Fleet::new();
@@ -81,9 +81,9 @@
     assert!((10..13).chain(20..23).all(|it| !fleet.is_blocked(it)));
 }
 
-/// Guards against blaming a request for crashes that another one explains.
+/// Guards against blocking a request for crashes that another one explains.
 #[test]
-fn bystander_is_free() {
+fn bystander() {
     let mut fleet = Fleet::new();
     fleet.crash(&[1, 2]);
     fleet.crash(&[1, 2]);
@@ -95,7 +95,8 @@
     assert!(!fleet.is_blocked(2));
 }
 
-/// Guards against blaming a request that was beside two others, each of which crashes upstreams.
+/// Guards against blocking a request that was in progress beside two others, each of which crashes
+/// upstreams.
 #[test]
 fn beside_two_crashers() {
     let mut fleet = Fleet::new();
@@ -112,9 +113,9 @@
     assert!(fleet.is_blocked(1) && fleet.is_blocked(2) && !fleet.is_blocked(3));
 }
 
-/// Guards against blaming one of two requests that were at the same three upstreams.
+/// Guards against blocking one of two requests that were at the same three upstreams.
 #[test]
-fn rivals_wait_for_a_fourth() {
+fn fourth_crash_of_rivals() {
     let mut fleet = Fleet::new();
     for _ in 0..3 {
         fleet.crash(&[1, 2]);
@@ -125,9 +126,9 @@
     assert!(!fleet.is_blocked(2));
 }
 
-/// Guards against two requests that shield each other.
+/// Guards against two requests that explain each other's crashes, so that neither is blocked.
 #[test]
-fn fifth_crash_blocks_rivals() {
+fn fifth_crash_of_rivals() {
     let mut fleet = Fleet::new();
     for _ in 0..5 {
         fleet.crash(&[1, 2]);
@@ -135,9 +136,9 @@
     assert!(fleet.is_blocked(1) && fleet.is_blocked(2));
 }
 
-/// Guards against blaming a request that was in three racks, zones or the like as they were lost.
+/// Guards against blocking a request that was in three racks or zones when these were lost.
 #[test]
-fn lost_groups_blame_nobody() {
+fn lost_groups() {
     let mut fleet = Fleet::new();
     for round in 0..4 {
         fleet.crash_together(&[&[1], &[10 + round], &[20 + round]]);
@@ -145,9 +146,9 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against blaming a request where two upstreams of one machine were lost three times.
+/// Guards against blocking a request where two upstreams of one machine were lost, three times.
 #[test]
-fn lost_pairs_blame_nobody() {
+fn lost_pairs() {
     let mut fleet = Fleet::new();
     for round in 0..4 {
         fleet.crash_together(&[&[1], &[10 + round]]);
@@ -155,9 +156,9 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against requests that crash upstreams in step and so look like lost racks.
+/// Guards against requests that crash upstreams at the same times, and so look like lost racks.
 #[test]
-fn crashers_in_step_are_stopped() {
+fn simultaneous_crashers() {
     let mut fleet = Fleet::new();
     for _ in 0..5 {
         fleet.crash_together(&[&[1], &[2], &[3]]);
@@ -165,9 +166,9 @@
     assert!((1..4).all(|it| fleet.is_blocked(it)));
 }
 
-/// Guards against a second crasher that hides behind the first.
+/// Guards against overlooking a second crashing request because a first one explains its crashes.
 #[test]
-fn second_crasher_is_found() {
+fn second_crasher() {
     let mut fleet = Fleet::new();
     fleet.crash(&[1, 2]);
     fleet.crash(&[1, 2]);
@@ -181,9 +182,9 @@
     assert!(fleet.is_blocked(2));
 }
 
-/// Guards against counting a crash as often as it is told.
+/// Guards against counting a crash as often as it is reported.
 #[test]
-fn told_again_counts_once() {
+fn repeated_report() {
     let mut fleet = Fleet::new();
     let report = CrashReport {
         upstream: UpstreamName::from("i-1"),
@@ -192,15 +193,15 @@
         suspects: vec![suspect(1)],
     };
     for _ in 0..6 {
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
         fleet.settle();
     }
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against judging before the other VMs' words of a crash have come.
+/// Guards against judging a crash before the other VMs' reports of it have arrived.
 #[test]
-fn late_word_of_a_rival() {
+fn late_report() {
     let mut fleet = Fleet::new();
     fleet.crash(&[1, 2]);
     fleet.crash(&[1, 2]);
@@ -211,19 +212,19 @@
         reporter: 1,
         suspects: vec![suspect(number)],
     };
-    fleet.quarantine.note_crash(fleet.now_ms, &report(1));
+    fleet.quarantine.record_crash(fleet.now_ms, &report(1));
     fleet.quarantine.judge(fleet.now_ms, Scope::Fleet);
     fleet.now_ms += 100;
-    fleet.quarantine.note_crash(fleet.now_ms, &report(2));
+    fleet.quarantine.record_crash(fleet.now_ms, &report(2));
     fleet.settle();
     assert!(!fleet.is_blocked(1) && !fleet.is_blocked(2));
 }
 
-/// Guards against a VM that hears no other and blames by what it alone knows.
+/// Guards against a VM without reports of others that blocks a request by what it alone has seen.
 #[test]
-fn own_requests_need_five() {
+fn local_reports_only() {
     let mut fleet = Fleet::new();
-    fleet.scope = Scope::OwnRequests;
+    fleet.scope = Scope::LocalVm;
     for _ in 0..4 {
         fleet.crash(&[1]);
     }
@@ -232,9 +233,9 @@
     assert!(fleet.is_blocked(1));
 }
 
-/// Guards against refusing a request for good whose upstreams have been mended.
+/// Guards against refusing a request forever though the upstreams have been fixed.
 #[test]
-fn block_ends_and_returns() {
+fn block_expiry() {
     let options = Options::default();
     let mut fleet = Fleet::new();
     for _ in 0..3 {
@@ -253,16 +254,16 @@
         assert!(!fleet.is_blocked(1));
         fleet.crash(&[1]);
     }
-    fleet.now_ms += 2 * options.most_block_ms + 1;
+    fleet.now_ms += 2 * options.max_block_ms + 1;
     fleet.quarantine.forget(fleet.now_ms);
     fleet.crash(&[1]);
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against a request that is blocked again by one crash beside it, though it was answered
-/// after its block.
+/// Guards against blocking a request again for one crash beside it, though it was answered after
+/// its block.
 #[test]
-fn answered_after_the_block() {
+fn answered_after_block() {
     let mut fleet = Fleet::new();
     for _ in 0..3 {
         fleet.crash(&[1]);
@@ -275,18 +276,18 @@
             ago_ms: 0,
             reporter: 1,
             suspects: vec![Suspect {
-                served_ago_ms: Some(10),
+                answered_ago_ms: Some(10),
                 ..suspect(1)
             }],
         };
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
         fleet.settle();
         assert!(!fleet.is_blocked(1));
     }
 }
 
 #[test]
-fn answered_block_is_lifted() {
+fn answered_block() {
     let mut fleet = Fleet::new();
     for _ in 0..3 {
         fleet.crash(&[1]);
@@ -298,21 +299,22 @@
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against crashes long ago that count together with those of today.
+/// Guards against counting crashes of long ago together with recent ones.
 #[test]
-fn old_crashes_are_forgotten() {
+fn old_crashes() {
     let mut fleet = Fleet::new();
     for _ in 0..6 {
         fleet.crash(&[1]);
-        fleet.now_ms += Options::default().memory_ms / 2;
+        fleet.now_ms += Options::default().crash_ttl_ms / 2;
         fleet.quarantine.forget(fleet.now_ms);
     }
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against blaming what many callers send alike and upstreams answer all the time.
+/// Guards against blocking a request that many callers send alike and that upstreams keep
+/// answering.
 #[test]
-fn answered_request_is_clear() {
+fn answered_request() {
     let mut fleet = Fleet::new();
     for upstream in 0..8 {
         fleet.now_ms += APART_MS;
@@ -321,11 +323,11 @@
             ago_ms: 0,
             reporter: 1,
             suspects: vec![Suspect {
-                served_ago_ms: Some(APART_MS / 2),
+                answered_ago_ms: Some(APART_MS / 2),
                 ..suspect(1)
             }],
         };
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
         fleet.settle();
     }
     assert!(!fleet.is_blocked(1));
@@ -333,7 +335,7 @@
 
 /// Guards against a request that was answered once, and crashes upstreams since they changed.
 #[test]
-fn formerly_answered_is_stopped() {
+fn formerly_answered() {
     let mut fleet = Fleet::new();
     let began_ms = fleet.now_ms;
     for upstream in 0..3 {
@@ -343,18 +345,18 @@
             ago_ms: 0,
             reporter: 1,
             suspects: vec![Suspect {
-                served_ago_ms: Some(fleet.now_ms - began_ms),
+                answered_ago_ms: Some(fleet.now_ms - began_ms),
                 ..suspect(1)
             }],
         };
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
         fleet.settle();
     }
     assert!(fleet.is_blocked(1));
 }
 
 #[test]
-fn exempt_request_passes() {
+fn exempt_request() {
     let mut fleet = Fleet::new();
     for _ in 0..3 {
         fleet.crash(&[1]);
@@ -362,16 +364,16 @@
     let rows = fleet.quarantine.rows(fleet.now_ms);
     fleet.quarantine.exempt([request(1)].into());
     assert!(!fleet.is_blocked(1));
-    assert!(!fleet.quarantine.note_block(fleet.now_ms, &rows[0]));
+    assert!(!fleet.quarantine.record_block(fleet.now_ms, &rows[0]));
     for _ in 0..6 {
         fleet.crash(&[1]);
     }
     assert!(!fleet.is_blocked(1));
 }
 
-/// Guards against taking crashes that follow each other closely for a rack.
+/// Guards against taking crashes that follow each other closely for the loss of a rack.
 #[test]
-fn quick_crasher_is_no_group() {
+fn quick_crasher() {
     let mut fleet = Fleet::new();
     for upstream in 0..3 {
         fleet.now_ms += 100;
@@ -381,7 +383,7 @@
             reporter: 1,
             suspects: vec![suspect(1)],
         };
-        fleet.quarantine.note_crash(fleet.now_ms, &report);
+        fleet.quarantine.record_crash(fleet.now_ms, &report);
     }
     fleet.settle();
     assert!(fleet.is_blocked(1));
--- a/crates/quarantine/tests/crash_search/messages.rs
+++ b/crates/quarantine/tests/crash_search/messages.rs
@@ -1,19 +1,19 @@
-//! Links between VMs and what they carry.
+//! Links between VMs, and the messages that they carry.
 
 use apricotdale_quarantine::BlockRow;
 use apricotdale_quarantine::CrashReport;
 use apricotdale_quarantine::Fingerprint;
 use apricotdale_quarantine::Role;
 use apricotdale_quarantine::TrialAnswer;
-use apricotdale_quarantine::TrialAsk;
 use apricotdale_quarantine::TrialEnd;
+use apricotdale_quarantine::TrialQuery;
 
 use crate::fleet::Fleet;
-use crate::fleet::Way;
-use crate::fleet::run_of;
+use crate::fleet::Policy;
+use crate::fleet::incarnation_of;
 
-/// VMs that judge.
-const JUDGES: usize = 5;
+/// Number of VMs that are judges.
+const MAX_JUDGES: usize = 5;
 
 #[derive(Clone, Debug)]
 pub enum Message {
@@ -21,12 +21,12 @@
     Blocks(Vec<BlockRow>),
     Probations(Vec<Fingerprint>),
     Cleared(Fingerprint),
-    Wanted(usize, TrialAsk),
-    Decided(TrialAnswer),
-    Over(usize, TrialEnd),
+    TrialAsked(usize, TrialQuery),
+    TrialDecided(TrialAnswer),
+    TrialEnded(usize, TrialEnd),
 }
 
-/// Draws what becomes of datagrams.
+/// Random loss, duplication and delay of datagrams.
 pub struct Link {
     pub state: u64,
     pub lost_in_256: u64,
@@ -40,7 +40,7 @@
         self.state >> 16
     }
 
-    /// Returns after how long each copy of a datagram arrives.
+    /// Returns the delay of each delivered copy of a datagram.
     pub fn delays_ms(&mut self) -> Vec<u64> {
         let draw = self.draw();
         match draw % 256 {
@@ -53,10 +53,10 @@
 
 impl Fleet {
     pub fn judges(&self) -> usize {
-        self.vms.len().min(JUDGES)
+        self.vms.len().min(MAX_JUDGES)
     }
 
-    pub fn take_messages(&mut self, index: usize) {
+    pub fn handle_messages(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let vms = self.vms.len();
         let vm = &mut self.vms[index];
@@ -65,36 +65,41 @@
         for (_, message) in arrived.collect::<Vec<_>>() {
             let watch = &mut vm.watch;
             match message {
-                Message::Reports(reports) => watch.take_reports(now_ms, &reports),
+                Message::Reports(reports) => watch.record_reports(now_ms, &reports),
                 Message::Blocks(rows) => rows.iter().for_each(|row| {
-                    watch.take_block(now_ms, row);
+                    watch.record_block(now_ms, row);
                 }),
-                Message::Probations(them) => watch.take_probations(now_ms, &them),
+                Message::Probations(them) => watch.record_probations(now_ms, &them),
                 Message::Cleared(it) => {
-                    watch.take_cleared(now_ms, &it);
+                    watch.record_cleared(now_ms, &it);
                 }
-                Message::Wanted(from, ask) => {
-                    answers.push((from, watch.take_ask(now_ms, run_of(from), &ask, vms)));
+                Message::TrialAsked(from, query) => {
+                    answers.push((
+                        from,
+                        watch.decide_trial(now_ms, incarnation_of(from), &query, vms),
+                    ));
                 }
-                Message::Decided(answer) => {
-                    watch.take_trial_answer(now_ms, &answer);
+                Message::TrialDecided(answer) => {
+                    watch.record_trial_answer(now_ms, &answer);
+                }
+                Message::TrialEnded(from, end) => {
+                    watch.record_peer_trial_end(now_ms, incarnation_of(from), &end)
                 }
-                Message::Over(from, end) => watch.take_trial_end(now_ms, run_of(from), &end),
             }
         }
         for (from, answer) in answers {
-            self.send(from, &Message::Decided(answer));
+            self.send(from, &Message::TrialDecided(answer));
         }
     }
 
-    pub fn do_due(&mut self, index: usize) {
+    pub fn perform_due(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let judges = self.judges();
         let role = Role {
             judge: (index < judges).then_some(index),
             judges,
             vms: self.vms.len(),
-            is_giver: index == 0,
+            is_lease_holder: index == 0,
         };
         let due = self.vms[index].watch.due(now_ms, role);
         if !due.reports.is_empty() {
@@ -108,19 +113,19 @@
         if !due.probations.is_empty() {
             self.send_all(index, &Message::Probations(due.probations));
         }
-        for ask in due.asks {
-            if self.way == Way::OneAVm {
+        for query in due.trial_queries {
+            if self.policy == Policy::OnePerVm {
                 let watch = &mut self.vms[index].watch;
-                let answer = watch.take_ask(now_ms, run_of(index), &ask, 1);
-                watch.take_trial_answer(now_ms, &answer);
+                let answer = watch.decide_trial(now_ms, incarnation_of(index), &query, 1);
+                watch.record_trial_answer(now_ms, &answer);
                 continue;
             }
-            self.send(due.asked_judge, &Message::Wanted(index, ask));
+            self.send(due.trial_judge, &Message::TrialAsked(index, query));
         }
         for end in due.trial_ends {
             let own = &mut self.vms[index].watch;
-            own.take_trial_end(now_ms, run_of(index), &end);
-            self.send(due.asked_judge, &Message::Over(index, end));
+            own.record_peer_trial_end(now_ms, incarnation_of(index), &end);
+            self.send(due.trial_judge, &Message::TrialEnded(index, end));
         }
     }
 
--- a/crates/quarantine/tests/trials.rs
+++ b/crates/quarantine/tests/trial_runs.rs
@@ -1,4 +1,4 @@
-//! Requests on probation and their trials.
+//! Requests on probation and their trial runs.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_quarantine::CallerHash;
@@ -9,11 +9,11 @@
 use apricotdale_quarantine::Options;
 use apricotdale_quarantine::Permit;
 use apricotdale_quarantine::Role;
-use apricotdale_quarantine::TrialAsk;
+use apricotdale_quarantine::TrialQuery;
 
 const START_MS: u64 = 100_000;
 
-/// When a judge that started at `START_MS` decides.
+/// Time from which a judge that started at `START_MS` decides.
 const DECIDES_MS: u64 = START_MS + 2_000;
 
 const LEFT_MS: u64 = 5_000;
@@ -31,7 +31,7 @@
         judge: Some(0),
         judges: 1,
         vms,
-        is_giver: true,
+        is_lease_holder: true,
     }
 }
 
@@ -40,11 +40,11 @@
         judge: None,
         judges: 2,
         vms: 9,
-        is_giver: false,
+        is_lease_holder: false,
     }
 }
 
-/// Has an upstream end under copies of a request at one VM.
+/// Simulates the crash of an upstream under copies of a request at one VM.
 fn lose(watch: &mut CrashWatch, now_ms: u64, name: &str, fingerprint: Fingerprint, copies: u32) {
     for _ in 0..copies {
         let lost = LostRequest {
@@ -52,21 +52,21 @@
             caller: CallerHash::of(b"caller"),
             is_trial: false,
         };
-        watch.note_lost(now_ms, &upstream(name), true, lost);
+        watch.record_lost(now_ms, &upstream(name), true, lost);
     }
-    watch.note_ended(now_ms, &upstream(name));
+    watch.record_ended(now_ms, &upstream(name));
     watch.due(now_ms + 10, judge_of(1));
 }
 
-/// Returns the only judge of some VMs, which has judged for a while.
+/// Returns the only judge of some VMs, past the pause after its start.
 fn judge(vms: usize) -> CrashWatch {
     let mut watch = CrashWatch::new(1, Options::default());
     watch.due(START_MS, judge_of(vms));
     watch
 }
 
-fn ask(fingerprint: Fingerprint, at: &str, number: u64) -> TrialAsk {
-    TrialAsk {
+fn query(fingerprint: Fingerprint, at: &str, number: u64) -> TrialQuery {
+    TrialQuery {
         fingerprint,
         upstream: upstream(at),
         number,
@@ -74,9 +74,9 @@
     }
 }
 
-/// Guards against copies that run together after their upstream has ended under some of them.
+/// Guards against sending several copies at once after upstreams crashed under three of them.
 #[test]
-fn third_copy_begins_probation() {
+fn third_lost_copy() {
     let mut watch = judge(1);
     let bad = request("bad");
     lose(&mut watch, DECIDES_MS, "i-1", bad, 2);
@@ -90,18 +90,18 @@
         watch.permit(now_ms, bad, &upstream("i-3"), LEFT_MS),
         Permit::Wait
     );
-    assert!(watch.due(now_ms, judge_of(1)).may_go_on);
-    assert!(!watch.holds_back(now_ms, &bad));
+    assert!(watch.due(now_ms, judge_of(1)).may_continue);
+    assert!(!watch.must_wait(now_ms, &bad));
     let trial = Permit::Trial(upstream("i-3"));
     assert_eq!(watch.permit(now_ms, bad, &upstream("i-4"), LEFT_MS), trial);
-    assert!(watch.holds_back(now_ms, &bad));
+    assert!(watch.must_wait(now_ms, &bad));
     assert_eq!(
         watch.permit(now_ms, bad, &upstream("i-4"), LEFT_MS),
         Permit::Wait
     );
 }
 
-/// Guards against a request that is held back though it was answered.
+/// Guards against holding a request back although it was answered.
 #[test]
 fn answer_ends_probation() {
     let mut watch = judge(1);
@@ -112,8 +112,8 @@
         watch.permit(now_ms, popular, &upstream("i-2"), LEFT_MS),
         Permit::Wait
     );
-    assert!(watch.note_answered(now_ms, popular));
-    assert!(!watch.holds_back(now_ms, &popular));
+    assert!(watch.record_answered(now_ms, popular));
+    assert!(!watch.must_wait(now_ms, &popular));
     assert_eq!(
         watch.permit(now_ms, popular, &upstream("i-2"), LEFT_MS),
         Permit::Free
@@ -121,46 +121,46 @@
     assert!(watch.probations().is_empty());
 }
 
-/// Guards against two trials at a time, of one request or at one upstream.
+/// Guards against two trial runs at a time, of one request or at one upstream.
 #[test]
-fn one_trial_at_a_time() {
+fn one_trial() {
     let mut judge = judge(9);
     let (first, second) = (request("first"), request("second"));
     let now_ms = DECIDES_MS;
-    let answer = judge.take_ask(now_ms, 7, &ask(first, "i-1", 1), 9);
+    let answer = judge.decide_trial(now_ms, 7, &query(first, "i-1", 1), 9);
     assert_eq!(answer.after_ms, None);
-    let again = judge.take_ask(now_ms, 7, &ask(first, "i-1", 1), 9);
+    let again = judge.decide_trial(now_ms, 7, &query(first, "i-1", 1), 9);
     assert_eq!(again.after_ms, None);
-    for other in [ask(first, "i-2", 1), ask(second, "i-1", 1)] {
-        let denied = judge.take_ask(now_ms, 8, &other, 9);
+    for other in [query(first, "i-2", 1), query(second, "i-1", 1)] {
+        let denied = judge.decide_trial(now_ms, 8, &other, 9);
         assert!(denied.after_ms.is_some());
     }
-    let elsewhere = judge.take_ask(now_ms, 8, &ask(second, "i-2", 2), 9);
+    let elsewhere = judge.decide_trial(now_ms, 8, &query(second, "i-2", 2), 9);
     assert_eq!(elsewhere.after_ms, None);
 }
 
-/// Guards against a trial whose VM ended and that counts as under way for ever.
+/// Guards against a trial run that counts as in progress forever because its VM ended.
 #[test]
-fn trial_without_an_end() {
+fn unended_trial() {
     let mut judge = judge(9);
     let bad = request("bad");
-    judge.take_ask(DECIDES_MS, 7, &ask(bad, "i-1", 1), 9);
+    judge.decide_trial(DECIDES_MS, 7, &query(bad, "i-1", 1), 9);
     let later_ms = DECIDES_MS + LEFT_MS;
-    let denied = judge.take_ask(later_ms, 8, &ask(bad, "i-2", 1), 9);
+    let denied = judge.decide_trial(later_ms, 8, &query(bad, "i-2", 1), 9);
     assert!(denied.after_ms.is_some());
-    let answer = judge.take_ask(later_ms + 1_000, 8, &ask(bad, "i-2", 1), 9);
+    let answer = judge.decide_trial(later_ms + 1_000, 8, &query(bad, "i-2", 1), 9);
     assert_eq!(answer.after_ms, None);
 }
 
-/// Guards against a judge that has just started and allows what the one before allowed already.
+/// Guards against a new judge that allows a trial run which its predecessor has allowed already.
 #[test]
 fn new_judge_waits() {
     let mut judge = judge(9);
-    let denied = judge.take_ask(START_MS + 100, 7, &ask(request("bad"), "i-1", 1), 9);
+    let denied = judge.decide_trial(START_MS + 100, 7, &query(request("bad"), "i-1", 1), 9);
     assert!(denied.after_ms.is_some());
 }
 
-/// Guards against a request that stops for good because no judge answers.
+/// Guards against a request that waits until its deadline because no judge answers.
 #[test]
 fn silent_judges() {
     let mut watch = CrashWatch::new(2, Options::default());
@@ -171,24 +171,26 @@
         watch.permit(began_ms, bad, &upstream("i-2"), LEFT_MS),
         Permit::Wait
     );
-    let mut asked = Vec::new();
+    let mut asked_judges = Vec::new();
     let mut now_ms = began_ms;
-    while watch.holds_back(now_ms, &bad) {
+    while watch.must_wait(now_ms, &bad) {
         let Due {
-            asks, asked_judge, ..
+            trial_queries,
+            trial_judge,
+            ..
         } = watch.due(now_ms, member());
-        asked.extend(asks.iter().map(|_| asked_judge));
+        asked_judges.extend(trial_queries.iter().map(|_| trial_judge));
         now_ms += 5;
         assert!(now_ms < began_ms + 2_000);
     }
-    assert!(asked.contains(&0) && asked.contains(&1));
+    assert!(asked_judges.contains(&0) && asked_judges.contains(&1));
     let trial = Permit::Trial(upstream("i-2"));
     assert_eq!(watch.permit(now_ms, bad, &upstream("i-2"), LEFT_MS), trial);
 }
 
-/// Guards against trials that go on after they have ended two upstreams.
+/// Guards against further trial runs after two of them were lost in crashes.
 #[test]
-fn second_lost_trial_blocks() {
+fn second_lost_trial() {
     let mut watch = judge(1);
     let bad = request("bad");
     lose(&mut watch, DECIDES_MS, "i-0", bad, 3);
@@ -211,9 +213,9 @@
             caller: CallerHash::of(b"caller"),
             is_trial: true,
         };
-        watch.note_lost(now_ms, &at, true, lost);
-        watch.note_trial_over(now_ms, bad, true);
-        watch.note_ended(now_ms, &at);
+        watch.record_lost(now_ms, &at, true, lost);
+        watch.record_trial_end(now_ms, bad, true);
+        watch.record_ended(now_ms, &at);
         for _ in 0..200 {
             now_ms += 5;
             watch.due(now_ms, judge_of(1));
@@ -222,40 +224,40 @@
     assert!(watch.blocked_ms(now_ms, &bad).is_some());
 }
 
-/// Guards against counting the copies of one VM as often as they are told.
+/// Guards against counting the copies of one VM as often as they are reported.
 #[test]
-fn copies_are_counted_once() {
+fn repeated_reports() {
     let mut judge = judge(9);
     let mut other = CrashWatch::new(2, Options::default());
     let twice = request("twice");
     lose(&mut other, DECIDES_MS, "i-1", twice, 2);
     for again_ms in [0, 10, 300] {
         let now_ms = DECIDES_MS + again_ms;
-        judge.take_reports(now_ms, &other.own_reports(now_ms));
+        judge.record_reports(now_ms, &other.local_reports(now_ms));
         judge.due(now_ms, judge_of(9));
     }
     assert!(judge.probations().is_empty());
 }
 
-/// Guards against a report that carries some of many copies only.
+/// Guards against a report that carries only some of many copies.
 #[test]
-fn many_copies_in_one_report() {
+fn many_copies() {
     let mut watch = CrashWatch::new(2, Options::default());
     lose(&mut watch, DECIDES_MS, "i-1", request("many"), 25);
-    let reports = watch.own_reports(DECIDES_MS);
+    let reports = watch.local_reports(DECIDES_MS);
     assert_eq!(reports.len(), 1);
     assert_eq!(reports[0].suspects.len(), 1);
     assert_eq!(reports[0].suspects[0].copies, 25);
 }
 
-/// Guards against blame for crashes before an answer that a judge did not hear of: the reports of VMs
-/// that were told of it say so.
+/// Guards against holding crashes against a request that was answered after them, if a judge did
+/// not receive the answer: the crash reports of the other VMs include it.
 #[test]
-fn told_answer_is_passed_on() {
+fn forwarded_answer() {
     let mut watch = CrashWatch::new(2, Options::default());
     let popular = request("popular");
-    watch.take_cleared(DECIDES_MS, &popular);
+    watch.record_cleared(DECIDES_MS, &popular);
     lose(&mut watch, DECIDES_MS + 500, "i-1", popular, 1);
-    let reports = watch.own_reports(DECIDES_MS + 500);
-    assert_eq!(reports[0].suspects[0].served_ago_ms, Some(500));
+    let reports = watch.local_reports(DECIDES_MS + 500);
+    assert_eq!(reports[0].suspects[0].answered_ago_ms, Some(500));
 }
