--- a/crates/entry/src/active.rs
+++ b/crates/entry/src/active.rs
@@ -1,4 +1,4 @@
-//! Requests in progress.
+//! Requests in progress, and the times at which they need attention.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -19,63 +19,63 @@
 
 use crate::limits::Charge;
 
-/// `Phase` is how far a request is.
+/// Progress of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It waits until it can be sent.
+    /// Waits until it can be sent.
     Waiting(WaitReason),
-    /// It is sent again after a pause.
+    /// Is sent again after a pause.
     Pausing {
-        /// Until when.
+        /// End of the pause.
         until_ms: u64,
     },
-    /// It was sent.
+    /// Has been sent, and its answer has not ended.
     Sent {
-        /// On which connection.
+        /// Connection that it was sent on.
         connection: Token,
-        /// To which upstream.
+        /// Upstream that it was sent to.
         upstream: UpstreamName,
-        /// When.
+        /// When it was sent.
         at_ms: u64,
-        /// When its answer began.
+        /// When its answer began; none before that.
         first_byte_ms: Option<u64>,
     },
 }
 
-/// `Active` is a request in progress.
+/// A request in progress.
 #[derive(Debug)]
 pub(crate) struct Active {
-    /// The caller's connection; none once the caller has left.
+    /// Connection of the caller; none once the caller has left.
     pub caller: Option<Token>,
-    /// Stands for the caller, who is known by the address only.
+    /// Identifies the caller, who is known by the address only.
     pub caller_hash: CallerHash,
-    /// Tells whether another request is the same one.
+    /// Identifies the request: duplicates have the same fingerprint.
     pub fingerprint: Fingerprint,
     pub head: RequestHead,
     pub body: Vec<u8>,
     pub serving: ServingRequest,
     pub route: Arc<Route>,
-    /// The organisation that holds the caller's key, if requests carry one.
+    /// Organisation that holds the caller's key; none if the request needs no key.
     pub organisation: Option<Arc<Organisation>>,
-    /// What it counts against the limit of its organisation.
+    /// Cost that counts against the limit of its organisation; none without a limit.
     pub charge: Option<Charge>,
     pub job: Job,
     pub phase: Phase,
-    /// Whether it is under way as a trial of a request on probation.
+    /// Whether it is being sent as the trial run of a request on probation.
     pub is_trial: bool,
-    /// The answer, as far as the caller has been given it.
+    /// State of the answer as delivered to the caller so far.
     pub delivery: Delivery,
-    /// When it was first sent.
+    /// When the request was first sent; none before that.
     pub first_sent_ms: Option<u64>,
-    /// When the last part of the answer went to the caller.
+    /// When the last part of the answer was delivered to the caller.
     pub last_part_ms: u64,
-    /// The longest pause between two parts.
+    /// Longest time between two parts of the answer.
     pub longest_gap_ms: u64,
-    /// When the first part of the answer went to the caller.
+    /// When the first part of the answer was delivered to the caller; none before that.
     pub first_answer_ms: Option<u64>,
 }
 
-/// `ActiveRequests` holds the requests in progress by key, and when each wants attention.
+/// Requests in progress by key, and the times at which they need attention.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveRequests {
     requests: HashMap<u64, Active>,
@@ -93,29 +93,27 @@
         key
     }
 
-    /// Returns a request.
     pub fn get(&self, key: u64) -> Option<&Active> {
         self.requests.get(&key)
     }
 
-    /// Returns a request to change it.
     pub fn get_mut(&mut self, key: u64) -> Option<&mut Active> {
         self.requests.get_mut(&key)
     }
 
-    /// Takes a request out.
+    /// Removes a request and its deadline.
     pub fn remove(&mut self, key: u64) -> Option<Active> {
         let request = self.requests.remove(&key)?;
         self.alarms.remove(&(request.job.deadline_ms, key));
         Some(request)
     }
 
-    /// Wakes a request up at a time, beside its deadline.
+    /// Schedules a wake-up of a request in addition to its deadline.
     pub fn wake_at(&mut self, at_ms: u64, key: u64) {
         self.alarms.insert((at_ms, key));
     }
 
-    /// Returns the requests whose time has come.
+    /// Removes the wake-ups that are due and returns the keys of their requests.
     pub fn due(&mut self, now_ms: u64) -> Vec<u64> {
         let later = self.alarms.split_off(&(now_ms + 1, 0));
         let due = std::mem::replace(&mut self.alarms, later);
@@ -125,12 +123,12 @@
             .collect()
     }
 
-    /// Returns when the next request wants attention.
+    /// Returns the time of the next wake-up.
     pub fn next_ms(&self) -> Option<u64> {
         self.alarms.first().map(|(at_ms, _)| *at_ms)
     }
 
-    /// Returns the waiting requests, the most urgent first.
+    /// Returns the keys of the waiting requests, the most urgent first.
     pub fn waiting(&self, now_ms: u64) -> Vec<u64> {
         let mut waiting: Vec<(Urgency, u64)> = self
             .requests
@@ -142,7 +140,7 @@
         waiting.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// Returns the requests that have not run anywhere and are not under way.
+    /// Returns the keys of the requests that have run nowhere and are not being sent.
     pub fn unsent(&self) -> Vec<u64> {
         self.requests
             .iter()
@@ -152,12 +150,12 @@
             .collect()
     }
 
-    /// Returns every request.
+    /// Returns all requests with their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&u64, &Active)> {
         self.requests.iter()
     }
 
-    /// Returns how many requests are in progress.
+    /// Returns the number of requests in progress.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
