--- a/crates/entry/src/answering.rs
+++ b/crates/entry/src/answering.rs
@@ -1,4 +1,4 @@
-//! Upstreams' answers, and what becomes of requests without one.
+//! Answers of upstreams, and how they are delivered to callers.
 
 use apricotdale_core::names::RequestId;
 use apricotdale_core::policy::UpstreamOutcome;
@@ -16,27 +16,28 @@
 use crate::outbound::Part;
 use crate::outbound::Purpose;
 
-/// Room for a head beside the bytes of a part.
+/// Space reserved for an answer's head in addition to the bytes of a part.
 const HEAD_ROOM_BYTES: usize = 512;
 
-/// Bytes that may wait for a slow caller before the upstream is no longer read.
+/// Maximum number of unsent bytes to a slow caller before reading from the upstream pauses.
 const UNWRITTEN_BYTES: usize = 256 * 1024;
 
-/// `HeadVerdict` is what becomes of an answer by its head.
+/// How an answer is handled, judged by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeadVerdict {
-    /// It is the answer.
+    /// The answer is delivered to the caller.
     Take,
-    /// It answers another request; this request's own may follow.
+    /// The answer belongs to another request; this request's own may follow.
     Skip,
-    /// The try has failed.
+    /// The attempt has failed.
     Fail(FailedTry),
-    /// It is the request's own, and does not fit behind what the caller has been given.
+    /// The answer is the request's own, and can't continue what the caller has received.
     Misfit(Misfit),
 }
 
 impl Daemon {
-    /// Goes on with the answer to a caller's request.
+    /// Continues receiving the answer to a caller's request. `is_open` is false if writing the
+    /// request failed.
     pub(crate) fn advance_relay(&mut self, token: Token, key: u64, stands: bool) {
         let now_ms = self.now_ms;
         loop {
@@ -79,7 +80,7 @@
             .is_some_and(|caller| caller.stream.unwritten_bytes() > UNWRITTEN_BYTES)
     }
 
-    /// Reads an answer that nobody waits for to its end.
+    /// Continues reading an abandoned answer to its end.
     pub(crate) fn advance_drain(&mut self, token: Token) {
         let now_ms = self.now_ms;
         loop {
@@ -158,13 +159,13 @@
         }
     }
 
-    /// Closes the connection of an upstream that may still work on a request, by which the upstream
-    /// learns that the request is given up.
+    /// Closes the connection of an upstream that may still work on a request, which informs the
+    /// upstream that the request is abandoned.
     fn leave(&mut self, token: Token) {
         self.outbound.close(token, self.poll.registry());
     }
 
-    /// Gives up an answer that does not fit behind what the caller has been given.
+    /// Abandons an answer that can't continue what the caller has received.
     fn answer_does_not_fit(&mut self, token: Token, key: u64, misfit: Misfit) {
         self.metrics.misfit(misfit.as_str());
         if let Some(request) = self.active.get(key)
@@ -180,14 +181,14 @@
             );
         }
         match misfit {
-            // The answer has ended, and its connection was released.
+            // The answer has ended, and its connection has been released.
             Misfit::Unfinished | Misfit::Empty => {}
             _ => self.leave(token),
         }
         self.try_failed(key, FailedTry::Misfit);
     }
 
-    /// Logs that an upstream answers a request of which the caller already has a part.
+    /// Logs an upstream's answer to a request of which the caller already has a part.
     fn log_second_answer(&mut self, key: u64, head: &ResponseHead) {
         let has_begun = |request: &&Active| request.delivery.has_begun();
         let Some(request) = self.active.get(key).filter(has_begun) else {
@@ -205,7 +206,8 @@
         }
     }
 
-    /// Learns from an answer that says the request was sent to the wrong place.
+    /// Corrects the directory after an answer that says that the request was sent to the wrong
+    /// upstream.
     fn note_misdirected(&mut self, key: u64, fields: &AnswerFields) {
         let Some(request) = self.active.get(key) else {
             return;
@@ -250,13 +252,13 @@
         }
     }
 
-    /// Returns whether the connection of a request's caller ends after the answer.
+    /// Returns whether the connection of a request's caller closes after the answer.
     fn caller_closes(&self, key: u64) -> bool {
         let caller = self.active.get(key).and_then(|request| request.caller);
         caller.is_some_and(|token| self.closes_after(token))
     }
 
-    /// Writes part of an answer to the caller, if there still is one.
+    /// Writes part of an answer to the caller, unless the caller has left.
     fn give(&mut self, key: u64, had_begun: bool, bytes: &[u8]) {
         let Some(request) = self.active.get_mut(key) else {
             return;
@@ -277,7 +279,7 @@
         self.write_to_caller(caller, bytes);
     }
 
-    /// Ends an answer. Returns whether the connection is done with.
+    /// Handles the end of an answer. Returns whether the request is done with the connection.
     fn answer_end(&mut self, token: Token, key: u64) -> bool {
         let Some(request) = self.active.get(key) else {
             self.outbound
@@ -285,7 +287,7 @@
             return true;
         };
         let Some(status) = request.delivery.status() else {
-            // The answer belonged to another request; this one's own may still come.
+            // The answer belonged to another request; this request's own may still come.
             if let Some(connection) = self.outbound.get_mut(token) {
                 connection.expect_another();
             }
@@ -309,7 +311,8 @@
         true
     }
 
-    /// Decides whether an upstream's own failure is repeated elsewhere instead of passed on.
+    /// Retries a request elsewhere after an upstream's own failure, if it may be retried. Returns
+    /// whether it is; otherwise the failure is passed on.
     fn repeats_failure(&mut self, key: u64) -> bool {
         let Some(request) = self.active.get_mut(key) else {
             return false;
@@ -332,7 +335,7 @@
         }
     }
 
-    /// Hands the end of an answer to the caller and ends the request.
+    /// Delivers the end of an answer to the caller and ends the request.
     fn deliver_end(&mut self, key: u64, status: u16, had_begun: bool, bytes: &[u8]) {
         let outcome = match status {
             500.. => UpstreamOutcome::Lost,
@@ -371,7 +374,7 @@
         Some(other) if other != id => HeadVerdict::Skip,
         _ if fields.misdirected => HeadVerdict::Fail(FailedTry::Misdirected),
         _ if fields.not_run => HeadVerdict::Fail(FailedTry::TurnedAway),
-        // Without the identity or the signature it may be anybody's answer.
+        // Without the request's ID or the upstream's signature the answer may come from anywhere.
         None => HeadVerdict::Fail(FailedTry::Lost),
         Some(_) if !fields.signed || fields.encoded => HeadVerdict::Fail(FailedTry::Lost),
         Some(_) if success || head.status >= 400 => HeadVerdict::Take,
