--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -1,8 +1,8 @@
-//! Blocked requests in the store, and those that are on the way there, for VMs that start.
+//! Persistence of blocked requests, and of requests on probation, for VMs that start.
 //!
-//! Each VM reads them once. The giver of orders writes what changes, and all that it knows when it
-//! has taken over, and drops the records of what is over. Without the requests on probation, all VMs
-//! that start at once would let each crash three more.
+//! Each VM reads the records once. The lease holder writes changes, writes everything it knows when
+//! it has taken over, and deletes the records of ended blocks. If requests on probation were not
+//! persisted, all VMs that start together would let each of them crash three more upstreams.
 
 use std::collections::HashMap;
 use std::time::SystemTime;
@@ -20,59 +20,60 @@
 use crate::codec::Topic;
 use crate::daemon::Daemon;
 
-/// The pause before the store is called again that did not answer.
+/// Pause after a failed call to the store.
 const PAUSE_MS: u64 = 1_000;
 
-/// How long a call to the store may take.
+/// Time limit for a call to the store.
 const TIMEOUT_MS: u64 = 1_000;
 
-/// Blocks in one write, and as many that are over.
+/// Maximum number of records of each kind in one write.
 const RECORDS_A_WRITE: usize = 200;
 
-/// Blocks that are over whose records are still to be dropped.
+/// Maximum number of ended blocks whose records have yet to be deleted.
 const MAX_ENDED: usize = 1_000;
 
-/// `Record` is what the store keeps of a request.
+/// Stored state of a request, under its fingerprint as key.
 #[derive(Debug, Serialize, Deserialize)]
 enum Record {
-    /// It is blocked.
+    /// The request is blocked.
     Block {
         row: BlockRow,
-        /// When the block ends, in Unix milliseconds.
+        /// End of the block, in Unix milliseconds.
         until_unix_ms: u64,
     },
-    /// The place of a form that was written by earlier versions, and is dropped.
+    /// Placeholder for a variant of earlier versions, whose records are deleted.
     Former,
-    /// So much of it was lost with upstreams that it is on probation.
+    /// The request is on probation, since so many copies of it were lost in crashes.
     Case {
         row: CaseRow,
-        /// When it was written, in Unix milliseconds.
+        /// When the record was written, in Unix milliseconds.
         written_unix_ms: u64,
     },
 }
 
-/// `BlockStore` is what this VM has read of the blocks and has yet to write.
+/// State of reading and writing the records.
 #[derive(Debug, Default)]
 pub(crate) struct BlockStore {
     was_giver: bool,
     unwritten: Vec<BlockRow>,
     ended: Vec<Fingerprint>,
-    /// Requests of which much was lost, with how many crashes and copies were written.
+    /// Numbers of crashes and lost copies as last written, for each request on probation.
     cases: HashMap<Fingerprint, (usize, u32)>,
-    /// What had been heard of crashes when these were last looked at.
+    /// Change counter of the crash watch when the requests on probation were last compared; none
+    /// before.
     seen_changes: Option<u64>,
     unwritten_cases: Vec<CaseRow>,
-    /// What is being written.
+    /// Blocks and deletions of the write in progress.
     writing: (Vec<BlockRow>, Vec<Fingerprint>),
     is_read: bool,
-    /// The key after which the next page begins.
+    /// Key behind which the next page begins; none for the first page.
     after: Option<String>,
     is_calling: bool,
     next_ms: u64,
 }
 
 impl BlockStore {
-    /// Takes in that the store came back from an older copy: what is known here is written again.
+    /// Handles a rollback of the store: everything known here is written again.
     pub fn set_back(&mut self) {
         self.was_giver = false;
         if !self.is_read {
@@ -80,9 +81,9 @@
         }
     }
 
-    /// Notes a block that begins.
+    /// Records a new block.
     pub fn note_begun(&mut self, row: &BlockRow) {
-        // Its record is the block's from now on, and must not be dropped with the case.
+        // From now on the record belongs to the block and must not be deleted with the case.
         self.cases.remove(&row.fingerprint);
         self.unwritten_cases
             .retain(|case| case.fingerprint != row.fingerprint);
@@ -91,14 +92,14 @@
         }
     }
 
-    /// Notes requests whose blocks are over.
+    /// Records requests whose blocks have ended.
     pub fn note_ended(&mut self, ended: Vec<Fingerprint>) {
         self.ended.extend(ended);
         self.ended.truncate(MAX_ENDED);
     }
 
-    /// Notes whether this VM gives orders. A new giver writes all that it knows, since the one
-    /// before may not have.
+    /// Records whether this VM holds the lease. A new holder writes everything it knows, since the
+    /// previous one may not have.
     fn note_giver(&mut self, is_giver: bool, rows: impl FnOnce() -> Vec<BlockRow>) {
         match (is_giver, std::mem::replace(&mut self.was_giver, is_giver)) {
             (true, false) => {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Notes the requests under which several upstreams crashed, as they are now.
+    /// Records the requests on probation as they are now, so that changes are written.
     fn note_cases(&mut self, rows: Vec<CaseRow>) {
         let gone: Vec<Fingerprint> = self
             .cases
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Returns the records of the next write; a value that is empty drops its key. What was blocked
-    /// again comes last and stays.
+    /// Returns the records of the next write; an empty value deletes its key. New blocks come last,
+    /// so that the block stays if the same key is also deleted.
     fn next_records(&mut self) -> Vec<(String, Vec<u8>)> {
         let rows = self.unwritten.len().min(RECORDS_A_WRITE);
         let rows: Vec<BlockRow> = self.unwritten.drain(..rows).collect();
@@ -149,7 +150,7 @@
 }
 
 impl Daemon {
-    /// Reads the blocks from the store once, and writes them as the giver of orders.
+    /// Reads the blocks from the store once, and writes changes while this VM holds the lease.
     pub(crate) fn advance_block_store(&mut self) {
         let now_ms = self.now_ms;
         let is_giver = self.ordering.held_lease_end(now_ms).is_some();
@@ -167,7 +168,8 @@
             || !store.ended.is_empty()
             || !store.unwritten_cases.is_empty();
         match store.is_read {
-            // The lists come first: without them nothing is served.
+            // The configuration and the upstream list come first, since nothing is served without
+            // them.
             false if self.directory.is_complete() => self.read_blocks(),
             true if is_giver && has_records => self.write_blocks(),
             _ => {}
@@ -188,7 +190,7 @@
         self.call_store(CallTag::BlocksAppend, &bytes, TIMEOUT_MS);
     }
 
-    /// Takes in a page of the blocks that the store keeps.
+    /// Handles a page of the blocks from the store.
     pub(crate) fn blocks_read(&mut self, outcome: CallOutcome) {
         self.block_store.is_calling = false;
         let page = match outcome {
@@ -227,7 +229,7 @@
     fn take_stored(&mut self, row: BlockRow, until_unix_ms: u64) {
         let left_ms = until_unix_ms.saturating_sub(unix_ms());
         let row = BlockRow {
-            // A clock that was set back must not make a block longer than it was.
+            // A wall clock that was set back must not extend a block.
             left_ms: left_ms.min(row.left_ms),
             ..row
         };
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Takes in whether blocks were written.
+    /// Handles the outcome of a write. A failed one is repeated after a pause.
     pub(crate) fn blocks_written(&mut self, outcome: CallOutcome) {
         let store = &mut self.block_store;
         store.is_calling = false;
