--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, of the balancer's checks and of metrics readers.
+//! Accepted connections: of callers, of the balancer's readiness checks and of metrics readers.
 
 use std::net::IpAddr;
 
@@ -12,73 +12,75 @@
 use crate::stream::ReadEnd;
 use crate::stream::Stream;
 
-/// How much is read ahead while a request is answered: enough to see that the caller has left.
+/// Maximum number of bytes read while a request is answered. Reading then serves only to notice
+/// that the caller has left.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// How long the rest of a refused request is read before the connection is closed. Closing with
-/// unread bytes resets the connection, and the refusal could be lost with it.
+/// How long the remainder of a refused request is read before the connection is closed. Closing it
+/// with unread bytes resets the connection, which could destroy the refusal on its way.
 const LINGER_MS: u64 = 1_000;
 
-/// `CallerKind` is what a connection may ask for.
+/// Service that a connection has reached, by its listening address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerKind {
-    /// Serving requests.
+    /// Requests to upstreams.
     Serving,
-    /// Whether this VM takes callers.
+    /// Readiness checks.
     Ready,
-    /// Metrics.
+    /// Reads of metrics.
     Metrics,
 }
 
 #[derive(Debug)]
 enum Phase {
-    /// A head is awaited.
+    /// Receiving a request's head.
     Head,
-    /// A body is awaited.
+    /// Receiving a request's body.
     Body {
         head: RequestHead,
         decoder: BodyDecoder,
         body: Vec<u8>,
     },
-    /// A request is answered.
+    /// Waiting for the answer to the request with this key; none before the key is assigned.
     Busy(Option<u64>),
-    /// The connection ends once everything is written.
+    /// Writing what remains, then waiting for the caller to close the connection.
     Closing { until_ms: u64, shut: bool },
 }
 
-/// `Received` is what has come from a caller.
+/// What has been received from a caller.
 #[derive(Debug)]
 pub(crate) enum Received {
-    /// A whole request.
+    /// A complete request.
     Request { head: RequestHead, body: Vec<u8> },
-    /// Bytes that are no request that may be answered on this connection.
+    /// Bytes that are no valid request, or one that exceeds a limit.
     Refused(HttpError),
-    /// Nothing yet.
+    /// Nothing complete yet.
     Nothing,
     /// The caller has left.
     Left,
 }
 
-/// `Caller` is one accepted connection.
+/// One accepted connection, with the request in progress on it.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub stream: Stream,
     pub kind: CallerKind,
-    /// Where it comes from.
+    /// Remote IP address.
     pub address: IpAddr,
     input: Vec<u8>,
     phase: Phase,
-    /// Whether the connection ends after the answer in progress.
+    /// Whether the connection closes after the answer in progress.
     pub close_after: bool,
     /// Whether the request in progress is HEAD, whose answer has no body.
     pub to_head: bool,
-    /// When the connection was last used or written to, or when the head in progress began.
+    /// Time of the last write, of the end of the last answer, or of the begin of the head in
+    /// progress.
     since_ms: u64,
     ended: Option<ReadEnd>,
 }
 
 impl Caller {
-    /// Returns a new connection.
+    /// Returns an idle connection.
     pub fn new(now_ms: u64, stream: Stream, kind: CallerKind, address: IpAddr) -> Self {
         Self {
             stream,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Reads what is there and returns what has come.
+    /// Reads the available bytes and returns what has been received.
     pub fn receive(&mut self, now_ms: u64, limits: &CallerLimits) -> Received {
         loop {
             let room_bytes = match &self.phase {
@@ -179,12 +181,12 @@
         }
     }
 
-    /// Notes which request is answered on this connection.
+    /// Sets the key of the request that is answered on this connection.
     pub fn answer_for(&mut self, key: u64) {
         self.phase = Phase::Busy(Some(key));
     }
 
-    /// Returns the request that is answered on this connection.
+    /// Returns the key of the request that is answered on this connection; none if there is none.
     pub fn request(&self) -> Option<u64> {
         match self.phase {
             Phase::Busy(key) => key,
@@ -192,17 +194,17 @@
         }
     }
 
-    /// Returns whether the connection waits for a request of which nothing has come.
+    /// Returns whether the connection waits for a request of which no byte has arrived.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Head) && self.input.is_empty() && !self.has_unwritten()
     }
 
-    /// Returns whether the caller has not been sent all that it was given.
+    /// Returns whether bytes to the caller have yet to be sent.
     pub fn has_unwritten(&self) -> bool {
         self.stream.unwritten_bytes() > 0
     }
 
-    /// Ends the answer in progress. Returns whether another request may follow.
+    /// Completes the answer in progress. Returns whether another request may follow.
     pub fn answered(&mut self, now_ms: u64) -> bool {
         self.since_ms = now_ms;
         if self.close_after || self.ended.is_some() {
@@ -213,7 +215,7 @@
         true
     }
 
-    /// Begins to end the connection.
+    /// Begins to close the connection.
     pub fn begin_close(&mut self, now_ms: u64) {
         self.phase = Phase::Closing {
             until_ms: now_ms + LINGER_MS,
@@ -221,7 +223,8 @@
         };
     }
 
-    /// Writes what can be written. Returns whether the connection should be dropped now.
+    /// Writes the bytes that the kernel accepts. Returns whether the connection should be dropped
+    /// now.
     pub fn flush(&mut self, now_ms: u64) -> bool {
         let sent_bytes = self.stream.sent_bytes;
         if !self.stream.flush() {
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Returns whether the connection's time is over.
+    /// Returns whether the connection has timed out.
     pub fn is_over(&self, now_ms: u64, limits: &CallerLimits) -> bool {
         let age_ms = now_ms.saturating_sub(self.since_ms);
         match &self.phase {
