--- a/crates/entry/src/calling.rs
+++ b/crates/entry/src/calling.rs
@@ -1,4 +1,4 @@
-//! Calls of this VM's own: to the store and to the engines' operating interface.
+//! Calls that this VM makes itself: to the store and to the engines' operating interface.
 
 use std::net::SocketAddr;
 
@@ -12,48 +12,49 @@
 use crate::outbound::Peer;
 use crate::outbound::Purpose;
 
-/// The largest answer to a call. The platform's largest page is 1 MB before it is encoded.
+/// Size limit of an answer's body. The platform's largest page is 1 MB before it is encoded.
 const ANSWER_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 
-/// `CallTag` says what a call is for.
+/// Purpose of a call, which decides who handles its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum CallTag {
-    /// The newest configuration.
+    /// Reads the newest configuration.
     ConfigurationNewest,
-    /// Changes of the configuration.
+    /// Reads changes of the configuration.
     ConfigurationRead,
-    /// A page of upstreams.
+    /// Reads a page of the newest upstream entries.
     UpstreamsNewest,
-    /// Changes of upstreams.
+    /// Reads changes of the upstream entries.
     UpstreamsRead,
-    /// The copy of the list.
+    /// Reads a page of the list snapshot.
     CopyNewest,
-    /// A write of that copy.
+    /// Writes the list snapshot.
     CopyAppend,
-    /// This VM's own entry.
+    /// Writes this VM's own entry.
     VmAppend,
-    /// The other VMs' entries.
+    /// Reads a page of the VMs' entries.
     VmsNewest,
-    /// A read of the lease.
+    /// Reads the order lease.
     LeaseRead,
-    /// An append to the lease.
+    /// Appends a record to the order lease.
     LeaseAppend,
-    /// An order to an engine.
+    /// Sends an order to an engine.
     Order(UpstreamName, OrderKind),
-    /// An engine's report.
+    /// Reads an engine's report for planning.
     Report(UpstreamName),
-    /// An engine's report, to see whether a silent engine answers.
+    /// Probes an engine from which nothing has come for too long, by reading its report.
     Look(UpstreamName),
-    /// An engine's report, to see whether an engine that broke a connection is still there.
+    /// Probes an upstream that broke a connection, by reading an engine's report or only
+    /// connecting.
     Recheck(UpstreamName),
-    /// Blocked requests that are kept in the store.
+    /// Reads a page of the blocked requests kept in the store.
     BlocksNewest,
-    /// A write of these.
+    /// Writes the blocked requests.
     BlocksAppend,
 }
 
 impl CallTag {
-    /// Returns the word for logs and metrics.
+    /// Returns the name of the call in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::ConfigurationNewest => "configuration_newest",
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Returns whether the store answers the call.
+    /// Returns whether the call goes to the store.
     pub fn is_of_store(&self) -> bool {
         !matches!(
             self,
@@ -83,8 +84,8 @@
         )
     }
 
-    /// Returns whether the call is a read that goes on from a place at which an earlier one ended.
-    /// The lease looks at its places by itself.
+    /// Returns whether the call is a read that continues from the position at which an earlier one
+    /// ended. Reads of the lease are excluded, since the lease checks its positions itself.
     pub fn names_a_place(&self) -> bool {
         matches!(
             self,
@@ -99,35 +100,35 @@
     }
 }
 
-/// `CallAnswer` is an answer as far as it was read.
+/// An answer to a call, as far as it has been received.
 #[derive(Clone, Debug)]
 pub(crate) struct CallAnswer {
     pub status: u16,
-    /// The era in which the store gave it, if it said so.
+    /// Era in which the store answered; none if the answer does not state one.
     pub era: Option<u64>,
     pub body: Vec<u8>,
 }
 
-/// `CallOutcome` is how a call ended.
+/// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
-    /// It was answered.
+    /// An answer was received.
     Answered {
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// The body.
+        /// Complete body.
         body: Vec<u8>,
     },
-    /// It named a place in a topic, and the store has come back from an older copy since.
+    /// The call named a position in a topic, and the store has been rolled back since.
     SetBack,
-    /// It was certainly not received.
+    /// The other end certainly did not receive the call.
     NotSent,
-    /// It may have been received.
+    /// The other end may have received the call.
     Unknown,
 }
 
 impl CallOutcome {
-    /// Returns the word for metrics.
+    /// Returns the name of the outcome in metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Answered {
@@ -146,7 +147,8 @@
 }
 
 impl Daemon {
-    /// Begins a call. Its outcome comes to [`Daemon::call_ended`], at the latest after the timeout.
+    /// Begins a call. Its outcome is passed to [`Daemon::call_ended`], after the timeout at the
+    /// latest.
     pub(crate) fn call(
         &mut self,
         peer: Peer,
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Begins a call on a connection of its own, whatever idle ones there are.
+    /// Begins a call on a new connection, even if there are idle ones.
     pub(crate) fn call_anew(
         &mut self,
         peer: Peer,
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Returns a connection to a peer that is ready for a request, or none if none can be opened.
+    /// Returns a connection to a peer that is ready for a request; none if none can be opened.
     pub(crate) fn connect(&mut self, peer: &Peer, address: SocketAddr) -> Option<Token> {
         if let Some(token) = self.outbound.take_idle(self.now_ms, peer) {
             return Some(token);
@@ -208,7 +210,7 @@
         opened.ok().map(|()| token)
     }
 
-    /// Goes on with the answer to a call.
+    /// Continues receiving the answer to a call.
     pub(crate) fn advance_call(&mut self, token: Token) {
         let now_ms = self.now_ms;
         loop {
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Ends a call whose connection failed or whose time is over.
+    /// Ends a call whose connection failed or that has timed out.
     pub(crate) fn call_broken(&mut self, token: Token) {
         self.call_answers.remove(&token);
         let Some(connection) = self.outbound.get_mut(token) else {
@@ -272,8 +274,8 @@
             .is_some_and(|until_ms| until_ms <= self.now_ms);
         let peer = connection.peer.clone();
         let purpose = self.outbound.close(token, self.poll.registry());
-        // Connections can fall silent without a reset, several at once: the next call must not
-        // wait on another silent one.
+        // Several connections to a peer can fall silent together without a reset: the next call
+        // must not wait on another silent one.
         self.outbound.close_idle(&peer, self.poll.registry());
         match &peer {
             Peer::Upstream(upstream) if unreached => {
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Notes how long the other end keeps the connection.
+    /// Applies the idle time that the other end states for the connection.
     pub(crate) fn note_idle(&mut self, token: Token, head: &ResponseHead) {
         let fields = self.codecs.callers.answer(head);
         if let (Some(idle_ms), Some(connection)) = (fields.idle_ms, self.outbound.get_mut(token)) {
@@ -305,7 +307,7 @@
         }
     }
 
-    /// Hands a call's outcome to whoever made it.
+    /// Passes a call's outcome to the part of the daemon that made the call.
     fn call_ended(&mut self, tag: CallTag, outcome: CallOutcome) {
         self.metrics.call(tag.as_str(), outcome.as_str());
         match tag {
