--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,4 +1,4 @@
-//! The daemon's clock.
+//! Clock and speed measurement of the VM.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -6,19 +6,20 @@
 use nix::time::ClockId;
 use nix::time::clock_gettime;
 
-/// Returns milliseconds of a clock that never goes back and that goes on while the VM is
-/// suspended. With a clock that stands still meanwhile, a VM that wakes up would go on giving
-/// orders under a lease that another VM has taken long since.
+/// Returns milliseconds of a monotonic clock that also advances while the VM is suspended. With a
+/// clock that stops meanwhile, a VM that resumes would continue to send orders under a lease that
+/// another VM has long taken over.
 pub(crate) fn now_ms() -> u64 {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the kernel has this clock");
     time.tv_sec() as u64 * 1_000 + time.tv_nsec() as u64 / 1_000_000
 }
 
-/// Steps of a fixed piece of work. On a whole core they take about 0.2 ms, on 0.12 of one 1.6 ms.
+/// Steps of the fixed amount of work. They take about 0.2 ms on a whole core and 1.6 ms on 0.12 of
+/// one.
 const WORK_STEPS: u64 = 200_000;
 
-/// Returns how long a fixed piece of work takes here: how fast this VM is. What it is told of its
-/// share of a core need not be true.
+/// Measures how long a fixed amount of work takes on this VM. The share of a core that the VM is
+/// told to have may be wrong.
 pub(crate) fn fixed_work_us(seed: u64) -> u32 {
     let begun = Instant::now();
     let mut state = seed | 1;
