--- a/crates/entry/src/codec.rs
+++ b/crates/entry/src/codec.rs
@@ -1,4 +1,5 @@
-//! What a platform's codecs translate between bytes and the product's types.
+//! Interfaces of a platform's codecs, which translate between its wire formats and this crate's
+//! types.
 
 use std::fmt;
 use std::sync::Arc;
@@ -17,15 +18,15 @@
 use apricotdale_http1::RequestHead;
 use apricotdale_http1::ResponseHead;
 
-/// `DecodeError` is why a message can't be decoded.
+/// Reason why a message can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodeError {
-    /// What is wrong, for logs and for the caller.
+    /// Description of the error, for logs and for the caller.
     pub detail: String,
 }
 
 impl DecodeError {
-    /// Returns an error with this detail.
+    /// Returns an error with this description.
     pub fn new(detail: impl Into<String>) -> Self {
         Self {
             detail: detail.into(),
@@ -41,98 +42,101 @@
 
 impl std::error::Error for DecodeError {}
 
-/// `ForwardFields` is what the daemon adds to a request that it forwards.
+/// Fields that the daemon adds to a request when it forwards the request to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardFields {
-    /// The upstream that is meant; another one at its address must not run the request.
+    /// Upstream instance that the request is addressed to; another one at its address must not run
+    /// it.
     pub instance: InstanceName,
-    /// The time that is left for the request.
+    /// Time until the request's deadline.
     pub left_ms: u64,
-    /// The last event that the caller has, if the stream is resumed.
+    /// ID of the last event that the caller has received, if the stream is resumed; none otherwise.
     pub last_event: Option<u64>,
-    /// The rank of the request; 0 goes first.
+    /// Priority rank of the request; 0 goes first.
     pub rank: u32,
-    /// The organisation that holds the caller's key, if the request carries one.
+    /// Organisation that holds the caller's key; none if the request needs no key.
     pub organisation: Option<Arc<str>>,
 }
 
-/// `AnswerFields` is what the head of an upstream's answer says.
+/// Contents of the head of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerFields {
-    /// The request that it answers, if it says so.
+    /// ID of the request that it answers; none if not stated.
     pub request: Option<RequestId>,
     /// Whether it carries an upstream's signature.
     pub signed: bool,
-    /// Whether the upstream says that it did not run the request and will not.
+    /// Whether the upstream states that it did not run the request and will not.
     pub not_run: bool,
-    /// Whether the request was meant for another upstream, or for a model that is not there.
+    /// Whether the request was addressed to another upstream, or to a model that the upstream
+    /// lacks.
     pub misdirected: bool,
-    /// Whether the body is encoded, which no upstream's own is.
+    /// Whether the body has a content encoding, which no upstream's own answer has.
     pub encoded: bool,
-    /// The upstream's load.
+    /// Load of the upstream; none if not stated.
     pub load: Option<LoadSample>,
-    /// The version of the model's weights that made it, if it says so.
+    /// Version of the model's weights that produced the answer; none if not stated.
     pub version: Option<u64>,
-    /// The upstream that answered, if it says so.
+    /// Instance that answered; none if not stated.
     pub answered_by: Option<InstanceName>,
-    /// How long the connection may stay idle.
+    /// How long the upstream keeps an idle connection; none if not stated.
     pub idle_ms: Option<u64>,
 }
 
-/// `StreamFormat` is how upstreams write streams of events.
+/// Format of the event streams that upstreams write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamFormat {
-    /// The number of the first event, where upstreams keep to one.
+    /// ID of the first event; none if upstreams do not number events from a fixed ID.
     pub first_event: Option<u64>,
-    /// The field of an event that names a new version of the model's weights.
+    /// Field of an event that states a new version of the model's weights; none if there is none.
     pub version_field: Option<&'static str>,
 }
 
-/// `CallerCodec` translates between callers and upstreams.
+/// Codec of requests and answers between callers and upstreams.
 pub trait CallerCodec {
-    /// Decodes a caller's request.
+    /// Decodes a caller's request from its head.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] for a request that no upstream may get.
+    /// [`DecodeError`] if the request must not reach any upstream.
     fn decode(&self, head: &RequestHead) -> Result<ServingRequest, DecodeError>;
 
-    /// Removes the caller's key from a request, so that it is neither kept nor passed on.
+    /// Removes the caller's key from a request, so that it is neither kept nor forwarded.
     fn remove_key(&self, head: &mut RequestHead);
 
-    /// Returns the bytes of the request as an upstream gets it.
+    /// Encodes the request as an upstream receives it.
     fn forward(&self, head: &RequestHead, body: &[u8], fields: &ForwardFields) -> Vec<u8>;
 
     /// Decodes the head of an upstream's answer.
     fn answer(&self, head: &ResponseHead) -> AnswerFields;
 
-    /// Returns how upstreams write streams of events.
+    /// Returns the format of the event streams that upstreams write.
     fn stream_format(&self) -> StreamFormat;
 
-    /// Returns the bytes of a whole refusal. `id` is the request's, where it is known.
+    /// Encodes a complete answer that refuses a request. `id` is the request's ID if known; `close`
+    /// announces that the connection closes after the answer.
     fn refusal(&self, refusal: &Refusal, id: Option<&RequestId>, close: bool) -> Vec<u8>;
 }
 
-/// `Topic` is a topic of the platform's store.
+/// A topic of the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// The operators' configuration; the newest record of each key is kept.
+    /// Configuration written by the operators. Only the newest record of each key is kept.
     Configuration,
-    /// The upstreams' entries; the newest record of each key is kept.
+    /// Entries of upstreams. Only the newest record of each key is kept.
     Upstreams,
-    /// The VMs' own entries; the newest record of each key is kept.
+    /// Entries of VMs. Only the newest record of each key is kept.
     Vms,
-    /// The copy of the list that the giver of orders keeps.
+    /// Snapshot of the upstream list, written by the lease holder.
     ListCopy,
-    /// The lease for orders.
+    /// Records of the order lease.
     Lease,
-    /// Requests that are refused because upstreams crash under them; the newest record of each key
-    /// is kept.
+    /// Requests that are refused because upstreams crash under them. Only the newest record of each
+    /// key is kept.
     Blocks,
 }
 
 impl Topic {
-    /// Returns the word for logs and metrics.
+    /// Returns the name of the topic in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -145,146 +149,148 @@
     }
 }
 
-/// `KeyedRecord` is a record of a topic that keeps the newest of each key.
+/// A record of a topic that keeps only the newest record of each key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedRecord {
-    /// The key.
+    /// Key of the record.
     pub key: String,
-    /// The value; none drops the key.
+    /// Value of the record; none deletes the key.
     pub value: Option<Vec<u8>>,
 }
 
-/// `KeyedPage` is a page of the newest records.
+/// A page of the newest records of a topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedPage {
-    /// The records.
+    /// Records in the order of the store.
     pub records: Vec<KeyedRecord>,
-    /// Whether more pages follow, after the last key.
+    /// Whether more pages follow behind the last key of this one.
     pub more: bool,
-    /// The topic's end.
+    /// Offset behind the topic's last record.
     pub end: u64,
 }
 
-/// `LogRead` is what a read of a topic found.
+/// Result of reading a topic from an offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogRead {
-    /// The records from the offset that was asked for.
+    /// The records from the requested offset on.
     Records {
-        /// The topic's end.
+        /// Offset behind the topic's last record.
         end: u64,
-        /// The records.
+        /// Undecoded records; empty if there are none yet.
         records: Vec<Vec<u8>>,
     },
-    /// The records that were asked for are no longer kept.
+    /// The records at the requested offset are no longer kept.
     Expired {
-        /// The first offset that is.
+        /// First offset that is still kept.
         first: u64,
     },
 }
 
-/// `StoreOutcome` is how a write to the store ended.
+/// Outcome of a write to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// It was done, at this offset.
+    /// The records were appended.
     Done {
-        /// The offset of the first record.
+        /// Offset of the first appended record.
         offset: u64,
     },
-    /// Its condition did not hold; the topic ends here.
+    /// Nothing was appended, because the topic does not end at the required offset.
     EndedElsewhere {
-        /// The topic's end.
+        /// Offset behind the topic's last record.
         end: u64,
     },
-    /// Nothing was done.
+    /// Nothing was appended, for another reason.
     NotDone,
 }
 
-/// `StoreCodec` translates between the daemon and the platform's store.
+/// Codec of calls to the platform's store.
 pub trait StoreCodec {
-    /// Returns how often the store has come back from an older copy, as an answer's head tells it;
-    /// none if it does not.
+    /// Returns the era in an answer's head, which counts how often the store was rolled back; none
+    /// if the answer does not state one.
     fn era(&self, head: &ResponseHead) -> Option<u64>;
 
-    /// Returns the call that reads a topic from an offset, waiting for a record if there is none.
+    /// Encodes the call that reads a topic from an offset and waits up to `wait_ms` for a record if
+    /// there is none.
     fn read(&self, topic: Topic, from: u64, wait_ms: u64) -> Vec<u8>;
 
-    /// Decodes its answer.
+    /// Decodes the answer to a read from an offset.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the store refused the call or the answer is none of its.
+    /// [`DecodeError`] if the store refused the call or the answer is invalid.
     fn read_answer(&self, status: u16, body: &[u8]) -> Result<LogRead, DecodeError>;
 
-    /// Decodes a record of a topic that keeps the newest of each key.
+    /// Decodes a record of a topic that keeps only the newest record of each key.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if it is none.
+    /// [`DecodeError`] if the record is invalid.
     fn keyed(&self, record: &[u8]) -> Result<KeyedRecord, DecodeError>;
 
-    /// Returns the call that reads the newest record of each key, after a key.
+    /// Encodes the call that reads the newest record of each key, from the key behind `after` on.
     fn newest(&self, topic: Topic, after: Option<&str>) -> Vec<u8>;
 
-    /// Decodes its answer.
+    /// Decodes the answer to a read of the newest records.
     ///
     /// # Errors
     ///
     /// As for [`StoreCodec::read_answer`].
     fn newest_answer(&self, status: u16, body: &[u8]) -> Result<KeyedPage, DecodeError>;
 
-    /// Returns the call that appends one record, if the topic ends at `at` where that is given.
+    /// Encodes the call that appends one record. With `at` it is appended only if the topic ends
+    /// there.
     fn append(&self, topic: Topic, at: Option<u64>, record: &[u8]) -> Vec<u8>;
 
-    /// Returns the call that appends records with keys, all or none.
+    /// Encodes the call that appends all of the keyed records or none.
     fn append_keyed(&self, topic: Topic, records: &[(String, Vec<u8>)]) -> Vec<u8>;
 
     /// Decodes the answer to an append.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if it tells neither that it was done nor that it was not.
+    /// [`DecodeError`] if the answer does not tell whether the records were appended.
     fn append_answer(&self, status: u16, body: &[u8]) -> Result<StoreOutcome, DecodeError>;
 
-    /// Decodes the operators' configuration.
+    /// Decodes a record of the configuration topic; none if the record holds no configuration.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if it is none.
+    /// [`DecodeError`] if the configuration is invalid.
     fn configuration(&self, record: &KeyedRecord) -> Result<Option<Configuration>, DecodeError>;
 
-    /// Decodes an upstream's entry.
+    /// Decodes an upstream's entry from its key and value.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if it is none.
+    /// [`DecodeError`] if the entry is invalid.
     fn upstream(&self, key: &str, value: &[u8]) -> Result<Upstream, DecodeError>;
 }
 
-/// `EngineCodec` translates between the daemon and the engines' operating interface.
+/// Codec of calls to the engines' operating interface.
 pub trait EngineCodec {
-    /// Returns the call that gives an order.
+    /// Encodes the call that sends an order to an engine.
     fn order(&self, order: &Order) -> Vec<u8>;
 
-    /// Decodes its answer.
+    /// Decodes the answer to an order.
     fn order_answer(&self, order: &OrderKind, status: u16, body: &[u8]) -> OrderOutcome;
 
-    /// Returns the call that reads an engine's report.
+    /// Encodes the call that reads the report of the engine with this instance name.
     fn report(&self, instance: &InstanceName) -> Vec<u8>;
 
-    /// Decodes its answer.
+    /// Decodes an engine's report.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if it is no report.
+    /// [`DecodeError`] if the answer is no valid report.
     fn report_answer(&self, status: u16, body: &[u8]) -> Result<EngineReport, DecodeError>;
 }
 
-/// `Codecs` is the set of codecs of one platform.
+/// Codecs of one platform.
 pub struct Codecs {
-    /// Towards callers and upstreams.
+    /// Codec of requests and answers between callers and upstreams.
     pub callers: Box<dyn CallerCodec>,
-    /// Towards the store.
+    /// Codec of calls to the store.
     pub store: Box<dyn StoreCodec>,
-    /// Towards the engines' operating interface.
+    /// Codec of calls to the engines' operating interface.
     pub engines: Box<dyn EngineCodec>,
 }
