--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: what comes from them, and how they end.
+//! Callers' connections: receiving requests, writing answers and closing.
 
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
@@ -17,7 +17,7 @@
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 impl Daemon {
-    /// Goes on with a caller's connection.
+    /// Continues a caller's connection: writes, reads and handles complete requests.
     pub(crate) fn serve_caller(&mut self, token: Token) {
         loop {
             let limits = self.directory.configuration().limits;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Lets an upstream's connection be read again once the caller has taken what was read.
+    /// Resumes reading from an upstream once the caller has taken the bytes read so far.
     fn resume_reading(&mut self, token: Token) {
         let Some(key) = self.callers.get(&token).and_then(|caller| caller.request()) else {
             return;
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Drops a caller's connection. A request that may be repeated, or a stream, is given up with
-    /// it; one that may run only once is left to end.
+    /// Drops a caller's connection. Its request is cancelled if it may be retried or streams; one
+    /// that may run only once continues to its end.
     pub(crate) fn drop_caller(&mut self, token: Token, left: bool) {
         let Some(caller) = self.callers.remove(&token) else {
             return;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Writes a refusal of this VM's own; the answer to HEAD has no body.
+    /// Writes a refusal. The answer to a HEAD request has no body.
     pub(crate) fn write_refusal(&mut self, token: Token, mut bytes: Vec<u8>) {
         let to_head = self.callers.get(&token).is_some_and(|it| it.to_head);
         let end = bytes.windows(HEAD_END.len()).position(|it| it == HEAD_END);
@@ -116,7 +116,7 @@
         self.refuse_connection(token, Refusal::not_run(reason, error.to_string()));
     }
 
-    /// Answers with a refusal and ends the connection, whose further bytes can't be trusted.
+    /// Answers with a refusal and closes the connection, since its further bytes can't be parsed.
     fn refuse_connection(&mut self, token: Token, refusal: Refusal) {
         self.metrics.refused(refusal.reason.as_str());
         let now_ms = self.now_ms;
@@ -166,7 +166,7 @@
         self.finish_answer(token);
     }
 
-    /// Writes to a caller without handling what that shows of the connection.
+    /// Writes to a caller. A broken connection is handled later.
     pub(crate) fn write_to_caller(&mut self, token: Token, bytes: &[u8]) {
         if let Some(caller) = self.callers.get_mut(&token) {
             caller.stream.queue(bytes);
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Ends an answer on a caller's connection.
+    /// Completes an answer on a caller's connection.
     pub(crate) fn finish_answer(&mut self, token: Token) {
         let now_ms = self.now_ms;
         let stops = self.stopping.has_begun();
