--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -1,9 +1,9 @@
-//! Upstreams that crash, the requests under which they do, and what the VMs tell each other of it.
+//! Detection of requests that crash upstreams, and the exchange about them between VMs.
 //!
-//! A connection that breaks shows little: the upstream may be there. So the upstream is asked
-//! before the requests lost with it are held against anybody. What was in progress is told to a few
-//! VMs, which judge; a verdict is told to all, and kept in the store by the giver of orders for VMs
-//! that start. Nothing here holds up a request that is not blocked.
+//! A broken connection alone proves little, since the upstream may still be there. So the upstream
+//! is probed before the requests that were lost with it become suspects. Reports of what was in
+//! progress go to a few VMs, which judge. A verdict is announced to all VMs and kept in the store
+//! by the lease holder for VMs that start. Requests that are not blocked are never delayed by this.
 
 use std::cmp::Reverse;
 use std::net::IpAddr;
@@ -32,11 +32,11 @@
 use crate::messages::PeerMessage;
 use crate::outbound::Peer;
 
-/// How long the answer of an upstream is awaited that broke a connection. Nobody listens where a
-/// process has ended, which shows within a round trip.
+/// Time limit for the probe of an upstream that broke a connection. Where a process has ended
+/// nobody listens, which shows within one round trip.
 const RECHECK_MS: u64 = 300;
 
-/// Reports in one datagram, each with ten requests at the most.
+/// Reports in one datagram; each contains at most ten requests.
 const REPORTS_A_DATAGRAM: usize = 4;
 
 /// Blocks in one datagram.
@@ -45,11 +45,11 @@
 /// Requests on probation in one datagram.
 const PROBATIONS_A_DATAGRAM: usize = 30;
 
-/// Fingerprints in one line of the log.
+/// Maximum number of fingerprints in one log line.
 const LOGGED_SUSPECTS: usize = 8;
 
 impl Daemon {
-    /// Returns the refusal of a request under which upstreams crash, or none if it may be sent.
+    /// Returns the refusal of a blocked request; none if the request may be sent.
     pub(crate) fn blocked(&self, fingerprint: &Fingerprint) -> Option<Refusal> {
         let left_ms = self.crash_watch.blocked_ms(self.now_ms, fingerprint)?;
         let detail = blocked_detail(fingerprint);
@@ -57,9 +57,10 @@
         Some(refusal.retry_after(left_ms))
     }
 
-    /// Notes a request that was lost because an upstream broke its connection.
+    /// Records a request that was lost because an upstream broke its connection.
     pub(crate) fn note_broken_send(&mut self, upstream: &UpstreamName, key: u64) {
-        // One that leaves, was removed or fell silent before does not end under its requests.
+        // A broken connection of an upstream that is leaving, removed or unresponsive is no sign of
+        // a crash under a request.
         let is_serving = self
             .directory
             .upstream(upstream)
@@ -82,8 +83,8 @@
         );
     }
 
-    /// Asks an upstream that broke a connection whether it is still there. A plain service's
-    /// instance is only connected to: it could take a question for a request.
+    /// Probes an upstream that broke a connection. At an instance of a plain service only a
+    /// connection is opened, since it could take the probe for a request.
     fn recheck(&mut self, recheck: &Recheck) {
         let Some(known) = self.directory.upstream(&recheck.upstream) else {
             return;
@@ -98,8 +99,8 @@
         self.call_anew(peer, address, tag, &bytes, RECHECK_MS);
     }
 
-    /// Takes in what an upstream said that broke a connection. One that answers has not ended; if
-    /// another answers in its place, it has.
+    /// Handles the outcome of such a probe. An upstream that answers has not ended; if another one
+    /// answers at its address, it has.
     pub(crate) fn recheck_ended(&mut self, upstream: &UpstreamName, outcome: &CallOutcome) {
         let CallOutcome::Answered { status, body } = outcome else {
             self.crash_watch.note_unanswered(self.now_ms, upstream);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Takes in that an upstream has ended.
+    /// Handles the end of an upstream, which is a crash if requests were lost with it.
     pub(crate) fn note_ended(&mut self, upstream: &UpstreamName) {
         let Some(lost) = self.crash_watch.note_ended(self.now_ms, upstream) else {
             return;
@@ -188,14 +189,14 @@
         self.block_store.note_ended(due.ended);
     }
 
-    /// Decides for another VM whether it may send a request on probation.
+    /// Decides as a judge whether another VM may send a request on probation.
     pub(crate) fn decide_trial(&mut self, from: SocketAddr, asker: u64, ask: &TrialAsk) {
         let vms = self.peers.others() + 1;
         let answer = self.crash_watch.take_ask(self.now_ms, asker, ask, vms);
         self.peers.send(from, &PeerMessage::TrialDecided(answer));
     }
 
-    /// Notes that a trial could not be sent.
+    /// Ends the trial run of a request that could not be sent.
     pub(crate) fn note_unsent_trial(&mut self, key: u64) {
         let Some(request) = self.active.get_mut(key) else {
             return;
@@ -214,8 +215,8 @@
         }
     }
 
-    /// Ends what is in progress of a request that is blocked from now on. An answer that has begun
-    /// goes on: if it ends well, the request was blamed for what happened beside it.
+    /// Ends the attempts of a request that has just been blocked. An answer that has begun
+    /// continues: if it completes, the request was wrongly suspected.
     pub(crate) fn block_began(&mut self, row: &BlockRow, how: &str) {
         let upstreams: Vec<&str> = row.upstreams.iter().map(UpstreamName::as_str).collect();
         log::warn!(
@@ -255,12 +256,13 @@
         self.refuse(key, &refusal);
     }
 
-    /// Takes in what another VM had in progress at upstreams that crashed.
+    /// Handles another VM's reports of requests in progress at crashed upstreams.
     pub(crate) fn take_crash_reports(&mut self, reports: &[CrashReport]) {
         self.crash_watch.take_reports(self.now_ms, reports);
     }
 
-    /// Notes a request that was answered.
+    /// Records that a request was answered. If it was blocked or on probation, all VMs are
+    /// informed.
     pub(crate) fn note_answered(&mut self, fingerprint: Fingerprint) {
         if self.crash_watch.note_answered(self.now_ms, fingerprint) {
             self.log_cleared(&fingerprint, "answered");
@@ -268,14 +270,14 @@
         }
     }
 
-    /// Takes in that a blocked request was answered.
+    /// Handles the announcement that a blocked request was answered after all.
     pub(crate) fn request_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
         if self.crash_watch.take_cleared(self.now_ms, fingerprint) {
             self.log_cleared(fingerprint, how);
         }
     }
 
-    /// Tells a VM which requests are on probation.
+    /// Sends another VM the requests on probation.
     pub(crate) fn tell_probations_to(&self, address: SocketAddr) {
         for part in self.crash_watch.probations().chunks(PROBATIONS_A_DATAGRAM) {
             self.peers
@@ -289,7 +291,7 @@
         log::info!(fingerprint = fingerprint.to_string(), how; "request no longer blocked");
     }
 
-    /// Takes in blocks that another VM tells of.
+    /// Applies blocks that another VM has announced.
     pub(crate) fn take_blocks(&mut self, rows: &[BlockRow]) {
         for row in rows {
             if self.crash_watch.take_block(self.now_ms, row) {
@@ -298,7 +300,7 @@
         }
     }
 
-    /// Tells a VM the blocks in force.
+    /// Sends another VM the blocks in force.
     pub(crate) fn tell_blocks_to(&self, address: SocketAddr) {
         let rows = self.crash_watch.blocks(self.now_ms);
         for part in rows.chunks(BLOCKS_A_DATAGRAM) {
@@ -307,7 +309,7 @@
         }
     }
 
-    /// Tells a judge that has started what this VM had in progress at upstreams that crashed.
+    /// Sends a judge that has started the local reports about crashed upstreams.
     pub(crate) fn tell_own_reports_to(&self, address: SocketAddr, vm: &VmName) {
         let reports = self.crash_watch.own_reports(self.now_ms);
         if !reports.is_empty() && self.peers.judges().iter().any(|(judge, _)| judge == vm) {
@@ -315,7 +317,7 @@
         }
     }
 
-    /// Asks the giver of orders for the blocks in force: this VM may have missed some.
+    /// Requests the blocks in force from the lease holder, since this VM may have missed some.
     pub(crate) fn ask_for_blocks(&mut self) {
         if let Some((_, address, _)) = self.peers.holder {
             self.peers.send(address, &PeerMessage::BlocksWanted);
@@ -333,7 +335,7 @@
     }
 }
 
-/// Returns what stands for a caller, who is known by the address only.
+/// Returns the hash that identifies a caller. Callers are known by their address only.
 pub(crate) fn caller_hash(caller: IpAddr) -> CallerHash {
     match caller {
         IpAddr::V4(address) => CallerHash::of(&address.octets()),
@@ -341,7 +343,7 @@
     }
 }
 
-/// Returns what tells whether two requests are the same one.
+/// Returns the fingerprint of a request. Equal fingerprints mean the same request.
 pub(crate) fn fingerprint(
     serving: &ServingRequest,
     head: &RequestHead,
