--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The readiness loop.
+//! State of the daemon and its readiness loop.
 
 use std::collections::HashMap;
 use std::io;
@@ -64,33 +64,35 @@
 const HANGUP: Token = Token(5);
 const FIRST_CONNECTION: usize = 16;
 
-/// Events handled at a time.
+/// Maximum number of readiness events that one iteration of the loop handles.
 const EVENTS: usize = 512;
 
-/// The longest time without a look at connections whose time may be over.
+/// Longest time between two checks for connections that have timed out.
 const SWEEP_MS: u64 = 250;
 
-/// The longest sleep of the loop.
+/// Longest sleep of the loop.
 const MAX_SLEEP_MS: u64 = 250;
 
-/// How much later than asked for the loop must wake up for a line about it: three quarters of the
-/// tightest target of the users' deployments, so that a pause which makes a request late is told.
+/// Delay of a wake-up from which a process pause is logged: three quarters of the shortest target
+/// time in the users' deployments, so that every pause which makes a request late is logged.
 const STOOD_STILL_MS: u64 = 300;
 
-/// How much later than asked for the loop must wake up for the silence of others to say nothing.
+/// Delay of a wake-up from which the silence of engines proves nothing, because this process
+/// paused.
 const BEHIND_MS: u64 = 100;
 
-/// Callers' connections at the most, beside those to upstreams. A VM has 3,900 descriptors for
-/// sockets.
+/// Maximum number of callers' connections, besides those to upstreams. A VM has 3,900 descriptors
+/// for sockets.
 const MAX_CALLERS: usize = 3_000;
 
-/// `Daemon` is the daemon of an entry VM.
+/// Daemon of an entry VM.
 pub struct Daemon {
     pub(crate) settings: Settings,
     pub(crate) codecs: Codecs,
     pub(crate) poll: Poll,
     pub(crate) now_ms: u64,
-    /// A number of this run of the process, so that what an earlier run sent is told apart.
+    /// Random number of this incarnation of the process, which tells its messages from earlier
+    /// ones.
     pub(crate) run: u64,
     listeners: HashMap<Token, (TcpListener, CallerKind)>,
     stop_signals: UnixStream,
@@ -106,7 +108,7 @@
     pub(crate) block_store: BlockStore,
     pub(crate) limits: Limits,
     pub(crate) news: NewsBoard,
-    /// Runs of upstreams that are over and at which requests seem to be in progress.
+    /// Ended incarnations of upstreams at which requests still appear to be in progress.
     pub(crate) former_runs: Vec<UpstreamName>,
     pub(crate) feeds: Feeds,
     pub(crate) ordering: Ordering,
@@ -114,33 +116,33 @@
     pub(crate) own_demand: OwnDemand,
     pub(crate) sharing: Sharing,
     pub(crate) store_era: StoreEra,
-    /// When this VM reads the store, among all that do.
+    /// Schedule of this VM's store reads among all VMs that read.
     pub(crate) pacing: ReadPacing,
     pub(crate) stopping: Stopping,
     pub(crate) metrics: EntryMetrics,
     pub(crate) lines: LineBudget,
     pub(crate) call_answers: HashMap<Token, CallAnswer>,
     pub(crate) call_alarm_ms: u64,
-    /// Callers' connections whose next request may already have come.
+    /// Callers' connections whose answer has ended and whose next request may already be there.
     pub(crate) answered: Vec<Token>,
-    /// Whether waiting requests should be looked at again.
+    /// Whether dispatch of the waiting requests should be retried in this iteration.
     pub(crate) look_again: bool,
     next_sweep_ms: u64,
 }
 
 impl Daemon {
-    /// Opens the sockets. Nothing is served before [`Daemon::run`].
+    /// Opens the sockets. No request is served before [`Daemon::run`].
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`] for an address that can't be had, [`Error::Loop`] otherwise.
+    /// [`Error::Listen`] if an address can't be bound, [`Error::Loop`] for any other I/O error.
     pub fn new(mut settings: Settings, codecs: Codecs) -> Result<Self> {
         let poll = Poll::new()?;
         let now_ms = now_ms();
         let run = random_number();
         let mut listeners = HashMap::new();
-        // A port that the system chose replaces the 0 in the settings, so that the log and the
-        // other VMs are told the address at which this VM can be reached.
+        // A port chosen by the system replaces port 0 in the settings, so that the log and the
+        // other VMs receive the address at which this VM can be reached.
         let addresses = [
             (CALLERS, &mut settings.callers, CallerKind::Serving),
             (READY, &mut settings.ready, CallerKind::Ready),
@@ -215,12 +217,12 @@
         })
     }
 
-    /// Returns this VM's name.
+    /// Returns the name of this VM.
     pub fn vm(&self) -> &VmName {
         &self.settings.vm
     }
 
-    /// Serves until a planned stop is done.
+    /// Serves until a planned stop is complete.
     ///
     /// # Errors
     ///
@@ -255,8 +257,8 @@
         Ok(())
     }
 
-    /// Reads the clock after a sleep. A VM that was suspended, or whose processor was taken away,
-    /// explains requests that are late without a cause of their own, so it says so.
+    /// Reads the clock after a sleep and logs a long delay. A VM that was suspended or had no
+    /// processor time makes requests late without any other trace of the cause.
     fn note_wake_up(&mut self, sleep_ms: u64) {
         let before_ms = std::mem::replace(&mut self.now_ms, now_ms());
         let late_ms = self.now_ms.saturating_sub(before_ms + sleep_ms);
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Does what is due, whether or not something was received.
+    /// Does the work that is due, whether or not an event arrived.
     fn work(&mut self) {
         self.due_requests();
         self.hand_back_waiting();
@@ -345,7 +347,8 @@
                         Err(error) => log::warn!(reason = error.to_string(); "connection lost"),
                     }
                 }
-                // Closed without having read a request, so that the caller goes elsewhere.
+                // The connection is closed without reading a request, so that the caller retries
+                // elsewhere.
                 Ok(_) => self.metrics.refused("too_many_connections"),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -363,7 +366,7 @@
         token
     }
 
-    /// Goes on with a connection that this VM opened.
+    /// Continues a connection that this VM opened, after an event on it.
     fn advance_outbound(&mut self, token: Token, writable: bool) {
         let now_ms = self.now_ms;
         let Some(connection) = self.outbound.get_mut(token) else {
@@ -380,7 +383,7 @@
         }
         match connection.purpose.clone() {
             Purpose::Idle => {
-                // An idle connection that can be read has ended or sends bytes of no request.
+                // An idle connection that is readable was closed or carries bytes of no request.
                 if connection.next_idle_is_bad() {
                     self.outbound.close(token, self.poll.registry());
                 }
@@ -392,7 +395,7 @@
         }
     }
 
-    /// Drops connections whose time is over.
+    /// Drops connections that have timed out and applies the current number of VMs.
     fn sweep(&mut self) {
         self.next_sweep_ms = self.now_ms + SWEEP_MS;
         if let Some(vms) = self.peers.vms() {
@@ -432,7 +435,7 @@
     TcpListener::bind(address).map_err(|source| Error::Listen { address, source })
 }
 
-/// Returns a pipe into which a byte is written for each signal, so that the loop wakes up.
+/// Returns a pipe into which each of these signals writes a byte, so that it wakes up the loop.
 fn signal_pipe(poll: &Poll, token: Token, signals: &[i32]) -> Result<UnixStream> {
     let (read, write) = StdUnixStream::pair()?;
     read.set_nonblocking(true)?;
@@ -446,7 +449,7 @@
     Ok(read)
 }
 
-/// Empties a pipe and returns whether there was something in it.
+/// Empties a pipe. Returns whether it contained anything.
 fn drain_pipe(pipe: &mut UnixStream) -> bool {
     let mut bytes = [0_u8; 64];
     let mut any = false;
@@ -456,7 +459,7 @@
     any
 }
 
-/// Returns a number that other runs do not have.
+/// Returns a random number, by which incarnations of the process differ.
 fn random_number() -> u64 {
     use std::hash::BuildHasher;
     use std::hash::Hasher;
