--- a/crates/entry/src/ending.rs
+++ b/crates/entry/src/ending.rs
@@ -1,4 +1,4 @@
-//! How requests end that are not answered by an upstream.
+//! Final answers that this VM gives itself, and the end of requests.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::refusal::Ran;
@@ -49,7 +49,7 @@
         self.serve_again();
     }
 
-    /// Answers with a refusal, or breaks an answer off that was begun.
+    /// Answers with a refusal, or aborts an answer that has begun.
     fn close_answer(&mut self, key: u64, token: Token, refusal: &Refusal) {
         let close = self.closes_after(token);
         let Some(request) = self.active.get_mut(key) else {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Breaks a caller's connection, so that an answer that stopped midway does not look whole.
+    /// Resets a caller's connection, so that an answer that stopped midway does not look complete.
     pub(crate) fn abort_caller(&mut self, token: Token) {
         if let Some(caller) = self.callers.remove(&token) {
             caller.stream.close(self.poll.registry(), true);
@@ -77,7 +77,7 @@
         self.look_again = true;
     }
 
-    /// Forgets a request that has its final answer.
+    /// Removes a request that has its final answer, and logs how it ended.
     pub(crate) fn end_request(&mut self, key: u64, how: &str) {
         let Some(request) = self.active.remove(key) else {
             return;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Looks after requests whose deadline has come or whose pause is over.
+    /// Handles requests whose deadline has passed or whose pause has ended.
     pub(crate) fn due_requests(&mut self) {
         for key in self.active.due(self.now_ms) {
             let Some(request) = self.active.get_mut(key) else {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Returns the model and adapter that a request names, for logs.
+/// Returns the model and adapter that a request names, for logs; empty if it names none.
 pub(crate) fn model_text(job: &Job) -> String {
     match &job.wanted {
         Some(WantedModel {
@@ -164,7 +164,7 @@
     }
 }
 
-/// Returns the upstream to which a request was sent last, for logs.
+/// Returns the upstream that a request was last sent to, for logs; empty if there is none.
 pub(crate) fn upstream_text(job: &Job) -> &str {
     job.tried.last().map_or("", UpstreamName::as_str)
 }
