--- a/crates/entry/src/errors.rs
+++ b/crates/entry/src/errors.rs
@@ -1,4 +1,4 @@
-//! Errors of the daemon.
+//! Error type of the daemon.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,49 +6,49 @@
 
 use thiserror::Error as ThisError;
 
-/// `Error` is why the daemon can't start or go on.
+/// Reason why the daemon can't start or continue.
 #[derive(Debug, ThisError)]
 pub enum Error {
-    /// The settings file can't be read.
+    /// The settings file can't be read or parsed.
     #[error("settings {path} can't be read: {detail}")]
     SettingsFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Error of reading or parsing.
         detail: String,
     },
-    /// A setting is missing.
+    /// A required setting is missing or empty.
     #[error("setting {key} in section [{section}] is missing")]
     MissingSetting {
-        /// The section.
+        /// Section of the INI file.
         section: &'static str,
-        /// The key.
+        /// Name of the setting in its section.
         key: &'static str,
     },
-    /// A setting can't be used.
+    /// A setting has an invalid value.
     #[error("setting {key} in section [{section}] is {value:?}, which is not {expected}")]
     BadSetting {
-        /// The section.
+        /// Section of the INI file.
         section: &'static str,
-        /// The key.
+        /// Name of the setting in its section.
         key: &'static str,
-        /// Its value.
+        /// Value in the file.
         value: String,
-        /// What it should be.
+        /// Description of the valid values.
         expected: &'static str,
     },
     /// An address can't be listened on.
     #[error("can't listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The readiness loop failed.
     #[error("readiness loop: {0}")]
     Loop(#[from] io::Error),
-    /// The log can't be written.
+    /// The log can't be started.
     #[error("log: {0}")]
     Log(#[from] apricotdale_telemetry::Error),
 }
