--- a/crates/entry/src/failing.rs
+++ b/crates/entry/src/failing.rs
@@ -1,4 +1,4 @@
-//! Tries that brought no answer, and what becomes of their requests.
+//! Failed attempts to get an answer from an upstream, and what follows for the requests.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::policy::UpstreamOutcome;
@@ -14,15 +14,15 @@
 use crate::ending::upstream_text;
 use crate::outbound::Peer;
 
-/// When a refused caller should come back: engines turn requests away for moments.
+/// Retry delay that a refused caller is told. Engines reject requests for short moments only.
 pub(crate) const RETRY_AFTER_MS: u64 = 300;
 
-/// The time between two looks whether the budget has a repeat for a request. Requests earn one each
-/// few milliseconds where many come.
+/// Time between two checks whether the retry budget admits a request. With many requests, the
+/// budget grows by one retry every few milliseconds.
 pub(crate) const BUDGET_PAUSE_MS: u64 = 50;
 
 impl Daemon {
-    /// Notes the end of a try with the routing policy.
+    /// Reports the end of an attempt to the routing policy and the watches.
     pub(crate) fn end_try(&mut self, key: u64, outcome: UpstreamOutcome) {
         let Some(request) = self.active.get_mut(key) else {
             return;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Gives a try up: its connection is closed, by which the upstream learns of it.
+    /// Cancels an attempt by closing its connection, which informs the upstream.
     pub(crate) fn cancel_try(&mut self, key: u64) {
         self.end_try(key, UpstreamOutcome::Cancelled);
         let connection = match self.active.get(key).map(|request| &request.phase) {
@@ -90,7 +90,7 @@
         if let Some(peer) = self.outbound.get_mut(token).map(|it| it.peer.clone()) {
             self.outbound.close(token, self.poll.registry());
             if let Peer::Upstream(upstream) = &peer {
-                // Other idle connections to it have probably failed with this one.
+                // Other idle connections to the upstream have probably failed too.
                 self.outbound.close_idle(&peer, self.poll.registry());
                 if sent && broken {
                     self.note_broken_send(upstream, key);
@@ -106,7 +106,7 @@
         self.try_failed(key, failed);
     }
 
-    /// Decides what becomes of a request whose try brought no answer.
+    /// Retries or ends a request whose attempt has failed.
     pub(crate) fn try_failed(&mut self, key: u64, failed: FailedTry) {
         self.metrics.failed_try(failed.as_str());
         let outcome = match failed {
@@ -122,7 +122,8 @@
         };
         request.job.runs += u32::from(!failed.is_not_run());
         let has_begun = request.delivery.has_begun();
-        // One that is tried again after a block is not sent twice before its end is judged.
+        // A request that was blocked before and is sent again gets no second attempt until this one
+        // has been judged.
         let can_go_on = request.delivery.may_go_on()
             && (failed.is_not_run() || !self.crash_watch.knows(&request.fingerprint));
         let attempt = match can_go_on && request.caller.is_some() {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Takes in that an upstream refused a connection or did not take one in time.
+    /// Handles that an upstream refused a connection or did not accept one in time.
     pub(crate) fn upstream_unreachable(&mut self, upstream: &UpstreamName) {
         if self.dispatcher.note_unreachable(self.now_ms, upstream) {
             log::info!(upstream = upstream.to_string(); "upstream not reached");
