--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/feeds.rs
@@ -1,4 +1,5 @@
-//! What this VM reads from the store: the configuration and the lists.
+//! Topics that this VM reads from the store: the configuration, the upstream list with its
+//! snapshot, and the entries of VMs.
 
 mod configuration;
 mod copy;
@@ -26,90 +27,93 @@
 use crate::daemon::Daemon;
 use crate::outbound::Peer;
 
-/// The time between two reads of the upstreams' entries. One that leaves must get no new requests
-/// 2 s after it said so.
+/// Time between two reads of the upstreams' entries. An upstream that leaves must receive no new
+/// requests from 2 s after it announced that.
 const UPSTREAMS_EVERY_MS: u64 = 900;
 
-/// The time between two reads of the configuration by a VM that is told of changes. Each beat names
-/// the version in force, so a lost one is made good by the next.
+/// Time between two reads of the configuration by a VM that receives announcements of changes. Each
+/// heartbeat names the version in force, so the next one makes up for a lost one.
 const FOLLOWING_CONFIGURATION_EVERY_MS: u64 = 30_000;
 
-/// How long a call to the store may take beyond its wait, if no other VM reads.
+/// Time limit for a store call beyond the wait that it asks for, if no other VM reads at that time.
 const CALL_TIMEOUT_MS: u64 = 800;
 
-/// The same for the copy of the list. A VM that starts waits for it, so a call that was swallowed
-/// must not hold it up for long.
+/// Time limit for reading the list snapshot. A VM that starts waits for the snapshot, so a lost
+/// call must not delay it for long.
 const COPY_TIMEOUT_MS: u64 = 500;
 
-/// How long a write of the copy may take.
+/// Time limit for writing the list snapshot.
 const LIST_WRITE_TIMEOUT_MS: u64 = 1_000;
 
-/// How often the copy is looked for before a VM that has no list reads the upstreams' entries.
-/// Whoever reads for all may not be able to write.
+/// Number of reads that find no snapshot before a VM without an upstream list reads the upstreams'
+/// entries. The VM that should write the snapshot may be unable to.
 const COPY_LOOKS: u32 = 3;
 
-/// The pause before the copy is looked for again where there was none.
+/// Pause before the next read of the snapshot if there was none.
 const COPY_AGAIN_MS: u64 = 1_000;
 
-/// The pause before the next read where nothing was written yet.
+/// Pause before the next read of a topic in which nothing has been written yet.
 const NOTHING_YET_MS: u64 = 100;
 
-/// The same for a whole list, which is larger. A VM that starts can't serve before it has one, so
-/// a call that a silent store swallowed must not hold it up for long.
+/// Time limit for reading a complete upstream list, which is larger than its changes. A VM that
+/// starts can't serve without an upstream list, so a call lost at a silent store must not delay it
+/// for long.
 const NEWEST_TIMEOUT_MS: u64 = 900;
 
-/// The time over which VMs write their entries again when the store came back from an older copy.
+/// Time over which VMs spread the rewriting of their entries after a rollback of the store.
 const WRITTEN_AGAIN_MS: u64 = 2_000;
 
-/// Keys of foreign entries that are told in the log. A writer that makes new keys all the time must
-/// fill neither the log nor the memory; beyond these the entries are only counted.
+/// Maximum number of keys of foreign entries that are logged. A writer that keeps creating keys
+/// must fill neither the log nor the memory; entries beyond this number are only counted.
 const FOREIGN_KEYS: usize = 200;
 
-/// How long nothing has come for a request at an upstream that has started again, for it to have
-/// been at the former process. Events of a stream come every few tens of milliseconds.
+/// Silence after which a request at a restarted upstream is known to have been at the former
+/// process. Events of a stream arrive every few tens of milliseconds.
 const RESTART_SILENT_MS: u64 = 500;
 
-/// `Feeds` are the topics that this VM reads.
+/// Reading state of all topics, and what this VM knows about how current they are.
 #[derive(Debug)]
 pub(crate) struct Feeds {
     configuration: Feed,
     upstreams: Feed,
-    /// When this VM's turn to read the upstreams' entries comes; none while others tell of them.
+    /// When this VM reads the upstreams' entries; none while other VMs announce them.
     turn_ms: Option<u64>,
     list_rate: ListRate,
     copy: Feed,
-    /// Whether the store has answered whether there is a copy. Before that the upstreams' own
-    /// entries are left alone: read by all VMs that start, they hold up everything else.
+    /// Whether the store has answered if a snapshot exists. Before that the upstreams' own entries
+    /// are not read: reads of them by all VMs that start would delay all other store calls.
     copy_tried: bool,
-    /// How often there was none.
+    /// Number of reads that found no snapshot.
     copy_misses: u32,
-    /// When this VM reads the upstreams' entries though others tell of them, because nobody has
-    /// written a copy; none before it has looked for one some times.
+    /// When this VM reads the upstreams' entries although other VMs announce them, because nobody
+    /// has written a snapshot; none before several reads have found no snapshot.
     uncopied_turn_ms: Option<u64>,
     copy_writer: CopyWriter,
-    /// What is to be done about a list that differs from the one this VM is told of.
+    /// Repair of an upstream list that differs from the announced one, by reading the snapshot.
     pub(crate) listed_repair: ListRepair,
-    /// The same where there is no copy that could help.
+    /// Repair of such a list by reading the upstreams' entries, where there is no snapshot.
     pub(crate) uncopied_repair: ListRepair,
-    /// The same for what engines hold.
+    /// Repair of engine residence that differs from what is announced, by reading the snapshot.
     pub(crate) held_repair: ListRepair,
-    /// Upstreams that came, to be told to the other VMs.
+    /// New upstreams that have yet to be announced to the other VMs.
     came: Vec<UpstreamName>,
-    /// This VM's own entry is written first, so that of two VMs that start at once at least one
-    /// finds the other.
+    /// Whether this VM's own entry is written. The entry is written before the others are read, so
+    /// that of two VMs that start together at least one finds the other.
     vm_written: bool,
-    /// Whether the other VMs' entries were read.
+    /// Whether the other VMs' entries have been read.
     vms_read: bool,
     vms: Feed,
-    /// Keys whose entries named nobody to send to, so that each is told once.
+    /// Keys of entries that are no valid upstream's and have been logged, so that each is logged
+    /// once.
     foreign: HashSet<String>,
-    /// When a configuration and a list were first known.
+    /// When a configuration and an upstream list were first known; none before that.
     complete_ms: Option<u64>,
-    /// When another VM read that the configuration in force here is the newest, as it has told.
+    /// When another VM, by its own account, read that the configuration in force here is the
+    /// newest.
     current_ms: Option<u64>,
-    /// Since when others have told of a newer configuration than the one in force here.
+    /// Since when other VMs have announced a newer configuration than the one in force here.
     outdated_ms: Option<u64>,
-    /// Whether this VM has taken requests, or could have.
+    /// Whether this VM has become ready for requests; it stays so.
     takes_requests: bool,
 }
 
@@ -142,41 +146,41 @@
 }
 
 impl Feeds {
-    /// Returns how long ago the configuration was read; none before the first time.
+    /// Returns how long ago the configuration was read; none before the first read.
     pub fn configuration_age_ms(&self, now_ms: u64) -> Option<u64> {
         self.configuration.read_ms.map(|at_ms| now_ms - at_ms)
     }
 
-    /// Returns for how long others have told of a newer configuration than the one in force here;
-    /// none if they have not.
+    /// Returns for how long other VMs have announced a newer configuration than the one in force
+    /// here; none if they have not.
     pub fn outdated_for_ms(&self, now_ms: u64) -> Option<u64> {
         self.outdated_ms.map(|since_ms| now_ms - since_ms)
     }
 
     /// Returns how long ago this VM or another read that the configuration in force here is the
-    /// newest; none before the first time.
+    /// newest; none before the first such read.
     pub fn current_age_ms(&self, now_ms: u64) -> Option<u64> {
         let read_ms = self.configuration.read_ms.max(self.current_ms);
         read_ms.map(|at_ms| now_ms - at_ms)
     }
 
-    /// Notes that another VM has read that the configuration in force here is the newest.
+    /// Records that another VM has read that the configuration in force here is the newest.
     pub fn note_current(&mut self, read_ms: u64) {
         self.current_ms = self.current_ms.max(Some(read_ms));
     }
 
-    /// Notes whether others have told of a newer configuration.
+    /// Records whether other VMs have announced a newer configuration.
     pub fn note_outdated(&mut self, now_ms: u64, is_outdated: bool) {
         self.outdated_ms = is_outdated.then(|| self.outdated_ms.unwrap_or(now_ms));
     }
 
-    /// Returns how long ago the list was read; none before the first time.
+    /// Returns how long ago the upstream list was read; none before the first read.
     pub fn list_age_ms(&self, now_ms: u64) -> Option<u64> {
         self.upstreams.read_ms.map(|at_ms| now_ms - at_ms)
     }
 
-    /// Has the upstreams' own entries read from the beginning, with all that engines hold, and the
-    /// copy written: this VM gives orders from now on.
+    /// Schedules what a VM that has just gained the lease needs: a read of all upstreams' own
+    /// entries with their residence, and a write of the snapshot.
     pub fn lead(&mut self, now_ms: u64) {
         self.upstreams.restart_soon();
         self.copy_tried = true;
@@ -184,9 +188,9 @@
         self.copy_writer.restart();
     }
 
-    /// Takes in that the store came back from an older copy. The VM that gives orders reads the
-    /// list at once; a VM that is told of changes need not. What this VM has written is written
-    /// again, at a time of its own.
+    /// Handles a rollback of the store. The lease holder rereads the upstream list immediately; a
+    /// VM that receives announcements need not. This VM's own entry is rewritten at a randomly
+    /// spread time.
     pub fn set_back(&mut self, now_ms: u64, leads: bool, pacing: &mut ReadPacing) {
         self.configuration.restart_soon();
         self.copy.restart_soon();
@@ -202,37 +206,38 @@
         }
     }
 
-    /// Returns how far the list was read; the first position before the first time.
+    /// Returns the position up to which the upstream list has been read; the zero position before
+    /// the first read.
     pub fn list_read_to(&self) -> Position {
         self.upstreams.from.unwrap_or_default()
     }
 
-    /// Takes in that this VM knows what there is in the list up to a position.
+    /// Records that this VM knows the upstream list up to a position without having read it.
     pub fn skip_list_to(&mut self, position: Position) {
         self.upstreams.skip_to(position);
     }
 
-    /// Returns the size of the copy, if it names these upstreams; else 0.
+    /// Returns the size of the snapshot if it lists the upstreams of this digest, and 0 otherwise.
     pub fn copy_bytes(&self, listed: u64) -> usize {
         self.copy_writer.bytes_if_of(listed)
     }
 
-    /// Notes the size of the copy, as whoever writes it tells it.
+    /// Records the size of the snapshot as announced by its writer.
     pub fn note_copy_bytes(&mut self, bytes: usize) {
         self.copy.note_answer(bytes);
     }
 
-    /// Returns how many upstreams came that were not told yet.
+    /// Returns the number of new upstreams that have yet to be announced.
     pub fn came_count(&self) -> usize {
         self.came.len()
     }
 
-    /// Notes that an upstream came, to be told with what is read next.
+    /// Records a new upstream for the next announcement.
     pub fn note_came(&mut self, name: UpstreamName) {
         self.came.push(name);
     }
 
-    /// Has the configuration read at a time, unless it is due earlier.
+    /// Schedules a read of the configuration, unless an earlier one is scheduled.
     pub fn read_configuration_at(&mut self, at_ms: u64) {
         let look_ms = self.configuration.look_ms.get_or_insert(at_ms);
         *look_ms = at_ms.min(*look_ms);
@@ -240,7 +245,7 @@
 }
 
 impl Feeds {
-    /// Returns the feed that a call is for; none if it is not one that reads a topic.
+    /// Returns the feed that a call reads; none if the call reads no topic.
     fn feed(&mut self, tag: &CallTag) -> Option<&mut Feed> {
         match tag {
             CallTag::ConfigurationNewest | CallTag::ConfigurationRead => {
@@ -255,7 +260,7 @@
 }
 
 impl Daemon {
-    /// Makes the calls that are due.
+    /// Makes the store calls that are due.
     pub(crate) fn advance_feeds(&mut self) {
         let now_ms = self.now_ms;
         let leads = self.ordering.fence_held();
@@ -321,7 +326,7 @@
         self.call(Peer::Store, address, tag, bytes, timeout_ms);
     }
 
-    /// Takes in the outcome of a feed's call.
+    /// Handles the outcome of a feed's call.
     pub(crate) fn feed_call_ended(&mut self, tag: &CallTag, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         let result = match outcome {
@@ -368,7 +373,7 @@
         if failures > 0 {
             log::info!(call = tag.as_str(), failures; "store regained");
         }
-        // Without a pause there is more of the list to read.
+        // A pause of 0 means that more of the upstream list is to be read.
         if is_list(tag) && pause_ms > 0 {
             self.list_read();
         } else if *tag == CallTag::ConfigurationRead && self.feeds.turn_ms.is_some() {
@@ -396,8 +401,8 @@
         }
     }
 
-    /// Decodes the answer to an append that has to be done. One that the store refused is tried
-    /// again.
+    /// Decodes the answer to an append that must be done. A refused append is an error, so that it
+    /// is retried.
     fn appended(&self, status: u16, body: &[u8]) -> Result<(), DecodeError> {
         match self.codecs.store.append_answer(status, body)? {
             StoreOutcome::Done { .. } => Ok(()),
@@ -405,13 +410,13 @@
         }
     }
 
-    /// Takes in an answer and returns the pause before the feed's next call.
+    /// Handles an answer and returns the pause before the feed's next call.
     fn take_feed(&mut self, tag: &CallTag, status: u16, body: &[u8]) -> Result<u64, DecodeError> {
         match tag {
             CallTag::ConfigurationNewest => {
                 let page = self.codecs.store.newest_answer(status, body)?;
                 let found = self.take_configurations(&page.records);
-                // Before the first configuration is written there is nothing to follow.
+                // Before the first configuration is written there is no position to continue from.
                 self.feeds.configuration.from = Some(self.store_era.position(page.end));
                 Ok(if found { 0 } else { NOTHING_YET_MS })
             }
