--- a/crates/entry/src/feeds/configuration.rs
+++ b/crates/entry/src/feeds/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: how it is read and put in force.
+//! Reads of the configuration, and how a new one takes effect.
 
 use super::CALL_TIMEOUT_MS;
 use super::FOLLOWING_CONFIGURATION_EVERY_MS;
@@ -10,21 +10,23 @@
 use crate::codec::Topic;
 use crate::daemon::Daemon;
 
-/// How long a read of the configuration waits for a change. A connection that has fallen silent is
-/// noticed after that and a little more, within the time in which a change must be in force.
+/// How long a read of the configuration waits at the store for a change. A connection that has
+/// fallen silent is noticed little later than that, within the time in which a change must take
+/// effect.
 const CONFIGURATION_WAIT_MS: u64 = 2_000;
 
-/// How old a read of the configuration may be for the next one to wait for a change.
+/// Age of the last read above which the next one does not wait for a change.
 const OLD_CONFIGURATION_MS: u64 = 2_200;
 
-/// How long a VM that starts waits for a version of the configuration that others have in force.
-/// Operators write theirs again when the store came back from an older copy; if they do not, what
-/// there is must do.
+/// How long a VM that starts waits for a configuration version that other VMs have in force. After
+/// a rollback of the store, operators publish their configuration again; if they do not, the one in
+/// the store is used.
 const NEWER_VERSION_MS: u64 = 10_000;
 
 impl Daemon {
-    /// Returns whether this VM knows enough to take requests. One that starts when the store has
-    /// just come back from an older copy reads a configuration that is in force nowhere any more.
+    /// Returns whether this VM is ready for requests. A VM that starts right after a rollback of
+    /// the store reads a configuration that is no longer in force anywhere, and waits for the newer
+    /// one.
     pub(crate) fn takes_requests(&mut self) -> bool {
         if self.feeds.takes_requests || !self.directory.is_complete() {
             return self.feeds.takes_requests;
@@ -54,9 +56,10 @@
                 self.call_store(CallTag::ConfigurationNewest, &bytes, timeout_ms);
             }
             Some(from) => {
-                // A VM that is told of changes has no read waiting, so that it makes none in vain.
-                // One that has just ceased to be told asks once without a wait: what it tells of
-                // the list counts for others only if it has read the configuration, too.
+                // A VM that receives announcements of changes keeps no read waiting at the store.
+                // When the announcements have just stopped it reads once without a wait: what it
+                // announces about the upstream list counts for other VMs only if it has read the
+                // configuration too.
                 let age_ms = self.feeds.configuration_age_ms(self.now_ms);
                 let is_old = age_ms.is_none_or(|age_ms| age_ms > OLD_CONFIGURATION_MS);
                 let wait_ms = match self.sharing.follows(self.now_ms) || is_old {
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Puts configurations in force. Returns whether there was one.
+    /// Puts configurations in force. Returns whether the records contained any.
     pub(super) fn take_configurations(&mut self, records: &[KeyedRecord]) -> bool {
         let mut found = false;
         for record in records {
