--- a/crates/entry/src/feeds/copy.rs
+++ b/crates/entry/src/feeds/copy.rs
@@ -1,7 +1,8 @@
-//! The small copy of the list that the giver of orders keeps in the store.
+//! Snapshot of the upstream list that the lease holder keeps in the store.
 //!
-//! A VM that starts reads it in place of the upstreams' own entries, which are many times larger,
-//! and serves by it at once; one that has missed something is set right by it.
+//! A VM that starts reads the snapshot instead of the upstreams' own entries, which are many times
+//! larger, and can serve immediately. A VM that has missed changes uses the snapshot to repair its
+//! list.
 
 use apricotdale_core::numbers::Position;
 use apricotdale_fleet::ListCopy;
@@ -20,60 +21,61 @@
 use crate::daemon::Daemon;
 use crate::messages::PeerMessage;
 
-/// The time between two writes of the copy. News of what engines hold reach the VMs by datagram;
-/// what one missed is in the copy this much later.
+/// Time between two writes of the snapshot. Residence updates reach the VMs by datagram; the
+/// snapshot contains an update that a VM missed after this time.
 const WRITE_EVERY_MS: u64 = 2_000;
 
-/// The same while it names other upstreams than there are. VMs that were not told wait for it.
+/// Time between two writes while the snapshot names other upstreams than there are, since VMs that
+/// missed the announcement wait for the snapshot.
 const LISTED_WRITE_EVERY_MS: u64 = 500;
 
-/// Entries in one datagram: one takes some 170 bytes.
+/// Number of upstream entries in one datagram. One entry takes about 170 bytes.
 const ENTRIES_A_DATAGRAM: usize = 6;
 
-/// The most entries that are told by datagram. When thousands of upstreams come at once, what each
-/// VM that has read them tells to all others is more than their links carry.
+/// Maximum number of new entries that are announced by datagram. When thousands of upstreams arrive
+/// together, each VM that has read them would send all others more than their links carry.
 const MOST_ENTRIES_TOLD: usize = 24;
 
-/// The pause after a write that failed.
+/// Pause after a failed write.
 const WRITE_PAUSE_MS: u64 = 1_000;
 
-/// `CopyDigest` tells whether a copy differs from another.
+/// Content of a snapshot in digests, which tell whether two snapshots differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct CopyDigest {
-    /// Who serves.
+    /// Digest of the upstreams that serve.
     listed: u64,
-    /// What engines hold.
+    /// Digests of what engines hold.
     held: Vec<u32>,
-    /// The version of the configuration.
+    /// Version of the configuration.
     configuration: u64,
-    /// The era of the store. A copy that was on its way when a new one began is of no use in it.
+    /// Era of the store. A snapshot whose write was in progress when a new era began may be lost.
     era: u64,
 }
 
-/// `CopyWriter` is what the giver of orders has written.
+/// Writing state of the snapshot on the lease holder.
 #[derive(Debug, Default)]
 pub(super) struct CopyWriter {
     written: Option<CopyDigest>,
     next_ms: u64,
-    /// The digest that is being written.
+    /// Digest of the snapshot whose write is in progress.
     writing: Option<CopyDigest>,
-    /// The size of the copy.
+    /// Size of the snapshot as the store sends it; 0 before the first write.
     bytes: usize,
 }
 
 impl CopyWriter {
-    /// Forgets what was written, when another VM may have written since.
+    /// Forgets what was written, since another VM may have written another snapshot since.
     pub fn restart(&mut self) {
         self.written = None;
         self.next_ms = 0;
     }
 
-    /// Returns which upstreams the copy names, as a digest; none before it is written.
+    /// Returns the digest of the listed upstreams; none before the first write.
     fn listed(&self) -> Option<u64> {
         self.written.as_ref().map(|written| written.listed)
     }
 
-    /// Returns the size of the copy, if it names these upstreams; else 0.
+    /// Returns the size of the snapshot if it lists the upstreams of this digest, and 0 otherwise.
     pub fn bytes_if_of(&self, listed: u64) -> usize {
         match self.listed() == Some(listed) {
             true => self.bytes,
@@ -95,7 +97,7 @@
         self.call_store(CallTag::CopyNewest, &bytes, timeout_ms);
     }
 
-    /// Notes which repairs the read that begins now is for.
+    /// Marks the due repairs that the read about to begin serves.
     fn begin_repairs(&mut self) {
         let now_ms = self.now_ms;
         let draw_ms = self.pacing.draw_for_ms(self.feeds.copy.answer_bytes());
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Takes in a page of the copy and returns the pause before the next read.
+    /// Handles a page of the snapshot and returns the pause before the next read.
     pub(super) fn take_copy_page(&mut self, page: KeyedPage) -> Result<u64, DecodeError> {
         let feed = &mut self.feeds.copy;
         feed.after = page.records.last().map(|record| record.key.clone());
@@ -128,8 +130,8 @@
             .map(postcard::from_bytes)
             .collect::<Result<_, _>>()
             .map_err(|error| DecodeError::new(format!("a copy of the list: {error}")))?;
-        // One from before the list was set back does not tell what is missing in it now; whoever
-        // reads for all writes another.
+        // A snapshot from before a rollback does not tell what the upstream list lacks now; the
+        // lease holder writes another one.
         let copy =
             ListCopy::from_parts(parts).filter(|copy| !self.store_era.is_past(copy.read_to.era));
         match copy {
@@ -139,7 +141,7 @@
         Ok(0)
     }
 
-    /// Notes that there was no copy.
+    /// Counts a read that found no snapshot.
     fn miss_copy(&mut self) {
         self.feeds.copy_misses += 1;
         if self.feeds.copy_misses == COPY_LOOKS {
@@ -177,7 +179,7 @@
         self.look_again = true;
     }
 
-    /// Writes the copy, if this VM gives orders and something has changed.
+    /// Writes the snapshot if its content has changed and the time between two writes is over.
     pub(super) fn write_copy(&mut self) {
         let now_ms = self.now_ms;
         let from = self.feeds.upstreams.from;
@@ -213,13 +215,13 @@
             .collect();
         self.feeds.copy_writer.writing = Some(digest);
         let bytes = records.iter().map(|(_, value)| value.len()).sum::<usize>();
-        // The store sends values in base64.
+        // The store encodes values in base64.
         self.feeds.copy_writer.bytes = bytes * 4 / 3;
         let call = self.codecs.store.append_keyed(Topic::ListCopy, &records);
         self.call_store(CallTag::CopyAppend, &call, LIST_WRITE_TIMEOUT_MS);
     }
 
-    /// Takes in the outcome of a write.
+    /// Handles the outcome of a write of the snapshot.
     pub(super) fn copy_written(&mut self, is_done: bool) {
         let now_ms = self.now_ms;
         let writer = &mut self.feeds.copy_writer;
@@ -230,10 +232,10 @@
         }
     }
 
-    /// Takes in entries that another VM has read.
+    /// Applies entries that another VM has read and announced.
     pub(crate) fn take_told_entries(&mut self, read_to: Position, entries: Vec<Upstream>) {
         self.note_era(read_to.era);
-        // Before the first list there is nothing that entries could be added to.
+        // Before the first list is known there is nothing to add the entries to.
         if !self.directory.is_listed() {
             return;
         }
@@ -244,13 +246,13 @@
             let change = self.directory.note_told(entry);
             self.take_entry_change(&instance, before, change, "told_by_another_vm");
         }
-        // Whoever read them has told all VMs.
+        // The VM that read them has announced them to all VMs.
         self.feeds.came.clear();
     }
 
-    /// Tells the other VMs which upstreams came, and, where no giver of orders tells it, what this
-    /// VM has read. Of VMs that miss a giver the first that have read tell the rest, which then
-    /// need not.
+    /// Announces new upstreams to the other VMs, and also what this VM has read if no lease holder
+    /// does so. When the holder is missing, the first VMs that have read announce it, and the
+    /// others need not read.
     pub(crate) fn tell_list_read(&mut self) {
         let now_ms = self.now_ms;
         let came = std::mem::take(&mut self.feeds.came);
@@ -261,7 +263,8 @@
         if came.len() > MOST_ENTRIES_TOLD {
             log::info!(upstreams = came.len(); "upstreams came");
         }
-        // Of more, all VMs learn by the digest and the copy, which the store sends to each once.
+        // If there are more, all VMs learn of them from the digest and the snapshot, which the
+        // store sends to each VM once.
         let entries: Vec<Upstream> = came
             .iter()
             .filter(|_| came.len() <= MOST_ENTRIES_TOLD)
