--- a/crates/entry/src/feeds/feed.rs
+++ b/crates/entry/src/feeds/feed.rs
@@ -1,23 +1,23 @@
-//! One topic of the store that this VM reads: when, and how far it has come.
+//! Reading state of one topic of the store.
 
 use apricotdale_core::numbers::Position;
 use apricotdale_fleet::ReadPacing;
 
 use crate::codec::KeyedRecord;
 
-/// The time between two lines about a store that stays lost. Without them a log shows one line at
-/// the beginning of an outage that lasts for the rest of the day.
+/// Time between two log lines about a store that stays unreachable. Without repeated lines, an
+/// outage of a whole day would show as one line at its beginning.
 const STILL_LOST_MS: u64 = 5_000;
 
-/// The least bytes that an answer is taken to have, before one was seen.
+/// Answer size that is assumed before a larger answer has been seen.
 const LEAST_ANSWER_BYTES: usize = 64 * 1024;
 
-/// `Feed` is one topic that is read.
+/// One topic that is read: the position reached, the call in progress and the schedule.
 #[derive(Debug, Default)]
 pub(super) struct Feed {
-    /// Where the next read begins; none before the newest records were read.
+    /// Position of the next read; none before the newest records have been read.
     pub from: Option<Position>,
-    /// Pages of newest records so far.
+    /// Records of the pages read so far of an upstream list that takes several pages.
     pub pages: Vec<KeyedRecord>,
     pub pages_end: Option<Position>,
     pub after: Option<String>,
@@ -27,19 +27,19 @@
     failed_ms: Option<u64>,
     told_lost_ms: u64,
     pub read_ms: Option<u64>,
-    /// When the topic is read in any case, however long it would be left alone otherwise.
+    /// When the topic is read at the latest, regardless of announcements; none if not scheduled.
     pub look_ms: Option<u64>,
-    /// How much earlier than the longest time this VM reads what it is told of, so that VMs which
-    /// started together do not stay in step.
+    /// How much earlier than the maximum interval this VM reads a topic that is announced to it, so
+    /// that VMs which started together do not read in step.
     phase_ms: u64,
-    /// The largest answer so far.
+    /// Size of the largest answer so far.
     answer_bytes: usize,
-    /// Whether the topic is to be read from the beginning once the call under way has ended.
+    /// Whether the topic is reread from the beginning after the call in progress.
     restarts: bool,
 }
 
 impl Feed {
-    /// Takes in a call that failed. Returns whether the log should say so.
+    /// Records a failed call. Returns whether the failure should be logged.
     pub fn failed(&mut self, now_ms: u64, pacing: &mut ReadPacing) -> bool {
         self.end_call();
         self.failures += 1;
@@ -53,7 +53,7 @@
         is_told
     }
 
-    /// Takes in a call that was answered.
+    /// Records a successful call.
     pub fn succeeded(&mut self, now_ms: u64, pause_ms: u64) {
         self.end_call();
         self.failures = 0;
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Has the topic read from the beginning. The answer to a call under way would be taken for one
-    /// to the new beginning, so its end is awaited.
+    /// Schedules a read from the beginning. If a call is in progress the restart waits for its end,
+    /// since its answer would otherwise be taken for one to the new read.
     pub fn restart_soon(&mut self) {
         match self.calling {
             true => self.restarts = true,
@@ -77,27 +77,27 @@
         }
     }
 
-    /// Goes on from a position up to which others have told what there is, unless a read is under
-    /// way whose answer counts from the former one.
+    /// Moves the next read forward to a position up to which other VMs have announced the content,
+    /// unless a read is in progress, whose answer counts from the former position.
     pub fn skip_to(&mut self, position: Position) {
         if !self.calling && !self.restarts && self.pages.is_empty() {
             self.from = self.from.map(|from| from.max(position));
         }
     }
 
-    /// Returns where the next read begins in an era of the store; none if that was another era.
+    /// Returns the position of the next read; none if it belongs to another era of the store.
     pub fn place_in(&self, era: u64) -> Option<Position> {
         self.from.filter(|from| from.era == era)
     }
 
-    /// Takes in that a call named a place that is one of an earlier era.
+    /// Restarts the topic after a call that named a position of an earlier era.
     pub fn set_back(&mut self, now_ms: u64) {
         self.end_call();
         self.restart();
         self.next_ms = now_ms;
     }
 
-    /// Notes the size of an answer.
+    /// Records the size of an answer.
     pub fn note_answer(&mut self, bytes: usize) {
         self.answer_bytes = self.answer_bytes.max(bytes);
     }
@@ -107,26 +107,27 @@
         self.answer_bytes
     }
 
-    /// Returns how long the next answer is awaited, which one VM alone would have within
-    /// `alone_ms`.
+    /// Returns the time limit for the next call. `alone_ms` is the limit that applies if no other
+    /// VM reads at the same time.
     pub fn patience_ms(&self, pacing: &mut ReadPacing, alone_ms: u64) -> u64 {
         let bytes = self.answer_bytes.max(LEAST_ANSWER_BYTES);
         pacing.patience_ms(alone_ms, bytes, self.failures)
     }
 
-    /// Returns the same for a read of the list that goes on where the last one ended.
+    /// Returns the time limit for a read of the upstream list that continues where the last one
+    /// ended.
     pub fn list_patience_ms(&self, now_ms: u64, pacing: &mut ReadPacing, alone_ms: u64) -> u64 {
         let bytes = self.answer_bytes.max(LEAST_ANSWER_BYTES);
         let age_ms = self.read_ms.map(|at_ms| now_ms.saturating_sub(at_ms));
         pacing.list_patience_ms(alone_ms, bytes, self.failures, age_ms)
     }
 
-    /// Draws when this VM reads again while it is told of changes.
+    /// Draws at random how much earlier than the interval this VM reads an announced topic.
     pub fn draw_phase(&mut self, pacing: &mut ReadPacing, every_ms: u64) {
         self.phase_ms = pacing.draw_within_ms(every_ms / 4);
     }
 
-    /// Returns when the topic is read next by a VM that is told of changes.
+    /// Returns when a VM that receives announcements next reads the topic.
     pub fn followed_due_ms(&self, every_ms: u64) -> u64 {
         match self.read_ms {
             Some(read_ms) => self.next_ms.max(read_ms + every_ms - self.phase_ms),
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Returns how long ago a read failed; none if none did.
+    /// Returns how long ago a read last failed; none if none has.
     pub fn failed_ms_ago(&self, now_ms: u64) -> Option<u64> {
         self.failed_ms.map(|at_ms| now_ms.saturating_sub(at_ms))
     }
