--- a/crates/entry/src/feeds/list_rate.rs
+++ b/crates/entry/src/feeds/list_rate.rs
@@ -1,15 +1,14 @@
-//! How much the upstreams write to the list.
+//! Rate at which upstreams write to the upstream list.
 
-/// How long reads are counted for one figure. Upstreams write each 1.2 s, a reader reads each 0.9
-/// s.
+/// Time over which a rate is measured. Upstreams write every 1.2 s, and a reader reads every 0.9 s.
 const WINDOW_MS: u64 = 3_000;
 
-/// The longest time between two reads of one count. After a longer one the first read brings a
+/// Longest time between two reads of one measurement. After a longer gap the first read returns a
 /// backlog.
 const LONGEST_GAP_MS: u64 = 1_500;
 
-/// `ListRate` works out what the upstreams' entries take, from the reads of a VM that reads them
-/// all.
+/// Measures the bytes per second of the upstreams' entries from the reads of a VM that reads all
+/// entries.
 #[derive(Debug, Default)]
 pub(super) struct ListRate {
     since_ms: Option<u64>,
@@ -18,13 +17,13 @@
 }
 
 impl ListRate {
-    /// Takes in the size of an answer. Returns bytes a second when enough was counted.
+    /// Records the size of an answer. Returns bytes per second once the window is full.
     pub fn note(&mut self, now_ms: u64, bytes: usize) -> Option<u64> {
         let is_gap = now_ms > self.last_ms + LONGEST_GAP_MS;
         self.last_ms = now_ms;
         let since_ms = match self.since_ms.filter(|_| !is_gap) {
             Some(since_ms) => since_ms,
-            // What this answer brings was written before.
+            // The records in this answer were written before the window.
             None => {
                 self.since_ms = Some(now_ms);
                 self.bytes = 0;
