--- a/crates/entry/src/feeds/listing.rs
+++ b/crates/entry/src/feeds/listing.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams: what its entries change here.
+//! Reads of the upstream list, and what its entries change on this VM.
 
 use apricotdale_core::names::InstanceName;
 use apricotdale_core::names::UpstreamName;
@@ -16,7 +16,7 @@
 use crate::daemon::Daemon;
 use crate::outbound::Peer;
 
-/// Upstreams that come with one read and have a line each in the log.
+/// Maximum number of new upstreams of one read that are logged one by one.
 const LINES_OF_CAME: usize = 24;
 
 impl Daemon {
@@ -53,7 +53,7 @@
         UPSTREAMS_EVERY_MS
     }
 
-    /// Takes in which upstreams a whole list changed.
+    /// Handles the changes that a complete upstream list made to the directory.
     pub(super) fn take_listing_changes(&mut self, changes: ListingChanges) {
         for name in &changes.lapsed {
             self.upstream_lapsed(name);
@@ -77,8 +77,8 @@
             self.directory.read_up_to(from.after(index));
             match self.codecs.store.keyed(record) {
                 Ok(record) => self.take_upstream(&record),
-                // Others may write here too. A record without a key names nobody; the read goes on,
-                // since it would meet the same record again.
+                // Others may write to this topic too. A record without a key names no upstream; it
+                // is skipped, since a read that stopped here would meet the same record again.
                 Err(error) => self.note_foreign_entry("", &error),
             }
         }
@@ -91,9 +91,9 @@
         })
     }
 
-    /// Decodes an entry. One that is none of an upstream's own ends the use of the run that stood
-    /// under its key, and so is taken the same by a VM that reads every change and by one that
-    /// reads only the newest.
+    /// Decodes an entry. An invalid entry ends the use of the upstream run that had an entry under
+    /// the same key. A VM that reads every change and one that reads only the newest records thus
+    /// reach the same result.
     fn decode_upstream(&mut self, record: &KeyedRecord) -> Option<Upstream> {
         let value = record.value.as_deref()?;
         match self.codecs.store.upstream(&record.key, value) {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Says once of an upstream that its service is in no configuration. No route leads to it.
+    /// Logs once that an upstream's service is in no configuration, so that no route leads to it.
     fn note_service(&mut self, upstream: &Upstream) {
         if self.directory.version() > 0 && self.directory.service(&upstream.service).is_none() {
             let error = DecodeError::new(format!("service {}", upstream.service));
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Counts an entry that names nobody to send to, and says so once for each key.
+    /// Counts an entry that names no usable upstream, and logs it once for each key.
     fn note_foreign_entry(&mut self, key: &str, error: &DecodeError) {
         self.metrics.foreign_entry();
         if self.feeds.foreign.len() < FOREIGN_KEYS && self.feeds.foreign.insert(key.to_owned()) {
@@ -151,8 +151,8 @@
         self.take_entry_change(&instance, before, change, reason);
     }
 
-    /// Takes in what one entry changed. `before` is the run that stood there before, `reason` why
-    /// the upstream takes no new work, if that is what the entry says.
+    /// Handles the change that one entry made. `before` is the run that the entry named before,
+    /// `reason` is logged if the upstream accepts no new requests any more.
     pub(super) fn take_entry_change(
         &mut self,
         instance: &InstanceName,
@@ -180,15 +180,15 @@
     fn upstream_came(&mut self, name: &UpstreamName) {
         self.feeds.note_came(name.clone());
         self.peers.beat_soon();
-        // A line for each of thousands would take longer than to read them.
+        // With thousands of upstreams, a line for each would take longer than reading them.
         if self.feeds.came_count() <= LINES_OF_CAME {
             log::info!(upstream = name.to_string(); "upstream came");
         }
         self.look_again = true;
     }
 
-    /// Takes in that the list was read to its end, and drops upstreams that did not come back after
-    /// an outage.
+    /// Handles the end of a read of the upstream list. Upstreams that have not returned after an
+    /// outage are dropped.
     pub(super) fn list_read(&mut self) {
         self.directory.read_up_to(self.feeds.list_read_to());
         for name in self.directory.note_list_read(self.now_ms) {
@@ -198,8 +198,8 @@
         self.tell_list_read();
     }
 
-    /// Tells that an upstream is used for a short time more though its entry has vanished. If it
-    /// left in fact, this line is the only trace of when that was read.
+    /// Logs that an upstream stays in use for a short time although its entry has vanished. If the
+    /// upstream had in fact left, this line is the only record of when that was read.
     fn upstream_lapsed(&mut self, name: &UpstreamName) {
         self.metrics.lapsed_upstream();
         let failed_ms_ago = self.feeds.upstreams.failed_ms_ago(self.now_ms);
@@ -209,8 +209,8 @@
         );
     }
 
-    /// Stops sending to an upstream. Requests in progress there go on, unless its process has
-    /// ended.
+    /// Stops sending new requests to an upstream. Requests in progress there continue unless its
+    /// process has ended.
     pub(crate) fn upstream_left(&mut self, name: &UpstreamName, reason: &str) {
         if let Some(departure) = self.directory.departure(name) {
             self.sharing.note_left(self.now_ms, departure);
@@ -231,9 +231,9 @@
         self.look_again = true;
     }
 
-    /// Ends requests at processes that have ended. Without this they would wait for an answer until
-    /// their deadlines where the connections fell silent with the process. Requests that reached
-    /// the new process before its entry was read are heard of, and go on.
+    /// Ends requests at processes that have ended. Where the connections fell silent with the
+    /// process, these requests would otherwise wait for an answer until their deadlines. Requests
+    /// that reached the new process before its entry was read receive bytes and continue.
     pub(crate) fn end_former_runs(&mut self) {
         let since_ms = self.now_ms.saturating_sub(RESTART_SILENT_MS);
         for name in std::mem::take(&mut self.former_runs) {
