--- a/crates/entry/src/feeds/schedule.rs
+++ b/crates/entry/src/feeds/schedule.rs
@@ -1,4 +1,4 @@
-//! When each topic is read.
+//! Read schedule of the topics.
 
 use apricotdale_fleet::ListRepair;
 use apricotdale_fleet::ReadPacing;
@@ -18,15 +18,15 @@
         feed.look_ms.map_or(due_ms, |look_ms| due_ms.min(look_ms))
     }
 
-    /// Returns when the upstreams' own entries are read. A VM that is told of changes leaves them
-    /// alone, unless the copy could not help it.
+    /// Returns when the upstreams' own entries are read. A VM that receives announcements does not
+    /// read them, unless there is no snapshot that could repair its list.
     pub(super) fn upstreams_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
         let feed = &self.upstreams;
         let is_followed = sharing.follows(now_ms);
         let turn_ms = self.turn_ms.unwrap_or(u64::MAX);
         match feed.from {
             None if !self.copy_tried => u64::MAX,
-            // The pages of a list that was begun are read to their end.
+            // A list that takes several pages is read to its end.
             None if feed.after.is_some() => feed.next_ms,
             None => feed
                 .next_ms
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Notes whether others tell of the upstreams' entries. If none does, this VM's turn to read
-    /// them is drawn; the VM that gives orders reads them in any case.
+    /// Updates this VM's turn to read the upstreams' entries. While other VMs announce the entries
+    /// there is none; otherwise its time is drawn at random. The lease holder always reads them.
     pub(super) fn note_turn(
         &mut self,
         now_ms: u64,
@@ -64,7 +64,7 @@
         if !self.copy_tried || feed.after.is_some() {
             return feed.next_ms;
         }
-        // Who reads for all keeps a copy, or will.
+        // The VM that reads for all others has written a snapshot or is about to.
         if self.upstreams.from.is_none() && self.turn_ms.is_none() {
             return feed.next_ms + COPY_AGAIN_MS;
         }
@@ -78,7 +78,7 @@
             .map_or(u64::MAX, |due_ms| due_ms.max(feed.next_ms))
     }
 
-    /// Returns when the next call is due.
+    /// Returns when the next call or change of schedule is due.
     pub fn next_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
         let ends_ms = match sharing.follows(now_ms) {
             true => sharing.followed_until_ms(),
