--- a/crates/entry/src/feeds/vms.rs
+++ b/crates/entry/src/feeds/vms.rs
@@ -1,4 +1,4 @@
-//! The VMs' own entries in the store, by which VMs find each other.
+//! Entries of VMs in the store, through which VMs discover each other.
 
 use super::CALL_TIMEOUT_MS;
 use super::NEWEST_TIMEOUT_MS;
@@ -9,11 +9,11 @@
 use crate::daemon::Daemon;
 use crate::messages::VmRecord;
 
-/// When a VM that starts reads the entries a second time: by then all others have written theirs
-/// again, if the store came back from an older copy.
+/// Pause before a VM that starts rereads the entries. By then all other VMs have rewritten theirs
+/// if the store was rolled back.
 const READ_AGAIN_MS: u64 = 3_000;
 
-/// Longer than any process runs.
+/// Longer than any process lives.
 const NEVER_MS: u64 = u64::MAX / 2;
 
 impl Daemon {
@@ -36,8 +36,8 @@
         self.call_store(CallTag::VmAppend, &bytes, CALL_TIMEOUT_MS);
     }
 
-    /// Takes in a page of entries. The store sends 500 at a time; without the pages that follow,
-    /// VMs beyond these would hear nothing.
+    /// Handles a page of entries. The store returns at most 500 entries a page; VMs on later pages
+    /// would otherwise receive no messages.
     pub(super) fn take_vms_page(&mut self, page: KeyedPage) -> u64 {
         let feed = &mut self.feeds.vms;
         feed.after = page.records.last().map(|record| record.key.clone());
@@ -55,15 +55,15 @@
         log::info!(vms = self.peers.others(); "entries of VMs read");
         let is_first = !std::mem::replace(&mut self.feeds.vms_read, true);
         match is_first && self.store_era.now() > 0 {
-            // The store may have come back a moment ago, without the entries of some.
+            // The store may have been rolled back a moment ago and lack some entries.
             true => READ_AGAIN_MS + self.pacing.draw_within_ms(WRITTEN_AGAIN_MS),
-            // Later ones greet.
+            // VMs that start later announce themselves with a greeting.
             false => NEVER_MS,
         }
     }
 
-    /// Returns the pause before the entries of the other VMs are read, once this VM's own is
-    /// written.
+    /// Records that this VM's entry is written. Returns the pause before the other VMs' entries are
+    /// read.
     pub(super) fn vm_written(&mut self) -> u64 {
         self.feeds.vm_written = true;
         match self.feeds.vms_read {
