--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,10 +1,11 @@
-//! The daemon of an entry VM.
+//! Daemon of an entry VM: proxies callers' requests to upstreams and, on the VM that holds the
+//! order lease, sends load and unload orders to engines.
 //!
-//! One thread serves everything over one readiness loop: callers, upstreams, the platform's store
-//! and the other VMs. Nothing in it blocks, and the number of threads does not grow with the
-//! connections. The decisions are made by other crates: `dispatch` for requests and `holder` for
-//! orders to engines. What is said on each connection is decided by the codecs ([`CallerCodec`],
-//! [`StoreCodec`], [`EngineCodec`]), one set for each platform.
+//! One thread serves callers, upstreams, the platform's store and the other VMs from one readiness
+//! loop. No operation in it blocks, and the number of threads does not grow with the number of
+//! connections. Decisions are made by other crates: `dispatch` for requests, `holder` for orders to
+//! engines. The wire formats are defined by the codecs ([`CallerCodec`], [`StoreCodec`],
+//! [`EngineCodec`]), one set for each platform.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
