--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of organisations: what is asked and told, and what becomes of requests.
+//! Enforcement of organisations' limits, and the exchange with the quota owner.
 
 use std::net::SocketAddr;
 
@@ -21,20 +21,21 @@
 use crate::daemon::Daemon;
 use crate::messages::PeerMessage;
 
-/// How many VMs there are taken to be until the store has told it: a VM's part is small then.
+/// Number of VMs assumed until the store's entries have been read. It is large, so that this VM's
+/// share of a limit is small until then.
 const UNKNOWN_VMS: usize = 1_000;
 
-/// How long a request waits for the keeper.
+/// How long a request waits for the quota owner.
 const ASKED_MS: u64 = 250;
 
-/// The time between two looks for VMs that the keeper forgets.
+/// Time between two removals of VMs that the quota owner has not heard from.
 const FORGET_EVERY_MS: u64 = 10_000;
 
-/// The parts of a second over which returns are spread, in thousandths of the time to come back.
+/// Bounds of the random factor on retry delays, in thousandths.
 const SPREAD_FROM: u64 = 750;
 const SPREAD: u64 = 750;
 
-/// `Charge` is what a request counts against the limit of its organisation.
+/// Cost of a request that counts against the limit of its organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Charge {
     account: AccountId,
@@ -42,12 +43,12 @@
     is_paid: bool,
 }
 
-/// `Limits` are the limits of organisations as this VM holds them.
+/// Both sides of the quota protocol: this VM as spender, and as the owner for all VMs.
 #[derive(Debug)]
 pub(crate) struct Limits {
     spender: Spender,
     keeper: Keeper,
-    /// The configuration whose limits are in force here.
+    /// Version of the configuration whose limits are applied; none before the first.
     version: Option<u64>,
     next_forget_ms: u64,
 }
@@ -64,19 +65,19 @@
         limits
     }
 
-    /// Takes in how many VMs there are.
+    /// Sets the number of VMs that share the limits.
     pub fn set_vms(&mut self, vms: usize) {
         self.spender.set_vms(vms);
         self.keeper.set_vms(vms);
     }
 
-    /// Returns when something is to be told.
+    /// Returns when the next report to the quota owner is due.
     pub fn next_ms(&self) -> u64 {
         self.spender.next_ms()
     }
 }
 
-/// Returns what a request counts, if its organisation has a limit.
+/// Returns the cost of a request; none if its organisation has no limit.
 pub(crate) fn charge(organisation: &Organisation, serving: &ServingRequest) -> Option<Charge> {
     organisation.limit?;
     Some(Charge {
@@ -87,7 +88,7 @@
 }
 
 impl Daemon {
-    /// Tells the keeper what was spent, and takes over the limits of a new configuration.
+    /// Applies the limits of a new configuration and reports to the quota owner what was spent.
     pub(crate) fn advance_limits(&mut self) {
         let now_ms = self.now_ms;
         self.take_over_limits();
@@ -127,7 +128,7 @@
         self.limits.keeper.set_limits(self.now_ms, limits);
     }
 
-    /// Takes in what a VM has spent, as the keeper; `from` is the sender, if it is another VM.
+    /// Handles a VM's report as the quota owner. `from` is the sender; none for this VM itself.
     pub(crate) fn take_report(&mut self, from: Option<SocketAddr>, report: &Report) {
         let Some(answer) = self.limits.keeper.take(self.now_ms, report) else {
             return;
@@ -138,13 +139,13 @@
         }
     }
 
-    /// Takes in what the keeper allows.
+    /// Applies what the quota owner allows.
     pub(crate) fn take_allowed(&mut self, answer: &Answer) {
         self.look_again |= self.limits.spender.take(self.now_ms, answer);
     }
 
-    /// Admits a request that its organisation's limit has not admitted yet. Returns whether it may go
-    /// on.
+    /// Returns whether the limit of its organisation admits a request. A request that is over the
+    /// limit, or that the quota owner did not answer in time, is refused.
     pub(crate) fn is_within_limit(&mut self, key: u64) -> bool {
         let now_ms = self.now_ms;
         let Some(request) = self.active.get_mut(key) else {
@@ -208,7 +209,7 @@
         self.refuse(key, &refusal);
     }
 
-    /// Gives back what a request counts that was refused and has not run.
+    /// Refunds the cost of a request that was refused and has not run.
     pub(crate) fn give_back(&mut self, charge: Charge, key: u64) {
         match charge.is_paid {
             true => self.limits.spender.give_back(charge.account, charge.units),
@@ -217,8 +218,8 @@
     }
 }
 
-/// Returns by how much a time to come back is lengthened, in thousandths, so that callers who are
-/// refused together do not return together.
+/// Returns the factor on a request's retry delay, in thousandths. It differs between requests, so
+/// that callers who are refused together do not retry together.
 fn spread(id: &RequestId) -> u64 {
     SPREAD_FROM + xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()) % SPREAD
 }
