--- a/crates/entry/src/lines.rs
+++ b/crates/entry/src/lines.rs
@@ -1,12 +1,12 @@
-//! How many lines are logged.
+//! Rate limit of log lines about requests.
 
-/// Lines of requests that ended well, a second. Their counts and times are in the metrics too.
+/// Sustained rate of lines about answered requests. Their counts and times are also in the metrics.
 const GOOD_LINES_PER_S: f64 = 40.0;
 
-/// Lines of requests that did not, a second.
+/// Sustained rate of lines about other outcomes.
 const BAD_LINES_PER_S: f64 = 120.0;
 
-/// Seconds of lines that may be saved up for a burst.
+/// Size of the token buckets, in seconds at the sustained rate.
 const SAVED_S: f64 = 2.0;
 
 #[derive(Debug)]
@@ -37,12 +37,12 @@
     }
 }
 
-/// `LineBudget` bounds the log's volume under load. Each dropped line is counted.
+/// Limits the volume of log lines under load by two token buckets, and counts the dropped lines.
 #[derive(Debug)]
 pub(crate) struct LineBudget {
     good: Bucket,
     bad: Bucket,
-    /// Lines that were not written.
+    /// Number of lines that were not written.
     pub dropped: u64,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl LineBudget {
-    /// Returns whether a line about a request may be written.
+    /// Returns whether a line about a request may be written. `good` tells whether it was answered.
     pub fn take(&mut self, now_ms: u64, good: bool) -> bool {
         let bucket = if good { &mut self.good } else { &mut self.bad };
         let taken = bucket.take(now_ms);
