--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other.
+//! Messages between VMs, and their encoding.
 
 use std::net::SocketAddr;
 
@@ -23,103 +23,103 @@
 
 use crate::codec::DecodeError;
 
-/// `VmRecord` is a VM's entry in the store, by which VMs find each other.
+/// A VM's entry in the store, through which VMs discover each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VmRecord {
     pub vm: VmName,
     pub address: SocketAddr,
     pub run: u64,
-    /// How long a fixed piece of work took at its start.
+    /// How long a fixed amount of work took when the VM started: the measure of its speed.
     pub work_us: u32,
 }
 
-/// `Forecast` is when a missing model is expected.
+/// When a missing model is expected to be loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ForecastRow {
     pub model: ModelName,
-    /// From now, or none if its load has no date.
+    /// Time from now; none if no load of the model is expected to end.
     pub ready_in_ms: Option<u64>,
 }
 
-/// `PeerMessage` is a message between VMs.
+/// A datagram from one VM to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// A VM is there.
+    /// Announces a VM that runs.
     Greeting(VmRecord),
-    /// A VM stops.
+    /// Announces that a VM stops.
     Goodbye(VmName),
-    /// A VM's demand.
+    /// A VM's demand, for the lease holder.
     Demand {
         from: VmRecord,
         rows: Vec<DemandRow>,
     },
-    /// The giver of orders is there.
+    /// Heartbeat of the lease holder.
     Beat {
         from: VmRecord,
         lease_end: Position,
         forecasts: Vec<ForecastRow>,
         fresh: Freshness,
     },
-    /// What a VM has read of the list, where no giver of orders tells it.
+    /// What a VM has read of the upstream list, sent while no lease holder announces it.
     ListRead { from: VmRecord, fresh: Freshness },
-    /// Entries of upstreams that came, and how far the list had been read then.
+    /// Entries of new upstreams, and the position up to which the upstream list had been read then.
     Entries {
         read_to: Position,
         entries: Vec<Upstream>,
     },
-    /// What engines hold.
+    /// Changes of what engines hold.
     News(Vec<ResidenceNews>),
-    /// An engine turned a request away because it does not hold the model.
+    /// An engine rejected a request because it does not hold the model.
     TurnedAway {
         engine: UpstreamName,
         model: ModelName,
     },
     /// An engine with requests in progress does not answer.
     Dark(UpstreamName),
-    /// Such an engine answers again.
+    /// An engine that did not answer does so again.
     Lit(UpstreamName),
-    /// The giver of orders has given the lease back.
+    /// The lease holder has released the lease.
     Released {
-        /// The end of the lease's topic behind the record that does so.
+        /// End of the lease's topic behind the record that releases the lease.
         lease_end: Position,
-        /// How long before that it had given its last order.
+        /// How long before the release the holder sent its last order.
         quiet_ms: u64,
     },
-    /// What a VM had in progress at upstreams that crashed.
+    /// Requests that a VM had in progress at crashed upstreams.
     Crashes(Vec<CrashReport>),
     /// Requests that are refused because upstreams crash under them.
     Blocks(Vec<BlockRow>),
-    /// A VM that may have missed some asks for them.
+    /// Asks the lease holder for the blocks in force, of which the sender may have missed some.
     BlocksWanted,
-    /// Such a request, or one on probation, was answered all the same.
+    /// A blocked request, or one on probation, was answered after all.
     Cleared(Fingerprint),
-    /// Requests that are sent one at a time.
+    /// Requests on probation, of which only one copy at a time is sent.
     Probations(Vec<Fingerprint>),
-    /// A VM asks a judge whether it may send such a request.
+    /// Asks a judge whether the sender may send a request on probation.
     TrialWanted {
-        /// The run of the VM that asks.
+        /// Run of the VM that asks.
         asker: u64,
         ask: TrialAsk,
     },
-    /// The judge's answer.
+    /// A judge's answer to the question whether a request may be sent.
     TrialDecided(TrialAnswer),
-    /// Such a send is over.
+    /// A permitted send of a request on probation has ended.
     TrialOver {
-        /// The run of the VM that had asked.
+        /// Run of the VM that had asked.
         asker: u64,
         end: TrialEnd,
     },
-    /// What a VM has spent of the limits of organisations.
+    /// What a VM has spent of the limits of organisations, for the keeper of the accounts.
     Spent(Report),
-    /// What the keeper of the accounts allows it.
+    /// What the keeper of the accounts allows a VM to spend.
     Allowed(Answer),
 }
 
-/// The first byte of each message. It changes when what follows does, so that VMs of different
-/// versions do not take each other's words for something else.
+/// First byte of each message. It changes with the format of what follows, so that VMs of different
+/// versions do not misread each other's messages.
 const FORMAT: u8 = 0xa3;
 
-/// Returns the bytes of a message.
+/// Encodes a message; none if that fails, which is logged.
 pub(crate) fn encode(message: &PeerMessage) -> Option<Vec<u8>> {
     match postcard::to_extend(message, vec![FORMAT]) {
         Ok(bytes) => Some(bytes),
@@ -130,7 +130,7 @@
     }
 }
 
-/// Returns the message that the bytes are.
+/// Decodes a message.
 pub(crate) fn decode(bytes: &[u8]) -> Result<PeerMessage, DecodeError> {
     match bytes.split_first() {
         Some((&FORMAT, rest)) => {
