--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms.
+//! Metrics of an entry VM: counters, gauges and latency histograms.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -27,11 +27,11 @@
     organisation: String,
 }
 
-/// Organisations with labels of their own, and the label of all others.
+/// Maximum number of organisations with labels of their own, and the label of all others.
 const MAX_ORGANISATIONS: usize = 64;
 const OTHER_ORGANISATIONS: &str = "other";
 
-/// `EntryMetrics` are the metrics of an entry VM. No label carries a request or a caller.
+/// Metrics of an entry VM. No label identifies a request or a caller.
 #[derive(Debug)]
 pub(crate) struct EntryMetrics {
     registry: Registry,
@@ -289,7 +289,7 @@
         );
     }
 
-    /// Counts a request that ended.
+    /// Counts a request by how it ended.
     pub fn ended(&self, how: &str) {
         self.requests
             .get_or_create(&Reason {
@@ -298,7 +298,6 @@
             .inc();
     }
 
-    /// Counts a refusal.
     pub fn refused(&self, reason: &str) {
         self.refusals
             .get_or_create(&Reason {
@@ -307,7 +306,7 @@
             .inc();
     }
 
-    /// Counts an answer that did not fit behind what the caller had been given.
+    /// Counts an answer that could not continue what the caller had received.
     pub fn misfit(&self, reason: &str) {
         self.misfits
             .get_or_create(&Reason {
@@ -316,12 +315,12 @@
             .inc();
     }
 
-    /// Counts an upstream that is no longer read because a caller is slow.
+    /// Counts a pause of reading from an upstream because a caller is slow.
     pub fn paused_answer(&self) {
         self.paused_answers.inc();
     }
 
-    /// Counts a send that brought no answer.
+    /// Counts a failed attempt.
     pub fn failed_try(&self, reason: &str) {
         self.failed_tries
             .get_or_create(&Reason {
@@ -330,7 +329,7 @@
             .inc();
     }
 
-    /// Counts a call.
+    /// Counts a call by its outcome.
     pub fn call(&self, call: &str, outcome: &str) {
         let labels = CallLabels {
             call: call.to_owned(),
@@ -339,7 +338,7 @@
         self.calls.get_or_create(&labels).inc();
     }
 
-    /// Counts an order.
+    /// Counts an order by its outcome.
     pub fn order(&self, kind: &str, outcome: &str) {
         let labels = CallLabels {
             call: kind.to_owned(),
@@ -348,39 +347,39 @@
         self.orders.get_or_create(&labels).inc();
     }
 
-    /// Counts a lease that this VM took.
+    /// Counts a takeover of the lease by this VM.
     pub fn takeover(&self) {
         self.takeovers.inc();
     }
 
-    /// Counts an entry of the list that names nobody to send to.
+    /// Counts an entry that names no usable upstream.
     pub fn foreign_entry(&self) {
         self.foreign_entries.inc();
     }
 
-    /// Counts an upstream that is kept though its entry has vanished.
+    /// Counts an upstream that stays in use although its entry has vanished.
     pub fn lapsed_upstream(&mut self) {
         self.lapsed_upstreams.inc();
     }
 
-    /// Counts the bytes of an answer of the store.
+    /// Counts the bytes of a store answer.
     pub fn store_read(&mut self, call: &str, bytes: usize) {
         let reason = call.to_owned();
         let counter = self.store_reads_bytes.get_or_create(&Reason { reason });
         counter.inc_by(bytes as u64);
     }
 
-    /// Notes how long one round of planning took.
+    /// Records the duration of one round of planning.
     pub fn planned(&mut self, took_ms: u64) {
         self.plan_ms.observe(took_ms as f64);
     }
 
-    /// Counts that the store came back from an older copy.
+    /// Counts a rollback of the store.
     pub fn store_set_back(&self) {
         self.store_set_backs.inc();
     }
 
-    /// Counts an answer of the store from before that.
+    /// Counts a store answer that is from before a rollback.
     pub fn answer_of_earlier_era(&self, call: &str) {
         let reason = call.to_owned();
         self.answers_of_earlier_eras
@@ -388,32 +387,32 @@
             .inc();
     }
 
-    /// Counts a read because the list differed from the one that was told of.
+    /// Counts a read of the upstream list because it differed from the announced one.
     pub fn list_repair(&mut self) {
         self.list_repairs.inc();
     }
 
-    /// Counts an engine that fell silent and did not answer when it was asked.
+    /// Counts an engine that became unresponsive.
     pub fn dark_engine(&self) {
         self.dark_engines.inc();
     }
 
-    /// Counts an upstream that crashed with requests of this VM in progress.
+    /// Counts an upstream that crashed while requests of this VM were in progress there.
     pub fn crashed_upstream(&self) {
         self.crashed_upstreams.inc();
     }
 
-    /// Counts a send of a request on probation.
+    /// Counts a trial run of a request on probation.
     pub fn trial(&self) {
         self.trials.inc();
     }
 
-    /// Counts a request that waits for the keeper of its organisation's limit.
+    /// Counts a request that waits for the quota owner.
     pub fn asked_keeper(&self) {
         self.asked_keeper.inc();
     }
 
-    /// Counts a request that was refused because its organisation has used its limit.
+    /// Counts a request that was refused because of its organisation's limit.
     pub fn over_limit(&mut self, organisation: &Arc<str>) {
         let is_known = self.organisations.contains(organisation);
         if !is_known && self.organisations.len() < MAX_ORGANISATIONS {
@@ -428,32 +427,32 @@
             .inc();
     }
 
-    /// Counts a request that this VM found to crash upstreams.
+    /// Counts a request that this VM judged to crash upstreams.
     pub fn begun_block(&self) {
         self.begun_blocks.inc();
     }
 
-    /// Counts that this VM stood still.
+    /// Counts a pause of this process.
     pub fn stood_still(&self) {
         self.stood_still.inc();
     }
 
-    /// Notes the time to the first part of an answer.
+    /// Records the time from arrival to the first part of the answer.
     pub fn first_answer(&self, took_ms: u64) {
         self.first_answer_ms.observe(took_ms as f64);
     }
 
-    /// Notes the time to the first send.
+    /// Records the time from arrival to the first attempt.
     pub fn waited(&self, took_ms: u64) {
         self.wait_ms.observe(took_ms as f64);
     }
 
-    /// Notes the time between two parts of a stream.
+    /// Records the time between two parts of an answer.
     pub fn gap(&self, gap_ms: u64) {
         self.gap_ms.observe(gap_ms as f64);
     }
 
-    /// Returns the metrics in the OpenMetrics text format.
+    /// Encodes the metrics in the OpenMetrics text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("a string takes any text");
