--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -1,30 +1,31 @@
-//! What engines hold, before the list tells it.
+//! Recent residence updates of engines, which are newer than the upstream list.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_fleet::Directory;
 use apricotdale_fleet::WantedModel;
 use apricotdale_holder::ResidenceNews;
 
-/// How long news go before the list. An entry takes up to 1.2 s to be written and is read about
-/// once a second.
+/// How long a residence update overrides the upstream list. An engine takes up to 1.2 s to write
+/// its entry, which is read about once a second.
 const NEWS_GOOD_MS: u64 = 2_600;
 
-/// How long a model or adapter is taken as missing where an engine said so.
+/// How long a model or adapter counts as missing after an engine has said so.
 const MISSING_GOOD_MS: u64 = 600;
 
-/// `NewsBoard` keeps recent news and lays them over each entry of the list that may be older.
+/// Residence updates that are still valid. They are applied again over each new entry of the
+/// upstream list, which may be older.
 #[derive(Debug, Default)]
 pub(crate) struct NewsBoard {
     news: Vec<(ResidenceNews, u64)>,
 }
 
 impl NewsBoard {
-    /// Takes in news. Returns whether they are new.
+    /// Applies an update and keeps it. Returns whether it is new.
     pub fn note(&mut self, now_ms: u64, directory: &mut Directory, news: ResidenceNews) -> bool {
         self.insert(now_ms, directory, news, NEWS_GOOD_MS)
     }
 
-    /// Takes in that an engine turned a request away because it does not hold the model.
+    /// Records that an engine rejected a request because it does not hold the model.
     pub fn note_missing(
         &mut self,
         now_ms: u64,
@@ -41,7 +42,7 @@
         self.insert(now_ms, directory, news, MISSING_GOOD_MS);
     }
 
-    /// Lays the news of an engine over a fresh entry of the list.
+    /// Applies the updates of an engine again after a new entry of the upstream list.
     pub fn lay_over(&mut self, now_ms: u64, directory: &mut Directory, engine: &UpstreamName) {
         self.news.retain(|(_, until_ms)| *until_ms > now_ms);
         for (news, _) in self.news.iter().filter(|(news, _)| &news.engine == engine) {
