--- a/crates/entry/src/ordering.rs
+++ b/crates/entry/src/ordering.rs
@@ -1,4 +1,4 @@
-//! Giving orders to engines, while this VM holds the lease for it.
+//! Orders to engines, which this VM sends while it holds the order lease.
 
 mod engine_calls;
 mod leasing;
@@ -23,44 +23,46 @@
 use crate::messages::ForecastRow;
 use crate::settings::Settings;
 
-/// How long an order's answer is awaited.
+/// Time limit for an engine's answer to an order.
 const ORDER_TIMEOUT_MS: u64 = 700;
 
-/// How long an engine's report is awaited.
+/// Time limit for an engine's report.
 const REPORT_TIMEOUT_MS: u64 = 500;
 
-/// How long orders go on past the lease while the store can't be reached. The longest outages of
-/// the store in the users' deployments last 9 to 12 s.
+/// How long orders continue past the end of the lease while the store is unreachable. The longest
+/// store outages in the users' deployments last 9 to 12 s.
 const OUTLAST_MS: u64 = 12_000;
 
-/// How long a call on the lease is awaited.
+/// Time limit for a store call that reads or writes the lease.
 const LEASE_TIMEOUT_MS: u64 = 700;
 
-/// The longest time between two plans: demand that faded is seen then.
+/// Longest time between two rounds of planning. Demand that has faded raises no event, so only a
+/// periodic round notices it.
 const PLAN_EVERY_MS: u64 = 100;
 
-/// How many times as long as a plan took nothing is planned after it. On a VM with a small part of
-/// a core the lease, callers and other VMs would else wait for one plan after the other.
+/// Minimum pause after a round of planning, as a multiple of the time that the round took. On a VM
+/// with a small share of a core, the lease, callers and other VMs would otherwise wait for one
+/// round after the other.
 const REST_FOR_PLAN: u64 = 2;
 
-/// `Ordering` is this VM's part in giving orders.
+/// State of sending orders to engines: the lease, the demand of all VMs and the planners.
 #[derive(Debug)]
 pub(crate) struct Ordering {
     lease: Lease,
     demand: DemandBook,
-    /// One planner for each service of engines, while this VM gives orders.
+    /// One planner for each engine service; empty unless this VM holds the lease.
     planners: HashMap<GroupName, Planner>,
     fence: Option<u64>,
     next_plan_ms: u64,
-    /// Until when nothing is planned, whatever happens.
+    /// Earliest time of the next round of planning, even if events ask for one sooner.
     rest_until_ms: u64,
 }
 
 impl Ordering {
     pub fn new(settings: &Settings, run: u64) -> Self {
         let defaults = LeaseOptions::default();
-        // An engine that checks fencing tokens turns the former holder's orders away by itself, so
-        // a new holder need not wait until they can no longer be under way.
+        // An engine that checks fencing tokens rejects the previous holder's orders itself, so a
+        // new holder need not wait until none of them can still be in transit.
         let (pause_ms, outlast_ms) = match settings.engines_check_fences {
             true => (0, OUTLAST_MS),
             false => (settings.order_pause_ms, 0),
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Takes in the demand of a VM. Only the holder of the lease gets any.
+    /// Records the demand that a VM reports. Only the lease holder receives such reports.
     pub fn note_demand(&mut self, now_ms: u64, vm: &VmName, run: u64, rows: Vec<DemandRow>) {
         let urgent = rows.iter().any(|row| row.missing > 0);
         for row in rows.iter().filter(|row| row.missing > 0) {
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Returns the news that a VM has missed, by what it says is missing.
+    /// Returns the residence updates that a VM must have missed, given that it reports these models
+    /// as missing.
     pub fn missed_news(&self, rows: &[DemandRow]) -> Vec<ResidenceNews> {
         rows.iter()
             .filter(|row| row.missing > 0)
@@ -113,42 +116,43 @@
             .collect()
     }
 
-    /// Takes in the lease's end as its holder tells it.
+    /// Records the end of the lease as announced by its holder.
     pub fn note_lease_end(&mut self, now_ms: u64, end: Position) {
         self.lease.note_end(now_ms, end, None);
     }
 
-    /// Takes in that the holder has given the lease back.
+    /// Records that the holder has released the lease. `quiet_ms` is how long before that it sent
+    /// its last order.
     pub fn note_release(&mut self, now_ms: u64, end: Position, quiet_ms: u64) {
         self.lease.note_end(now_ms, end, Some(quiet_ms));
     }
 
-    /// Returns whether another VM's beat is of an older lease than the newest that is known.
+    /// Returns whether another VM's heartbeat belongs to an older lease than the newest known one.
     pub fn is_outdated(&self, lease_end: Position) -> bool {
         self.lease.end().is_some_and(|end| lease_end < end)
     }
 
-    /// Returns whether this VM gives orders.
+    /// Returns whether this VM may send orders.
     pub fn fence_held(&self) -> bool {
         self.fence.is_some()
     }
 
-    /// Takes in the era of the store.
+    /// Records the era of the store: how often it has been restored from an older copy.
     pub fn note_era(&mut self, now_ms: u64, era: u64) {
         self.lease.note_era(now_ms, era);
     }
 
-    /// Returns the lease's end as last known.
+    /// Returns the last known end of the lease; the zero position if none is known.
     pub fn lease_end(&self) -> Position {
         self.lease.end().unwrap_or_default()
     }
 
-    /// Returns the lease's end, if this VM holds the lease.
+    /// Returns the end of the lease if this VM holds it.
     pub fn held_lease_end(&self, now_ms: u64) -> Option<Position> {
         self.lease.end().filter(|_| self.lease.is_held(now_ms))
     }
 
-    /// Returns when missing models are expected.
+    /// Returns when the missing models are expected to be loaded.
     pub fn forecasts(&self, now_ms: u64) -> Vec<ForecastRow> {
         self.planners
             .values()
@@ -160,7 +164,7 @@
             .collect()
     }
 
-    /// Returns when something is due.
+    /// Returns when the lease or the planners next need attention.
     pub fn next_ms(&self) -> u64 {
         let plan_ms = if self.fence.is_some() {
             self.next_plan_ms.max(self.rest_until_ms)
@@ -172,11 +176,11 @@
 }
 
 impl Daemon {
-    /// Goes on with the lease and, under it, with orders.
+    /// Renews or acquires the lease when due and, while this VM holds it, plans orders.
     pub(crate) fn advance_ordering(&mut self) {
         let now_ms = self.now_ms;
         if self.stopping.has_begun() {
-            // A renewal may have been under way when the stop began.
+            // A renewal may have been in progress when the stop began.
             self.release_lease();
         } else if now_ms >= self.ordering.lease.next_ms() {
             let place = self.peers.place(now_ms);
@@ -206,14 +210,14 @@
         }
         let took_ms = begun.elapsed().as_millis() as u64;
         self.metrics.planned(took_ms);
-        // Reports and orders that end ask for a plan at once.
+        // Reports and finished orders ask for another round immediately; this bounds them.
         self.ordering.rest_until_ms = now_ms + took_ms + took_ms * REST_FOR_PLAN;
         self.ordering.next_plan_ms = next_ms.max(now_ms + 1);
         self.note_store_loads();
         self.carry_out(actions);
     }
 
-    /// Notes how much of the weight store the planners take.
+    /// Updates the gauges of loads from the weight store.
     pub(super) fn note_store_loads(&self) {
         let planners = || self.ordering.planners.values();
         let loads: usize = planners().map(Planner::store_loads_in_progress).sum();
