--- a/crates/entry/src/ordering/engine_calls.rs
+++ b/crates/entry/src/ordering/engine_calls.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and their reports: calls, and what their outcomes change.
+//! Calls to engines for orders and reports, and the handling of their outcomes.
 
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::UpstreamName;
@@ -69,7 +69,7 @@
         );
     }
 
-    /// Takes in the outcome of an order.
+    /// Handles the outcome of an order.
     pub(crate) fn order_ended(
         &mut self,
         engine: &UpstreamName,
@@ -105,7 +105,7 @@
         self.carry_out(actions);
     }
 
-    /// Takes in that an engine turned a request away because it does not hold a model.
+    /// Handles an engine's rejection of a request because it does not hold the model.
     pub(crate) fn engine_lacks(&mut self, engine: &UpstreamName, model: &ModelName) {
         let now_ms = self.now_ms;
         let mut actions = Vec::new();
@@ -122,15 +122,15 @@
         }
     }
 
-    /// Returns whether a report comes from another run of the engine than the one that was asked.
+    /// Returns whether a report comes from a later run of the engine than the one addressed.
     fn is_of_other_run(&self, engine: &UpstreamName, report: &EngineReport) -> bool {
         self.directory
             .upstream(engine)
             .is_some_and(|known| known.born_ms > 0 && report.born_ms > known.born_ms)
     }
 
-    /// Takes in that an engine has started again, as its report tells before the list does. What
-    /// was known of its former run would give wrong orders: it holds nothing of it.
+    /// Handles a restart that an engine's report reveals before the upstream list does. The state
+    /// known of the former run would lead to wrong orders, since none of it is loaded any more.
     fn engine_restarted(&mut self, former: &UpstreamName, report: EngineReport) {
         let Some(instance) = self
             .directory
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Takes in an engine's report.
+    /// Handles the outcome of reading an engine's report.
     pub(crate) fn report_ended(&mut self, engine: &UpstreamName, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         let report = match outcome {
