--- a/crates/entry/src/ordering/leasing.rs
+++ b/crates/entry/src/ordering/leasing.rs
@@ -1,4 +1,4 @@
-//! The lease: calls to the store, and what follows from gaining or losing it.
+//! Store calls for the order lease, and the effects of gaining or losing it.
 
 use apricotdale_holder::LeaseAction;
 use apricotdale_holder::LeaseAnswer;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes in the outcome of a call on the lease.
+    /// Handles the outcome of a store call for the lease.
     pub(crate) fn lease_call_ended(&mut self, tag: &CallTag, outcome: CallOutcome) {
         let answer = match (tag, outcome) {
             (_, CallOutcome::NotSent) => LeaseAnswer::NotDone,
@@ -54,8 +54,8 @@
             }
         };
         if matches!(answer, LeaseAnswer::Appended { .. }) {
-            // A VM that has not heard of the last renewal finds it when it tries to take over from
-            // a holder that is lost, and waits for a whole lease more.
+            // A VM that has missed the last renewal would only find it in the store when it tries
+            // to take over from a lost holder, and would then wait for another whole lease.
             self.peers.beat_soon();
         }
         let released = self.ordering.lease.answered(self.now_ms, answer);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Begins or ends giving orders as the lease says.
+    /// Starts or stops sending orders when the fencing token of the lease changes.
     pub(super) fn note_fence(&mut self) {
         let fence = self.ordering.lease.fence(self.now_ms);
         if fence == self.ordering.fence {
@@ -96,7 +96,7 @@
                 self.metrics.takeover();
                 let lease_end = self.ordering.lease_end().to_string();
                 log::info!(fence, lease_end; "this VM gives orders");
-                // What other VMs told names no copies of weights, by which loads are planned.
+                // Entries announced by other VMs omit copies of weights, which planning needs.
                 self.feeds.lead(self.now_ms);
             }
             None => log::info!("this VM gives no more orders"),
@@ -107,7 +107,7 @@
         self.ordering.next_plan_ms = self.now_ms;
     }
 
-    /// Gives the lease back at a planned stop.
+    /// Releases the lease at a planned stop.
     pub(crate) fn release_lease(&mut self) {
         if let Some(action) = self.ordering.lease.release(self.now_ms) {
             self.call_lease(&action);
