--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -1,4 +1,4 @@
-//! Connections that this VM opens, to upstreams and to the store.
+//! Connections that this VM opens to upstreams and to the store.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,45 +15,45 @@
 use crate::stream::ReadEnd;
 use crate::stream::Stream;
 
-/// The largest head of an answer.
+/// Size limit of an answer's head.
 const HEAD_LIMIT_BYTES: usize = 64 * 1024;
 
-/// How many bytes of an answer are read before they are handled.
+/// Maximum number of bytes of an answer that are read before they are handled.
 const READ_LIMIT_BYTES: usize = 128 * 1024;
 
-/// How long a connection stays idle if the other end does not say. Short: a request that is sent
-/// on a connection which the other end closes at the same moment may be lost.
+/// How long an idle connection is kept if the other end states no limit. The time is short because
+/// a request sent on a connection that the other end closes at the same moment may be lost.
 const DEFAULT_IDLE_MS: u64 = 4_000;
 
-/// How long a connection may take to be established. Within a region a packet takes a few
-/// milliseconds; a machine without power does not answer at all.
+/// Time limit for establishing a connection. Packets take a few milliseconds within a region; a
+/// machine without power does not answer at all.
 const CONNECT_MS: u64 = 600;
 
-/// How long nothing may come of an answer that is read to its end for nobody.
+/// Time limit for the next bytes of an answer that is read to its end only to reuse the connection.
 const DRAIN_MS: u64 = 1_000;
 
 /// How much earlier than the other end this VM closes an idle connection.
 const IDLE_MARGIN_MS: u64 = 1_000;
 
-/// `Peer` is whom a connection leads to.
+/// The other end of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Peer {
     /// The platform's store.
     Store,
-    /// One run of an upstream.
+    /// One incarnation of an upstream.
     Upstream(UpstreamName),
 }
 
-/// `Purpose` is what a connection is used for now.
+/// Current use of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// Nothing.
+    /// Idle, ready for another exchange.
     Idle,
-    /// A caller's request, by its key.
+    /// Proxies the caller's request with this key.
     Relay(u64),
-    /// A call of this VM's own.
+    /// Carries a call that this VM makes itself.
     Call(CallTag),
-    /// An answer that nobody waits for any more is read to its end.
+    /// Reads an abandoned answer to its end.
     Drain,
 }
 
@@ -64,51 +64,52 @@
     Whole,
 }
 
-/// `Part` is the next part of an answer.
+/// Next part of an answer.
 #[derive(Debug)]
 pub(crate) enum Part {
     /// The head.
     Head(ResponseHead),
     /// Bytes of the body.
     Body(Vec<u8>),
-    /// The end of a whole answer.
+    /// End of a complete answer.
     End,
     /// More bytes are needed.
     Wait,
-    /// The connection ended or sent bytes that are no answer.
+    /// The connection ended, or sent bytes that are no valid answer.
     Failed,
 }
 
-/// `Outbound` is one connection that this VM opened.
+/// One connection that this VM opened, and the exchange on it.
 #[derive(Debug)]
 pub(crate) struct Outbound {
     pub stream: Stream,
     pub peer: Peer,
     pub purpose: Purpose,
-    /// Whether reading waits until the caller has taken what was read.
+    /// Whether reading waits until the caller has taken the bytes read so far.
     pub paused: bool,
     input: Vec<u8>,
     parse: Parse,
     to_head: bool,
     keeps: bool,
     ended: Option<ReadEnd>,
-    /// Whether the kernel may hold bytes of which it does not tell again: reading stopped at its
-    /// limit, or was paused.
+    /// Whether bytes may be unread for which no readiness event will come, because reading stopped
+    /// at its limit or was paused.
     has_more: bool,
-    /// When bytes last came, or the exchange began.
+    /// When bytes last arrived or the exchange began.
     pub heard_ms: u64,
     idle_ms: u64,
     idle_until_ms: u64,
-    /// Until when the connection has to be established.
+    /// Deadline for establishing the connection; none once it is established.
     connect_until_ms: Option<u64>,
-    /// When the call in progress is given up; callers' requests have deadlines of their own.
+    /// Deadline of the call in progress; none for callers' requests, whose deadlines are kept
+    /// elsewhere.
     pub call_until_ms: Option<u64>,
-    /// The era of the store that was known when the call in progress was made.
+    /// Era of the store that was known when the call in progress began.
     pub asked_era: u64,
 }
 
 impl Outbound {
-    /// Begins an exchange: writes a whole request.
+    /// Begins an exchange by writing a complete request.
     pub fn begin(&mut self, now_ms: u64, purpose: Purpose, bytes: &[u8], to_head: bool) {
         self.purpose = purpose;
         self.heard_ms = now_ms;
@@ -119,7 +120,7 @@
         self.stream.queue(bytes);
     }
 
-    /// Reads what is there.
+    /// Reads the available bytes, up to the limit.
     pub fn read(&mut self, now_ms: u64) {
         if self.ended.is_none() {
             let before = self.input.len();
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Returns whether the other end was not there. One that resets a connection is there, and has
-    /// only as many as it accepts.
+    /// Returns whether the other end was unreachable. One that resets a connection is reachable,
+    /// and has reached its limit of connections.
     pub fn is_unreached(&self, now_ms: u64) -> bool {
         let late = self
             .connect_until_ms
@@ -148,18 +149,19 @@
         self.ended.is_some()
     }
 
-    /// Stops reading until the caller has taken what was read. Returns whether it was read before.
+    /// Pauses reading until the caller has taken the bytes read so far. Returns whether reading was
+    /// active before.
     pub fn pause(&mut self) -> bool {
         self.has_more = true;
         !std::mem::replace(&mut self.paused, true)
     }
 
-    /// Returns whether bytes may be there of which the kernel does not tell again.
+    /// Returns whether bytes may be unread for which no readiness event will come.
     pub fn has_more(&self) -> bool {
         self.has_more && self.ended.is_none() && self.input.len() < READ_LIMIT_BYTES
     }
 
-    /// Returns the next part of the answer.
+    /// Parses the next part of the answer from the bytes read so far.
     pub fn next_part(&mut self) -> Part {
         match &mut self.parse {
             Parse::Head => self.next_head(),
@@ -186,7 +188,7 @@
         match parse_response_head(&self.input, HEAD_LIMIT_BYTES, self.to_head) {
             Ok(Some((head, length))) => {
                 self.input.drain(..length);
-                // An interim answer comes before the answer.
+                // Interim answers precede the final one.
                 if head.status < 200 {
                     return self.next_head();
                 }
@@ -205,24 +207,24 @@
         Part::End
     }
 
-    /// Returns whether an idle connection has ended or was sent bytes that belong to no request.
+    /// Returns whether an idle connection was closed or has received bytes of no request.
     pub fn next_idle_is_bad(&self) -> bool {
         self.ended.is_some() || !self.input.is_empty()
     }
 
-    /// Waits for another answer: the one before belonged to another request.
+    /// Expects another answer, since the last one belonged to another request.
     pub fn expect_another(&mut self) {
         self.parse = Parse::Head;
     }
 
-    /// Notes how long the other end keeps an idle connection.
+    /// Sets the idle time from the limit that the other end states.
     pub fn note_idle_ms(&mut self, idle_ms: u64) {
         self.idle_ms = idle_ms.saturating_sub(IDLE_MARGIN_MS);
     }
 
-    /// Returns whether another request may be sent on this connection after a whole answer. Bytes
-    /// that follow the answer would be taken for the next one; a request that was answered before
-    /// it was written would go on in the next one.
+    /// Returns whether another exchange may use this connection after a complete answer. Extra
+    /// bytes behind the answer would be taken for the next one. The unwritten bytes of a request
+    /// that was answered early would be sent before the next request.
     fn is_reusable(&self) -> bool {
         self.keeps
             && self.ended.is_none()
@@ -232,7 +234,7 @@
     }
 }
 
-/// `OutboundPool` holds the connections that this VM opened.
+/// All connections that this VM opened, with the idle ones by peer.
 #[derive(Debug, Default)]
 pub(crate) struct OutboundPool {
     connections: HashMap<Token, Outbound>,
@@ -242,12 +244,11 @@
 }
 
 impl OutboundPool {
-    /// Returns a connection.
     pub fn get_mut(&mut self, token: Token) -> Option<&mut Outbound> {
         self.connections.get_mut(&token)
     }
 
-    /// Returns an idle connection to a peer, if one is fit for another request.
+    /// Takes an idle connection to a peer out of the pool; none if there is no usable one.
     pub fn take_idle(&mut self, now_ms: u64, peer: &Peer) -> Option<Token> {
         let idle = self.idle.get_mut(peer)?;
         while let Some(token) = idle.pop() {
@@ -262,7 +263,7 @@
         None
     }
 
-    /// Opens a connection.
+    /// Starts opening a connection.
     pub fn open(
         &mut self,
         now_ms: u64,
@@ -295,7 +296,8 @@
         Ok(())
     }
 
-    /// Takes back a connection after a whole answer: keeps it if it is fit, else closes it.
+    /// Releases a connection after a complete answer: pools it if it is reusable, and closes it if
+    /// not.
     pub fn release(&mut self, now_ms: u64, token: Token, registry: &Registry) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
@@ -303,7 +305,7 @@
         connection.call_until_ms = None;
         connection.connect_until_ms = None;
         connection.paused = false;
-        // The other end may have closed it while it was not read.
+        // The other end may have closed the connection while it was not read.
         if connection.has_more() {
             connection.read(now_ms);
         }
@@ -319,7 +321,7 @@
             .push(token);
     }
 
-    /// Closes a connection.
+    /// Closes a connection and returns what it was used for; none if there is no such connection.
     pub fn close(&mut self, token: Token, registry: &Registry) -> Option<Purpose> {
         let connection = self.connections.remove(&token)?;
         if let Some(idle) = self.idle.get_mut(&connection.peer) {
@@ -329,15 +331,15 @@
         Some(connection.purpose)
     }
 
-    /// Closes the idle connections to a peer that is gone.
+    /// Closes the idle connections to a peer.
     pub fn close_idle(&mut self, peer: &Peer, registry: &Registry) {
         for token in self.idle.remove(peer).unwrap_or_default() {
             self.close(token, registry);
         }
     }
 
-    /// Closes connections that have been idle for too long, or on which the rest of an answer does
-    /// not come, and returns the calls whose time is over.
+    /// Closes connections that have been idle for too long or that stalled while draining, and
+    /// returns the connections whose calls have timed out.
     pub fn sweep(&mut self, now_ms: u64, registry: &Registry) -> Vec<Token> {
         let over: Vec<Token> = self
             .connections
@@ -359,14 +361,15 @@
             .collect()
     }
 
-    /// Returns the connections for callers' requests that were not established in time.
+    /// Returns the connections for callers' requests that were not established in time, with the
+    /// requests' keys.
     pub fn unestablished(&mut self, now_ms: u64) -> Vec<(Token, u64)> {
         let mut late = Vec::new();
         for (token, connection) in &mut self.connections {
             let Some(until_ms) = connection.connect_until_ms else {
                 continue;
             };
-            // The first byte leaves only once the connection stands.
+            // The first byte is sent only once the connection is established.
             if connection.stream.sent_bytes > 0 {
                 connection.connect_until_ms = None;
             } else if let (true, Purpose::Relay(key)) = (until_ms <= now_ms, &connection.purpose) {
@@ -376,8 +379,8 @@
         late
     }
 
-    /// Returns the connections to a peer on which callers' requests are in progress and nothing has
-    /// come since a time.
+    /// Returns the connections to a peer that proxy callers' requests and have received nothing
+    /// since a time, with the requests' keys.
     pub fn silent_relays(&self, peer: &Peer, since_ms: u64) -> Vec<(Token, u64)> {
         self.connections
             .iter()
@@ -389,7 +392,7 @@
             .collect()
     }
 
-    /// Returns when the first call in progress is given up.
+    /// Returns the earliest deadline of the calls in progress.
     pub fn next_call_until_ms(&self) -> Option<u64> {
         self.connections
             .values()
@@ -397,7 +400,7 @@
             .min()
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
