--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other VMs, as far as this one knows them, and the socket towards them.
+//! The other VMs that this VM knows, and the datagram socket to them.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -16,44 +16,48 @@
 use crate::messages::VmRecord;
 use crate::messages::encode;
 
-/// Rows of demand in one datagram: a row takes some 30 bytes.
+/// Demand rows in one datagram. A row takes about 30 bytes.
 pub(crate) const ROWS_A_DATAGRAM: usize = 30;
 
-/// The shortest time between two tellings, however many requests begin to wait.
+/// Lower bound of the shortest time between two demand reports, however many requests start to
+/// wait.
 const DEMAND_MIN_MS: u64 = 15;
 
-/// What each VM adds to the longest such time.
+/// What each known VM adds to the shortest time between two demand reports.
 const DEMAND_MIN_US_A_VM: u64 = 350;
 
-/// The longest such time.
+/// Upper bound of the shortest time between two demand reports.
 const DEMAND_MOST_MIN_MS: u64 = 150;
 
-/// The shortest time between two beats, however much changes. A beat is a datagram to each VM.
+/// Shortest time between two heartbeats, however much changes. A heartbeat is a datagram to each
+/// VM.
 const BEAT_MIN_MS: u64 = 40;
 
-/// How long news are gathered, for each VM that they are told to. Hundreds of orders a second, each
-/// told by itself to hundreds of VMs, take the whole of a small part of a core in system calls.
+/// How long residence updates are collected before they are sent, for each known VM. Hundreds of
+/// orders a second, each announced separately to hundreds of VMs, use up a small share of a core in
+/// system calls alone.
 const NEWS_PAUSE_US_A_VM: u64 = 150;
 
-/// VMs, besides the one that gives orders, that are told what was in progress at upstreams that
-/// crashed. Any one of them is enough.
+/// Number of VMs, besides the lease holder, that receive reports of the requests in progress at
+/// crashed upstreams. Any one of them is sufficient.
 const JUDGES: usize = 4;
 
-/// VMs that may keep the accounts of organisations: the first one, and others where it is lost.
+/// Number of VMs that may keep the accounts of organisations: one, and its substitutes if it is
+/// lost.
 const KEEPERS: usize = 4;
 
-/// How long a VM that was not heard of counts as there.
+/// How long a VM counts as alive after its last message.
 const PEER_GOOD_MS: u64 = 3_000;
 
-/// Time between two greetings by a VM that does not hear the giver of orders.
+/// Time between two greetings by a VM that does not hear the lease holder.
 pub(crate) const GREETING_MS: u64 = 1_000;
 
-/// VMs that are greeted at a time after the first greeting, in turn. When no giver is there all VMs
-/// greet: if each greeted all others, hundreds would exchange tens of thousands of datagrams a
-/// second.
+/// Number of VMs that are greeted at a time, in turn, after the first greeting to all. While there
+/// is no lease holder all VMs greet: if each greeted all others, hundreds of VMs would exchange
+/// tens of thousands of datagrams a second.
 const GREETED_AT_ONCE: usize = 16;
 
-/// Senders of messages that were not understood that have a line in the log.
+/// Maximum number of senders of undecodable messages that are logged.
 const STRANGERS: usize = 200;
 
 #[derive(Clone, Copy, Debug)]
@@ -64,29 +68,29 @@
     heard_ms: u64,
 }
 
-/// `Peers` are the other VMs.
+/// Known VMs, the lease holder among them, and the schedule of messages to them.
 #[derive(Debug)]
 pub(crate) struct Peers {
     pub(super) own: VmRecord,
     socket: UdpSocket,
     known: HashMap<VmName, Known>,
-    /// Whether the store's entries of the VMs were read.
+    /// Whether the VMs' entries in the store have been read.
     has_records: bool,
     pub(super) holder: Option<(VmName, SocketAddr, u64)>,
     pub(super) next_demand_ms: u64,
     pub(super) last_demand_ms: u64,
     pub(super) next_beat_ms: u64,
     pub(super) last_beat_ms: u64,
-    /// News that are still to be told, and when they are.
+    /// Residence updates that are collected for the next announcement.
     news: Vec<ResidenceNews>,
     pub(super) next_news_ms: u64,
     pub(super) next_greeting_ms: u64,
-    /// Whether the socket may hold datagrams that were not taken in yet.
+    /// Whether the socket may hold datagrams that have not been received yet.
     pub may_have_more: bool,
-    /// Whether all VMs were greeted, and how many were since then.
+    /// Whether the first greeting has been sent to all VMs.
     has_greeted: bool,
     greeted: usize,
-    /// Senders of messages that were not understood.
+    /// Senders of undecodable messages that have been logged.
     strangers: HashSet<SocketAddr>,
 }
 
@@ -112,22 +116,23 @@
         }
     }
 
-    /// Returns whether a message of this sender was not understood for the first time.
+    /// Returns whether this sender's undecodable message should be logged: the first one of each
+    /// sender, up to a maximum number of senders.
     pub fn is_new_stranger(&mut self, from: SocketAddr) -> bool {
         self.strangers.len() < STRANGERS && self.strangers.insert(from)
     }
 
-    /// Returns the VM that gives orders as far as this one knows, for logs.
+    /// Returns the lease holder that this VM knows, for logs; empty if it knows none.
     pub fn holder_text(&self) -> &str {
         self.holder.as_ref().map_or("", |(vm, ..)| vm.as_str())
     }
 
-    /// Returns this VM's entry for the store.
+    /// Returns this VM's entry in the store.
     pub fn own_record(&self) -> &VmRecord {
         &self.own
     }
 
-    /// Takes in the entries of the store and greets every VM.
+    /// Adds the VMs of the store's entries and schedules a greeting to all VMs.
     pub fn note_records(&mut self, records: Vec<VmRecord>) {
         for record in records
             .into_iter()
@@ -144,14 +149,14 @@
         self.next_greeting_ms = 0;
     }
 
-    /// Has the demand told soon: a request has begun to wait.
+    /// Schedules a demand report soon, since a request has started to wait.
     pub fn tell_demand_soon(&mut self) {
         let by_fleet_ms = self.known.len() as u64 * DEMAND_MIN_US_A_VM / 1_000;
         let pause_ms = by_fleet_ms.clamp(DEMAND_MIN_MS, DEMAND_MOST_MIN_MS);
         self.next_demand_ms = self.next_demand_ms.min(self.last_demand_ms + pause_ms);
     }
 
-    /// Returns when something is to be sent.
+    /// Returns when the next message is due.
     pub fn next_ms(&self) -> u64 {
         self.next_demand_ms
             .min(self.next_beat_ms)
@@ -159,12 +164,11 @@
             .min(self.next_news_ms)
     }
 
-    /// Returns whether a VM is known.
     pub(super) fn knows(&self, vm: &VmName) -> bool {
         self.known.contains_key(vm)
     }
 
-    /// Forgets a VM that stops.
+    /// Removes a VM that stops.
     pub(super) fn forget(&mut self, vm: &VmName) {
         self.known.remove(vm);
     }
@@ -174,19 +178,18 @@
         self.socket.recv_from(bytes)
     }
 
-    /// Returns how many VMs there are with this one, as far as the store and greetings have told;
-    /// none before the store has. VMs that are gone without a word still count.
+    /// Returns the number of VMs including this one; none before the store's entries have been
+    /// read. VMs that ended without a goodbye still count.
     pub fn vms(&self) -> Option<u32> {
         self.has_records.then(|| self.known.len() as u32 + 1)
     }
 
-    /// Returns how many other VMs are known.
+    /// Returns the number of other VMs that are known.
     pub fn others(&self) -> usize {
         self.known.len()
     }
 
-    /// Returns this VM's place among those that could take over the orders from the VM that last
-    /// gave them.
+    /// Returns this VM's rank among the VMs that could take over the lease from its last holder.
     pub fn place(&self, now_ms: u64) -> u64 {
         if !self.has_records {
             return succession::unknown_place();
@@ -208,8 +211,8 @@
         )
     }
 
-    /// Returns the VMs that judge which requests crash upstreams, this one among them or not: the
-    /// giver of orders, and some that all VMs choose alike from their names.
+    /// Returns the VMs that judge which requests crash upstreams: the lease holder, and some that
+    /// all VMs choose alike by hashes of their names. This VM may be one of them.
     pub fn judges(&self) -> Vec<(VmName, SocketAddr)> {
         let others = self.known.iter().map(|(vm, known)| (vm, known.address));
         let mut ranked: Vec<(u64, &VmName, SocketAddr)> = others
@@ -227,8 +230,9 @@
         judges
     }
 
-    /// Returns the VMs that may keep the accounts of organisations: the fast ones, chosen alike by all
-    /// VMs from their names. A slow one can't answer hundreds of VMs in time.
+    /// Returns the VMs that may keep the accounts of organisations: fast ones, which all VMs choose
+    /// alike by speed class and hashes of their names. A slow VM can't answer hundreds of VMs in
+    /// time.
     pub fn keepers(&self) -> Vec<(VmName, SocketAddr)> {
         let others = self.known.iter();
         let others = others.map(|(vm, known)| (known.work_us, vm, known.address));
@@ -247,7 +251,7 @@
             .collect()
     }
 
-    /// Tells all VMs that this one stops.
+    /// Announces to all VMs that this one stops.
     pub fn say_goodbye(&mut self) {
         self.send_all(&PeerMessage::Goodbye(self.own.vm.clone()));
     }
@@ -258,12 +262,12 @@
             return;
         };
         for known in self.known.values() {
-            // A datagram that can't be sent is as good as a lost one.
+            // A datagram that can't be sent is treated as lost.
             let _ = self.socket.send_to(&bytes, known.address);
         }
     }
 
-    /// Says to other VMs that this one is there: at first to all, later to some in turn.
+    /// Announces this VM to others: the first time to all, later to some in turn.
     pub fn greet(&mut self) {
         let greeting = PeerMessage::Greeting(self.own.clone());
         if !std::mem::replace(&mut self.has_greeted, true) {
@@ -279,20 +283,19 @@
         self.greeted = (self.greeted + at_once) % self.known.len().max(1);
     }
 
-    /// Sends a message to one VM.
     pub(super) fn send(&self, address: SocketAddr, message: &PeerMessage) {
         if let Some(bytes) = encode(message) {
             let _ = self.socket.send_to(&bytes, address);
         }
     }
 
-    /// Has the next beat sent soon: something has changed that others should know.
+    /// Schedules the next heartbeat soon, since something has changed that other VMs should know.
     pub fn beat_soon(&mut self) {
         self.next_beat_ms = self.next_beat_ms.min(self.last_beat_ms + BEAT_MIN_MS);
     }
 
-    /// Has news told to all VMs, at once by a small fleet and gathered for some time by a large
-    /// one.
+    /// Queues residence updates for all VMs. A small fleet is sent them at once; for a large one
+    /// they are collected for some time.
     pub fn tell_news(&mut self, now_ms: u64, news: &[ResidenceNews]) {
         for told in news {
             self.news.retain(|other| !other.is_about_the_same(told));
@@ -302,7 +305,7 @@
         self.next_news_ms = self.next_news_ms.min(now_ms + pause_ms);
     }
 
-    /// Sends the news that were gathered, in as many datagrams as they take.
+    /// Sends the collected residence updates, in as many datagrams as they need.
     pub(super) fn send_news(&mut self) {
         self.next_news_ms = u64::MAX;
         for part in std::mem::take(&mut self.news).chunks(ROWS_A_DATAGRAM / 2) {
@@ -310,7 +313,7 @@
         }
     }
 
-    /// Notes that a VM was heard of. Returns whether this is another run than was heard of before.
+    /// Records that a VM was heard of. Returns whether this is a run of it that was not known.
     pub(super) fn note_heard(&mut self, now_ms: u64, record: &VmRecord) -> bool {
         if record.vm == self.own.vm {
             return false;
