--- a/crates/entry/src/serving.rs
+++ b/crates/entry/src/serving.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, up to the answer of an upstream.
+//! Dispatch of callers' requests, from their arrival until they are sent to an upstream.
 
 use std::sync::Arc;
 
@@ -31,27 +31,28 @@
 use crate::outbound::Peer;
 use crate::outbound::Purpose;
 
-/// How long before a request's deadline it gets its final answer, so that the answer arrives.
+/// Time before a request's deadline at which it gets its final answer, so that the answer arrives
+/// in time.
 const ANSWER_MARGIN_MS: u64 = 30;
 
-/// The time until the first event that is expected of an engine that is not full.
+/// Expected time until the first event of an engine that is not full.
 const FIRST_EVENT_MS: u64 = 250;
 
-/// The expected time for one generated token.
+/// Expected time to generate one token.
 const TOKEN_MS: u64 = 7;
 
-/// What is awaited of a plain service.
+/// Expected run time of a request at a plain service.
 const SERVICE_RUN_MS: u64 = 50;
 
-/// When a refused caller should come back if nothing better is known: engines turn requests away
-/// for moments only.
+/// Retry delay that a refused caller is told if nothing better is known. Engines reject requests
+/// for short moments only.
 const RETRY_AFTER_MS: u64 = 250;
 
-/// Prompt parts that decide which engine probably has the prompt's beginning cached.
+/// Maximum number of prompt parts that select the engine which probably has the prefix cached.
 const PREFIX_PARTS: usize = 2;
 
-/// The shortest shared beginning of a prompt for which an engine is preferred. A shorter one is
-/// read faster than the queue at a preferred engine moves.
+/// Minimum length of a shared prompt prefix for prefix affinity. A shorter prefix is computed
+/// faster than the queue at a preferred engine moves.
 const PREFIX_TOKENS: u32 = 1_000;
 
 impl Daemon {
@@ -84,7 +85,7 @@
             self.refuse_new(token, &refusal, Some(&serving.id));
             return;
         };
-        // The key is not kept in clear for as long as the request is in progress.
+        // The key is not kept in clear text while the request is in progress.
         let key = std::mem::take(&mut serving.key);
         let organisation = match self.organisation_of(&key, &route) {
             Ok(organisation) => organisation,
@@ -150,7 +151,7 @@
         self.dispatch(key);
     }
 
-    /// Returns the organisation that holds the key of a request; none where none is needed.
+    /// Returns the organisation that holds the key of a request; none if the route needs no key.
     fn organisation_of(
         &self,
         key: &PresentedKey,
@@ -178,9 +179,10 @@
         }
     }
 
-    /// Returns whether keys may be relied on: always, unless the operators want them refused where
-    /// this VM has not heard for a while that its configuration is the newest. That others have a
-    /// newer one counts, too, whoever is heard and whatever the store holds.
+    /// Returns whether keys can be relied on. They always can unless the operators configured that
+    /// keys are refused when, for longer than `revoke_ms`, this VM has not confirmed that its
+    /// configuration is the newest. A newer configuration announced by other VMs also counts
+    /// against it, regardless of who else is heard and of what the store contains.
     fn knows_keys(&self) -> bool {
         let is_good = |age_ms| age_ms <= self.settings.revoke_ms;
         match self.feeds.outdated_for_ms(self.now_ms) {
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Refuses a request that never became active.
+    /// Refuses a request before it is registered as active.
     fn refuse_new(&mut self, token: Token, refusal: &Refusal, id: Option<&RequestId>) {
         self.metrics.refused(refusal.reason.as_str());
         if self.lines.take(self.now_ms, false) {
@@ -239,7 +241,7 @@
         self.write_refusal(token, bytes);
     }
 
-    /// Returns whether the caller's connection ends after this answer.
+    /// Returns whether the caller's connection closes after the answer in progress.
     pub(crate) fn closes_after(&self, token: Token) -> bool {
         self.stopping.has_begun()
             || self
@@ -248,14 +250,14 @@
                 .is_some_and(|caller| caller.close_after)
     }
 
-    /// Looks again at every waiting request.
+    /// Retries the dispatch of every waiting request.
     pub(crate) fn dispatch_waiting(&mut self) {
         for key in self.active.waiting(self.now_ms) {
             self.dispatch(key);
         }
     }
 
-    /// Decides on a request and carries the verdict out.
+    /// Decides whether a request is sent, waits or is refused, and does so.
     pub(crate) fn dispatch(&mut self, key: u64) {
         if !self.is_within_limit(key) {
             return;
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Sends a request unless it is on probation and another copy may be under way.
+    /// Sends a request, unless it is on probation and another copy of it may be in progress.
     fn send_if_permitted(&mut self, key: u64, upstream: UpstreamName) {
         let now_ms = self.now_ms;
         let Some(request) = self.active.get_mut(key) else {
@@ -362,7 +364,7 @@
     }
 }
 
-/// Returns a number spread evenly over all values, the same for the same request.
+/// Returns a hash of the request's ID, evenly distributed over all values.
 fn draw(id: &RequestId) -> u64 {
     xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes())
 }
