--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry VM.
+//! Settings of an entry VM.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -17,51 +17,53 @@
 
 const ORGANISATIONS: &str = "organisations";
 
-/// `LogLevel` is the least severe level that is written.
+/// Least severe level that is logged.
 pub type LogLevel = apricotdale_telemetry::LevelFilter;
 
-/// `Settings` are the settings of an entry VM, read from an INI file.
+/// Settings of an entry VM, read from an INI file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The file that they were read from, which is read again on request.
+    /// Path of the file, which is reread on SIGHUP.
     pub path: PathBuf,
-    /// The VM's name.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this VM takes callers.
+    /// Listening address for the balancer's readiness checks.
     pub ready: SocketAddr,
-    /// Where the other VMs send their messages.
+    /// Listening address for datagrams of other VMs.
     pub peers: SocketAddr,
-    /// Where metrics are read.
+    /// Listening address for readers of metrics.
     pub metrics: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What all reads of the store share.
+    /// Bandwidth that all reads of the store share, in bytes per second.
     pub read_bytes_per_s: f64,
-    /// How long a planned stop may take.
+    /// Time limit for a planned stop.
     pub stop_ms: u64,
-    /// Whether all engines refuse an order with a lower fencing token than they have seen.
+    /// Whether all engines reject an order with a lower fencing token than they have seen.
     pub engines_check_fences: bool,
-    /// How long a new giver of orders waits before its first order, where engines do not.
+    /// How long a new lease holder waits before its first order if engines don't check fencing
+    /// tokens.
     pub order_pause_ms: u64,
-    /// Repeats that all VMs together may add to each request of a service.
+    /// Retries that all VMs together may add, as a share of a service's requests.
     pub repeats_per_request: f64,
-    /// Repeats that all VMs together may add beyond that.
+    /// Retries that all VMs together may add beyond that share.
     pub spare_repeats: f64,
-    /// The operators' window for counting repeats.
+    /// Length of the window in which the operators count retries.
     pub repeats_window_ms: u64,
-    /// Requests that are served though upstreams crashed under them.
+    /// Requests that are never blocked, even if upstreams crash under them.
     pub exempt: Vec<Fingerprint>,
-    /// How closely the limits of organisations are held.
+    /// Accuracy with which the limits of organisations are enforced.
     pub limit_bounds: Bounds,
-    /// Whether keys are refused where it is not known whether they are still good.
+    /// Whether keys are refused when it is unknown whether they are still valid.
     pub fail_closed: bool,
-    /// How long a configuration is good without having been read again, where that is so.
+    /// With `fail_closed`, how long keys are accepted without confirmation that the configuration
+    /// is the newest.
     pub revoke_ms: u64,
-    /// What is logged.
+    /// Least severe level that is logged.
     pub log_level: LogLevel,
 }
 
@@ -81,7 +83,7 @@
         Self::from_ini(path, &ini)
     }
 
-    /// Takes the settings from a parsed file. Unknown sections and keys are left alone, so that an
+    /// Takes the settings from a parsed file. Unknown sections and keys are ignored, so that an
     /// older daemon can read a newer file.
     fn from_ini(path: &Path, ini: &Ini) -> Result<Self> {
         Ok(Self {
@@ -145,9 +147,8 @@
     parsed(ini, section, key, "an IP address with a port")
 }
 
-/// Returns a number in a range. The platform may write each of its bounds whole or as a fraction,
-/// so that a setting which has to be whole here would keep every VM of such a deployment from
-/// starting.
+/// Returns a number in a range. Fractions are accepted everywhere: the platform may write any bound
+/// as a fraction, and a rejected one would keep every VM of the deployment from starting.
 fn number(
     ini: &Ini,
     section: &'static str,
@@ -167,13 +168,13 @@
     Ok(number)
 }
 
-/// Returns a value that may be missing or empty.
+/// Returns a value; none if it is missing or empty.
 fn ini_text<'a>(ini: &'a Ini, section: &'static str, key: &'static str) -> Option<&'a str> {
     let value = ini.get_from(Some(section), key).map(str::trim);
     value.filter(|value| !value.is_empty())
 }
 
-/// Returns a number in a range, or another where none is given.
+/// Returns a number in a range, or the default if it is missing or empty.
 fn number_or(
     ini: &Ini,
     section: &'static str,
@@ -204,7 +205,7 @@
     })
 }
 
-/// Returns the fingerprints that the operators list, if they do.
+/// Returns the fingerprints of exempt requests; empty if the operators list none.
 fn fingerprints(ini: &Ini) -> Result<Vec<Fingerprint>> {
     let value = ini.get_from(Some("quarantine"), "exempt").unwrap_or("");
     let items = value.split(',').map(str::trim);
@@ -221,7 +222,7 @@
         .collect()
 }
 
-/// Returns a duration that is given in seconds.
+/// Returns a duration that is given in seconds, in milliseconds.
 fn seconds_as_ms(
     ini: &Ini,
     section: &'static str,
