--- a/crates/entry/src/stopping.rs
+++ b/crates/entry/src/stopping.rs
@@ -1,4 +1,4 @@
-//! Start, reload and planned stop.
+//! Start, reload of settings and planned stop.
 
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
@@ -9,23 +9,23 @@
 use crate::errors::Result;
 use crate::settings::Settings;
 
-/// How long a stopping VM still takes connections. The balancer asks once a second and sends no
-/// new ones after two refusals.
+/// How long a stopping VM still accepts connections. The balancer checks readiness once a second
+/// and sends no new connections after two failed checks.
 const STILL_SERVING_MS: u64 = 2_600;
 
-/// How long callers may go on with connections that they keep. After that an idle one is closed,
-/// so that its next request goes to another VM: a caller that reuses its connection every second
-/// would otherwise still send requests when the process has to end.
+/// How long callers may reuse their connections after a planned stop has begun. After that an idle
+/// connection is closed, so that the next request goes to another VM: a caller that reuses its
+/// connection every second would otherwise still send requests when the process has to end.
 const KEPT_CONNECTIONS_MS: u64 = 1_200;
 
-/// How much of the time for a stop is kept in hand, so that the process ends by itself.
+/// Reserve of the time for a stop, so that the process ends by itself before it is killed.
 const STOP_MARGIN_MS: u64 = 300;
 
-/// Starts the log on the standard output.
+/// Starts the log on standard output.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Log`] if its thread can't be started.
+/// [`crate::Error::Log`] if the log's thread can't be started.
 pub fn start_log(settings: &Settings) -> Result<()> {
     let mut options = LogOptions::new(settings.vm.clone(), settings.zone.clone());
     options.level = settings.log_level;
@@ -33,14 +33,14 @@
     Ok(())
 }
 
-/// How long before the process must end requests that still wait are handed back, so that their
-/// callers can go to another VM.
+/// How long before the end of a planned stop the requests that still wait are refused, so that
+/// their callers can retry at another VM.
 const HAND_BACK_MS: u64 = 1_500;
 
-/// When such a caller should come back.
+/// Retry delay that the callers of these requests are told.
 const HAND_BACK_RETRY_MS: u64 = 50;
 
-/// `Stopping` is the state of a planned stop.
+/// State of a planned stop.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Stopping {
     since_ms: Option<u64>,
@@ -53,19 +53,19 @@
         self.since_ms.is_some()
     }
 
-    /// Returns whether idle connections of callers are closed now.
+    /// Returns whether callers' idle connections are to be closed.
     pub fn closes_idle(self, now_ms: u64) -> bool {
         self.age_ms(now_ms)
             .is_some_and(|age_ms| age_ms >= KEPT_CONNECTIONS_MS)
     }
 
-    /// Returns whether no new connections are taken any more.
+    /// Returns whether new connections are no longer accepted.
     pub fn takes_nobody(self, now_ms: u64) -> bool {
         self.age_ms(now_ms)
             .is_some_and(|age_ms| age_ms >= STILL_SERVING_MS)
     }
 
-    /// Returns whether requests that wait are handed back now.
+    /// Returns whether waiting requests are to be refused.
     fn hands_back(self, now_ms: u64) -> bool {
         let at_ms = self.stop_ms.saturating_sub(HAND_BACK_MS);
         self.age_ms(now_ms).is_some_and(|age_ms| age_ms >= at_ms)
@@ -76,7 +76,7 @@
             .map(|since_ms| now_ms.saturating_sub(since_ms))
     }
 
-    /// Returns whether the process may end now. `is_busy` says whether answers are in progress.
+    /// Returns whether the process may end. `is_busy` tells whether answers are in progress.
     fn is_done(self, now_ms: u64, is_busy: impl FnOnce() -> bool) -> bool {
         self.age_ms(now_ms).is_some_and(|age_ms| {
             let is_empty = age_ms >= STILL_SERVING_MS && !is_busy();
@@ -86,8 +86,8 @@
 }
 
 impl Daemon {
-    /// Begins a planned stop: the balancer is told at once, requests in progress and those that
-    /// still come are answered.
+    /// Begins a planned stop: readiness checks fail from now on, while requests in progress and
+    /// those that still arrive are answered.
     pub(crate) fn begin_stop(&mut self) {
         if self.stopping.has_begun() {
             return;
@@ -99,7 +99,7 @@
         self.peers.say_goodbye();
     }
 
-    /// Returns whether a planned stop is done.
+    /// Returns whether a planned stop is complete.
     pub(crate) fn is_stopped(&self) -> bool {
         self.stopping.is_done(self.now_ms, || {
             let mut callers = self.callers.values();
@@ -107,8 +107,8 @@
         })
     }
 
-    /// Refuses the requests that still wait when a stopping process has little time left. Without
-    /// this they would end with the process, unanswered.
+    /// Refuses the requests that still wait when little time is left for a planned stop. They would
+    /// otherwise end with the process, unanswered.
     pub(crate) fn hand_back_waiting(&mut self) {
         if !self.stopping.hands_back(self.now_ms) {
             return;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Reads the settings again and takes over what can change while the daemon runs.
+    /// Rereads the settings and applies those that can change while the daemon runs.
     pub(crate) fn reload(&mut self) {
         match Settings::read(&self.settings.path) {
             Ok(settings) => {
@@ -159,7 +159,7 @@
             connections_opened = self.outbound.opened;
             "entry VM ends"
         );
-        // The lines are written by a thread of their own, which ends with the process.
+        // A separate thread writes the lines, and ends with the process.
         log::logger().flush();
     }
 }
