--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -1,10 +1,10 @@
-//! The era of the store: what follows when it has come back from an older copy.
+//! The store's era, which counts its rollbacks, and the handling of a rollback.
 //!
-//! What was written since that copy is gone, and offsets are given out again. A position of an
-//! earlier era says nothing of where a topic ends now, so each VM keeps what it knows, forgets the
-//! places up to which it had read, and takes what is missing for missing as after an outage.
-//! Operators and upstreams write theirs again by themselves; what VMs keep in the store they write
-//! again here.
+//! In a rollback the store is restored from an older copy: later records are lost, and their
+//! offsets are assigned again. A position of an earlier era says nothing about the current end of a
+//! topic. Each VM therefore keeps the state that it has, discards its read positions, and treats
+//! missing entries as after an outage. Operators and upstreams write their records again by
+//! themselves; what VMs keep in the store is rewritten here.
 
 use apricotdale_core::numbers::Position;
 
@@ -13,19 +13,19 @@
 use crate::calling::CallTag;
 use crate::daemon::Daemon;
 
-/// `StoreEra` is the latest era of the store that is known.
+/// Latest known era of the store.
 #[derive(Debug, Default)]
 pub(crate) struct StoreEra {
     known: Option<u64>,
 }
 
 impl StoreEra {
-    /// Returns the era as far as it is known.
+    /// Returns the latest known era; 0 if none is known.
     pub fn now(&self) -> u64 {
         self.known.unwrap_or_default()
     }
 
-    /// Returns a position of this era.
+    /// Returns a position in the latest known era.
     pub fn position(&self, offset: u64) -> Position {
         Position::new(self.now(), offset)
     }
@@ -35,7 +35,8 @@
         era < self.now()
     }
 
-    /// Takes in an era. Returns the one before, if it has just begun for this VM.
+    /// Records an era. Returns the previous one if this era is new to this VM; none otherwise, and
+    /// for the first era.
     fn note(&mut self, era: u64) -> Option<u64> {
         let before = self.known;
         self.known = before.max(Some(era));
@@ -44,7 +45,7 @@
 }
 
 impl Daemon {
-    /// Returns how a call ended that was answered. An answer of an earlier era changes nothing.
+    /// Returns the outcome of an answered call. An answer of an earlier era counts as none.
     pub(crate) fn outcome_in_era(
         &mut self,
         tag: &CallTag,
@@ -66,7 +67,8 @@
         CallOutcome::Answered { status, body }
     }
 
-    /// Takes in the era of the store, as one of its answers or another VM tells it.
+    /// Records the era of the store as stated by a store's answer or by another VM, and handles a
+    /// rollback that this reveals.
     pub(crate) fn note_era(&mut self, era: u64) {
         let now_ms = self.now_ms;
         self.ordering.note_era(now_ms, era);
