--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP connection that never blocks.
+//! Non-blocking TCP connection with a write buffer.
 
 use std::io;
 use std::io::Read;
@@ -10,15 +10,15 @@
 use mio::Token;
 use mio::net::TcpStream;
 
-/// How many bytes are read at a time.
+/// Maximum number of bytes read by one system call.
 const READ_BYTES: usize = 16 * 1024;
 
-/// `ReadEnd` is why reading stopped.
+/// Reason why reading stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadEnd {
-    /// No more bytes are there now.
+    /// No more bytes are available now.
     Drained,
-    /// The limit was reached; more bytes may be there.
+    /// The limit was reached; more bytes may be available.
     Limit,
     /// The other end closed the connection in an orderly way.
     Closed,
@@ -26,22 +26,22 @@
     Broken,
 }
 
-/// `Stream` is a connection with the bytes that are still to be written.
+/// A TCP connection with the bytes that have yet to be written.
 #[derive(Debug)]
 pub(crate) struct Stream {
     socket: TcpStream,
     unwritten: Vec<u8>,
     written: usize,
-    /// Bytes that the kernel has taken so far.
+    /// Number of bytes that the kernel has accepted. The owner resets it for each exchange.
     pub sent_bytes: u64,
-    /// Whether nobody listens at the other end.
+    /// Whether the connection was refused, since nobody listens at the address.
     pub refused: bool,
 }
 
 impl Stream {
-    /// Takes over an accepted connection.
+    /// Registers an accepted connection with the readiness loop.
     pub fn accepted(mut socket: TcpStream, registry: &Registry, token: Token) -> io::Result<Self> {
-        // Small answers must not wait for the acknowledgement of the one before.
+        // Small answers must not wait for the acknowledgement of earlier ones.
         let _ = socket.set_nodelay(true);
         registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
         Ok(Self {
@@ -53,14 +53,15 @@
         })
     }
 
-    /// Begins a connection. What is written meanwhile is sent once it stands.
+    /// Starts opening a connection. Queued bytes are sent once it is established.
     pub fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Self> {
         Self::accepted(TcpStream::connect(address)?, registry, token)
     }
 
-    /// Adds bytes to be written, without trying to.
+    /// Appends bytes to the write buffer without writing them.
     pub fn queue(&mut self, bytes: &[u8]) {
-        // A peer that is always behind never has all of it written.
+        // If the other end is always behind, the buffer never becomes empty, so it is compacted
+        // here.
         if self.written > self.unwritten_bytes() {
             self.unwritten.drain(..self.written);
             self.written = 0;
@@ -68,12 +69,13 @@
         self.unwritten.extend_from_slice(bytes);
     }
 
-    /// Returns how many bytes are still to be written.
+    /// Returns the number of bytes that have yet to be written.
     pub fn unwritten_bytes(&self) -> usize {
         self.unwritten.len() - self.written
     }
 
-    /// Writes what the kernel takes now. Returns whether the connection still stands.
+    /// Writes the bytes that the kernel accepts now. Returns whether the connection is still
+    /// usable.
     pub fn flush(&mut self) -> bool {
         while self.written < self.unwritten.len() {
             match self.socket.write(&self.unwritten[self.written..]) {
@@ -96,7 +98,7 @@
         true
     }
 
-    /// Reads what is there, up to a limit of bytes in the buffer.
+    /// Reads the available bytes until the buffer contains `limit_bytes`.
     pub fn read(&mut self, buffer: &mut Vec<u8>, limit_bytes: usize) -> ReadEnd {
         let mut bytes = [0_u8; READ_BYTES];
         while buffer.len() < limit_bytes {
@@ -114,13 +116,13 @@
         ReadEnd::Limit
     }
 
-    /// Tells the other end that no more bytes follow.
+    /// Shuts down the write half, which tells the other end that no more bytes follow.
     pub fn shut_write(&self) {
         let _ = self.socket.shutdown(std::net::Shutdown::Write);
     }
 
-    /// Ends the connection. With `abort` the other end sees a reset, so that an answer without a
-    /// length which ends early does not look whole.
+    /// Closes the connection. With `abort` the other end receives a reset, so that an answer
+    /// without a length that stops early does not look complete.
     pub fn close(mut self, registry: &Registry, abort: bool) {
         let _ = registry.deregister(&mut self.socket);
         if abort {
@@ -130,7 +132,8 @@
     }
 }
 
-/// Until a connection stands, the kernel may say that it is not connected yet.
+/// Returns whether an operation should be retried later. Until a connection is established, the
+/// kernel may report that it is not connected.
 fn is_not_yet(error: &io::Error) -> bool {
     matches!(
         error.kind(),
