--- a/crates/entry/src/telling.rs
+++ b/crates/entry/src/telling.rs
@@ -1,9 +1,9 @@
-//! Messages between VMs.
+//! Exchange of messages between VMs.
 //!
-//! VMs send each other small datagrams. Each message tells a state and not a change of it, so a
-//! lost one is made good by the next, and nothing waits for an answer. The VM that gives orders
-//! tells all others that it is there, what it foresees and what engines hold; the others tell it
-//! their demand. So the messages grow with the VMs, not with their square.
+//! VMs send each other small datagrams. Each message carries a state and not a change of it, so
+//! that the next one makes up for a lost one, and no VM waits for an answer. The lease holder
+//! announces itself, its forecasts and what engines hold to all others; the others send it their
+//! demand. The number of messages thus grows linearly with the number of VMs.
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,24 +29,25 @@
 use crate::peers::GREETING_MS;
 use crate::peers::ROWS_A_DATAGRAM;
 
-/// Datagrams taken in one turn of the loop. Hundreds of VMs may send more than a small part of a
-/// core takes in: read to the end, they would keep the giver from renewing its lease, and all would
-/// be told to a VM that gives no orders any more.
+/// Datagrams received in one iteration of the loop. Hundreds of VMs may send more than a small
+/// share of a core can handle: with all of them received first, the holder would not renew its
+/// lease in time, and the messages would reach a VM that has lost it.
 const DATAGRAMS_A_TURN: usize = 64;
 
-/// Time between two tellings of the demand while requests wait, and what each VM adds to the
-/// longest: the giver hears from all, and takes a thousand a second.
+/// Time between two demand reports while requests wait: at least the first, and for each known VM
+/// the second, since the lease holder receives all reports and can handle about a thousand a
+/// second.
 const DEMAND_WAITING_MS: u64 = 200;
 const DEMAND_WAITING_US_A_VM: u64 = 1_000;
 
-/// The same while none wait.
+/// Time between two demand reports while no requests wait.
 const DEMAND_CALM_MS: u64 = 700;
 
-/// Time between two beats of the VM that gives orders.
+/// Time between two heartbeats of the lease holder.
 const BEAT_MS: u64 = 400;
 
 impl Daemon {
-    /// Takes in the messages of other VMs.
+    /// Receives and handles messages of other VMs.
     pub(crate) fn receive_peers(&mut self) {
         let mut bytes = [0_u8; 64 * 1024];
         self.peers.may_have_more = true;
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Counts a message that is none of this version's, and says so once for each sender.
+    /// Counts a message that this version can't decode, and logs it once for each sender.
     fn note_strange_message(&mut self, from: SocketAddr, error: &DecodeError) {
         self.metrics.failed_try("bad_peer_message");
         if self.peers.is_new_stranger(from) {
@@ -171,8 +172,8 @@
         }
     }
 
-    /// Tells the giver of orders that an engine does not hold a model. Without this it would go on
-    /// telling all VMs that the engine does.
+    /// Reports to the lease holder that an engine does not hold a model. Otherwise the holder would
+    /// go on announcing to all VMs that the engine does.
     pub(crate) fn tell_turned_away(&mut self, engine: &UpstreamName, model: &ModelName) {
         if self.ordering.held_lease_end(self.now_ms).is_some() {
             self.engine_lacks(engine, model);
@@ -185,15 +186,15 @@
         }
     }
 
-    /// Takes in what another VM has read.
+    /// Applies what another VM has read from the store.
     fn take_freshness(&mut self, fresh: &Freshness) {
         let now_ms = self.now_ms;
         self.note_era(fresh.list_read_to.era);
-        // A VM that has not heard that the list was set back does not know what is missing there.
+        // A VM that has not heard of the rollback does not know what the upstream list lacks now.
         if self.store_era.is_past(fresh.list_read_to.era) {
             return;
         }
-        // The giver of orders reads for itself, so that it has something to tell.
+        // The lease holder reads for itself, since the others depend on its announcements.
         if self.ordering.held_lease_end(now_ms).is_none() {
             let draw_ms = self.pacing.draw_ms();
             self.sharing
@@ -214,8 +215,8 @@
             self.feeds.read_configuration_at(at_ms);
         }
         if let Some(read_ms) = fresh.whole_list_read_ms(now_ms) {
-            // If this VM was cut off alone, no entry has lapsed, and upstreams that it misses have
-            // left: it must not keep them for longer.
+            // If only this VM was cut off, no entry has lapsed, and the upstreams that it misses
+            // have left: it must not keep them any longer.
             self.directory.note_list_whole(read_ms);
         }
         for departure in &fresh.left {
@@ -226,9 +227,9 @@
         self.compare_list(fresh);
     }
 
-    /// Compares this VM's list with the one that another VM has read.
+    /// Compares this VM's list with the one that another VM has read, and schedules repairs.
     fn compare_list(&mut self, fresh: &Freshness) {
-        // One that can't read tells an old list for as long as it takes until another gives orders.
+        // A holder that can't read announces an old list until another VM takes over the lease.
         if !fresh.is_fresh() || !self.directory.is_listed() {
             return;
         }
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Returns what this VM has read, for the others.
+    /// Returns what this VM has read from the store, for announcements.
     pub(crate) fn freshness(&mut self) -> Freshness {
         let now_ms = self.now_ms;
         let listed = listed_digest(&self.directory);
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Sends what is due.
+    /// Sends the messages that are due.
     pub(crate) fn advance_peers(&mut self) {
         let now_ms = self.now_ms;
         if now_ms >= self.peers.next_greeting_ms {
@@ -373,7 +374,8 @@
         }
     }
 
-    /// Returns what has changed in the demand here, and what requests are in progress for.
+    /// Returns the demand rows of models whose demand has changed or that requests in progress
+    /// need.
     fn demand_rows(&mut self) -> Vec<DemandRow> {
         let active = self.active.iter().filter_map(|(_, request)| {
             let state = match request.phase {
