--- a/crates/entry/src/watching.rs
+++ b/crates/entry/src/watching.rs
@@ -1,4 +1,4 @@
-//! Engines that fall silent: they are asked, and what that shows is acted on and told.
+//! Liveness probes of engines that have become silent, and the reaction to their outcomes.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_dispatch::Silence;
@@ -8,18 +8,20 @@
 use crate::messages::PeerMessage;
 use crate::outbound::Peer;
 
-/// How long the answer to a question is awaited. An engine answers within a round trip and a
-/// connection of its own, some 5 ms, whatever it is working on.
+/// Time limit for the answer to a probe. An engine answers within a round trip and the opening of a
+/// connection, about 5 ms, regardless of its work.
 const ANSWER_MS: u64 = 150;
 
-/// How long a dark engine gets no requests without being found dark again. It is asked each 300 ms.
+/// How long an unresponsive engine receives no requests unless another probe fails. Probes are
+/// repeated every 300 ms.
 const DARK_GOOD_MS: u64 = 2_000;
 
-/// How lately an engine must have been heard for another VM's word not to count.
+/// How recently an engine must have sent bytes to this VM for another VM's failed probe to be
+/// ignored.
 const HEARD_MS: u64 = 200;
 
 impl Daemon {
-    /// Asks the engines that have been silent for too long.
+    /// Probes the engines that have been silent for too long.
     pub(crate) fn advance_watch(&mut self) {
         if self.now_ms < self.watch.next_ms() {
             return;
@@ -30,7 +32,8 @@
                     let address = upstream.address;
                     let bytes = self.codecs.engines.report(&upstream.instance);
                     let peer = Peer::Upstream(engine.clone());
-                    // An idle connection may be silent for good while the engine is not.
+                    // An idle connection may be broken without a reset while the engine is
+                    // responsive.
                     self.call_anew(peer, address, CallTag::Look(engine), &bytes, ANSWER_MS);
                 }
                 None => self.watch.removed(&engine),
@@ -38,9 +41,9 @@
         }
     }
 
-    /// Takes in whether anything came from an engine that was silent. One that resets a connection is
-    /// not dark: it has only as many as it accepts. Taken for dark, full engines lost the requests
-    /// that they were working on.
+    /// Handles the outcome of a probe. `answered` includes a reset: an engine that resets a
+    /// connection is responsive and has reached its limit of connections. When full engines counted
+    /// as unresponsive, the requests that they were working on were lost.
     pub(crate) fn look_ended(&mut self, engine: &UpstreamName, answered: bool) {
         match self.watch.asked(self.now_ms, engine, answered) {
             Silence::None => {}
@@ -55,8 +58,8 @@
         }
     }
 
-    /// Takes in that another VM has asked an engine in vain. If something has come from the engine
-    /// here, the trouble lies between the engine and that VM.
+    /// Handles another VM's failed probe. If this VM has recently received bytes from the engine,
+    /// the fault lies between the engine and that VM.
     pub(crate) fn told_dark(&mut self, engine: &UpstreamName) {
         let heard_ms = self.watch.heard_ms(engine);
         let heard = heard_ms.is_some_and(|at_ms| self.now_ms < at_ms + HEARD_MS);
@@ -65,9 +68,10 @@
         }
     }
 
-    /// Sends nothing more to a dark engine for a while. What it has stays there: an engine that does not
-    /// answer may be slow and at work all the same, and a request that was taken from it and then found
-    /// no place ended in the middle of its answer.
+    /// Sends no more requests to an unresponsive engine for a while. Requests in progress stay
+    /// there: an engine that does not answer may be slow and still at work. When requests were
+    /// moved away from such engines and then found no free slot, they ended in the middle of their
+    /// answers.
     fn engine_dark(&mut self, engine: &UpstreamName, how: &str) {
         let until_ms = self.now_ms + DARK_GOOD_MS;
         if self.dispatcher.suspend(self.now_ms, engine, until_ms) {
@@ -79,7 +83,7 @@
         self.look_again = true;
     }
 
-    /// Takes in that an engine answers again.
+    /// Handles that an engine is responsive again.
     pub(crate) fn engine_lit(&mut self, engine: &UpstreamName) {
         self.dispatcher.resume(engine);
         log::info!(upstream = engine.to_string(); "engine answers again");
