--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -14,8 +14,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::codec::StoreOutcome;
 use crate::codec::Topic;
 use crate::daemon::Daemon;
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -26,8 +26,8 @@
 use apricotdale_quarantine::TrialAsk;
 
 use crate::active::Phase;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::daemon::Daemon;
 use crate::messages::PeerMessage;
 use crate::outbound::Peer;
--- a/crates/entry/src/watching.rs
+++ b/crates/entry/src/engine_probes.rs
@@ -3,7 +3,7 @@
 use apricotdale_core::names::UpstreamName;
 use apricotdale_dispatch::Silence;
 
-use crate::calling::CallTag;
+use crate::calls::CallTag;
 use crate::daemon::Daemon;
 use crate::messages::PeerMessage;
 use crate::outbound::Peer;
--- a/crates/entry/src/failing.rs
+++ b/crates/entry/src/failed_attempts.rs
@@ -10,9 +10,9 @@
 
 use crate::active::Phase;
 use crate::daemon::Daemon;
-use crate::ending::model_text;
-use crate::ending::upstream_text;
 use crate::outbound::Peer;
+use crate::request_ends::model_text;
+use crate::request_ends::upstream_text;
 
 /// Retry delay that a refused caller is told. Engines reject requests for short moments only.
 pub(crate) const RETRY_AFTER_MS: u64 = 300;
--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/feeds.rs
@@ -2,12 +2,12 @@
 //! snapshot, and the entries of VMs.
 
 mod configuration;
-mod copy;
 mod feed;
 mod list_rate;
-mod listing;
+mod list_snapshot;
 mod schedule;
-mod vms;
+mod upstream_list;
+mod vm_entries;
 
 use std::collections::HashSet;
 
@@ -16,11 +16,11 @@
 use apricotdale_fleet::ListRepair;
 use apricotdale_fleet::ReadPacing;
 
-use self::copy::CopyWriter;
 use self::feed::Feed;
 use self::list_rate::ListRate;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use self::list_snapshot::CopyWriter;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::codec::DecodeError;
 use crate::codec::StoreOutcome;
 use crate::codec::Topic;
--- a/crates/entry/src/feeds/configuration.rs
+++ b/crates/entry/src/feeds/configuration.rs
@@ -3,7 +3,7 @@
 use super::CALL_TIMEOUT_MS;
 use super::FOLLOWING_CONFIGURATION_EVERY_MS;
 use super::NEWEST_TIMEOUT_MS;
-use crate::calling::CallTag;
+use crate::calls::CallTag;
 use crate::codec::DecodeError;
 use crate::codec::KeyedRecord;
 use crate::codec::LogRead;
--- a/crates/entry/src/feeds/copy.rs
+++ b/crates/entry/src/feeds/list_snapshot.rs
@@ -14,7 +14,7 @@
 use super::COPY_LOOKS;
 use super::COPY_TIMEOUT_MS;
 use super::LIST_WRITE_TIMEOUT_MS;
-use crate::calling::CallTag;
+use crate::calls::CallTag;
 use crate::codec::DecodeError;
 use crate::codec::KeyedPage;
 use crate::codec::Topic;
--- a/crates/entry/src/feeds/vms.rs
+++ b/crates/entry/src/feeds/vm_entries.rs
@@ -3,7 +3,7 @@
 use super::CALL_TIMEOUT_MS;
 use super::NEWEST_TIMEOUT_MS;
 use super::WRITTEN_AGAIN_MS;
-use crate::calling::CallTag;
+use crate::calls::CallTag;
 use crate::codec::KeyedPage;
 use crate::codec::Topic;
 use crate::daemon::Daemon;
--- a/crates/entry/src/ordering.rs
+++ b/crates/entry/src/ordering.rs
@@ -1,7 +1,7 @@
 //! Orders to engines, which this VM sends while it holds the order lease.
 
 mod engine_calls;
-mod leasing;
+mod order_lease;
 
 use std::collections::HashMap;
 use std::time::Instant;
--- a/crates/entry/src/ordering/engine_calls.rs
+++ b/crates/entry/src/ordering/engine_calls.rs
@@ -11,8 +11,8 @@
 
 use super::ORDER_TIMEOUT_MS;
 use super::REPORT_TIMEOUT_MS;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::daemon::Daemon;
 use crate::outbound::Peer;
 
--- a/crates/entry/src/ordering/leasing.rs
+++ b/crates/entry/src/ordering/order_lease.rs
@@ -5,8 +5,8 @@
 use apricotdale_holder::LeaseRecord;
 
 use super::LEASE_TIMEOUT_MS;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::codec::LogRead;
 use crate::codec::StoreOutcome;
 use crate::codec::Topic;
--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -11,7 +11,7 @@
 use mio::Registry;
 use mio::Token;
 
-use crate::calling::CallTag;
+use crate::calls::CallTag;
 use crate::stream::ReadEnd;
 use crate::stream::Stream;
 
--- a/crates/entry/src/serving.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -26,7 +26,7 @@
 use crate::crash_watch::caller_hash;
 use crate::crash_watch::fingerprint;
 use crate::daemon::Daemon;
-use crate::failing::BUDGET_PAUSE_MS;
+use crate::failed_attempts::BUDGET_PAUSE_MS;
 use crate::limits::charge;
 use crate::outbound::Peer;
 use crate::outbound::Purpose;
--- a/crates/entry/src/ending.rs
+++ b/crates/entry/src/request_ends.rs
@@ -12,7 +12,7 @@
 
 use crate::active::Phase;
 use crate::daemon::Daemon;
-use crate::failing::RETRY_AFTER_MS;
+use crate::failed_attempts::RETRY_AFTER_MS;
 
 impl Daemon {
     /// Refuses an active request.
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -8,9 +8,9 @@
 
 use apricotdale_core::numbers::Position;
 
-use crate::calling::CallAnswer;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallAnswer;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::daemon::Daemon;
 
 /// Latest known era of the store.
--- a/crates/entry/src/answering.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -12,9 +12,9 @@
 use crate::active::Phase;
 use crate::codec::AnswerFields;
 use crate::daemon::Daemon;
-use crate::ending::upstream_text;
 use crate::outbound::Part;
 use crate::outbound::Purpose;
+use crate::request_ends::upstream_text;
 
 /// Space reserved for an answer's head in addition to the bytes of a part.
 const HEAD_ROOM_BYTES: usize = 512;
