--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -54,7 +54,7 @@
 /// State of reading and writing the records.
 #[derive(Debug, Default)]
 pub(crate) struct BlockStore {
-    was_giver: bool,
+    held_lease: bool,
     unwritten: Vec<BlockRow>,
     ended: Vec<Fingerprint>,
     /// Numbers of crashes and lost copies as last written, for each request on probation.
@@ -75,7 +75,7 @@
 impl BlockStore {
     /// Handles a rollback of the store: everything known here is written again.
     pub fn set_back(&mut self) {
-        self.was_giver = false;
+        self.held_lease = false;
         if !self.is_read {
             self.after = None;
         }
@@ -87,7 +87,7 @@
         self.cases.remove(&row.fingerprint);
         self.unwritten_cases
             .retain(|case| case.fingerprint != row.fingerprint);
-        if self.was_giver {
+        if self.held_lease {
             self.unwritten.push(row.clone());
         }
     }
@@ -100,8 +100,11 @@
 
     /// Records whether this VM holds the lease. A new holder writes everything it knows, since the
     /// previous one may not have.
-    fn note_giver(&mut self, is_giver: bool, rows: impl FnOnce() -> Vec<BlockRow>) {
-        match (is_giver, std::mem::replace(&mut self.was_giver, is_giver)) {
+    fn record_lease(&mut self, holds_lease: bool, rows: impl FnOnce() -> Vec<BlockRow>) {
+        match (
+            holds_lease,
+            std::mem::replace(&mut self.held_lease, holds_lease),
+        ) {
             (true, false) => {
                 self.unwritten = rows();
                 self.cases.clear();
@@ -153,14 +156,14 @@
     /// Reads the blocks from the store once, and writes changes while this VM holds the lease.
     pub(crate) fn advance_block_store(&mut self) {
         let now_ms = self.now_ms;
-        let is_giver = self.ordering.held_lease_end(now_ms).is_some();
+        let holds_lease = self.engine_orders.held_lease_end(now_ms).is_some();
         let watch = &self.crash_watch;
         let store = &mut self.block_store;
-        store.note_giver(is_giver, || watch.blocks(now_ms));
+        store.record_lease(holds_lease, || watch.blocks(now_ms));
         if store.is_calling || now_ms < store.next_ms {
             return;
         }
-        if is_giver && store.is_read && store.seen_changes != Some(watch.changes()) {
+        if holds_lease && store.is_read && store.seen_changes != Some(watch.changes()) {
             store.seen_changes = Some(watch.changes());
             store.note_cases(watch.cases(now_ms));
         }
@@ -171,7 +174,7 @@
             // The configuration and the upstream list come first, since nothing is served without
             // them.
             false if self.directory.is_complete() => self.read_blocks(),
-            true if is_giver && has_records => self.write_blocks(),
+            true if holds_lease && has_records => self.write_blocks(),
             _ => {}
         }
     }
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -153,7 +153,7 @@
             judge: judges.iter().position(|(vm, _)| *vm == own),
             judges: judges.len(),
             vms: self.peers.others() + 1,
-            is_giver: self.ordering.held_lease_end(self.now_ms).is_some(),
+            is_giver: self.engine_orders.held_lease_end(self.now_ms).is_some(),
         };
         let due = self.crash_watch.due(self.now_ms, role);
         due.rechecks.iter().for_each(|it| self.recheck(it));
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -38,6 +38,7 @@
 use crate::clock;
 use crate::clock::now_ms;
 use crate::codec::Codecs;
+use crate::engine_orders::EngineOrders;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::feeds::Feeds;
@@ -46,7 +47,6 @@
 use crate::log_budget::LineBudget;
 use crate::messages::VmRecord;
 use crate::metrics::EntryMetrics;
-use crate::ordering::Ordering;
 use crate::outbound::OutboundPool;
 use crate::outbound::Peer;
 use crate::outbound::Purpose;
@@ -111,7 +111,7 @@
     /// Ended incarnations of upstreams at which requests still appear to be in progress.
     pub(crate) former_runs: Vec<UpstreamName>,
     pub(crate) feeds: Feeds,
-    pub(crate) ordering: Ordering,
+    pub(crate) engine_orders: EngineOrders,
     pub(crate) peers: Peers,
     pub(crate) own_demand: OwnDemand,
     pub(crate) sharing: Sharing,
@@ -179,7 +179,7 @@
         let mut crash_watch = CrashWatch::new(run, QuarantineOptions::default());
         crash_watch.exempt(&settings.exempt);
         Ok(Self {
-            ordering: Ordering::new(&settings, run),
+            engine_orders: EngineOrders::new(&settings, run),
             peers: Peers::new(own_record, socket),
             own_demand: OwnDemand::default(),
             poll,
@@ -283,7 +283,7 @@
             self.serve_caller(token);
         }
         self.advance_feeds();
-        self.advance_ordering();
+        self.advance_engine_orders();
         self.advance_peers();
         self.advance_watch();
         self.advance_crash_watch();
@@ -305,7 +305,7 @@
             self.next_sweep_ms,
             self.call_alarm_ms,
             self.feeds.next_ms(self.now_ms, &self.sharing),
-            self.ordering.next_ms(),
+            self.engine_orders.next_ms(),
             self.peers.next_ms(),
             self.watch.next_ms(),
             self.crash_watch.next_ms(),
--- a/crates/entry/src/ordering.rs
+++ b/crates/entry/src/engine_orders.rs
@@ -31,23 +31,23 @@
 
 /// How long orders continue past the end of the lease while the store is unreachable. The longest
 /// store outages in the users' deployments last 9 to 12 s.
-const OUTLAST_MS: u64 = 12_000;
+const OUTAGE_GRACE_MS: u64 = 12_000;
 
 /// Time limit for a store call that reads or writes the lease.
 const LEASE_TIMEOUT_MS: u64 = 700;
 
 /// Longest time between two rounds of planning. Demand that has faded raises no event, so only a
 /// periodic round notices it.
-const PLAN_EVERY_MS: u64 = 100;
+const MAX_PLAN_INTERVAL_MS: u64 = 100;
 
 /// Minimum pause after a round of planning, as a multiple of the time that the round took. On a VM
 /// with a small share of a core, the lease, callers and other VMs would otherwise wait for one
 /// round after the other.
-const REST_FOR_PLAN: u64 = 2;
+const PLAN_PAUSE_FACTOR: u64 = 2;
 
 /// State of sending orders to engines: the lease, the demand of all VMs and the planners.
 #[derive(Debug)]
-pub(crate) struct Ordering {
+pub(crate) struct EngineOrders {
     lease: Lease,
     demand: DemandBook,
     /// One planner for each engine service; empty unless this VM holds the lease.
@@ -55,16 +55,16 @@
     fence: Option<u64>,
     next_plan_ms: u64,
     /// Earliest time of the next round of planning, even if events ask for one sooner.
-    rest_until_ms: u64,
+    no_plan_before_ms: u64,
 }
 
-impl Ordering {
+impl EngineOrders {
     pub fn new(settings: &Settings, run: u64) -> Self {
         let defaults = LeaseOptions::default();
         // An engine that checks fencing tokens rejects the previous holder's orders itself, so a
         // new holder need not wait until none of them can still be in transit.
         let (pause_ms, outlast_ms) = match settings.engines_check_fences {
-            true => (0, OUTLAST_MS),
+            true => (0, OUTAGE_GRACE_MS),
             false => (settings.order_pause_ms, 0),
         };
         let options = LeaseOptions {
@@ -78,12 +78,12 @@
             planners: HashMap::new(),
             fence: None,
             next_plan_ms: 0,
-            rest_until_ms: 0,
+            no_plan_before_ms: 0,
         }
     }
 
     /// Records the demand that a VM reports. Only the lease holder receives such reports.
-    pub fn note_demand(&mut self, now_ms: u64, vm: &VmName, run: u64, rows: Vec<DemandRow>) {
+    pub fn record_demand(&mut self, now_ms: u64, vm: &VmName, run: u64, rows: Vec<DemandRow>) {
         let urgent = rows.iter().any(|row| row.missing > 0);
         for row in rows.iter().filter(|row| row.missing > 0) {
             let wanted = WantedModel {
@@ -102,7 +102,7 @@
 
     /// Returns the residence updates that a VM must have missed, given that it reports these models
     /// as missing.
-    pub fn missed_news(&self, rows: &[DemandRow]) -> Vec<ResidenceNews> {
+    pub fn missed_residence_updates(&self, rows: &[DemandRow]) -> Vec<ResidenceNews> {
         rows.iter()
             .filter(|row| row.missing > 0)
             .flat_map(|row| {
@@ -117,28 +117,28 @@
     }
 
     /// Records the end of the lease as announced by its holder.
-    pub fn note_lease_end(&mut self, now_ms: u64, end: Position) {
+    pub fn record_lease_end(&mut self, now_ms: u64, end: Position) {
         self.lease.note_end(now_ms, end, None);
     }
 
     /// Records that the holder has released the lease. `quiet_ms` is how long before that it sent
     /// its last order.
-    pub fn note_release(&mut self, now_ms: u64, end: Position, quiet_ms: u64) {
+    pub fn record_release(&mut self, now_ms: u64, end: Position, quiet_ms: u64) {
         self.lease.note_end(now_ms, end, Some(quiet_ms));
     }
 
     /// Returns whether another VM's heartbeat belongs to an older lease than the newest known one.
-    pub fn is_outdated(&self, lease_end: Position) -> bool {
+    pub fn is_from_older_lease(&self, lease_end: Position) -> bool {
         self.lease.end().is_some_and(|end| lease_end < end)
     }
 
     /// Returns whether this VM may send orders.
-    pub fn fence_held(&self) -> bool {
+    pub fn may_send_orders(&self) -> bool {
         self.fence.is_some()
     }
 
     /// Records the era of the store: how often it has been restored from an older copy.
-    pub fn note_era(&mut self, now_ms: u64, era: u64) {
+    pub fn record_era(&mut self, now_ms: u64, era: u64) {
         self.lease.note_era(now_ms, era);
     }
 
@@ -167,7 +167,7 @@
     /// Returns when the lease or the planners next need attention.
     pub fn next_ms(&self) -> u64 {
         let plan_ms = if self.fence.is_some() {
-            self.next_plan_ms.max(self.rest_until_ms)
+            self.next_plan_ms.max(self.no_plan_before_ms)
         } else {
             u64::MAX
         };
@@ -177,21 +177,24 @@
 
 impl Daemon {
     /// Renews or acquires the lease when due and, while this VM holds it, plans orders.
-    pub(crate) fn advance_ordering(&mut self) {
+    pub(crate) fn advance_engine_orders(&mut self) {
         let now_ms = self.now_ms;
         if self.stopping.has_begun() {
             // A renewal may have been in progress when the stop began.
             self.release_lease();
-        } else if now_ms >= self.ordering.lease.next_ms() {
+        } else if now_ms >= self.engine_orders.lease.next_ms() {
             let place = self.peers.place(now_ms);
-            self.ordering.lease.set_place(place);
-            if let Some(action) = self.ordering.lease.act(now_ms) {
-                self.call_lease(&action);
+            self.engine_orders.lease.set_place(place);
+            if let Some(action) = self.engine_orders.lease.act(now_ms) {
+                self.call_store_for_lease(&action);
             }
         }
-        self.note_fence();
-        let due_ms = self.ordering.next_plan_ms.max(self.ordering.rest_until_ms);
-        if self.ordering.fence.is_some() && now_ms >= due_ms {
+        self.update_fence();
+        let due_ms = self
+            .engine_orders
+            .next_plan_ms
+            .max(self.engine_orders.no_plan_before_ms);
+        if self.engine_orders.fence.is_some() && now_ms >= due_ms {
             self.plan();
         }
     }
@@ -201,9 +204,9 @@
         let begun = Instant::now();
         self.sync_planners();
         let mut actions = Vec::new();
-        let mut next_ms = now_ms + PLAN_EVERY_MS;
-        for planner in self.ordering.planners.values_mut() {
-            actions.extend(planner.plan(now_ms, &self.ordering.demand));
+        let mut next_ms = now_ms + MAX_PLAN_INTERVAL_MS;
+        for planner in self.engine_orders.planners.values_mut() {
+            actions.extend(planner.plan(now_ms, &self.engine_orders.demand));
             if let Some(due_ms) = planner.next_ms() {
                 next_ms = next_ms.min(due_ms);
             }
@@ -211,15 +214,15 @@
         let took_ms = begun.elapsed().as_millis() as u64;
         self.metrics.planned(took_ms);
         // Reports and finished orders ask for another round immediately; this bounds them.
-        self.ordering.rest_until_ms = now_ms + took_ms + took_ms * REST_FOR_PLAN;
-        self.ordering.next_plan_ms = next_ms.max(now_ms + 1);
-        self.note_store_loads();
-        self.carry_out(actions);
+        self.engine_orders.no_plan_before_ms = now_ms + took_ms + took_ms * PLAN_PAUSE_FACTOR;
+        self.engine_orders.next_plan_ms = next_ms.max(now_ms + 1);
+        self.update_store_load_gauges();
+        self.execute_actions(actions);
     }
 
     /// Updates the gauges of loads from the weight store.
-    pub(super) fn note_store_loads(&self) {
-        let planners = || self.ordering.planners.values();
+    pub(super) fn update_store_load_gauges(&self) {
+        let planners = || self.engine_orders.planners.values();
         let loads: usize = planners().map(Planner::store_loads_in_progress).sum();
         let allowed: usize = planners().map(Planner::store_loads_allowed).sum();
         self.metrics.store_loads.set(loads as i64);
@@ -230,7 +233,7 @@
         let directory = &self.directory;
         let dispatcher = &self.dispatcher;
         let now_ms = self.now_ms;
-        let planners = &mut self.ordering.planners;
+        let planners = &mut self.engine_orders.planners;
         planners.retain(|service, _| directory.service(service).is_some());
         for (name, service) in &directory.configuration().services {
             if let Some(spec) = &service.engine {
@@ -244,7 +247,7 @@
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<PlannerAction>) {
+    fn execute_actions(&mut self, actions: Vec<PlannerAction>) {
         let mut news = Vec::new();
         for action in actions {
             match action {
@@ -253,7 +256,7 @@
                     kind,
                     orders_before,
                 } => {
-                    self.give_order(engine, kind, orders_before);
+                    self.send_order(engine, kind, orders_before);
                 }
                 PlannerAction::Report { engine } => self.read_report(engine),
                 PlannerAction::Tell(told) => news.push(told),
--- a/crates/entry/src/ordering/engine_calls.rs
+++ b/crates/entry/src/engine_orders/engine_calls.rs
@@ -17,16 +17,16 @@
 use crate::outbound::Peer;
 
 impl Daemon {
-    pub(super) fn give_order(&mut self, engine: UpstreamName, kind: OrderKind, orders_before: u64) {
-        let fence = self.ordering.lease.fence(self.now_ms);
+    pub(super) fn send_order(&mut self, engine: UpstreamName, kind: OrderKind, orders_before: u64) {
+        let fence = self.engine_orders.lease.fence(self.now_ms);
         let upstream = self.directory.upstream(&engine);
         let (Some(fence), Some(upstream)) = (fence, upstream) else {
-            self.planner_told(&engine, OrderOutcome::NotSent);
+            self.report_order_outcome(&engine, OrderOutcome::NotSent);
             return;
         };
         let address = upstream.address;
         let instance = upstream.instance.clone();
-        self.ordering.lease.note_order(self.now_ms);
+        self.engine_orders.lease.note_order(self.now_ms);
         log::info!(
             engine = engine.to_string(), order = kind.as_str(), model = kind.model().to_string(),
             fence, orders_before;
@@ -88,28 +88,28 @@
             engine = engine.to_string(), order = kind.as_str(), outcome = outcome.as_str();
             "order ended"
         );
-        self.planner_told(engine, outcome);
+        self.report_order_outcome(engine, outcome);
         if outcome == OrderOutcome::StaleFence {
-            self.ordering.lease.note_outranked(self.now_ms);
-            self.note_fence();
+            self.engine_orders.lease.note_outranked(self.now_ms);
+            self.update_fence();
         }
     }
 
-    fn planner_told(&mut self, engine: &UpstreamName, outcome: OrderOutcome) {
+    fn report_order_outcome(&mut self, engine: &UpstreamName, outcome: OrderOutcome) {
         let now_ms = self.now_ms;
         let mut actions = Vec::new();
-        for planner in self.ordering.planners.values_mut() {
+        for planner in self.engine_orders.planners.values_mut() {
             actions.extend(planner.order_ended(now_ms, engine, outcome));
         }
-        self.ordering.next_plan_ms = now_ms;
-        self.carry_out(actions);
+        self.engine_orders.next_plan_ms = now_ms;
+        self.execute_actions(actions);
     }
 
     /// Handles an engine's rejection of a request because it does not hold the model.
-    pub(crate) fn engine_lacks(&mut self, engine: &UpstreamName, model: &ModelName) {
+    pub(crate) fn handle_missing_model(&mut self, engine: &UpstreamName, model: &ModelName) {
         let now_ms = self.now_ms;
         let mut actions = Vec::new();
-        for planner in self.ordering.planners.values_mut() {
+        for planner in self.engine_orders.planners.values_mut() {
             actions.extend(planner.note_turned_away(now_ms, engine, model));
         }
         if !actions.is_empty() {
@@ -117,13 +117,13 @@
                 engine = engine.to_string(), model = model.to_string();
                 "load not done when expected"
             );
-            self.ordering.next_plan_ms = now_ms;
-            self.carry_out(actions);
+            self.engine_orders.next_plan_ms = now_ms;
+            self.execute_actions(actions);
         }
     }
 
     /// Returns whether a report comes from a later run of the engine than the one addressed.
-    fn is_of_other_run(&self, engine: &UpstreamName, report: &EngineReport) -> bool {
+    fn is_from_later_incarnation(&self, engine: &UpstreamName, report: &EngineReport) -> bool {
         self.directory
             .upstream(engine)
             .is_some_and(|known| known.born_ms > 0 && report.born_ms > known.born_ms)
@@ -131,7 +131,7 @@
 
     /// Handles a restart that an engine's report reveals before the upstream list does. The state
     /// known of the former run would lead to wrong orders, since none of it is loaded any more.
-    fn engine_restarted(&mut self, former: &UpstreamName, report: EngineReport) {
+    fn handle_engine_restart(&mut self, former: &UpstreamName, report: EngineReport) {
         let Some(instance) = self
             .directory
             .upstream(former)
@@ -149,7 +149,7 @@
             }
             self.upstream_left(former, "restarted");
             self.tell_list_read();
-            self.ordering.next_plan_ms = self.now_ms;
+            self.engine_orders.next_plan_ms = self.now_ms;
         }
     }
 
@@ -159,8 +159,8 @@
         let report = match outcome {
             CallOutcome::Answered { status, body } => {
                 match self.codecs.engines.report_answer(status, &body) {
-                    Ok(report) if self.is_of_other_run(engine, &report) => {
-                        self.engine_restarted(engine, report);
+                    Ok(report) if self.is_from_later_incarnation(engine, &report) => {
+                        self.handle_engine_restart(engine, report);
                         return;
                     }
                     Ok(report) => Some(report),
@@ -176,10 +176,10 @@
             _ => None,
         };
         let mut actions = Vec::new();
-        for planner in self.ordering.planners.values_mut() {
+        for planner in self.engine_orders.planners.values_mut() {
             actions.extend(planner.report_ended(now_ms, engine, report.clone()));
         }
-        self.ordering.next_plan_ms = now_ms;
-        self.carry_out(actions);
+        self.engine_orders.next_plan_ms = now_ms;
+        self.execute_actions(actions);
     }
 }
--- a/crates/entry/src/ordering/order_lease.rs
+++ b/crates/entry/src/engine_orders/order_lease.rs
@@ -14,7 +14,7 @@
 use crate::messages::PeerMessage;
 
 impl Daemon {
-    pub(super) fn call_lease(&mut self, action: &LeaseAction) {
+    pub(super) fn call_store_for_lease(&mut self, action: &LeaseAction) {
         match action {
             LeaseAction::Read { from } => {
                 let bytes = self.codecs.store.read(Topic::Lease, *from, 0);
@@ -58,7 +58,7 @@
             // to take over from a lost holder, and would then wait for another whole lease.
             self.peers.beat_soon();
         }
-        let released = self.ordering.lease.answered(self.now_ms, answer);
+        let released = self.engine_orders.lease.answered(self.now_ms, answer);
         if let Some((lease_end, quiet_ms)) = released {
             log::info!(lease_end = lease_end.to_string(), quiet_ms; "lease given back");
             self.peers.send_all(&PeerMessage::Released {
@@ -66,7 +66,7 @@
                 quiet_ms,
             });
         }
-        self.note_fence();
+        self.update_fence();
     }
 
     fn lease_read(&self, status: u16, body: &[u8]) -> LeaseAnswer {
@@ -86,32 +86,32 @@
     }
 
     /// Starts or stops sending orders when the fencing token of the lease changes.
-    pub(super) fn note_fence(&mut self) {
-        let fence = self.ordering.lease.fence(self.now_ms);
-        if fence == self.ordering.fence {
+    pub(super) fn update_fence(&mut self) {
+        let fence = self.engine_orders.lease.fence(self.now_ms);
+        if fence == self.engine_orders.fence {
             return;
         }
         match fence {
             Some(fence) => {
                 self.metrics.takeover();
-                let lease_end = self.ordering.lease_end().to_string();
+                let lease_end = self.engine_orders.lease_end().to_string();
                 log::info!(fence, lease_end; "this VM gives orders");
                 // Entries announced by other VMs omit copies of weights, which planning needs.
                 self.feeds.lead(self.now_ms);
             }
             None => log::info!("this VM gives no more orders"),
         }
-        self.ordering.fence = fence;
-        self.ordering.planners.clear();
-        self.note_store_loads();
-        self.ordering.next_plan_ms = self.now_ms;
+        self.engine_orders.fence = fence;
+        self.engine_orders.planners.clear();
+        self.update_store_load_gauges();
+        self.engine_orders.next_plan_ms = self.now_ms;
     }
 
     /// Releases the lease at a planned stop.
     pub(crate) fn release_lease(&mut self) {
-        if let Some(action) = self.ordering.lease.release(self.now_ms) {
-            self.call_lease(&action);
+        if let Some(action) = self.engine_orders.lease.release(self.now_ms) {
+            self.call_store_for_lease(&action);
         }
-        self.note_fence();
+        self.update_fence();
     }
 }
--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/feeds.rs
@@ -191,11 +191,11 @@
     /// Handles a rollback of the store. The lease holder rereads the upstream list immediately; a
     /// VM that receives announcements need not. This VM's own entry is rewritten at a randomly
     /// spread time.
-    pub fn set_back(&mut self, now_ms: u64, leads: bool, pacing: &mut ReadPacing) {
+    pub fn set_back(&mut self, now_ms: u64, holds_lease: bool, pacing: &mut ReadPacing) {
         self.configuration.restart_soon();
         self.copy.restart_soon();
         self.copy_writer.restart();
-        if leads {
+        if holds_lease {
             self.upstreams.restart_soon();
             self.upstreams.next_ms = now_ms;
         }
@@ -263,10 +263,10 @@
     /// Makes the store calls that are due.
     pub(crate) fn advance_feeds(&mut self) {
         let now_ms = self.now_ms;
-        let leads = self.ordering.fence_held();
+        let holds_lease = self.engine_orders.may_send_orders();
         let is_followed = self.sharing.follows(now_ms);
         self.feeds
-            .note_turn(now_ms, is_followed, leads, &mut self.pacing);
+            .note_turn(now_ms, is_followed, holds_lease, &mut self.pacing);
         let feeds = &self.feeds;
         let is_due = |feed: &Feed, due_ms: u64| !feed.calling && due_ms <= now_ms;
         let configuration = is_due(
@@ -291,7 +291,7 @@
         if vms {
             self.read_vms();
         }
-        if self.ordering.held_lease_end(now_ms).is_some() {
+        if self.engine_orders.held_lease_end(now_ms).is_some() {
             self.write_copy();
         }
     }
--- a/crates/entry/src/feeds/list_snapshot.rs
+++ b/crates/entry/src/feeds/list_snapshot.rs
@@ -234,7 +234,7 @@
 
     /// Applies entries that another VM has read and announced.
     pub(crate) fn take_told_entries(&mut self, read_to: Position, entries: Vec<Upstream>) {
-        self.note_era(read_to.era);
+        self.handle_era(read_to.era);
         // Before the first list is known there is nothing to add the entries to.
         if !self.directory.is_listed() {
             return;
@@ -256,8 +256,8 @@
     pub(crate) fn tell_list_read(&mut self) {
         let now_ms = self.now_ms;
         let came = std::mem::take(&mut self.feeds.came);
-        let leads = self.ordering.held_lease_end(now_ms).is_some();
-        if !leads && self.sharing.follows(now_ms) {
+        let holds_lease = self.engine_orders.held_lease_end(now_ms).is_some();
+        if !holds_lease && self.sharing.follows(now_ms) {
             return;
         }
         if came.len() > MOST_ENTRIES_TOLD {
@@ -276,7 +276,7 @@
                 entries: part.to_vec(),
             });
         }
-        if !leads {
+        if !holds_lease {
             let from = self.peers.own_record().clone();
             let fresh = self.freshness();
             self.peers.send_all(&PeerMessage::ListRead { from, fresh });
--- a/crates/entry/src/feeds/schedule.rs
+++ b/crates/entry/src/feeds/schedule.rs
@@ -48,11 +48,11 @@
         &mut self,
         now_ms: u64,
         is_followed: bool,
-        leads: bool,
+        holds_lease: bool,
         pacing: &mut ReadPacing,
     ) {
         self.turn_ms = match (is_followed, self.turn_ms) {
-            _ if leads => Some(0),
+            _ if holds_lease => Some(0),
             (true, _) => None,
             (false, None) => Some(now_ms + pacing.turn_ms()),
             (false, turn_ms) => turn_ms,
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -85,7 +85,7 @@
                     let greeting = PeerMessage::Greeting(self.peers.own.clone());
                     self.peers.send(record.address, &greeting);
                 }
-                if self.ordering.held_lease_end(now_ms).is_some() {
+                if self.engine_orders.held_lease_end(now_ms).is_some() {
                     self.tell_blocks_to(record.address);
                     self.tell_probations_to(record.address);
                 }
@@ -106,11 +106,15 @@
             }
             PeerMessage::Demand { from: record, rows } => {
                 self.peers.note_heard(now_ms, &record);
-                for part in self.ordering.missed_news(&rows).chunks(ROWS_A_DATAGRAM / 2) {
+                for part in self
+                    .engine_orders
+                    .missed_residence_updates(&rows)
+                    .chunks(ROWS_A_DATAGRAM / 2)
+                {
                     self.peers.send(from, &PeerMessage::News(part.to_vec()));
                 }
-                self.ordering
-                    .note_demand(now_ms, &record.vm, record.run, rows);
+                self.engine_orders
+                    .record_demand(now_ms, &record.vm, record.run, rows);
             }
             PeerMessage::Beat {
                 from,
@@ -119,11 +123,11 @@
                 fresh,
             } => {
                 self.peers.note_heard(now_ms, &from);
-                self.note_era(lease_end.era);
-                if self.ordering.is_outdated(lease_end) {
+                self.handle_era(lease_end.era);
+                if self.engine_orders.is_from_older_lease(lease_end) {
                     return;
                 }
-                self.ordering.note_lease_end(now_ms, lease_end);
+                self.engine_orders.record_lease_end(now_ms, lease_end);
                 if self
                     .peers
                     .holder
@@ -143,13 +147,15 @@
             }
             PeerMessage::Entries { read_to, entries } => self.take_told_entries(read_to, entries),
             PeerMessage::News(news) => self.take_news(news),
-            PeerMessage::TurnedAway { engine, model } => self.engine_lacks(&engine, &model),
+            PeerMessage::TurnedAway { engine, model } => self.handle_missing_model(&engine, &model),
             PeerMessage::Dark(engine) => self.told_dark(&engine),
             PeerMessage::Lit(engine) => self.engine_lit(&engine),
             PeerMessage::Released {
                 lease_end,
                 quiet_ms,
-            } => self.ordering.note_release(now_ms, lease_end, quiet_ms),
+            } => self
+                .engine_orders
+                .record_release(now_ms, lease_end, quiet_ms),
             PeerMessage::Crashes(reports) => self.take_crash_reports(&reports),
             PeerMessage::Blocks(rows) => self.take_blocks(&rows),
             PeerMessage::Cleared(fingerprint) => self.request_cleared(&fingerprint, "told"),
@@ -175,8 +181,8 @@
     /// Reports to the lease holder that an engine does not hold a model. Otherwise the holder would
     /// go on announcing to all VMs that the engine does.
     pub(crate) fn tell_turned_away(&mut self, engine: &UpstreamName, model: &ModelName) {
-        if self.ordering.held_lease_end(self.now_ms).is_some() {
-            self.engine_lacks(engine, model);
+        if self.engine_orders.held_lease_end(self.now_ms).is_some() {
+            self.handle_missing_model(engine, model);
         } else if let Some((_, address, _)) = self.peers.holder {
             let message = PeerMessage::TurnedAway {
                 engine: engine.clone(),
@@ -189,13 +195,13 @@
     /// Applies what another VM has read from the store.
     fn take_freshness(&mut self, fresh: &Freshness) {
         let now_ms = self.now_ms;
-        self.note_era(fresh.list_read_to.era);
+        self.handle_era(fresh.list_read_to.era);
         // A VM that has not heard of the rollback does not know what the upstream list lacks now.
         if self.store_era.is_past(fresh.list_read_to.era) {
             return;
         }
         // The lease holder reads for itself, since the others depend on its announcements.
-        if self.ordering.held_lease_end(now_ms).is_none() {
+        if self.engine_orders.held_lease_end(now_ms).is_none() {
             let draw_ms = self.pacing.draw_ms();
             self.sharing
                 .hear(now_ms, fresh, self.pacing.spread_ms(), draw_ms);
@@ -203,14 +209,14 @@
         if let Some(rate) = fresh.list_bytes_per_s {
             self.pacing.set_list_rate(rate);
         }
-        let is_outdated = self.sharing.told_version() > self.directory.version();
-        self.feeds.note_outdated(now_ms, is_outdated);
+        let is_from_older_lease = self.sharing.told_version() > self.directory.version();
+        self.feeds.note_outdated(now_ms, is_from_older_lease);
         if fresh.configuration == self.directory.version()
             && let Some(age_ms) = fresh.configuration_age_ms
         {
             self.feeds.note_current(now_ms.saturating_sub(age_ms));
         }
-        if is_outdated {
+        if is_from_older_lease {
             let at_ms = now_ms + self.pacing.draw_ms();
             self.feeds.read_configuration_at(at_ms);
         }
@@ -250,8 +256,8 @@
             .heard(now_ms, &[is_same || !has_copy], draw_ms);
         feeds.uncopied_repair.heard(now_ms, &[is_same], turn_ms);
         feeds.held_repair.heard(now_ms, &holds_same, draw_ms);
-        let leads = self.ordering.held_lease_end(self.now_ms).is_some();
-        if let (true, false, Some(read_to)) = (is_same, leads, fresh.whole_list_read_to()) {
+        let holds_lease = self.engine_orders.held_lease_end(self.now_ms).is_some();
+        if let (true, false, Some(read_to)) = (is_same, holds_lease, fresh.whole_list_read_to()) {
             self.feeds.skip_list_to(read_to);
             self.directory.note_list_same(read_to);
         }
@@ -313,7 +319,7 @@
 
     fn send_beat(&mut self) {
         let now_ms = self.now_ms;
-        let Some(lease_end) = self.ordering.held_lease_end(now_ms) else {
+        let Some(lease_end) = self.engine_orders.held_lease_end(now_ms) else {
             let silent = self
                 .peers
                 .holder
@@ -325,7 +331,7 @@
             return;
         };
         self.peers.holder = Some((self.peers.own.vm.clone(), self.peers.own.address, now_ms));
-        let rows = self.ordering.forecasts(now_ms);
+        let rows = self.engine_orders.forecasts(now_ms);
         let from = self.peers.own.clone();
         let mut parts: Vec<Vec<ForecastRow>> = rows
             .chunks(ROWS_A_DATAGRAM)
@@ -358,8 +364,9 @@
         self.peers.next_demand_ms = now_ms + pause_ms;
         self.peers.last_demand_ms = now_ms;
         let from = self.peers.own.clone();
-        if self.ordering.held_lease_end(now_ms).is_some() {
-            self.ordering.note_demand(now_ms, &from.vm, from.run, rows);
+        if self.engine_orders.held_lease_end(now_ms).is_some() {
+            self.engine_orders
+                .record_demand(now_ms, &from.vm, from.run, rows);
             return;
         }
         let Some((_, address, _)) = self.peers.holder else {
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -59,7 +59,7 @@
                 return CallOutcome::Unknown;
             }
             let knew_another = self.store_era.known.is_some_and(|_| asked_era < era);
-            self.note_era(era);
+            self.handle_era(era);
             if knew_another && tag.names_a_place() {
                 return CallOutcome::SetBack;
             }
@@ -69,22 +69,22 @@
 
     /// Records the era of the store as stated by a store's answer or by another VM, and handles a
     /// rollback that this reveals.
-    pub(crate) fn note_era(&mut self, era: u64) {
+    pub(crate) fn handle_era(&mut self, era: u64) {
         let now_ms = self.now_ms;
-        self.ordering.note_era(now_ms, era);
+        self.engine_orders.record_era(now_ms, era);
         let Some(before) = self.store_era.note(era) else {
             return;
         };
         self.metrics.store_set_back();
         log::warn!(
             era, before, list_read_to = self.feeds.list_read_to().to_string(),
-            lease_end = self.ordering.lease_end().to_string(),
+            lease_end = self.engine_orders.lease_end().to_string(),
             configuration = self.directory.version();
             "store came back from an older copy"
         );
         self.directory.note_list_set_back(now_ms);
-        let leads = self.ordering.held_lease_end(now_ms).is_some();
-        self.feeds.set_back(now_ms, leads, &mut self.pacing);
+        let holds_lease = self.engine_orders.held_lease_end(now_ms).is_some();
+        self.feeds.set_back(now_ms, holds_lease, &mut self.pacing);
         self.block_store.set_back();
         self.look_again = true;
     }
