--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -72,7 +72,7 @@
     /// Whether the connection closes after the answer in progress.
     pub close_after: bool,
     /// Whether the request in progress is HEAD, whose answer has no body.
-    pub to_head: bool,
+    pub is_head_request: bool,
     /// Time of the last write, of the end of the last answer, or of the begin of the head in
     /// progress.
     since_ms: u64,
@@ -89,7 +89,7 @@
             input: Vec::new(),
             phase: Phase::Head,
             close_after: false,
-            to_head: false,
+            is_head_request: false,
             since_ms: now_ms,
             ended: None,
         }
@@ -171,7 +171,7 @@
         match std::mem::replace(&mut self.phase, Phase::Busy(None)) {
             Phase::Body { head, body, .. } => {
                 self.close_after |= head.close;
-                self.to_head = head.method.eq_ignore_ascii_case("HEAD");
+                self.is_head_request = head.method.eq_ignore_ascii_case("HEAD");
                 Received::Request { head, body }
             }
             other => {
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -43,7 +43,7 @@
     /// Reads an engine's report for planning.
     Report(UpstreamName),
     /// Probes an engine from which nothing has come for too long, by reading its report.
-    Look(UpstreamName),
+    Probe(UpstreamName),
     /// Probes an upstream that broke a connection, by reading an engine's report or only
     /// connecting.
     Recheck(UpstreamName),
@@ -69,7 +69,7 @@
             Self::LeaseAppend => "lease_append",
             Self::Order(..) => "order",
             Self::Report(_) => "report",
-            Self::Look(_) => "look",
+            Self::Probe(_) => "look",
             Self::Recheck(_) => "recheck",
             Self::BlocksNewest => "blocks_newest",
             Self::BlocksAppend => "blocks_append",
@@ -77,16 +77,16 @@
     }
 
     /// Returns whether the call goes to the store.
-    pub fn is_of_store(&self) -> bool {
+    pub fn targets_store(&self) -> bool {
         !matches!(
             self,
-            Self::Order(..) | Self::Report(_) | Self::Look(_) | Self::Recheck(_)
+            Self::Order(..) | Self::Report(_) | Self::Probe(_) | Self::Recheck(_)
         )
     }
 
     /// Returns whether the call is a read that continues from the position at which an earlier one
     /// ended. Reads of the lease are excluded, since the lease checks its positions itself.
-    pub fn names_a_place(&self) -> bool {
+    pub fn continues_from_position(&self) -> bool {
         matches!(
             self,
             Self::ConfigurationNewest
@@ -120,7 +120,7 @@
         body: Vec<u8>,
     },
     /// The call named a position in a topic, and the store has been rolled back since.
-    SetBack,
+    RolledBack,
     /// The other end certainly did not receive the call.
     NotSent,
     /// The other end may have received the call.
@@ -139,7 +139,7 @@
                 status: 500..=599, ..
             } => "unavailable",
             Self::Answered { .. } => "rejected",
-            Self::SetBack => "set_back",
+            Self::RolledBack => "set_back",
             Self::NotSent => "not_sent",
             Self::Unknown => "unknown",
         }
@@ -147,7 +147,7 @@
 }
 
 impl Daemon {
-    /// Begins a call. Its outcome is passed to [`Daemon::call_ended`], after the timeout at the
+    /// Begins a call. Its outcome is passed to [`Daemon::finish_call`], after the timeout at the
     /// latest.
     pub(crate) fn call(
         &mut self,
@@ -159,12 +159,12 @@
     ) {
         match self.connect(&peer, address) {
             Some(token) => self.call_on(token, tag, bytes, timeout_ms),
-            None => self.call_ended(tag, CallOutcome::NotSent),
+            None => self.finish_call(tag, CallOutcome::NotSent),
         }
     }
 
     /// Begins a call on a new connection, even if there are idle ones.
-    pub(crate) fn call_anew(
+    pub(crate) fn call_on_new_connection(
         &mut self,
         peer: Peer,
         address: SocketAddr,
@@ -174,7 +174,7 @@
     ) {
         match self.open(&peer, address) {
             Some(token) => self.call_on(token, tag, bytes, timeout_ms),
-            None => self.call_ended(tag, CallOutcome::NotSent),
+            None => self.finish_call(tag, CallOutcome::NotSent),
         }
     }
 
@@ -185,10 +185,10 @@
         };
         connection.begin(now_ms, Purpose::Call(tag), bytes, false);
         connection.call_until_ms = Some(now_ms + timeout_ms);
-        connection.asked_era = self.store_era.now();
-        self.call_alarm_ms = self.call_alarm_ms.min(now_ms + timeout_ms);
+        connection.request_era = self.store_era.now();
+        self.next_call_timeout_ms = self.next_call_timeout_ms.min(now_ms + timeout_ms);
         if !connection.stream.flush() {
-            self.call_broken(token);
+            self.call_failed(token);
         }
     }
 
@@ -219,7 +219,7 @@
             };
             match connection.next_part() {
                 Part::Head(head) => {
-                    self.note_idle(token, &head);
+                    self.record_idle_time(token, &head);
                     let answer = CallAnswer {
                         status: head.status,
                         era: self.codecs.store.era(&head),
@@ -234,26 +234,26 @@
                         answer.body.len() > ANSWER_LIMIT_BYTES
                     });
                     if too_large {
-                        self.call_broken(token);
+                        self.call_failed(token);
                         return;
                     }
                 }
                 Part::End => {
                     let purpose = connection.purpose.clone();
-                    let asked_era = connection.asked_era;
+                    let request_era = connection.request_era;
                     let answer = self.call_answers.remove(&token);
                     self.outbound
                         .release(self.now_ms, token, self.poll.registry());
                     if let (Purpose::Call(tag), Some(answer)) = (purpose, answer) {
-                        let outcome = self.outcome_in_era(&tag, asked_era, answer);
-                        self.call_ended(tag, outcome);
+                        let outcome = self.era_checked_outcome(&tag, request_era, answer);
+                        self.finish_call(tag, outcome);
                     }
                     return;
                 }
                 Part::Wait if connection.has_more() => connection.read(now_ms),
                 Part::Wait => return,
                 Part::Failed => {
-                    self.call_broken(token);
+                    self.call_failed(token);
                     return;
                 }
             }
@@ -261,15 +261,15 @@
     }
 
     /// Ends a call whose connection failed or that has timed out.
-    pub(crate) fn call_broken(&mut self, token: Token) {
+    pub(crate) fn call_failed(&mut self, token: Token) {
         self.call_answers.remove(&token);
         let Some(connection) = self.outbound.get_mut(token) else {
             return;
         };
         let sent = connection.stream.sent_bytes > 0;
-        let unreached = connection.is_unreached(self.now_ms);
+        let unreachable = connection.is_unreachable(self.now_ms);
         let refused = connection.stream.refused;
-        let silent = connection
+        let timed_out = connection
             .call_until_ms
             .is_some_and(|until_ms| until_ms <= self.now_ms);
         let peer = connection.peer.clone();
@@ -278,7 +278,7 @@
         // must not wait on another silent one.
         self.outbound.close_idle(&peer, self.poll.registry());
         match &peer {
-            Peer::Upstream(upstream) if unreached => {
+            Peer::Upstream(upstream) if unreachable => {
                 self.upstream_unreachable(upstream);
                 if refused {
                     self.note_ended(upstream);
@@ -286,34 +286,34 @@
             }
             _ => {}
         }
-        if let Some(Purpose::Call(CallTag::Look(engine))) = &purpose {
+        if let Some(Purpose::Call(CallTag::Probe(engine))) = &purpose {
             self.metrics
-                .call("look", if silent { "silent" } else { "reset" });
-            self.look_ended(engine, !silent);
+                .call("look", if timed_out { "silent" } else { "reset" });
+            self.probe_ended(engine, !timed_out);
         } else if let Some(Purpose::Call(tag)) = purpose {
             let outcome = match sent {
                 true => CallOutcome::Unknown,
                 false => CallOutcome::NotSent,
             };
-            self.call_ended(tag, outcome);
+            self.finish_call(tag, outcome);
         }
     }
 
     /// Applies the idle time that the other end states for the connection.
-    pub(crate) fn note_idle(&mut self, token: Token, head: &ResponseHead) {
+    pub(crate) fn record_idle_time(&mut self, token: Token, head: &ResponseHead) {
         let fields = self.codecs.callers.answer(head);
         if let (Some(idle_ms), Some(connection)) = (fields.idle_ms, self.outbound.get_mut(token)) {
-            connection.note_idle_ms(idle_ms);
+            connection.set_idle_time(idle_ms);
         }
     }
 
     /// Passes a call's outcome to the part of the daemon that made the call.
-    fn call_ended(&mut self, tag: CallTag, outcome: CallOutcome) {
+    fn finish_call(&mut self, tag: CallTag, outcome: CallOutcome) {
         self.metrics.call(tag.as_str(), outcome.as_str());
         match tag {
             CallTag::Order(engine, kind) => self.order_ended(&engine, &kind, outcome),
             CallTag::Report(engine) => self.report_ended(&engine, outcome),
-            CallTag::Look(engine) => self.look_ended(&engine, true),
+            CallTag::Probe(engine) => self.probe_ended(&engine, true),
             CallTag::Recheck(upstream) => self.recheck_ended(&upstream, &outcome),
             CallTag::BlocksNewest => self.blocks_read(outcome),
             CallTag::BlocksAppend => self.blocks_written(outcome),
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -98,9 +98,12 @@
 
     /// Writes a refusal. The answer to a HEAD request has no body.
     pub(crate) fn write_refusal(&mut self, token: Token, mut bytes: Vec<u8>) {
-        let to_head = self.callers.get(&token).is_some_and(|it| it.to_head);
+        let is_head_request = self
+            .callers
+            .get(&token)
+            .is_some_and(|it| it.is_head_request);
         let end = bytes.windows(HEAD_END.len()).position(|it| it == HEAD_END);
-        if let (true, Some(end)) = (to_head, end) {
+        if let (true, Some(end)) = (is_head_request, end) {
             bytes.truncate(end + HEAD_END.len());
         }
         self.write_to_caller(token, &bytes);
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -96,7 +96,7 @@
         };
         let peer = Peer::Upstream(recheck.upstream.clone());
         let tag = CallTag::Recheck(recheck.upstream.clone());
-        self.call_anew(peer, address, tag, &bytes, RECHECK_MS);
+        self.call_on_new_connection(peer, address, tag, &bytes, RECHECK_MS);
     }
 
     /// Handles the outcome of such a probe. An upstream that answers has not ended; if another one
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -122,7 +122,7 @@
     pub(crate) metrics: EntryMetrics,
     pub(crate) lines: LineBudget,
     pub(crate) call_answers: HashMap<Token, CallAnswer>,
-    pub(crate) call_alarm_ms: u64,
+    pub(crate) next_call_timeout_ms: u64,
     /// Callers' connections whose answer has ended and whose next request may already be there.
     pub(crate) answered: Vec<Token>,
     /// Whether dispatch of the waiting requests should be retried in this iteration.
@@ -208,7 +208,7 @@
             metrics: EntryMetrics::default(),
             lines: LineBudget::default(),
             call_answers: HashMap::new(),
-            call_alarm_ms: u64::MAX,
+            next_call_timeout_ms: u64::MAX,
             answered: Vec::new(),
             look_again: false,
             next_sweep_ms: now_ms,
@@ -288,7 +288,7 @@
         self.advance_watch();
         self.advance_crash_watch();
         self.advance_limits();
-        if self.now_ms >= self.next_sweep_ms || self.now_ms >= self.call_alarm_ms {
+        if self.now_ms >= self.next_sweep_ms || self.now_ms >= self.next_call_timeout_ms {
             self.sweep();
         }
         if std::mem::take(&mut self.look_again) {
@@ -303,7 +303,7 @@
         let next_ms = [
             self.active.next_ms().unwrap_or(u64::MAX),
             self.next_sweep_ms,
-            self.call_alarm_ms,
+            self.next_call_timeout_ms,
             self.feeds.next_ms(self.now_ms, &self.sharing),
             self.engine_orders.next_ms(),
             self.peers.next_ms(),
@@ -372,7 +372,7 @@
         let Some(connection) = self.outbound.get_mut(token) else {
             return;
         };
-        let stands = !writable || connection.stream.flush();
+        let is_open = !writable || connection.stream.flush();
         if !connection.paused {
             connection.read(now_ms);
             if let (Peer::Upstream(engine), true) =
@@ -384,13 +384,13 @@
         match connection.purpose.clone() {
             Purpose::Idle => {
                 // An idle connection that is readable was closed or carries bytes of no request.
-                if connection.next_idle_is_bad() {
+                if connection.is_unusable_when_idle() {
                     self.outbound.close(token, self.poll.registry());
                 }
             }
-            Purpose::Call(_) if !stands => self.call_broken(token),
+            Purpose::Call(_) if !is_open => self.call_failed(token),
             Purpose::Call(_) => self.advance_call(token),
-            Purpose::Relay(key) => self.advance_relay(token, key, stands),
+            Purpose::Relay(key) => self.advance_relay(token, key, is_open),
             Purpose::Drain => self.advance_drain(token),
         }
     }
@@ -403,14 +403,14 @@
             self.pacing.set_vms(vms);
             self.limits.set_vms(vms as usize);
         }
-        self.call_alarm_ms = u64::MAX;
+        self.next_call_timeout_ms = u64::MAX;
         for token in self.outbound.sweep(self.now_ms, self.poll.registry()) {
-            self.call_broken(token);
+            self.call_failed(token);
         }
         for (token, key) in self.outbound.unestablished(self.now_ms) {
             self.connection_failed(token, key);
         }
-        self.call_alarm_ms = self.outbound.next_call_until_ms().unwrap_or(u64::MAX);
+        self.next_call_timeout_ms = self.outbound.next_call_until_ms().unwrap_or(u64::MAX);
         let limits = self.directory.configuration().limits;
         let over: Vec<Token> = self
             .callers
--- a/crates/entry/src/engine_orders/engine_calls.rs
+++ b/crates/entry/src/engine_orders/engine_calls.rs
@@ -81,7 +81,7 @@
                 self.codecs.engines.order_answer(kind, status, &body)
             }
             CallOutcome::NotSent => OrderOutcome::NotSent,
-            CallOutcome::SetBack | CallOutcome::Unknown => OrderOutcome::Unknown,
+            CallOutcome::RolledBack | CallOutcome::Unknown => OrderOutcome::Unknown,
         };
         self.metrics.order(kind.as_str(), outcome.as_str());
         log::info!(
--- a/crates/entry/src/engine_orders/order_lease.rs
+++ b/crates/entry/src/engine_orders/order_lease.rs
@@ -36,7 +36,7 @@
     pub(crate) fn lease_call_ended(&mut self, tag: &CallTag, outcome: CallOutcome) {
         let answer = match (tag, outcome) {
             (_, CallOutcome::NotSent) => LeaseAnswer::NotDone,
-            (_, CallOutcome::Unknown | CallOutcome::SetBack) => LeaseAnswer::Unknown,
+            (_, CallOutcome::Unknown | CallOutcome::RolledBack) => LeaseAnswer::Unknown,
             (CallTag::LeaseRead, CallOutcome::Answered { status, body }) => {
                 self.lease_read(status, &body)
             }
--- a/crates/entry/src/engine_probes.rs
+++ b/crates/entry/src/engine_probes.rs
@@ -34,7 +34,13 @@
                     let peer = Peer::Upstream(engine.clone());
                     // An idle connection may be broken without a reset while the engine is
                     // responsive.
-                    self.call_anew(peer, address, CallTag::Look(engine), &bytes, ANSWER_MS);
+                    self.call_on_new_connection(
+                        peer,
+                        address,
+                        CallTag::Probe(engine),
+                        &bytes,
+                        ANSWER_MS,
+                    );
                 }
                 None => self.watch.removed(&engine),
             }
@@ -44,7 +50,7 @@
     /// Handles the outcome of a probe. `answered` includes a reset: an engine that resets a
     /// connection is responsive and has reached its limit of connections. When full engines counted
     /// as unresponsive, the requests that they were working on were lost.
-    pub(crate) fn look_ended(&mut self, engine: &UpstreamName, answered: bool) {
+    pub(crate) fn probe_ended(&mut self, engine: &UpstreamName, answered: bool) {
         match self.watch.asked(self.now_ms, engine, answered) {
             Silence::None => {}
             Silence::Dark => {
--- a/crates/entry/src/failed_attempts.rs
+++ b/crates/entry/src/failed_attempts.rs
@@ -70,10 +70,10 @@
             .get_mut(token)
             .is_some_and(|it| it.stream.sent_bytes > 0);
         let now_ms = self.now_ms;
-        let unreached = self
+        let unreachable = self
             .outbound
             .get_mut(token)
-            .is_some_and(|it| it.is_unreached(now_ms));
+            .is_some_and(|it| it.is_unreachable(now_ms));
         let broken = self
             .outbound
             .get_mut(token)
@@ -95,7 +95,7 @@
                 if sent && broken {
                     self.note_broken_send(upstream, key);
                 }
-                if unreached {
+                if unreachable {
                     self.upstream_unreachable(upstream);
                 }
                 if refused {
--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/feeds.rs
@@ -342,7 +342,7 @@
                 }
                 self.take_feed(tag, status, &body)
             }
-            CallOutcome::SetBack => {
+            CallOutcome::RolledBack => {
                 if let Some(feed) = self.feeds.feed(tag) {
                     feed.set_back(now_ms);
                 }
--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -27,10 +27,10 @@
 
 /// Time limit for establishing a connection. Packets take a few milliseconds within a region; a
 /// machine without power does not answer at all.
-const CONNECT_MS: u64 = 600;
+const CONNECT_TIMEOUT_MS: u64 = 600;
 
 /// Time limit for the next bytes of an answer that is read to its end only to reuse the connection.
-const DRAIN_MS: u64 = 1_000;
+const DRAIN_TIMEOUT_MS: u64 = 1_000;
 
 /// How much earlier than the other end this VM closes an idle connection.
 const IDLE_MARGIN_MS: u64 = 1_000;
@@ -89,8 +89,8 @@
     pub paused: bool,
     input: Vec<u8>,
     parse: Parse,
-    to_head: bool,
-    keeps: bool,
+    is_head_request: bool,
+    keep_alive: bool,
     ended: Option<ReadEnd>,
     /// Whether bytes may be unread for which no readiness event will come, because reading stopped
     /// at its limit or was paused.
@@ -105,17 +105,17 @@
     /// elsewhere.
     pub call_until_ms: Option<u64>,
     /// Era of the store that was known when the call in progress began.
-    pub asked_era: u64,
+    pub request_era: u64,
 }
 
 impl Outbound {
     /// Begins an exchange by writing a complete request.
-    pub fn begin(&mut self, now_ms: u64, purpose: Purpose, bytes: &[u8], to_head: bool) {
+    pub fn begin(&mut self, now_ms: u64, purpose: Purpose, bytes: &[u8], is_head_request: bool) {
         self.purpose = purpose;
         self.heard_ms = now_ms;
         self.parse = Parse::Head;
-        self.to_head = to_head;
-        self.keeps = true;
+        self.is_head_request = is_head_request;
+        self.keep_alive = true;
         self.stream.sent_bytes = 0;
         self.stream.queue(bytes);
     }
@@ -137,7 +137,7 @@
 
     /// Returns whether the other end was unreachable. One that resets a connection is reachable,
     /// and has reached its limit of connections.
-    pub fn is_unreached(&self, now_ms: u64) -> bool {
+    pub fn is_unreachable(&self, now_ms: u64) -> bool {
         let late = self
             .connect_until_ms
             .is_some_and(|until_ms| until_ms <= now_ms);
@@ -185,14 +185,14 @@
     }
 
     fn next_head(&mut self) -> Part {
-        match parse_response_head(&self.input, HEAD_LIMIT_BYTES, self.to_head) {
+        match parse_response_head(&self.input, HEAD_LIMIT_BYTES, self.is_head_request) {
             Ok(Some((head, length))) => {
                 self.input.drain(..length);
                 // Interim answers precede the final one.
                 if head.status < 200 {
                     return self.next_head();
                 }
-                self.keeps = !head.close;
+                self.keep_alive = !head.close;
                 self.parse = Parse::Body(BodyDecoder::new(head.body));
                 Part::Head(head)
             }
@@ -208,17 +208,17 @@
     }
 
     /// Returns whether an idle connection was closed or has received bytes of no request.
-    pub fn next_idle_is_bad(&self) -> bool {
+    pub fn is_unusable_when_idle(&self) -> bool {
         self.ended.is_some() || !self.input.is_empty()
     }
 
     /// Expects another answer, since the last one belonged to another request.
-    pub fn expect_another(&mut self) {
+    pub fn await_next_answer(&mut self) {
         self.parse = Parse::Head;
     }
 
     /// Sets the idle time from the limit that the other end states.
-    pub fn note_idle_ms(&mut self, idle_ms: u64) {
+    pub fn set_idle_time(&mut self, idle_ms: u64) {
         self.idle_ms = idle_ms.saturating_sub(IDLE_MARGIN_MS);
     }
 
@@ -226,7 +226,7 @@
     /// bytes behind the answer would be taken for the next one. The unwritten bytes of a request
     /// that was answered early would be sent before the next request.
     fn is_reusable(&self) -> bool {
-        self.keeps
+        self.keep_alive
             && self.ended.is_none()
             && self.input.is_empty()
             && self.stream.unwritten_bytes() == 0
@@ -281,16 +281,16 @@
             paused: false,
             input: Vec::new(),
             parse: Parse::Whole,
-            to_head: false,
-            keeps: true,
+            is_head_request: false,
+            keep_alive: true,
             ended: None,
             has_more: false,
             heard_ms: now_ms,
             idle_ms: DEFAULT_IDLE_MS,
             idle_until_ms: 0,
-            connect_until_ms: Some(now_ms + CONNECT_MS),
+            connect_until_ms: Some(now_ms + CONNECT_TIMEOUT_MS),
             call_until_ms: None,
-            asked_era: 0,
+            request_era: 0,
         };
         self.connections.insert(token, connection);
         Ok(())
@@ -346,7 +346,7 @@
             .iter()
             .filter(|(_, it)| match it.purpose {
                 Purpose::Idle => it.idle_until_ms <= now_ms,
-                Purpose::Drain => it.heard_ms + DRAIN_MS <= now_ms,
+                Purpose::Drain => it.heard_ms + DRAIN_TIMEOUT_MS <= now_ms,
                 Purpose::Relay(_) | Purpose::Call(_) => false,
             })
             .map(|(token, _)| *token)
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -349,15 +349,15 @@
             at_ms: now_ms,
             first_byte_ms: None,
         };
-        let to_head = request.head.method.eq_ignore_ascii_case("HEAD");
+        let is_head_request = request.head.method.eq_ignore_ascii_case("HEAD");
         self.dispatcher.sent(now_ms, &request.job, &name);
         if request.job.wanted.is_some() {
             self.watch.sent(now_ms, &name);
         }
         if let Some(connection) = self.outbound.get_mut(token) {
-            connection.begin(now_ms, Purpose::Relay(key), &bytes, to_head);
-            let stands = connection.stream.flush();
-            if !stands {
+            connection.begin(now_ms, Purpose::Relay(key), &bytes, is_head_request);
+            let is_open = connection.stream.flush();
+            if !is_open {
                 self.advance_relay(token, key, false);
             }
         }
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -46,22 +46,22 @@
 
 impl Daemon {
     /// Returns the outcome of an answered call. An answer of an earlier era counts as none.
-    pub(crate) fn outcome_in_era(
+    pub(crate) fn era_checked_outcome(
         &mut self,
         tag: &CallTag,
-        asked_era: u64,
+        request_era: u64,
         answer: CallAnswer,
     ) -> CallOutcome {
         let CallAnswer { status, era, body } = answer;
-        if let Some(era) = era.filter(|_| tag.is_of_store()) {
+        if let Some(era) = era.filter(|_| tag.targets_store()) {
             if self.store_era.is_past(era) {
                 self.metrics.answer_of_earlier_era(tag.as_str());
                 return CallOutcome::Unknown;
             }
-            let knew_another = self.store_era.known.is_some_and(|_| asked_era < era);
+            let knew_another = self.store_era.known.is_some_and(|_| request_era < era);
             self.handle_era(era);
-            if knew_another && tag.names_a_place() {
-                return CallOutcome::SetBack;
+            if knew_another && tag.continues_from_position() {
+                return CallOutcome::RolledBack;
             }
         }
         CallOutcome::Answered { status, body }
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -11,7 +11,7 @@
 use mio::net::TcpStream;
 
 /// Maximum number of bytes read by one system call.
-const READ_BYTES: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Reason why reading stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -85,7 +85,7 @@
                     self.sent_bytes += count as u64;
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_not_yet(&error) => return true,
+                Err(error) if should_retry_later(&error) => return true,
                 Err(error) => {
                     self.refused |= error.kind() == io::ErrorKind::ConnectionRefused;
                     return false;
@@ -93,20 +93,20 @@
             }
         }
         self.unwritten.clear();
-        self.unwritten.shrink_to(READ_BYTES);
+        self.unwritten.shrink_to(READ_CHUNK_BYTES);
         self.written = 0;
         true
     }
 
     /// Reads the available bytes until the buffer contains `limit_bytes`.
     pub fn read(&mut self, buffer: &mut Vec<u8>, limit_bytes: usize) -> ReadEnd {
-        let mut bytes = [0_u8; READ_BYTES];
+        let mut bytes = [0_u8; READ_CHUNK_BYTES];
         while buffer.len() < limit_bytes {
             match self.socket.read(&mut bytes) {
                 Ok(0) => return ReadEnd::Closed,
                 Ok(count) => buffer.extend_from_slice(&bytes[..count]),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_not_yet(&error) => return ReadEnd::Drained,
+                Err(error) if should_retry_later(&error) => return ReadEnd::Drained,
                 Err(error) => {
                     self.refused |= error.kind() == io::ErrorKind::ConnectionRefused;
                     return ReadEnd::Broken;
@@ -134,7 +134,7 @@
 
 /// Returns whether an operation should be retried later. Until a connection is established, the
 /// kernel may report that it is not connected.
-fn is_not_yet(error: &io::Error) -> bool {
+fn should_retry_later(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -38,7 +38,7 @@
 impl Daemon {
     /// Continues receiving the answer to a caller's request. `is_open` is false if writing the
     /// request failed.
-    pub(crate) fn advance_relay(&mut self, token: Token, key: u64, stands: bool) {
+    pub(crate) fn advance_relay(&mut self, token: Token, key: u64, is_open: bool) {
         let now_ms = self.now_ms;
         loop {
             let too_full = self.caller_is_behind(key);
@@ -63,7 +63,7 @@
                     }
                 }
                 Part::Wait if connection.has_more() => connection.read(now_ms),
-                Part::Wait if stands => return,
+                Part::Wait if is_open => return,
                 Part::Wait | Part::Failed => {
                     self.connection_failed(token, key);
                     return;
@@ -109,7 +109,7 @@
 
     fn answer_head(&mut self, token: Token, key: u64, head: ResponseHead) {
         let fields = self.codecs.callers.answer(&head);
-        self.note_idle(token, &head);
+        self.record_idle_time(token, &head);
         self.log_second_answer(key, &head);
         let Some(request) = self.active.get_mut(key) else {
             return;
@@ -289,7 +289,7 @@
         let Some(status) = request.delivery.status() else {
             // The answer belonged to another request; this request's own may still come.
             if let Some(connection) = self.outbound.get_mut(token) {
-                connection.expect_another();
+                connection.await_next_answer();
             }
             return false;
         };
