--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -74,7 +74,7 @@
 
 impl BlockStore {
     /// Handles a rollback of the store: everything known here is written again.
-    pub fn set_back(&mut self) {
+    pub fn handle_rollback(&mut self) {
         self.held_lease = false;
         if !self.is_read {
             self.after = None;
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -27,9 +27,9 @@
     /// Reads changes of the upstream entries.
     UpstreamsRead,
     /// Reads a page of the list snapshot.
-    CopyNewest,
+    SnapshotNewest,
     /// Writes the list snapshot.
-    CopyAppend,
+    SnapshotAppend,
     /// Writes this VM's own entry.
     VmAppend,
     /// Reads a page of the VMs' entries.
@@ -61,8 +61,8 @@
             Self::ConfigurationRead => "configuration_read",
             Self::UpstreamsNewest => "upstreams_newest",
             Self::UpstreamsRead => "upstreams_read",
-            Self::CopyNewest => "copy_newest",
-            Self::CopyAppend => "copy_append",
+            Self::SnapshotNewest => "copy_newest",
+            Self::SnapshotAppend => "copy_append",
             Self::VmAppend => "vm_append",
             Self::VmsNewest => "vms_newest",
             Self::LeaseRead => "lease_read",
@@ -93,7 +93,7 @@
                 | Self::ConfigurationRead
                 | Self::UpstreamsNewest
                 | Self::UpstreamsRead
-                | Self::CopyNewest
+                | Self::SnapshotNewest
                 | Self::VmsNewest
                 | Self::BlocksNewest
         )
@@ -318,7 +318,7 @@
             CallTag::BlocksNewest => self.blocks_read(outcome),
             CallTag::BlocksAppend => self.blocks_written(outcome),
             CallTag::LeaseRead | CallTag::LeaseAppend => self.lease_call_ended(&tag, outcome),
-            _ => self.feed_call_ended(&tag, outcome),
+            _ => self.finish_poll(&tag, outcome),
         }
     }
 }
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -140,7 +140,7 @@
     }
 
     fn answer_ready(&mut self, token: Token) {
-        let ready = self.takes_requests() && !self.stopping.has_begun();
+        let ready = self.is_ready_for_requests() && !self.stopping.has_begun();
         self.answer_text(token, if ready { 200 } else { 503 }, "");
     }
 
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -41,7 +41,6 @@
 use crate::engine_orders::EngineOrders;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::feeds::Feeds;
 use crate::lifecycle::Stopping;
 use crate::limits::Limits;
 use crate::log_budget::LineBudget;
@@ -54,6 +53,7 @@
 use crate::residence_updates::NewsBoard;
 use crate::settings::Settings;
 use crate::store_era::StoreEra;
+use crate::store_pollers::StorePollers;
 use crate::stream::Stream;
 
 const CALLERS: Token = Token(0);
@@ -109,8 +109,8 @@
     pub(crate) limits: Limits,
     pub(crate) news: NewsBoard,
     /// Ended incarnations of upstreams at which requests still appear to be in progress.
-    pub(crate) former_runs: Vec<UpstreamName>,
-    pub(crate) feeds: Feeds,
+    pub(crate) ended_incarnations: Vec<UpstreamName>,
+    pub(crate) store_pollers: StorePollers,
     pub(crate) engine_orders: EngineOrders,
     pub(crate) peers: Peers,
     pub(crate) own_demand: OwnDemand,
@@ -199,8 +199,8 @@
             block_store: BlockStore::default(),
             limits: Limits::new(run, settings.limit_bounds),
             news: NewsBoard::default(),
-            former_runs: Vec::new(),
-            feeds: Feeds::default(),
+            ended_incarnations: Vec::new(),
+            store_pollers: StorePollers::default(),
             sharing: Sharing::default(),
             store_era: StoreEra::default(),
             pacing: ReadPacing::new(settings.read_bytes_per_s, run),
@@ -282,7 +282,7 @@
         for token in std::mem::take(&mut self.answered) {
             self.serve_caller(token);
         }
-        self.advance_feeds();
+        self.advance_pollers();
         self.advance_engine_orders();
         self.advance_peers();
         self.advance_watch();
@@ -304,7 +304,7 @@
             self.active.next_ms().unwrap_or(u64::MAX),
             self.next_sweep_ms,
             self.next_call_timeout_ms,
-            self.feeds.next_ms(self.now_ms, &self.sharing),
+            self.store_pollers.next_ms(self.now_ms, &self.sharing),
             self.engine_orders.next_ms(),
             self.peers.next_ms(),
             self.watch.next_ms(),
@@ -427,7 +427,7 @@
         if self.stopping.takes_nobody(self.now_ms) {
             self.listeners.remove(&CALLERS);
         }
-        self.end_former_runs();
+        self.end_requests_at_ended_incarnations();
     }
 }
 
--- a/crates/entry/src/engine_orders/engine_calls.rs
+++ b/crates/entry/src/engine_orders/engine_calls.rs
@@ -145,10 +145,10 @@
             .note_restart(former, report.born_ms, report.residence);
         if matches!(change, DirectoryChange::Restarted { .. }) {
             if let Some(run) = self.directory.run_of(&instance).cloned() {
-                self.feeds.note_came(run);
+                self.store_pollers.queue_arrival(run);
             }
-            self.upstream_left(former, "restarted");
-            self.tell_list_read();
+            self.stop_sending_to(former, "restarted");
+            self.announce_list_read();
             self.engine_orders.next_plan_ms = self.now_ms;
         }
     }
--- a/crates/entry/src/engine_orders/order_lease.rs
+++ b/crates/entry/src/engine_orders/order_lease.rs
@@ -97,7 +97,7 @@
                 let lease_end = self.engine_orders.lease_end().to_string();
                 log::info!(fence, lease_end; "this VM gives orders");
                 // Entries announced by other VMs omit copies of weights, which planning needs.
-                self.feeds.lead(self.now_ms);
+                self.store_pollers.prepare_for_lease(self.now_ms);
             }
             None => log::info!("this VM gives no more orders"),
         }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -23,7 +23,6 @@
 mod engine_probes;
 mod errors;
 mod failed_attempts;
-mod feeds;
 mod lifecycle;
 mod limits;
 mod log_budget;
@@ -37,6 +36,7 @@
 mod residence_updates;
 mod settings;
 mod store_era;
+mod store_pollers;
 mod stream;
 mod upstream_answers;
 
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -145,7 +145,9 @@
                 self.peers.note_heard(now_ms, &from);
                 self.take_freshness(&fresh);
             }
-            PeerMessage::Entries { read_to, entries } => self.take_told_entries(read_to, entries),
+            PeerMessage::Entries { read_to, entries } => {
+                self.apply_announced_entries(read_to, entries)
+            }
             PeerMessage::News(news) => self.take_news(news),
             PeerMessage::TurnedAway { engine, model } => self.handle_missing_model(&engine, &model),
             PeerMessage::Dark(engine) => self.told_dark(&engine),
@@ -210,15 +212,17 @@
             self.pacing.set_list_rate(rate);
         }
         let is_from_older_lease = self.sharing.told_version() > self.directory.version();
-        self.feeds.note_outdated(now_ms, is_from_older_lease);
+        self.store_pollers
+            .record_outdated(now_ms, is_from_older_lease);
         if fresh.configuration == self.directory.version()
             && let Some(age_ms) = fresh.configuration_age_ms
         {
-            self.feeds.note_current(now_ms.saturating_sub(age_ms));
+            self.store_pollers
+                .record_confirmation(now_ms.saturating_sub(age_ms));
         }
         if is_from_older_lease {
             let at_ms = now_ms + self.pacing.draw_ms();
-            self.feeds.read_configuration_at(at_ms);
+            self.store_pollers.read_configuration_at(at_ms);
         }
         if let Some(read_ms) = fresh.whole_list_read_ms(now_ms) {
             // If only this VM was cut off, no entry has lapsed, and the upstreams that it misses
@@ -227,7 +231,7 @@
         }
         for departure in &fresh.left {
             if self.directory.note_departure(departure) == DirectoryChange::Left {
-                self.upstream_left(&departure.upstream, "told_by_another_vm");
+                self.stop_sending_to(&departure.upstream, "told_by_another_vm");
             }
         }
         self.compare_list(fresh);
@@ -245,20 +249,24 @@
             .zip(&fresh.held)
             .map(|(own, told)| own == told)
             .collect();
-        self.feeds.note_copy_bytes(fresh.copy_bytes);
+        self.store_pollers.set_snapshot_bytes(fresh.copy_bytes);
         let has_copy = fresh.copy_bytes > 0;
         let draw_ms = self.pacing.draw_for_ms(fresh.copy_bytes);
         let turn_ms = self.pacing.turn_ms();
         let now_ms = self.now_ms;
-        let feeds = &mut self.feeds;
-        feeds
-            .listed_repair
+        let store_pollers = &mut self.store_pollers;
+        store_pollers
+            .listing_repair
             .heard(now_ms, &[is_same || !has_copy], draw_ms);
-        feeds.uncopied_repair.heard(now_ms, &[is_same], turn_ms);
-        feeds.held_repair.heard(now_ms, &holds_same, draw_ms);
+        store_pollers
+            .no_snapshot_repair
+            .heard(now_ms, &[is_same], turn_ms);
+        store_pollers
+            .residence_repair
+            .heard(now_ms, &holds_same, draw_ms);
         let holds_lease = self.engine_orders.held_lease_end(self.now_ms).is_some();
         if let (true, false, Some(read_to)) = (is_same, holds_lease, fresh.whole_list_read_to()) {
-            self.feeds.skip_list_to(read_to);
+            self.store_pollers.skip_list_to(read_to);
             self.directory.note_list_same(read_to);
         }
     }
@@ -269,13 +277,13 @@
         let listed = listed_digest(&self.directory);
         Freshness {
             configuration: self.directory.version(),
-            configuration_age_ms: self.feeds.configuration_age_ms(now_ms),
-            list_age_ms: self.feeds.list_age_ms(now_ms),
+            configuration_age_ms: self.store_pollers.configuration_age_ms(now_ms),
+            list_age_ms: self.store_pollers.list_age_ms(now_ms),
             list_whole: self.directory.is_list_whole(now_ms),
-            list_read_to: self.feeds.list_read_to(),
+            list_read_to: self.store_pollers.list_read_to(),
             list_bytes_per_s: self.pacing.list_rate(),
             listed,
-            copy_bytes: self.feeds.copy_bytes(listed),
+            copy_bytes: self.store_pollers.copy_bytes(listed),
             held: held_digests(&self.directory),
             left: self.sharing.left(now_ms),
         }
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -65,7 +65,7 @@
                 return;
             }
         };
-        if !self.takes_requests() {
+        if !self.is_ready_for_requests() {
             let detail = match self.directory.is_complete() {
                 false => "this VM does not know its configuration yet",
                 true => "this VM waits for a newer configuration, which others have in force",
@@ -185,11 +185,14 @@
     /// against it, regardless of who else is heard and of what the store contains.
     fn knows_keys(&self) -> bool {
         let is_good = |age_ms| age_ms <= self.settings.revoke_ms;
-        match self.feeds.outdated_for_ms(self.now_ms) {
+        match self.store_pollers.outdated_for_ms(self.now_ms) {
             _ if !self.settings.fail_closed => true,
             Some(for_ms) => is_good(for_ms),
             None if self.sharing.follows(self.now_ms) => true,
-            None => self.feeds.current_age_ms(self.now_ms).is_some_and(is_good),
+            None => self
+                .store_pollers
+                .confirmed_age_ms(self.now_ms)
+                .is_some_and(is_good),
         }
     }
 
--- a/crates/entry/src/request_ends.rs
+++ b/crates/entry/src/request_ends.rs
@@ -33,7 +33,7 @@
                 age_ms = self.now_ms - job.arrived_ms,
                 tries = job.tried.len(),
                 config_version = self.directory.version(),
-                list_age_ms = self.feeds.list_age_ms(self.now_ms),
+                list_age_ms = self.store_pollers.list_age_ms(self.now_ms),
                 orders_by = self.peers.holder_text(),
                 forecast_in_ms = self.dispatcher.forecast_in_ms(self.now_ms, job);
                 "request refused"
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -77,15 +77,16 @@
         };
         self.metrics.store_set_back();
         log::warn!(
-            era, before, list_read_to = self.feeds.list_read_to().to_string(),
+            era, before, list_read_to = self.store_pollers.list_read_to().to_string(),
             lease_end = self.engine_orders.lease_end().to_string(),
             configuration = self.directory.version();
             "store came back from an older copy"
         );
         self.directory.note_list_set_back(now_ms);
         let holds_lease = self.engine_orders.held_lease_end(now_ms).is_some();
-        self.feeds.set_back(now_ms, holds_lease, &mut self.pacing);
-        self.block_store.set_back();
+        self.store_pollers
+            .handle_rollback(now_ms, holds_lease, &mut self.pacing);
+        self.block_store.handle_rollback();
         self.look_again = true;
     }
 }
--- a/crates/entry/src/feeds.rs
+++ b/crates/entry/src/store_pollers.rs
@@ -2,10 +2,10 @@
 //! snapshot, and the entries of VMs.
 
 mod configuration;
-mod feed;
 mod list_rate;
 mod list_snapshot;
 mod schedule;
+mod topic_poller;
 mod upstream_list;
 mod vm_entries;
 
@@ -16,9 +16,9 @@
 use apricotdale_fleet::ListRepair;
 use apricotdale_fleet::ReadPacing;
 
-use self::feed::Feed;
 use self::list_rate::ListRate;
-use self::list_snapshot::CopyWriter;
+use self::list_snapshot::SnapshotWriter;
+use self::topic_poller::TopicPoller;
 use crate::calls::CallOutcome;
 use crate::calls::CallTag;
 use crate::codec::DecodeError;
@@ -29,123 +29,123 @@
 
 /// Time between two reads of the upstreams' entries. An upstream that leaves must receive no new
 /// requests from 2 s after it announced that.
-const UPSTREAMS_EVERY_MS: u64 = 900;
+const UPSTREAMS_INTERVAL_MS: u64 = 900;
 
 /// Time between two reads of the configuration by a VM that receives announcements of changes. Each
 /// heartbeat names the version in force, so the next one makes up for a lost one.
-const FOLLOWING_CONFIGURATION_EVERY_MS: u64 = 30_000;
+const ANNOUNCED_CONFIGURATION_INTERVAL_MS: u64 = 30_000;
 
 /// Time limit for a store call beyond the wait that it asks for, if no other VM reads at that time.
 const CALL_TIMEOUT_MS: u64 = 800;
 
 /// Time limit for reading the list snapshot. A VM that starts waits for the snapshot, so a lost
 /// call must not delay it for long.
-const COPY_TIMEOUT_MS: u64 = 500;
+const SNAPSHOT_TIMEOUT_MS: u64 = 500;
 
 /// Time limit for writing the list snapshot.
-const LIST_WRITE_TIMEOUT_MS: u64 = 1_000;
+const SNAPSHOT_WRITE_TIMEOUT_MS: u64 = 1_000;
 
 /// Number of reads that find no snapshot before a VM without an upstream list reads the upstreams'
 /// entries. The VM that should write the snapshot may be unable to.
-const COPY_LOOKS: u32 = 3;
+const MAX_SNAPSHOT_MISSES: u32 = 3;
 
 /// Pause before the next read of the snapshot if there was none.
-const COPY_AGAIN_MS: u64 = 1_000;
+const SNAPSHOT_RETRY_MS: u64 = 1_000;
 
 /// Pause before the next read of a topic in which nothing has been written yet.
-const NOTHING_YET_MS: u64 = 100;
+const EMPTY_TOPIC_RETRY_MS: u64 = 100;
 
 /// Time limit for reading a complete upstream list, which is larger than its changes. A VM that
 /// starts can't serve without an upstream list, so a call lost at a silent store must not delay it
 /// for long.
-const NEWEST_TIMEOUT_MS: u64 = 900;
+const COMPLETE_LIST_TIMEOUT_MS: u64 = 900;
 
 /// Time over which VMs spread the rewriting of their entries after a rollback of the store.
-const WRITTEN_AGAIN_MS: u64 = 2_000;
+const REWRITE_SPREAD_MS: u64 = 2_000;
 
 /// Maximum number of keys of foreign entries that are logged. A writer that keeps creating keys
 /// must fill neither the log nor the memory; entries beyond this number are only counted.
-const FOREIGN_KEYS: usize = 200;
+const MAX_LOGGED_FOREIGN_KEYS: usize = 200;
 
 /// Silence after which a request at a restarted upstream is known to have been at the former
 /// process. Events of a stream arrive every few tens of milliseconds.
-const RESTART_SILENT_MS: u64 = 500;
+const RESTART_SILENCE_MS: u64 = 500;
 
 /// Reading state of all topics, and what this VM knows about how current they are.
 #[derive(Debug)]
-pub(crate) struct Feeds {
-    configuration: Feed,
-    upstreams: Feed,
+pub(crate) struct StorePollers {
+    configuration: TopicPoller,
+    upstreams: TopicPoller,
     /// When this VM reads the upstreams' entries; none while other VMs announce them.
-    turn_ms: Option<u64>,
+    scheduled_read_ms: Option<u64>,
     list_rate: ListRate,
-    copy: Feed,
+    list_snapshot: TopicPoller,
     /// Whether the store has answered if a snapshot exists. Before that the upstreams' own entries
     /// are not read: reads of them by all VMs that start would delay all other store calls.
-    copy_tried: bool,
+    snapshot_checked: bool,
     /// Number of reads that found no snapshot.
-    copy_misses: u32,
+    snapshot_misses: u32,
     /// When this VM reads the upstreams' entries although other VMs announce them, because nobody
     /// has written a snapshot; none before several reads have found no snapshot.
-    uncopied_turn_ms: Option<u64>,
-    copy_writer: CopyWriter,
+    no_snapshot_read_ms: Option<u64>,
+    snapshot_writer: SnapshotWriter,
     /// Repair of an upstream list that differs from the announced one, by reading the snapshot.
-    pub(crate) listed_repair: ListRepair,
+    pub(crate) listing_repair: ListRepair,
     /// Repair of such a list by reading the upstreams' entries, where there is no snapshot.
-    pub(crate) uncopied_repair: ListRepair,
+    pub(crate) no_snapshot_repair: ListRepair,
     /// Repair of engine residence that differs from what is announced, by reading the snapshot.
-    pub(crate) held_repair: ListRepair,
+    pub(crate) residence_repair: ListRepair,
     /// New upstreams that have yet to be announced to the other VMs.
-    came: Vec<UpstreamName>,
+    arrived_upstreams: Vec<UpstreamName>,
     /// Whether this VM's own entry is written. The entry is written before the others are read, so
     /// that of two VMs that start together at least one finds the other.
-    vm_written: bool,
+    own_entry_written: bool,
     /// Whether the other VMs' entries have been read.
-    vms_read: bool,
-    vms: Feed,
+    other_entries_read: bool,
+    vms: TopicPoller,
     /// Keys of entries that are no valid upstream's and have been logged, so that each is logged
     /// once.
-    foreign: HashSet<String>,
+    foreign_keys: HashSet<String>,
     /// When a configuration and an upstream list were first known; none before that.
-    complete_ms: Option<u64>,
+    first_complete_ms: Option<u64>,
     /// When another VM, by its own account, read that the configuration in force here is the
     /// newest.
-    current_ms: Option<u64>,
+    confirmed_ms: Option<u64>,
     /// Since when other VMs have announced a newer configuration than the one in force here.
     outdated_ms: Option<u64>,
     /// Whether this VM has become ready for requests; it stays so.
-    takes_requests: bool,
+    is_ready_for_requests: bool,
 }
 
-impl Default for Feeds {
+impl Default for StorePollers {
     fn default() -> Self {
         Self {
-            configuration: Feed::default(),
-            upstreams: Feed::default(),
-            turn_ms: None,
+            configuration: TopicPoller::default(),
+            upstreams: TopicPoller::default(),
+            scheduled_read_ms: None,
             list_rate: ListRate::default(),
-            copy: Feed::default(),
-            copy_tried: false,
-            copy_misses: 0,
-            uncopied_turn_ms: None,
-            copy_writer: CopyWriter::default(),
-            listed_repair: ListRepair::of_listed(),
-            uncopied_repair: ListRepair::of_uncopied(),
-            held_repair: ListRepair::of_held(),
-            came: Vec::new(),
-            vm_written: false,
-            vms_read: false,
-            vms: Feed::default(),
-            foreign: HashSet::new(),
-            complete_ms: None,
-            current_ms: None,
+            list_snapshot: TopicPoller::default(),
+            snapshot_checked: false,
+            snapshot_misses: 0,
+            no_snapshot_read_ms: None,
+            snapshot_writer: SnapshotWriter::default(),
+            listing_repair: ListRepair::of_listed(),
+            no_snapshot_repair: ListRepair::of_uncopied(),
+            residence_repair: ListRepair::of_held(),
+            arrived_upstreams: Vec::new(),
+            own_entry_written: false,
+            other_entries_read: false,
+            vms: TopicPoller::default(),
+            foreign_keys: HashSet::new(),
+            first_complete_ms: None,
+            confirmed_ms: None,
             outdated_ms: None,
-            takes_requests: false,
+            is_ready_for_requests: false,
         }
     }
 }
 
-impl Feeds {
+impl StorePollers {
     /// Returns how long ago the configuration was read; none before the first read.
     pub fn configuration_age_ms(&self, now_ms: u64) -> Option<u64> {
         self.configuration.read_ms.map(|at_ms| now_ms - at_ms)
@@ -159,18 +159,18 @@
 
     /// Returns how long ago this VM or another read that the configuration in force here is the
     /// newest; none before the first such read.
-    pub fn current_age_ms(&self, now_ms: u64) -> Option<u64> {
-        let read_ms = self.configuration.read_ms.max(self.current_ms);
+    pub fn confirmed_age_ms(&self, now_ms: u64) -> Option<u64> {
+        let read_ms = self.configuration.read_ms.max(self.confirmed_ms);
         read_ms.map(|at_ms| now_ms - at_ms)
     }
 
     /// Records that another VM has read that the configuration in force here is the newest.
-    pub fn note_current(&mut self, read_ms: u64) {
-        self.current_ms = self.current_ms.max(Some(read_ms));
+    pub fn record_confirmation(&mut self, read_ms: u64) {
+        self.confirmed_ms = self.confirmed_ms.max(Some(read_ms));
     }
 
     /// Records whether other VMs have announced a newer configuration.
-    pub fn note_outdated(&mut self, now_ms: u64, is_outdated: bool) {
+    pub fn record_outdated(&mut self, now_ms: u64, is_outdated: bool) {
         self.outdated_ms = is_outdated.then(|| self.outdated_ms.unwrap_or(now_ms));
     }
 
@@ -181,28 +181,28 @@
 
     /// Schedules what a VM that has just gained the lease needs: a read of all upstreams' own
     /// entries with their residence, and a write of the snapshot.
-    pub fn lead(&mut self, now_ms: u64) {
-        self.upstreams.restart_soon();
-        self.copy_tried = true;
+    pub fn prepare_for_lease(&mut self, now_ms: u64) {
+        self.upstreams.schedule_restart();
+        self.snapshot_checked = true;
         self.upstreams.next_ms = self.upstreams.next_ms.min(now_ms);
-        self.copy_writer.restart();
+        self.snapshot_writer.restart();
     }
 
     /// Handles a rollback of the store. The lease holder rereads the upstream list immediately; a
     /// VM that receives announcements need not. This VM's own entry is rewritten at a randomly
     /// spread time.
-    pub fn set_back(&mut self, now_ms: u64, holds_lease: bool, pacing: &mut ReadPacing) {
-        self.configuration.restart_soon();
-        self.copy.restart_soon();
-        self.copy_writer.restart();
+    pub fn handle_rollback(&mut self, now_ms: u64, holds_lease: bool, pacing: &mut ReadPacing) {
+        self.configuration.schedule_restart();
+        self.list_snapshot.schedule_restart();
+        self.snapshot_writer.restart();
         if holds_lease {
-            self.upstreams.restart_soon();
+            self.upstreams.schedule_restart();
             self.upstreams.next_ms = now_ms;
         }
-        if self.vm_written {
-            self.vm_written = false;
-            self.vms.restart_soon();
-            self.vms.next_ms = now_ms + pacing.draw_within_ms(WRITTEN_AGAIN_MS);
+        if self.own_entry_written {
+            self.own_entry_written = false;
+            self.vms.schedule_restart();
+            self.vms.next_ms = now_ms + pacing.draw_within_ms(REWRITE_SPREAD_MS);
         }
     }
 
@@ -219,40 +219,40 @@
 
     /// Returns the size of the snapshot if it lists the upstreams of this digest, and 0 otherwise.
     pub fn copy_bytes(&self, listed: u64) -> usize {
-        self.copy_writer.bytes_if_of(listed)
+        self.snapshot_writer.bytes_if_listing(listed)
     }
 
     /// Records the size of the snapshot as announced by its writer.
-    pub fn note_copy_bytes(&mut self, bytes: usize) {
-        self.copy.note_answer(bytes);
+    pub fn set_snapshot_bytes(&mut self, bytes: usize) {
+        self.list_snapshot.record_answer_size(bytes);
     }
 
     /// Returns the number of new upstreams that have yet to be announced.
-    pub fn came_count(&self) -> usize {
-        self.came.len()
+    pub fn pending_arrivals(&self) -> usize {
+        self.arrived_upstreams.len()
     }
 
     /// Records a new upstream for the next announcement.
-    pub fn note_came(&mut self, name: UpstreamName) {
-        self.came.push(name);
+    pub fn queue_arrival(&mut self, name: UpstreamName) {
+        self.arrived_upstreams.push(name);
     }
 
     /// Schedules a read of the configuration, unless an earlier one is scheduled.
     pub fn read_configuration_at(&mut self, at_ms: u64) {
-        let look_ms = self.configuration.look_ms.get_or_insert(at_ms);
-        *look_ms = at_ms.min(*look_ms);
+        let forced_read_ms = self.configuration.forced_read_ms.get_or_insert(at_ms);
+        *forced_read_ms = at_ms.min(*forced_read_ms);
     }
 }
 
-impl Feeds {
+impl StorePollers {
     /// Returns the feed that a call reads; none if the call reads no topic.
-    fn feed(&mut self, tag: &CallTag) -> Option<&mut Feed> {
+    fn poller(&mut self, tag: &CallTag) -> Option<&mut TopicPoller> {
         match tag {
             CallTag::ConfigurationNewest | CallTag::ConfigurationRead => {
                 Some(&mut self.configuration)
             }
             CallTag::UpstreamsNewest | CallTag::UpstreamsRead => Some(&mut self.upstreams),
-            CallTag::CopyNewest => Some(&mut self.copy),
+            CallTag::SnapshotNewest => Some(&mut self.list_snapshot),
             CallTag::VmAppend | CallTag::VmsNewest => Some(&mut self.vms),
             _ => None,
         }
@@ -261,59 +261,68 @@
 
 impl Daemon {
     /// Makes the store calls that are due.
-    pub(crate) fn advance_feeds(&mut self) {
+    pub(crate) fn advance_pollers(&mut self) {
         let now_ms = self.now_ms;
         let holds_lease = self.engine_orders.may_send_orders();
-        let is_followed = self.sharing.follows(now_ms);
-        self.feeds
-            .note_turn(now_ms, is_followed, holds_lease, &mut self.pacing);
-        let feeds = &self.feeds;
-        let is_due = |feed: &Feed, due_ms: u64| !feed.calling && due_ms <= now_ms;
+        let has_announcer = self.sharing.follows(now_ms);
+        self.store_pollers.update_scheduled_read(
+            now_ms,
+            has_announcer,
+            holds_lease,
+            &mut self.pacing,
+        );
+        let store_pollers = &self.store_pollers;
+        let is_due = |poller: &TopicPoller, due_ms: u64| !poller.calling && due_ms <= now_ms;
         let configuration = is_due(
-            &feeds.configuration,
-            feeds.configuration_due_ms(now_ms, &self.sharing),
+            &store_pollers.configuration,
+            store_pollers.configuration_due_ms(now_ms, &self.sharing),
         );
         let upstreams = is_due(
-            &feeds.upstreams,
-            feeds.upstreams_due_ms(now_ms, &self.sharing),
+            &store_pollers.upstreams,
+            store_pollers.upstreams_due_ms(now_ms, &self.sharing),
+        );
+        let list_snapshot = is_due(
+            &store_pollers.list_snapshot,
+            store_pollers.snapshot_due_ms(now_ms, &self.sharing),
         );
-        let copy = is_due(&feeds.copy, feeds.copy_due_ms(now_ms, &self.sharing));
-        let vms = is_due(&feeds.vms, feeds.vms.next_ms);
+        let vms = is_due(&store_pollers.vms, store_pollers.vms.next_ms);
         if configuration {
             self.read_configuration();
         }
         if upstreams {
             self.read_upstreams();
         }
-        if copy {
-            self.read_copy();
+        if list_snapshot {
+            self.read_snapshot();
         }
         if vms {
             self.read_vms();
         }
         if self.engine_orders.held_lease_end(now_ms).is_some() {
-            self.write_copy();
+            self.write_snapshot();
         }
     }
 
     fn read_upstreams(&mut self) {
-        self.feeds.upstreams.calling = true;
-        if self.feeds.uncopied_repair.is_due(self.now_ms) {
+        self.store_pollers.upstreams.calling = true;
+        if self.store_pollers.no_snapshot_repair.is_due(self.now_ms) {
             let turn_ms = self.pacing.turn_ms();
-            self.feeds.uncopied_repair.begin(self.now_ms, turn_ms);
+            self.store_pollers
+                .no_snapshot_repair
+                .begin(self.now_ms, turn_ms);
             self.metrics.list_repair();
         }
-        let feed = &self.feeds.upstreams;
-        match feed.place_in(self.store_era.now()) {
+        let poller = &self.store_pollers.upstreams;
+        match poller.position_in_era(self.store_era.now()) {
             None => {
-                let after = feed.after.clone();
-                let timeout_ms = feed.patience_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
+                let after = poller.after.clone();
+                let timeout_ms = poller.timeout_ms(&mut self.pacing, COMPLETE_LIST_TIMEOUT_MS);
                 let bytes = self.codecs.store.newest(Topic::Upstreams, after.as_deref());
                 self.call_store(CallTag::UpstreamsNewest, &bytes, timeout_ms);
             }
             Some(from) => {
                 let timeout_ms =
-                    feed.list_patience_ms(self.now_ms, &mut self.pacing, CALL_TIMEOUT_MS);
+                    poller.list_timeout_ms(self.now_ms, &mut self.pacing, CALL_TIMEOUT_MS);
                 let bytes = self.codecs.store.read(Topic::Upstreams, from.offset, 0);
                 self.call_store(CallTag::UpstreamsRead, &bytes, timeout_ms);
             }
@@ -327,83 +336,85 @@
     }
 
     /// Handles the outcome of a feed's call.
-    pub(crate) fn feed_call_ended(&mut self, tag: &CallTag, outcome: CallOutcome) {
+    pub(crate) fn finish_poll(&mut self, tag: &CallTag, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         let result = match outcome {
             CallOutcome::Answered { status, body } => {
                 self.metrics.store_read(tag.as_str(), body.len());
-                if let Some(feed) = self.feeds.feed(tag) {
-                    feed.note_answer(body.len());
+                if let Some(poller) = self.store_pollers.poller(tag) {
+                    poller.record_answer_size(body.len());
                 }
                 if *tag == CallTag::UpstreamsRead {
-                    let rate = self.feeds.list_rate.note(now_ms, body.len());
+                    let rate = self.store_pollers.list_rate.note(now_ms, body.len());
                     rate.into_iter()
                         .for_each(|it| self.pacing.set_list_rate(it));
                 }
-                self.take_feed(tag, status, &body)
+                self.handle_poll_answer(tag, status, &body)
             }
             CallOutcome::RolledBack => {
-                if let Some(feed) = self.feeds.feed(tag) {
-                    feed.set_back(now_ms);
+                if let Some(poller) = self.store_pollers.poller(tag) {
+                    poller.handle_rollback(now_ms);
                 }
                 return;
             }
             CallOutcome::NotSent => Err(DecodeError::new("not sent")),
             CallOutcome::Unknown => Err(DecodeError::new("no answer")),
         };
-        if *tag == CallTag::CopyAppend {
-            self.copy_written(result.is_ok());
+        if *tag == CallTag::SnapshotAppend {
+            self.finish_snapshot_write(result.is_ok());
             return;
         }
         match result {
-            Ok(pause_ms) => self.feed_answered(tag, now_ms, pause_ms),
-            Err(error) => self.feed_failed(tag, now_ms, &error),
+            Ok(pause_ms) => self.record_poll_success(tag, now_ms, pause_ms),
+            Err(error) => self.record_poll_failure(tag, now_ms, &error),
         }
     }
 
-    fn feed_answered(&mut self, tag: &CallTag, now_ms: u64, pause_ms: u64) {
-        let Some(feed) = self.feeds.feed(tag) else {
+    fn record_poll_success(&mut self, tag: &CallTag, now_ms: u64, pause_ms: u64) {
+        let Some(poller) = self.store_pollers.poller(tag) else {
             return;
         };
-        let failures = feed.failures;
-        feed.succeeded(now_ms, pause_ms);
+        let failures = poller.failures;
+        poller.succeeded(now_ms, pause_ms);
         if *tag == CallTag::ConfigurationRead {
-            feed.look_ms = None;
+            poller.forced_read_ms = None;
         }
         if failures > 0 {
             log::info!(call = tag.as_str(), failures; "store regained");
         }
         // A pause of 0 means that more of the upstream list is to be read.
-        if is_list(tag) && pause_ms > 0 {
-            self.list_read();
-        } else if *tag == CallTag::ConfigurationRead && self.feeds.turn_ms.is_some() {
-            self.tell_list_read();
+        if reads_upstream_list(tag) && pause_ms > 0 {
+            self.finish_list_read();
+        } else if *tag == CallTag::ConfigurationRead
+            && self.store_pollers.scheduled_read_ms.is_some()
+        {
+            self.announce_list_read();
         }
     }
 
-    fn feed_failed(&mut self, tag: &CallTag, now_ms: u64, error: &DecodeError) {
-        let Some(feed) = self.feeds.feed(tag) else {
+    fn record_poll_failure(&mut self, tag: &CallTag, now_ms: u64, error: &DecodeError) {
+        let Some(poller) = self.store_pollers.poller(tag) else {
             return;
         };
-        let is_told = feed.failed(now_ms, &mut self.pacing);
-        let failures = feed.failures;
-        let age_ms = feed.read_ms.map(|at_ms| now_ms - at_ms);
-        let retry_in_ms = feed.next_ms - now_ms;
-        if is_told {
+        let should_log = poller.failed(now_ms, &mut self.pacing);
+        let failures = poller.failures;
+        let age_ms = poller.read_ms.map(|at_ms| now_ms - at_ms);
+        let retry_in_ms = poller.next_ms - now_ms;
+        if should_log {
             log::warn!(
                 call = tag.as_str(), reason = error.detail.as_str(), last_read_ms_ago = age_ms,
                 failures, retry_in_ms;
                 "store lost"
             );
         }
-        if is_list(tag) {
+        if reads_upstream_list(tag) {
             self.directory.note_list_lost();
         }
     }
 
     /// Decodes the answer to an append that must be done. A refused append is an error, so that it
     /// is retried.
-    fn appended(&self, status: u16, body: &[u8]) -> Result<(), DecodeError> {
+    fn check_append(&self, status: u16, body: &[u8]) -> Result<(), DecodeError> {
         match self.codecs.store.append_answer(status, body)? {
             StoreOutcome::Done { .. } => Ok(()),
             _ => Err(DecodeError::new(format!("status {status}"))),
@@ -411,50 +422,55 @@
     }
 
     /// Handles an answer and returns the pause before the feed's next call.
-    fn take_feed(&mut self, tag: &CallTag, status: u16, body: &[u8]) -> Result<u64, DecodeError> {
+    fn handle_poll_answer(
+        &mut self,
+        tag: &CallTag,
+        status: u16,
+        body: &[u8],
+    ) -> Result<u64, DecodeError> {
         match tag {
             CallTag::ConfigurationNewest => {
                 let page = self.codecs.store.newest_answer(status, body)?;
-                let found = self.take_configurations(&page.records);
+                let found = self.apply_configurations(&page.records);
                 // Before the first configuration is written there is no position to continue from.
-                self.feeds.configuration.from = Some(self.store_era.position(page.end));
-                Ok(if found { 0 } else { NOTHING_YET_MS })
+                self.store_pollers.configuration.from = Some(self.store_era.position(page.end));
+                Ok(if found { 0 } else { EMPTY_TOPIC_RETRY_MS })
             }
             CallTag::ConfigurationRead => {
                 let read = self.codecs.store.read_answer(status, body)?;
-                self.take_configuration_read(read)
+                self.handle_configuration_read(read)
             }
             CallTag::UpstreamsNewest => {
                 let page = self.codecs.store.newest_answer(status, body)?;
                 self.directory.note_list_answered(self.now_ms);
-                Ok(self.take_upstreams_page(page))
+                Ok(self.handle_upstreams_page(page))
             }
             CallTag::UpstreamsRead => {
                 let read = self.codecs.store.read_answer(status, body)?;
                 self.directory.note_list_answered(self.now_ms);
-                self.take_upstreams_read(read)
+                self.handle_upstreams_read(read)
             }
-            CallTag::CopyNewest => {
+            CallTag::SnapshotNewest => {
                 let page = self.codecs.store.newest_answer(status, body)?;
-                self.take_copy_page(page)
+                self.handle_snapshot_page(page)
             }
-            CallTag::CopyAppend => {
-                self.appended(status, body)?;
+            CallTag::SnapshotAppend => {
+                self.check_append(status, body)?;
                 Ok(0)
             }
             CallTag::VmAppend => {
-                self.appended(status, body)?;
-                Ok(self.vm_written())
+                self.check_append(status, body)?;
+                Ok(self.own_entry_written())
             }
             CallTag::VmsNewest => {
                 let page = self.codecs.store.newest_answer(status, body)?;
-                Ok(self.take_vms_page(page))
+                Ok(self.handle_vms_page(page))
             }
-            _ => Ok(NOTHING_YET_MS),
+            _ => Ok(EMPTY_TOPIC_RETRY_MS),
         }
     }
 }
 
-fn is_list(tag: &CallTag) -> bool {
+fn reads_upstream_list(tag: &CallTag) -> bool {
     matches!(tag, CallTag::UpstreamsNewest | CallTag::UpstreamsRead)
 }
--- a/crates/entry/src/feeds/configuration.rs
+++ b/crates/entry/src/store_pollers/configuration.rs
@@ -1,8 +1,8 @@
 //! Reads of the configuration, and how a new one takes effect.
 
+use super::ANNOUNCED_CONFIGURATION_INTERVAL_MS;
 use super::CALL_TIMEOUT_MS;
-use super::FOLLOWING_CONFIGURATION_EVERY_MS;
-use super::NEWEST_TIMEOUT_MS;
+use super::COMPLETE_LIST_TIMEOUT_MS;
 use crate::calls::CallTag;
 use crate::codec::DecodeError;
 use crate::codec::KeyedRecord;
@@ -16,43 +16,47 @@
 const CONFIGURATION_WAIT_MS: u64 = 2_000;
 
 /// Age of the last read above which the next one does not wait for a change.
-const OLD_CONFIGURATION_MS: u64 = 2_200;
+const MAX_AGE_FOR_WAITING_READ_MS: u64 = 2_200;
 
 /// How long a VM that starts waits for a configuration version that other VMs have in force. After
 /// a rollback of the store, operators publish their configuration again; if they do not, the one in
 /// the store is used.
-const NEWER_VERSION_MS: u64 = 10_000;
+const NEWER_VERSION_WAIT_MS: u64 = 10_000;
 
 impl Daemon {
     /// Returns whether this VM is ready for requests. A VM that starts right after a rollback of
     /// the store reads a configuration that is no longer in force anywhere, and waits for the newer
     /// one.
-    pub(crate) fn takes_requests(&mut self) -> bool {
-        if self.feeds.takes_requests || !self.directory.is_complete() {
-            return self.feeds.takes_requests;
+    pub(crate) fn is_ready_for_requests(&mut self) -> bool {
+        if self.store_pollers.is_ready_for_requests || !self.directory.is_complete() {
+            return self.store_pollers.is_ready_for_requests;
         }
-        let (version, told) = (self.directory.version(), self.sharing.told_version());
-        let waited_ms = self.now_ms - *self.feeds.complete_ms.get_or_insert(self.now_ms);
-        if version < told && waited_ms < NEWER_VERSION_MS {
+        let (version, announced) = (self.directory.version(), self.sharing.told_version());
+        let waited_ms = self.now_ms
+            - *self
+                .store_pollers
+                .first_complete_ms
+                .get_or_insert(self.now_ms);
+        if version < announced && waited_ms < NEWER_VERSION_WAIT_MS {
             return false;
         }
-        if version < told {
-            log::warn!(version, told; "takes requests with an older configuration than others have");
+        if version < announced {
+            log::warn!(version, told = announced; "serving with an older configuration than other VMs have in force");
         }
-        self.feeds.takes_requests = true;
+        self.store_pollers.is_ready_for_requests = true;
         true
     }
 
     pub(super) fn read_configuration(&mut self) {
-        self.feeds.configuration.calling = true;
+        self.store_pollers.configuration.calling = true;
         let era = self.store_era.now();
-        match self.feeds.configuration.place_in(era) {
+        match self.store_pollers.configuration.position_in_era(era) {
             None => {
                 let bytes = self.codecs.store.newest(Topic::Configuration, None);
                 let timeout_ms = self
-                    .feeds
+                    .store_pollers
                     .configuration
-                    .patience_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
+                    .timeout_ms(&mut self.pacing, COMPLETE_LIST_TIMEOUT_MS);
                 self.call_store(CallTag::ConfigurationNewest, &bytes, timeout_ms);
             }
             Some(from) => {
@@ -60,8 +64,8 @@
                 // When the announcements have just stopped it reads once without a wait: what it
                 // announces about the upstream list counts for other VMs only if it has read the
                 // configuration too.
-                let age_ms = self.feeds.configuration_age_ms(self.now_ms);
-                let is_old = age_ms.is_none_or(|age_ms| age_ms > OLD_CONFIGURATION_MS);
+                let age_ms = self.store_pollers.configuration_age_ms(self.now_ms);
+                let is_old = age_ms.is_none_or(|age_ms| age_ms > MAX_AGE_FOR_WAITING_READ_MS);
                 let wait_ms = match self.sharing.follows(self.now_ms) || is_old {
                     true => 0,
                     false => CONFIGURATION_WAIT_MS,
@@ -71,18 +75,18 @@
                     .store
                     .read(Topic::Configuration, from.offset, wait_ms);
                 let timeout_ms = self
-                    .feeds
+                    .store_pollers
                     .configuration
-                    .patience_ms(&mut self.pacing, CALL_TIMEOUT_MS);
+                    .timeout_ms(&mut self.pacing, CALL_TIMEOUT_MS);
                 self.call_store(CallTag::ConfigurationRead, &bytes, wait_ms + timeout_ms);
             }
         }
     }
 
-    pub(super) fn take_configuration_read(&mut self, read: LogRead) -> Result<u64, DecodeError> {
+    pub(super) fn handle_configuration_read(&mut self, read: LogRead) -> Result<u64, DecodeError> {
         match read {
             LogRead::Expired { .. } => {
-                self.feeds.configuration.restart();
+                self.store_pollers.configuration.restart();
                 Ok(0)
             }
             LogRead::Records { records, .. } => {
@@ -90,19 +94,19 @@
                 for record in &records {
                     keyed.push(self.codecs.store.keyed(record)?);
                 }
-                self.take_configurations(&keyed);
-                self.feeds
+                self.apply_configurations(&keyed);
+                self.store_pollers
                     .configuration
-                    .draw_phase(&mut self.pacing, FOLLOWING_CONFIGURATION_EVERY_MS);
-                let from = self.feeds.configuration.from.unwrap_or_default();
-                self.feeds.configuration.from = Some(from.after(records.len() as u64));
+                    .draw_read_phase(&mut self.pacing, ANNOUNCED_CONFIGURATION_INTERVAL_MS);
+                let from = self.store_pollers.configuration.from.unwrap_or_default();
+                self.store_pollers.configuration.from = Some(from.after(records.len() as u64));
                 Ok(0)
             }
         }
     }
 
     /// Puts configurations in force. Returns whether the records contained any.
-    pub(super) fn take_configurations(&mut self, records: &[KeyedRecord]) -> bool {
+    pub(super) fn apply_configurations(&mut self, records: &[KeyedRecord]) -> bool {
         let mut found = false;
         for record in records {
             let configuration = match self.codecs.store.configuration(record) {
@@ -120,7 +124,7 @@
                 Ok(()) if version != before => {
                     log::info!(version, before; "configuration in force");
                     let is_outdated = self.sharing.told_version() > version;
-                    self.feeds.note_outdated(self.now_ms, is_outdated);
+                    self.store_pollers.record_outdated(self.now_ms, is_outdated);
                     self.peers.beat_soon();
                     self.look_again = true;
                 }
--- a/crates/entry/src/feeds/schedule.rs
+++ b/crates/entry/src/store_pollers/schedule.rs
@@ -4,78 +4,82 @@
 use apricotdale_fleet::ReadPacing;
 use apricotdale_fleet::Sharing;
 
-use super::COPY_AGAIN_MS;
-use super::FOLLOWING_CONFIGURATION_EVERY_MS;
-use super::Feeds;
+use super::ANNOUNCED_CONFIGURATION_INTERVAL_MS;
+use super::SNAPSHOT_RETRY_MS;
+use super::StorePollers;
 
-impl Feeds {
+impl StorePollers {
     pub(super) fn configuration_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
-        let feed = &self.configuration;
+        let poller = &self.configuration;
         let due_ms = match sharing.follows(now_ms) {
-            true => feed.followed_due_ms(FOLLOWING_CONFIGURATION_EVERY_MS),
-            false => feed.next_ms,
+            true => poller.announced_due_ms(ANNOUNCED_CONFIGURATION_INTERVAL_MS),
+            false => poller.next_ms,
         };
-        feed.look_ms.map_or(due_ms, |look_ms| due_ms.min(look_ms))
+        poller
+            .forced_read_ms
+            .map_or(due_ms, |forced_read_ms| due_ms.min(forced_read_ms))
     }
 
     /// Returns when the upstreams' own entries are read. A VM that receives announcements does not
     /// read them, unless there is no snapshot that could repair its list.
     pub(super) fn upstreams_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
-        let feed = &self.upstreams;
-        let is_followed = sharing.follows(now_ms);
-        let turn_ms = self.turn_ms.unwrap_or(u64::MAX);
-        match feed.from {
-            None if !self.copy_tried => u64::MAX,
+        let poller = &self.upstreams;
+        let has_announcer = sharing.follows(now_ms);
+        let scheduled_read_ms = self.scheduled_read_ms.unwrap_or(u64::MAX);
+        match poller.from {
+            None if !self.snapshot_checked => u64::MAX,
             // A list that takes several pages is read to its end.
-            None if feed.after.is_some() => feed.next_ms,
-            None => feed
+            None if poller.after.is_some() => poller.next_ms,
+            None => poller
                 .next_ms
-                .max(turn_ms.min(self.uncopied_turn_ms.unwrap_or(u64::MAX))),
-            Some(_) if is_followed => self
-                .uncopied_repair
+                .max(scheduled_read_ms.min(self.no_snapshot_read_ms.unwrap_or(u64::MAX))),
+            Some(_) if has_announcer => self
+                .no_snapshot_repair
                 .due_ms()
-                .map_or(u64::MAX, |due_ms| due_ms.max(feed.next_ms)),
-            Some(_) => feed
-                .look_ms
-                .map_or(feed.next_ms, |look_ms| feed.next_ms.min(look_ms))
-                .max(turn_ms),
+                .map_or(u64::MAX, |due_ms| due_ms.max(poller.next_ms)),
+            Some(_) => poller
+                .forced_read_ms
+                .map_or(poller.next_ms, |forced_read_ms| {
+                    poller.next_ms.min(forced_read_ms)
+                })
+                .max(scheduled_read_ms),
         }
     }
 
     /// Updates this VM's turn to read the upstreams' entries. While other VMs announce the entries
     /// there is none; otherwise its time is drawn at random. The lease holder always reads them.
-    pub(super) fn note_turn(
+    pub(super) fn update_scheduled_read(
         &mut self,
         now_ms: u64,
-        is_followed: bool,
+        has_announcer: bool,
         holds_lease: bool,
         pacing: &mut ReadPacing,
     ) {
-        self.turn_ms = match (is_followed, self.turn_ms) {
+        self.scheduled_read_ms = match (has_announcer, self.scheduled_read_ms) {
             _ if holds_lease => Some(0),
             (true, _) => None,
             (false, None) => Some(now_ms + pacing.turn_ms()),
-            (false, turn_ms) => turn_ms,
+            (false, scheduled_read_ms) => scheduled_read_ms,
         };
     }
 
-    pub(super) fn copy_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
-        let feed = &self.copy;
-        if !self.copy_tried || feed.after.is_some() {
-            return feed.next_ms;
+    pub(super) fn snapshot_due_ms(&self, now_ms: u64, sharing: &Sharing) -> u64 {
+        let poller = &self.list_snapshot;
+        if !self.snapshot_checked || poller.after.is_some() {
+            return poller.next_ms;
         }
         // The VM that reads for all others has written a snapshot or is about to.
-        if self.upstreams.from.is_none() && self.turn_ms.is_none() {
-            return feed.next_ms + COPY_AGAIN_MS;
+        if self.upstreams.from.is_none() && self.scheduled_read_ms.is_none() {
+            return poller.next_ms + SNAPSHOT_RETRY_MS;
         }
         if !sharing.follows(now_ms) {
             return u64::MAX;
         }
-        [&self.listed_repair, &self.held_repair]
+        [&self.listing_repair, &self.residence_repair]
             .into_iter()
             .filter_map(ListRepair::due_ms)
             .min()
-            .map_or(u64::MAX, |due_ms| due_ms.max(feed.next_ms))
+            .map_or(u64::MAX, |due_ms| due_ms.max(poller.next_ms))
     }
 
     /// Returns when the next call or change of schedule is due.
@@ -90,11 +94,11 @@
                 self.configuration_due_ms(now_ms, sharing),
             ),
             (&self.upstreams, self.upstreams_due_ms(now_ms, sharing)),
-            (&self.copy, self.copy_due_ms(now_ms, sharing)),
+            (&self.list_snapshot, self.snapshot_due_ms(now_ms, sharing)),
             (&self.vms, self.vms.next_ms),
         ];
         due.into_iter()
-            .filter(|(feed, _)| !feed.calling)
+            .filter(|(poller, _)| !poller.calling)
             .map(|(_, due_ms)| due_ms)
             .chain([ends_ms])
             .min()
--- a/crates/entry/src/feeds/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -6,9 +6,9 @@
 use apricotdale_fleet::ListingChanges;
 use apricotdale_fleet::Upstream;
 
-use super::FOREIGN_KEYS;
-use super::RESTART_SILENT_MS;
-use super::UPSTREAMS_EVERY_MS;
+use super::MAX_LOGGED_FOREIGN_KEYS;
+use super::RESTART_SILENCE_MS;
+use super::UPSTREAMS_INTERVAL_MS;
 use crate::codec::DecodeError;
 use crate::codec::KeyedPage;
 use crate::codec::KeyedRecord;
@@ -17,77 +17,78 @@
 use crate::outbound::Peer;
 
 /// Maximum number of new upstreams of one read that are logged one by one.
-const LINES_OF_CAME: usize = 24;
+const MAX_ARRIVAL_LINES: usize = 24;
 
 impl Daemon {
-    pub(super) fn take_upstreams_page(&mut self, page: KeyedPage) -> u64 {
+    pub(super) fn handle_upstreams_page(&mut self, page: KeyedPage) -> u64 {
         let now_ms = self.now_ms;
-        let feed = &mut self.feeds.upstreams;
-        feed.pages_end
+        let poller = &mut self.store_pollers.upstreams;
+        poller
+            .pages_end
             .get_or_insert(self.store_era.position(page.end));
-        feed.after = page.records.last().map(|record| record.key.clone());
-        feed.pages.extend(page.records);
+        poller.after = page.records.last().map(|record| record.key.clone());
+        poller.pages.extend(page.records);
         if page.more {
             return 0;
         }
-        let records = std::mem::take(&mut feed.pages);
-        feed.from = feed.pages_end.take();
-        feed.after = None;
+        let records = std::mem::take(&mut poller.pages);
+        poller.from = poller.pages_end.take();
+        poller.after = None;
         let entries: Vec<Upstream> = records
             .iter()
             .filter_map(|record| self.decode_upstream(record))
             .collect();
         let names: Vec<UpstreamName> = entries.iter().map(|entry| entry.name.clone()).collect();
         self.directory
-            .read_up_to(self.feeds.upstreams.from.unwrap_or_default());
+            .read_up_to(self.store_pollers.upstreams.from.unwrap_or_default());
         let changes = self.directory.note_listing(now_ms, entries);
         log::info!(
             upstreams = names.len(), left = changes.left.len();
             "list of upstreams read"
         );
-        self.take_listing_changes(changes);
+        self.handle_listing_changes(changes);
         for name in names {
             self.news.lay_over(now_ms, &mut self.directory, &name);
         }
         self.look_again = true;
-        UPSTREAMS_EVERY_MS
+        UPSTREAMS_INTERVAL_MS
     }
 
     /// Handles the changes that a complete upstream list made to the directory.
-    pub(super) fn take_listing_changes(&mut self, changes: ListingChanges) {
+    pub(super) fn handle_listing_changes(&mut self, changes: ListingChanges) {
         for name in &changes.lapsed {
-            self.upstream_lapsed(name);
+            self.handle_lapsed_entry(name);
         }
         for name in changes.left {
             let reason = match self.directory.has_restarted(&name) {
                 true => "restarted",
                 false => "not_listed",
             };
-            self.upstream_left(&name, reason);
+            self.stop_sending_to(&name, reason);
         }
     }
 
-    pub(super) fn take_upstreams_read(&mut self, read: LogRead) -> Result<u64, DecodeError> {
+    pub(super) fn handle_upstreams_read(&mut self, read: LogRead) -> Result<u64, DecodeError> {
         let LogRead::Records { end, records } = read else {
-            self.feeds.upstreams.restart();
+            self.store_pollers.upstreams.restart();
             return Ok(0);
         };
-        let from = self.feeds.upstreams.from.unwrap_or_default();
+        let from = self.store_pollers.upstreams.from.unwrap_or_default();
         for (index, record) in (1..).zip(&records) {
             self.directory.read_up_to(from.after(index));
             match self.codecs.store.keyed(record) {
-                Ok(record) => self.take_upstream(&record),
+                Ok(record) => self.apply_upstream_record(&record),
                 // Others may write to this topic too. A record without a key names no upstream; it
                 // is skipped, since a read that stopped here would meet the same record again.
-                Err(error) => self.note_foreign_entry("", &error),
+                Err(error) => self.record_foreign_entry("", &error),
             }
         }
         let from = from.after(records.len() as u64);
-        self.feeds.upstreams.from = Some(from);
+        self.store_pollers.upstreams.from = Some(from);
         Ok(if from.offset < end {
             0
         } else {
-            UPSTREAMS_EVERY_MS
+            UPSTREAMS_INTERVAL_MS
         })
     }
 
@@ -98,18 +99,18 @@
         let value = record.value.as_deref()?;
         match self.codecs.store.upstream(&record.key, value) {
             Ok(upstream) => {
-                self.feeds.foreign.remove(&record.key);
-                self.note_service(&upstream);
+                self.store_pollers.foreign_keys.remove(&record.key);
+                self.check_service(&upstream);
                 Some(upstream)
             }
             Err(error) => {
-                self.note_foreign_entry(&record.key, &error);
+                self.record_foreign_entry(&record.key, &error);
                 let instance = InstanceName::from(record.key.as_str());
                 let run = self.directory.run_of(&instance).cloned();
                 if let (DirectoryChange::Left, Some(run)) =
                     (self.directory.note_foreign(&instance), run)
                 {
-                    self.upstream_left(&run, "entry_of_another_writer");
+                    self.stop_sending_to(&run, "entry_of_another_writer");
                 }
                 None
             }
@@ -117,22 +118,24 @@
     }
 
     /// Logs once that an upstream's service is in no configuration, so that no route leads to it.
-    fn note_service(&mut self, upstream: &Upstream) {
+    fn check_service(&mut self, upstream: &Upstream) {
         if self.directory.version() > 0 && self.directory.service(&upstream.service).is_none() {
             let error = DecodeError::new(format!("service {}", upstream.service));
-            self.note_foreign_entry(upstream.instance.as_str(), &error);
+            self.record_foreign_entry(upstream.instance.as_str(), &error);
         }
     }
 
     /// Counts an entry that names no usable upstream, and logs it once for each key.
-    fn note_foreign_entry(&mut self, key: &str, error: &DecodeError) {
+    fn record_foreign_entry(&mut self, key: &str, error: &DecodeError) {
         self.metrics.foreign_entry();
-        if self.feeds.foreign.len() < FOREIGN_KEYS && self.feeds.foreign.insert(key.to_owned()) {
+        if self.store_pollers.foreign_keys.len() < MAX_LOGGED_FOREIGN_KEYS
+            && self.store_pollers.foreign_keys.insert(key.to_owned())
+        {
             log::warn!(upstream = key, reason = error.detail; "entry names nobody to send to");
         }
     }
 
-    fn take_upstream(&mut self, record: &KeyedRecord) {
+    fn apply_upstream_record(&mut self, record: &KeyedRecord) {
         let now_ms = self.now_ms;
         let instance = InstanceName::from(record.key.as_str());
         let before = self.directory.run_of(&instance).cloned();
@@ -148,12 +151,12 @@
             None => "gone",
             Some(_) => "leaving",
         };
-        self.take_entry_change(&instance, before, change, reason);
+        self.handle_entry_change(&instance, before, change, reason);
     }
 
     /// Handles the change that one entry made. `before` is the run that the entry named before,
     /// `reason` is logged if the upstream accepts no new requests any more.
-    pub(super) fn take_entry_change(
+    pub(super) fn handle_entry_change(
         &mut self,
         instance: &InstanceName,
         before: Option<UpstreamName>,
@@ -166,22 +169,22 @@
         self.news.lay_over(self.now_ms, &mut self.directory, &name);
         match change {
             DirectoryChange::None => {}
-            DirectoryChange::Left => self.upstream_left(&name, reason),
-            DirectoryChange::Lapsed => self.upstream_lapsed(&name),
-            DirectoryChange::Came => self.upstream_came(&name),
+            DirectoryChange::Left => self.stop_sending_to(&name, reason),
+            DirectoryChange::Lapsed => self.handle_lapsed_entry(&name),
+            DirectoryChange::Came => self.handle_new_upstream(&name),
             DirectoryChange::Restarted { former } => {
-                self.upstream_left(&former, "restarted");
-                self.upstream_came(&name);
+                self.stop_sending_to(&former, "restarted");
+                self.handle_new_upstream(&name);
             }
             DirectoryChange::Residence => self.look_again = true,
         }
     }
 
-    fn upstream_came(&mut self, name: &UpstreamName) {
-        self.feeds.note_came(name.clone());
+    fn handle_new_upstream(&mut self, name: &UpstreamName) {
+        self.store_pollers.queue_arrival(name.clone());
         self.peers.beat_soon();
         // With thousands of upstreams, a line for each would take longer than reading them.
-        if self.feeds.came_count() <= LINES_OF_CAME {
+        if self.store_pollers.pending_arrivals() <= MAX_ARRIVAL_LINES {
             log::info!(upstream = name.to_string(); "upstream came");
         }
         self.look_again = true;
@@ -189,20 +192,20 @@
 
     /// Handles the end of a read of the upstream list. Upstreams that have not returned after an
     /// outage are dropped.
-    pub(super) fn list_read(&mut self) {
-        self.directory.read_up_to(self.feeds.list_read_to());
+    pub(super) fn finish_list_read(&mut self) {
+        self.directory.read_up_to(self.store_pollers.list_read_to());
         for name in self.directory.note_list_read(self.now_ms) {
-            self.upstream_left(&name, "lapsed");
+            self.stop_sending_to(&name, "lapsed");
         }
-        self.feeds.upstreams.look_ms = self.directory.list_whole_ms(self.now_ms);
-        self.tell_list_read();
+        self.store_pollers.upstreams.forced_read_ms = self.directory.list_whole_ms(self.now_ms);
+        self.announce_list_read();
     }
 
     /// Logs that an upstream stays in use for a short time although its entry has vanished. If the
     /// upstream had in fact left, this line is the only record of when that was read.
-    fn upstream_lapsed(&mut self, name: &UpstreamName) {
+    fn handle_lapsed_entry(&mut self, name: &UpstreamName) {
         self.metrics.lapsed_upstream();
-        let failed_ms_ago = self.feeds.upstreams.failed_ms_ago(self.now_ms);
+        let failed_ms_ago = self.store_pollers.upstreams.failed_ms_ago(self.now_ms);
         log::info!(
             upstream = name.to_string(), read_failed_ms_ago = failed_ms_ago;
             "entry vanished around an outage"
@@ -211,7 +214,7 @@
 
     /// Stops sending new requests to an upstream. Requests in progress there continue unless its
     /// process has ended.
-    pub(crate) fn upstream_left(&mut self, name: &UpstreamName, reason: &str) {
+    pub(crate) fn stop_sending_to(&mut self, name: &UpstreamName, reason: &str) {
         if let Some(departure) = self.directory.departure(name) {
             self.sharing.note_left(self.now_ms, departure);
         }
@@ -220,8 +223,8 @@
         self.outbound
             .close_idle(&Peer::Upstream(name.clone()), self.poll.registry());
         if self.directory.has_restarted(name) {
-            self.former_runs.push(name.clone());
-            self.end_former_runs();
+            self.ended_incarnations.push(name.clone());
+            self.end_requests_at_ended_incarnations();
         }
         if self.directory.upstream(name).is_none() {
             self.note_ended(name);
@@ -234,15 +237,15 @@
     /// Ends requests at processes that have ended. Where the connections fell silent with the
     /// process, these requests would otherwise wait for an answer until their deadlines. Requests
     /// that reached the new process before its entry was read receive bytes and continue.
-    pub(crate) fn end_former_runs(&mut self) {
-        let since_ms = self.now_ms.saturating_sub(RESTART_SILENT_MS);
-        for name in std::mem::take(&mut self.former_runs) {
+    pub(crate) fn end_requests_at_ended_incarnations(&mut self) {
+        let since_ms = self.now_ms.saturating_sub(RESTART_SILENCE_MS);
+        for name in std::mem::take(&mut self.ended_incarnations) {
             let peer = Peer::Upstream(name.clone());
             for (token, key) in self.outbound.silent_relays(&peer, since_ms) {
                 self.connection_failed(token, key);
             }
             if !self.outbound.silent_relays(&peer, u64::MAX).is_empty() {
-                self.former_runs.push(name);
+                self.ended_incarnations.push(name);
             }
         }
     }
--- a/crates/entry/src/feeds/vm_entries.rs
+++ b/crates/entry/src/store_pollers/vm_entries.rs
@@ -1,8 +1,8 @@
 //! Entries of VMs in the store, through which VMs discover each other.
 
 use super::CALL_TIMEOUT_MS;
-use super::NEWEST_TIMEOUT_MS;
-use super::WRITTEN_AGAIN_MS;
+use super::COMPLETE_LIST_TIMEOUT_MS;
+use super::REWRITE_SPREAD_MS;
 use crate::calls::CallTag;
 use crate::codec::KeyedPage;
 use crate::codec::Topic;
@@ -11,21 +11,21 @@
 
 /// Pause before a VM that starts rereads the entries. By then all other VMs have rewritten theirs
 /// if the store was rolled back.
-const READ_AGAIN_MS: u64 = 3_000;
+const REREAD_DELAY_MS: u64 = 3_000;
 
 /// Longer than any process lives.
 const NEVER_MS: u64 = u64::MAX / 2;
 
 impl Daemon {
     pub(super) fn read_vms(&mut self) {
-        self.feeds.vms.calling = true;
-        if self.feeds.vm_written {
-            let after = self.feeds.vms.after.clone();
+        self.store_pollers.vms.calling = true;
+        if self.store_pollers.own_entry_written {
+            let after = self.store_pollers.vms.after.clone();
             let bytes = self.codecs.store.newest(Topic::Vms, after.as_deref());
             let timeout_ms = self
-                .feeds
+                .store_pollers
                 .vms
-                .patience_ms(&mut self.pacing, NEWEST_TIMEOUT_MS);
+                .timeout_ms(&mut self.pacing, COMPLETE_LIST_TIMEOUT_MS);
             self.call_store(CallTag::VmsNewest, &bytes, timeout_ms);
             return;
         }
@@ -38,25 +38,25 @@
 
     /// Handles a page of entries. The store returns at most 500 entries a page; VMs on later pages
     /// would otherwise receive no messages.
-    pub(super) fn take_vms_page(&mut self, page: KeyedPage) -> u64 {
-        let feed = &mut self.feeds.vms;
-        feed.after = page.records.last().map(|record| record.key.clone());
-        feed.pages.extend(page.records);
+    pub(super) fn handle_vms_page(&mut self, page: KeyedPage) -> u64 {
+        let poller = &mut self.store_pollers.vms;
+        poller.after = page.records.last().map(|record| record.key.clone());
+        poller.pages.extend(page.records);
         if page.more {
             return 0;
         }
-        let records = std::mem::take(&mut feed.pages);
-        feed.after = None;
+        let records = std::mem::take(&mut poller.pages);
+        poller.after = None;
         let vms: Vec<VmRecord> = records
             .iter()
             .filter_map(|record| postcard::from_bytes(record.value.as_deref()?).ok())
             .collect();
         self.peers.note_records(vms);
         log::info!(vms = self.peers.others(); "entries of VMs read");
-        let is_first = !std::mem::replace(&mut self.feeds.vms_read, true);
+        let is_first = !std::mem::replace(&mut self.store_pollers.other_entries_read, true);
         match is_first && self.store_era.now() > 0 {
             // The store may have been rolled back a moment ago and lack some entries.
-            true => READ_AGAIN_MS + self.pacing.draw_within_ms(WRITTEN_AGAIN_MS),
+            true => REREAD_DELAY_MS + self.pacing.draw_within_ms(REWRITE_SPREAD_MS),
             // VMs that start later announce themselves with a greeting.
             false => NEVER_MS,
         }
@@ -64,9 +64,9 @@
 
     /// Records that this VM's entry is written. Returns the pause before the other VMs' entries are
     /// read.
-    pub(super) fn vm_written(&mut self) -> u64 {
-        self.feeds.vm_written = true;
-        match self.feeds.vms_read {
+    pub(super) fn own_entry_written(&mut self) -> u64 {
+        self.store_pollers.own_entry_written = true;
+        match self.store_pollers.other_entries_read {
             true => NEVER_MS,
             false => 0,
         }
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -224,7 +224,7 @@
         match (is_other, &request.job.wanted) {
             (true, _) => {
                 self.directory.note_gone(&upstream);
-                self.upstream_left(&upstream, "address_used_by_another");
+                self.stop_sending_to(&upstream, "address_used_by_another");
             }
             (false, Some(wanted)) => {
                 let wanted = wanted.clone();
