--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -163,7 +163,7 @@
             let asker = self.run;
             for ask in due.asks {
                 self.peers
-                    .send(*address, &PeerMessage::TrialWanted { asker, ask });
+                    .send(*address, &PeerMessage::TrialRequested { asker, ask });
             }
             for end in due.trial_ends.into_iter().filter(|_| is_other) {
                 self.peers
@@ -319,8 +319,8 @@
 
     /// Requests the blocks in force from the lease holder, since this VM may have missed some.
     pub(crate) fn ask_for_blocks(&mut self) {
-        if let Some((_, address, _)) = self.peers.holder {
-            self.peers.send(address, &PeerMessage::BlocksWanted);
+        if let Some((_, address, _)) = self.peers.lease_holder {
+            self.peers.send(address, &PeerMessage::BlocksRequested);
         }
     }
 
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -249,7 +249,7 @@
                 self.handle(token, writable);
             }
             if self.peers.may_have_more {
-                self.receive_peers();
+                self.receive_peer_messages();
             }
             self.work();
         }
@@ -269,7 +269,7 @@
             self.metrics.stood_still();
             self.ask_for_blocks();
             log::warn!(
-                late_ms, requests = self.active.len(), orders_by = self.peers.holder_text();
+                late_ms, requests = self.active.len(), orders_by = self.peers.lease_holder_text();
                 "this VM stood still"
             );
         }
@@ -320,7 +320,7 @@
     fn handle(&mut self, token: Token, writable: bool) {
         match token {
             CALLERS | READY | METRICS => self.accept(token),
-            PEERS => self.receive_peers(),
+            PEERS => self.receive_peer_messages(),
             STOP if drain_pipe(&mut self.stop_signals) => self.begin_stop(),
             HANGUP if drain_pipe(&mut self.hangup_signals) => self.reload(),
             STOP | HANGUP => {}
--- a/crates/entry/src/engine_orders.rs
+++ b/crates/entry/src/engine_orders.rs
@@ -183,8 +183,8 @@
             // A renewal may have been in progress when the stop began.
             self.release_lease();
         } else if now_ms >= self.engine_orders.lease.next_ms() {
-            let place = self.peers.place(now_ms);
-            self.engine_orders.lease.set_place(place);
+            let rank = self.peers.takeover_rank(now_ms);
+            self.engine_orders.lease.set_place(rank);
             if let Some(action) = self.engine_orders.lease.act(now_ms) {
                 self.call_store_for_lease(&action);
             }
@@ -263,8 +263,8 @@
             }
         }
         if !news.is_empty() {
-            self.peers.tell_news(self.now_ms, &news);
-            self.take_news(news);
+            self.peers.queue_residence_updates(self.now_ms, &news);
+            self.apply_residence_updates(news);
         }
     }
 }
--- a/crates/entry/src/engine_orders/order_lease.rs
+++ b/crates/entry/src/engine_orders/order_lease.rs
@@ -56,7 +56,7 @@
         if matches!(answer, LeaseAnswer::Appended { .. }) {
             // A VM that has missed the last renewal would only find it in the store when it tries
             // to take over from a lost holder, and would then wait for another whole lease.
-            self.peers.beat_soon();
+            self.peers.schedule_heartbeat();
         }
         let released = self.engine_orders.lease.answered(self.now_ms, answer);
         if let Some((lease_end, quiet_ms)) = released {
--- a/crates/entry/src/engine_probes.rs
+++ b/crates/entry/src/engine_probes.rs
@@ -54,11 +54,13 @@
         match self.watch.asked(self.now_ms, engine, answered) {
             Silence::None => {}
             Silence::Dark => {
-                self.peers.send_all(&PeerMessage::Dark(engine.clone()));
+                self.peers
+                    .send_all(&PeerMessage::EngineUnresponsive(engine.clone()));
                 self.engine_dark(engine, "asked");
             }
             Silence::Over => {
-                self.peers.send_all(&PeerMessage::Lit(engine.clone()));
+                self.peers
+                    .send_all(&PeerMessage::EngineResponsive(engine.clone()));
                 self.engine_lit(engine);
             }
         }
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -96,7 +96,7 @@
         self.stopping.stop_ms = self.settings.stop_ms;
         log::info!(requests = self.active.len(); "planned stop begins");
         self.release_lease();
-        self.peers.say_goodbye();
+        self.peers.send_goodbye();
     }
 
     /// Returns whether a planned stop is complete.
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -95,13 +95,13 @@
         if now_ms < self.limits.next_ms() {
             return;
         }
-        let keepers = self.peers.keepers();
-        if let Some(report) = self.limits.spender.due(now_ms, keepers.len()) {
+        let quota_owners = self.peers.quota_owners();
+        if let Some(report) = self.limits.spender.due(now_ms, quota_owners.len()) {
             let choice = self.limits.spender.choice();
-            let (vm, address) = &keepers[choice];
+            let (vm, address) = &quota_owners[choice];
             match *vm == self.peers.own_record().vm {
                 true => self.take_report(None, &report),
-                false => self.peers.send(*address, &PeerMessage::Spent(report)),
+                false => self.peers.send(*address, &PeerMessage::QuotaReport(report)),
             }
         }
         if now_ms >= self.limits.next_forget_ms {
@@ -134,7 +134,7 @@
             return;
         };
         match from {
-            Some(from) => self.peers.send(from, &PeerMessage::Allowed(answer)),
+            Some(from) => self.peers.send(from, &PeerMessage::QuotaAnswer(answer)),
             None => self.take_allowed(&answer),
         }
     }
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
     /// Announces a VM that runs.
-    Greeting(VmRecord),
+    Hello(VmRecord),
     /// Announces that a VM stops.
     Goodbye(VmName),
     /// A VM's demand, for the lease holder.
@@ -54,7 +54,7 @@
         rows: Vec<DemandRow>,
     },
     /// Heartbeat of the lease holder.
-    Beat {
+    Heartbeat {
         from: VmRecord,
         lease_end: Position,
         forecasts: Vec<ForecastRow>,
@@ -68,16 +68,16 @@
         entries: Vec<Upstream>,
     },
     /// Changes of what engines hold.
-    News(Vec<ResidenceNews>),
+    ResidenceUpdates(Vec<ResidenceNews>),
     /// An engine rejected a request because it does not hold the model.
-    TurnedAway {
+    ModelMissing {
         engine: UpstreamName,
         model: ModelName,
     },
     /// An engine with requests in progress does not answer.
-    Dark(UpstreamName),
+    EngineUnresponsive(UpstreamName),
     /// An engine that did not answer does so again.
-    Lit(UpstreamName),
+    EngineResponsive(UpstreamName),
     /// The lease holder has released the lease.
     Released {
         /// End of the lease's topic behind the record that releases the lease.
@@ -90,13 +90,13 @@
     /// Requests that are refused because upstreams crash under them.
     Blocks(Vec<BlockRow>),
     /// Asks the lease holder for the blocks in force, of which the sender may have missed some.
-    BlocksWanted,
+    BlocksRequested,
     /// A blocked request, or one on probation, was answered after all.
     Cleared(Fingerprint),
     /// Requests on probation, of which only one copy at a time is sent.
     Probations(Vec<Fingerprint>),
     /// Asks a judge whether the sender may send a request on probation.
-    TrialWanted {
+    TrialRequested {
         /// Run of the VM that asks.
         asker: u64,
         ask: TrialAsk,
@@ -110,9 +110,9 @@
         end: TrialEnd,
     },
     /// What a VM has spent of the limits of organisations, for the keeper of the accounts.
-    Spent(Report),
+    QuotaReport(Report),
     /// What the keeper of the accounts allows a VM to spend.
-    Allowed(Answer),
+    QuotaAnswer(Answer),
 }
 
 /// First byte of each message. It changes with the format of what follows, so that VMs of different
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -26,36 +26,36 @@
 use crate::messages::ForecastRow;
 use crate::messages::PeerMessage;
 use crate::messages::decode;
-use crate::peers::GREETING_MS;
-use crate::peers::ROWS_A_DATAGRAM;
+use crate::peers::HELLO_INTERVAL_MS;
+use crate::peers::ROWS_PER_DATAGRAM;
 
 /// Datagrams received in one iteration of the loop. Hundreds of VMs may send more than a small
 /// share of a core can handle: with all of them received first, the holder would not renew its
 /// lease in time, and the messages would reach a VM that has lost it.
-const DATAGRAMS_A_TURN: usize = 64;
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
 
 /// Time between two demand reports while requests wait: at least the first, and for each known VM
 /// the second, since the lease holder receives all reports and can handle about a thousand a
 /// second.
-const DEMAND_WAITING_MS: u64 = 200;
-const DEMAND_WAITING_US_A_VM: u64 = 1_000;
+const BUSY_DEMAND_INTERVAL_MS: u64 = 200;
+const BUSY_DEMAND_INTERVAL_US_PER_VM: u64 = 1_000;
 
 /// Time between two demand reports while no requests wait.
-const DEMAND_CALM_MS: u64 = 700;
+const IDLE_DEMAND_INTERVAL_MS: u64 = 700;
 
 /// Time between two heartbeats of the lease holder.
-const BEAT_MS: u64 = 400;
+const HEARTBEAT_INTERVAL_MS: u64 = 400;
 
 impl Daemon {
     /// Receives and handles messages of other VMs.
-    pub(crate) fn receive_peers(&mut self) {
+    pub(crate) fn receive_peer_messages(&mut self) {
         let mut bytes = [0_u8; 64 * 1024];
         self.peers.may_have_more = true;
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match self.peers.receive(&mut bytes) {
                 Ok((length, from)) => match decode(&bytes[..length]) {
-                    Ok(message) => self.take_message(from, message),
-                    Err(error) => self.note_strange_message(from, &error),
+                    Ok(message) => self.handle_message(from, message),
+                    Err(error) => self.record_undecodable_message(from, &error),
                 },
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
@@ -67,23 +67,23 @@
     }
 
     /// Counts a message that this version can't decode, and logs it once for each sender.
-    fn note_strange_message(&mut self, from: SocketAddr, error: &DecodeError) {
+    fn record_undecodable_message(&mut self, from: SocketAddr, error: &DecodeError) {
         self.metrics.failed_try("bad_peer_message");
-        if self.peers.is_new_stranger(from) {
+        if self.peers.should_log_undecodable(from) {
             let (from, reason) = (from.to_string(), error.detail.as_str());
             log::warn!(from, reason; "message of a VM not understood");
         }
     }
 
-    fn take_message(&mut self, from: SocketAddr, message: PeerMessage) {
+    fn handle_message(&mut self, from: SocketAddr, message: PeerMessage) {
         let now_ms = self.now_ms;
         match message {
-            PeerMessage::Greeting(record) => {
-                let is_new = !self.peers.knows(&record.vm);
-                let is_other_run = self.peers.note_heard(now_ms, &record);
+            PeerMessage::Hello(record) => {
+                let is_new = !self.peers.knows_vm(&record.vm);
+                let is_other_run = self.peers.record_heard(now_ms, &record);
                 if is_new {
-                    let greeting = PeerMessage::Greeting(self.peers.own.clone());
-                    self.peers.send(record.address, &greeting);
+                    let hello = PeerMessage::Hello(self.peers.own.clone());
+                    self.peers.send(record.address, &hello);
                 }
                 if self.engine_orders.held_lease_end(now_ms).is_some() {
                     self.tell_blocks_to(record.address);
@@ -97,32 +97,33 @@
                 self.peers.forget(&vm);
                 if self
                     .peers
-                    .holder
+                    .lease_holder
                     .as_ref()
                     .is_some_and(|(holder, ..)| *holder == vm)
                 {
-                    self.peers.holder = None;
+                    self.peers.lease_holder = None;
                 }
             }
             PeerMessage::Demand { from: record, rows } => {
-                self.peers.note_heard(now_ms, &record);
+                self.peers.record_heard(now_ms, &record);
                 for part in self
                     .engine_orders
                     .missed_residence_updates(&rows)
-                    .chunks(ROWS_A_DATAGRAM / 2)
+                    .chunks(ROWS_PER_DATAGRAM / 2)
                 {
-                    self.peers.send(from, &PeerMessage::News(part.to_vec()));
+                    self.peers
+                        .send(from, &PeerMessage::ResidenceUpdates(part.to_vec()));
                 }
                 self.engine_orders
                     .record_demand(now_ms, &record.vm, record.run, rows);
             }
-            PeerMessage::Beat {
+            PeerMessage::Heartbeat {
                 from,
                 lease_end,
                 forecasts,
                 fresh,
             } => {
-                self.peers.note_heard(now_ms, &from);
+                self.peers.record_heard(now_ms, &from);
                 self.handle_era(lease_end.era);
                 if self.engine_orders.is_from_older_lease(lease_end) {
                     return;
@@ -130,28 +131,30 @@
                 self.engine_orders.record_lease_end(now_ms, lease_end);
                 if self
                     .peers
-                    .holder
+                    .lease_holder
                     .as_ref()
                     .is_none_or(|(holder, ..)| *holder != from.vm)
                 {
                     let (holder, lease_end) = (from.vm.to_string(), lease_end.to_string());
                     log::info!(holder, lease_end; "another VM gives orders");
                 }
-                self.take_freshness(&fresh);
-                self.peers.holder = Some((from.vm, from.address, now_ms));
-                self.take_forecasts(forecasts);
+                self.apply_freshness(&fresh);
+                self.peers.lease_holder = Some((from.vm, from.address, now_ms));
+                self.apply_forecasts(forecasts);
             }
             PeerMessage::ListRead { from, fresh } => {
-                self.peers.note_heard(now_ms, &from);
-                self.take_freshness(&fresh);
+                self.peers.record_heard(now_ms, &from);
+                self.apply_freshness(&fresh);
             }
             PeerMessage::Entries { read_to, entries } => {
                 self.apply_announced_entries(read_to, entries)
             }
-            PeerMessage::News(news) => self.take_news(news),
-            PeerMessage::TurnedAway { engine, model } => self.handle_missing_model(&engine, &model),
-            PeerMessage::Dark(engine) => self.told_dark(&engine),
-            PeerMessage::Lit(engine) => self.engine_lit(&engine),
+            PeerMessage::ResidenceUpdates(news) => self.apply_residence_updates(news),
+            PeerMessage::ModelMissing { engine, model } => {
+                self.handle_missing_model(&engine, &model)
+            }
+            PeerMessage::EngineUnresponsive(engine) => self.told_dark(&engine),
+            PeerMessage::EngineResponsive(engine) => self.engine_lit(&engine),
             PeerMessage::Released {
                 lease_end,
                 quiet_ms,
@@ -161,19 +164,19 @@
             PeerMessage::Crashes(reports) => self.take_crash_reports(&reports),
             PeerMessage::Blocks(rows) => self.take_blocks(&rows),
             PeerMessage::Cleared(fingerprint) => self.request_cleared(&fingerprint, "told"),
-            PeerMessage::BlocksWanted => {
+            PeerMessage::BlocksRequested => {
                 self.tell_blocks_to(from);
                 self.tell_probations_to(from);
             }
             PeerMessage::Probations(fingerprints) => {
                 self.crash_watch.take_probations(now_ms, &fingerprints);
             }
-            PeerMessage::TrialWanted { asker, ask } => self.decide_trial(from, asker, &ask),
+            PeerMessage::TrialRequested { asker, ask } => self.decide_trial(from, asker, &ask),
             PeerMessage::TrialDecided(answer) => {
                 self.look_again |= self.crash_watch.take_trial_answer(now_ms, &answer);
             }
-            PeerMessage::Spent(report) => self.take_report(Some(from), &report),
-            PeerMessage::Allowed(answer) => self.take_allowed(&answer),
+            PeerMessage::QuotaReport(report) => self.take_report(Some(from), &report),
+            PeerMessage::QuotaAnswer(answer) => self.take_allowed(&answer),
             PeerMessage::TrialOver { asker, end } => {
                 self.crash_watch.take_trial_end(now_ms, asker, &end);
             }
@@ -182,11 +185,11 @@
 
     /// Reports to the lease holder that an engine does not hold a model. Otherwise the holder would
     /// go on announcing to all VMs that the engine does.
-    pub(crate) fn tell_turned_away(&mut self, engine: &UpstreamName, model: &ModelName) {
+    pub(crate) fn report_missing_model(&mut self, engine: &UpstreamName, model: &ModelName) {
         if self.engine_orders.held_lease_end(self.now_ms).is_some() {
             self.handle_missing_model(engine, model);
-        } else if let Some((_, address, _)) = self.peers.holder {
-            let message = PeerMessage::TurnedAway {
+        } else if let Some((_, address, _)) = self.peers.lease_holder {
+            let message = PeerMessage::ModelMissing {
                 engine: engine.clone(),
                 model: model.clone(),
             };
@@ -195,7 +198,7 @@
     }
 
     /// Applies what another VM has read from the store.
-    fn take_freshness(&mut self, fresh: &Freshness) {
+    fn apply_freshness(&mut self, fresh: &Freshness) {
         let now_ms = self.now_ms;
         self.handle_era(fresh.list_read_to.era);
         // A VM that has not heard of the rollback does not know what the upstream list lacks now.
@@ -234,11 +237,11 @@
                 self.stop_sending_to(&departure.upstream, "told_by_another_vm");
             }
         }
-        self.compare_list(fresh);
+        self.compare_upstream_list(fresh);
     }
 
     /// Compares this VM's list with the one that another VM has read, and schedules repairs.
-    fn compare_list(&mut self, fresh: &Freshness) {
+    fn compare_upstream_list(&mut self, fresh: &Freshness) {
         // A holder that can't read announces an old list until another VM takes over the lease.
         if !fresh.is_fresh() || !self.directory.is_listed() {
             return;
@@ -289,7 +292,7 @@
         }
     }
 
-    fn take_forecasts(&mut self, forecasts: Vec<ForecastRow>) {
+    fn apply_forecasts(&mut self, forecasts: Vec<ForecastRow>) {
         let now_ms = self.now_ms;
         for row in forecasts {
             let ready_ms = row.ready_in_ms.map(|in_ms| now_ms + in_ms);
@@ -299,7 +302,7 @@
         self.look_again = true;
     }
 
-    pub(crate) fn take_news(&mut self, news: Vec<ResidenceNews>) {
+    pub(crate) fn apply_residence_updates(&mut self, news: Vec<ResidenceNews>) {
         for news in news {
             self.look_again |= self.news.note(self.now_ms, &mut self.directory, news);
         }
@@ -308,41 +311,41 @@
     /// Sends the messages that are due.
     pub(crate) fn advance_peers(&mut self) {
         let now_ms = self.now_ms;
-        if now_ms >= self.peers.next_greeting_ms {
-            self.peers.next_greeting_ms = u64::MAX;
-            self.peers.greet();
+        if now_ms >= self.peers.next_hello_ms {
+            self.peers.next_hello_ms = u64::MAX;
+            self.peers.send_hello();
         }
-        if now_ms >= self.peers.next_news_ms {
-            self.peers.send_news();
+        if now_ms >= self.peers.next_residence_updates_ms {
+            self.peers.send_residence_updates();
         }
-        if now_ms >= self.peers.next_beat_ms {
-            self.peers.next_beat_ms = now_ms + BEAT_MS;
-            self.peers.last_beat_ms = now_ms;
-            self.send_beat();
+        if now_ms >= self.peers.next_heartbeat_ms {
+            self.peers.next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
+            self.peers.last_heartbeat_ms = now_ms;
+            self.send_heartbeat();
         }
         if now_ms >= self.peers.next_demand_ms {
-            self.tell_demand();
+            self.send_demand();
         }
     }
 
-    fn send_beat(&mut self) {
+    fn send_heartbeat(&mut self) {
         let now_ms = self.now_ms;
         let Some(lease_end) = self.engine_orders.held_lease_end(now_ms) else {
             let silent = self
                 .peers
-                .holder
+                .lease_holder
                 .as_ref()
-                .is_none_or(|(.., heard_ms)| now_ms.saturating_sub(*heard_ms) > GREETING_MS);
-            if silent && self.peers.next_greeting_ms == u64::MAX {
-                self.peers.next_greeting_ms = now_ms + GREETING_MS;
+                .is_none_or(|(.., heard_ms)| now_ms.saturating_sub(*heard_ms) > HELLO_INTERVAL_MS);
+            if silent && self.peers.next_hello_ms == u64::MAX {
+                self.peers.next_hello_ms = now_ms + HELLO_INTERVAL_MS;
             }
             return;
         };
-        self.peers.holder = Some((self.peers.own.vm.clone(), self.peers.own.address, now_ms));
+        self.peers.lease_holder = Some((self.peers.own.vm.clone(), self.peers.own.address, now_ms));
         let rows = self.engine_orders.forecasts(now_ms);
         let from = self.peers.own.clone();
         let mut parts: Vec<Vec<ForecastRow>> = rows
-            .chunks(ROWS_A_DATAGRAM)
+            .chunks(ROWS_PER_DATAGRAM)
             .map(<[ForecastRow]>::to_vec)
             .collect();
         if parts.is_empty() {
@@ -351,24 +354,30 @@
         self.sharing.lead();
         let fresh = self.freshness();
         for forecasts in parts {
-            let beat = PeerMessage::Beat {
+            let heartbeat = PeerMessage::Heartbeat {
                 from: from.clone(),
                 lease_end,
                 forecasts,
                 fresh: fresh.clone(),
             };
-            self.peers.send_all(&beat);
+            self.peers.send_all(&heartbeat);
         }
-        self.take_forecasts(rows);
+        self.apply_forecasts(rows);
     }
 
-    fn tell_demand(&mut self) {
+    fn send_demand(&mut self) {
         let now_ms = self.now_ms;
-        let rows = self.demand_rows();
-        let waits = rows.iter().any(|row| row.missing + row.crowded > 0);
-        let by_fleet_ms = self.peers.others() as u64 * DEMAND_WAITING_US_A_VM / 1_000;
-        let waiting_ms = DEMAND_WAITING_MS.max(by_fleet_ms).min(DEMAND_CALM_MS);
-        let pause_ms = if waits { waiting_ms } else { DEMAND_CALM_MS };
+        let rows = self.changed_demand();
+        let has_waiting_requests = rows.iter().any(|row| row.missing + row.crowded > 0);
+        let by_fleet_ms = self.peers.others() as u64 * BUSY_DEMAND_INTERVAL_US_PER_VM / 1_000;
+        let waiting_ms = BUSY_DEMAND_INTERVAL_MS
+            .max(by_fleet_ms)
+            .min(IDLE_DEMAND_INTERVAL_MS);
+        let pause_ms = if has_waiting_requests {
+            waiting_ms
+        } else {
+            IDLE_DEMAND_INTERVAL_MS
+        };
         self.peers.next_demand_ms = now_ms + pause_ms;
         self.peers.last_demand_ms = now_ms;
         let from = self.peers.own.clone();
@@ -377,10 +386,10 @@
                 .record_demand(now_ms, &from.vm, from.run, rows);
             return;
         }
-        let Some((_, address, _)) = self.peers.holder else {
+        let Some((_, address, _)) = self.peers.lease_holder else {
             return;
         };
-        for rows in rows.chunks(ROWS_A_DATAGRAM) {
+        for rows in rows.chunks(ROWS_PER_DATAGRAM) {
             let message = PeerMessage::Demand {
                 from: from.clone(),
                 rows: rows.to_vec(),
@@ -391,7 +400,7 @@
 
     /// Returns the demand rows of models whose demand has changed or that requests in progress
     /// need.
-    fn demand_rows(&mut self) -> Vec<DemandRow> {
+    fn changed_demand(&mut self) -> Vec<DemandRow> {
         let active = self.active.iter().filter_map(|(_, request)| {
             let state = match request.phase {
                 Phase::Waiting(WaitReason::Missing) => RequestState::Missing,
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -285,7 +285,7 @@
                 let news = request.phase != Phase::Waiting(reason);
                 request.phase = Phase::Waiting(reason);
                 if news && reason == WaitReason::Missing {
-                    self.peers.tell_demand_soon();
+                    self.peers.schedule_demand_report();
                 }
             }
             Verdict::Refuse(refusal) => self.refuse(key, &refusal),
--- a/crates/entry/src/request_ends.rs
+++ b/crates/entry/src/request_ends.rs
@@ -34,7 +34,7 @@
                 tries = job.tried.len(),
                 config_version = self.directory.version(),
                 list_age_ms = self.store_pollers.list_age_ms(self.now_ms),
-                orders_by = self.peers.holder_text(),
+                orders_by = self.peers.lease_holder_text(),
                 forecast_in_ms = self.dispatcher.forecast_in_ms(self.now_ms, job);
                 "request refused"
             );
--- a/crates/entry/src/store_pollers/configuration.rs
+++ b/crates/entry/src/store_pollers/configuration.rs
@@ -125,7 +125,7 @@
                     log::info!(version, before; "configuration in force");
                     let is_outdated = self.sharing.told_version() > version;
                     self.store_pollers.record_outdated(self.now_ms, is_outdated);
-                    self.peers.beat_soon();
+                    self.peers.schedule_heartbeat();
                     self.look_again = true;
                 }
                 Ok(()) => {}
--- a/crates/entry/src/store_pollers/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -182,7 +182,7 @@
 
     fn handle_new_upstream(&mut self, name: &UpstreamName) {
         self.store_pollers.queue_arrival(name.clone());
-        self.peers.beat_soon();
+        self.peers.schedule_heartbeat();
         // With thousands of upstreams, a line for each would take longer than reading them.
         if self.store_pollers.pending_arrivals() <= MAX_ARRIVAL_LINES {
             log::info!(upstream = name.to_string(); "upstream came");
@@ -218,7 +218,7 @@
         if let Some(departure) = self.directory.departure(name) {
             self.sharing.note_left(self.now_ms, departure);
         }
-        self.peers.beat_soon();
+        self.peers.schedule_heartbeat();
         log::info!(upstream = name.to_string(), reason; "upstream takes no new work");
         self.outbound
             .close_idle(&Peer::Upstream(name.clone()), self.poll.registry());
--- a/crates/entry/src/store_pollers/vm_entries.rs
+++ b/crates/entry/src/store_pollers/vm_entries.rs
@@ -51,7 +51,7 @@
             .iter()
             .filter_map(|record| postcard::from_bytes(record.value.as_deref()?).ok())
             .collect();
-        self.peers.note_records(vms);
+        self.peers.add_store_entries(vms);
         log::info!(vms = self.peers.others(); "entries of VMs read");
         let is_first = !std::mem::replace(&mut self.store_pollers.other_entries_read, true);
         match is_first && self.store_era.now() > 0 {
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -230,7 +230,7 @@
                 let wanted = wanted.clone();
                 self.news
                     .note_missing(self.now_ms, &mut self.directory, &upstream, &wanted);
-                self.tell_turned_away(&upstream, &wanted.model);
+                self.report_missing_model(&upstream, &wanted.model);
             }
             (false, None) => {}
         }
