--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -50,7 +50,7 @@
 use crate::outbound::Peer;
 use crate::outbound::Purpose;
 use crate::peers::Peers;
-use crate::residence_updates::NewsBoard;
+use crate::residence_updates::ResidenceUpdates;
 use crate::settings::Settings;
 use crate::store_era::StoreEra;
 use crate::store_pollers::StorePollers;
@@ -107,7 +107,7 @@
     pub(crate) crash_watch: CrashWatch,
     pub(crate) block_store: BlockStore,
     pub(crate) limits: Limits,
-    pub(crate) news: NewsBoard,
+    pub(crate) residence_updates: ResidenceUpdates,
     /// Ended incarnations of upstreams at which requests still appear to be in progress.
     pub(crate) ended_incarnations: Vec<UpstreamName>,
     pub(crate) store_pollers: StorePollers,
@@ -198,7 +198,7 @@
             crash_watch,
             block_store: BlockStore::default(),
             limits: Limits::new(run, settings.limit_bounds),
-            news: NewsBoard::default(),
+            residence_updates: ResidenceUpdates::default(),
             ended_incarnations: Vec::new(),
             store_pollers: StorePollers::default(),
             sharing: Sharing::default(),
--- a/crates/entry/src/engine_orders.rs
+++ b/crates/entry/src/engine_orders.rs
@@ -248,7 +248,7 @@
     }
 
     fn execute_actions(&mut self, actions: Vec<PlannerAction>) {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for action in actions {
             match action {
                 PlannerAction::Order {
@@ -259,12 +259,12 @@
                     self.send_order(engine, kind, orders_before);
                 }
                 PlannerAction::Report { engine } => self.read_report(engine),
-                PlannerAction::Tell(told) => news.push(told),
+                PlannerAction::Tell(update) => updates.push(update),
             }
         }
-        if !news.is_empty() {
-            self.peers.queue_residence_updates(self.now_ms, &news);
-            self.apply_residence_updates(news);
+        if !updates.is_empty() {
+            self.peers.queue_residence_updates(self.now_ms, &updates);
+            self.apply_residence_updates(updates);
         }
     }
 }
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -149,7 +149,7 @@
             PeerMessage::Entries { read_to, entries } => {
                 self.apply_announced_entries(read_to, entries)
             }
-            PeerMessage::ResidenceUpdates(news) => self.apply_residence_updates(news),
+            PeerMessage::ResidenceUpdates(updates) => self.apply_residence_updates(updates),
             PeerMessage::ModelMissing { engine, model } => {
                 self.handle_missing_model(&engine, &model)
             }
@@ -302,9 +302,11 @@
         self.look_again = true;
     }
 
-    pub(crate) fn apply_residence_updates(&mut self, news: Vec<ResidenceNews>) {
-        for news in news {
-            self.look_again |= self.news.note(self.now_ms, &mut self.directory, news);
+    pub(crate) fn apply_residence_updates(&mut self, updates: Vec<ResidenceNews>) {
+        for updates in updates {
+            self.look_again |=
+                self.residence_updates
+                    .record(self.now_ms, &mut self.directory, updates);
         }
     }
 
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -313,10 +313,10 @@
     /// Queues residence updates for all VMs. A small fleet is sent them at once; for a large one
     /// they are collected for some time.
     pub fn queue_residence_updates(&mut self, now_ms: u64, residence_updates: &[ResidenceNews]) {
-        for told in residence_updates {
+        for update in residence_updates {
             self.residence_updates
-                .retain(|other| !other.is_about_the_same(told));
-            self.residence_updates.push(told.clone());
+                .retain(|other| !other.is_about_the_same(update));
+            self.residence_updates.push(update.clone());
         }
         let pause_ms = self.known.len() as u64 * UPDATE_COLLECTION_US_PER_VM / 1_000;
         self.next_residence_updates_ms = self.next_residence_updates_ms.min(now_ms + pause_ms);
--- a/crates/entry/src/store_pollers/list_snapshot.rs
+++ b/crates/entry/src/store_pollers/list_snapshot.rs
@@ -180,7 +180,8 @@
         }
         self.handle_listing_changes(changes);
         for name in names {
-            self.news.lay_over(self.now_ms, &mut self.directory, &name);
+            self.residence_updates
+                .reapply(self.now_ms, &mut self.directory, &name);
         }
         self.look_again = true;
     }
--- a/crates/entry/src/store_pollers/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -48,7 +48,8 @@
         );
         self.handle_listing_changes(changes);
         for name in names {
-            self.news.lay_over(now_ms, &mut self.directory, &name);
+            self.residence_updates
+                .reapply(now_ms, &mut self.directory, &name);
         }
         self.look_again = true;
         UPSTREAMS_INTERVAL_MS
@@ -166,7 +167,8 @@
         let Some(name) = self.directory.run_of(instance).cloned().or(before) else {
             return;
         };
-        self.news.lay_over(self.now_ms, &mut self.directory, &name);
+        self.residence_updates
+            .reapply(self.now_ms, &mut self.directory, &name);
         match change {
             DirectoryChange::None => {}
             DirectoryChange::Left => self.stop_sending_to(&name, reason),
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -228,8 +228,12 @@
             }
             (false, Some(wanted)) => {
                 let wanted = wanted.clone();
-                self.news
-                    .note_missing(self.now_ms, &mut self.directory, &upstream, &wanted);
+                self.residence_updates.record_missing(
+                    self.now_ms,
+                    &mut self.directory,
+                    &upstream,
+                    &wanted,
+                );
                 self.report_missing_model(&upstream, &wanted.model);
             }
             (false, None) => {}
