--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -23,31 +23,31 @@
 
 /// Number of VMs assumed until the store's entries have been read. It is large, so that this VM's
 /// share of a limit is small until then.
-const UNKNOWN_VMS: usize = 1_000;
+const ASSUMED_VMS: usize = 1_000;
 
 /// How long a request waits for the quota owner.
-const ASKED_MS: u64 = 250;
+const OWNER_TIMEOUT_MS: u64 = 250;
 
 /// Time between two removals of VMs that the quota owner has not heard from.
-const FORGET_EVERY_MS: u64 = 10_000;
+const FORGET_INTERVAL_MS: u64 = 10_000;
 
 /// Bounds of the random factor on retry delays, in thousandths.
-const SPREAD_FROM: u64 = 750;
-const SPREAD: u64 = 750;
+const MIN_RETRY_FACTOR_PERMILLE: u64 = 750;
+const RETRY_FACTOR_RANGE_PERMILLE: u64 = 750;
 
 /// Cost of a request that counts against the limit of its organisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Charge {
     account: AccountId,
     units: u64,
-    is_paid: bool,
+    is_admitted: bool,
 }
 
 /// Both sides of the quota protocol: this VM as spender, and as the owner for all VMs.
 #[derive(Debug)]
 pub(crate) struct Limits {
-    spender: Spender,
-    keeper: Keeper,
+    client: Spender,
+    owner: Keeper,
     /// Version of the configuration whose limits are applied; none before the first.
     version: Option<u64>,
     next_forget_ms: u64,
@@ -56,24 +56,24 @@
 impl Limits {
     pub fn new(run: u64, bounds: Bounds) -> Self {
         let mut limits = Self {
-            spender: Spender::new(run, bounds),
-            keeper: Keeper::new(run, bounds),
+            client: Spender::new(run, bounds),
+            owner: Keeper::new(run, bounds),
             version: None,
             next_forget_ms: 0,
         };
-        limits.set_vms(UNKNOWN_VMS);
+        limits.set_vms(ASSUMED_VMS);
         limits
     }
 
     /// Sets the number of VMs that share the limits.
     pub fn set_vms(&mut self, vms: usize) {
-        self.spender.set_vms(vms);
-        self.keeper.set_vms(vms);
+        self.client.set_vms(vms);
+        self.owner.set_vms(vms);
     }
 
     /// Returns when the next report to the quota owner is due.
     pub fn next_ms(&self) -> u64 {
-        self.spender.next_ms()
+        self.client.next_ms()
     }
 }
 
@@ -83,7 +83,7 @@
     Some(Charge {
         account: AccountId::of(&organisation.name),
         units: organisation.unit.cost(serving.tokens()),
-        is_paid: false,
+        is_admitted: false,
     })
 }
 
@@ -91,26 +91,26 @@
     /// Applies the limits of a new configuration and reports to the quota owner what was spent.
     pub(crate) fn advance_limits(&mut self) {
         let now_ms = self.now_ms;
-        self.take_over_limits();
+        self.apply_configured_limits();
         if now_ms < self.limits.next_ms() {
             return;
         }
         let quota_owners = self.peers.quota_owners();
-        if let Some(report) = self.limits.spender.due(now_ms, quota_owners.len()) {
-            let choice = self.limits.spender.choice();
+        if let Some(report) = self.limits.client.due(now_ms, quota_owners.len()) {
+            let choice = self.limits.client.choice();
             let (vm, address) = &quota_owners[choice];
             match *vm == self.peers.own_record().vm {
-                true => self.take_report(None, &report),
+                true => self.handle_quota_report(None, &report),
                 false => self.peers.send(*address, &PeerMessage::QuotaReport(report)),
             }
         }
         if now_ms >= self.limits.next_forget_ms {
-            self.limits.next_forget_ms = now_ms + FORGET_EVERY_MS;
-            self.limits.keeper.forget(now_ms);
+            self.limits.next_forget_ms = now_ms + FORGET_INTERVAL_MS;
+            self.limits.owner.forget(now_ms);
         }
     }
 
-    fn take_over_limits(&mut self) {
+    fn apply_configured_limits(&mut self) {
         let version = Some(self.directory.version());
         if self.limits.version == version {
             return;
@@ -123,25 +123,25 @@
             .filter_map(|it| Some((AccountId::of(&it.name), it.limit?)))
             .collect();
         self.limits
-            .spender
+            .client
             .set_limits(self.now_ms, limits.iter().copied());
-        self.limits.keeper.set_limits(self.now_ms, limits);
+        self.limits.owner.set_limits(self.now_ms, limits);
     }
 
     /// Handles a VM's report as the quota owner. `from` is the sender; none for this VM itself.
-    pub(crate) fn take_report(&mut self, from: Option<SocketAddr>, report: &Report) {
-        let Some(answer) = self.limits.keeper.take(self.now_ms, report) else {
+    pub(crate) fn handle_quota_report(&mut self, from: Option<SocketAddr>, report: &Report) {
+        let Some(answer) = self.limits.owner.take(self.now_ms, report) else {
             return;
         };
         match from {
             Some(from) => self.peers.send(from, &PeerMessage::QuotaAnswer(answer)),
-            None => self.take_allowed(&answer),
+            None => self.apply_quota_answer(&answer),
         }
     }
 
     /// Applies what the quota owner allows.
-    pub(crate) fn take_allowed(&mut self, answer: &Answer) {
-        self.look_again |= self.limits.spender.take(self.now_ms, answer);
+    pub(crate) fn apply_quota_answer(&mut self, answer: &Answer) {
+        self.look_again |= self.limits.client.take(self.now_ms, answer);
     }
 
     /// Returns whether the limit of its organisation admits a request. A request that is over the
@@ -151,30 +151,30 @@
         let Some(request) = self.active.get_mut(key) else {
             return false;
         };
-        let Some(charge) = request.charge.filter(|charge| !charge.is_paid) else {
+        let Some(charge) = request.charge.filter(|charge| !charge.is_admitted) else {
             return true;
         };
-        let spender = &mut self.limits.spender;
-        let asked_until_ms = request.job.arrived_ms + ASKED_MS;
-        match spender.admit(now_ms, charge.account, key, charge.units) {
+        let client = &mut self.limits.client;
+        let owner_deadline_ms = request.job.arrived_ms + OWNER_TIMEOUT_MS;
+        match client.admit(now_ms, charge.account, key, charge.units) {
             Admission::Admitted => {
                 request.charge = Some(Charge {
-                    is_paid: true,
+                    is_admitted: true,
                     ..charge
                 });
                 true
             }
-            Admission::Asked if now_ms < asked_until_ms => {
+            Admission::Asked if now_ms < owner_deadline_ms => {
                 if request.phase != Phase::Waiting(WaitReason::Limit) {
-                    self.metrics.asked_keeper();
+                    self.metrics.waited_for_owner();
                     request.phase = Phase::Waiting(WaitReason::Limit);
-                    self.active.wake_at(asked_until_ms, key);
+                    self.active.wake_at(owner_deadline_ms, key);
                 }
                 false
             }
             Admission::Asked => {
-                spender.withdraw(charge.account, key);
-                self.refuse_over_limit(key, Some(ASKED_MS));
+                client.withdraw(charge.account, key);
+                self.refuse_over_limit(key, Some(OWNER_TIMEOUT_MS));
                 false
             }
             Admission::Refused { after_ms } => {
@@ -193,11 +193,11 @@
         };
         let name = organisation.name.clone();
         let rate = organisation.limit.map_or(0.0, |limit| limit.rate_per_s);
-        let spread = spread(&request.serving.id);
+        let retry_factor_permille = retry_factor_permille(&request.serving.id);
         let refusal = match after_ms {
             Some(after_ms) => {
                 let detail = format!("{name} has used its limit of {rate:.0} a second");
-                let after_ms = after_ms * spread / 1_000;
+                let after_ms = after_ms * retry_factor_permille / 1_000;
                 Refusal::not_run(RefusalReason::OverLimit, detail).retry_after(after_ms)
             }
             None => {
@@ -210,16 +210,17 @@
     }
 
     /// Refunds the cost of a request that was refused and has not run.
-    pub(crate) fn give_back(&mut self, charge: Charge, key: u64) {
-        match charge.is_paid {
-            true => self.limits.spender.give_back(charge.account, charge.units),
-            false => self.limits.spender.withdraw(charge.account, key),
+    pub(crate) fn refund(&mut self, charge: Charge, key: u64) {
+        match charge.is_admitted {
+            true => self.limits.client.give_back(charge.account, charge.units),
+            false => self.limits.client.withdraw(charge.account, key),
         }
     }
 }
 
 /// Returns the factor on a request's retry delay, in thousandths. It differs between requests, so
 /// that callers who are refused together do not retry together.
-fn spread(id: &RequestId) -> u64 {
-    SPREAD_FROM + xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()) % SPREAD
+fn retry_factor_permille(id: &RequestId) -> u64 {
+    MIN_RETRY_FACTOR_PERMILLE
+        + xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes()) % RETRY_FACTOR_RANGE_PERMILLE
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -67,7 +67,7 @@
     pub store_loads: Gauge,
     pub store_loads_allowed: Gauge,
     trials: Counter,
-    asked_keeper: Counter,
+    waited_for_owner: Counter,
     over_limit: Family<OrganisationLabel, Counter>,
     /// Organisations that have labels of their own.
     organisations: HashSet<Arc<str>>,
@@ -114,7 +114,7 @@
             store_loads: Gauge::default(),
             store_loads_allowed: Gauge::default(),
             trials: Counter::default(),
-            asked_keeper: Counter::default(),
+            waited_for_owner: Counter::default(),
             over_limit: Family::default(),
             organisations: HashSet::new(),
         };
@@ -245,7 +245,7 @@
         registry.register(
             "asked_keeper",
             "Requests that waited for the keeper of their organisation's limit",
-            self.asked_keeper.clone(),
+            self.waited_for_owner.clone(),
         );
         registry.register(
             "over_limit",
@@ -408,8 +408,8 @@
     }
 
     /// Counts a request that waits for the quota owner.
-    pub fn asked_keeper(&self) {
-        self.asked_keeper.inc();
+    pub fn waited_for_owner(&self) {
+        self.waited_for_owner.inc();
     }
 
     /// Counts a request that was refused because of its organisation's limit.
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -175,8 +175,8 @@
             PeerMessage::TrialDecided(answer) => {
                 self.look_again |= self.crash_watch.take_trial_answer(now_ms, &answer);
             }
-            PeerMessage::QuotaReport(report) => self.take_report(Some(from), &report),
-            PeerMessage::QuotaAnswer(answer) => self.take_allowed(&answer),
+            PeerMessage::QuotaReport(report) => self.handle_quota_report(Some(from), &report),
+            PeerMessage::QuotaAnswer(answer) => self.apply_quota_answer(&answer),
             PeerMessage::TrialOver { asker, end } => {
                 self.crash_watch.take_trial_end(now_ms, asker, &end);
             }
--- a/crates/entry/src/request_ends.rs
+++ b/crates/entry/src/request_ends.rs
@@ -40,7 +40,7 @@
             );
         }
         if let (Some(charge), Ran::NotRun) = (request.charge, refusal.ran) {
-            self.give_back(charge, key);
+            self.refund(charge, key);
         }
         if let Some(token) = self.active.get(key).and_then(|request| request.caller) {
             self.close_answer(key, token, refusal);
