--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -21,16 +21,16 @@
 use crate::daemon::Daemon;
 
 /// Pause after a failed call to the store.
-const PAUSE_MS: u64 = 1_000;
+const RETRY_PAUSE_MS: u64 = 1_000;
 
 /// Time limit for a call to the store.
-const TIMEOUT_MS: u64 = 1_000;
+const STORE_TIMEOUT_MS: u64 = 1_000;
 
 /// Maximum number of records of each kind in one write.
-const RECORDS_A_WRITE: usize = 200;
+const RECORDS_PER_WRITE: usize = 200;
 
 /// Maximum number of ended blocks whose records have yet to be deleted.
-const MAX_ENDED: usize = 1_000;
+const MAX_PENDING_DELETIONS: usize = 1_000;
 
 /// Stored state of a request, under its fingerprint as key.
 #[derive(Debug, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
         until_unix_ms: u64,
     },
     /// Placeholder for a variant of earlier versions, whose records are deleted.
-    Former,
+    Obsolete,
     /// The request is on probation, since so many copies of it were lost in crashes.
     Case {
         row: CaseRow,
@@ -61,7 +61,7 @@
     cases: HashMap<Fingerprint, (usize, u32)>,
     /// Change counter of the crash watch when the requests on probation were last compared; none
     /// before.
-    seen_changes: Option<u64>,
+    compared_changes: Option<u64>,
     unwritten_cases: Vec<CaseRow>,
     /// Blocks and deletions of the write in progress.
     writing: (Vec<BlockRow>, Vec<Fingerprint>),
@@ -82,7 +82,7 @@
     }
 
     /// Records a new block.
-    pub fn note_begun(&mut self, row: &BlockRow) {
+    pub fn record_new_block(&mut self, row: &BlockRow) {
         // From now on the record belongs to the block and must not be deleted with the case.
         self.cases.remove(&row.fingerprint);
         self.unwritten_cases
@@ -93,9 +93,9 @@
     }
 
     /// Records requests whose blocks have ended.
-    pub fn note_ended(&mut self, ended: Vec<Fingerprint>) {
+    pub fn record_ended_blocks(&mut self, ended: Vec<Fingerprint>) {
         self.ended.extend(ended);
-        self.ended.truncate(MAX_ENDED);
+        self.ended.truncate(MAX_PENDING_DELETIONS);
     }
 
     /// Records whether this VM holds the lease. A new holder writes everything it knows, since the
@@ -108,7 +108,7 @@
             (true, false) => {
                 self.unwritten = rows();
                 self.cases.clear();
-                self.seen_changes = None;
+                self.compared_changes = None;
             }
             (false, _) => self.unwritten.clear(),
             (true, true) => {}
@@ -116,7 +116,7 @@
     }
 
     /// Records the requests on probation as they are now, so that changes are written.
-    fn note_cases(&mut self, rows: Vec<CaseRow>) {
+    fn record_cases(&mut self, rows: Vec<CaseRow>) {
         let gone: Vec<Fingerprint> = self
             .cases
             .keys()
@@ -127,7 +127,7 @@
             self.cases.remove(&fingerprint);
             self.ended.push(fingerprint);
         }
-        for row in rows.into_iter().take(RECORDS_A_WRITE) {
+        for row in rows.into_iter().take(RECORDS_PER_WRITE) {
             let count = (row.crashes.len(), row.copies());
             if self.cases.insert(row.fingerprint, count) != Some(count) {
                 self.unwritten_cases.push(row);
@@ -138,9 +138,9 @@
     /// Returns the records of the next write; an empty value deletes its key. New blocks come last,
     /// so that the block stays if the same key is also deleted.
     fn next_records(&mut self) -> Vec<(String, Vec<u8>)> {
-        let rows = self.unwritten.len().min(RECORDS_A_WRITE);
+        let rows = self.unwritten.len().min(RECORDS_PER_WRITE);
         let rows: Vec<BlockRow> = self.unwritten.drain(..rows).collect();
-        let ended = self.ended.len().min(RECORDS_A_WRITE);
+        let ended = self.ended.len().min(RECORDS_PER_WRITE);
         let ended: Vec<Fingerprint> = self.ended.drain(..ended).collect();
         let dropped = ended.iter().map(|it| (it.to_string(), Vec::new()));
         let cases = std::mem::take(&mut self.unwritten_cases);
@@ -163,9 +163,9 @@
         if store.is_calling || now_ms < store.next_ms {
             return;
         }
-        if holds_lease && store.is_read && store.seen_changes != Some(watch.changes()) {
-            store.seen_changes = Some(watch.changes());
-            store.note_cases(watch.cases(now_ms));
+        if holds_lease && store.is_read && store.compared_changes != Some(watch.changes()) {
+            store.compared_changes = Some(watch.changes());
+            store.record_cases(watch.cases(now_ms));
         }
         let has_records = !store.unwritten.is_empty()
             || !store.ended.is_empty()
@@ -183,18 +183,18 @@
         self.block_store.is_calling = true;
         let after = self.block_store.after.as_deref();
         let bytes = self.codecs.store.newest(Topic::Blocks, after);
-        self.call_store(CallTag::BlocksNewest, &bytes, TIMEOUT_MS);
+        self.call_store(CallTag::BlocksNewest, &bytes, STORE_TIMEOUT_MS);
     }
 
     fn write_blocks(&mut self) {
         let records = self.block_store.next_records();
         self.block_store.is_calling = true;
         let bytes = self.codecs.store.append_keyed(Topic::Blocks, &records);
-        self.call_store(CallTag::BlocksAppend, &bytes, TIMEOUT_MS);
+        self.call_store(CallTag::BlocksAppend, &bytes, STORE_TIMEOUT_MS);
     }
 
     /// Handles a page of the blocks from the store.
-    pub(crate) fn blocks_read(&mut self, outcome: CallOutcome) {
+    pub(crate) fn handle_blocks_page(&mut self, outcome: CallOutcome) {
         self.block_store.is_calling = false;
         let page = match outcome {
             CallOutcome::Answered { status, body } => {
@@ -204,13 +204,13 @@
             _ => None,
         };
         let Some(page) = page else {
-            self.block_store.next_ms = self.now_ms + PAUSE_MS;
+            self.block_store.next_ms = self.now_ms + RETRY_PAUSE_MS;
             return;
         };
         for record in &page.records {
             let value = record.value.as_deref().unwrap_or_default();
             match postcard::from_bytes(value) {
-                Ok(Record::Block { row, until_unix_ms }) => self.take_stored(row, until_unix_ms),
+                Ok(Record::Block { row, until_unix_ms }) => self.restore_block(row, until_unix_ms),
                 Ok(Record::Case {
                     row,
                     written_unix_ms,
@@ -219,9 +219,9 @@
                     let reports = row.reports(later_ms);
                     self.crash_watch.take_reports(self.now_ms, &reports);
                 }
-                Ok(Record::Former) | Err(_) => {
+                Ok(Record::Obsolete) | Err(_) => {
                     let ended = record.key.parse().into_iter().collect();
-                    self.block_store.note_ended(ended);
+                    self.block_store.record_ended_blocks(ended);
                 }
             }
         }
@@ -229,7 +229,7 @@
         self.block_store.is_read = !page.more;
     }
 
-    fn take_stored(&mut self, row: BlockRow, until_unix_ms: u64) {
+    fn restore_block(&mut self, row: BlockRow, until_unix_ms: u64) {
         let left_ms = until_unix_ms.saturating_sub(unix_ms());
         let row = BlockRow {
             // A wall clock that was set back must not extend a block.
@@ -237,16 +237,16 @@
             ..row
         };
         match row.left_ms {
-            0 => self.block_store.note_ended(vec![row.fingerprint]),
+            0 => self.block_store.record_ended_blocks(vec![row.fingerprint]),
             _ if self.crash_watch.take_block(self.now_ms, &row) => {
-                self.block_began(&row, "read");
+                self.apply_new_block(&row, "read");
             }
             _ => {}
         }
     }
 
     /// Handles the outcome of a write. A failed one is repeated after a pause.
-    pub(crate) fn blocks_written(&mut self, outcome: CallOutcome) {
+    pub(crate) fn finish_blocks_write(&mut self, outcome: CallOutcome) {
         let store = &mut self.block_store;
         store.is_calling = false;
         let (rows, ended) = std::mem::take(&mut store.writing);
@@ -261,8 +261,8 @@
             store.unwritten.extend(rows);
             store.ended.extend(ended);
             store.cases.clear();
-            store.seen_changes = None;
-            store.next_ms = self.now_ms + PAUSE_MS;
+            store.compared_changes = None;
+            store.next_ms = self.now_ms + RETRY_PAUSE_MS;
         }
     }
 }
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -281,7 +281,7 @@
             Peer::Upstream(upstream) if unreachable => {
                 self.upstream_unreachable(upstream);
                 if refused {
-                    self.note_ended(upstream);
+                    self.handle_upstream_end(upstream);
                 }
             }
             _ => {}
@@ -314,9 +314,9 @@
             CallTag::Order(engine, kind) => self.order_ended(&engine, &kind, outcome),
             CallTag::Report(engine) => self.report_ended(&engine, outcome),
             CallTag::Probe(engine) => self.probe_ended(&engine, true),
-            CallTag::Recheck(upstream) => self.recheck_ended(&upstream, &outcome),
-            CallTag::BlocksNewest => self.blocks_read(outcome),
-            CallTag::BlocksAppend => self.blocks_written(outcome),
+            CallTag::Recheck(upstream) => self.handle_crash_probe(&upstream, &outcome),
+            CallTag::BlocksNewest => self.handle_blocks_page(outcome),
+            CallTag::BlocksAppend => self.finish_blocks_write(outcome),
             CallTag::LeaseRead | CallTag::LeaseAppend => self.lease_call_ended(&tag, outcome),
             _ => self.finish_poll(&tag, outcome),
         }
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -149,7 +149,7 @@
         self.metrics.callers.set(self.callers.len() as i64);
         self.metrics.outbound.set(self.outbound.len() as i64);
         self.metrics.dropped_lines.set(self.lines.dropped as i64);
-        self.note_quarantine_size();
+        self.update_quarantine_gauges();
         let text = self.metrics.render();
         self.answer_text(token, 200, &text);
     }
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -34,23 +34,23 @@
 
 /// Time limit for the probe of an upstream that broke a connection. Where a process has ended
 /// nobody listens, which shows within one round trip.
-const RECHECK_MS: u64 = 300;
+const PROBE_TIMEOUT_MS: u64 = 300;
 
 /// Reports in one datagram; each contains at most ten requests.
-const REPORTS_A_DATAGRAM: usize = 4;
+const REPORTS_PER_DATAGRAM: usize = 4;
 
 /// Blocks in one datagram.
-const BLOCKS_A_DATAGRAM: usize = 10;
+const BLOCKS_PER_DATAGRAM: usize = 10;
 
 /// Requests on probation in one datagram.
-const PROBATIONS_A_DATAGRAM: usize = 30;
+const PROBATIONS_PER_DATAGRAM: usize = 30;
 
 /// Maximum number of fingerprints in one log line.
-const LOGGED_SUSPECTS: usize = 8;
+const MAX_LOGGED_SUSPECTS: usize = 8;
 
 impl Daemon {
     /// Returns the refusal of a blocked request; none if the request may be sent.
-    pub(crate) fn blocked(&self, fingerprint: &Fingerprint) -> Option<Refusal> {
+    pub(crate) fn block_refusal(&self, fingerprint: &Fingerprint) -> Option<Refusal> {
         let left_ms = self.crash_watch.blocked_ms(self.now_ms, fingerprint)?;
         let detail = blocked_detail(fingerprint);
         let refusal = Refusal::not_run(RefusalReason::CrashesUpstreams, detail);
@@ -58,7 +58,7 @@
     }
 
     /// Records a request that was lost because an upstream broke its connection.
-    pub(crate) fn note_broken_send(&mut self, upstream: &UpstreamName, key: u64) {
+    pub(crate) fn record_lost_request(&mut self, upstream: &UpstreamName, key: u64) {
         // A broken connection of an upstream that is leaving, removed or unresponsive is no sign of
         // a crash under a request.
         let is_serving = self
@@ -85,7 +85,7 @@
 
     /// Probes an upstream that broke a connection. At an instance of a plain service only a
     /// connection is opened, since it could take the probe for a request.
-    fn recheck(&mut self, recheck: &Recheck) {
+    fn probe_after_crash(&mut self, recheck: &Recheck) {
         let Some(known) = self.directory.upstream(&recheck.upstream) else {
             return;
         };
@@ -96,12 +96,12 @@
         };
         let peer = Peer::Upstream(recheck.upstream.clone());
         let tag = CallTag::Recheck(recheck.upstream.clone());
-        self.call_on_new_connection(peer, address, tag, &bytes, RECHECK_MS);
+        self.call_on_new_connection(peer, address, tag, &bytes, PROBE_TIMEOUT_MS);
     }
 
     /// Handles the outcome of such a probe. An upstream that answers has not ended; if another one
     /// answers at its address, it has.
-    pub(crate) fn recheck_ended(&mut self, upstream: &UpstreamName, outcome: &CallOutcome) {
+    pub(crate) fn handle_crash_probe(&mut self, upstream: &UpstreamName, outcome: &CallOutcome) {
         let CallOutcome::Answered { status, body } = outcome else {
             self.crash_watch.note_unanswered(self.now_ms, upstream);
             return;
@@ -112,20 +112,20 @@
             Ok(report) if born_ms.is_some_and(|born_ms| report.born_ms <= born_ms) => {
                 self.crash_watch.note_alive(upstream);
             }
-            Ok(_) => self.note_ended(upstream),
-            Err(_) if *status == 421 => self.note_ended(upstream),
+            Ok(_) => self.handle_upstream_end(upstream),
+            Err(_) if *status == 421 => self.handle_upstream_end(upstream),
             Err(_) => {}
         }
     }
 
     /// Handles the end of an upstream, which is a crash if requests were lost with it.
-    pub(crate) fn note_ended(&mut self, upstream: &UpstreamName) {
+    pub(crate) fn handle_upstream_end(&mut self, upstream: &UpstreamName) {
         let Some(lost) = self.crash_watch.note_ended(self.now_ms, upstream) else {
             return;
         };
         let mut lost = lost;
         lost.sort_by_key(|it| Reverse(it.copies));
-        let texts = lost.iter().take(LOGGED_SUSPECTS);
+        let texts = lost.iter().take(MAX_LOGGED_SUSPECTS);
         let texts: Vec<String> = texts
             .map(|it| format!("{}x{}", it.fingerprint, it.copies))
             .collect();
@@ -141,12 +141,12 @@
     /// Does what is due about crashed upstreams and blocked requests.
     pub(crate) fn advance_crash_watch(&mut self) {
         if self.crash_watch.is_due(self.now_ms) {
-            self.do_due_about_crashes();
+            self.run_crash_watch();
         }
         self.advance_block_store();
     }
 
-    fn do_due_about_crashes(&mut self) {
+    fn run_crash_watch(&mut self) {
         let own = self.peers.own_record().vm.clone();
         let judges = self.peers.judges();
         let role = Role {
@@ -156,7 +156,9 @@
             is_giver: self.engine_orders.held_lease_end(self.now_ms).is_some(),
         };
         let due = self.crash_watch.due(self.now_ms, role);
-        due.rechecks.iter().for_each(|it| self.recheck(it));
+        due.rechecks
+            .iter()
+            .for_each(|it| self.probe_after_crash(it));
         self.look_again |= due.may_go_on;
         if let Some((vm, address)) = judges.get(due.asked_judge) {
             let is_other = *vm != own;
@@ -170,7 +172,7 @@
                     .send(*address, &PeerMessage::TrialOver { asker, end });
             }
         }
-        for part in due.probations.chunks(PROBATIONS_A_DATAGRAM) {
+        for part in due.probations.chunks(PROBATIONS_PER_DATAGRAM) {
             log::info!(fingerprints = texts_of(part); "requests on probation");
             self.peers.send_all(&PeerMessage::Probations(part.to_vec()));
         }
@@ -181,12 +183,12 @@
         }
         for row in &due.begun {
             self.metrics.begun_block();
-            self.block_began(row, "found");
+            self.apply_new_block(row, "found");
         }
-        for part in due.blocks.chunks(BLOCKS_A_DATAGRAM) {
+        for part in due.blocks.chunks(BLOCKS_PER_DATAGRAM) {
             self.peers.send_all(&PeerMessage::Blocks(part.to_vec()));
         }
-        self.block_store.note_ended(due.ended);
+        self.block_store.record_ended_blocks(due.ended);
     }
 
     /// Decides as a judge whether another VM may send a request on probation.
@@ -197,7 +199,7 @@
     }
 
     /// Ends the trial run of a request that could not be sent.
-    pub(crate) fn note_unsent_trial(&mut self, key: u64) {
+    pub(crate) fn end_unsent_trial(&mut self, key: u64) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -209,7 +211,7 @@
     }
 
     fn send_reports(&self, address: SocketAddr, reports: &[CrashReport]) {
-        for part in reports.chunks(REPORTS_A_DATAGRAM) {
+        for part in reports.chunks(REPORTS_PER_DATAGRAM) {
             self.peers
                 .send(address, &PeerMessage::Crashes(part.to_vec()));
         }
@@ -217,7 +219,7 @@
 
     /// Ends the attempts of a request that has just been blocked. An answer that has begun
     /// continues: if it completes, the request was wrongly suspected.
-    pub(crate) fn block_began(&mut self, row: &BlockRow, how: &str) {
+    pub(crate) fn apply_new_block(&mut self, row: &BlockRow, how: &str) {
         let upstreams: Vec<&str> = row.upstreams.iter().map(UpstreamName::as_str).collect();
         log::warn!(
             fingerprint = row.fingerprint.to_string(),
@@ -227,7 +229,7 @@
             how;
             "request blocked"
         );
-        self.block_store.note_begun(row);
+        self.block_store.record_new_block(row);
         let keys: Vec<u64> = self
             .active
             .iter()
@@ -237,11 +239,11 @@
             .map(|(key, _)| *key)
             .collect();
         for key in keys {
-            self.refuse_blocked(key, row);
+            self.refuse_newly_blocked(key, row);
         }
     }
 
-    fn refuse_blocked(&mut self, key: u64, row: &BlockRow) {
+    fn refuse_newly_blocked(&mut self, key: u64, row: &BlockRow) {
         let Some(request) = self.active.get(key) else {
             return;
         };
@@ -257,60 +259,64 @@
     }
 
     /// Handles another VM's reports of requests in progress at crashed upstreams.
-    pub(crate) fn take_crash_reports(&mut self, reports: &[CrashReport]) {
+    pub(crate) fn handle_crash_reports(&mut self, reports: &[CrashReport]) {
         self.crash_watch.take_reports(self.now_ms, reports);
     }
 
     /// Records that a request was answered. If it was blocked or on probation, all VMs are
     /// informed.
-    pub(crate) fn note_answered(&mut self, fingerprint: Fingerprint) {
+    pub(crate) fn record_answered(&mut self, fingerprint: Fingerprint) {
         if self.crash_watch.note_answered(self.now_ms, fingerprint) {
-            self.log_cleared(&fingerprint, "answered");
+            self.record_cleared(&fingerprint, "answered");
             self.peers.send_all(&PeerMessage::Cleared(fingerprint));
         }
     }
 
     /// Handles the announcement that a blocked request was answered after all.
-    pub(crate) fn request_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
+    pub(crate) fn handle_cleared_request(&mut self, fingerprint: &Fingerprint, how: &str) {
         if self.crash_watch.take_cleared(self.now_ms, fingerprint) {
-            self.log_cleared(fingerprint, how);
+            self.record_cleared(fingerprint, how);
         }
     }
 
     /// Sends another VM the requests on probation.
-    pub(crate) fn tell_probations_to(&self, address: SocketAddr) {
-        for part in self.crash_watch.probations().chunks(PROBATIONS_A_DATAGRAM) {
+    pub(crate) fn send_probations_to(&self, address: SocketAddr) {
+        for part in self
+            .crash_watch
+            .probations()
+            .chunks(PROBATIONS_PER_DATAGRAM)
+        {
             self.peers
                 .send(address, &PeerMessage::Probations(part.to_vec()));
         }
     }
 
-    fn log_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
-        self.block_store.note_ended(vec![*fingerprint]);
+    fn record_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
+        self.block_store.record_ended_blocks(vec![*fingerprint]);
         self.look_again = true;
         log::info!(fingerprint = fingerprint.to_string(), how; "request no longer blocked");
     }
 
     /// Applies blocks that another VM has announced.
-    pub(crate) fn take_blocks(&mut self, rows: &[BlockRow]) {
+    pub(crate) fn apply_announced_blocks(&mut self, rows: &[BlockRow]) {
         for row in rows {
             if self.crash_watch.take_block(self.now_ms, row) {
-                self.block_began(row, "told");
+                self.apply_new_block(row, "told");
             }
         }
     }
 
     /// Sends another VM the blocks in force.
-    pub(crate) fn tell_blocks_to(&self, address: SocketAddr) {
+    pub(crate) fn send_blocks_to(&self, address: SocketAddr) {
         let rows = self.crash_watch.blocks(self.now_ms);
-        for part in rows.chunks(BLOCKS_A_DATAGRAM) {
+        for part in rows.chunks(BLOCKS_PER_DATAGRAM) {
             self.peers
                 .send(address, &PeerMessage::Blocks(part.to_vec()));
         }
     }
 
     /// Sends a judge that has started the local reports about crashed upstreams.
-    pub(crate) fn tell_own_reports_to(&self, address: SocketAddr, vm: &VmName) {
+    pub(crate) fn send_local_reports_to(&self, address: SocketAddr, vm: &VmName) {
         let reports = self.crash_watch.own_reports(self.now_ms);
         if !reports.is_empty() && self.peers.judges().iter().any(|(judge, _)| judge == vm) {
             self.send_reports(address, &reports);
@@ -318,13 +324,13 @@
     }
 
     /// Requests the blocks in force from the lease holder, since this VM may have missed some.
-    pub(crate) fn ask_for_blocks(&mut self) {
+    pub(crate) fn request_blocks(&mut self) {
         if let Some((_, address, _)) = self.peers.lease_holder {
             self.peers.send(address, &PeerMessage::BlocksRequested);
         }
     }
 
-    pub(crate) fn note_quarantine_size(&mut self) {
+    pub(crate) fn update_quarantine_gauges(&mut self) {
         let blocked = self.crash_watch.blocks(self.now_ms).len();
         self.metrics.blocked.set(blocked as i64);
         self.metrics
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -267,7 +267,7 @@
         }
         if late_ms >= STOOD_STILL_MS {
             self.metrics.stood_still();
-            self.ask_for_blocks();
+            self.request_blocks();
             log::warn!(
                 late_ms, requests = self.active.len(), orders_by = self.peers.lease_holder_text();
                 "this VM stood still"
--- a/crates/entry/src/failed_attempts.rs
+++ b/crates/entry/src/failed_attempts.rs
@@ -93,13 +93,13 @@
                 // Other idle connections to the upstream have probably failed too.
                 self.outbound.close_idle(&peer, self.poll.registry());
                 if sent && broken {
-                    self.note_broken_send(upstream, key);
+                    self.record_lost_request(upstream, key);
                 }
                 if unreachable {
                     self.upstream_unreachable(upstream);
                 }
                 if refused {
-                    self.note_ended(upstream);
+                    self.handle_upstream_end(upstream);
                 }
             }
         }
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -86,11 +86,11 @@
                     self.peers.send(record.address, &hello);
                 }
                 if self.engine_orders.held_lease_end(now_ms).is_some() {
-                    self.tell_blocks_to(record.address);
-                    self.tell_probations_to(record.address);
+                    self.send_blocks_to(record.address);
+                    self.send_probations_to(record.address);
                 }
                 if is_other_run {
-                    self.tell_own_reports_to(record.address, &record.vm);
+                    self.send_local_reports_to(record.address, &record.vm);
                 }
             }
             PeerMessage::Goodbye(vm) => {
@@ -161,12 +161,12 @@
             } => self
                 .engine_orders
                 .record_release(now_ms, lease_end, quiet_ms),
-            PeerMessage::Crashes(reports) => self.take_crash_reports(&reports),
-            PeerMessage::Blocks(rows) => self.take_blocks(&rows),
-            PeerMessage::Cleared(fingerprint) => self.request_cleared(&fingerprint, "told"),
+            PeerMessage::Crashes(reports) => self.handle_crash_reports(&reports),
+            PeerMessage::Blocks(rows) => self.apply_announced_blocks(&rows),
+            PeerMessage::Cleared(fingerprint) => self.handle_cleared_request(&fingerprint, "told"),
             PeerMessage::BlocksRequested => {
-                self.tell_blocks_to(from);
-                self.tell_probations_to(from);
+                self.send_blocks_to(from);
+                self.send_probations_to(from);
             }
             PeerMessage::Probations(fingerprints) => {
                 self.crash_watch.take_probations(now_ms, &fingerprints);
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -106,7 +106,7 @@
             return;
         };
         let fingerprint = fingerprint(&serving, &head, &body);
-        if let Some(refusal) = self.blocked(&fingerprint) {
+        if let Some(refusal) = self.block_refusal(&fingerprint) {
             self.refuse_new(token, &refusal, Some(&serving.id));
             return;
         }
@@ -307,7 +307,7 @@
                 request.is_trial = true;
                 self.metrics.trial();
                 self.send(key, upstream);
-                self.note_unsent_trial(key);
+                self.end_unsent_trial(key);
             }
             Permit::Wait => request.phase = Phase::Waiting(WaitReason::Suspected),
         }
--- a/crates/entry/src/store_pollers/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -229,7 +229,7 @@
             self.end_requests_at_ended_incarnations();
         }
         if self.directory.upstream(name).is_none() {
-            self.note_ended(name);
+            self.handle_upstream_end(name);
             self.dispatcher.removed(self.now_ms, name);
             self.watch.removed(name);
         }
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -359,7 +359,7 @@
             self.write_to_caller(caller, bytes);
             self.finish_answer(caller);
             let how = if status < 400 {
-                self.note_answered(fingerprint);
+                self.record_answered(fingerprint);
                 "answered"
             } else {
                 "upstream_failed"
