--- a/crates/entry/src/active.rs
+++ b/crates/entry/src/active.rs
@@ -44,7 +44,7 @@
 
 /// A request in progress.
 #[derive(Debug)]
-pub(crate) struct Active {
+pub(crate) struct ActiveRequest {
     /// Connection of the caller; none once the caller has left.
     pub caller: Option<Token>,
     /// Identifies the caller, who is known by the address only.
@@ -78,45 +78,45 @@
 /// Requests in progress by key, and the times at which they need attention.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveRequests {
-    requests: HashMap<u64, Active>,
-    alarms: BTreeSet<(u64, u64)>,
+    requests: HashMap<u64, ActiveRequest>,
+    wake_ups: BTreeSet<(u64, u64)>,
     next_key: u64,
 }
 
 impl ActiveRequests {
     /// Adds a request and returns its key.
-    pub fn insert(&mut self, request: Active) -> u64 {
+    pub fn insert(&mut self, request: ActiveRequest) -> u64 {
         let key = self.next_key;
         self.next_key += 1;
-        self.alarms.insert((request.job.deadline_ms, key));
+        self.wake_ups.insert((request.job.deadline_ms, key));
         self.requests.insert(key, request);
         key
     }
 
-    pub fn get(&self, key: u64) -> Option<&Active> {
+    pub fn get(&self, key: u64) -> Option<&ActiveRequest> {
         self.requests.get(&key)
     }
 
-    pub fn get_mut(&mut self, key: u64) -> Option<&mut Active> {
+    pub fn get_mut(&mut self, key: u64) -> Option<&mut ActiveRequest> {
         self.requests.get_mut(&key)
     }
 
     /// Removes a request and its deadline.
-    pub fn remove(&mut self, key: u64) -> Option<Active> {
+    pub fn remove(&mut self, key: u64) -> Option<ActiveRequest> {
         let request = self.requests.remove(&key)?;
-        self.alarms.remove(&(request.job.deadline_ms, key));
+        self.wake_ups.remove(&(request.job.deadline_ms, key));
         Some(request)
     }
 
     /// Schedules a wake-up of a request in addition to its deadline.
     pub fn wake_at(&mut self, at_ms: u64, key: u64) {
-        self.alarms.insert((at_ms, key));
+        self.wake_ups.insert((at_ms, key));
     }
 
     /// Removes the wake-ups that are due and returns the keys of their requests.
     pub fn due(&mut self, now_ms: u64) -> Vec<u64> {
-        let later = self.alarms.split_off(&(now_ms + 1, 0));
-        let due = std::mem::replace(&mut self.alarms, later);
+        let later = self.wake_ups.split_off(&(now_ms + 1, 0));
+        let due = std::mem::replace(&mut self.wake_ups, later);
         due.into_iter()
             .map(|(_, key)| key)
             .filter(|key| self.requests.contains_key(key))
@@ -125,7 +125,7 @@
 
     /// Returns the time of the next wake-up.
     pub fn next_ms(&self) -> Option<u64> {
-        self.alarms.first().map(|(at_ms, _)| *at_ms)
+        self.wake_ups.first().map(|(at_ms, _)| *at_ms)
     }
 
     /// Returns the keys of the waiting requests, the most urgent first.
@@ -141,7 +141,7 @@
     }
 
     /// Returns the keys of the requests that have run nowhere and are not being sent.
-    pub fn unsent(&self) -> Vec<u64> {
+    pub fn never_sent(&self) -> Vec<u64> {
         self.requests
             .iter()
             .filter(|(_, request)| !matches!(request.phase, Phase::Sent { .. }))
@@ -151,7 +151,7 @@
     }
 
     /// Returns all requests with their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (&u64, &Active)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&u64, &ActiveRequest)> {
         self.requests.iter()
     }
 
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -279,7 +279,7 @@
         self.outbound.close_idle(&peer, self.poll.registry());
         match &peer {
             Peer::Upstream(upstream) if unreachable => {
-                self.upstream_unreachable(upstream);
+                self.handle_unreachable_upstream(upstream);
                 if refused {
                     self.handle_upstream_end(upstream);
                 }
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -84,7 +84,7 @@
         let may_be_cut = request.job.kind.is_repeatable() || request.job.kind.is_stream();
         let is_sent = matches!(request.phase, Phase::Sent { .. });
         if !is_sent || may_be_cut {
-            self.cancel_try(key);
+            self.cancel_attempt(key);
             self.end_request(
                 key,
                 if left {
@@ -132,7 +132,7 @@
 
     fn take_request(&mut self, token: Token, head: RequestHead, body: Vec<u8>) {
         match self.callers.get(&token).map(|caller| caller.kind) {
-            Some(CallerKind::Serving) => self.take_serving(token, head, body),
+            Some(CallerKind::Serving) => self.handle_serving_request(token, head, body),
             Some(CallerKind::Ready) => self.answer_ready(token),
             Some(CallerKind::Metrics) => self.answer_metrics(token),
             None => {}
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -159,7 +159,7 @@
         due.rechecks
             .iter()
             .for_each(|it| self.probe_after_crash(it));
-        self.look_again |= due.may_go_on;
+        self.redispatch_needed |= due.may_go_on;
         if let Some((vm, address)) = judges.get(due.asked_judge) {
             let is_other = *vm != own;
             let asker = self.run;
@@ -254,7 +254,7 @@
             true => Refusal::unknown(reason, detail),
             false => Refusal::not_run(reason, detail).retry_after(row.left_ms),
         };
-        self.cancel_try(key);
+        self.cancel_attempt(key);
         self.refuse(key, &refusal);
     }
 
@@ -293,7 +293,7 @@
 
     fn record_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
         self.block_store.record_ended_blocks(vec![*fingerprint]);
-        self.look_again = true;
+        self.redispatch_needed = true;
         log::info!(fingerprint = fingerprint.to_string(), how; "request no longer blocked");
     }
 
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -126,7 +126,7 @@
     /// Callers' connections whose answer has ended and whose next request may already be there.
     pub(crate) answered: Vec<Token>,
     /// Whether dispatch of the waiting requests should be retried in this iteration.
-    pub(crate) look_again: bool,
+    pub(crate) redispatch_needed: bool,
     next_sweep_ms: u64,
 }
 
@@ -210,7 +210,7 @@
             call_answers: HashMap::new(),
             next_call_timeout_ms: u64::MAX,
             answered: Vec::new(),
-            look_again: false,
+            redispatch_needed: false,
             next_sweep_ms: now_ms,
             settings,
             codecs,
@@ -277,8 +277,8 @@
 
     /// Does the work that is due, whether or not an event arrived.
     fn work(&mut self) {
-        self.due_requests();
-        self.hand_back_waiting();
+        self.wake_due_requests();
+        self.refuse_waiting_for_stop();
         for token in std::mem::take(&mut self.answered) {
             self.serve_caller(token);
         }
@@ -291,13 +291,13 @@
         if self.now_ms >= self.next_sweep_ms || self.now_ms >= self.next_call_timeout_ms {
             self.sweep();
         }
-        if std::mem::take(&mut self.look_again) {
+        if std::mem::take(&mut self.redispatch_needed) {
             self.dispatch_waiting();
         }
     }
 
     fn sleep_ms(&self) -> u64 {
-        if !self.answered.is_empty() || self.look_again || self.peers.may_have_more {
+        if !self.answered.is_empty() || self.redispatch_needed || self.peers.may_have_more {
             return 0;
         }
         let next_ms = [
@@ -408,7 +408,7 @@
             self.call_failed(token);
         }
         for (token, key) in self.outbound.unestablished(self.now_ms) {
-            self.connection_failed(token, key);
+            self.handle_failed_connection(token, key);
         }
         self.next_call_timeout_ms = self.outbound.next_call_until_ms().unwrap_or(u64::MAX);
         let limits = self.directory.configuration().limits;
--- a/crates/entry/src/engine_probes.rs
+++ b/crates/entry/src/engine_probes.rs
@@ -88,13 +88,13 @@
         }
         let peer = Peer::Upstream(engine.clone());
         self.outbound.close_idle(&peer, self.poll.registry());
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 
     /// Handles that an engine is responsive again.
     pub(crate) fn engine_lit(&mut self, engine: &UpstreamName) {
         self.dispatcher.resume(engine);
         log::info!(upstream = engine.to_string(); "engine answers again");
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 }
--- a/crates/entry/src/failed_attempts.rs
+++ b/crates/entry/src/failed_attempts.rs
@@ -23,7 +23,7 @@
 
 impl Daemon {
     /// Reports the end of an attempt to the routing policy and the watches.
-    pub(crate) fn end_try(&mut self, key: u64, outcome: UpstreamOutcome) {
+    pub(crate) fn end_attempt(&mut self, key: u64, outcome: UpstreamOutcome) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -54,17 +54,17 @@
     }
 
     /// Cancels an attempt by closing its connection, which informs the upstream.
-    pub(crate) fn cancel_try(&mut self, key: u64) {
-        self.end_try(key, UpstreamOutcome::Cancelled);
+    pub(crate) fn cancel_attempt(&mut self, key: u64) {
+        self.end_attempt(key, UpstreamOutcome::Cancelled);
         let connection = match self.active.get(key).map(|request| &request.phase) {
             Some(Phase::Sent { connection, .. }) => *connection,
             _ => return,
         };
         self.outbound.close(connection, self.poll.registry());
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 
-    pub(crate) fn connection_failed(&mut self, token: Token, key: u64) {
+    pub(crate) fn handle_failed_connection(&mut self, token: Token, key: u64) {
         let sent = self
             .outbound
             .get_mut(token)
@@ -96,27 +96,27 @@
                     self.record_lost_request(upstream, key);
                 }
                 if unreachable {
-                    self.upstream_unreachable(upstream);
+                    self.handle_unreachable_upstream(upstream);
                 }
                 if refused {
                     self.handle_upstream_end(upstream);
                 }
             }
         }
-        self.try_failed(key, failed);
+        self.handle_failed_attempt(key, failed);
     }
 
     /// Retries or ends a request whose attempt has failed.
-    pub(crate) fn try_failed(&mut self, key: u64, failed: FailedTry) {
+    pub(crate) fn handle_failed_attempt(&mut self, key: u64, failed: FailedTry) {
         self.metrics.failed_try(failed.as_str());
         let outcome = match failed {
             FailedTry::TurnedAway | FailedTry::Misdirected => UpstreamOutcome::Refused,
             FailedTry::NotSent => UpstreamOutcome::Unreachable,
             FailedTry::Lost | FailedTry::Failed | FailedTry::Misfit => UpstreamOutcome::Lost,
         };
-        self.end_try(key, outcome);
-        self.log_failed_try(key, failed);
-        self.look_again = true;
+        self.end_attempt(key, outcome);
+        self.log_failed_attempt(key, failed);
+        self.redispatch_needed = true;
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -124,33 +124,33 @@
         let has_begun = request.delivery.has_begun();
         // A request that was blocked before and is sent again gets no second attempt until this one
         // has been judged.
-        let can_go_on = request.delivery.may_go_on()
+        let may_retry = request.delivery.may_go_on()
             && (failed.is_not_run() || !self.crash_watch.knows(&request.fingerprint));
-        let attempt = match can_go_on && request.caller.is_some() {
+        let decision = match may_retry && request.caller.is_some() {
             true => self
                 .dispatcher
                 .after_failure(self.now_ms, &request.job, failed, has_begun),
             false => Attempt::GiveUp,
         };
-        match attempt {
-            Attempt::AgainAfterMs(pause_ms) => self.pause(key, pause_ms),
+        match decision {
+            Attempt::AgainAfterMs(pause_ms) => self.pause_request(key, pause_ms),
             Attempt::OnceAllowed => {
                 request.job.owes_repeat = true;
-                self.pause(key, BUDGET_PAUSE_MS);
+                self.pause_request(key, BUDGET_PAUSE_MS);
             }
-            Attempt::GiveUp => self.give_up(key, failed),
+            Attempt::GiveUp => self.refuse_after_failures(key, failed),
         }
     }
 
     /// Handles that an upstream refused a connection or did not accept one in time.
-    pub(crate) fn upstream_unreachable(&mut self, upstream: &UpstreamName) {
+    pub(crate) fn handle_unreachable_upstream(&mut self, upstream: &UpstreamName) {
         if self.dispatcher.note_unreachable(self.now_ms, upstream) {
             log::info!(upstream = upstream.to_string(); "upstream not reached");
-            self.look_again = true;
+            self.redispatch_needed = true;
         }
     }
 
-    fn log_failed_try(&mut self, key: u64, failed: FailedTry) {
+    fn log_failed_attempt(&mut self, key: u64, failed: FailedTry) {
         if !self.lines.take(self.now_ms, false) {
             return;
         }
@@ -170,7 +170,7 @@
         );
     }
 
-    pub(crate) fn pause(&mut self, key: u64, pause_ms: u64) {
+    pub(crate) fn pause_request(&mut self, key: u64, pause_ms: u64) {
         let until_ms = self.now_ms + pause_ms;
         if let Some(request) = self.active.get_mut(key) {
             request.phase = Phase::Pausing { until_ms };
@@ -178,7 +178,7 @@
         }
     }
 
-    fn give_up(&mut self, key: u64, failed: FailedTry) {
+    fn refuse_after_failures(&mut self, key: u64, failed: FailedTry) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -109,11 +109,11 @@
 
     /// Refuses the requests that still wait when little time is left for a planned stop. They would
     /// otherwise end with the process, unanswered.
-    pub(crate) fn hand_back_waiting(&mut self) {
+    pub(crate) fn refuse_waiting_for_stop(&mut self) {
         if !self.stopping.hands_back(self.now_ms) {
             return;
         }
-        for key in self.active.unsent() {
+        for key in self.active.never_sent() {
             let refusal = Refusal::not_run(RefusalReason::Draining, "this VM stops")
                 .retry_after(HAND_BACK_RETRY_MS);
             self.refuse(key, &refusal);
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -141,7 +141,7 @@
 
     /// Applies what the quota owner allows.
     pub(crate) fn apply_quota_answer(&mut self, answer: &Answer) {
-        self.look_again |= self.limits.client.take(self.now_ms, answer);
+        self.redispatch_needed |= self.limits.client.take(self.now_ms, answer);
     }
 
     /// Returns whether the limit of its organisation admits a request. A request that is over the
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -173,7 +173,7 @@
             }
             PeerMessage::TrialRequested { asker, ask } => self.decide_trial(from, asker, &ask),
             PeerMessage::TrialDecided(answer) => {
-                self.look_again |= self.crash_watch.take_trial_answer(now_ms, &answer);
+                self.redispatch_needed |= self.crash_watch.take_trial_answer(now_ms, &answer);
             }
             PeerMessage::QuotaReport(report) => self.handle_quota_report(Some(from), &report),
             PeerMessage::QuotaAnswer(answer) => self.apply_quota_answer(&answer),
@@ -299,12 +299,12 @@
             self.dispatcher
                 .note_forecast(now_ms, row.model, LoadForecast { ready_ms });
         }
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 
     pub(crate) fn apply_residence_updates(&mut self, updates: Vec<ResidenceNews>) {
         for updates in updates {
-            self.look_again |=
+            self.redispatch_needed |=
                 self.residence_updates
                     .record(self.now_ms, &mut self.directory, updates);
         }
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -20,7 +20,7 @@
 use apricotdale_quarantine::Permit;
 use mio::Token;
 
-use crate::active::Active;
+use crate::active::ActiveRequest;
 use crate::active::Phase;
 use crate::codec::ForwardFields;
 use crate::crash_watch::caller_hash;
@@ -36,27 +36,32 @@
 const ANSWER_MARGIN_MS: u64 = 30;
 
 /// Expected time until the first event of an engine that is not full.
-const FIRST_EVENT_MS: u64 = 250;
+const EXPECTED_FIRST_EVENT_MS: u64 = 250;
 
 /// Expected time to generate one token.
-const TOKEN_MS: u64 = 7;
+const EXPECTED_TOKEN_MS: u64 = 7;
 
 /// Expected run time of a request at a plain service.
-const SERVICE_RUN_MS: u64 = 50;
+const EXPECTED_SERVICE_MS: u64 = 50;
 
 /// Retry delay that a refused caller is told if nothing better is known. Engines reject requests
 /// for short moments only.
 const RETRY_AFTER_MS: u64 = 250;
 
 /// Maximum number of prompt parts that select the engine which probably has the prefix cached.
-const PREFIX_PARTS: usize = 2;
+const MAX_PREFIX_PARTS: usize = 2;
 
 /// Minimum length of a shared prompt prefix for prefix affinity. A shorter prefix is computed
 /// faster than the queue at a preferred engine moves.
-const PREFIX_TOKENS: u32 = 1_000;
+const MIN_PREFIX_TOKENS: u32 = 1_000;
 
 impl Daemon {
-    pub(crate) fn take_serving(&mut self, token: Token, mut head: RequestHead, body: Vec<u8>) {
+    pub(crate) fn handle_serving_request(
+        &mut self,
+        token: Token,
+        mut head: RequestHead,
+        body: Vec<u8>,
+    ) {
         let mut serving = match self.codecs.callers.decode(&head) {
             Ok(serving) => serving,
             Err(error) => {
@@ -97,7 +102,7 @@
         if self.directory.configuration().organisations.is_some() {
             self.codecs.callers.remove_key(&mut head);
         }
-        let Some(service) = route.service(draw(&serving.id)).cloned() else {
+        let Some(service) = route.service(request_hash(&serving.id)).cloned() else {
             let refusal = Refusal::not_run(RefusalReason::UnknownService, "no service");
             self.refuse_new(token, &refusal, Some(&serving.id));
             return;
@@ -110,7 +115,7 @@
             self.refuse_new(token, &refusal, Some(&serving.id));
             return;
         }
-        let mut job = self.job(&serving, &route, service);
+        let mut job = self.new_job(&serving, &route, service);
         if let Some(rank) = organisation.as_ref().and_then(|it| it.rank) {
             job.rank = rank;
         }
@@ -126,7 +131,7 @@
             last_event: serving.last_event,
             version_field: format.version_field,
         });
-        let key = self.active.insert(Active {
+        let key = self.active.insert(ActiveRequest {
             caller: Some(token),
             caller_hash: caller_hash(caller_address),
             fingerprint,
@@ -162,7 +167,7 @@
         };
         let detail = match key {
             PresentedKey::Given(key) => match organisations.holder(key) {
-                Some(_) if !self.knows_keys() => {
+                Some(_) if !self.can_rely_on_keys() => {
                     let detail = "it is not known whether the key is still good";
                     let refusal = Refusal::not_run(RefusalReason::NotReady, detail);
                     return Err(refusal.retry_after(RETRY_AFTER_MS));
@@ -183,7 +188,7 @@
     /// keys are refused when, for longer than `revoke_ms`, this VM has not confirmed that its
     /// configuration is the newest. A newer configuration announced by other VMs also counts
     /// against it, regardless of who else is heard and of what the store contains.
-    fn knows_keys(&self) -> bool {
+    fn can_rely_on_keys(&self) -> bool {
         let is_good = |age_ms| age_ms <= self.settings.revoke_ms;
         match self.store_pollers.outdated_for_ms(self.now_ms) {
             _ if !self.settings.fail_closed => true,
@@ -196,7 +201,7 @@
         }
     }
 
-    fn job(&self, serving: &ServingRequest, route: &Arc<Route>, service: GroupName) -> Job {
+    fn new_job(&self, serving: &ServingRequest, route: &Arc<Route>, service: GroupName) -> Job {
         let now_ms = self.now_ms;
         let is_engine = self
             .directory
@@ -207,8 +212,8 @@
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         let expected_run_ms = match is_engine {
-            true => FIRST_EVENT_MS + TOKEN_MS * u64::from(serving.output_tokens),
-            false => SERVICE_RUN_MS,
+            true => EXPECTED_FIRST_EVENT_MS + EXPECTED_TOKEN_MS * u64::from(serving.output_tokens),
+            false => EXPECTED_SERVICE_MS,
         };
         Job {
             service,
@@ -280,11 +285,11 @@
             .decide(self.now_ms, &self.directory, &request.job)
         {
             Verdict::Send(upstream) => self.send_if_permitted(key, upstream),
-            Verdict::Wait(WaitReason::Budget) => self.pause(key, BUDGET_PAUSE_MS),
+            Verdict::Wait(WaitReason::Budget) => self.pause_request(key, BUDGET_PAUSE_MS),
             Verdict::Wait(reason) => {
-                let news = request.phase != Phase::Waiting(reason);
+                let is_change = request.phase != Phase::Waiting(reason);
                 request.phase = Phase::Waiting(reason);
-                if news && reason == WaitReason::Missing {
+                if is_change && reason == WaitReason::Missing {
                     self.peers.schedule_demand_report();
                 }
             }
@@ -368,15 +373,15 @@
 }
 
 /// Returns a hash of the request's ID, evenly distributed over all values.
-fn draw(id: &RequestId) -> u64 {
+fn request_hash(id: &RequestId) -> u64 {
     xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes())
 }
 
 fn prefix_hash(serving: &ServingRequest) -> Option<u64> {
     let wanted = serving.model.as_ref()?;
-    let shared = &serving.parts[..serving.parts.len().saturating_sub(1).min(PREFIX_PARTS)];
+    let shared = &serving.parts[..serving.parts.len().saturating_sub(1).min(MAX_PREFIX_PARTS)];
     let tokens: u32 = shared.iter().map(|part| part.tokens).sum();
-    if tokens < PREFIX_TOKENS {
+    if tokens < MIN_PREFIX_TOKENS {
         return None;
     }
     let mut bytes = wanted.model.as_str().as_bytes().to_vec();
--- a/crates/entry/src/request_ends.rs
+++ b/crates/entry/src/request_ends.rs
@@ -43,14 +43,14 @@
             self.refund(charge, key);
         }
         if let Some(token) = self.active.get(key).and_then(|request| request.caller) {
-            self.close_answer(key, token, refusal);
+            self.refuse_or_abort(key, token, refusal);
         }
         self.end_request(key, refusal.reason.as_str());
-        self.serve_again();
+        self.schedule_redispatch();
     }
 
     /// Answers with a refusal, or aborts an answer that has begun.
-    fn close_answer(&mut self, key: u64, token: Token, refusal: &Refusal) {
+    fn refuse_or_abort(&mut self, key: u64, token: Token, refusal: &Refusal) {
         let close = self.closes_after(token);
         let Some(request) = self.active.get_mut(key) else {
             return;
@@ -73,8 +73,8 @@
         }
     }
 
-    fn serve_again(&mut self) {
-        self.look_again = true;
+    fn schedule_redispatch(&mut self) {
+        self.redispatch_needed = true;
     }
 
     /// Removes a request that has its final answer, and logs how it ended.
@@ -106,13 +106,13 @@
     }
 
     /// Handles requests whose deadline has passed or whose pause has ended.
-    pub(crate) fn due_requests(&mut self) {
+    pub(crate) fn wake_due_requests(&mut self) {
         for key in self.active.due(self.now_ms) {
             let Some(request) = self.active.get_mut(key) else {
                 continue;
             };
             if self.now_ms >= request.job.deadline_ms {
-                self.deadline_passed(key);
+                self.handle_passed_deadline(key);
                 continue;
             }
             match request.phase {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn deadline_passed(&mut self, key: u64) {
+    fn handle_passed_deadline(&mut self, key: u64) {
         let Some(request) = self.active.get(key) else {
             return;
         };
@@ -144,7 +144,7 @@
             Ran::NotRun => refusal = refusal.retry_after(RETRY_AFTER_MS),
             _ => refusal.ran = ran,
         }
-        self.cancel_try(key);
+        self.cancel_attempt(key);
         self.refuse(key, &refusal);
     }
 }
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -87,6 +87,6 @@
         self.store_pollers
             .handle_rollback(now_ms, holds_lease, &mut self.pacing);
         self.block_store.handle_rollback();
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 }
--- a/crates/entry/src/store_pollers/configuration.rs
+++ b/crates/entry/src/store_pollers/configuration.rs
@@ -126,7 +126,7 @@
                     let is_outdated = self.sharing.told_version() > version;
                     self.store_pollers.record_outdated(self.now_ms, is_outdated);
                     self.peers.schedule_heartbeat();
-                    self.look_again = true;
+                    self.redispatch_needed = true;
                 }
                 Ok(()) => {}
                 Err(error) => log::warn!(reason = error.to_string(); "configuration left alone"),
--- a/crates/entry/src/store_pollers/list_snapshot.rs
+++ b/crates/entry/src/store_pollers/list_snapshot.rs
@@ -183,7 +183,7 @@
             self.residence_updates
                 .reapply(self.now_ms, &mut self.directory, &name);
         }
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 
     /// Writes the snapshot if its content has changed and the time between two writes is over.
--- a/crates/entry/src/store_pollers/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -51,7 +51,7 @@
             self.residence_updates
                 .reapply(now_ms, &mut self.directory, &name);
         }
-        self.look_again = true;
+        self.redispatch_needed = true;
         UPSTREAMS_INTERVAL_MS
     }
 
@@ -178,7 +178,7 @@
                 self.stop_sending_to(&former, "restarted");
                 self.handle_new_upstream(&name);
             }
-            DirectoryChange::Residence => self.look_again = true,
+            DirectoryChange::Residence => self.redispatch_needed = true,
         }
     }
 
@@ -189,7 +189,7 @@
         if self.store_pollers.pending_arrivals() <= MAX_ARRIVAL_LINES {
             log::info!(upstream = name.to_string(); "upstream came");
         }
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 
     /// Handles the end of a read of the upstream list. Upstreams that have not returned after an
@@ -233,7 +233,7 @@
             self.dispatcher.removed(self.now_ms, name);
             self.watch.removed(name);
         }
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 
     /// Ends requests at processes that have ended. Where the connections fell silent with the
@@ -244,7 +244,7 @@
         for name in std::mem::take(&mut self.ended_incarnations) {
             let peer = Peer::Upstream(name.clone());
             for (token, key) in self.outbound.silent_relays(&peer, since_ms) {
-                self.connection_failed(token, key);
+                self.handle_failed_connection(token, key);
             }
             if !self.outbound.silent_relays(&peer, u64::MAX).is_empty() {
                 self.ended_incarnations.push(name);
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -8,7 +8,7 @@
 use apricotdale_http1::ResponseHead;
 use mio::Token;
 
-use crate::active::Active;
+use crate::active::ActiveRequest;
 use crate::active::Phase;
 use crate::codec::AnswerFields;
 use crate::daemon::Daemon;
@@ -17,16 +17,16 @@
 use crate::request_ends::upstream_text;
 
 /// Space reserved for an answer's head in addition to the bytes of a part.
-const HEAD_ROOM_BYTES: usize = 512;
+const HEAD_RESERVE_BYTES: usize = 512;
 
 /// Maximum number of unsent bytes to a slow caller before reading from the upstream pauses.
-const UNWRITTEN_BYTES: usize = 256 * 1024;
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
 /// How an answer is handled, judged by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeadVerdict {
     /// The answer is delivered to the caller.
-    Take,
+    Deliver,
     /// The answer belongs to another request; this request's own may follow.
     Skip,
     /// The attempt has failed.
@@ -41,43 +41,43 @@
     pub(crate) fn advance_relay(&mut self, token: Token, key: u64, is_open: bool) {
         let now_ms = self.now_ms;
         loop {
-            let too_full = self.caller_is_behind(key);
+            let is_slow = self.is_caller_slow(key);
             let Some(connection) = self.outbound.get_mut(token) else {
                 return;
             };
             if connection.purpose != Purpose::Relay(key) {
                 return;
             }
-            if too_full {
+            if is_slow {
                 if connection.pause() {
                     self.metrics.paused_answer();
                 }
                 return;
             }
             match connection.next_part() {
-                Part::Head(head) => self.answer_head(token, key, head),
-                Part::Body(bytes) => self.answer_body(token, key, &bytes),
+                Part::Head(head) => self.handle_answer_head(token, key, head),
+                Part::Body(bytes) => self.handle_answer_body(token, key, &bytes),
                 Part::End => {
-                    if self.answer_end(token, key) {
+                    if self.handle_answer_end(token, key) {
                         return;
                     }
                 }
                 Part::Wait if connection.has_more() => connection.read(now_ms),
                 Part::Wait if is_open => return,
                 Part::Wait | Part::Failed => {
-                    self.connection_failed(token, key);
+                    self.handle_failed_connection(token, key);
                     return;
                 }
             }
         }
     }
 
-    fn caller_is_behind(&self, key: u64) -> bool {
+    fn is_caller_slow(&self, key: u64) -> bool {
         self.active
             .get(key)
             .and_then(|request| request.caller)
             .and_then(|token| self.callers.get(&token))
-            .is_some_and(|caller| caller.stream.unwritten_bytes() > UNWRITTEN_BYTES)
+            .is_some_and(|caller| caller.stream.unwritten_bytes() > MAX_UNSENT_BYTES)
     }
 
     /// Continues reading an abandoned answer to its end.
@@ -107,16 +107,16 @@
         }
     }
 
-    fn answer_head(&mut self, token: Token, key: u64, head: ResponseHead) {
+    fn handle_answer_head(&mut self, token: Token, key: u64, head: ResponseHead) {
         let fields = self.codecs.callers.answer(&head);
         self.record_idle_time(token, &head);
-        self.log_second_answer(key, &head);
+        self.log_resumed_answer(key, &head);
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
-        let verdict = match judge(&head, &fields, &request.serving.id) {
-            HeadVerdict::Take => match request.delivery.head(head, fields.version) {
-                Ok(()) => HeadVerdict::Take,
+        let verdict = match classify_head(&head, &fields, &request.serving.id) {
+            HeadVerdict::Deliver => match request.delivery.head(head, fields.version) {
+                Ok(()) => HeadVerdict::Deliver,
                 Err(misfit) => HeadVerdict::Misfit(misfit),
             },
             verdict => verdict,
@@ -136,24 +136,24 @@
             }
         }
         match verdict {
-            HeadVerdict::Take => {}
+            HeadVerdict::Deliver => {}
             HeadVerdict::Skip => self.metrics.failed_try("crossed_answer"),
             HeadVerdict::Fail(failed) => {
                 if failed == FailedTry::Misdirected {
-                    self.note_misdirected(key, &fields);
+                    self.handle_misdirected(key, &fields);
                 }
                 match failed.is_not_run() {
-                    true => self.drain(token),
-                    false => self.leave(token),
+                    true => self.drain_answer(token),
+                    false => self.abandon(token),
                 }
-                self.try_failed(key, failed);
+                self.handle_failed_attempt(key, failed);
                 self.advance_drain(token);
             }
-            HeadVerdict::Misfit(misfit) => self.answer_does_not_fit(token, key, misfit),
+            HeadVerdict::Misfit(misfit) => self.reject_mismatch(token, key, misfit),
         }
     }
 
-    fn drain(&mut self, token: Token) {
+    fn drain_answer(&mut self, token: Token) {
         if let Some(connection) = self.outbound.get_mut(token) {
             connection.purpose = Purpose::Drain;
         }
@@ -161,12 +161,12 @@
 
     /// Closes the connection of an upstream that may still work on a request, which informs the
     /// upstream that the request is abandoned.
-    fn leave(&mut self, token: Token) {
+    fn abandon(&mut self, token: Token) {
         self.outbound.close(token, self.poll.registry());
     }
 
     /// Abandons an answer that can't continue what the caller has received.
-    fn answer_does_not_fit(&mut self, token: Token, key: u64, misfit: Misfit) {
+    fn reject_mismatch(&mut self, token: Token, key: u64, misfit: Misfit) {
         self.metrics.misfit(misfit.as_str());
         if let Some(request) = self.active.get(key)
             && self.lines.take(self.now_ms, false)
@@ -183,14 +183,14 @@
         match misfit {
             // The answer has ended, and its connection has been released.
             Misfit::Unfinished | Misfit::Empty => {}
-            _ => self.leave(token),
+            _ => self.abandon(token),
         }
-        self.try_failed(key, FailedTry::Misfit);
+        self.handle_failed_attempt(key, FailedTry::Misfit);
     }
 
     /// Logs an upstream's answer to a request of which the caller already has a part.
-    fn log_second_answer(&mut self, key: u64, head: &ResponseHead) {
-        let has_begun = |request: &&Active| request.delivery.has_begun();
+    fn log_resumed_answer(&mut self, key: u64, head: &ResponseHead) {
+        let has_begun = |request: &&ActiveRequest| request.delivery.has_begun();
         let Some(request) = self.active.get(key).filter(has_begun) else {
             return;
         };
@@ -208,7 +208,7 @@
 
     /// Corrects the directory after an answer that says that the request was sent to the wrong
     /// upstream.
-    fn note_misdirected(&mut self, key: u64, fields: &AnswerFields) {
+    fn handle_misdirected(&mut self, key: u64, fields: &AnswerFields) {
         let Some(request) = self.active.get(key) else {
             return;
         };
@@ -240,30 +240,30 @@
         }
     }
 
-    fn answer_body(&mut self, token: Token, key: u64, bytes: &[u8]) {
-        let closes = self.caller_closes(key);
+    fn handle_answer_body(&mut self, token: Token, key: u64, bytes: &[u8]) {
+        let closes = self.caller_connection_closes(key);
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
         let had_begun = request.delivery.has_begun();
-        let mut out = Vec::with_capacity(bytes.len() + HEAD_ROOM_BYTES);
+        let mut out = Vec::with_capacity(bytes.len() + HEAD_RESERVE_BYTES);
         let fits = request.delivery.body(bytes, closes, &mut out);
         if !out.is_empty() {
-            self.give(key, had_begun, &out);
+            self.deliver(key, had_begun, &out);
         }
         if let Err(misfit) = fits {
-            self.answer_does_not_fit(token, key, misfit);
+            self.reject_mismatch(token, key, misfit);
         }
     }
 
     /// Returns whether the connection of a request's caller closes after the answer.
-    fn caller_closes(&self, key: u64) -> bool {
+    fn caller_connection_closes(&self, key: u64) -> bool {
         let caller = self.active.get(key).and_then(|request| request.caller);
         caller.is_some_and(|token| self.closes_after(token))
     }
 
     /// Writes part of an answer to the caller, unless the caller has left.
-    fn give(&mut self, key: u64, had_begun: bool, bytes: &[u8]) {
+    fn deliver(&mut self, key: u64, had_begun: bool, bytes: &[u8]) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -284,7 +284,7 @@
     }
 
     /// Handles the end of an answer. Returns whether the request is done with the connection.
-    fn answer_end(&mut self, token: Token, key: u64) -> bool {
+    fn handle_answer_end(&mut self, token: Token, key: u64) -> bool {
         let Some(request) = self.active.get(key) else {
             self.outbound
                 .release(self.now_ms, token, self.poll.registry());
@@ -299,10 +299,10 @@
         };
         self.outbound
             .release(self.now_ms, token, self.poll.registry());
-        if status >= 500 && self.repeats_failure(key) {
+        if status >= 500 && self.retry_failed_answer(key) {
             return true;
         }
-        let closes = self.caller_closes(key);
+        let closes = self.caller_connection_closes(key);
         let Some(request) = self.active.get_mut(key) else {
             return true;
         };
@@ -310,14 +310,14 @@
         let mut out = Vec::new();
         match request.delivery.end(closes, &mut out) {
             Ok(()) => self.deliver_end(key, status, had_begun, &out),
-            Err(misfit) => self.answer_does_not_fit(token, key, misfit),
+            Err(misfit) => self.reject_mismatch(token, key, misfit),
         }
         true
     }
 
     /// Retries a request elsewhere after an upstream's own failure, if it may be retried. Returns
     /// whether it is; otherwise the failure is passed on.
-    fn repeats_failure(&mut self, key: u64) -> bool {
+    fn retry_failed_answer(&mut self, key: u64) -> bool {
         let Some(request) = self.active.get_mut(key) else {
             return false;
         };
@@ -325,14 +325,14 @@
             return false;
         }
         request.job.runs += 1;
-        let attempt =
+        let decision =
             self.dispatcher
                 .after_failure(self.now_ms, &request.job, FailedTry::Failed, false);
-        match attempt {
+        match decision {
             Attempt::AgainAfterMs(pause_ms) => {
                 self.metrics.failed_try(FailedTry::Failed.as_str());
-                self.end_try(key, UpstreamOutcome::Lost);
-                self.pause(key, pause_ms);
+                self.end_attempt(key, UpstreamOutcome::Lost);
+                self.pause_request(key, pause_ms);
                 true
             }
             Attempt::OnceAllowed | Attempt::GiveUp => false,
@@ -345,7 +345,7 @@
             500.. => UpstreamOutcome::Lost,
             _ => UpstreamOutcome::Answered,
         };
-        self.end_try(key, outcome);
+        self.end_attempt(key, outcome);
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -368,11 +368,11 @@
         } else {
             self.end_request(key, "answered_to_nobody");
         }
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 }
 
-fn judge(head: &ResponseHead, fields: &AnswerFields, id: &RequestId) -> HeadVerdict {
+fn classify_head(head: &ResponseHead, fields: &AnswerFields, id: &RequestId) -> HeadVerdict {
     let success = (200..300).contains(&head.status);
     match &fields.request {
         Some(other) if other != id => HeadVerdict::Skip,
@@ -381,7 +381,7 @@
         // Without the request's ID or the upstream's signature the answer may come from anywhere.
         None => HeadVerdict::Fail(FailedTry::Lost),
         Some(_) if !fields.signed || fields.encoded => HeadVerdict::Fail(FailedTry::Lost),
-        Some(_) if success || head.status >= 400 => HeadVerdict::Take,
+        Some(_) if success || head.status >= 400 => HeadVerdict::Deliver,
         Some(_) => HeadVerdict::Fail(FailedTry::Lost),
     }
 }
