--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -44,7 +44,10 @@
     /// Waiting for the answer to the request with this key; none before the key is assigned.
     Busy(Option<u64>),
     /// Writing what remains, then waiting for the caller to close the connection.
-    Closing { until_ms: u64, shut: bool },
+    Closing {
+        until_ms: u64,
+        is_write_closed: bool,
+    },
 }
 
 /// What has been received from a caller.
@@ -157,7 +160,7 @@
                 if !progress.whole {
                     return Received::Nothing;
                 }
-                self.take_request()
+                self.complete_request()
             }
             Phase::Closing { .. } => {
                 self.input.clear();
@@ -167,7 +170,7 @@
         }
     }
 
-    fn take_request(&mut self) -> Received {
+    fn complete_request(&mut self) -> Received {
         match std::mem::replace(&mut self.phase, Phase::Busy(None)) {
             Phase::Body { head, body, .. } => {
                 self.close_after |= head.close;
@@ -182,7 +185,7 @@
     }
 
     /// Sets the key of the request that is answered on this connection.
-    pub fn answer_for(&mut self, key: u64) {
+    pub fn set_request(&mut self, key: u64) {
         self.phase = Phase::Busy(Some(key));
     }
 
@@ -219,7 +222,7 @@
     pub fn begin_close(&mut self, now_ms: u64) {
         self.phase = Phase::Closing {
             until_ms: now_ms + LINGER_MS,
-            shut: false,
+            is_write_closed: false,
         };
     }
 
@@ -235,19 +238,25 @@
         }
         let written = !self.has_unwritten();
         match &mut self.phase {
-            Phase::Closing { until_ms, shut } if written && !*shut => {
+            Phase::Closing {
+                until_ms,
+                is_write_closed,
+            } if written && !*is_write_closed => {
                 *until_ms = now_ms + LINGER_MS;
-                *shut = true;
-                self.stream.shut_write();
+                *is_write_closed = true;
+                self.stream.close_write_half();
                 self.ended.is_some()
             }
-            Phase::Closing { shut: true, .. } => self.ended.is_some(),
+            Phase::Closing {
+                is_write_closed: true,
+                ..
+            } => self.ended.is_some(),
             _ => false,
         }
     }
 
     /// Returns whether the connection has timed out.
-    pub fn is_over(&self, now_ms: u64, limits: &CallerLimits) -> bool {
+    pub fn is_timed_out(&self, now_ms: u64, limits: &CallerLimits) -> bool {
         let age_ms = now_ms.saturating_sub(self.since_ms);
         match &self.phase {
             Phase::Head | Phase::Closing { .. } if self.has_unwritten() => {
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -34,8 +34,8 @@
                 return;
             };
             match caller.receive(now_ms, &limits) {
-                Received::Request { head, body } => self.take_request(token, head, body),
-                Received::Refused(error) => self.refuse_bytes(token, error),
+                Received::Request { head, body } => self.handle_request(token, head, body),
+                Received::Refused(error) => self.refuse_invalid_bytes(token, error),
                 Received::Left => {
                     self.drop_caller(token, true);
                     return;
@@ -59,7 +59,7 @@
             .get_mut(connection)
             .is_some_and(|it| std::mem::take(&mut it.paused));
         if was_paused {
-            self.advance_relay(connection, key, true);
+            self.advance_proxied_answer(connection, key, true);
         }
     }
 
@@ -110,7 +110,7 @@
         self.finish_answer(token);
     }
 
-    fn refuse_bytes(&mut self, token: Token, error: HttpError) {
+    fn refuse_invalid_bytes(&mut self, token: Token, error: HttpError) {
         let reason = match error {
             HttpError::HeadTooLarge => RefusalReason::HeadTooLarge,
             HttpError::BodyTooLarge => RefusalReason::BodyTooLarge,
@@ -130,7 +130,7 @@
         }
     }
 
-    fn take_request(&mut self, token: Token, head: RequestHead, body: Vec<u8>) {
+    fn handle_request(&mut self, token: Token, head: RequestHead, body: Vec<u8>) {
         match self.callers.get(&token).map(|caller| caller.kind) {
             Some(CallerKind::Serving) => self.handle_serving_request(token, head, body),
             Some(CallerKind::Ready) => self.answer_ready(token),
@@ -140,7 +140,7 @@
     }
 
     fn answer_ready(&mut self, token: Token) {
-        let ready = self.is_ready_for_requests() && !self.stopping.has_begun();
+        let ready = self.is_ready_for_requests() && !self.planned_stop.has_begun();
         self.answer_text(token, if ready { 200 } else { 503 }, "");
     }
 
@@ -148,7 +148,9 @@
         self.metrics.active.set(self.active.len() as i64);
         self.metrics.callers.set(self.callers.len() as i64);
         self.metrics.outbound.set(self.outbound.len() as i64);
-        self.metrics.dropped_lines.set(self.lines.dropped as i64);
+        self.metrics
+            .dropped_lines
+            .set(self.log_budget.dropped_lines as i64);
         self.update_quarantine_gauges();
         let text = self.metrics.render();
         self.answer_text(token, 200, &text);
@@ -180,9 +182,9 @@
     /// Completes an answer on a caller's connection.
     pub(crate) fn finish_answer(&mut self, token: Token) {
         let now_ms = self.now_ms;
-        let stops = self.stopping.has_begun();
+        let is_stopping = self.planned_stop.has_begun();
         if let Some(caller) = self.callers.get_mut(&token) {
-            caller.close_after |= stops && caller.kind == CallerKind::Serving;
+            caller.close_after |= is_stopping && caller.kind == CallerKind::Serving;
             caller.answered(now_ms);
             caller.flush(now_ms);
             self.answered.push(token);
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -182,7 +182,7 @@
             }
         }
         for row in &due.begun {
-            self.metrics.begun_block();
+            self.metrics.new_block();
             self.apply_new_block(row, "found");
         }
         for part in due.blocks.chunks(BLOCKS_PER_DATAGRAM) {
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -41,9 +41,9 @@
 use crate::engine_orders::EngineOrders;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::lifecycle::Stopping;
+use crate::lifecycle::PlannedStop;
 use crate::limits::Limits;
-use crate::log_budget::LineBudget;
+use crate::log_budget::LogBudget;
 use crate::messages::VmRecord;
 use crate::metrics::EntryMetrics;
 use crate::outbound::OutboundPool;
@@ -62,24 +62,24 @@
 const PEERS: Token = Token(3);
 const STOP: Token = Token(4);
 const HANGUP: Token = Token(5);
-const FIRST_CONNECTION: usize = 16;
+const FIRST_CONNECTION_TOKEN: usize = 16;
 
 /// Maximum number of readiness events that one iteration of the loop handles.
-const EVENTS: usize = 512;
+const MAX_EVENTS: usize = 512;
 
 /// Longest time between two checks for connections that have timed out.
-const SWEEP_MS: u64 = 250;
+const SWEEP_INTERVAL_MS: u64 = 250;
 
 /// Longest sleep of the loop.
 const MAX_SLEEP_MS: u64 = 250;
 
 /// Delay of a wake-up from which a process pause is logged: three quarters of the shortest target
 /// time in the users' deployments, so that every pause which makes a request late is logged.
-const STOOD_STILL_MS: u64 = 300;
+const LOGGED_PAUSE_MS: u64 = 300;
 
 /// Delay of a wake-up from which the silence of engines proves nothing, because this process
 /// paused.
-const BEHIND_MS: u64 = 100;
+const SHORTEST_PAUSE_MS: u64 = 100;
 
 /// Maximum number of callers' connections, besides those to upstreams. A VM has 3,900 descriptors
 /// for sockets.
@@ -118,9 +118,9 @@
     pub(crate) store_era: StoreEra,
     /// Schedule of this VM's store reads among all VMs that read.
     pub(crate) pacing: ReadPacing,
-    pub(crate) stopping: Stopping,
+    pub(crate) planned_stop: PlannedStop,
     pub(crate) metrics: EntryMetrics,
-    pub(crate) lines: LineBudget,
+    pub(crate) log_budget: LogBudget,
     pub(crate) call_answers: HashMap<Token, CallAnswer>,
     pub(crate) next_call_timeout_ms: u64,
     /// Callers' connections whose answer has ended and whose next request may already be there.
@@ -139,7 +139,7 @@
     pub fn new(mut settings: Settings, codecs: Codecs) -> Result<Self> {
         let poll = Poll::new()?;
         let now_ms = now_ms();
-        let run = random_number();
+        let run = random_incarnation();
         let mut listeners = HashMap::new();
         // A port chosen by the system replaces port 0 in the settings, so that the log and the
         // other VMs receive the address at which this VM can be reached.
@@ -149,7 +149,7 @@
             (METRICS, &mut settings.metrics, CallerKind::Metrics),
         ];
         for (token, address, kind) in addresses {
-            let mut listener = listen(*address)?;
+            let mut listener = bind(*address)?;
             *address = listener.local_addr()?;
             poll.registry()
                 .register(&mut listener, token, Interest::READABLE)?;
@@ -188,7 +188,7 @@
             listeners,
             stop_signals,
             hangup_signals,
-            next_token: FIRST_CONNECTION,
+            next_token: FIRST_CONNECTION_TOKEN,
             callers: HashMap::new(),
             outbound: OutboundPool::default(),
             active: ActiveRequests::default(),
@@ -204,9 +204,9 @@
             sharing: Sharing::default(),
             store_era: StoreEra::default(),
             pacing: ReadPacing::new(settings.read_bytes_per_s, run),
-            stopping: Stopping::default(),
+            planned_stop: PlannedStop::default(),
             metrics: EntryMetrics::default(),
-            lines: LineBudget::default(),
+            log_budget: LogBudget::default(),
             call_answers: HashMap::new(),
             next_call_timeout_ms: u64::MAX,
             answered: Vec::new(),
@@ -229,7 +229,7 @@
     /// [`Error::Loop`] if the kernel's readiness interface fails.
     pub fn run(mut self) -> Result<()> {
         self.log_start();
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(MAX_EVENTS);
         while !self.is_stopped() {
             let sleep_ms = self.sleep_ms();
             match self
@@ -240,13 +240,13 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
-            self.note_wake_up(sleep_ms);
+            self.check_for_pause(sleep_ms);
             let ready: Vec<(Token, bool)> = events
                 .iter()
                 .map(|event| (event.token(), event.is_writable()))
                 .collect();
             for (token, writable) in ready {
-                self.handle(token, writable);
+                self.dispatch_event(token, writable);
             }
             if self.peers.may_have_more {
                 self.receive_peer_messages();
@@ -259,14 +259,14 @@
 
     /// Reads the clock after a sleep and logs a long delay. A VM that was suspended or had no
     /// processor time makes requests late without any other trace of the cause.
-    fn note_wake_up(&mut self, sleep_ms: u64) {
-        let before_ms = std::mem::replace(&mut self.now_ms, now_ms());
-        let late_ms = self.now_ms.saturating_sub(before_ms + sleep_ms);
-        if late_ms >= BEHIND_MS {
+    fn check_for_pause(&mut self, sleep_ms: u64) {
+        let slept_from_ms = std::mem::replace(&mut self.now_ms, now_ms());
+        let late_ms = self.now_ms.saturating_sub(slept_from_ms + sleep_ms);
+        if late_ms >= SHORTEST_PAUSE_MS {
             self.watch.stood_still(self.now_ms);
         }
-        if late_ms >= STOOD_STILL_MS {
-            self.metrics.stood_still();
+        if late_ms >= LOGGED_PAUSE_MS {
+            self.metrics.process_paused();
             self.request_blocks();
             log::warn!(
                 late_ms, requests = self.active.len(), orders_by = self.peers.lease_holder_text();
@@ -317,7 +317,7 @@
         next_ms.saturating_sub(self.now_ms).clamp(1, MAX_SLEEP_MS)
     }
 
-    fn handle(&mut self, token: Token, writable: bool) {
+    fn dispatch_event(&mut self, token: Token, writable: bool) {
         match token {
             CALLERS | READY | METRICS => self.accept(token),
             PEERS => self.receive_peer_messages(),
@@ -325,7 +325,7 @@
             HANGUP if drain_pipe(&mut self.hangup_signals) => self.reload(),
             STOP | HANGUP => {}
             token if self.callers.contains_key(&token) => self.serve_caller(token),
-            token => self.advance_outbound(token, writable),
+            token => self.handle_outbound_event(token, writable),
         }
     }
 
@@ -367,7 +367,7 @@
     }
 
     /// Continues a connection that this VM opened, after an event on it.
-    fn advance_outbound(&mut self, token: Token, writable: bool) {
+    fn handle_outbound_event(&mut self, token: Token, writable: bool) {
         let now_ms = self.now_ms;
         let Some(connection) = self.outbound.get_mut(token) else {
             return;
@@ -390,14 +390,14 @@
             }
             Purpose::Call(_) if !is_open => self.call_failed(token),
             Purpose::Call(_) => self.advance_call(token),
-            Purpose::Relay(key) => self.advance_relay(token, key, is_open),
+            Purpose::Proxy(key) => self.advance_proxied_answer(token, key, is_open),
             Purpose::Drain => self.advance_drain(token),
         }
     }
 
     /// Drops connections that have timed out and applies the current number of VMs.
     fn sweep(&mut self) {
-        self.next_sweep_ms = self.now_ms + SWEEP_MS;
+        self.next_sweep_ms = self.now_ms + SWEEP_INTERVAL_MS;
         if let Some(vms) = self.peers.vms() {
             self.dispatcher.set_vms(vms);
             self.pacing.set_vms(vms);
@@ -407,31 +407,31 @@
         for token in self.outbound.sweep(self.now_ms, self.poll.registry()) {
             self.call_failed(token);
         }
-        for (token, key) in self.outbound.unestablished(self.now_ms) {
+        for (token, key) in self.outbound.late_connections(self.now_ms) {
             self.handle_failed_connection(token, key);
         }
         self.next_call_timeout_ms = self.outbound.next_call_until_ms().unwrap_or(u64::MAX);
         let limits = self.directory.configuration().limits;
-        let over: Vec<Token> = self
+        let timed_out: Vec<Token> = self
             .callers
             .iter()
             .filter(|(_, caller)| {
-                let stops = caller.is_idle() && self.stopping.closes_idle(self.now_ms);
-                stops || caller.is_over(self.now_ms, &limits)
+                let stops = caller.is_idle() && self.planned_stop.closes_idle(self.now_ms);
+                stops || caller.is_timed_out(self.now_ms, &limits)
             })
             .map(|(token, _)| *token)
             .collect();
-        for token in over {
+        for token in timed_out {
             self.drop_caller(token, false);
         }
-        if self.stopping.takes_nobody(self.now_ms) {
+        if self.planned_stop.refuses_connections(self.now_ms) {
             self.listeners.remove(&CALLERS);
         }
         self.end_requests_at_ended_incarnations();
     }
 }
 
-fn listen(address: SocketAddr) -> Result<TcpListener> {
+fn bind(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).map_err(|source| Error::Listen { address, source })
 }
 
@@ -460,7 +460,7 @@
 }
 
 /// Returns a random number, by which incarnations of the process differ.
-fn random_number() -> u64 {
+fn random_incarnation() -> u64 {
     use std::hash::BuildHasher;
     use std::hash::Hasher;
     std::collections::hash_map::RandomState::new()
--- a/crates/entry/src/engine_orders.rs
+++ b/crates/entry/src/engine_orders.rs
@@ -179,7 +179,7 @@
     /// Renews or acquires the lease when due and, while this VM holds it, plans orders.
     pub(crate) fn advance_engine_orders(&mut self) {
         let now_ms = self.now_ms;
-        if self.stopping.has_begun() {
+        if self.planned_stop.has_begun() {
             // A renewal may have been in progress when the stop began.
             self.release_lease();
         } else if now_ms >= self.engine_orders.lease.next_ms() {
--- a/crates/entry/src/engine_probes.rs
+++ b/crates/entry/src/engine_probes.rs
@@ -10,15 +10,15 @@
 
 /// Time limit for the answer to a probe. An engine answers within a round trip and the opening of a
 /// connection, about 5 ms, regardless of its work.
-const ANSWER_MS: u64 = 150;
+const PROBE_TIMEOUT_MS: u64 = 150;
 
 /// How long an unresponsive engine receives no requests unless another probe fails. Probes are
 /// repeated every 300 ms.
-const DARK_GOOD_MS: u64 = 2_000;
+const SUSPENSION_MS: u64 = 2_000;
 
 /// How recently an engine must have sent bytes to this VM for another VM's failed probe to be
 /// ignored.
-const HEARD_MS: u64 = 200;
+const RECENTLY_HEARD_MS: u64 = 200;
 
 impl Daemon {
     /// Probes the engines that have been silent for too long.
@@ -39,7 +39,7 @@
                         address,
                         CallTag::Probe(engine),
                         &bytes,
-                        ANSWER_MS,
+                        PROBE_TIMEOUT_MS,
                     );
                 }
                 None => self.watch.removed(&engine),
@@ -56,23 +56,23 @@
             Silence::Dark => {
                 self.peers
                     .send_all(&PeerMessage::EngineUnresponsive(engine.clone()));
-                self.engine_dark(engine, "asked");
+                self.suspend_engine(engine, "asked");
             }
             Silence::Over => {
                 self.peers
                     .send_all(&PeerMessage::EngineResponsive(engine.clone()));
-                self.engine_lit(engine);
+                self.resume_engine(engine);
             }
         }
     }
 
     /// Handles another VM's failed probe. If this VM has recently received bytes from the engine,
     /// the fault lies between the engine and that VM.
-    pub(crate) fn told_dark(&mut self, engine: &UpstreamName) {
+    pub(crate) fn handle_peer_probe_failure(&mut self, engine: &UpstreamName) {
         let heard_ms = self.watch.heard_ms(engine);
-        let heard = heard_ms.is_some_and(|at_ms| self.now_ms < at_ms + HEARD_MS);
-        if !heard && self.directory.upstream(engine).is_some() {
-            self.engine_dark(engine, "told");
+        let recently_heard = heard_ms.is_some_and(|at_ms| self.now_ms < at_ms + RECENTLY_HEARD_MS);
+        if !recently_heard && self.directory.upstream(engine).is_some() {
+            self.suspend_engine(engine, "told");
         }
     }
 
@@ -80,10 +80,10 @@
     /// there: an engine that does not answer may be slow and still at work. When requests were
     /// moved away from such engines and then found no free slot, they ended in the middle of their
     /// answers.
-    fn engine_dark(&mut self, engine: &UpstreamName, how: &str) {
-        let until_ms = self.now_ms + DARK_GOOD_MS;
+    fn suspend_engine(&mut self, engine: &UpstreamName, how: &str) {
+        let until_ms = self.now_ms + SUSPENSION_MS;
         if self.dispatcher.suspend(self.now_ms, engine, until_ms) {
-            self.metrics.dark_engine();
+            self.metrics.unresponsive_engine();
             log::info!(upstream = engine.to_string(), how; "engine is dark");
         }
         let peer = Peer::Upstream(engine.clone());
@@ -92,7 +92,7 @@
     }
 
     /// Handles that an engine is responsive again.
-    pub(crate) fn engine_lit(&mut self, engine: &UpstreamName) {
+    pub(crate) fn resume_engine(&mut self, engine: &UpstreamName) {
         self.dispatcher.resume(engine);
         log::info!(upstream = engine.to_string(); "engine answers again");
         self.redispatch_needed = true;
--- a/crates/entry/src/failed_attempts.rs
+++ b/crates/entry/src/failed_attempts.rs
@@ -108,7 +108,7 @@
 
     /// Retries or ends a request whose attempt has failed.
     pub(crate) fn handle_failed_attempt(&mut self, key: u64, failed: FailedTry) {
-        self.metrics.failed_try(failed.as_str());
+        self.metrics.failed_attempt(failed.as_str());
         let outcome = match failed {
             FailedTry::TurnedAway | FailedTry::Misdirected => UpstreamOutcome::Refused,
             FailedTry::NotSent => UpstreamOutcome::Unreachable,
@@ -151,7 +151,7 @@
     }
 
     fn log_failed_attempt(&mut self, key: u64, failed: FailedTry) {
-        if !self.lines.take(self.now_ms, false) {
+        if !self.log_budget.try_take(self.now_ms, false) {
             return;
         }
         let Some(request) = self.active.get(key) else {
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -11,12 +11,12 @@
 
 /// How long a stopping VM still accepts connections. The balancer checks readiness once a second
 /// and sends no new connections after two failed checks.
-const STILL_SERVING_MS: u64 = 2_600;
+const ACCEPTING_MS: u64 = 2_600;
 
 /// How long callers may reuse their connections after a planned stop has begun. After that an idle
 /// connection is closed, so that the next request goes to another VM: a caller that reuses its
 /// connection every second would otherwise still send requests when the process has to end.
-const KEPT_CONNECTIONS_MS: u64 = 1_200;
+const CONNECTION_REUSE_MS: u64 = 1_200;
 
 /// Reserve of the time for a stop, so that the process ends by itself before it is killed.
 const STOP_MARGIN_MS: u64 = 300;
@@ -35,19 +35,19 @@
 
 /// How long before the end of a planned stop the requests that still wait are refused, so that
 /// their callers can retry at another VM.
-const HAND_BACK_MS: u64 = 1_500;
+const REFUSE_WAITING_MS: u64 = 1_500;
 
 /// Retry delay that the callers of these requests are told.
-const HAND_BACK_RETRY_MS: u64 = 50;
+const STOP_RETRY_AFTER_MS: u64 = 50;
 
 /// State of a planned stop.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Stopping {
+pub(crate) struct PlannedStop {
     since_ms: Option<u64>,
     stop_ms: u64,
 }
 
-impl Stopping {
+impl PlannedStop {
     /// Returns whether a planned stop has begun.
     pub fn has_begun(self) -> bool {
         self.since_ms.is_some()
@@ -56,18 +56,18 @@
     /// Returns whether callers' idle connections are to be closed.
     pub fn closes_idle(self, now_ms: u64) -> bool {
         self.age_ms(now_ms)
-            .is_some_and(|age_ms| age_ms >= KEPT_CONNECTIONS_MS)
+            .is_some_and(|age_ms| age_ms >= CONNECTION_REUSE_MS)
     }
 
     /// Returns whether new connections are no longer accepted.
-    pub fn takes_nobody(self, now_ms: u64) -> bool {
+    pub fn refuses_connections(self, now_ms: u64) -> bool {
         self.age_ms(now_ms)
-            .is_some_and(|age_ms| age_ms >= STILL_SERVING_MS)
+            .is_some_and(|age_ms| age_ms >= ACCEPTING_MS)
     }
 
     /// Returns whether waiting requests are to be refused.
-    fn hands_back(self, now_ms: u64) -> bool {
-        let at_ms = self.stop_ms.saturating_sub(HAND_BACK_MS);
+    fn refuses_waiting(self, now_ms: u64) -> bool {
+        let at_ms = self.stop_ms.saturating_sub(REFUSE_WAITING_MS);
         self.age_ms(now_ms).is_some_and(|age_ms| age_ms >= at_ms)
     }
 
@@ -79,7 +79,7 @@
     /// Returns whether the process may end. `is_busy` tells whether answers are in progress.
     fn is_done(self, now_ms: u64, is_busy: impl FnOnce() -> bool) -> bool {
         self.age_ms(now_ms).is_some_and(|age_ms| {
-            let is_empty = age_ms >= STILL_SERVING_MS && !is_busy();
+            let is_empty = age_ms >= ACCEPTING_MS && !is_busy();
             is_empty || age_ms >= self.stop_ms.saturating_sub(STOP_MARGIN_MS)
         })
     }
@@ -89,11 +89,11 @@
     /// Begins a planned stop: readiness checks fail from now on, while requests in progress and
     /// those that still arrive are answered.
     pub(crate) fn begin_stop(&mut self) {
-        if self.stopping.has_begun() {
+        if self.planned_stop.has_begun() {
             return;
         }
-        self.stopping.since_ms = Some(self.now_ms);
-        self.stopping.stop_ms = self.settings.stop_ms;
+        self.planned_stop.since_ms = Some(self.now_ms);
+        self.planned_stop.stop_ms = self.settings.stop_ms;
         log::info!(requests = self.active.len(); "planned stop begins");
         self.release_lease();
         self.peers.send_goodbye();
@@ -101,7 +101,7 @@
 
     /// Returns whether a planned stop is complete.
     pub(crate) fn is_stopped(&self) -> bool {
-        self.stopping.is_done(self.now_ms, || {
+        self.planned_stop.is_done(self.now_ms, || {
             let mut callers = self.callers.values();
             self.active.len() > 0 || callers.any(Caller::has_unwritten)
         })
@@ -110,12 +110,12 @@
     /// Refuses the requests that still wait when little time is left for a planned stop. They would
     /// otherwise end with the process, unanswered.
     pub(crate) fn refuse_waiting_for_stop(&mut self) {
-        if !self.stopping.hands_back(self.now_ms) {
+        if !self.planned_stop.refuses_waiting(self.now_ms) {
             return;
         }
         for key in self.active.never_sent() {
             let refusal = Refusal::not_run(RefusalReason::Draining, "this VM stops")
-                .retry_after(HAND_BACK_RETRY_MS);
+                .retry_after(STOP_RETRY_AFTER_MS);
             self.refuse(key, &refusal);
         }
     }
@@ -155,7 +155,7 @@
     pub(crate) fn log_end(&self) {
         log::info!(
             requests = self.active.len(),
-            dropped_lines = self.lines.dropped,
+            dropped_lines = self.log_budget.dropped_lines,
             connections_opened = self.outbound.opened;
             "entry VM ends"
         );
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -37,22 +37,22 @@
     registry: Registry,
     requests: Family<Reason, Counter>,
     refusals: Family<Reason, Counter>,
-    failed_tries: Family<Reason, Counter>,
-    misfits: Family<Reason, Counter>,
+    failed_attempts: Family<Reason, Counter>,
+    mismatches: Family<Reason, Counter>,
     paused_answers: Counter,
     calls: Family<CallLabels, Counter>,
     orders: Family<CallLabels, Counter>,
     takeovers: Counter,
-    stood_still: Counter,
+    process_pauses: Counter,
     foreign_entries: Counter,
     lapsed_upstreams: Counter,
     store_reads_bytes: Family<Reason, Counter>,
-    store_set_backs: Counter,
+    store_rollbacks: Counter,
     answers_of_earlier_eras: Family<Reason, Counter>,
     list_repairs: Counter,
-    dark_engines: Counter,
+    unresponsive_engines: Counter,
     crashed_upstreams: Counter,
-    begun_blocks: Counter,
+    new_blocks: Counter,
     first_answer_ms: Histogram,
     wait_ms: Histogram,
     plan_ms: Histogram,
@@ -84,22 +84,22 @@
             registry: Registry::with_prefix("apricotdale"),
             requests: Family::default(),
             refusals: Family::default(),
-            failed_tries: Family::default(),
-            misfits: Family::default(),
+            failed_attempts: Family::default(),
+            mismatches: Family::default(),
             paused_answers: Counter::default(),
             calls: Family::default(),
             orders: Family::default(),
             takeovers: Counter::default(),
-            stood_still: Counter::default(),
+            process_pauses: Counter::default(),
             foreign_entries: Counter::default(),
             lapsed_upstreams: Counter::default(),
             store_reads_bytes: Family::default(),
-            store_set_backs: Counter::default(),
+            store_rollbacks: Counter::default(),
             answers_of_earlier_eras: Family::default(),
             list_repairs: Counter::default(),
-            dark_engines: Counter::default(),
+            unresponsive_engines: Counter::default(),
             crashed_upstreams: Counter::default(),
-            begun_blocks: Counter::default(),
+            new_blocks: Counter::default(),
             first_answer_ms: Histogram::new(buckets()),
             wait_ms: Histogram::new(buckets()),
             plan_ms: Histogram::new(buckets()),
@@ -135,12 +135,12 @@
         registry.register(
             "failed_tries",
             "Sends without an answer",
-            self.failed_tries.clone(),
+            self.failed_attempts.clone(),
         );
         registry.register(
             "misfits",
             "Upstreams' answers that did not fit behind what the caller had been given",
-            self.misfits.clone(),
+            self.mismatches.clone(),
         );
         registry.register(
             "paused_answers",
@@ -165,7 +165,7 @@
         registry.register(
             "stood_still",
             "Times that this VM stood still",
-            self.stood_still.clone(),
+            self.process_pauses.clone(),
         );
         registry.register(
             "foreign_entries",
@@ -185,7 +185,7 @@
         registry.register(
             "store_set_backs",
             "Times that the store came back from an older copy",
-            self.store_set_backs.clone(),
+            self.store_rollbacks.clone(),
         );
         registry.register(
             "answers_of_earlier_eras",
@@ -200,7 +200,7 @@
         registry.register(
             "dark_engines",
             "Engines that fell silent and did not answer when they were asked",
-            self.dark_engines.clone(),
+            self.unresponsive_engines.clone(),
         );
         registry.register(
             "crashed_upstreams",
@@ -210,7 +210,7 @@
         registry.register(
             "begun_blocks",
             "Requests that this VM found to crash upstreams",
-            self.begun_blocks.clone(),
+            self.new_blocks.clone(),
         );
         registry.register(
             "blocked_requests",
@@ -307,8 +307,8 @@
     }
 
     /// Counts an answer that could not continue what the caller had received.
-    pub fn misfit(&self, reason: &str) {
-        self.misfits
+    pub fn mismatch(&self, reason: &str) {
+        self.mismatches
             .get_or_create(&Reason {
                 reason: reason.to_owned(),
             })
@@ -321,8 +321,8 @@
     }
 
     /// Counts a failed attempt.
-    pub fn failed_try(&self, reason: &str) {
-        self.failed_tries
+    pub fn failed_attempt(&self, reason: &str) {
+        self.failed_attempts
             .get_or_create(&Reason {
                 reason: reason.to_owned(),
             })
@@ -375,8 +375,8 @@
     }
 
     /// Counts a rollback of the store.
-    pub fn store_set_back(&self) {
-        self.store_set_backs.inc();
+    pub fn store_rolled_back(&self) {
+        self.store_rollbacks.inc();
     }
 
     /// Counts a store answer that is from before a rollback.
@@ -393,8 +393,8 @@
     }
 
     /// Counts an engine that became unresponsive.
-    pub fn dark_engine(&self) {
-        self.dark_engines.inc();
+    pub fn unresponsive_engine(&self) {
+        self.unresponsive_engines.inc();
     }
 
     /// Counts an upstream that crashed while requests of this VM were in progress there.
@@ -428,13 +428,13 @@
     }
 
     /// Counts a request that this VM judged to crash upstreams.
-    pub fn begun_block(&self) {
-        self.begun_blocks.inc();
+    pub fn new_block(&self) {
+        self.new_blocks.inc();
     }
 
     /// Counts a pause of this process.
-    pub fn stood_still(&self) {
-        self.stood_still.inc();
+    pub fn process_paused(&self) {
+        self.process_pauses.inc();
     }
 
     /// Records the time from arrival to the first part of the answer.
--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -50,7 +50,7 @@
     /// Idle, ready for another exchange.
     Idle,
     /// Proxies the caller's request with this key.
-    Relay(u64),
+    Proxy(u64),
     /// Carries a call that this VM makes itself.
     Call(CallTag),
     /// Reads an abandoned answer to its end.
@@ -341,17 +341,17 @@
     /// Closes connections that have been idle for too long or that stalled while draining, and
     /// returns the connections whose calls have timed out.
     pub fn sweep(&mut self, now_ms: u64, registry: &Registry) -> Vec<Token> {
-        let over: Vec<Token> = self
+        let timed_out: Vec<Token> = self
             .connections
             .iter()
             .filter(|(_, it)| match it.purpose {
                 Purpose::Idle => it.idle_until_ms <= now_ms,
                 Purpose::Drain => it.heard_ms + DRAIN_TIMEOUT_MS <= now_ms,
-                Purpose::Relay(_) | Purpose::Call(_) => false,
+                Purpose::Proxy(_) | Purpose::Call(_) => false,
             })
             .map(|(token, _)| *token)
             .collect();
-        for token in over {
+        for token in timed_out {
             self.close(token, registry);
         }
         self.connections
@@ -363,7 +363,7 @@
 
     /// Returns the connections for callers' requests that were not established in time, with the
     /// requests' keys.
-    pub fn unestablished(&mut self, now_ms: u64) -> Vec<(Token, u64)> {
+    pub fn late_connections(&mut self, now_ms: u64) -> Vec<(Token, u64)> {
         let mut late = Vec::new();
         for (token, connection) in &mut self.connections {
             let Some(until_ms) = connection.connect_until_ms else {
@@ -372,7 +372,7 @@
             // The first byte is sent only once the connection is established.
             if connection.stream.sent_bytes > 0 {
                 connection.connect_until_ms = None;
-            } else if let (true, Purpose::Relay(key)) = (until_ms <= now_ms, &connection.purpose) {
+            } else if let (true, Purpose::Proxy(key)) = (until_ms <= now_ms, &connection.purpose) {
                 late.push((*token, *key));
             }
         }
@@ -381,12 +381,12 @@
 
     /// Returns the connections to a peer that proxy callers' requests and have received nothing
     /// since a time, with the requests' keys.
-    pub fn silent_relays(&self, peer: &Peer, since_ms: u64) -> Vec<(Token, u64)> {
+    pub fn silent_proxied_requests(&self, peer: &Peer, since_ms: u64) -> Vec<(Token, u64)> {
         self.connections
             .iter()
             .filter(|(_, it)| it.peer == *peer && it.heard_ms <= since_ms)
             .filter_map(|(token, it)| match it.purpose {
-                Purpose::Relay(key) => Some((*token, key)),
+                Purpose::Proxy(key) => Some((*token, key)),
                 _ => None,
             })
             .collect()
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -68,7 +68,7 @@
 
     /// Counts a message that this version can't decode, and logs it once for each sender.
     fn record_undecodable_message(&mut self, from: SocketAddr, error: &DecodeError) {
-        self.metrics.failed_try("bad_peer_message");
+        self.metrics.failed_attempt("bad_peer_message");
         if self.peers.should_log_undecodable(from) {
             let (from, reason) = (from.to_string(), error.detail.as_str());
             log::warn!(from, reason; "message of a VM not understood");
@@ -153,8 +153,8 @@
             PeerMessage::ModelMissing { engine, model } => {
                 self.handle_missing_model(&engine, &model)
             }
-            PeerMessage::EngineUnresponsive(engine) => self.told_dark(&engine),
-            PeerMessage::EngineResponsive(engine) => self.engine_lit(&engine),
+            PeerMessage::EngineUnresponsive(engine) => self.handle_peer_probe_failure(&engine),
+            PeerMessage::EngineResponsive(engine) => self.resume_engine(&engine),
             PeerMessage::Released {
                 lease_end,
                 quiet_ms,
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -151,7 +151,7 @@
             first_answer_ms: None,
         });
         if let Some(caller) = self.callers.get_mut(&token) {
-            caller.answer_for(key);
+            caller.set_request(key);
         }
         self.dispatch(key);
     }
@@ -235,7 +235,7 @@
     /// Refuses a request before it is registered as active.
     fn refuse_new(&mut self, token: Token, refusal: &Refusal, id: Option<&RequestId>) {
         self.metrics.refused(refusal.reason.as_str());
-        if self.lines.take(self.now_ms, false) {
+        if self.log_budget.try_take(self.now_ms, false) {
             log::info!(
                 request_id = id.map_or("", RequestId::as_str),
                 reason = refusal.reason.as_str(),
@@ -251,7 +251,7 @@
 
     /// Returns whether the caller's connection closes after the answer in progress.
     pub(crate) fn closes_after(&self, token: Token) -> bool {
-        self.stopping.has_begun()
+        self.planned_stop.has_begun()
             || self
                 .callers
                 .get(&token)
@@ -363,10 +363,10 @@
             self.watch.sent(now_ms, &name);
         }
         if let Some(connection) = self.outbound.get_mut(token) {
-            connection.begin(now_ms, Purpose::Relay(key), &bytes, is_head_request);
+            connection.begin(now_ms, Purpose::Proxy(key), &bytes, is_head_request);
             let is_open = connection.stream.flush();
             if !is_open {
-                self.advance_relay(token, key, false);
+                self.advance_proxied_answer(token, key, false);
             }
         }
     }
--- a/crates/entry/src/request_ends.rs
+++ b/crates/entry/src/request_ends.rs
@@ -21,7 +21,7 @@
         let Some(request) = self.active.get(key) else {
             return;
         };
-        if self.lines.take(self.now_ms, false) {
+        if self.log_budget.try_take(self.now_ms, false) {
             let job = &request.job;
             log::info!(
                 request_id = request.serving.id.to_string(),
@@ -85,7 +85,7 @@
         self.metrics.ended(how);
         let job = &request.job;
         let good = how == "answered";
-        if self.lines.take(self.now_ms, good) {
+        if self.log_budget.try_take(self.now_ms, good) {
             log::info!(
                 request_id = request.serving.id.to_string(),
                 reason = how,
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -75,7 +75,7 @@
         let Some(before) = self.store_era.note(era) else {
             return;
         };
-        self.metrics.store_set_back();
+        self.metrics.store_rolled_back();
         log::warn!(
             era, before, list_read_to = self.store_pollers.list_read_to().to_string(),
             lease_end = self.engine_orders.lease_end().to_string(),
--- a/crates/entry/src/store_pollers/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -243,10 +243,14 @@
         let since_ms = self.now_ms.saturating_sub(RESTART_SILENCE_MS);
         for name in std::mem::take(&mut self.ended_incarnations) {
             let peer = Peer::Upstream(name.clone());
-            for (token, key) in self.outbound.silent_relays(&peer, since_ms) {
+            for (token, key) in self.outbound.silent_proxied_requests(&peer, since_ms) {
                 self.handle_failed_connection(token, key);
             }
-            if !self.outbound.silent_relays(&peer, u64::MAX).is_empty() {
+            if !self
+                .outbound
+                .silent_proxied_requests(&peer, u64::MAX)
+                .is_empty()
+            {
                 self.ended_incarnations.push(name);
             }
         }
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -117,7 +117,7 @@
     }
 
     /// Shuts down the write half, which tells the other end that no more bytes follow.
-    pub fn shut_write(&self) {
+    pub fn close_write_half(&self) {
         let _ = self.socket.shutdown(std::net::Shutdown::Write);
     }
 
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -38,14 +38,14 @@
 impl Daemon {
     /// Continues receiving the answer to a caller's request. `is_open` is false if writing the
     /// request failed.
-    pub(crate) fn advance_relay(&mut self, token: Token, key: u64, is_open: bool) {
+    pub(crate) fn advance_proxied_answer(&mut self, token: Token, key: u64, is_open: bool) {
         let now_ms = self.now_ms;
         loop {
             let is_slow = self.is_caller_slow(key);
             let Some(connection) = self.outbound.get_mut(token) else {
                 return;
             };
-            if connection.purpose != Purpose::Relay(key) {
+            if connection.purpose != Purpose::Proxy(key) {
                 return;
             }
             if is_slow {
@@ -137,7 +137,7 @@
         }
         match verdict {
             HeadVerdict::Deliver => {}
-            HeadVerdict::Skip => self.metrics.failed_try("crossed_answer"),
+            HeadVerdict::Skip => self.metrics.failed_attempt("crossed_answer"),
             HeadVerdict::Fail(failed) => {
                 if failed == FailedTry::Misdirected {
                     self.handle_misdirected(key, &fields);
@@ -167,9 +167,9 @@
 
     /// Abandons an answer that can't continue what the caller has received.
     fn reject_mismatch(&mut self, token: Token, key: u64, misfit: Misfit) {
-        self.metrics.misfit(misfit.as_str());
+        self.metrics.mismatch(misfit.as_str());
         if let Some(request) = self.active.get(key)
-            && self.lines.take(self.now_ms, false)
+            && self.log_budget.try_take(self.now_ms, false)
         {
             log::warn!(
                 request_id = request.serving.id.to_string(),
@@ -194,7 +194,7 @@
         let Some(request) = self.active.get(key).filter(has_begun) else {
             return;
         };
-        if self.lines.take(self.now_ms, false) {
+        if self.log_budget.try_take(self.now_ms, false) {
             log::info!(
                 request_id = request.serving.id.to_string(),
                 upstream = upstream_text(&request.job),
@@ -330,7 +330,7 @@
                 .after_failure(self.now_ms, &request.job, FailedTry::Failed, false);
         match decision {
             Attempt::AgainAfterMs(pause_ms) => {
-                self.metrics.failed_try(FailedTry::Failed.as_str());
+                self.metrics.failed_attempt(FailedTry::Failed.as_str());
                 self.end_attempt(key, UpstreamOutcome::Lost);
                 self.pause_request(key, pause_ms);
                 true
