--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -285,7 +285,7 @@
 }
 
 fn encode(record: &Record) -> Vec<u8> {
-    postcard::to_stdvec(record).expect("a record of our own can be encoded")
+    postcard::to_stdvec(record).expect("a locally built record can be encoded")
 }
 
 fn unix_ms() -> u64 {
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -10,7 +10,7 @@
 /// clock that stops meanwhile, a VM that resumes would continue to send orders under a lease that
 /// another VM has long taken over.
 pub(crate) fn now_ms() -> u64 {
-    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the kernel has this clock");
+    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is available");
     time.tv_sec() as u64 * 1_000 + time.tv_nsec() as u64 / 1_000_000
 }
 
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -344,7 +344,9 @@
                             self.callers.insert(token, caller);
                             self.serve_caller(token);
                         }
-                        Err(error) => log::warn!(reason = error.to_string(); "connection lost"),
+                        Err(error) => {
+                            log::warn!(reason = error.to_string(); "accepted connection can't be registered")
+                        }
                     }
                 }
                 // The connection is closed without reading a request, so that the caller retries
@@ -353,7 +355,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    log::warn!(reason = error.to_string(); "connection not accepted");
+                    log::warn!(reason = error.to_string(); "connection can't be accepted");
                     return;
                 }
             }
--- a/crates/entry/src/engine_orders/engine_calls.rs
+++ b/crates/entry/src/engine_orders/engine_calls.rs
@@ -30,7 +30,7 @@
         log::info!(
             engine = engine.to_string(), order = kind.as_str(), model = kind.model().to_string(),
             fence, orders_before;
-            "order given"
+            "order sent to engine"
         );
         let order = Order {
             engine: engine.clone(),
@@ -167,7 +167,7 @@
                     Err(error) => {
                         log::warn!(
                             engine = engine.to_string(), reason = error.detail;
-                            "report not understood"
+                            "engine report can't be decoded"
                         );
                         None
                     }
--- a/crates/entry/src/engine_orders/order_lease.rs
+++ b/crates/entry/src/engine_orders/order_lease.rs
@@ -22,7 +22,7 @@
             }
             LeaseAction::Append { at, record } => {
                 let record =
-                    postcard::to_stdvec(record).expect("a record of our own can be encoded");
+                    postcard::to_stdvec(record).expect("a locally built record can be encoded");
                 let bytes = self
                     .codecs
                     .store
--- a/crates/entry/src/failed_attempts.rs
+++ b/crates/entry/src/failed_attempts.rs
@@ -145,7 +145,7 @@
     /// Handles that an upstream refused a connection or did not accept one in time.
     pub(crate) fn handle_unreachable_upstream(&mut self, upstream: &UpstreamName) {
         if self.dispatcher.note_unreachable(self.now_ms, upstream) {
-            log::info!(upstream = upstream.to_string(); "upstream not reached");
+            log::info!(upstream = upstream.to_string(); "upstream is unreachable");
             self.redispatch_needed = true;
         }
     }
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -124,7 +124,7 @@
     match postcard::to_extend(message, vec![FORMAT]) {
         Ok(bytes) => Some(bytes),
         Err(error) => {
-            log::error!(reason = error.to_string(); "message to a VM not encoded");
+            log::error!(reason = error.to_string(); "message to a VM can't be encoded");
             None
         }
     }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -134,22 +134,22 @@
         registry.register("refusals", "Refusals by reason", self.refusals.clone());
         registry.register(
             "failed_tries",
-            "Sends without an answer",
+            "Failed attempts by reason",
             self.failed_attempts.clone(),
         );
         registry.register(
             "misfits",
-            "Upstreams' answers that did not fit behind what the caller had been given",
+            "Upstreams' answers that could not continue what the caller had received",
             self.mismatches.clone(),
         );
         registry.register(
             "paused_answers",
-            "Times that an upstream was not read because a caller was slow",
+            "Pauses of reading from an upstream because a caller was slow",
             self.paused_answers.clone(),
         );
         registry.register(
             "calls",
-            "Calls to the store and engines",
+            "Calls to the store and to engines by outcome",
             self.calls.clone(),
         );
         registry.register(
@@ -159,22 +159,22 @@
         );
         registry.register(
             "takeovers",
-            "Leases taken by this VM",
+            "Takeovers of the order lease by this VM",
             self.takeovers.clone(),
         );
         registry.register(
             "stood_still",
-            "Times that this VM stood still",
+            "Pauses of this process",
             self.process_pauses.clone(),
         );
         registry.register(
             "foreign_entries",
-            "Entries of the list that name nobody to send to",
+            "Entries of the upstream list that name no usable upstream",
             self.foreign_entries.clone(),
         );
         registry.register(
             "lapsed_upstreams",
-            "Upstreams that were kept for a time though their entries had vanished",
+            "Upstreams that stayed in use for a time although their entries had vanished",
             self.lapsed_upstreams.clone(),
         );
         registry.register(
@@ -184,32 +184,32 @@
         );
         registry.register(
             "store_set_backs",
-            "Times that the store came back from an older copy",
+            "Rollbacks of the store",
             self.store_rollbacks.clone(),
         );
         registry.register(
             "answers_of_earlier_eras",
-            "Answers of the store from before it came back from an older copy, by call",
+            "Store answers from before a rollback, by call",
             self.answers_of_earlier_eras.clone(),
         );
         registry.register(
             "list_repairs",
-            "Reads because the list differed from the one that was told of",
+            "Reads because the upstream list differed from the announced one",
             self.list_repairs.clone(),
         );
         registry.register(
             "dark_engines",
-            "Engines that fell silent and did not answer when they were asked",
+            "Engines that became unresponsive",
             self.unresponsive_engines.clone(),
         );
         registry.register(
             "crashed_upstreams",
-            "Upstreams that crashed with requests of this VM in progress",
+            "Upstreams that crashed while requests of this VM were in progress there",
             self.crashed_upstreams.clone(),
         );
         registry.register(
             "begun_blocks",
-            "Requests that this VM found to crash upstreams",
+            "Requests that this VM judged to crash upstreams",
             self.new_blocks.clone(),
         );
         registry.register(
@@ -219,52 +219,52 @@
         );
         registry.register(
             "crash_suspects",
-            "Requests remembered under crashes, counted once for each crash",
+            "Remembered requests that were in progress at a crash, counted once for each crash",
             self.suspects.clone(),
         );
         registry.register(
             "requests_on_probation",
-            "Requests whose copies are sent one at a time over all VMs",
+            "Requests of which all VMs together send only one copy at a time",
             self.on_probation.clone(),
         );
         registry.register(
             "store_loads",
-            "Loads from the weight store that this VM has ordered and that are not done",
+            "Loads from the weight store that this VM has ordered and that have not ended",
             self.store_loads.clone(),
         );
         registry.register(
             "store_loads_allowed",
-            "Loads from the weight store that this VM lets run at once",
+            "Maximum number of loads from the weight store that this VM allows at once",
             self.store_loads_allowed.clone(),
         );
         registry.register(
             "trials",
-            "Sends of requests on probation by this VM",
+            "Trial runs of requests on probation by this VM",
             self.trials.clone(),
         );
         registry.register(
             "asked_keeper",
-            "Requests that waited for the keeper of their organisation's limit",
+            "Requests that waited for the quota owner",
             self.waited_for_owner.clone(),
         );
         registry.register(
             "over_limit",
-            "Requests refused because their organisation has used its limit, by organisation",
+            "Requests refused because of their organisation's limit, by organisation",
             self.over_limit.clone(),
         );
         registry.register(
             "first_answer_ms",
-            "From arrival to the first part of the answer",
+            "Time from arrival to the first part of the answer",
             self.first_answer_ms.clone(),
         );
         registry.register(
             "plan_ms",
-            "How long one round of planning takes",
+            "Duration of one round of planning",
             self.plan_ms.clone(),
         );
         registry.register(
             "wait_ms",
-            "From arrival to the first send",
+            "Time from arrival to the first attempt",
             self.wait_ms.clone(),
         );
         registry.register(
@@ -279,12 +279,12 @@
         );
         registry.register(
             "outbound_connections",
-            "Opened connections",
+            "Connections to upstreams and the store",
             self.outbound.clone(),
         );
         registry.register(
             "dropped_log_lines",
-            "Lines not written",
+            "Log lines dropped by the rate limit",
             self.dropped_lines.clone(),
         );
     }
@@ -455,7 +455,7 @@
     /// Encodes the metrics in the OpenMetrics text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
-        encode(&mut text, &self.registry).expect("a string takes any text");
+        encode(&mut text, &self.registry).expect("writing to a string does not fail");
         text
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -344,7 +344,7 @@
         let before = self.known.insert(record.vm.clone(), known);
         let is_other_run = before.is_none_or(|before| before.run != record.run);
         if is_other_run {
-            log::debug!(peer = record.vm.to_string(), run = record.run; "VM heard of");
+            log::debug!(peer = record.vm.to_string(), run = record.run; "incarnation of a VM discovered");
         }
         is_other_run
     }
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -327,7 +327,7 @@
         let instance = upstream.instance.clone();
         let peer = Peer::Upstream(name.clone());
         let Some(token) = self.connect(&peer, address) else {
-            log::warn!(upstream = name.to_string(); "no connection can be opened");
+            log::warn!(upstream = name.to_string(); "connection to upstream can't be opened");
             return;
         };
         let Some(request) = self.active.get_mut(key) else {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -216,7 +216,7 @@
                 section: "quarantine",
                 key: "exempt",
                 value: item.to_owned(),
-                expected: "fingerprints as the log tells them, separated by commas",
+                expected: "fingerprints as they are logged, separated by commas",
             })
         })
         .collect()
--- a/crates/entry/src/store_pollers/configuration.rs
+++ b/crates/entry/src/store_pollers/configuration.rs
@@ -113,7 +113,7 @@
                 Ok(Some(configuration)) => configuration,
                 Ok(None) => continue,
                 Err(error) => {
-                    log::error!(reason = error.detail; "configuration not understood");
+                    log::error!(reason = error.detail; "configuration can't be decoded");
                     continue;
                 }
             };
--- a/crates/entry/src/store_pollers/list_snapshot.rs
+++ b/crates/entry/src/store_pollers/list_snapshot.rs
@@ -270,7 +270,7 @@
             return;
         }
         if arrived_upstreams.len() > MAX_ANNOUNCED_ENTRIES {
-            log::info!(upstreams = arrived_upstreams.len(); "upstreams came");
+            log::info!(upstreams = arrived_upstreams.len(); "too many new upstreams to announce them one by one");
         }
         // If there are more, all VMs learn of them from the digest and the snapshot, which the
         // store sends to each VM once.
--- a/crates/entry/src/store_pollers/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -132,7 +132,7 @@
         if self.store_pollers.foreign_keys.len() < MAX_LOGGED_FOREIGN_KEYS
             && self.store_pollers.foreign_keys.insert(key.to_owned())
         {
-            log::warn!(upstream = key, reason = error.detail; "entry names nobody to send to");
+            log::warn!(upstream = key, reason = error.detail; "entry names no usable upstream");
         }
     }
 
--- a/crates/entry/src/store_pollers/vm_entries.rs
+++ b/crates/entry/src/store_pollers/vm_entries.rs
@@ -30,7 +30,7 @@
             return;
         }
         let record = self.peers.own_record();
-        let value = postcard::to_stdvec(record).expect("an entry of our own can be encoded");
+        let value = postcard::to_stdvec(record).expect("the local entry can be encoded");
         let records = [(record.vm.as_str().to_owned(), value)];
         let bytes = self.codecs.store.append_keyed(Topic::Vms, &records);
         self.call_store(CallTag::VmAppend, &bytes, CALL_TIMEOUT_MS);
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -177,7 +177,7 @@
                 upstream = upstream_text(&request.job),
                 last_event = request.delivery.last_event(),
                 begun = request.delivery.has_begun();
-                "answer does not fit"
+                "answer can't continue the delivered part"
             );
         }
         match misfit {
@@ -201,7 +201,7 @@
                 status = head.status,
                 content_type = head.headers.text("Content-Type").unwrap_or_default(),
                 last_event = request.delivery.last_event();
-                "answer goes on at another upstream"
+                "answer resumed at another upstream"
             );
         }
     }
