--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -162,7 +162,7 @@
         self.redispatch_needed |= due.may_go_on;
         if let Some((vm, address)) = judges.get(due.asked_judge) {
             let is_other = *vm != own;
-            let asker = self.run;
+            let asker = self.incarnation;
             for ask in due.asks {
                 self.peers
                     .send(*address, &PeerMessage::TrialRequested { asker, ask });
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -93,7 +93,7 @@
     pub(crate) now_ms: u64,
     /// Random number of this incarnation of the process, which tells its messages from earlier
     /// ones.
-    pub(crate) run: u64,
+    pub(crate) incarnation: u64,
     listeners: HashMap<Token, (TcpListener, CallerKind)>,
     stop_signals: UnixStream,
     hangup_signals: UnixStream,
@@ -139,7 +139,7 @@
     pub fn new(mut settings: Settings, codecs: Codecs) -> Result<Self> {
         let poll = Poll::new()?;
         let now_ms = now_ms();
-        let run = random_incarnation();
+        let incarnation = random_incarnation();
         let mut listeners = HashMap::new();
         // A port chosen by the system replaces port 0 in the settings, so that the log and the
         // other VMs receive the address at which this VM can be reached.
@@ -166,25 +166,25 @@
             .register(&mut socket, PEERS, Interest::READABLE)?;
         let stop_signals = signal_pipe(&poll, STOP, &[SIGTERM, SIGINT])?;
         let hangup_signals = signal_pipe(&poll, HANGUP, &[SIGHUP])?;
-        let mut options = DispatcherOptions::new(run, settings.zone.clone());
+        let mut options = DispatcherOptions::new(incarnation, settings.zone.clone());
         options.repeats_per_request = settings.repeats_per_request;
         options.spare_repeats = settings.spare_repeats;
         options.repeats_window_ms = settings.repeats_window_ms;
         let own_record = VmRecord {
             vm: settings.vm.clone(),
             address: settings.peers,
-            run,
-            work_us: clock::fixed_work_us(run),
+            incarnation,
+            work_us: clock::fixed_work_us(incarnation),
         };
-        let mut crash_watch = CrashWatch::new(run, QuarantineOptions::default());
+        let mut crash_watch = CrashWatch::new(incarnation, QuarantineOptions::default());
         crash_watch.exempt(&settings.exempt);
         Ok(Self {
-            engine_orders: EngineOrders::new(&settings, run),
+            engine_orders: EngineOrders::new(&settings, incarnation),
             peers: Peers::new(own_record, socket),
             own_demand: OwnDemand::default(),
             poll,
             now_ms,
-            run,
+            incarnation,
             listeners,
             stop_signals,
             hangup_signals,
@@ -197,13 +197,13 @@
             watch: SilenceWatch::default(),
             crash_watch,
             block_store: BlockStore::default(),
-            limits: Limits::new(run, settings.limit_bounds),
+            limits: Limits::new(incarnation, settings.limit_bounds),
             residence_updates: ResidenceUpdates::default(),
             ended_incarnations: Vec::new(),
             store_pollers: StorePollers::default(),
             sharing: Sharing::default(),
             store_era: StoreEra::default(),
-            pacing: ReadPacing::new(settings.read_bytes_per_s, run),
+            pacing: ReadPacing::new(settings.read_bytes_per_s, incarnation),
             planned_stop: PlannedStop::default(),
             metrics: EntryMetrics::default(),
             log_budget: LogBudget::default(),
--- a/crates/entry/src/engine_orders.rs
+++ b/crates/entry/src/engine_orders.rs
@@ -59,7 +59,7 @@
 }
 
 impl EngineOrders {
-    pub fn new(settings: &Settings, run: u64) -> Self {
+    pub fn new(settings: &Settings, incarnation: u64) -> Self {
         let defaults = LeaseOptions::default();
         // An engine that checks fencing tokens rejects the previous holder's orders itself, so a
         // new holder need not wait until none of them can still be in transit.
@@ -73,7 +73,7 @@
             ..defaults
         };
         Self {
-            lease: Lease::new(options, settings.vm.clone(), run),
+            lease: Lease::new(options, settings.vm.clone(), incarnation),
             demand: DemandBook::default(),
             planners: HashMap::new(),
             fence: None,
@@ -83,7 +83,13 @@
     }
 
     /// Records the demand that a VM reports. Only the lease holder receives such reports.
-    pub fn record_demand(&mut self, now_ms: u64, vm: &VmName, run: u64, rows: Vec<DemandRow>) {
+    pub fn record_demand(
+        &mut self,
+        now_ms: u64,
+        vm: &VmName,
+        incarnation: u64,
+        rows: Vec<DemandRow>,
+    ) {
         let urgent = rows.iter().any(|row| row.missing > 0);
         for row in rows.iter().filter(|row| row.missing > 0) {
             let wanted = WantedModel {
@@ -94,7 +100,7 @@
                 planner.look_at(now_ms, &wanted);
             }
         }
-        self.demand.note(now_ms, vm, run, rows);
+        self.demand.note(now_ms, vm, incarnation, rows);
         if urgent {
             self.next_plan_ms = self.next_plan_ms.min(now_ms);
         }
--- a/crates/entry/src/engine_orders/engine_calls.rs
+++ b/crates/entry/src/engine_orders/engine_calls.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns whether a report comes from a later run of the engine than the one addressed.
+    /// Returns whether a report comes from a later incarnation of the engine than the one addressed.
     fn is_from_later_incarnation(&self, engine: &UpstreamName, report: &EngineReport) -> bool {
         self.directory
             .upstream(engine)
@@ -130,7 +130,7 @@
     }
 
     /// Handles a restart that an engine's report reveals before the upstream list does. The state
-    /// known of the former run would lead to wrong orders, since none of it is loaded any more.
+    /// known of the former incarnation would lead to wrong orders, since none of it is loaded any more.
     fn handle_engine_restart(&mut self, former: &UpstreamName, report: EngineReport) {
         let Some(instance) = self
             .directory
@@ -144,8 +144,8 @@
             .directory
             .note_restart(former, report.born_ms, report.residence);
         if matches!(change, DirectoryChange::Restarted { .. }) {
-            if let Some(run) = self.directory.run_of(&instance).cloned() {
-                self.store_pollers.queue_arrival(run);
+            if let Some(incarnation) = self.directory.run_of(&instance).cloned() {
+                self.store_pollers.queue_arrival(incarnation);
             }
             self.stop_sending_to(former, "restarted");
             self.announce_list_read();
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -141,7 +141,7 @@
 
     pub(crate) fn log_start(&self) {
         log::info!(
-            run = self.run,
+            run = self.incarnation,
             work_us = self.peers.own_record().work_us,
             callers = self.settings.callers.to_string(),
             ready = self.settings.ready.to_string(),
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -54,10 +54,10 @@
 }
 
 impl Limits {
-    pub fn new(run: u64, bounds: Bounds) -> Self {
+    pub fn new(incarnation: u64, bounds: Bounds) -> Self {
         let mut limits = Self {
-            client: Spender::new(run, bounds),
-            owner: Keeper::new(run, bounds),
+            client: Spender::new(incarnation, bounds),
+            owner: Keeper::new(incarnation, bounds),
             version: None,
             next_forget_ms: 0,
         };
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -28,7 +28,7 @@
 pub(crate) struct VmRecord {
     pub vm: VmName,
     pub address: SocketAddr,
-    pub run: u64,
+    pub incarnation: u64,
     /// How long a fixed amount of work took when the VM started: the measure of its speed.
     pub work_us: u32,
 }
@@ -97,7 +97,7 @@
     Probations(Vec<Fingerprint>),
     /// Asks a judge whether the sender may send a request on probation.
     TrialRequested {
-        /// Run of the VM that asks.
+        /// Incarnation of the VM that asks.
         asker: u64,
         ask: TrialAsk,
     },
@@ -105,7 +105,7 @@
     TrialDecided(TrialAnswer),
     /// A permitted send of a request on probation has ended.
     TrialOver {
-        /// Run of the VM that had asked.
+        /// Incarnation of the VM that had asked.
         asker: u64,
         end: TrialEnd,
     },
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -80,7 +80,7 @@
         match message {
             PeerMessage::Hello(record) => {
                 let is_new = !self.peers.knows_vm(&record.vm);
-                let is_other_run = self.peers.record_heard(now_ms, &record);
+                let is_other_incarnation = self.peers.record_heard(now_ms, &record);
                 if is_new {
                     let hello = PeerMessage::Hello(self.peers.own.clone());
                     self.peers.send(record.address, &hello);
@@ -89,7 +89,7 @@
                     self.send_blocks_to(record.address);
                     self.send_probations_to(record.address);
                 }
-                if is_other_run {
+                if is_other_incarnation {
                     self.send_local_reports_to(record.address, &record.vm);
                 }
             }
@@ -115,7 +115,7 @@
                         .send(from, &PeerMessage::ResidenceUpdates(part.to_vec()));
                 }
                 self.engine_orders
-                    .record_demand(now_ms, &record.vm, record.run, rows);
+                    .record_demand(now_ms, &record.vm, record.incarnation, rows);
             }
             PeerMessage::Heartbeat {
                 from,
@@ -385,7 +385,7 @@
         let from = self.peers.own.clone();
         if self.engine_orders.held_lease_end(now_ms).is_some() {
             self.engine_orders
-                .record_demand(now_ms, &from.vm, from.run, rows);
+                .record_demand(now_ms, &from.vm, from.incarnation, rows);
             return;
         }
         let Some((_, address, _)) = self.peers.lease_holder else {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -52,9 +52,9 @@
 /// Time between two greetings by a VM that does not hear the lease holder.
 pub(crate) const HELLO_INTERVAL_MS: u64 = 1_000;
 
-/// Number of VMs that are greeted at a time, in turn, after the first greeting to all. While there
-/// is no lease holder all VMs greet: if each greeted all others, hundreds of VMs would exchange
-/// tens of thousands of datagrams a second.
+/// Number of VMs that receive each hello after the first one, which goes to all. While there is no
+/// lease holder all VMs send hellos: with each of them to all others, hundreds of VMs would
+/// exchange tens of thousands of datagrams a second.
 const HELLO_BATCH: usize = 16;
 
 /// Maximum number of senders of undecodable messages that are logged.
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownVm {
     address: SocketAddr,
-    run: u64,
+    incarnation: u64,
     work_us: u32,
     heard_ms: u64,
 }
@@ -142,7 +142,7 @@
         {
             self.known.entry(record.vm).or_insert(KnownVm {
                 address: record.address,
-                run: record.run,
+                incarnation: record.incarnation,
                 work_us: record.work_us,
                 heard_ms: 0,
             });
@@ -330,23 +330,24 @@
         }
     }
 
-    /// Records that a VM was heard of. Returns whether this is a run of it that was not known.
+    /// Records that a VM was heard of. Returns whether this incarnation of it was unknown.
     pub(super) fn record_heard(&mut self, now_ms: u64, record: &VmRecord) -> bool {
         if record.vm == self.own.vm {
             return false;
         }
         let known = KnownVm {
             address: record.address,
-            run: record.run,
+            incarnation: record.incarnation,
             work_us: record.work_us,
             heard_ms: now_ms,
         };
         let before = self.known.insert(record.vm.clone(), known);
-        let is_other_run = before.is_none_or(|before| before.run != record.run);
-        if is_other_run {
-            log::debug!(peer = record.vm.to_string(), run = record.run; "incarnation of a VM discovered");
+        let is_other_incarnation =
+            before.is_none_or(|before| before.incarnation != record.incarnation);
+        if is_other_incarnation {
+            log::debug!(peer = record.vm.to_string(), run = record.incarnation; "incarnation of a VM discovered");
         }
-        is_other_run
+        is_other_incarnation
     }
 }
 
--- a/crates/entry/src/store_pollers/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Decodes an entry. An invalid entry ends the use of the upstream run that had an entry under
+    /// Decodes an entry. An invalid entry ends the use of the incarnation that had an entry under
     /// the same key. A VM that reads every change and one that reads only the newest records thus
     /// reach the same result.
     fn decode_upstream(&mut self, record: &KeyedRecord) -> Option<Upstream> {
@@ -107,11 +107,11 @@
             Err(error) => {
                 self.record_foreign_entry(&record.key, &error);
                 let instance = InstanceName::from(record.key.as_str());
-                let run = self.directory.run_of(&instance).cloned();
-                if let (DirectoryChange::Left, Some(run)) =
-                    (self.directory.note_foreign(&instance), run)
+                let incarnation = self.directory.run_of(&instance).cloned();
+                if let (DirectoryChange::Left, Some(incarnation)) =
+                    (self.directory.note_foreign(&instance), incarnation)
                 {
-                    self.stop_sending_to(&run, "entry_of_another_writer");
+                    self.stop_sending_to(&incarnation, "entry_of_another_writer");
                 }
                 None
             }
@@ -141,7 +141,7 @@
         let instance = InstanceName::from(record.key.as_str());
         let before = self.directory.run_of(&instance).cloned();
         let change = match (&record.value, &before) {
-            (None, Some(run)) => self.directory.note_vanished(now_ms, run),
+            (None, Some(incarnation)) => self.directory.note_vanished(now_ms, incarnation),
             (None, None) => DirectoryChange::None,
             (Some(_), _) => match self.decode_upstream(record) {
                 Some(upstream) => self.directory.note_entry(upstream),
@@ -155,7 +155,7 @@
         self.handle_entry_change(&instance, before, change, reason);
     }
 
-    /// Handles the change that one entry made. `before` is the run that the entry named before,
+    /// Handles the change that one entry made. `before` is the incarnation that the entry named before,
     /// `reason` is logged if the upstream accepts no new requests any more.
     pub(super) fn handle_entry_change(
         &mut self,
