--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -113,7 +113,7 @@
     pub(crate) store_pollers: StorePollers,
     pub(crate) engine_orders: EngineOrders,
     pub(crate) peers: Peers,
-    pub(crate) own_demand: OwnDemand,
+    pub(crate) local_demand: OwnDemand,
     pub(crate) sharing: Sharing,
     pub(crate) store_era: StoreEra,
     /// Schedule of this VM's store reads among all VMs that read.
@@ -181,7 +181,7 @@
         Ok(Self {
             engine_orders: EngineOrders::new(&settings, incarnation),
             peers: Peers::new(own_record, socket),
-            own_demand: OwnDemand::default(),
+            local_demand: OwnDemand::default(),
             poll,
             now_ms,
             incarnation,
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -214,16 +214,15 @@
         if let Some(rate) = fresh.list_bytes_per_s {
             self.pacing.set_list_rate(rate);
         }
-        let is_from_older_lease = self.sharing.told_version() > self.directory.version();
-        self.store_pollers
-            .record_outdated(now_ms, is_from_older_lease);
+        let is_outdated = self.sharing.told_version() > self.directory.version();
+        self.store_pollers.record_outdated(now_ms, is_outdated);
         if fresh.configuration == self.directory.version()
             && let Some(age_ms) = fresh.configuration_age_ms
         {
             self.store_pollers
                 .record_confirmation(now_ms.saturating_sub(age_ms));
         }
-        if is_from_older_lease {
+        if is_outdated {
             let at_ms = now_ms + self.pacing.draw_ms();
             self.store_pollers.read_configuration_at(at_ms);
         }
@@ -253,14 +252,14 @@
             .map(|(own, told)| own == told)
             .collect();
         self.store_pollers.set_snapshot_bytes(fresh.copy_bytes);
-        let has_copy = fresh.copy_bytes > 0;
+        let has_snapshot = fresh.copy_bytes > 0;
         let draw_ms = self.pacing.draw_for_ms(fresh.copy_bytes);
         let turn_ms = self.pacing.turn_ms();
         let now_ms = self.now_ms;
         let store_pollers = &mut self.store_pollers;
         store_pollers
             .listing_repair
-            .heard(now_ms, &[is_same || !has_copy], draw_ms);
+            .heard(now_ms, &[is_same || !has_snapshot], draw_ms);
         store_pollers
             .no_snapshot_repair
             .heard(now_ms, &[is_same], turn_ms);
@@ -303,10 +302,10 @@
     }
 
     pub(crate) fn apply_residence_updates(&mut self, updates: Vec<ResidenceNews>) {
-        for updates in updates {
+        for update in updates {
             self.redispatch_needed |=
                 self.residence_updates
-                    .record(self.now_ms, &mut self.directory, updates);
+                    .record(self.now_ms, &mut self.directory, update);
         }
     }
 
@@ -411,6 +410,6 @@
             };
             Some((request.job.wanted.as_ref()?, state))
         });
-        self.own_demand.rows(active)
+        self.local_demand.rows(active)
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -49,7 +49,7 @@
 /// How long a VM counts as alive after its last message.
 const PEER_TIMEOUT_MS: u64 = 3_000;
 
-/// Time between two greetings by a VM that does not hear the lease holder.
+/// Time between two hellos of a VM that does not hear the lease holder.
 pub(crate) const HELLO_INTERVAL_MS: u64 = 1_000;
 
 /// Number of VMs that receive each hello after the first one, which goes to all. While there is no
@@ -87,7 +87,7 @@
     pub(super) next_hello_ms: u64,
     /// Whether the socket may hold datagrams that have not been received yet.
     pub may_have_more: bool,
-    /// Whether the first greeting has been sent to all VMs.
+    /// Whether the first hello has been sent to all VMs.
     has_sent_first_hello: bool,
     hello_offset: usize,
     /// Senders of undecodable messages that have been logged.
@@ -134,7 +134,7 @@
         &self.own
     }
 
-    /// Adds the VMs of the store's entries and schedules a greeting to all VMs.
+    /// Adds the VMs of the store's entries and schedules a hello to all VMs.
     pub fn add_store_entries(&mut self, records: Vec<VmRecord>) {
         for record in records
             .into_iter()
@@ -345,7 +345,10 @@
         let is_other_incarnation =
             before.is_none_or(|before| before.incarnation != record.incarnation);
         if is_other_incarnation {
-            log::debug!(peer = record.vm.to_string(), run = record.incarnation; "incarnation of a VM discovered");
+            log::debug!(
+                peer = record.vm.to_string(), run = record.incarnation;
+                "incarnation of a VM discovered"
+            );
         }
         is_other_incarnation
     }
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -121,7 +121,7 @@
         }
         self.dispatcher.arrived(self.now_ms, &job);
         if let Some(wanted) = &job.wanted {
-            self.own_demand.note_arrival(wanted);
+            self.local_demand.note_arrival(wanted);
         }
         let format = self.codecs.callers.stream_format();
         let delivery = Delivery::new(DeliveryOptions {
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -37,7 +37,7 @@
 
     /// Records an era. Returns the previous one if this era is new to this VM; none otherwise, and
     /// for the first era.
-    fn note(&mut self, era: u64) -> Option<u64> {
+    fn record(&mut self, era: u64) -> Option<u64> {
         let before = self.known;
         self.known = before.max(Some(era));
         before.filter(|before| *before < era)
@@ -72,7 +72,7 @@
     pub(crate) fn handle_era(&mut self, era: u64) {
         let now_ms = self.now_ms;
         self.engine_orders.record_era(now_ms, era);
-        let Some(before) = self.store_era.note(era) else {
+        let Some(before) = self.store_era.record(era) else {
             return;
         };
         self.metrics.store_rolled_back();
--- a/crates/entry/src/store_pollers.rs
+++ b/crates/entry/src/store_pollers.rs
@@ -245,7 +245,7 @@
 }
 
 impl StorePollers {
-    /// Returns the feed that a call reads; none if the call reads no topic.
+    /// Returns the poller that a call belongs to; none if the call reads no topic.
     fn poller(&mut self, tag: &CallTag) -> Option<&mut TopicPoller> {
         match tag {
             CallTag::ConfigurationNewest | CallTag::ConfigurationRead => {
@@ -335,7 +335,7 @@
         self.call(Peer::Store, address, tag, bytes, timeout_ms);
     }
 
-    /// Handles the outcome of a feed's call.
+    /// Handles the outcome of a poller's call.
     pub(crate) fn finish_poll(&mut self, tag: &CallTag, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         let result = match outcome {
@@ -345,7 +345,7 @@
                     poller.record_answer_size(body.len());
                 }
                 if *tag == CallTag::UpstreamsRead {
-                    let rate = self.store_pollers.list_rate.note(now_ms, body.len());
+                    let rate = self.store_pollers.list_rate.record(now_ms, body.len());
                     rate.into_iter()
                         .for_each(|it| self.pacing.set_list_rate(it));
                 }
@@ -421,7 +421,7 @@
         }
     }
 
-    /// Handles an answer and returns the pause before the feed's next call.
+    /// Handles an answer and returns the pause before the poller's next call.
     fn handle_poll_answer(
         &mut self,
         tag: &CallTag,
--- a/crates/entry/src/store_pollers/configuration.rs
+++ b/crates/entry/src/store_pollers/configuration.rs
@@ -41,7 +41,10 @@
             return false;
         }
         if version < announced {
-            log::warn!(version, told = announced; "serving with an older configuration than other VMs have in force");
+            log::warn!(
+                version, told = announced;
+                "serving with an older configuration than other VMs have in force"
+            );
         }
         self.store_pollers.is_ready_for_requests = true;
         true
--- a/crates/entry/src/store_pollers/list_rate.rs
+++ b/crates/entry/src/store_pollers/list_rate.rs
@@ -18,7 +18,7 @@
 
 impl ListRate {
     /// Records the size of an answer. Returns bytes per second once the window is full.
-    pub fn note(&mut self, now_ms: u64, bytes: usize) -> Option<u64> {
+    pub fn record(&mut self, now_ms: u64, bytes: usize) -> Option<u64> {
         let is_gap = now_ms > self.last_ms + MAX_READ_GAP_MS;
         self.last_ms = now_ms;
         let since_ms = match self.since_ms.filter(|_| !is_gap) {
--- a/crates/entry/src/store_pollers/list_snapshot.rs
+++ b/crates/entry/src/store_pollers/list_snapshot.rs
@@ -270,7 +270,10 @@
             return;
         }
         if arrived_upstreams.len() > MAX_ANNOUNCED_ENTRIES {
-            log::info!(upstreams = arrived_upstreams.len(); "too many new upstreams to announce them one by one");
+            log::info!(
+                upstreams = arrived_upstreams.len();
+                "too many new upstreams to announce them one by one"
+            );
         }
         // If there are more, all VMs learn of them from the digest and the snapshot, which the
         // store sends to each VM once.
--- a/crates/entry/src/store_pollers/topic_poller.rs
+++ b/crates/entry/src/store_pollers/topic_poller.rs
@@ -19,7 +19,9 @@
     pub from: Option<Position>,
     /// Records of the pages read so far of an upstream list that takes several pages.
     pub pages: Vec<KeyedRecord>,
+    /// End of the topic when the first of these pages was read, from which changes are read later.
     pub pages_end: Option<Position>,
+    /// Key behind which the next page begins; none for the first page.
     pub after: Option<String>,
     pub next_ms: u64,
     pub calling: bool,
@@ -123,14 +125,14 @@
     }
 
     /// Draws at random how much earlier than the interval this VM reads an announced topic.
-    pub fn draw_read_phase(&mut self, pacing: &mut ReadPacing, every_ms: u64) {
-        self.read_phase_ms = pacing.draw_within_ms(every_ms / 4);
+    pub fn draw_read_phase(&mut self, pacing: &mut ReadPacing, interval_ms: u64) {
+        self.read_phase_ms = pacing.draw_within_ms(interval_ms / 4);
     }
 
     /// Returns when a VM that receives announcements next reads the topic.
-    pub fn announced_due_ms(&self, every_ms: u64) -> u64 {
+    pub fn announced_due_ms(&self, interval_ms: u64) -> u64 {
         match self.read_ms {
-            Some(read_ms) => self.next_ms.max(read_ms + every_ms - self.read_phase_ms),
+            Some(read_ms) => self.next_ms.max(read_ms + interval_ms - self.read_phase_ms),
             None => self.next_ms,
         }
     }
--- a/crates/entry/src/store_pollers/vm_entries.rs
+++ b/crates/entry/src/store_pollers/vm_entries.rs
@@ -57,7 +57,7 @@
         match is_first && self.store_era.now() > 0 {
             // The store may have been rolled back a moment ago and lack some entries.
             true => REREAD_DELAY_MS + self.pacing.draw_within_ms(REWRITE_SPREAD_MS),
-            // VMs that start later announce themselves with a greeting.
+            // VMs that start later announce themselves with a hello.
             false => NEVER_MS,
         }
     }
