--- a/crates/entry/src/engine_orders/engine_calls.rs
+++ b/crates/entry/src/engine_orders/engine_calls.rs
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Returns whether a report comes from a later incarnation of the engine than the one addressed.
+    /// Returns whether a report comes from a later incarnation of the engine than the one
+    /// addressed.
     fn is_from_later_incarnation(&self, engine: &UpstreamName, report: &EngineReport) -> bool {
         self.directory
             .upstream(engine)
@@ -130,7 +131,8 @@
     }
 
     /// Handles a restart that an engine's report reveals before the upstream list does. The state
-    /// known of the former incarnation would lead to wrong orders, since none of it is loaded any more.
+    /// known of the former incarnation would lead to wrong orders, since none of it is loaded any
+    /// more.
     fn handle_engine_restart(&mut self, former: &UpstreamName, report: EngineReport) {
         let Some(instance) = self
             .directory
--- a/crates/entry/src/log_budget.rs
+++ b/crates/entry/src/log_budget.rs
@@ -57,7 +57,8 @@
 }
 
 impl LogBudget {
-    /// Returns whether a line about a request may be written. `answered` tells whether it was answered.
+    /// Returns whether a line about a request may be written. `answered` tells whether it was
+    /// answered.
     pub fn try_take(&mut self, now_ms: u64, answered: bool) -> bool {
         let bucket = if answered {
             &mut self.answered
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -109,9 +109,9 @@
         asker: u64,
         end: TrialEnd,
     },
-    /// What a VM has spent of the limits of organisations, for the keeper of the accounts.
+    /// What a VM has spent of the limits of organisations, for the quota owner.
     QuotaReport(Report),
-    /// What the keeper of the accounts allows a VM to spend.
+    /// What the quota owner allows a VM to spend.
     QuotaAnswer(Answer),
 }
 
--- a/crates/entry/src/store_pollers/upstream_list.rs
+++ b/crates/entry/src/store_pollers/upstream_list.rs
@@ -155,8 +155,8 @@
         self.handle_entry_change(&instance, before, change, reason);
     }
 
-    /// Handles the change that one entry made. `before` is the incarnation that the entry named before,
-    /// `reason` is logged if the upstream accepts no new requests any more.
+    /// Handles the change that one entry made. `before` is the incarnation that the entry named
+    /// before, `reason` is logged if the upstream accepts no new requests any more.
     pub(super) fn handle_entry_change(
         &mut self,
         instance: &InstanceName,
--- a/crates/entry/tests/bad_settings.rs
+++ b/crates/entry/tests/bad_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry VM: what is taken over and what is refused.
+//! Settings of an entry VM: which values are accepted and which are rejected.
 
 use std::io::Write;
 
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use tempfile::NamedTempFile;
 
-const GOOD: &str = "[vm]\nname = vm-a\navailability_zone = zone-a\n\
+const VALID_SETTINGS: &str = "[vm]\nname = vm-a\navailability_zone = zone-a\n\
     [callers]\nlisten = 127.0.0.1:1\nready = 127.0.0.1:2\n\
     [peers]\nlisten = 127.0.0.1:3\n[metrics]\nlisten = 127.0.0.1:4\n\
     [store]\naddress = 127.0.0.1:5\nread_mb_per_s = 80\n\
@@ -22,16 +22,16 @@
 }
 
 #[test]
-fn good_settings() {
-    let settings = read(GOOD).expect("good settings");
+fn valid_settings() {
+    let settings = read(VALID_SETTINGS).expect("valid settings");
     assert_eq!(settings.vm.as_str(), "vm-a");
     assert_eq!(settings.stop_ms, 8_000);
     assert_eq!(settings.spare_repeats, 58.0);
 }
 
 #[test]
-fn unknown_keys_are_left_alone() {
-    assert!(read(&format!("{GOOD}[later]\nkey = value\n")).is_ok());
+fn unknown_keys_ignored() {
+    assert!(read(&format!("{VALID_SETTINGS}[later]\nkey = value\n")).is_ok());
 }
 
 #[rstest]
@@ -39,7 +39,7 @@
 #[case::empty_name("name = vm-a", "name =")]
 #[case::no_store("address = 127.0.0.1:5\n", "")]
 fn missing_setting(#[case] from: &str, #[case] to: &str) {
-    let error = read(&GOOD.replace(from, to));
+    let error = read(&VALID_SETTINGS.replace(from, to));
     assert!(
         matches!(error, Err(Error::MissingSetting { .. })),
         "{error:?}"
@@ -56,25 +56,24 @@
 #[case::too_many_repeats("spare_repeats = 58", "spare_repeats = 100001")]
 #[case::no_number("spare_repeats = 58", "spare_repeats = nan")]
 #[case::negative_share("repeats_per_request = 0.2", "repeats_per_request = -0.1")]
-#[case::not_a_truth("engines_check_fences = true", "engines_check_fences = maybe")]
+#[case::not_a_bool("engines_check_fences = true", "engines_check_fences = maybe")]
 #[case::not_a_level("level = info", "level = loud")]
-fn bad_setting(#[case] from: &str, #[case] to: &str) {
-    let error = read(&GOOD.replace(from, to));
+fn invalid_setting(#[case] from: &str, #[case] to: &str) {
+    let error = read(&VALID_SETTINGS.replace(from, to));
     assert!(matches!(error, Err(Error::BadSetting { .. })), "{error:?}");
     let text = error.expect_err("it is refused").to_string();
     assert!(text.contains("which is not"), "{text}");
 }
 
 #[test]
-fn file_that_is_not_there() {
+fn missing_file() {
     let error = Settings::read(std::path::Path::new("nowhere/entry.ini"));
     assert!(matches!(error, Err(Error::SettingsFile { .. })));
 }
 
-/// Symptom: no VM of a deployment starts. Sequence: the platform fills in the template; one of its
-/// bounds is no whole number there, as `spare_repeats` is where a fleet is scaled. Cause: the
-/// setting was read as a whole number, and bounds in seconds were given zeros to make milliseconds
-/// of them.
+/// Guards against a deployment in which no VM starts, because the platform fills a fraction into
+/// the template, such as `spare_repeats` in a scaled fleet. Settings were once read as whole
+/// numbers, and bounds in seconds were turned into milliseconds by appending zeros.
 #[rstest]
 #[case::spare_repeats("spare_repeats = 58", "spare_repeats = 33.157894736842106")]
 #[case::whole_written_as_fraction("spare_repeats = 58", "spare_repeats = 58.0")]
@@ -83,14 +82,14 @@
 #[case::pause("order_pause_ms = 3000", "order_pause_ms = 3000.5")]
 #[case::store("read_mb_per_s = 80", "read_mb_per_s = 4.21")]
 #[case::share("repeats_per_request = 0.2", "repeats_per_request = 0")]
-fn bound_written_as_a_fraction(#[case] from: &str, #[case] to: &str) {
-    assert!(GOOD.contains(from));
-    assert!(read(&GOOD.replace(from, to)).is_ok());
+fn fractional_bounds(#[case] from: &str, #[case] to: &str) {
+    assert!(VALID_SETTINGS.contains(from));
+    assert!(read(&VALID_SETTINGS.replace(from, to)).is_ok());
 }
 
-/// Every bound of the template that the platform fills in, with each number as a fraction.
+/// Checks every bound of the template that the platform fills in, with each number as a fraction.
 #[test]
-fn template_filled_with_fractions() {
+fn fractional_template() {
     let template = include_str!("../../../deploy/entry.ini");
     let mut filled = template
         .replace("{{node_name}}", "vm-a")
@@ -117,33 +116,34 @@
         bounds += 1;
     }
     assert_eq!(bounds, 7, "the template names the bounds");
-    // Comments tell of placeholders; no value holds one any more.
+    // Comments contain placeholders too, but no value may still contain one.
     let values = filled.lines().filter(|line| !line.starts_with(';'));
     assert!(values.into_iter().all(|line| !line.contains("{{")));
-    let settings = read(&filled).expect("good settings");
+    let settings = read(&filled).expect("valid settings");
     assert_eq!(settings.stop_ms, 12_500);
     assert_eq!(settings.repeats_window_ms, 12_500);
 }
 
-/// Guards against a deployment without organisations, whose platform fills nothing in.
+/// Guards against a deployment without organisations, whose platform leaves these settings empty.
 #[test]
-fn organisations_left_empty() {
+fn empty_organisations() {
     let empty = "[organisations]\nlimit_window_s =\nlimit_over =\nlimit_slack =\nfail_closed =\n\
                  revoke_ms =\n";
-    let settings = read(&format!("{GOOD}{empty}")).expect("good settings");
+    let settings = read(&format!("{VALID_SETTINGS}{empty}")).expect("valid settings");
     assert!(!settings.fail_closed);
     assert_eq!(settings.limit_bounds.window_ms, 8_000);
 }
 
-/// Guards against bounds of organisations that are taken for something else.
+/// Guards against invalid bounds of organisations that are silently read as something else.
 #[rstest]
 #[case::window("limit_window_s = 0")]
 #[case::over("limit_over = -1")]
 #[case::slack("limit_slack = many")]
 #[case::closed("fail_closed = maybe")]
 #[case::revoke("revoke_ms = -5")]
-fn bad_organisations(#[case] line: &str) {
-    let error = read(&format!("{GOOD}[organisations]\n{line}\n")).expect_err("a bad setting");
+fn invalid_organisation_bounds(#[case] line: &str) {
+    let error =
+        read(&format!("{VALID_SETTINGS}[organisations]\n{line}\n")).expect_err("a bad setting");
     let key = line.split(' ').next().expect("a key");
     assert!(error.to_string().contains(key), "{error}");
 }
