--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -31,7 +31,7 @@
 /// Time between two removals of VMs that the quota owner has not heard from.
 const FORGET_INTERVAL_MS: u64 = 10_000;
 
-/// Bounds of the random factor on retry delays, in thousandths.
+/// Smallest random factor on retry delays, and the width of the range above it, in thousandths.
 const MIN_RETRY_FACTOR_PERMILLE: u64 = 750;
 const RETRY_FACTOR_RANGE_PERMILLE: u64 = 750;
 
@@ -43,7 +43,7 @@
     is_admitted: bool,
 }
 
-/// Both sides of the quota protocol: this VM as spender, and as the owner for all VMs.
+/// Both sides of the quota protocol: the client for this VM's requests, and the owner for all VMs.
 #[derive(Debug)]
 pub(crate) struct Limits {
     client: Spender,
@@ -146,7 +146,7 @@
 
     /// Returns whether the limit of its organisation admits a request. A request that is over the
     /// limit, or that the quota owner did not answer in time, is refused.
-    pub(crate) fn is_within_limit(&mut self, key: u64) -> bool {
+    pub(crate) fn admit_within_limit(&mut self, key: u64) -> bool {
         let now_ms = self.now_ms;
         let Some(request) = self.active.get_mut(key) else {
             return false;
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -267,7 +267,7 @@
 
     /// Decides whether a request is sent, waits or is refused, and does so.
     pub(crate) fn dispatch(&mut self, key: u64) {
-        if !self.is_within_limit(key) {
+        if !self.admit_within_limit(key) {
             return;
         }
         let Some(request) = self.active.get_mut(key) else {
