--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,21 +1,21 @@
-//! Bodies as they arrive.
+//! Incremental decoding of message bodies.
 
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::head::BodyLength;
 
-/// The longest line of a chunk's length or of a trailer, in bytes.
+/// Maximum length of a chunk-size line or trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// The most trailer lines that are read and dropped.
+/// Maximum number of trailer lines, which are read and dropped.
 const MAX_TRAILERS: u32 = 32;
 
-/// `BodyProgress` is what one call of [`BodyDecoder::decode`] has done.
+/// Result of one call of [`BodyDecoder::decode`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyProgress {
-    /// Bytes of the input that belong to the body and have been taken.
+    /// Number of input bytes that were consumed, framing included. Bytes behind the body are not.
     pub consumed: usize,
-    /// Whether the body is whole.
+    /// Whether the body is complete.
     pub whole: bool,
 }
 
@@ -30,14 +30,14 @@
     Whole,
 }
 
-/// `BodyDecoder` finds the bytes of one body.
+/// Decoder of one body, which keeps its state between calls.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: State,
 }
 
 impl BodyDecoder {
-    /// Returns a decoder for a body of the given length.
+    /// Returns a decoder for a body with this framing.
     pub fn new(length: BodyLength) -> Self {
         let state = match length {
             BodyLength::Bytes(0) => State::Whole,
@@ -48,21 +48,21 @@
         Self { state }
     }
 
-    /// Returns whether the body is whole.
+    /// Returns whether the body is complete.
     pub fn is_whole(&self) -> bool {
         self.state == State::Whole
     }
 
-    /// Returns whether the body is whole when the connection ends now in an orderly way.
+    /// Returns whether the body is complete if the connection is closed now in an orderly way.
     pub fn is_whole_at_close(&self) -> bool {
         matches!(self.state, State::Whole | State::UntilClose)
     }
 
-    /// Takes bytes from the input and appends the body's to `output`.
+    /// Consumes bytes of the input and appends the decoded bytes of the body to `output`.
     ///
     /// # Errors
     ///
-    /// [`Error::MalformedChunk`] where the chunks' framing is broken.
+    /// [`Error::MalformedChunk`] if the chunked framing is invalid.
     pub fn decode(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<BodyProgress> {
         let mut consumed = 0;
         while let Some(step) = self.step(&input[consumed..], output)? {
@@ -77,7 +77,8 @@
         })
     }
 
-    /// Takes one step and returns how many bytes it took, or none where more bytes are needed.
+    /// Decodes one element of the framing and returns how many bytes it consumed; none if more
+    /// bytes are needed.
     fn step(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<Option<usize>> {
         if input.is_empty() && self.state != State::Whole {
             return Ok(None);
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Drops one trailer line; an empty line ends the body.
+    /// Drops one trailer line. An empty line ends the body.
     fn trailer(&mut self, input: &[u8], count: u32) -> Result<Option<usize>> {
         let end = input.windows(2).position(|pair| pair == b"\r\n");
         match end {
