--- a/crates/http1/src/encode.rs
+++ b/crates/http1/src/encode.rs
@@ -1,13 +1,13 @@
-//! Messages as bytes.
+//! Encoding of messages.
 
 use std::io::Write;
 
-/// Appends a request line.
+/// Appends a request line of HTTP/1.1.
 pub fn append_request_line(output: &mut Vec<u8>, method: &str, target: &str) {
     append(output, format_args!("{method} {target} HTTP/1.1\r\n"));
 }
 
-/// Appends a status line.
+/// Appends a status line of HTTP/1.1 with the status's reason phrase.
 pub fn append_status_line(output: &mut Vec<u8>, status: u16) {
     append(
         output,
@@ -15,7 +15,7 @@
     );
 }
 
-/// Appends a field.
+/// Appends a header field.
 pub fn append_header(output: &mut Vec<u8>, name: &str, value: &[u8]) {
     output.extend_from_slice(name.as_bytes());
     output.extend_from_slice(b": ");
@@ -28,7 +28,7 @@
     output.extend_from_slice(b"\r\n");
 }
 
-/// Appends one chunk. An empty one would end the body, so it is left out.
+/// Appends one chunk. Empty input appends nothing, since an empty chunk would end the body.
 pub fn append_chunk(output: &mut Vec<u8>, bytes: &[u8]) {
     if bytes.is_empty() {
         return;
@@ -38,7 +38,7 @@
     output.extend_from_slice(b"\r\n");
 }
 
-/// Appends the chunk that ends a body.
+/// Appends the last chunk and the empty line that end a chunked body.
 pub fn append_last_chunk(output: &mut Vec<u8>) {
     output.extend_from_slice(b"0\r\n\r\n");
 }
