--- a/crates/http1/src/errors.rs
+++ b/crates/http1/src/errors.rs
@@ -1,24 +1,25 @@
-//! Errors of HTTP/1.1 messages.
+//! Error type of parsing and decoding.
 
 use thiserror::Error as ThisError;
 
-/// `Error` is why bytes are not an HTTP/1.1 message that may be passed on.
+/// Reason why bytes are not an HTTP/1.1 message that may be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ThisError)]
 pub enum Error {
-    /// The head is not one of HTTP/1.1.
+    /// The head is no valid HTTP/1.x head.
     #[error("malformed head")]
     MalformedHead,
-    /// The head is larger than the limit.
+    /// The head is larger than the caller's limit or has too many fields.
     #[error("head larger than the limit")]
     HeadTooLarge,
-    /// The length of the body can be read in two ways, which would let a second request be hidden
-    /// in the body.
+    /// The framing of the body can be read in two ways, which would allow a second request to be
+    /// smuggled in the body.
     #[error("ambiguous body length")]
     AmbiguousLength,
-    /// The body is larger than the limit.
+    /// The body is larger than the limit. Reported by the owner of the connection, not by this
+    /// crate.
     #[error("body larger than the limit")]
     BodyTooLarge,
-    /// The body's framing is broken.
+    /// The chunked framing of the body is invalid.
     #[error("malformed chunk")]
     MalformedChunk,
 }
