--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,60 +1,60 @@
-//! Heads of requests and responses.
+//! Parsing of request and response heads.
 
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::headers::Headers;
 
-/// The most fields of one head; a head with more is refused as too large.
+/// Maximum number of fields in one head. A head with more is rejected as too large.
 const MAX_FIELDS: usize = 100;
 
-/// `BodyLength` is how the end of a body is found.
+/// Framing of a body: how its end is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
-    /// So many bytes; none for a message without a body.
+    /// The body has this number of bytes; 0 also stands for a message without a body.
     Bytes(u64),
-    /// Chunks up to one of length zero.
+    /// The body consists of chunks up to one of length zero.
     Chunked,
-    /// The body ends with the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// `RequestHead` is the head of a request.
+/// Head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// Method, in the case in which it was sent.
     pub method: String,
-    /// The target as it was sent.
+    /// Request target as it was sent, neither decoded nor normalised.
     pub target: String,
-    /// The fields.
+    /// All header fields, hop-by-hop fields included.
     pub headers: Headers,
-    /// How the body ends.
+    /// Framing of the body that follows.
     pub body: BodyLength,
-    /// Whether the connection ends after the answer.
+    /// Whether the connection closes after the response, by the fields or by the protocol version.
     pub close: bool,
     /// Whether the sender waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// `ResponseHead` is the head of a response.
+/// Head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// The fields.
+    /// All header fields, hop-by-hop fields included.
     pub headers: Headers,
-    /// How the body ends.
+    /// Framing of the body that follows.
     pub body: BodyLength,
-    /// Whether the connection ends after the answer.
+    /// Whether the connection closes after the response, by the fields, version or framing.
     pub close: bool,
 }
 
-/// Parses a request's head from the beginning of `input`. Returns the head and its length in
-/// bytes, or none where more bytes are needed.
+/// Parses a request head from the beginning of `input`. Returns the head and its length in bytes;
+/// none if more bytes are needed.
 ///
 /// # Errors
 ///
-/// [`Error::MalformedHead`], [`Error::HeadTooLarge`] above `limit_bytes`, and
-/// [`Error::AmbiguousLength`].
+/// [`Error::MalformedHead`] if the head is invalid, [`Error::HeadTooLarge`] above `limit_bytes` or
+/// with too many fields, and [`Error::AmbiguousLength`] if the framing of the body is ambiguous.
 pub fn parse_request_head(
     input: &[u8],
     limit_bytes: usize,
@@ -82,12 +82,12 @@
     Ok(Some((head, length)))
 }
 
-/// Parses a response's head from the beginning of `input`, as [`parse_request_head`] does. A
-/// response to `HEAD` has no body, whatever its fields say.
+/// Parses a response head from the beginning of `input`, as [`parse_request_head`] does. A response
+/// to a `HEAD` request has no body, regardless of its fields.
 ///
 /// # Errors
 ///
-/// As for [`parse_request_head`].
+/// The same as [`parse_request_head`].
 pub fn parse_response_head(
     input: &[u8],
     limit_bytes: usize,
@@ -147,9 +147,9 @@
         || (version == 0 && !headers.has_token("connection", "keep-alive"))
 }
 
-/// Finds how the body ends. Two lengths, or a length beside chunks, would let two programs see two
-/// different bodies: what one takes for the body's rest, the other takes for a second request. A
-/// message that allows this is refused.
+/// Returns the framing that the fields state. Two lengths, or a length beside chunks, would let two
+/// programs see different bodies: what one of them reads as the remainder of the body, the other
+/// reads as a second request. Such a message is rejected.
 fn framing(headers: &Headers) -> Result<Option<BodyLength>> {
     let mut codings = headers.all("transfer-encoding");
     let lengths: Vec<&[u8]> = headers.all("content-length").collect();
