--- a/crates/http1/src/headers.rs
+++ b/crates/http1/src/headers.rs
@@ -1,6 +1,6 @@
-//! Header fields in the order in which they came.
+//! Header fields of one head.
 
-/// Fields that concern one connection only and are never passed on.
+/// Hop-by-hop fields, which concern one connection only and are never forwarded.
 const CONNECTION_FIELDS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -13,51 +13,52 @@
     "upgrade",
 ];
 
-/// `Headers` are the fields of one head.
+/// Header fields in the order in which they were received or added.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, Vec<u8>)>);
 
 impl Headers {
-    /// Adds a field.
+    /// Adds a field behind the others.
     pub fn push(&mut self, name: impl Into<String>, value: impl Into<Vec<u8>>) {
         self.0.push((name.into(), value.into()));
     }
 
-    /// Removes every field of a name, whatever its case.
+    /// Removes every field with a name, ignoring case.
     pub fn remove(&mut self, name: &str) {
         self.0
             .retain(|(field, _)| !field.eq_ignore_ascii_case(name));
     }
 
-    /// Returns the first value of a field, whatever the case of its name.
+    /// Returns the value of the first field with a name, ignoring case.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.iter()
             .find(|(field, _)| field.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// Returns the first value of a field as text without surrounding blanks.
+    /// Returns the value of the first field with a name as text without surrounding whitespace;
+    /// none if there is no such field or the value is not UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name)
             .and_then(|value| std::str::from_utf8(value).ok())
             .map(str::trim)
     }
 
-    /// Returns every value of a field.
+    /// Returns the values of all fields with a name, ignoring case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         self.iter()
             .filter(move |(field, _)| field.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// Returns every field.
+    /// Returns the names and values of all fields.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.0
             .iter()
             .map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    /// Returns whether a comma-separated field holds a token, whatever its case.
+    /// Returns whether the comma-separated values of a field contain a token, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name)
             .filter_map(|value| std::str::from_utf8(value).ok())
@@ -65,8 +66,8 @@
             .any(|part| part.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Returns the fields that may be passed on to another connection. The body's length is left
-    /// out too: whoever writes the message frames it anew.
+    /// Returns the fields that may be forwarded on another connection. The content length is also
+    /// left out, since whoever encodes the message frames the body again.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.iter().filter(|(name, _)| {
             !CONNECTION_FIELDS
