--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 messages as state machines without sockets.
 //!
-//! A connection's owner reads bytes from wherever it has them and hands them to [`RequestParser`]
-//! or [`ResponseParser`], which return whole heads, and to [`BodyDecoder`], which returns the bytes
-//! of a body. Nothing here blocks, reads a clock or opens a socket, so one thread can serve any
-//! number of connections.
+//! The owner of a connection reads bytes from the connection and passes them to
+//! [`parse_request_head`] or [`parse_response_head`], which return complete heads, and to
+//! [`BodyDecoder`], which returns the bytes of a body. Nothing in this crate blocks, reads a clock
+//! or opens a socket, so one thread can serve any number of connections.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
