--- a/crates/http1/tests/answer_heads.rs
+++ b/crates/http1/tests/answer_heads.rs
@@ -1,4 +1,4 @@
-//! Heads of answers.
+//! Parsing of response heads.
 
 use apricotdale_http1::BodyLength;
 use apricotdale_http1::parse_response_head;
