--- a/crates/http1/tests/body_framing.rs
+++ b/crates/http1/tests/body_framing.rs
@@ -1,4 +1,4 @@
-//! Bodies that arrive in pieces.
+//! Decoding of bodies that arrive in pieces.
 
 use apricotdale_http1::BodyDecoder;
 use apricotdale_http1::BodyLength;
@@ -7,7 +7,8 @@
 use apricotdale_http1::append_last_chunk;
 use rstest::rstest;
 
-/// Decodes input in pieces of a length and returns the body, whether it is whole, and what is left.
+/// Decodes input in pieces of a length. Returns the body, whether it is complete, and the number of
+/// unconsumed bytes.
 fn decode(length: BodyLength, input: &[u8], piece: usize) -> (Vec<u8>, bool, usize) {
     let mut decoder = BodyDecoder::new(length);
     let mut body = Vec::new();
