--- a/crates/http1/tests/request_heads.rs
+++ b/crates/http1/tests/request_heads.rs
@@ -1,4 +1,4 @@
-//! Heads of requests: what is taken over and what is refused.
+//! Parsing of request heads: which ones are accepted and which are rejected.
 
 use apricotdale_http1::BodyLength;
 use apricotdale_http1::Error;
@@ -32,9 +32,9 @@
     assert_eq!(parse(text), Ok(None));
 }
 
-/// Symptom: an upstream runs a request that no caller sent. Sequence: a caller sends a body whose
-/// length can be read in two ways; this VM takes the longer one, the upstream the shorter, and
-/// takes the rest for another request. Cause: a head that allows two readings was passed on.
+/// Guards against request smuggling. If a head whose body length can be read in two ways were
+/// forwarded, this VM could take the longer body and the upstream the shorter one, and the upstream
+/// would run the remainder as a request that no caller sent.
 #[rstest]
 #[case::length_and_chunks("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n")]
 #[case::two_lengths("Content-Length: 3\r\nContent-Length: 4\r\n")]
