--- a/crates/http1/tests/status_lines.rs
+++ b/crates/http1/tests/status_lines.rs
@@ -1,9 +1,9 @@
-//! Status lines.
+//! Encoding of status lines.
 
 use apricotdale_http1::append_status_line;
 use rstest::rstest;
 
-/// Guards against a refusal whose status line does not say what its status means.
+/// Guards against a refusal whose status line has no matching reason phrase.
 #[rstest]
 #[case(400, "Bad Request")]
 #[case(401, "Unauthorized")]
