--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -171,7 +171,7 @@
                     return Part::Failed;
                 };
                 self.input.drain(..progress.consumed);
-                let at_close = decoder.is_whole_at_close();
+                let at_close = decoder.is_complete_at_close();
                 match self.ended {
                     _ if !body.is_empty() => Part::Body(body),
                     _ if progress.whole => self.end(),
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -49,12 +49,12 @@
     }
 
     /// Returns whether the body is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == State::Whole
     }
 
     /// Returns whether the body is complete if the connection is closed now in an orderly way.
-    pub fn is_whole_at_close(&self) -> bool {
+    pub fn is_complete_at_close(&self) -> bool {
         matches!(self.state, State::Whole | State::UntilClose)
     }
 
@@ -67,13 +67,13 @@
         let mut consumed = 0;
         while let Some(step) = self.step(&input[consumed..], output)? {
             consumed += step;
-            if self.is_whole() {
+            if self.is_complete() {
                 break;
             }
         }
         Ok(BodyProgress {
             consumed,
-            whole: self.is_whole(),
+            whole: self.is_complete(),
         })
     }
 
--- a/crates/http1/tests/body_framing.rs
+++ b/crates/http1/tests/body_framing.rs
@@ -23,7 +23,7 @@
             break;
         }
     }
-    (body, decoder.is_whole(), input.len() - taken)
+    (body, decoder.is_complete(), input.len() - taken)
 }
 
 #[rstest]
@@ -62,7 +62,7 @@
     let mut body = Vec::new();
     let progress = decoder.decode(b"abc", &mut body).expect("valid");
     assert!(!progress.whole);
-    assert!(decoder.is_whole_at_close());
+    assert!(decoder.is_complete_at_close());
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let mut decoder = BodyDecoder::new(BodyLength::Chunked);
     let mut body = Vec::new();
     decoder.decode(b"3\r\nabc\r\n", &mut body).expect("valid");
-    assert!(!decoder.is_whole_at_close());
+    assert!(!decoder.is_complete_at_close());
 }
 
 #[rstest]
--- a/crates/standins/src/platform/calling.rs
+++ b/crates/standins/src/platform/calling.rs
@@ -296,7 +296,7 @@
                     .decode(&self.pending, &mut answer.body)
                     .map_err(no_answer)?;
                 self.pending.drain(..progress.consumed);
-                if decoder.is_whole() {
+                if decoder.is_complete() {
                     answer.whole = true;
                     return Ok(answer);
                 }
