--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -157,7 +157,7 @@
                 if body.len() as u64 > limits.body_bytes {
                     return Received::Refused(HttpError::BodyTooLarge);
                 }
-                if !progress.whole {
+                if !progress.is_complete {
                     return Received::Nothing;
                 }
                 self.complete_request()
--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -174,7 +174,7 @@
                 let at_close = decoder.is_complete_at_close();
                 match self.ended {
                     _ if !body.is_empty() => Part::Body(body),
-                    _ if progress.whole => self.end(),
+                    _ if progress.is_complete => self.end(),
                     Some(ReadEnd::Closed) if at_close => self.end(),
                     Some(_) => Part::Failed,
                     None => Part::Wait,
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -16,7 +16,7 @@
     /// Number of input bytes that were consumed, framing included. Bytes behind the body are not.
     pub consumed: usize,
     /// Whether the body is complete.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     ChunkEnd,
     Trailers(u32),
     UntilClose,
-    Whole,
+    Complete,
 }
 
 /// Decoder of one body, which keeps its state between calls.
@@ -40,7 +40,7 @@
     /// Returns a decoder for a body with this framing.
     pub fn new(length: BodyLength) -> Self {
         let state = match length {
-            BodyLength::Bytes(0) => State::Whole,
+            BodyLength::Bytes(0) => State::Complete,
             BodyLength::Bytes(bytes) => State::Bytes(bytes),
             BodyLength::Chunked => State::ChunkLength,
             BodyLength::UntilClose => State::UntilClose,
@@ -50,12 +50,12 @@
 
     /// Returns whether the body is complete.
     pub fn is_complete(&self) -> bool {
-        self.state == State::Whole
+        self.state == State::Complete
     }
 
     /// Returns whether the body is complete if the connection is closed now in an orderly way.
     pub fn is_complete_at_close(&self) -> bool {
-        matches!(self.state, State::Whole | State::UntilClose)
+        matches!(self.state, State::Complete | State::UntilClose)
     }
 
     /// Consumes bytes of the input and appends the decoded bytes of the body to `output`.
@@ -73,39 +73,39 @@
         }
         Ok(BodyProgress {
             consumed,
-            whole: self.is_complete(),
+            is_complete: self.is_complete(),
         })
     }
 
     /// Decodes one element of the framing and returns how many bytes it consumed; none if more
     /// bytes are needed.
     fn step(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<Option<usize>> {
-        if input.is_empty() && self.state != State::Whole {
+        if input.is_empty() && self.state != State::Complete {
             return Ok(None);
         }
         match self.state {
-            State::Whole => Ok(None),
+            State::Complete => Ok(None),
             State::UntilClose => {
                 output.extend_from_slice(input);
                 Ok(Some(input.len()))
             }
-            State::Bytes(left) => {
-                let taken = take(left, input, output);
-                self.state = match left - taken as u64 {
-                    0 => State::Whole,
-                    left => State::Bytes(left),
+            State::Bytes(remaining) => {
+                let taken = consume(remaining, input, output);
+                self.state = match remaining - taken as u64 {
+                    0 => State::Complete,
+                    remaining => State::Bytes(remaining),
                 };
                 Ok(Some(taken))
             }
-            State::ChunkBytes(left) => {
-                let taken = take(left, input, output);
-                self.state = match left - taken as u64 {
+            State::ChunkBytes(remaining) => {
+                let taken = consume(remaining, input, output);
+                self.state = match remaining - taken as u64 {
                     0 => State::ChunkEnd,
-                    left => State::ChunkBytes(left),
+                    remaining => State::ChunkBytes(remaining),
                 };
                 Ok(Some(taken))
             }
-            State::ChunkLength => self.chunk_length(input),
+            State::ChunkLength => self.decode_chunk_size(input),
             State::ChunkEnd => match input {
                 [b'\r', b'\n', ..] => {
                     self.state = State::ChunkLength;
@@ -114,11 +114,11 @@
                 [b'\r'] => Ok(None),
                 _ => Err(Error::MalformedChunk),
             },
-            State::Trailers(count) => self.trailer(input, count),
+            State::Trailers(count) => self.drop_trailer(input, count),
         }
     }
 
-    fn chunk_length(&mut self, input: &[u8]) -> Result<Option<usize>> {
+    fn decode_chunk_size(&mut self, input: &[u8]) -> Result<Option<usize>> {
         match httparse::parse_chunk_size(input) {
             Ok(httparse::Status::Complete((length, bytes))) => {
                 self.state = match bytes {
@@ -133,11 +133,11 @@
     }
 
     /// Drops one trailer line. An empty line ends the body.
-    fn trailer(&mut self, input: &[u8], count: u32) -> Result<Option<usize>> {
+    fn drop_trailer(&mut self, input: &[u8], count: u32) -> Result<Option<usize>> {
         let end = input.windows(2).position(|pair| pair == b"\r\n");
         match end {
             Some(0) => {
-                self.state = State::Whole;
+                self.state = State::Complete;
                 Ok(Some(2))
             }
             Some(end) if end <= MAX_LINE_BYTES && count < MAX_TRAILERS => {
@@ -150,8 +150,10 @@
     }
 }
 
-fn take(left: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
-    let taken = usize::try_from(left).unwrap_or(usize::MAX).min(input.len());
+fn consume(remaining: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
+    let taken = usize::try_from(remaining)
+        .unwrap_or(usize::MAX)
+        .min(input.len());
     output.extend_from_slice(&input[..taken]);
     taken
 }
--- a/crates/http1/src/encode.rs
+++ b/crates/http1/src/encode.rs
@@ -44,7 +44,9 @@
 }
 
 fn append(output: &mut Vec<u8>, text: std::fmt::Arguments<'_>) {
-    output.write_fmt(text).expect("a vector takes any bytes");
+    output
+        .write_fmt(text)
+        .expect("writing to a vector does not fail");
 }
 
 fn reason_phrase(status: u16) -> &'static str {
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -74,7 +74,7 @@
     let head = RequestHead {
         method: request.method.unwrap_or_default().to_owned(),
         target: request.path.unwrap_or_default().to_owned(),
-        close: closes(&headers, version),
+        close: closes_connection(&headers, version),
         expects_continue: headers.has_token("expect", "100-continue"),
         headers,
         body,
@@ -91,7 +91,7 @@
 pub fn parse_response_head(
     input: &[u8],
     limit_bytes: usize,
-    to_head: bool,
+    is_head_request: bool,
 ) -> Result<Option<(ResponseHead, usize)>> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = httparse::Response::new(&mut fields);
@@ -103,11 +103,13 @@
     let version = response.version.unwrap_or(1);
     let framing = framing(&headers)?;
     let body = match framing {
-        _ if to_head || status == 204 || status == 304 || status < 200 => BodyLength::Bytes(0),
+        _ if is_head_request || status == 204 || status == 304 || status < 200 => {
+            BodyLength::Bytes(0)
+        }
         Some(body) => body,
         None => BodyLength::UntilClose,
     };
-    let close = closes(&headers, version) || body == BodyLength::UntilClose;
+    let close = closes_connection(&headers, version) || body == BodyLength::UntilClose;
     Ok(Some((
         ResponseHead {
             status,
@@ -142,7 +144,7 @@
     headers
 }
 
-fn closes(headers: &Headers, version: u8) -> bool {
+fn closes_connection(headers: &Headers, version: u8) -> bool {
     headers.has_token("connection", "close")
         || (version == 0 && !headers.has_token("connection", "keep-alive"))
 }
--- a/crates/http1/tests/body_framing.rs
+++ b/crates/http1/tests/body_framing.rs
@@ -13,17 +13,17 @@
     let mut decoder = BodyDecoder::new(length);
     let mut body = Vec::new();
     let mut pending: Vec<u8> = Vec::new();
-    let mut taken = 0;
+    let mut consumed = 0;
     for bytes in input.chunks(piece) {
         pending.extend_from_slice(bytes);
         let progress = decoder.decode(&pending, &mut body).expect("valid framing");
         pending.drain(..progress.consumed);
-        taken += progress.consumed;
-        if progress.whole {
+        consumed += progress.consumed;
+        if progress.is_complete {
             break;
         }
     }
-    (body, decoder.is_complete(), input.len() - taken)
+    (body, decoder.is_complete(), input.len() - consumed)
 }
 
 #[rstest]
@@ -34,39 +34,42 @@
     append_chunk(&mut input, b"world");
     append_last_chunk(&mut input);
     input.extend_from_slice(b"NEXT");
-    let (body, whole, left) = decode(BodyLength::Chunked, &input, piece);
+    let (body, is_complete, unconsumed) = decode(BodyLength::Chunked, &input, piece);
     assert_eq!(body, b"hello world");
-    assert!(whole);
-    assert_eq!(left, 4);
+    assert!(is_complete);
+    assert_eq!(unconsumed, 4);
 }
 
 #[rstest]
-fn trailers_are_dropped(#[values(1, 1_000)] piece: usize) {
+fn trailers_dropped(#[values(1, 1_000)] piece: usize) {
     let input = b"3\r\nabc\r\n0\r\nX-Sum: 1\r\n\r\n";
-    let (body, whole, left) = decode(BodyLength::Chunked, input, piece);
-    assert_eq!((body.as_slice(), whole, left), (b"abc".as_slice(), true, 0));
+    let (body, is_complete, unconsumed) = decode(BodyLength::Chunked, input, piece);
+    assert_eq!(
+        (body.as_slice(), is_complete, unconsumed),
+        (b"abc".as_slice(), true, 0)
+    );
 }
 
 #[rstest]
 fn length_in_pieces(#[values(1, 4, 100)] piece: usize) {
-    let (body, whole, left) = decode(BodyLength::Bytes(5), b"abcdeNEXT", piece);
+    let (body, is_complete, unconsumed) = decode(BodyLength::Bytes(5), b"abcdeNEXT", piece);
     assert_eq!(
-        (body.as_slice(), whole, left),
+        (body.as_slice(), is_complete, unconsumed),
         (b"abcde".as_slice(), true, 4)
     );
 }
 
 #[test]
-fn unframed_body_needs_the_end() {
+fn unframed_body_until_close() {
     let mut decoder = BodyDecoder::new(BodyLength::UntilClose);
     let mut body = Vec::new();
     let progress = decoder.decode(b"abc", &mut body).expect("valid");
-    assert!(!progress.whole);
+    assert!(!progress.is_complete);
     assert!(decoder.is_complete_at_close());
 }
 
 #[test]
-fn chunks_are_not_whole_at_close() {
+fn chunked_body_cut_off() {
     let mut decoder = BodyDecoder::new(BodyLength::Chunked);
     let mut body = Vec::new();
     decoder.decode(b"3\r\nabc\r\n", &mut body).expect("valid");
@@ -76,7 +79,7 @@
 #[rstest]
 #[case::no_number(b"zz\r\nabc\r\n".as_slice())]
 #[case::missing_end(b"3\r\nabcX\r\n".as_slice())]
-fn broken_chunks(#[case] input: &[u8]) {
+fn malformed_chunks(#[case] input: &[u8]) {
     let mut decoder = BodyDecoder::new(BodyLength::Chunked);
     assert_eq!(
         decoder.decode(input, &mut Vec::new()),
--- a/crates/http1/tests/request_heads.rs
+++ b/crates/http1/tests/request_heads.rs
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn head_is_whole() {
+fn complete_head() {
     let text = "POST /a/b?c=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc";
     let (head, length) = parse_request_head(text.as_bytes(), LIMIT_BYTES)
         .expect("valid")
-        .expect("whole");
+        .expect("complete");
     assert_eq!(head.method, "POST");
     assert_eq!(head.target, "/a/b?c=1");
     assert_eq!(head.headers.text("host"), Some("x"));
@@ -62,28 +62,28 @@
 }
 
 #[rstest]
-#[case::whole(format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "b".repeat(LIMIT_BYTES)))]
-#[case::not_whole(format!("GET / HTTP/1.1\r\nA: {}", "b".repeat(LIMIT_BYTES)))]
+#[case::complete(format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "b".repeat(LIMIT_BYTES)))]
+#[case::incomplete(format!("GET / HTTP/1.1\r\nA: {}", "b".repeat(LIMIT_BYTES)))]
 #[case::many_fields(format!("GET / HTTP/1.1\r\n{}\r\n", "a:b\r\n".repeat(150)))]
 fn head_too_large(#[case] text: String) {
     assert_eq!(parse(&text), Err(Error::HeadTooLarge));
 }
 
 #[rstest]
-#[case::asked("GET / HTTP/1.1\r\nConnection: close\r\n\r\n", true)]
-#[case::among_others("GET / HTTP/1.1\r\nConnection: a, Close\r\n\r\n", true)]
-#[case::old_version("GET / HTTP/1.0\r\n\r\n", true)]
-#[case::old_kept("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", false)]
-#[case::kept("GET / HTTP/1.1\r\n\r\n", false)]
-fn connection_ends(#[case] text: &str, #[case] close: bool) {
-    assert_eq!(parse(text).expect("valid").expect("whole").close, close);
+#[case::close_requested("GET / HTTP/1.1\r\nConnection: close\r\n\r\n", true)]
+#[case::among_other_tokens("GET / HTTP/1.1\r\nConnection: a, Close\r\n\r\n", true)]
+#[case::http_1_0("GET / HTTP/1.0\r\n\r\n", true)]
+#[case::http_1_0_keep_alive("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", false)]
+#[case::keep_alive("GET / HTTP/1.1\r\n\r\n", false)]
+fn connection_close(#[case] text: &str, #[case] close: bool) {
+    assert_eq!(parse(text).expect("valid").expect("complete").close, close);
 }
 
 #[test]
-fn connection_fields_stay() {
+fn hop_by_hop_fields_dropped() {
     let text = "GET / HTTP/1.1\r\nHost: x\r\nConnection: Keep-Alive, X-Hop\r\nX-Hop: 1\r\n\
                 Keep-Alive: timeout=5\r\nTE: trailers\r\nX-End: 2\r\nContent-Length: 0\r\n\r\n";
-    let head = parse(text).expect("valid").expect("whole");
+    let head = parse(text).expect("valid").expect("complete");
     let names: Vec<&str> = head.headers.end_to_end().map(|(name, _)| name).collect();
     assert_eq!(names, ["Host", "X-End"]);
 }
--- a/crates/http1/tests/answer_heads.rs
+++ b/crates/http1/tests/response_heads.rs
@@ -16,35 +16,35 @@
     BodyLength::Chunked
 )]
 #[case::until_close("HTTP/1.1 200 OK\r\n\r\n", false, BodyLength::UntilClose)]
-#[case::to_head(
+#[case::head_request(
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
     true,
     BodyLength::Bytes(0)
 )]
 #[case::no_content("HTTP/1.1 204 No Content\r\n\r\n", false, BodyLength::Bytes(0))]
-#[case::unchanged(
+#[case::not_modified(
     "HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\n",
     false,
     BodyLength::Bytes(0)
 )]
-fn body_length(#[case] text: &str, #[case] to_head: bool, #[case] expected: BodyLength) {
-    let (head, length) = parse_response_head(text.as_bytes(), 1_000, to_head)
+fn body_length(#[case] text: &str, #[case] is_head_request: bool, #[case] expected: BodyLength) {
+    let (head, length) = parse_response_head(text.as_bytes(), 1_000, is_head_request)
         .expect("valid")
-        .expect("whole");
+        .expect("complete");
     assert_eq!(head.body, expected);
     assert_eq!(length, text.len());
 }
 
 #[test]
-fn unframed_answer_ends_connection() {
+fn unframed_response_closes() {
     let text = b"HTTP/1.1 200 OK\r\n\r\n";
     let (head, _) = parse_response_head(text, 1_000, false)
         .expect("valid")
-        .expect("whole");
+        .expect("complete");
     assert!(head.close);
 }
 
 #[test]
-fn bytes_that_are_no_answer() {
+fn invalid_response_head() {
     assert!(parse_response_head(b"\x00\x01garbage\r\n\r\n", 1_000, false).is_err());
 }
--- a/crates/http1/tests/status_lines.rs
+++ b/crates/http1/tests/status_lines.rs
@@ -14,7 +14,7 @@
 #[case(502, "Bad Gateway")]
 #[case(503, "Service Unavailable")]
 #[case(504, "Gateway Timeout")]
-fn status_has_its_phrase(#[case] status: u16, #[case] phrase: &str) {
+fn reason_phrases(#[case] status: u16, #[case] phrase: &str) {
     let mut line = Vec::new();
     append_status_line(&mut line, status);
     assert_eq!(line, format!("HTTP/1.1 {status} {phrase}\r\n").as_bytes());
