--- a/crates/entry/src/active.rs
+++ b/crates/entry/src/active.rs
@@ -79,6 +79,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ActiveRequests {
     requests: HashMap<u64, ActiveRequest>,
+    /// Times of wake-ups with the keys of their requests.
     wake_ups: BTreeSet<(u64, u64)>,
     next_key: u64,
 }
--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -54,8 +54,11 @@
 /// State of reading and writing the records.
 #[derive(Debug, Default)]
 pub(crate) struct BlockStore {
+    /// Whether this VM held the lease when that was last checked.
     held_lease: bool,
+    /// New blocks that have yet to be written.
     unwritten: Vec<BlockRow>,
+    /// Ended blocks and cases whose records have yet to be deleted.
     ended: Vec<Fingerprint>,
     /// Numbers of crashes and lost copies as last written, for each request on probation.
     cases: HashMap<Fingerprint, (usize, u32)>,
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -31,6 +31,7 @@
     Metrics,
 }
 
+/// Progress of the request on a connection.
 #[derive(Debug)]
 enum Phase {
     /// Receiving a request's head.
@@ -79,6 +80,7 @@
     /// Time of the last write, of the end of the last answer, or of the begin of the head in
     /// progress.
     since_ms: u64,
+    /// How reading ended; none while the caller has not closed the connection.
     ended: Option<ReadEnd>,
 }
 
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -90,6 +90,7 @@
     pub(crate) settings: Settings,
     pub(crate) codecs: Codecs,
     pub(crate) poll: Poll,
+    /// Time of the current iteration, on the clock of [`clock::now_ms`].
     pub(crate) now_ms: u64,
     /// Random number of this incarnation of the process, which tells its messages from earlier
     /// ones.
@@ -103,6 +104,7 @@
     pub(crate) active: ActiveRequests,
     pub(crate) directory: Directory,
     pub(crate) dispatcher: Dispatcher,
+    /// Watches engines with requests in progress for silence, and decides when they are probed.
     pub(crate) watch: SilenceWatch,
     pub(crate) crash_watch: CrashWatch,
     pub(crate) block_store: BlockStore,
@@ -113,7 +115,9 @@
     pub(crate) store_pollers: StorePollers,
     pub(crate) engine_orders: EngineOrders,
     pub(crate) peers: Peers,
+    /// Demand of this VM's requests, for reports to the lease holder.
     pub(crate) local_demand: OwnDemand,
+    /// What other VMs announce about the store's content, and what this VM announces.
     pub(crate) sharing: Sharing,
     pub(crate) store_era: StoreEra,
     /// Schedule of this VM's store reads among all VMs that read.
@@ -121,7 +125,9 @@
     pub(crate) planned_stop: PlannedStop,
     pub(crate) metrics: EntryMetrics,
     pub(crate) log_budget: LogBudget,
+    /// Answers to calls in progress, as far as they have been received.
     pub(crate) call_answers: HashMap<Token, CallAnswer>,
+    /// Earliest deadline of the calls in progress.
     pub(crate) next_call_timeout_ms: u64,
     /// Callers' connections whose answer has ended and whose next request may already be there.
     pub(crate) answered: Vec<Token>,
--- a/crates/entry/src/engine_orders.rs
+++ b/crates/entry/src/engine_orders.rs
@@ -52,6 +52,7 @@
     demand: DemandBook,
     /// One planner for each engine service; empty unless this VM holds the lease.
     planners: HashMap<GroupName, Planner>,
+    /// Fencing token of the lease; none unless this VM may send orders.
     fence: Option<u64>,
     next_plan_ms: u64,
     /// Earliest time of the next round of planning, even if events ask for one sooner.
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -43,7 +43,9 @@
 /// State of a planned stop.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PlannedStop {
+    /// When the stop began; none before that.
     since_ms: Option<u64>,
+    /// Time limit for the stop, as configured when it began.
     stop_ms: u64,
 }
 
--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -57,11 +57,12 @@
     Drain,
 }
 
+/// Parsing state of the answer in progress.
 #[derive(Debug)]
 enum Parse {
     Head,
     Body(BodyDecoder),
-    Whole,
+    Complete,
 }
 
 /// Next part of an answer.
@@ -89,14 +90,18 @@
     pub paused: bool,
     input: Vec<u8>,
     parse: Parse,
+    /// Whether the exchange in progress is a HEAD request, whose answer has no body.
     is_head_request: bool,
+    /// Whether the last answer's head lets the connection be reused.
     keep_alive: bool,
+    /// How reading ended; none while the other end has not closed the connection.
     ended: Option<ReadEnd>,
     /// Whether bytes may be unread for which no readiness event will come, because reading stopped
     /// at its limit or was paused.
     has_more: bool,
     /// When bytes last arrived or the exchange began.
     pub heard_ms: u64,
+    /// How long the connection may stay idle.
     idle_ms: u64,
     idle_until_ms: u64,
     /// Deadline for establishing the connection; none once it is established.
@@ -180,7 +185,7 @@
                     None => Part::Wait,
                 }
             }
-            Parse::Whole => Part::Wait,
+            Parse::Complete => Part::Wait,
         }
     }
 
@@ -203,7 +208,7 @@
     }
 
     fn end(&mut self) -> Part {
-        self.parse = Parse::Whole;
+        self.parse = Parse::Complete;
         Part::End
     }
 
@@ -230,7 +235,7 @@
             && self.ended.is_none()
             && self.input.is_empty()
             && self.stream.unwritten_bytes() == 0
-            && matches!(self.parse, Parse::Whole)
+            && matches!(self.parse, Parse::Complete)
     }
 }
 
@@ -238,6 +243,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct OutboundPool {
     connections: HashMap<Token, Outbound>,
+    /// Connections that are ready for another exchange, the most recently used last.
     idle: HashMap<Peer, Vec<Token>>,
     /// Connections opened so far.
     pub opened: u64,
@@ -280,7 +286,7 @@
             purpose: Purpose::Idle,
             paused: false,
             input: Vec::new(),
-            parse: Parse::Whole,
+            parse: Parse::Complete,
             is_head_request: false,
             keep_alive: true,
             ended: None,
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -60,11 +60,14 @@
 /// Maximum number of senders of undecodable messages that are logged.
 const MAX_LOGGED_SENDERS: usize = 200;
 
+/// What is known about another VM.
 #[derive(Clone, Copy, Debug)]
 struct KnownVm {
     address: SocketAddr,
     incarnation: u64,
+    /// How long a fixed amount of work took on the VM when it started.
     work_us: u32,
+    /// When the VM was last heard from; 0 if only its entry in the store is known.
     heard_ms: u64,
 }
 
@@ -76,6 +79,8 @@
     known: HashMap<VmName, KnownVm>,
     /// Whether the VMs' entries in the store have been read.
     has_records: bool,
+    /// Name and address of the lease holder, and when its last heartbeat was received or sent; none
+    /// before the first and after its goodbye.
     pub(super) lease_holder: Option<(VmName, SocketAddr, u64)>,
     pub(super) next_demand_ms: u64,
     pub(super) last_demand_ms: u64,
@@ -89,6 +94,7 @@
     pub may_have_more: bool,
     /// Whether the first hello has been sent to all VMs.
     has_sent_first_hello: bool,
+    /// Index of the known VM that the next hello begins with.
     hello_offset: usize,
     /// Senders of undecodable messages that have been logged.
     undecodable_senders: HashSet<SocketAddr>,
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -31,6 +31,7 @@
 pub(crate) struct Stream {
     socket: TcpStream,
     unwritten: Vec<u8>,
+    /// Number of bytes at the beginning of the buffer that have been written.
     written: usize,
     /// Number of bytes that the kernel has accepted. The owner resets it for each exchange.
     pub sent_bytes: u64,
