--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -1,8 +1,8 @@
-//! Blocked requests in the store, and those that are on the way there, for VMs that start.
+//! Persistence of blocked requests, and of requests on probation, for VMs that start.
 //!
-//! Each VM reads them once. The giver of orders writes what changes, and all that it knows when it
-//! has taken over, and drops the records of what is over. Without the requests on probation, all VMs
-//! that start at once would let each crash three more.
+//! Each VM reads the records once. The lease holder writes changes, writes everything it knows when
+//! it has taken over, and deletes the records of ended blocks. If requests on probation were not
+//! persisted, all VMs that start together would let each of them crash three more upstreams.
 
 use std::collections::HashMap;
 use std::time::SystemTime;
@@ -14,108 +14,112 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::codec::StoreOutcome;
 use crate::codec::Topic;
 use crate::daemon::Daemon;
 
-/// The pause before the store is called again that did not answer.
-const PAUSE_MS: u64 = 1_000;
+/// Pause after a failed call to the store.
+const RETRY_PAUSE_MS: u64 = 1_000;
 
-/// How long a call to the store may take.
-const TIMEOUT_MS: u64 = 1_000;
+/// Time limit for a call to the store.
+const STORE_TIMEOUT_MS: u64 = 1_000;
 
-/// Blocks in one write, and as many that are over.
-const RECORDS_A_WRITE: usize = 200;
+/// Maximum number of records of each kind in one write.
+const RECORDS_PER_WRITE: usize = 200;
 
-/// Blocks that are over whose records are still to be dropped.
-const MAX_ENDED: usize = 1_000;
+/// Maximum number of ended blocks whose records have yet to be deleted.
+const MAX_PENDING_DELETIONS: usize = 1_000;
 
-/// `Record` is what the store keeps of a request.
+/// Stored state of a request, under its fingerprint as key.
 #[derive(Debug, Serialize, Deserialize)]
 enum Record {
-    /// It is blocked.
+    /// The request is blocked.
     Block {
         row: BlockRow,
-        /// When the block ends, in Unix milliseconds.
+        /// End of the block, in Unix milliseconds.
         until_unix_ms: u64,
     },
-    /// The place of a form that was written by earlier versions, and is dropped.
-    Former,
-    /// So much of it was lost with upstreams that it is on probation.
+    /// Placeholder for a variant of earlier versions, whose records are deleted.
+    Obsolete,
+    /// The request is on probation, since so many copies of it were lost in crashes.
     Case {
         row: CaseRow,
-        /// When it was written, in Unix milliseconds.
+        /// When the record was written, in Unix milliseconds.
         written_unix_ms: u64,
     },
 }
 
-/// `BlockStore` is what this VM has read of the blocks and has yet to write.
+/// State of reading and writing the records.
 #[derive(Debug, Default)]
 pub(crate) struct BlockStore {
-    was_giver: bool,
+    /// Whether this VM held the lease when that was last checked.
+    held_lease: bool,
+    /// New blocks that have yet to be written.
     unwritten: Vec<BlockRow>,
+    /// Ended blocks and cases whose records have yet to be deleted.
     ended: Vec<Fingerprint>,
-    /// Requests of which much was lost, with how many crashes and copies were written.
+    /// Numbers of crashes and lost copies as last written, for each request on probation.
     cases: HashMap<Fingerprint, (usize, u32)>,
-    /// What had been heard of crashes when these were last looked at.
-    seen_changes: Option<u64>,
+    /// Change counter of the crash watch when the requests on probation were last compared; none
+    /// before.
+    compared_changes: Option<u64>,
     unwritten_cases: Vec<CaseRow>,
-    /// What is being written.
+    /// Blocks and deletions of the write in progress.
     writing: (Vec<BlockRow>, Vec<Fingerprint>),
     is_read: bool,
-    /// The key after which the next page begins.
+    /// Key behind which the next page begins; none for the first page.
     after: Option<String>,
     is_calling: bool,
     next_ms: u64,
 }
 
 impl BlockStore {
-    /// Takes in that the store came back from an older copy: what is known here is written again.
-    pub fn set_back(&mut self) {
-        self.was_giver = false;
+    /// Handles a rollback of the store: everything known here is written again.
+    pub fn handle_rollback(&mut self) {
+        self.held_lease = false;
         if !self.is_read {
             self.after = None;
         }
     }
 
-    /// Notes a block that begins.
-    pub fn note_begun(&mut self, row: &BlockRow) {
-        // Its record is the block's from now on, and must not be dropped with the case.
+    /// Records a new block.
+    pub fn record_new_block(&mut self, row: &BlockRow) {
+        // From now on the record belongs to the block and must not be deleted with the case.
         self.cases.remove(&row.fingerprint);
         self.unwritten_cases
             .retain(|case| case.fingerprint != row.fingerprint);
-        if self.was_giver {
+        if self.held_lease {
             self.unwritten.push(row.clone());
         }
     }
 
-    /// Notes requests whose blocks are over.
-    pub fn record_ended(&mut self, ended: Vec<Fingerprint>) {
+    /// Records requests whose blocks have ended.
+    pub fn record_ended_blocks(&mut self, ended: Vec<Fingerprint>) {
         self.ended.extend(ended);
-        self.ended.truncate(MAX_ENDED);
+        self.ended.truncate(MAX_PENDING_DELETIONS);
     }
 
-    /// Notes whether this VM gives orders. A new giver writes all that it knows, since the one
-    /// before may not have.
-    fn note_giver(&mut self, is_lease_holder: bool, rows: impl FnOnce() -> Vec<BlockRow>) {
+    /// Records whether this VM holds the lease. A new holder writes everything it knows, since the
+    /// previous one may not have.
+    fn record_lease(&mut self, holds_lease: bool, rows: impl FnOnce() -> Vec<BlockRow>) {
         match (
-            is_lease_holder,
-            std::mem::replace(&mut self.was_giver, is_lease_holder),
+            holds_lease,
+            std::mem::replace(&mut self.held_lease, holds_lease),
         ) {
             (true, false) => {
                 self.unwritten = rows();
                 self.cases.clear();
-                self.seen_changes = None;
+                self.compared_changes = None;
             }
             (false, _) => self.unwritten.clear(),
             (true, true) => {}
         }
     }
 
-    /// Notes the requests under which several upstreams crashed, as they are now.
-    fn note_cases(&mut self, rows: Vec<CaseRow>) {
+    /// Records the requests on probation as they are now, so that changes are written.
+    fn record_cases(&mut self, rows: Vec<CaseRow>) {
         let gone: Vec<Fingerprint> = self
             .cases
             .keys()
@@ -126,7 +130,7 @@
             self.cases.remove(&fingerprint);
             self.ended.push(fingerprint);
         }
-        for row in rows.into_iter().take(RECORDS_A_WRITE) {
+        for row in rows.into_iter().take(RECORDS_PER_WRITE) {
             let count = (row.crashes.len(), row.copies());
             if self.cases.insert(row.fingerprint, count) != Some(count) {
                 self.unwritten_cases.push(row);
@@ -134,12 +138,12 @@
         }
     }
 
-    /// Returns the records of the next write; a value that is empty drops its key. What was blocked
-    /// again comes last and stays.
+    /// Returns the records of the next write; an empty value deletes its key. New blocks come last,
+    /// so that the block stays if the same key is also deleted.
     fn next_records(&mut self) -> Vec<(String, Vec<u8>)> {
-        let rows = self.unwritten.len().min(RECORDS_A_WRITE);
+        let rows = self.unwritten.len().min(RECORDS_PER_WRITE);
         let rows: Vec<BlockRow> = self.unwritten.drain(..rows).collect();
-        let ended = self.ended.len().min(RECORDS_A_WRITE);
+        let ended = self.ended.len().min(RECORDS_PER_WRITE);
         let ended: Vec<Fingerprint> = self.ended.drain(..ended).collect();
         let dropped = ended.iter().map(|it| (it.to_string(), Vec::new()));
         let cases = std::mem::take(&mut self.unwritten_cases);
@@ -152,27 +156,28 @@
 }
 
 impl Daemon {
-    /// Reads the blocks from the store once, and writes them as the giver of orders.
+    /// Reads the blocks from the store once, and writes changes while this VM holds the lease.
     pub(crate) fn advance_block_store(&mut self) {
         let now_ms = self.now_ms;
-        let is_lease_holder = self.ordering.held_lease_end(now_ms).is_some();
+        let holds_lease = self.engine_orders.held_lease_end(now_ms).is_some();
         let watch = &self.crash_watch;
         let store = &mut self.block_store;
-        store.note_giver(is_lease_holder, || watch.blocks(now_ms));
+        store.record_lease(holds_lease, || watch.blocks(now_ms));
         if store.is_calling || now_ms < store.next_ms {
             return;
         }
-        if is_lease_holder && store.is_read && store.seen_changes != Some(watch.changes()) {
-            store.seen_changes = Some(watch.changes());
-            store.note_cases(watch.cases(now_ms));
+        if holds_lease && store.is_read && store.compared_changes != Some(watch.changes()) {
+            store.compared_changes = Some(watch.changes());
+            store.record_cases(watch.cases(now_ms));
         }
         let has_records = !store.unwritten.is_empty()
             || !store.ended.is_empty()
             || !store.unwritten_cases.is_empty();
         match store.is_read {
-            // The lists come first: without them nothing is served.
+            // The configuration and the upstream list come first, since nothing is served without
+            // them.
             false if self.directory.is_complete() => self.read_blocks(),
-            true if is_lease_holder && has_records => self.write_blocks(),
+            true if holds_lease && has_records => self.write_blocks(),
             _ => {}
         }
     }
@@ -181,18 +186,18 @@
         self.block_store.is_calling = true;
         let after = self.block_store.after.as_deref();
         let bytes = self.codecs.store.newest(Topic::Blocks, after);
-        self.call_store(CallTag::BlocksNewest, &bytes, TIMEOUT_MS);
+        self.call_store(CallTag::BlocksNewest, &bytes, STORE_TIMEOUT_MS);
     }
 
     fn write_blocks(&mut self) {
         let records = self.block_store.next_records();
         self.block_store.is_calling = true;
         let bytes = self.codecs.store.append_keyed(Topic::Blocks, &records);
-        self.call_store(CallTag::BlocksAppend, &bytes, TIMEOUT_MS);
+        self.call_store(CallTag::BlocksAppend, &bytes, STORE_TIMEOUT_MS);
     }
 
-    /// Takes in a page of the blocks that the store keeps.
-    pub(crate) fn blocks_read(&mut self, outcome: CallOutcome) {
+    /// Handles a page of the blocks from the store.
+    pub(crate) fn handle_blocks_page(&mut self, outcome: CallOutcome) {
         self.block_store.is_calling = false;
         let page = match outcome {
             CallOutcome::Answered { status, body } => {
@@ -202,13 +207,13 @@
             _ => None,
         };
         let Some(page) = page else {
-            self.block_store.next_ms = self.now_ms + PAUSE_MS;
+            self.block_store.next_ms = self.now_ms + RETRY_PAUSE_MS;
             return;
         };
         for record in &page.records {
             let value = record.value.as_deref().unwrap_or_default();
             match postcard::from_bytes(value) {
-                Ok(Record::Block { row, until_unix_ms }) => self.take_stored(row, until_unix_ms),
+                Ok(Record::Block { row, until_unix_ms }) => self.restore_block(row, until_unix_ms),
                 Ok(Record::Case {
                     row,
                     written_unix_ms,
@@ -217,9 +222,9 @@
                     let reports = row.reports(later_ms);
                     self.crash_watch.record_reports(self.now_ms, &reports);
                 }
-                Ok(Record::Former) | Err(_) => {
+                Ok(Record::Obsolete) | Err(_) => {
                     let ended = record.key.parse().into_iter().collect();
-                    self.block_store.record_ended(ended);
+                    self.block_store.record_ended_blocks(ended);
                 }
             }
         }
@@ -227,24 +232,24 @@
         self.block_store.is_read = !page.more;
     }
 
-    fn take_stored(&mut self, row: BlockRow, until_unix_ms: u64) {
+    fn restore_block(&mut self, row: BlockRow, until_unix_ms: u64) {
         let left_ms = until_unix_ms.saturating_sub(unix_ms());
         let row = BlockRow {
-            // A clock that was set back must not make a block longer than it was.
+            // A wall clock that was set back must not extend a block.
             left_ms: left_ms.min(row.left_ms),
             ..row
         };
         match row.left_ms {
-            0 => self.block_store.record_ended(vec![row.fingerprint]),
+            0 => self.block_store.record_ended_blocks(vec![row.fingerprint]),
             _ if self.crash_watch.record_block(self.now_ms, &row) => {
-                self.block_began(&row, "read");
+                self.apply_new_block(&row, "read");
             }
             _ => {}
         }
     }
 
-    /// Takes in whether blocks were written.
-    pub(crate) fn blocks_written(&mut self, outcome: CallOutcome) {
+    /// Handles the outcome of a write. A failed one is repeated after a pause.
+    pub(crate) fn finish_blocks_write(&mut self, outcome: CallOutcome) {
         let store = &mut self.block_store;
         store.is_calling = false;
         let (rows, ended) = std::mem::take(&mut store.writing);
@@ -259,8 +264,8 @@
             store.unwritten.extend(rows);
             store.ended.extend(ended);
             store.cases.clear();
-            store.seen_changes = None;
-            store.next_ms = self.now_ms + PAUSE_MS;
+            store.compared_changes = None;
+            store.next_ms = self.now_ms + RETRY_PAUSE_MS;
         }
     }
 }
@@ -283,7 +288,7 @@
 }
 
 fn encode(record: &Record) -> Vec<u8> {
-    postcard::to_stdvec(record).expect("a record of our own can be encoded")
+    postcard::to_stdvec(record).expect("a locally built record can be encoded")
 }
 
 fn unix_ms() -> u64 {
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, of the balancer's checks and of metrics readers.
+//! Accepted connections: of callers, of the balancer's readiness checks and of metrics readers.
 
 use std::net::IpAddr;
 
@@ -12,73 +12,80 @@
 use crate::stream::ReadEnd;
 use crate::stream::Stream;
 
-/// How much is read ahead while a request is answered: enough to see that the caller has left.
+/// Maximum number of bytes read while a request is answered. Reading then serves only to notice
+/// that the caller has left.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// How long the rest of a refused request is read before the connection is closed. Closing with
-/// unread bytes resets the connection, and the refusal could be lost with it.
+/// How long the remainder of a refused request is read before the connection is closed. Closing it
+/// with unread bytes resets the connection, which could destroy the refusal on its way.
 const LINGER_MS: u64 = 1_000;
 
-/// `CallerKind` is what a connection may ask for.
+/// Service that a connection has reached, by its listening address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerKind {
-    /// Serving requests.
+    /// Requests to upstreams.
     Serving,
-    /// Whether this VM takes callers.
+    /// Readiness checks.
     Ready,
-    /// Metrics.
+    /// Reads of metrics.
     Metrics,
 }
 
+/// Progress of the request on a connection.
 #[derive(Debug)]
 enum Phase {
-    /// A head is awaited.
+    /// Receiving a request's head.
     Head,
-    /// A body is awaited.
+    /// Receiving a request's body.
     Body {
         head: RequestHead,
         decoder: BodyDecoder,
         body: Vec<u8>,
     },
-    /// A request is answered.
+    /// Waiting for the answer to the request with this key; none before the key is assigned.
     Busy(Option<u64>),
-    /// The connection ends once everything is written.
-    Closing { until_ms: u64, shut: bool },
+    /// Writing what remains, then waiting for the caller to close the connection.
+    Closing {
+        until_ms: u64,
+        is_write_closed: bool,
+    },
 }
 
-/// `Received` is what has come from a caller.
+/// What has been received from a caller.
 #[derive(Debug)]
 pub(crate) enum Received {
-    /// A whole request.
+    /// A complete request.
     Request { head: RequestHead, body: Vec<u8> },
-    /// Bytes that are no request that may be answered on this connection.
+    /// Bytes that are no valid request, or one that exceeds a limit.
     Refused(HttpError),
-    /// Nothing yet.
+    /// Nothing complete yet.
     Nothing,
     /// The caller has left.
     Left,
 }
 
-/// `Caller` is one accepted connection.
+/// One accepted connection, with the request in progress on it.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub stream: Stream,
     pub kind: CallerKind,
-    /// Where it comes from.
+    /// Remote IP address.
     pub address: IpAddr,
     input: Vec<u8>,
     phase: Phase,
-    /// Whether the connection ends after the answer in progress.
+    /// Whether the connection closes after the answer in progress.
     pub close_after: bool,
     /// Whether the request in progress is HEAD, whose answer has no body.
-    pub to_head: bool,
-    /// When the connection was last used or written to, or when the head in progress began.
+    pub is_head_request: bool,
+    /// Time of the last write, of the end of the last answer, or of the begin of the head in
+    /// progress.
     since_ms: u64,
+    /// How reading ended; none while the caller has not closed the connection.
     ended: Option<ReadEnd>,
 }
 
 impl Caller {
-    /// Returns a new connection.
+    /// Returns an idle connection.
     pub fn new(now_ms: u64, stream: Stream, kind: CallerKind, address: IpAddr) -> Self {
         Self {
             stream,
@@ -87,13 +94,13 @@
             input: Vec::new(),
             phase: Phase::Head,
             close_after: false,
-            to_head: false,
+            is_head_request: false,
             since_ms: now_ms,
             ended: None,
         }
     }
 
-    /// Reads what is there and returns what has come.
+    /// Reads the available bytes and returns what has been received.
     pub fn receive(&mut self, now_ms: u64, limits: &CallerLimits) -> Received {
         loop {
             let room_bytes = match &self.phase {
@@ -152,10 +159,10 @@
                 if body.len() as u64 > limits.body_bytes {
                     return Received::Refused(HttpError::BodyTooLarge);
                 }
-                if !progress.whole {
+                if !progress.is_complete {
                     return Received::Nothing;
                 }
-                self.take_request()
+                self.complete_request()
             }
             Phase::Closing { .. } => {
                 self.input.clear();
@@ -165,11 +172,11 @@
         }
     }
 
-    fn take_request(&mut self) -> Received {
+    fn complete_request(&mut self) -> Received {
         match std::mem::replace(&mut self.phase, Phase::Busy(None)) {
             Phase::Body { head, body, .. } => {
                 self.close_after |= head.close;
-                self.to_head = head.method.eq_ignore_ascii_case("HEAD");
+                self.is_head_request = head.method.eq_ignore_ascii_case("HEAD");
                 Received::Request { head, body }
             }
             other => {
@@ -179,12 +186,12 @@
         }
     }
 
-    /// Notes which request is answered on this connection.
-    pub fn answer_for(&mut self, key: u64) {
+    /// Sets the key of the request that is answered on this connection.
+    pub fn set_request(&mut self, key: u64) {
         self.phase = Phase::Busy(Some(key));
     }
 
-    /// Returns the request that is answered on this connection.
+    /// Returns the key of the request that is answered on this connection; none if there is none.
     pub fn request(&self) -> Option<u64> {
         match self.phase {
             Phase::Busy(key) => key,
@@ -192,17 +199,17 @@
         }
     }
 
-    /// Returns whether the connection waits for a request of which nothing has come.
+    /// Returns whether the connection waits for a request of which no byte has arrived.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Head) && self.input.is_empty() && !self.has_unwritten()
     }
 
-    /// Returns whether the caller has not been sent all that it was given.
+    /// Returns whether bytes to the caller have yet to be sent.
     pub fn has_unwritten(&self) -> bool {
         self.stream.unwritten_bytes() > 0
     }
 
-    /// Ends the answer in progress. Returns whether another request may follow.
+    /// Completes the answer in progress. Returns whether another request may follow.
     pub fn answered(&mut self, now_ms: u64) -> bool {
         self.since_ms = now_ms;
         if self.close_after || self.ended.is_some() {
@@ -213,15 +220,16 @@
         true
     }
 
-    /// Begins to end the connection.
+    /// Begins to close the connection.
     pub fn begin_close(&mut self, now_ms: u64) {
         self.phase = Phase::Closing {
             until_ms: now_ms + LINGER_MS,
-            shut: false,
+            is_write_closed: false,
         };
     }
 
-    /// Writes what can be written. Returns whether the connection should be dropped now.
+    /// Writes the bytes that the kernel accepts. Returns whether the connection should be dropped
+    /// now.
     pub fn flush(&mut self, now_ms: u64) -> bool {
         let sent_bytes = self.stream.sent_bytes;
         if !self.stream.flush() {
@@ -232,19 +240,25 @@
         }
         let written = !self.has_unwritten();
         match &mut self.phase {
-            Phase::Closing { until_ms, shut } if written && !*shut => {
+            Phase::Closing {
+                until_ms,
+                is_write_closed,
+            } if written && !*is_write_closed => {
                 *until_ms = now_ms + LINGER_MS;
-                *shut = true;
-                self.stream.shut_write();
+                *is_write_closed = true;
+                self.stream.close_write_half();
                 self.ended.is_some()
             }
-            Phase::Closing { shut: true, .. } => self.ended.is_some(),
+            Phase::Closing {
+                is_write_closed: true,
+                ..
+            } => self.ended.is_some(),
             _ => false,
         }
     }
 
-    /// Returns whether the connection's time is over.
-    pub fn is_over(&self, now_ms: u64, limits: &CallerLimits) -> bool {
+    /// Returns whether the connection has timed out.
+    pub fn is_timed_out(&self, now_ms: u64, limits: &CallerLimits) -> bool {
         let age_ms = now_ms.saturating_sub(self.since_ms);
         match &self.phase {
             Phase::Head | Phase::Closing { .. } if self.has_unwritten() => {
--- a/crates/entry/src/calling.rs
+++ b/crates/entry/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of this VM's own: to the store and to the engines' operating interface.
+//! Calls that this VM makes itself: to the store and to the engines' operating interface.
 
 use std::net::SocketAddr;
 
@@ -12,122 +12,123 @@
 use crate::outbound::Peer;
 use crate::outbound::Purpose;
 
-/// The largest answer to a call. The platform's largest page is 1 MB before it is encoded.
+/// Size limit of an answer's body. The platform's largest page is 1 MB before it is encoded.
 const ANSWER_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 
-/// `CallTag` says what a call is for.
+/// Purpose of a call, which decides who handles its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum CallTag {
-    /// The newest configuration.
+    /// Reads the newest configuration.
     ConfigurationNewest,
-    /// Changes of the configuration.
+    /// Reads changes of the configuration.
     ConfigurationRead,
-    /// A page of upstreams.
+    /// Reads a page of the newest upstream entries.
     UpstreamsNewest,
-    /// Changes of upstreams.
+    /// Reads changes of the upstream entries.
     UpstreamsRead,
-    /// The copy of the list.
-    CopyNewest,
-    /// A write of that copy.
-    CopyAppend,
-    /// This VM's own entry.
+    /// Reads a page of the list snapshot.
+    SnapshotNewest,
+    /// Writes the list snapshot.
+    SnapshotAppend,
+    /// Writes this VM's own entry.
     VmAppend,
-    /// The other VMs' entries.
+    /// Reads a page of the VMs' entries.
     VmsNewest,
-    /// A read of the lease.
+    /// Reads the order lease.
     LeaseRead,
-    /// An append to the lease.
+    /// Appends a record to the order lease.
     LeaseAppend,
-    /// An order to an engine.
+    /// Sends an order to an engine.
     Order(UpstreamName, OrderKind),
-    /// An engine's report.
+    /// Reads an engine's report for planning.
     Report(UpstreamName),
-    /// An engine's report, to see whether a silent engine answers.
-    Look(UpstreamName),
-    /// An engine's report, to see whether an engine that broke a connection is still there.
+    /// Probes an engine from which nothing has come for too long, by reading its report.
+    Probe(UpstreamName),
+    /// Probes an upstream that broke a connection, by reading an engine's report or only
+    /// connecting.
     UpstreamProbe(UpstreamName),
-    /// Blocked requests that are kept in the store.
+    /// Reads a page of the blocked requests kept in the store.
     BlocksNewest,
-    /// A write of these.
+    /// Writes the blocked requests.
     BlocksAppend,
 }
 
 impl CallTag {
-    /// Returns the word for logs and metrics.
+    /// Returns the name of the call in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::ConfigurationNewest => "configuration_newest",
             Self::ConfigurationRead => "configuration_read",
             Self::UpstreamsNewest => "upstreams_newest",
             Self::UpstreamsRead => "upstreams_read",
-            Self::CopyNewest => "copy_newest",
-            Self::CopyAppend => "copy_append",
+            Self::SnapshotNewest => "copy_newest",
+            Self::SnapshotAppend => "copy_append",
             Self::VmAppend => "vm_append",
             Self::VmsNewest => "vms_newest",
             Self::LeaseRead => "lease_read",
             Self::LeaseAppend => "lease_append",
             Self::Order(..) => "order",
             Self::Report(_) => "report",
-            Self::Look(_) => "look",
+            Self::Probe(_) => "look",
             Self::UpstreamProbe(_) => "recheck",
             Self::BlocksNewest => "blocks_newest",
             Self::BlocksAppend => "blocks_append",
         }
     }
 
-    /// Returns whether the store answers the call.
-    pub fn is_of_store(&self) -> bool {
+    /// Returns whether the call goes to the store.
+    pub fn targets_store(&self) -> bool {
         !matches!(
             self,
-            Self::Order(..) | Self::Report(_) | Self::Look(_) | Self::UpstreamProbe(_)
+            Self::Order(..) | Self::Report(_) | Self::Probe(_) | Self::UpstreamProbe(_)
         )
     }
 
-    /// Returns whether the call is a read that goes on from a place at which an earlier one ended.
-    /// The lease looks at its places by itself.
-    pub fn names_a_place(&self) -> bool {
+    /// Returns whether the call is a read that continues from the position at which an earlier one
+    /// ended. Reads of the lease are excluded, since the lease checks its positions itself.
+    pub fn continues_from_position(&self) -> bool {
         matches!(
             self,
             Self::ConfigurationNewest
                 | Self::ConfigurationRead
                 | Self::UpstreamsNewest
                 | Self::UpstreamsRead
-                | Self::CopyNewest
+                | Self::SnapshotNewest
                 | Self::VmsNewest
                 | Self::BlocksNewest
         )
     }
 }
 
-/// `CallAnswer` is an answer as far as it was read.
+/// An answer to a call, as far as it has been received.
 #[derive(Clone, Debug)]
 pub(crate) struct CallAnswer {
     pub status: u16,
-    /// The era in which the store gave it, if it said so.
+    /// Era in which the store answered; none if the answer does not state one.
     pub era: Option<u64>,
     pub body: Vec<u8>,
 }
 
-/// `CallOutcome` is how a call ended.
+/// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
-    /// It was answered.
+    /// An answer was received.
     Answered {
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// The body.
+        /// Complete body.
         body: Vec<u8>,
     },
-    /// It named a place in a topic, and the store has come back from an older copy since.
-    SetBack,
-    /// It was certainly not received.
+    /// The call named a position in a topic, and the store has been rolled back since.
+    RolledBack,
+    /// The other end certainly did not receive the call.
     NotSent,
-    /// It may have been received.
+    /// The other end may have received the call.
     Unknown,
 }
 
 impl CallOutcome {
-    /// Returns the word for metrics.
+    /// Returns the name of the outcome in metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Answered {
@@ -138,7 +139,7 @@
                 status: 500..=599, ..
             } => "unavailable",
             Self::Answered { .. } => "rejected",
-            Self::SetBack => "set_back",
+            Self::RolledBack => "set_back",
             Self::NotSent => "not_sent",
             Self::Unknown => "unknown",
         }
@@ -146,7 +147,8 @@
 }
 
 impl Daemon {
-    /// Begins a call. Its outcome comes to [`Daemon::call_ended`], at the latest after the timeout.
+    /// Begins a call. Its outcome is passed to [`Daemon::finish_call`], after the timeout at the
+    /// latest.
     pub(crate) fn call(
         &mut self,
         peer: Peer,
@@ -157,12 +159,12 @@
     ) {
         match self.connect(&peer, address) {
             Some(token) => self.call_on(token, tag, bytes, timeout_ms),
-            None => self.call_ended(tag, CallOutcome::NotSent),
+            None => self.finish_call(tag, CallOutcome::NotSent),
         }
     }
 
-    /// Begins a call on a connection of its own, whatever idle ones there are.
-    pub(crate) fn call_anew(
+    /// Begins a call on a new connection, even if there are idle ones.
+    pub(crate) fn call_on_new_connection(
         &mut self,
         peer: Peer,
         address: SocketAddr,
@@ -172,7 +174,7 @@
     ) {
         match self.open(&peer, address) {
             Some(token) => self.call_on(token, tag, bytes, timeout_ms),
-            None => self.call_ended(tag, CallOutcome::NotSent),
+            None => self.finish_call(tag, CallOutcome::NotSent),
         }
     }
 
@@ -183,14 +185,14 @@
         };
         connection.begin(now_ms, Purpose::Call(tag), bytes, false);
         connection.call_until_ms = Some(now_ms + timeout_ms);
-        connection.asked_era = self.store_era.now();
-        self.call_alarm_ms = self.call_alarm_ms.min(now_ms + timeout_ms);
+        connection.request_era = self.store_era.now();
+        self.next_call_timeout_ms = self.next_call_timeout_ms.min(now_ms + timeout_ms);
         if !connection.stream.flush() {
-            self.call_broken(token);
+            self.call_failed(token);
         }
     }
 
-    /// Returns a connection to a peer that is ready for a request, or none if none can be opened.
+    /// Returns a connection to a peer that is ready for a request; none if none can be opened.
     pub(crate) fn connect(&mut self, peer: &Peer, address: SocketAddr) -> Option<Token> {
         if let Some(token) = self.outbound.take_idle(self.now_ms, peer) {
             return Some(token);
@@ -208,7 +210,7 @@
         opened.ok().map(|()| token)
     }
 
-    /// Goes on with the answer to a call.
+    /// Continues receiving the answer to a call.
     pub(crate) fn advance_call(&mut self, token: Token) {
         let now_ms = self.now_ms;
         loop {
@@ -217,7 +219,7 @@
             };
             match connection.next_part() {
                 Part::Head(head) => {
-                    self.note_idle(token, &head);
+                    self.record_idle_time(token, &head);
                     let answer = CallAnswer {
                         status: head.status,
                         era: self.codecs.store.era(&head),
@@ -232,91 +234,91 @@
                         answer.body.len() > ANSWER_LIMIT_BYTES
                     });
                     if too_large {
-                        self.call_broken(token);
+                        self.call_failed(token);
                         return;
                     }
                 }
                 Part::End => {
                     let purpose = connection.purpose.clone();
-                    let asked_era = connection.asked_era;
+                    let request_era = connection.request_era;
                     let answer = self.call_answers.remove(&token);
                     self.outbound
                         .release(self.now_ms, token, self.poll.registry());
                     if let (Purpose::Call(tag), Some(answer)) = (purpose, answer) {
-                        let outcome = self.outcome_in_era(&tag, asked_era, answer);
-                        self.call_ended(tag, outcome);
+                        let outcome = self.era_checked_outcome(&tag, request_era, answer);
+                        self.finish_call(tag, outcome);
                     }
                     return;
                 }
                 Part::Wait if connection.has_more() => connection.read(now_ms),
                 Part::Wait => return,
                 Part::Failed => {
-                    self.call_broken(token);
+                    self.call_failed(token);
                     return;
                 }
             }
         }
     }
 
-    /// Ends a call whose connection failed or whose time is over.
-    pub(crate) fn call_broken(&mut self, token: Token) {
+    /// Ends a call whose connection failed or that has timed out.
+    pub(crate) fn call_failed(&mut self, token: Token) {
         self.call_answers.remove(&token);
         let Some(connection) = self.outbound.get_mut(token) else {
             return;
         };
         let sent = connection.stream.sent_bytes > 0;
-        let unreached = connection.is_unreached(self.now_ms);
+        let unreachable = connection.is_unreachable(self.now_ms);
         let refused = connection.stream.refused;
-        let silent = connection
+        let timed_out = connection
             .call_until_ms
             .is_some_and(|until_ms| until_ms <= self.now_ms);
         let peer = connection.peer.clone();
         let purpose = self.outbound.close(token, self.poll.registry());
-        // Connections can fall silent without a reset, several at once: the next call must not
-        // wait on another silent one.
+        // Several connections to a peer can fall silent together without a reset: the next call
+        // must not wait on another silent one.
         self.outbound.close_idle(&peer, self.poll.registry());
         match &peer {
-            Peer::Upstream(upstream) if unreached => {
-                self.upstream_unreachable(upstream);
+            Peer::Upstream(upstream) if unreachable => {
+                self.handle_unreachable_upstream(upstream);
                 if refused {
-                    self.record_ended(upstream);
+                    self.handle_upstream_end(upstream);
                 }
             }
             _ => {}
         }
-        if let Some(Purpose::Call(CallTag::Look(engine))) = &purpose {
+        if let Some(Purpose::Call(CallTag::Probe(engine))) = &purpose {
             self.metrics
-                .call("look", if silent { "silent" } else { "reset" });
-            self.look_ended(engine, !silent);
+                .call("look", if timed_out { "silent" } else { "reset" });
+            self.probe_ended(engine, !timed_out);
         } else if let Some(Purpose::Call(tag)) = purpose {
             let outcome = match sent {
                 true => CallOutcome::Unknown,
                 false => CallOutcome::NotSent,
             };
-            self.call_ended(tag, outcome);
+            self.finish_call(tag, outcome);
         }
     }
 
-    /// Notes how long the other end keeps the connection.
-    pub(crate) fn note_idle(&mut self, token: Token, head: &ResponseHead) {
+    /// Applies the idle time that the other end states for the connection.
+    pub(crate) fn record_idle_time(&mut self, token: Token, head: &ResponseHead) {
         let fields = self.codecs.callers.answer(head);
         if let (Some(idle_ms), Some(connection)) = (fields.idle_ms, self.outbound.get_mut(token)) {
-            connection.note_idle_ms(idle_ms);
+            connection.set_idle_time(idle_ms);
         }
     }
 
-    /// Hands a call's outcome to whoever made it.
-    fn call_ended(&mut self, tag: CallTag, outcome: CallOutcome) {
+    /// Passes a call's outcome to the part of the daemon that made the call.
+    fn finish_call(&mut self, tag: CallTag, outcome: CallOutcome) {
         self.metrics.call(tag.as_str(), outcome.as_str());
         match tag {
             CallTag::Order(engine, kind) => self.order_ended(&engine, &kind, outcome),
             CallTag::Report(engine) => self.report_ended(&engine, outcome),
-            CallTag::Look(engine) => self.look_ended(&engine, true),
-            CallTag::UpstreamProbe(upstream) => self.recheck_ended(&upstream, &outcome),
-            CallTag::BlocksNewest => self.blocks_read(outcome),
-            CallTag::BlocksAppend => self.blocks_written(outcome),
+            CallTag::Probe(engine) => self.probe_ended(&engine, true),
+            CallTag::UpstreamProbe(upstream) => self.handle_crash_probe(&upstream, &outcome),
+            CallTag::BlocksNewest => self.handle_blocks_page(outcome),
+            CallTag::BlocksAppend => self.finish_blocks_write(outcome),
             CallTag::LeaseRead | CallTag::LeaseAppend => self.lease_call_ended(&tag, outcome),
-            _ => self.feed_call_ended(&tag, outcome),
+            _ => self.finish_poll(&tag, outcome),
         }
     }
 }
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: what comes from them, and how they end.
+//! Callers' connections: receiving requests, writing answers and closing.
 
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
@@ -17,7 +17,7 @@
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 impl Daemon {
-    /// Goes on with a caller's connection.
+    /// Continues a caller's connection: writes, reads and handles complete requests.
     pub(crate) fn serve_caller(&mut self, token: Token) {
         loop {
             let limits = self.directory.configuration().limits;
@@ -34,8 +34,8 @@
                 return;
             };
             match caller.receive(now_ms, &limits) {
-                Received::Request { head, body } => self.take_request(token, head, body),
-                Received::Refused(error) => self.refuse_bytes(token, error),
+                Received::Request { head, body } => self.handle_request(token, head, body),
+                Received::Refused(error) => self.refuse_invalid_bytes(token, error),
                 Received::Left => {
                     self.drop_caller(token, true);
                     return;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Lets an upstream's connection be read again once the caller has taken what was read.
+    /// Resumes reading from an upstream once the caller has taken the bytes read so far.
     fn resume_reading(&mut self, token: Token) {
         let Some(key) = self.callers.get(&token).and_then(|caller| caller.request()) else {
             return;
@@ -59,12 +59,12 @@
             .get_mut(connection)
             .is_some_and(|it| std::mem::take(&mut it.paused));
         if was_paused {
-            self.advance_relay(connection, key, true);
+            self.advance_proxied_answer(connection, key, true);
         }
     }
 
-    /// Drops a caller's connection. A request that may be repeated, or a stream, is given up with
-    /// it; one that may run only once is left to end.
+    /// Drops a caller's connection. Its request is cancelled if it may be retried or streams; one
+    /// that may run only once continues to its end.
     pub(crate) fn drop_caller(&mut self, token: Token, left: bool) {
         let Some(caller) = self.callers.remove(&token) else {
             return;
@@ -84,7 +84,7 @@
         let may_be_cut = request.job.kind.is_repeatable() || request.job.kind.is_stream();
         let is_sent = matches!(request.phase, Phase::Sent { .. });
         if !is_sent || may_be_cut {
-            self.cancel_try(key);
+            self.cancel_attempt(key);
             self.end_request(
                 key,
                 if left {
@@ -96,18 +96,21 @@
         }
     }
 
-    /// Writes a refusal of this VM's own; the answer to HEAD has no body.
+    /// Writes a refusal. The answer to a HEAD request has no body.
     pub(crate) fn write_refusal(&mut self, token: Token, mut bytes: Vec<u8>) {
-        let to_head = self.callers.get(&token).is_some_and(|it| it.to_head);
+        let is_head_request = self
+            .callers
+            .get(&token)
+            .is_some_and(|it| it.is_head_request);
         let end = bytes.windows(HEAD_END.len()).position(|it| it == HEAD_END);
-        if let (true, Some(end)) = (to_head, end) {
+        if let (true, Some(end)) = (is_head_request, end) {
             bytes.truncate(end + HEAD_END.len());
         }
         self.write_to_caller(token, &bytes);
         self.finish_answer(token);
     }
 
-    fn refuse_bytes(&mut self, token: Token, error: HttpError) {
+    fn refuse_invalid_bytes(&mut self, token: Token, error: HttpError) {
         let reason = match error {
             HttpError::HeadTooLarge => RefusalReason::HeadTooLarge,
             HttpError::BodyTooLarge => RefusalReason::BodyTooLarge,
@@ -116,7 +119,7 @@
         self.refuse_connection(token, Refusal::not_run(reason, error.to_string()));
     }
 
-    /// Answers with a refusal and ends the connection, whose further bytes can't be trusted.
+    /// Answers with a refusal and closes the connection, since its further bytes can't be parsed.
     fn refuse_connection(&mut self, token: Token, refusal: Refusal) {
         self.metrics.refused(refusal.reason.as_str());
         let now_ms = self.now_ms;
@@ -127,9 +130,9 @@
         }
     }
 
-    fn take_request(&mut self, token: Token, head: RequestHead, body: Vec<u8>) {
+    fn handle_request(&mut self, token: Token, head: RequestHead, body: Vec<u8>) {
         match self.callers.get(&token).map(|caller| caller.kind) {
-            Some(CallerKind::Serving) => self.take_serving(token, head, body),
+            Some(CallerKind::Serving) => self.handle_serving_request(token, head, body),
             Some(CallerKind::Ready) => self.answer_ready(token),
             Some(CallerKind::Metrics) => self.answer_metrics(token),
             None => {}
@@ -137,7 +140,7 @@
     }
 
     fn answer_ready(&mut self, token: Token) {
-        let ready = self.takes_requests() && !self.stopping.has_begun();
+        let ready = self.is_ready_for_requests() && !self.planned_stop.has_begun();
         self.answer_text(token, if ready { 200 } else { 503 }, "");
     }
 
@@ -145,8 +148,10 @@
         self.metrics.active.set(self.active.len() as i64);
         self.metrics.callers.set(self.callers.len() as i64);
         self.metrics.outbound.set(self.outbound.len() as i64);
-        self.metrics.dropped_lines.set(self.lines.dropped as i64);
-        self.note_quarantine_size();
+        self.metrics
+            .dropped_lines
+            .set(self.log_budget.dropped_lines as i64);
+        self.update_quarantine_gauges();
         let text = self.metrics.render();
         self.answer_text(token, 200, &text);
     }
@@ -166,7 +171,7 @@
         self.finish_answer(token);
     }
 
-    /// Writes to a caller without handling what that shows of the connection.
+    /// Writes to a caller. A broken connection is handled later.
     pub(crate) fn write_to_caller(&mut self, token: Token, bytes: &[u8]) {
         if let Some(caller) = self.callers.get_mut(&token) {
             caller.stream.queue(bytes);
@@ -174,12 +179,12 @@
         }
     }
 
-    /// Ends an answer on a caller's connection.
+    /// Completes an answer on a caller's connection.
     pub(crate) fn finish_answer(&mut self, token: Token) {
         let now_ms = self.now_ms;
-        let stops = self.stopping.has_begun();
+        let is_stopping = self.planned_stop.has_begun();
         if let Some(caller) = self.callers.get_mut(&token) {
-            caller.close_after |= stops && caller.kind == CallerKind::Serving;
+            caller.close_after |= is_stopping && caller.kind == CallerKind::Serving;
             caller.answered(now_ms);
             caller.flush(now_ms);
             self.answered.push(token);
--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -1,9 +1,9 @@
-//! Upstreams that crash, the requests under which they do, and what the VMs tell each other of it.
+//! Detection of requests that crash upstreams, and the exchange about them between VMs.
 //!
-//! A connection that breaks shows little: the upstream may be there. So the upstream is asked
-//! before the requests lost with it are held against anybody. What was in progress is told to a few
-//! VMs, which judge; a verdict is told to all, and kept in the store by the giver of orders for VMs
-//! that start. Nothing here holds up a request that is not blocked.
+//! A broken connection alone proves little, since the upstream may still be there. So the upstream
+//! is probed before the requests that were lost with it become suspects. Reports of what was in
+//! progress go to a few VMs, which judge. A verdict is announced to all VMs and kept in the store
+//! by the lease holder for VMs that start. Requests that are not blocked are never delayed by this.
 
 use std::cmp::Reverse;
 use std::net::IpAddr;
@@ -26,40 +26,41 @@
 use apricotdale_quarantine::UpstreamProbe;
 
 use crate::active::Phase;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::daemon::Daemon;
 use crate::messages::PeerMessage;
 use crate::outbound::Peer;
 
-/// How long the answer of an upstream is awaited that broke a connection. Nobody listens where a
-/// process has ended, which shows within a round trip.
-const RECHECK_MS: u64 = 300;
+/// Time limit for the probe of an upstream that broke a connection. Where a process has ended
+/// nobody listens, which shows within one round trip.
+const PROBE_TIMEOUT_MS: u64 = 300;
 
-/// Reports in one datagram, each with ten requests at the most.
-const REPORTS_A_DATAGRAM: usize = 4;
+/// Reports in one datagram; each contains at most ten requests.
+const REPORTS_PER_DATAGRAM: usize = 4;
 
 /// Blocks in one datagram.
-const BLOCKS_A_DATAGRAM: usize = 10;
+const BLOCKS_PER_DATAGRAM: usize = 10;
 
 /// Requests on probation in one datagram.
-const PROBATIONS_A_DATAGRAM: usize = 30;
+const PROBATIONS_PER_DATAGRAM: usize = 30;
 
-/// Fingerprints in one line of the log.
-const LOGGED_SUSPECTS: usize = 8;
+/// Maximum number of fingerprints in one log line.
+const MAX_LOGGED_SUSPECTS: usize = 8;
 
 impl Daemon {
-    /// Returns the refusal of a request under which upstreams crash, or none if it may be sent.
-    pub(crate) fn blocked(&self, fingerprint: &Fingerprint) -> Option<Refusal> {
+    /// Returns the refusal of a blocked request; none if the request may be sent.
+    pub(crate) fn block_refusal(&self, fingerprint: &Fingerprint) -> Option<Refusal> {
         let left_ms = self.crash_watch.blocked_ms(self.now_ms, fingerprint)?;
         let detail = blocked_detail(fingerprint);
         let refusal = Refusal::not_run(RefusalReason::CrashesUpstreams, detail);
         Some(refusal.retry_after(left_ms))
     }
 
-    /// Notes a request that was lost because an upstream broke its connection.
-    pub(crate) fn note_broken_send(&mut self, upstream: &UpstreamName, key: u64) {
-        // One that leaves, was removed or fell silent before does not end under its requests.
+    /// Records a request that was lost because an upstream broke its connection.
+    pub(crate) fn record_lost_request(&mut self, upstream: &UpstreamName, key: u64) {
+        // A broken connection of an upstream that is leaving, removed or unresponsive is no sign of
+        // a crash under a request.
         let is_serving = self
             .directory
             .upstream(upstream)
@@ -82,9 +83,9 @@
         );
     }
 
-    /// Asks an upstream that broke a connection whether it is still there. A plain service's
-    /// instance is only connected to: it could take a question for a request.
-    fn recheck(&mut self, recheck: &UpstreamProbe) {
+    /// Probes an upstream that broke a connection. At an instance of a plain service only a
+    /// connection is opened, since it could take the probe for a request.
+    fn probe_after_crash(&mut self, recheck: &UpstreamProbe) {
         let Some(known) = self.directory.upstream(&recheck.upstream) else {
             return;
         };
@@ -95,12 +96,12 @@
         };
         let peer = Peer::Upstream(recheck.upstream.clone());
         let tag = CallTag::UpstreamProbe(recheck.upstream.clone());
-        self.call_anew(peer, address, tag, &bytes, RECHECK_MS);
+        self.call_on_new_connection(peer, address, tag, &bytes, PROBE_TIMEOUT_MS);
     }
 
-    /// Takes in what an upstream said that broke a connection. One that answers has not ended; if
-    /// another answers in its place, it has.
-    pub(crate) fn recheck_ended(&mut self, upstream: &UpstreamName, outcome: &CallOutcome) {
+    /// Handles the outcome of such a probe. An upstream that answers has not ended; if another one
+    /// answers at its address, it has.
+    pub(crate) fn handle_crash_probe(&mut self, upstream: &UpstreamName, outcome: &CallOutcome) {
         let CallOutcome::Answered { status, body } = outcome else {
             self.crash_watch.record_unanswered(self.now_ms, upstream);
             return;
@@ -111,20 +112,20 @@
             Ok(report) if born_ms.is_some_and(|born_ms| report.born_ms <= born_ms) => {
                 self.crash_watch.record_alive(upstream);
             }
-            Ok(_) => self.record_ended(upstream),
-            Err(_) if *status == 421 => self.record_ended(upstream),
+            Ok(_) => self.handle_upstream_end(upstream),
+            Err(_) if *status == 421 => self.handle_upstream_end(upstream),
             Err(_) => {}
         }
     }
 
-    /// Takes in that an upstream has ended.
-    pub(crate) fn record_ended(&mut self, upstream: &UpstreamName) {
+    /// Handles the end of an upstream, which is a crash if requests were lost with it.
+    pub(crate) fn handle_upstream_end(&mut self, upstream: &UpstreamName) {
         let Some(lost) = self.crash_watch.record_ended(self.now_ms, upstream) else {
             return;
         };
         let mut lost = lost;
         lost.sort_by_key(|it| Reverse(it.copies));
-        let texts = lost.iter().take(LOGGED_SUSPECTS);
+        let texts = lost.iter().take(MAX_LOGGED_SUSPECTS);
         let texts: Vec<String> = texts
             .map(|it| format!("{}x{}", it.fingerprint, it.copies))
             .collect();
@@ -140,36 +141,36 @@
     /// Does what is due about crashed upstreams and blocked requests.
     pub(crate) fn advance_crash_watch(&mut self) {
         if self.crash_watch.is_due(self.now_ms) {
-            self.do_due_about_crashes();
+            self.run_crash_watch();
         }
         self.advance_block_store();
     }
 
-    fn do_due_about_crashes(&mut self) {
+    fn run_crash_watch(&mut self) {
         let own = self.peers.own_record().vm.clone();
         let judges = self.peers.judges();
         let role = Role {
             judge: judges.iter().position(|(vm, _)| *vm == own),
             judges: judges.len(),
             vms: self.peers.others() + 1,
-            is_lease_holder: self.ordering.held_lease_end(self.now_ms).is_some(),
+            is_lease_holder: self.engine_orders.held_lease_end(self.now_ms).is_some(),
         };
         let due = self.crash_watch.due(self.now_ms, role);
-        due.probes.iter().for_each(|it| self.recheck(it));
-        self.look_again |= due.may_continue;
+        due.probes.iter().for_each(|it| self.probe_after_crash(it));
+        self.redispatch_needed |= due.may_continue;
         if let Some((vm, address)) = judges.get(due.trial_judge) {
             let is_other = *vm != own;
-            let asker = self.run;
+            let asker = self.incarnation;
             for ask in due.trial_queries {
                 self.peers
-                    .send(*address, &PeerMessage::TrialWanted { asker, ask });
+                    .send(*address, &PeerMessage::TrialRequested { asker, ask });
             }
             for end in due.trial_ends.into_iter().filter(|_| is_other) {
                 self.peers
                     .send(*address, &PeerMessage::TrialOver { asker, end });
             }
         }
-        for part in due.probations.chunks(PROBATIONS_A_DATAGRAM) {
+        for part in due.probations.chunks(PROBATIONS_PER_DATAGRAM) {
             log::info!(fingerprints = texts_of(part); "requests on probation");
             self.peers.send_all(&PeerMessage::Probations(part.to_vec()));
         }
@@ -179,24 +180,24 @@
             }
         }
         for row in &due.new_blocks {
-            self.metrics.begun_block();
-            self.block_began(row, "found");
+            self.metrics.new_block();
+            self.apply_new_block(row, "found");
         }
-        for part in due.blocks.chunks(BLOCKS_A_DATAGRAM) {
+        for part in due.blocks.chunks(BLOCKS_PER_DATAGRAM) {
             self.peers.send_all(&PeerMessage::Blocks(part.to_vec()));
         }
-        self.block_store.record_ended(due.ended);
+        self.block_store.record_ended_blocks(due.ended);
     }
 
-    /// Decides for another VM whether it may send a request on probation.
+    /// Decides as a judge whether another VM may send a request on probation.
     pub(crate) fn decide_trial(&mut self, from: SocketAddr, asker: u64, ask: &TrialQuery) {
         let vms = self.peers.others() + 1;
         let answer = self.crash_watch.decide_trial(self.now_ms, asker, ask, vms);
         self.peers.send(from, &PeerMessage::TrialDecided(answer));
     }
 
-    /// Notes that a trial could not be sent.
-    pub(crate) fn note_unsent_trial(&mut self, key: u64) {
+    /// Ends the trial run of a request that could not be sent.
+    pub(crate) fn end_unsent_trial(&mut self, key: u64) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -208,15 +209,15 @@
     }
 
     fn send_reports(&self, address: SocketAddr, reports: &[CrashReport]) {
-        for part in reports.chunks(REPORTS_A_DATAGRAM) {
+        for part in reports.chunks(REPORTS_PER_DATAGRAM) {
             self.peers
                 .send(address, &PeerMessage::Crashes(part.to_vec()));
         }
     }
 
-    /// Ends what is in progress of a request that is blocked from now on. An answer that has begun
-    /// goes on: if it ends well, the request was blamed for what happened beside it.
-    pub(crate) fn block_began(&mut self, row: &BlockRow, how: &str) {
+    /// Ends the attempts of a request that has just been blocked. An answer that has begun
+    /// continues: if it completes, the request was wrongly suspected.
+    pub(crate) fn apply_new_block(&mut self, row: &BlockRow, how: &str) {
         let upstreams: Vec<&str> = row.upstreams.iter().map(UpstreamName::as_str).collect();
         log::warn!(
             fingerprint = row.fingerprint.to_string(),
@@ -226,7 +227,7 @@
             how;
             "request blocked"
         );
-        self.block_store.note_begun(row);
+        self.block_store.record_new_block(row);
         let keys: Vec<u64> = self
             .active
             .iter()
@@ -236,11 +237,11 @@
             .map(|(key, _)| *key)
             .collect();
         for key in keys {
-            self.refuse_blocked(key, row);
+            self.refuse_newly_blocked(key, row);
         }
     }
 
-    fn refuse_blocked(&mut self, key: u64, row: &BlockRow) {
+    fn refuse_newly_blocked(&mut self, key: u64, row: &BlockRow) {
         let Some(request) = self.active.get(key) else {
             return;
         };
@@ -251,78 +252,83 @@
             true => Refusal::unknown(reason, detail),
             false => Refusal::not_run(reason, detail).retry_after(row.left_ms),
         };
-        self.cancel_try(key);
+        self.cancel_attempt(key);
         self.refuse(key, &refusal);
     }
 
-    /// Takes in what another VM had in progress at upstreams that crashed.
-    pub(crate) fn take_crash_reports(&mut self, reports: &[CrashReport]) {
+    /// Handles another VM's reports of requests in progress at crashed upstreams.
+    pub(crate) fn handle_crash_reports(&mut self, reports: &[CrashReport]) {
         self.crash_watch.record_reports(self.now_ms, reports);
     }
 
-    /// Notes a request that was answered.
+    /// Records that a request was answered. If it was blocked or on probation, all VMs are
+    /// informed.
     pub(crate) fn record_answered(&mut self, fingerprint: Fingerprint) {
         if self.crash_watch.record_answered(self.now_ms, fingerprint) {
-            self.log_cleared(&fingerprint, "answered");
+            self.record_cleared(&fingerprint, "answered");
             self.peers.send_all(&PeerMessage::Cleared(fingerprint));
         }
     }
 
-    /// Takes in that a blocked request was answered.
-    pub(crate) fn request_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
+    /// Handles the announcement that a blocked request was answered after all.
+    pub(crate) fn handle_cleared_request(&mut self, fingerprint: &Fingerprint, how: &str) {
         if self.crash_watch.record_cleared(self.now_ms, fingerprint) {
-            self.log_cleared(fingerprint, how);
+            self.record_cleared(fingerprint, how);
         }
     }
 
-    /// Tells a VM which requests are on probation.
-    pub(crate) fn tell_probations_to(&self, address: SocketAddr) {
-        for part in self.crash_watch.probations().chunks(PROBATIONS_A_DATAGRAM) {
+    /// Sends another VM the requests on probation.
+    pub(crate) fn send_probations_to(&self, address: SocketAddr) {
+        for part in self
+            .crash_watch
+            .probations()
+            .chunks(PROBATIONS_PER_DATAGRAM)
+        {
             self.peers
                 .send(address, &PeerMessage::Probations(part.to_vec()));
         }
     }
 
-    fn log_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
-        self.block_store.record_ended(vec![*fingerprint]);
-        self.look_again = true;
+    fn record_cleared(&mut self, fingerprint: &Fingerprint, how: &str) {
+        self.block_store.record_ended_blocks(vec![*fingerprint]);
+        self.redispatch_needed = true;
         log::info!(fingerprint = fingerprint.to_string(), how; "request no longer blocked");
     }
 
-    /// Takes in blocks that another VM tells of.
-    pub(crate) fn take_blocks(&mut self, rows: &[BlockRow]) {
+    /// Applies blocks that another VM has announced.
+    pub(crate) fn apply_announced_blocks(&mut self, rows: &[BlockRow]) {
         for row in rows {
             if self.crash_watch.record_block(self.now_ms, row) {
-                self.block_began(row, "told");
+                self.apply_new_block(row, "told");
             }
         }
     }
 
-    /// Tells a VM the blocks in force.
-    pub(crate) fn tell_blocks_to(&self, address: SocketAddr) {
+    /// Sends another VM the blocks in force.
+    pub(crate) fn send_blocks_to(&self, address: SocketAddr) {
         let rows = self.crash_watch.blocks(self.now_ms);
-        for part in rows.chunks(BLOCKS_A_DATAGRAM) {
+        for part in rows.chunks(BLOCKS_PER_DATAGRAM) {
             self.peers
                 .send(address, &PeerMessage::Blocks(part.to_vec()));
         }
     }
 
-    /// Tells a judge that has started what this VM had in progress at upstreams that crashed.
-    pub(crate) fn tell_own_reports_to(&self, address: SocketAddr, vm: &VmName) {
+    /// Sends a judge that has started the local reports about crashed upstreams.
+    pub(crate) fn send_local_reports_to(&self, address: SocketAddr, vm: &VmName) {
         let reports = self.crash_watch.local_reports(self.now_ms);
         if !reports.is_empty() && self.peers.judges().iter().any(|(judge, _)| judge == vm) {
             self.send_reports(address, &reports);
         }
     }
 
-    /// Asks the giver of orders for the blocks in force: this VM may have missed some.
-    pub(crate) fn ask_for_blocks(&mut self) {
-        if let Some((_, address, _)) = self.peers.holder {
-            self.peers.send(address, &PeerMessage::BlocksWanted);
+    /// Requests the blocks in force from the lease holder, since this VM may have missed some.
+    pub(crate) fn request_blocks(&mut self) {
+        if let Some((_, address, _)) = self.peers.lease_holder {
+            self.peers.send(address, &PeerMessage::BlocksRequested);
         }
     }
 
-    pub(crate) fn note_quarantine_size(&mut self) {
+    pub(crate) fn update_quarantine_gauges(&mut self) {
         let blocked = self.crash_watch.blocks(self.now_ms).len();
         self.metrics.blocked.set(blocked as i64);
         self.metrics
@@ -333,7 +339,7 @@
     }
 }
 
-/// Returns what stands for a caller, who is known by the address only.
+/// Returns the hash that identifies a caller. Callers are known by their address only.
 pub(crate) fn caller_hash(caller: IpAddr) -> CallerHash {
     match caller {
         IpAddr::V4(address) => CallerHash::of(&address.octets()),
@@ -341,7 +347,7 @@
     }
 }
 
-/// Returns what tells whether two requests are the same one.
+/// Returns the fingerprint of a request. Equal fingerprints mean the same request.
 pub(crate) fn fingerprint(
     serving: &ServingRequest,
     head: &RequestHead,
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The readiness loop.
+//! State of the daemon and its readiness loop.
 
 use std::collections::HashMap;
 use std::io;
@@ -34,26 +34,26 @@
 use crate::block_store::BlockStore;
 use crate::caller::Caller;
 use crate::caller::CallerKind;
-use crate::calling::CallAnswer;
+use crate::calls::CallAnswer;
 use crate::clock;
 use crate::clock::now_ms;
 use crate::codec::Codecs;
+use crate::engine_orders::EngineOrders;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::feeds::Feeds;
+use crate::lifecycle::PlannedStop;
 use crate::limits::Limits;
-use crate::lines::LineBudget;
+use crate::log_budget::LogBudget;
 use crate::messages::VmRecord;
 use crate::metrics::EntryMetrics;
-use crate::news::NewsBoard;
-use crate::ordering::Ordering;
 use crate::outbound::OutboundPool;
 use crate::outbound::Peer;
 use crate::outbound::Purpose;
 use crate::peers::Peers;
+use crate::residence_updates::ResidenceUpdates;
 use crate::settings::Settings;
-use crate::stopping::Stopping;
 use crate::store_era::StoreEra;
+use crate::store_pollers::StorePollers;
 use crate::stream::Stream;
 
 const CALLERS: Token = Token(0);
@@ -62,36 +62,39 @@
 const PEERS: Token = Token(3);
 const STOP: Token = Token(4);
 const HANGUP: Token = Token(5);
-const FIRST_CONNECTION: usize = 16;
+const FIRST_CONNECTION_TOKEN: usize = 16;
 
-/// Events handled at a time.
-const EVENTS: usize = 512;
+/// Maximum number of readiness events that one iteration of the loop handles.
+const MAX_EVENTS: usize = 512;
 
-/// The longest time without a look at connections whose time may be over.
-const SWEEP_MS: u64 = 250;
+/// Longest time between two checks for connections that have timed out.
+const SWEEP_INTERVAL_MS: u64 = 250;
 
-/// The longest sleep of the loop.
+/// Longest sleep of the loop.
 const MAX_SLEEP_MS: u64 = 250;
 
-/// How much later than asked for the loop must wake up for a line about it: three quarters of the
-/// tightest target of the users' deployments, so that a pause which makes a request late is told.
-const STOOD_STILL_MS: u64 = 300;
+/// Delay of a wake-up from which a process pause is logged: three quarters of the shortest target
+/// time in the users' deployments, so that every pause which makes a request late is logged.
+const LOGGED_PAUSE_MS: u64 = 300;
 
-/// How much later than asked for the loop must wake up for the silence of others to say nothing.
-const BEHIND_MS: u64 = 100;
+/// Delay of a wake-up from which the silence of engines proves nothing, because this process
+/// paused.
+const SHORTEST_PAUSE_MS: u64 = 100;
 
-/// Callers' connections at the most, beside those to upstreams. A VM has 3,900 descriptors for
-/// sockets.
+/// Maximum number of callers' connections, besides those to upstreams. A VM has 3,900 descriptors
+/// for sockets.
 const MAX_CALLERS: usize = 3_000;
 
-/// `Daemon` is the daemon of an entry VM.
+/// Daemon of an entry VM.
 pub struct Daemon {
     pub(crate) settings: Settings,
     pub(crate) codecs: Codecs,
     pub(crate) poll: Poll,
+    /// Time of the current iteration, on the clock of [`clock::now_ms`].
     pub(crate) now_ms: u64,
-    /// A number of this run of the process, so that what an earlier run sent is told apart.
-    pub(crate) run: u64,
+    /// Random number of this incarnation of the process, which tells its messages from earlier
+    /// ones.
+    pub(crate) incarnation: u64,
     listeners: HashMap<Token, (TcpListener, CallerKind)>,
     stop_signals: UnixStream,
     hangup_signals: UnixStream,
@@ -101,53 +104,58 @@
     pub(crate) active: ActiveRequests,
     pub(crate) directory: Directory,
     pub(crate) dispatcher: Dispatcher,
+    /// Watches engines with requests in progress for silence, and decides when they are probed.
     pub(crate) watch: LivenessMonitor,
     pub(crate) crash_watch: CrashWatch,
     pub(crate) block_store: BlockStore,
     pub(crate) limits: Limits,
-    pub(crate) news: NewsBoard,
-    /// Runs of upstreams that are over and at which requests seem to be in progress.
-    pub(crate) former_runs: Vec<UpstreamName>,
-    pub(crate) feeds: Feeds,
-    pub(crate) ordering: Ordering,
+    pub(crate) residence_updates: ResidenceUpdates,
+    /// Ended incarnations of upstreams at which requests still appear to be in progress.
+    pub(crate) ended_incarnations: Vec<UpstreamName>,
+    pub(crate) store_pollers: StorePollers,
+    pub(crate) engine_orders: EngineOrders,
     pub(crate) peers: Peers,
-    pub(crate) own_demand: LocalDemand,
+    /// Demand of this VM's requests, for reports to the lease holder.
+    pub(crate) local_demand: LocalDemand,
+    /// What other VMs announce about the store's content, and what this VM announces.
     pub(crate) sharing: ReadSharing,
     pub(crate) store_era: StoreEra,
-    /// When this VM reads the store, among all that do.
+    /// Schedule of this VM's store reads among all VMs that read.
     pub(crate) pacing: ReadPacing,
-    pub(crate) stopping: Stopping,
+    pub(crate) planned_stop: PlannedStop,
     pub(crate) metrics: EntryMetrics,
-    pub(crate) lines: LineBudget,
+    pub(crate) log_budget: LogBudget,
+    /// Answers to calls in progress, as far as they have been received.
     pub(crate) call_answers: HashMap<Token, CallAnswer>,
-    pub(crate) call_alarm_ms: u64,
-    /// Callers' connections whose next request may already have come.
+    /// Earliest deadline of the calls in progress.
+    pub(crate) next_call_timeout_ms: u64,
+    /// Callers' connections whose answer has ended and whose next request may already be there.
     pub(crate) answered: Vec<Token>,
-    /// Whether waiting requests should be looked at again.
-    pub(crate) look_again: bool,
+    /// Whether dispatch of the waiting requests should be retried in this iteration.
+    pub(crate) redispatch_needed: bool,
     next_sweep_ms: u64,
 }
 
 impl Daemon {
-    /// Opens the sockets. Nothing is served before [`Daemon::run`].
+    /// Opens the sockets. No request is served before [`Daemon::run`].
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`] for an address that can't be had, [`Error::Loop`] otherwise.
+    /// [`Error::Listen`] if an address can't be bound, [`Error::Loop`] for any other I/O error.
     pub fn new(mut settings: Settings, codecs: Codecs) -> Result<Self> {
         let poll = Poll::new()?;
         let now_ms = now_ms();
-        let run = random_number();
+        let incarnation = random_incarnation();
         let mut listeners = HashMap::new();
-        // A port that the system chose replaces the 0 in the settings, so that the log and the
-        // other VMs are told the address at which this VM can be reached.
+        // A port chosen by the system replaces port 0 in the settings, so that the log and the
+        // other VMs receive the address at which this VM can be reached.
         let addresses = [
             (CALLERS, &mut settings.callers, CallerKind::Serving),
             (READY, &mut settings.ready, CallerKind::Ready),
             (METRICS, &mut settings.metrics, CallerKind::Metrics),
         ];
         for (token, address, kind) in addresses {
-            let mut listener = listen(*address)?;
+            let mut listener = bind(*address)?;
             *address = listener.local_addr()?;
             poll.registry()
                 .register(&mut listener, token, Interest::READABLE)?;
@@ -164,29 +172,29 @@
             .register(&mut socket, PEERS, Interest::READABLE)?;
         let stop_signals = signal_pipe(&poll, STOP, &[SIGTERM, SIGINT])?;
         let hangup_signals = signal_pipe(&poll, HANGUP, &[SIGHUP])?;
-        let mut options = DispatcherOptions::new(run, settings.zone.clone());
+        let mut options = DispatcherOptions::new(incarnation, settings.zone.clone());
         options.repeats_per_request = settings.repeats_per_request;
         options.spare_repeats = settings.spare_repeats;
         options.repeats_window_ms = settings.repeats_window_ms;
         let own_record = VmRecord {
             vm: settings.vm.clone(),
             address: settings.peers,
-            run,
-            work_us: clock::fixed_work_us(run),
+            incarnation,
+            work_us: clock::fixed_work_us(incarnation),
         };
-        let mut crash_watch = CrashWatch::new(run, QuarantineOptions::default());
+        let mut crash_watch = CrashWatch::new(incarnation, QuarantineOptions::default());
         crash_watch.exempt(&settings.exempt);
         Ok(Self {
-            ordering: Ordering::new(&settings, run),
+            engine_orders: EngineOrders::new(&settings, incarnation),
             peers: Peers::new(own_record, socket),
-            own_demand: LocalDemand::default(),
+            local_demand: LocalDemand::default(),
             poll,
             now_ms,
-            run,
+            incarnation,
             listeners,
             stop_signals,
             hangup_signals,
-            next_token: FIRST_CONNECTION,
+            next_token: FIRST_CONNECTION_TOKEN,
             callers: HashMap::new(),
             outbound: OutboundPool::default(),
             active: ActiveRequests::default(),
@@ -195,39 +203,39 @@
             watch: LivenessMonitor::default(),
             crash_watch,
             block_store: BlockStore::default(),
-            limits: Limits::new(run, settings.limit_bounds),
-            news: NewsBoard::default(),
-            former_runs: Vec::new(),
-            feeds: Feeds::default(),
+            limits: Limits::new(incarnation, settings.limit_bounds),
+            residence_updates: ResidenceUpdates::default(),
+            ended_incarnations: Vec::new(),
+            store_pollers: StorePollers::default(),
             sharing: ReadSharing::default(),
             store_era: StoreEra::default(),
-            pacing: ReadPacing::new(settings.read_bytes_per_s, run),
-            stopping: Stopping::default(),
+            pacing: ReadPacing::new(settings.read_bytes_per_s, incarnation),
+            planned_stop: PlannedStop::default(),
             metrics: EntryMetrics::default(),
-            lines: LineBudget::default(),
+            log_budget: LogBudget::default(),
             call_answers: HashMap::new(),
-            call_alarm_ms: u64::MAX,
+            next_call_timeout_ms: u64::MAX,
             answered: Vec::new(),
-            look_again: false,
+            redispatch_needed: false,
             next_sweep_ms: now_ms,
             settings,
             codecs,
         })
     }
 
-    /// Returns this VM's name.
+    /// Returns the name of this VM.
     pub fn vm(&self) -> &VmName {
         &self.settings.vm
     }
 
-    /// Serves until a planned stop is done.
+    /// Serves until a planned stop is complete.
     ///
     /// # Errors
     ///
     /// [`Error::Loop`] if the kernel's readiness interface fails.
     pub fn run(mut self) -> Result<()> {
         self.log_start();
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(MAX_EVENTS);
         while !self.is_stopped() {
             let sleep_ms = self.sleep_ms();
             match self
@@ -238,16 +246,16 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.into()),
             }
-            self.note_wake_up(sleep_ms);
+            self.check_for_pause(sleep_ms);
             let ready: Vec<(Token, bool)> = events
                 .iter()
                 .map(|event| (event.token(), event.is_writable()))
                 .collect();
             for (token, writable) in ready {
-                self.handle(token, writable);
+                self.dispatch_event(token, writable);
             }
             if self.peers.may_have_more {
-                self.receive_peers();
+                self.receive_peer_messages();
             }
             self.work();
         }
@@ -255,55 +263,55 @@
         Ok(())
     }
 
-    /// Reads the clock after a sleep. A VM that was suspended, or whose processor was taken away,
-    /// explains requests that are late without a cause of their own, so it says so.
-    fn note_wake_up(&mut self, sleep_ms: u64) {
-        let before_ms = std::mem::replace(&mut self.now_ms, now_ms());
-        let late_ms = self.now_ms.saturating_sub(before_ms + sleep_ms);
-        if late_ms >= BEHIND_MS {
+    /// Reads the clock after a sleep and logs a long delay. A VM that was suspended or had no
+    /// processor time makes requests late without any other trace of the cause.
+    fn check_for_pause(&mut self, sleep_ms: u64) {
+        let slept_from_ms = std::mem::replace(&mut self.now_ms, now_ms());
+        let late_ms = self.now_ms.saturating_sub(slept_from_ms + sleep_ms);
+        if late_ms >= SHORTEST_PAUSE_MS {
             self.watch.process_paused(self.now_ms);
         }
-        if late_ms >= STOOD_STILL_MS {
+        if late_ms >= LOGGED_PAUSE_MS {
             self.metrics.process_paused();
-            self.ask_for_blocks();
+            self.request_blocks();
             log::warn!(
-                late_ms, requests = self.active.len(), orders_by = self.peers.holder_text();
+                late_ms, requests = self.active.len(), orders_by = self.peers.lease_holder_text();
                 "this VM stood still"
             );
         }
     }
 
-    /// Does what is due, whether or not something was received.
+    /// Does the work that is due, whether or not an event arrived.
     fn work(&mut self) {
-        self.due_requests();
-        self.hand_back_waiting();
+        self.wake_due_requests();
+        self.refuse_waiting_for_stop();
         for token in std::mem::take(&mut self.answered) {
             self.serve_caller(token);
         }
-        self.advance_feeds();
-        self.advance_ordering();
+        self.advance_pollers();
+        self.advance_engine_orders();
         self.advance_peers();
         self.advance_watch();
         self.advance_crash_watch();
         self.advance_limits();
-        if self.now_ms >= self.next_sweep_ms || self.now_ms >= self.call_alarm_ms {
+        if self.now_ms >= self.next_sweep_ms || self.now_ms >= self.next_call_timeout_ms {
             self.sweep();
         }
-        if std::mem::take(&mut self.look_again) {
+        if std::mem::take(&mut self.redispatch_needed) {
             self.dispatch_waiting();
         }
     }
 
     fn sleep_ms(&self) -> u64 {
-        if !self.answered.is_empty() || self.look_again || self.peers.may_have_more {
+        if !self.answered.is_empty() || self.redispatch_needed || self.peers.may_have_more {
             return 0;
         }
         let next_ms = [
             self.active.next_ms().unwrap_or(u64::MAX),
             self.next_sweep_ms,
-            self.call_alarm_ms,
-            self.feeds.next_ms(self.now_ms, &self.sharing),
-            self.ordering.next_ms(),
+            self.next_call_timeout_ms,
+            self.store_pollers.next_ms(self.now_ms, &self.sharing),
+            self.engine_orders.next_ms(),
             self.peers.next_ms(),
             self.watch.next_ms(),
             self.crash_watch.next_ms(),
@@ -315,15 +323,15 @@
         next_ms.saturating_sub(self.now_ms).clamp(1, MAX_SLEEP_MS)
     }
 
-    fn handle(&mut self, token: Token, writable: bool) {
+    fn dispatch_event(&mut self, token: Token, writable: bool) {
         match token {
             CALLERS | READY | METRICS => self.accept(token),
-            PEERS => self.receive_peers(),
+            PEERS => self.receive_peer_messages(),
             STOP if drain_pipe(&mut self.stop_signals) => self.begin_stop(),
             HANGUP if drain_pipe(&mut self.hangup_signals) => self.reload(),
             STOP | HANGUP => {}
             token if self.callers.contains_key(&token) => self.serve_caller(token),
-            token => self.advance_outbound(token, writable),
+            token => self.handle_outbound_event(token, writable),
         }
     }
 
@@ -342,15 +350,18 @@
                             self.callers.insert(token, caller);
                             self.serve_caller(token);
                         }
-                        Err(error) => log::warn!(reason = error.to_string(); "connection lost"),
+                        Err(error) => {
+                            log::warn!(reason = error.to_string(); "accepted connection can't be registered")
+                        }
                     }
                 }
-                // Closed without having read a request, so that the caller goes elsewhere.
+                // The connection is closed without reading a request, so that the caller retries
+                // elsewhere.
                 Ok(_) => self.metrics.refused("too_many_connections"),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    log::warn!(reason = error.to_string(); "connection not accepted");
+                    log::warn!(reason = error.to_string(); "connection can't be accepted");
                     return;
                 }
             }
@@ -363,13 +374,13 @@
         token
     }
 
-    /// Goes on with a connection that this VM opened.
-    fn advance_outbound(&mut self, token: Token, writable: bool) {
+    /// Continues a connection that this VM opened, after an event on it.
+    fn handle_outbound_event(&mut self, token: Token, writable: bool) {
         let now_ms = self.now_ms;
         let Some(connection) = self.outbound.get_mut(token) else {
             return;
         };
-        let stands = !writable || connection.stream.flush();
+        let is_open = !writable || connection.stream.flush();
         if !connection.paused {
             connection.read(now_ms);
             if let (Peer::Upstream(engine), true) =
@@ -380,59 +391,59 @@
         }
         match connection.purpose.clone() {
             Purpose::Idle => {
-                // An idle connection that can be read has ended or sends bytes of no request.
-                if connection.next_idle_is_bad() {
+                // An idle connection that is readable was closed or carries bytes of no request.
+                if connection.is_unusable_when_idle() {
                     self.outbound.close(token, self.poll.registry());
                 }
             }
-            Purpose::Call(_) if !stands => self.call_broken(token),
+            Purpose::Call(_) if !is_open => self.call_failed(token),
             Purpose::Call(_) => self.advance_call(token),
-            Purpose::Relay(key) => self.advance_relay(token, key, stands),
+            Purpose::Proxy(key) => self.advance_proxied_answer(token, key, is_open),
             Purpose::Drain => self.advance_drain(token),
         }
     }
 
-    /// Drops connections whose time is over.
+    /// Drops connections that have timed out and applies the current number of VMs.
     fn sweep(&mut self) {
-        self.next_sweep_ms = self.now_ms + SWEEP_MS;
+        self.next_sweep_ms = self.now_ms + SWEEP_INTERVAL_MS;
         if let Some(vms) = self.peers.vms() {
             self.dispatcher.set_vms(vms);
             self.pacing.set_vms(vms);
             self.limits.set_vms(vms as usize);
         }
-        self.call_alarm_ms = u64::MAX;
+        self.next_call_timeout_ms = u64::MAX;
         for token in self.outbound.sweep(self.now_ms, self.poll.registry()) {
-            self.call_broken(token);
+            self.call_failed(token);
         }
-        for (token, key) in self.outbound.unestablished(self.now_ms) {
-            self.connection_failed(token, key);
+        for (token, key) in self.outbound.late_connections(self.now_ms) {
+            self.handle_failed_connection(token, key);
         }
-        self.call_alarm_ms = self.outbound.next_call_until_ms().unwrap_or(u64::MAX);
+        self.next_call_timeout_ms = self.outbound.next_call_until_ms().unwrap_or(u64::MAX);
         let limits = self.directory.configuration().limits;
-        let over: Vec<Token> = self
+        let timed_out: Vec<Token> = self
             .callers
             .iter()
             .filter(|(_, caller)| {
-                let stops = caller.is_idle() && self.stopping.closes_idle(self.now_ms);
-                stops || caller.is_over(self.now_ms, &limits)
+                let stops = caller.is_idle() && self.planned_stop.closes_idle(self.now_ms);
+                stops || caller.is_timed_out(self.now_ms, &limits)
             })
             .map(|(token, _)| *token)
             .collect();
-        for token in over {
+        for token in timed_out {
             self.drop_caller(token, false);
         }
-        if self.stopping.takes_nobody(self.now_ms) {
+        if self.planned_stop.refuses_connections(self.now_ms) {
             self.listeners.remove(&CALLERS);
         }
-        self.end_former_runs();
+        self.end_requests_at_ended_incarnations();
     }
 }
 
-fn listen(address: SocketAddr) -> Result<TcpListener> {
+fn bind(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).map_err(|source| Error::Listen { address, source })
 }
 
-/// Returns a pipe into which a byte is written for each signal, so that the loop wakes up.
+/// Returns a pipe into which each of these signals writes a byte, so that it wakes up the loop.
 fn signal_pipe(poll: &Poll, token: Token, signals: &[i32]) -> Result<UnixStream> {
     let (read, write) = StdUnixStream::pair()?;
     read.set_nonblocking(true)?;
@@ -446,7 +457,7 @@
     Ok(read)
 }
 
-/// Empties a pipe and returns whether there was something in it.
+/// Empties a pipe. Returns whether it contained anything.
 fn drain_pipe(pipe: &mut UnixStream) -> bool {
     let mut bytes = [0_u8; 64];
     let mut any = false;
@@ -456,8 +467,8 @@
     any
 }
 
-/// Returns a number that other runs do not have.
-fn random_number() -> u64 {
+/// Returns a random number, by which incarnations of the process differ.
+fn random_incarnation() -> u64 {
     use std::hash::BuildHasher;
     use std::hash::Hasher;
     std::collections::hash_map::RandomState::new()
--- a/crates/entry/src/ordering.rs
+++ b/crates/entry/src/engine_orders.rs
@@ -1,7 +1,7 @@
-//! Giving orders to engines, while this VM holds the lease for it.
+//! Orders to engines, which this VM sends while it holds the order lease.
 
 mod engine_calls;
-mod leasing;
+mod order_lease;
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -23,46 +23,49 @@
 use crate::messages::ForecastRow;
 use crate::settings::Settings;
 
-/// How long an order's answer is awaited.
+/// Time limit for an engine's answer to an order.
 const ORDER_TIMEOUT_MS: u64 = 700;
 
-/// How long an engine's report is awaited.
+/// Time limit for an engine's report.
 const REPORT_TIMEOUT_MS: u64 = 500;
 
-/// How long orders go on past the lease while the store can't be reached. The longest outages of
-/// the store in the users' deployments last 9 to 12 s.
-const OUTLAST_MS: u64 = 12_000;
+/// How long orders continue past the end of the lease while the store is unreachable. The longest
+/// store outages in the users' deployments last 9 to 12 s.
+const OUTAGE_GRACE_MS: u64 = 12_000;
 
-/// How long a call on the lease is awaited.
+/// Time limit for a store call that reads or writes the lease.
 const LEASE_TIMEOUT_MS: u64 = 700;
 
-/// The longest time between two plans: demand that faded is seen then.
-const PLAN_EVERY_MS: u64 = 100;
+/// Longest time between two rounds of planning. Demand that has faded raises no event, so only a
+/// periodic round notices it.
+const MAX_PLAN_INTERVAL_MS: u64 = 100;
 
-/// How many times as long as a plan took nothing is planned after it. On a VM with a small part of
-/// a core the lease, callers and other VMs would else wait for one plan after the other.
-const REST_FOR_PLAN: u64 = 2;
+/// Minimum pause after a round of planning, as a multiple of the time that the round took. On a VM
+/// with a small share of a core, the lease, callers and other VMs would otherwise wait for one
+/// round after the other.
+const PLAN_PAUSE_FACTOR: u64 = 2;
 
-/// `Ordering` is this VM's part in giving orders.
+/// State of sending orders to engines: the lease, the demand of all VMs and the planners.
 #[derive(Debug)]
-pub(crate) struct Ordering {
+pub(crate) struct EngineOrders {
     lease: Lease,
     demand: DemandTable,
-    /// One planner for each service of engines, while this VM gives orders.
+    /// One planner for each engine service; empty unless this VM holds the lease.
     planners: HashMap<GroupName, Planner>,
+    /// Fencing token of the lease; none unless this VM may send orders.
     fence: Option<u64>,
     next_plan_ms: u64,
-    /// Until when nothing is planned, whatever happens.
-    rest_until_ms: u64,
+    /// Earliest time of the next round of planning, even if events ask for one sooner.
+    no_plan_before_ms: u64,
 }
 
-impl Ordering {
-    pub fn new(settings: &Settings, run: u64) -> Self {
+impl EngineOrders {
+    pub fn new(settings: &Settings, incarnation: u64) -> Self {
         let defaults = LeaseOptions::default();
-        // An engine that checks fencing tokens turns the former holder's orders away by itself, so
-        // a new holder need not wait until they can no longer be under way.
+        // An engine that checks fencing tokens rejects the previous holder's orders itself, so a
+        // new holder need not wait until none of them can still be in transit.
         let (pause_ms, outage_grace_ms) = match settings.engines_check_fences {
-            true => (0, OUTLAST_MS),
+            true => (0, OUTAGE_GRACE_MS),
             false => (settings.order_pause_ms, 0),
         };
         let options = LeaseOptions {
@@ -71,17 +74,23 @@
             ..defaults
         };
         Self {
-            lease: Lease::new(options, settings.vm.clone(), run),
+            lease: Lease::new(options, settings.vm.clone(), incarnation),
             demand: DemandTable::default(),
             planners: HashMap::new(),
             fence: None,
             next_plan_ms: 0,
-            rest_until_ms: 0,
+            no_plan_before_ms: 0,
         }
     }
 
-    /// Takes in the demand of a VM. Only the holder of the lease gets any.
-    pub fn note_demand(&mut self, now_ms: u64, vm: &VmName, run: u64, rows: Vec<DemandRow>) {
+    /// Records the demand that a VM reports. Only the lease holder receives such reports.
+    pub fn record_demand(
+        &mut self,
+        now_ms: u64,
+        vm: &VmName,
+        incarnation: u64,
+        rows: Vec<DemandRow>,
+    ) {
         let urgent = rows.iter().any(|row| row.waiting_for_load > 0);
         for row in rows.iter().filter(|row| row.waiting_for_load > 0) {
             let wanted = WantedModel {
@@ -92,14 +101,15 @@
                 planner.schedule_report_reads(now_ms, &wanted);
             }
         }
-        self.demand.note(now_ms, vm, run, rows);
+        self.demand.note(now_ms, vm, incarnation, rows);
         if urgent {
             self.next_plan_ms = self.next_plan_ms.min(now_ms);
         }
     }
 
-    /// Returns the news that a VM has missed, by what it says is missing.
-    pub fn missed_news(&self, rows: &[DemandRow]) -> Vec<ResidenceUpdate> {
+    /// Returns the residence updates that a VM must have missed, given that it reports these models
+    /// as missing.
+    pub fn missed_residence_updates(&self, rows: &[DemandRow]) -> Vec<ResidenceUpdate> {
         rows.iter()
             .filter(|row| row.waiting_for_load > 0)
             .flat_map(|row| {
@@ -113,42 +123,43 @@
             .collect()
     }
 
-    /// Takes in the lease's end as its holder tells it.
-    pub fn note_lease_end(&mut self, now_ms: u64, end: Position) {
+    /// Records the end of the lease as announced by its holder.
+    pub fn record_lease_end(&mut self, now_ms: u64, end: Position) {
         self.lease.note_end(now_ms, end, None);
     }
 
-    /// Takes in that the holder has given the lease back.
-    pub fn note_release(&mut self, now_ms: u64, end: Position, quiet_ms: u64) {
+    /// Records that the holder has released the lease. `quiet_ms` is how long before that it sent
+    /// its last order.
+    pub fn record_release(&mut self, now_ms: u64, end: Position, quiet_ms: u64) {
         self.lease.note_end(now_ms, end, Some(quiet_ms));
     }
 
-    /// Returns whether another VM's beat is of an older lease than the newest that is known.
-    pub fn is_outdated(&self, lease_end: Position) -> bool {
+    /// Returns whether another VM's heartbeat belongs to an older lease than the newest known one.
+    pub fn is_from_older_lease(&self, lease_end: Position) -> bool {
         self.lease.end().is_some_and(|end| lease_end < end)
     }
 
-    /// Returns whether this VM gives orders.
-    pub fn fence_held(&self) -> bool {
+    /// Returns whether this VM may send orders.
+    pub fn may_send_orders(&self) -> bool {
         self.fence.is_some()
     }
 
-    /// Takes in the era of the store.
-    pub fn note_era(&mut self, now_ms: u64, era: u64) {
+    /// Records the era of the store: how often it has been restored from an older copy.
+    pub fn record_era(&mut self, now_ms: u64, era: u64) {
         self.lease.note_era(now_ms, era);
     }
 
-    /// Returns the lease's end as last known.
+    /// Returns the last known end of the lease; the zero position if none is known.
     pub fn lease_end(&self) -> Position {
         self.lease.end().unwrap_or_default()
     }
 
-    /// Returns the lease's end, if this VM holds the lease.
+    /// Returns the end of the lease if this VM holds it.
     pub fn held_lease_end(&self, now_ms: u64) -> Option<Position> {
         self.lease.end().filter(|_| self.lease.is_held(now_ms))
     }
 
-    /// Returns when missing models are expected.
+    /// Returns when the missing models are expected to be loaded.
     pub fn forecasts(&self, now_ms: u64) -> Vec<ForecastRow> {
         self.planners
             .values()
@@ -160,10 +171,10 @@
             .collect()
     }
 
-    /// Returns when something is due.
+    /// Returns when the lease or the planners next need attention.
     pub fn next_ms(&self) -> u64 {
         let plan_ms = if self.fence.is_some() {
-            self.next_plan_ms.max(self.rest_until_ms)
+            self.next_plan_ms.max(self.no_plan_before_ms)
         } else {
             u64::MAX
         };
@@ -172,22 +183,25 @@
 }
 
 impl Daemon {
-    /// Goes on with the lease and, under it, with orders.
-    pub(crate) fn advance_ordering(&mut self) {
+    /// Renews or acquires the lease when due and, while this VM holds it, plans orders.
+    pub(crate) fn advance_engine_orders(&mut self) {
         let now_ms = self.now_ms;
-        if self.stopping.has_begun() {
-            // A renewal may have been under way when the stop began.
+        if self.planned_stop.has_begun() {
+            // A renewal may have been in progress when the stop began.
             self.release_lease();
-        } else if now_ms >= self.ordering.lease.next_ms() {
-            let place = self.peers.takeover_rank(now_ms);
-            self.ordering.lease.set_takeover_rank(place);
-            if let Some(action) = self.ordering.lease.act(now_ms) {
-                self.call_lease(&action);
+        } else if now_ms >= self.engine_orders.lease.next_ms() {
+            let rank = self.peers.takeover_rank(now_ms);
+            self.engine_orders.lease.set_takeover_rank(rank);
+            if let Some(action) = self.engine_orders.lease.act(now_ms) {
+                self.call_store_for_lease(&action);
             }
         }
-        self.note_fence();
-        let due_ms = self.ordering.next_plan_ms.max(self.ordering.rest_until_ms);
-        if self.ordering.fence.is_some() && now_ms >= due_ms {
+        self.update_fence();
+        let due_ms = self
+            .engine_orders
+            .next_plan_ms
+            .max(self.engine_orders.no_plan_before_ms);
+        if self.engine_orders.fence.is_some() && now_ms >= due_ms {
             self.plan();
         }
     }
@@ -197,25 +211,25 @@
         let begun = Instant::now();
         self.sync_planners();
         let mut actions = Vec::new();
-        let mut next_ms = now_ms + PLAN_EVERY_MS;
-        for planner in self.ordering.planners.values_mut() {
-            actions.extend(planner.plan(now_ms, &self.ordering.demand));
+        let mut next_ms = now_ms + MAX_PLAN_INTERVAL_MS;
+        for planner in self.engine_orders.planners.values_mut() {
+            actions.extend(planner.plan(now_ms, &self.engine_orders.demand));
             if let Some(due_ms) = planner.next_ms() {
                 next_ms = next_ms.min(due_ms);
             }
         }
         let took_ms = begun.elapsed().as_millis() as u64;
         self.metrics.planned(took_ms);
-        // Reports and orders that end ask for a plan at once.
-        self.ordering.rest_until_ms = now_ms + took_ms + took_ms * REST_FOR_PLAN;
-        self.ordering.next_plan_ms = next_ms.max(now_ms + 1);
-        self.note_store_loads();
-        self.carry_out(actions);
+        // Reports and finished orders ask for another round immediately; this bounds them.
+        self.engine_orders.no_plan_before_ms = now_ms + took_ms + took_ms * PLAN_PAUSE_FACTOR;
+        self.engine_orders.next_plan_ms = next_ms.max(now_ms + 1);
+        self.update_store_load_gauges();
+        self.execute_actions(actions);
     }
 
-    /// Notes how much of the weight store the planners take.
-    pub(super) fn note_store_loads(&self) {
-        let planners = || self.ordering.planners.values();
+    /// Updates the gauges of loads from the weight store.
+    pub(super) fn update_store_load_gauges(&self) {
+        let planners = || self.engine_orders.planners.values();
         let loads: usize = planners().map(Planner::store_loads_in_progress).sum();
         let allowed: usize = planners().map(Planner::store_loads_allowed).sum();
         self.metrics.store_loads.set(loads as i64);
@@ -226,7 +240,7 @@
         let directory = &self.directory;
         let dispatcher = &self.dispatcher;
         let now_ms = self.now_ms;
-        let planners = &mut self.ordering.planners;
+        let planners = &mut self.engine_orders.planners;
         planners.retain(|service, _| directory.service(service).is_some());
         for (name, service) in &directory.configuration().services {
             if let Some(spec) = &service.engine {
@@ -240,8 +254,8 @@
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<PlannerAction>) {
-        let mut news = Vec::new();
+    fn execute_actions(&mut self, actions: Vec<PlannerAction>) {
+        let mut updates = Vec::new();
         for action in actions {
             match action {
                 PlannerAction::Order {
@@ -249,15 +263,15 @@
                     kind,
                     orders_before,
                 } => {
-                    self.give_order(engine, kind, orders_before);
+                    self.send_order(engine, kind, orders_before);
                 }
                 PlannerAction::Report { engine } => self.read_report(engine),
-                PlannerAction::Announce(told) => news.push(told),
+                PlannerAction::Announce(update) => updates.push(update),
             }
         }
-        if !news.is_empty() {
-            self.peers.tell_news(self.now_ms, &news);
-            self.take_news(news);
+        if !updates.is_empty() {
+            self.peers.queue_residence_updates(self.now_ms, &updates);
+            self.apply_residence_updates(updates);
         }
     }
 }
--- a/crates/entry/src/ordering/engine_calls.rs
+++ b/crates/entry/src/engine_orders/engine_calls.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and their reports: calls, and what their outcomes change.
+//! Calls to engines for orders and reports, and the handling of their outcomes.
 
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::UpstreamName;
@@ -11,26 +11,26 @@
 
 use super::ORDER_TIMEOUT_MS;
 use super::REPORT_TIMEOUT_MS;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::daemon::Daemon;
 use crate::outbound::Peer;
 
 impl Daemon {
-    pub(super) fn give_order(&mut self, engine: UpstreamName, kind: OrderKind, orders_before: u64) {
-        let fence = self.ordering.lease.fence(self.now_ms);
+    pub(super) fn send_order(&mut self, engine: UpstreamName, kind: OrderKind, orders_before: u64) {
+        let fence = self.engine_orders.lease.fence(self.now_ms);
         let upstream = self.directory.upstream(&engine);
         let (Some(fence), Some(upstream)) = (fence, upstream) else {
-            self.planner_told(&engine, OrderOutcome::NotSent);
+            self.report_order_outcome(&engine, OrderOutcome::NotSent);
             return;
         };
         let address = upstream.address;
         let instance = upstream.instance.clone();
-        self.ordering.lease.note_order(self.now_ms);
+        self.engine_orders.lease.note_order(self.now_ms);
         log::info!(
             engine = engine.to_string(), order = kind.as_str(), model = kind.model().to_string(),
             fence, orders_before;
-            "order given"
+            "order sent to engine"
         );
         let order = Order {
             engine: engine.clone(),
@@ -69,7 +69,7 @@
         );
     }
 
-    /// Takes in the outcome of an order.
+    /// Handles the outcome of an order.
     pub(crate) fn order_ended(
         &mut self,
         engine: &UpstreamName,
@@ -81,35 +81,35 @@
                 self.codecs.engines.order_answer(kind, status, &body)
             }
             CallOutcome::NotSent => OrderOutcome::NotSent,
-            CallOutcome::SetBack | CallOutcome::Unknown => OrderOutcome::Unknown,
+            CallOutcome::RolledBack | CallOutcome::Unknown => OrderOutcome::Unknown,
         };
         self.metrics.order(kind.as_str(), outcome.as_str());
         log::info!(
             engine = engine.to_string(), order = kind.as_str(), outcome = outcome.as_str();
             "order ended"
         );
-        self.planner_told(engine, outcome);
+        self.report_order_outcome(engine, outcome);
         if outcome == OrderOutcome::StaleFence {
-            self.ordering.lease.record_superseded(self.now_ms);
-            self.note_fence();
+            self.engine_orders.lease.record_superseded(self.now_ms);
+            self.update_fence();
         }
     }
 
-    fn planner_told(&mut self, engine: &UpstreamName, outcome: OrderOutcome) {
+    fn report_order_outcome(&mut self, engine: &UpstreamName, outcome: OrderOutcome) {
         let now_ms = self.now_ms;
         let mut actions = Vec::new();
-        for planner in self.ordering.planners.values_mut() {
+        for planner in self.engine_orders.planners.values_mut() {
             actions.extend(planner.order_ended(now_ms, engine, outcome));
         }
-        self.ordering.next_plan_ms = now_ms;
-        self.carry_out(actions);
+        self.engine_orders.next_plan_ms = now_ms;
+        self.execute_actions(actions);
     }
 
-    /// Takes in that an engine turned a request away because it does not hold a model.
-    pub(crate) fn engine_lacks(&mut self, engine: &UpstreamName, model: &ModelName) {
+    /// Handles an engine's rejection of a request because it does not hold the model.
+    pub(crate) fn handle_missing_model(&mut self, engine: &UpstreamName, model: &ModelName) {
         let now_ms = self.now_ms;
         let mut actions = Vec::new();
-        for planner in self.ordering.planners.values_mut() {
+        for planner in self.engine_orders.planners.values_mut() {
             actions.extend(planner.record_rejection(now_ms, engine, model));
         }
         if !actions.is_empty() {
@@ -117,21 +117,23 @@
                 engine = engine.to_string(), model = model.to_string();
                 "load not done when expected"
             );
-            self.ordering.next_plan_ms = now_ms;
-            self.carry_out(actions);
+            self.engine_orders.next_plan_ms = now_ms;
+            self.execute_actions(actions);
         }
     }
 
-    /// Returns whether a report comes from another run of the engine than the one that was asked.
-    fn is_of_other_run(&self, engine: &UpstreamName, report: &EngineReport) -> bool {
+    /// Returns whether a report comes from a later incarnation of the engine than the one
+    /// addressed.
+    fn is_from_later_incarnation(&self, engine: &UpstreamName, report: &EngineReport) -> bool {
         self.directory
             .upstream(engine)
             .is_some_and(|known| known.born_ms > 0 && report.born_ms > known.born_ms)
     }
 
-    /// Takes in that an engine has started again, as its report tells before the list does. What
-    /// was known of its former run would give wrong orders: it holds nothing of it.
-    fn engine_restarted(&mut self, former: &UpstreamName, report: EngineReport) {
+    /// Handles a restart that an engine's report reveals before the upstream list does. The state
+    /// known of the former incarnation would lead to wrong orders, since none of it is loaded any
+    /// more.
+    fn handle_engine_restart(&mut self, former: &UpstreamName, report: EngineReport) {
         let Some(instance) = self
             .directory
             .upstream(former)
@@ -144,30 +146,30 @@
             .directory
             .record_restart(former, report.born_ms, report.residence);
         if matches!(change, DirectoryChange::Restarted { .. }) {
-            if let Some(run) = self.directory.current_incarnation(&instance).cloned() {
-                self.feeds.note_came(run);
+            if let Some(incarnation) = self.directory.current_incarnation(&instance).cloned() {
+                self.store_pollers.queue_arrival(incarnation);
             }
-            self.upstream_left(former, "restarted");
-            self.tell_list_read();
-            self.ordering.next_plan_ms = self.now_ms;
+            self.stop_sending_to(former, "restarted");
+            self.announce_list_read();
+            self.engine_orders.next_plan_ms = self.now_ms;
         }
     }
 
-    /// Takes in an engine's report.
+    /// Handles the outcome of reading an engine's report.
     pub(crate) fn report_ended(&mut self, engine: &UpstreamName, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         let report = match outcome {
             CallOutcome::Answered { status, body } => {
                 match self.codecs.engines.report_answer(status, &body) {
-                    Ok(report) if self.is_of_other_run(engine, &report) => {
-                        self.engine_restarted(engine, report);
+                    Ok(report) if self.is_from_later_incarnation(engine, &report) => {
+                        self.handle_engine_restart(engine, report);
                         return;
                     }
                     Ok(report) => Some(report),
                     Err(error) => {
                         log::warn!(
                             engine = engine.to_string(), reason = error.detail;
-                            "report not understood"
+                            "engine report can't be decoded"
                         );
                         None
                     }
@@ -176,10 +178,10 @@
             _ => None,
         };
         let mut actions = Vec::new();
-        for planner in self.ordering.planners.values_mut() {
+        for planner in self.engine_orders.planners.values_mut() {
             actions.extend(planner.report_ended(now_ms, engine, report.clone()));
         }
-        self.ordering.next_plan_ms = now_ms;
-        self.carry_out(actions);
+        self.engine_orders.next_plan_ms = now_ms;
+        self.execute_actions(actions);
     }
 }
--- a/crates/entry/src/ordering/leasing.rs
+++ b/crates/entry/src/engine_orders/order_lease.rs
@@ -1,12 +1,12 @@
-//! The lease: calls to the store, and what follows from gaining or losing it.
+//! Store calls for the order lease, and the effects of gaining or losing it.
 
 use apricotdale_holder::LeaseAction;
 use apricotdale_holder::LeaseAnswer;
 use apricotdale_holder::LeaseRecord;
 
 use super::LEASE_TIMEOUT_MS;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::codec::LogRead;
 use crate::codec::StoreOutcome;
 use crate::codec::Topic;
@@ -14,7 +14,7 @@
 use crate::messages::PeerMessage;
 
 impl Daemon {
-    pub(super) fn call_lease(&mut self, action: &LeaseAction) {
+    pub(super) fn call_store_for_lease(&mut self, action: &LeaseAction) {
         match action {
             LeaseAction::Read { from } => {
                 let bytes = self.codecs.store.read(Topic::Lease, *from, 0);
@@ -22,7 +22,7 @@
             }
             LeaseAction::Append { at, record } => {
                 let record =
-                    postcard::to_stdvec(record).expect("a record of our own can be encoded");
+                    postcard::to_stdvec(record).expect("a locally built record can be encoded");
                 let bytes = self
                     .codecs
                     .store
@@ -32,11 +32,11 @@
         }
     }
 
-    /// Takes in the outcome of a call on the lease.
+    /// Handles the outcome of a store call for the lease.
     pub(crate) fn lease_call_ended(&mut self, tag: &CallTag, outcome: CallOutcome) {
         let answer = match (tag, outcome) {
             (_, CallOutcome::NotSent) => LeaseAnswer::NotDone,
-            (_, CallOutcome::Unknown | CallOutcome::SetBack) => LeaseAnswer::Unknown,
+            (_, CallOutcome::Unknown | CallOutcome::RolledBack) => LeaseAnswer::Unknown,
             (CallTag::LeaseRead, CallOutcome::Answered { status, body }) => {
                 self.lease_read(status, &body)
             }
@@ -54,11 +54,11 @@
             }
         };
         if matches!(answer, LeaseAnswer::Appended { .. }) {
-            // A VM that has not heard of the last renewal finds it when it tries to take over from
-            // a holder that is lost, and waits for a whole lease more.
-            self.peers.beat_soon();
+            // A VM that has missed the last renewal would only find it in the store when it tries
+            // to take over from a lost holder, and would then wait for another whole lease.
+            self.peers.schedule_heartbeat();
         }
-        let released = self.ordering.lease.answered(self.now_ms, answer);
+        let released = self.engine_orders.lease.answered(self.now_ms, answer);
         if let Some((lease_end, quiet_ms)) = released {
             log::info!(lease_end = lease_end.to_string(), quiet_ms; "lease given back");
             self.peers.send_all(&PeerMessage::Released {
@@ -66,7 +66,7 @@
                 quiet_ms,
             });
         }
-        self.note_fence();
+        self.update_fence();
     }
 
     fn lease_read(&self, status: u16, body: &[u8]) -> LeaseAnswer {
@@ -85,33 +85,33 @@
         }
     }
 
-    /// Begins or ends giving orders as the lease says.
-    pub(super) fn note_fence(&mut self) {
-        let fence = self.ordering.lease.fence(self.now_ms);
-        if fence == self.ordering.fence {
+    /// Starts or stops sending orders when the fencing token of the lease changes.
+    pub(super) fn update_fence(&mut self) {
+        let fence = self.engine_orders.lease.fence(self.now_ms);
+        if fence == self.engine_orders.fence {
             return;
         }
         match fence {
             Some(fence) => {
                 self.metrics.takeover();
-                let lease_end = self.ordering.lease_end().to_string();
+                let lease_end = self.engine_orders.lease_end().to_string();
                 log::info!(fence, lease_end; "this VM gives orders");
-                // What other VMs told names no copies of weights, by which loads are planned.
-                self.feeds.lead(self.now_ms);
+                // Entries announced by other VMs omit copies of weights, which planning needs.
+                self.store_pollers.prepare_for_lease(self.now_ms);
             }
             None => log::info!("this VM gives no more orders"),
         }
-        self.ordering.fence = fence;
-        self.ordering.planners.clear();
-        self.note_store_loads();
-        self.ordering.next_plan_ms = self.now_ms;
+        self.engine_orders.fence = fence;
+        self.engine_orders.planners.clear();
+        self.update_store_load_gauges();
+        self.engine_orders.next_plan_ms = self.now_ms;
     }
 
-    /// Gives the lease back at a planned stop.
+    /// Releases the lease at a planned stop.
     pub(crate) fn release_lease(&mut self) {
-        if let Some(action) = self.ordering.lease.release(self.now_ms) {
-            self.call_lease(&action);
+        if let Some(action) = self.engine_orders.lease.release(self.now_ms) {
+            self.call_store_for_lease(&action);
         }
-        self.note_fence();
+        self.update_fence();
     }
 }
--- /dev/null
+++ b/crates/entry/src/engine_probes.rs
@@ -0,0 +1,100 @@
+//! Liveness probes of engines that have become silent, and the reaction to their outcomes.
+
+use apricotdale_core::names::UpstreamName;
+use apricotdale_dispatch::ProbeOutcome;
+
+use crate::calls::CallTag;
+use crate::daemon::Daemon;
+use crate::messages::PeerMessage;
+use crate::outbound::Peer;
+
+/// Time limit for the answer to a probe. An engine answers within a round trip and the opening of a
+/// connection, about 5 ms, regardless of its work.
+const PROBE_TIMEOUT_MS: u64 = 150;
+
+/// How long an unresponsive engine receives no requests unless another probe fails. Probes are
+/// repeated every 300 ms.
+const SUSPENSION_MS: u64 = 2_000;
+
+/// How recently an engine must have sent bytes to this VM for another VM's failed probe to be
+/// ignored.
+const RECENTLY_HEARD_MS: u64 = 200;
+
+impl Daemon {
+    /// Probes the engines that have been silent for too long.
+    pub(crate) fn advance_watch(&mut self) {
+        if self.now_ms < self.watch.next_ms() {
+            return;
+        }
+        for engine in self.watch.due(self.now_ms) {
+            match self.directory.upstream(&engine) {
+                Some(upstream) => {
+                    let address = upstream.address;
+                    let bytes = self.codecs.engines.report(&upstream.instance);
+                    let peer = Peer::Upstream(engine.clone());
+                    // An idle connection may be broken without a reset while the engine is
+                    // responsive.
+                    self.call_on_new_connection(
+                        peer,
+                        address,
+                        CallTag::Probe(engine),
+                        &bytes,
+                        PROBE_TIMEOUT_MS,
+                    );
+                }
+                None => self.watch.removed(&engine),
+            }
+        }
+    }
+
+    /// Handles the outcome of a probe. `answered` includes a reset: an engine that resets a
+    /// connection is responsive and has reached its limit of connections. When full engines counted
+    /// as unresponsive, the requests that they were working on were lost.
+    pub(crate) fn probe_ended(&mut self, engine: &UpstreamName, answered: bool) {
+        match self.watch.record_probe(self.now_ms, engine, answered) {
+            ProbeOutcome::None => {}
+            ProbeOutcome::Unresponsive => {
+                self.peers
+                    .send_all(&PeerMessage::EngineUnresponsive(engine.clone()));
+                self.suspend_engine(engine, "asked");
+            }
+            ProbeOutcome::Responsive => {
+                self.peers
+                    .send_all(&PeerMessage::EngineResponsive(engine.clone()));
+                self.resume_engine(engine);
+            }
+        }
+    }
+
+    /// Handles another VM's failed probe. If this VM has recently received bytes from the engine,
+    /// the fault lies between the engine and that VM.
+    pub(crate) fn handle_peer_probe_failure(&mut self, engine: &UpstreamName) {
+        let heard_ms = self.watch.heard_ms(engine);
+        let recently_heard = heard_ms.is_some_and(|at_ms| self.now_ms < at_ms + RECENTLY_HEARD_MS);
+        if !recently_heard && self.directory.upstream(engine).is_some() {
+            self.suspend_engine(engine, "told");
+        }
+    }
+
+    /// Sends no more requests to an unresponsive engine for a while. Requests in progress stay
+    /// there: an engine that does not answer may be slow and still at work. When requests were
+    /// moved away from such engines and then found no free slot, they ended in the middle of their
+    /// answers.
+    fn suspend_engine(&mut self, engine: &UpstreamName, how: &str) {
+        let until_ms = self.now_ms + SUSPENSION_MS;
+        if self.dispatcher.suspend(self.now_ms, engine, until_ms) {
+            self.metrics.unresponsive_engine();
+            log::info!(upstream = engine.to_string(), how; "engine is dark");
+        }
+        let peer = Peer::Upstream(engine.clone());
+        self.outbound.close_idle(&peer, self.poll.registry());
+        self.redispatch_needed = true;
+    }
+
+    /// Handles that an engine is responsive again.
+    pub(crate) fn resume_engine(&mut self, engine: &UpstreamName) {
+        self.dispatcher.resume(engine);
+        log::info!(upstream = engine.to_string(); "engine answers again");
+        self.redispatch_needed = true;
+    }
+}
--- a/crates/entry/src/failing.rs
+++ b/crates/entry/src/failed_attempts.rs
@@ -1,4 +1,4 @@
-//! Tries that brought no answer, and what becomes of their requests.
+//! Failed attempts to get an answer from an upstream, and what follows for the requests.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::policy::UpstreamOutcome;
@@ -10,20 +10,20 @@
 
 use crate::active::Phase;
 use crate::daemon::Daemon;
-use crate::ending::model_text;
-use crate::ending::upstream_text;
 use crate::outbound::Peer;
+use crate::request_ends::model_text;
+use crate::request_ends::upstream_text;
 
-/// When a refused caller should come back: engines turn requests away for moments.
+/// Retry delay that a refused caller is told. Engines reject requests for short moments only.
 pub(crate) const RETRY_AFTER_MS: u64 = 300;
 
-/// The time between two looks whether the budget has a repeat for a request. Requests earn one each
-/// few milliseconds where many come.
+/// Time between two checks whether the retry budget admits a request. With many requests, the
+/// budget grows by one retry every few milliseconds.
 pub(crate) const BUDGET_PAUSE_MS: u64 = 50;
 
 impl Daemon {
-    /// Notes the end of a try with the routing policy.
-    pub(crate) fn end_try(&mut self, key: u64, outcome: UpstreamOutcome) {
+    /// Reports the end of an attempt to the routing policy and the watches.
+    pub(crate) fn end_attempt(&mut self, key: u64, outcome: UpstreamOutcome) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -53,27 +53,27 @@
         }
     }
 
-    /// Gives a try up: its connection is closed, by which the upstream learns of it.
-    pub(crate) fn cancel_try(&mut self, key: u64) {
-        self.end_try(key, UpstreamOutcome::Cancelled);
+    /// Cancels an attempt by closing its connection, which informs the upstream.
+    pub(crate) fn cancel_attempt(&mut self, key: u64) {
+        self.end_attempt(key, UpstreamOutcome::Cancelled);
         let connection = match self.active.get(key).map(|request| &request.phase) {
             Some(Phase::Sent { connection, .. }) => *connection,
             _ => return,
         };
         self.outbound.close(connection, self.poll.registry());
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 
-    pub(crate) fn connection_failed(&mut self, token: Token, key: u64) {
+    pub(crate) fn handle_failed_connection(&mut self, token: Token, key: u64) {
         let sent = self
             .outbound
             .get_mut(token)
             .is_some_and(|it| it.stream.sent_bytes > 0);
         let now_ms = self.now_ms;
-        let unreached = self
+        let unreachable = self
             .outbound
             .get_mut(token)
-            .is_some_and(|it| it.is_unreached(now_ms));
+            .is_some_and(|it| it.is_unreachable(now_ms));
         let broken = self
             .outbound
             .get_mut(token)
@@ -90,25 +90,25 @@
         if let Some(peer) = self.outbound.get_mut(token).map(|it| it.peer.clone()) {
             self.outbound.close(token, self.poll.registry());
             if let Peer::Upstream(upstream) = &peer {
-                // Other idle connections to it have probably failed with this one.
+                // Other idle connections to the upstream have probably failed too.
                 self.outbound.close_idle(&peer, self.poll.registry());
                 if sent && broken {
-                    self.note_broken_send(upstream, key);
+                    self.record_lost_request(upstream, key);
                 }
-                if unreached {
-                    self.upstream_unreachable(upstream);
+                if unreachable {
+                    self.handle_unreachable_upstream(upstream);
                 }
                 if refused {
-                    self.record_ended(upstream);
+                    self.handle_upstream_end(upstream);
                 }
             }
         }
-        self.try_failed(key, failed);
+        self.handle_failed_attempt(key, failed);
     }
 
-    /// Decides what becomes of a request whose try brought no answer.
-    pub(crate) fn try_failed(&mut self, key: u64, failed: FailedAttempt) {
-        self.metrics.failed_try(failed.as_str());
+    /// Retries or ends a request whose attempt has failed.
+    pub(crate) fn handle_failed_attempt(&mut self, key: u64, failed: FailedAttempt) {
+        self.metrics.failed_attempt(failed.as_str());
         let outcome = match failed {
             FailedAttempt::Rejected | FailedAttempt::Misdirected => UpstreamOutcome::Refused,
             FailedAttempt::NotSent => UpstreamOutcome::Unreachable,
@@ -116,43 +116,44 @@
                 UpstreamOutcome::Lost
             }
         };
-        self.end_try(key, outcome);
-        self.log_failed_try(key, failed);
-        self.look_again = true;
+        self.end_attempt(key, outcome);
+        self.log_failed_attempt(key, failed);
+        self.redispatch_needed = true;
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
         request.job.runs += u32::from(!failed.is_not_run());
         let has_begun = request.delivery.has_begun();
-        // One that is tried again after a block is not sent twice before its end is judged.
-        let can_go_on = request.delivery.may_continue()
+        // A request that was blocked before and is sent again gets no second attempt until this one
+        // has been judged.
+        let may_retry = request.delivery.may_continue()
             && (failed.is_not_run() || !self.crash_watch.knows(&request.fingerprint));
-        let attempt = match can_go_on && request.caller.is_some() {
+        let decision = match may_retry && request.caller.is_some() {
             true => self
                 .dispatcher
                 .after_failure(self.now_ms, &request.job, failed, has_begun),
             false => RetryAction::GiveUp,
         };
-        match attempt {
-            RetryAction::AfterMs(pause_ms) => self.pause(key, pause_ms),
+        match decision {
+            RetryAction::AfterMs(pause_ms) => self.pause_request(key, pause_ms),
             RetryAction::OnceBudgetAllows => {
                 request.job.awaits_retry_budget = true;
-                self.pause(key, BUDGET_PAUSE_MS);
+                self.pause_request(key, BUDGET_PAUSE_MS);
             }
-            RetryAction::GiveUp => self.give_up(key, failed),
+            RetryAction::GiveUp => self.refuse_after_failures(key, failed),
         }
     }
 
-    /// Takes in that an upstream refused a connection or did not take one in time.
-    pub(crate) fn upstream_unreachable(&mut self, upstream: &UpstreamName) {
+    /// Handles that an upstream refused a connection or did not accept one in time.
+    pub(crate) fn handle_unreachable_upstream(&mut self, upstream: &UpstreamName) {
         if self.dispatcher.record_unreachable(self.now_ms, upstream) {
-            log::info!(upstream = upstream.to_string(); "upstream not reached");
-            self.look_again = true;
+            log::info!(upstream = upstream.to_string(); "upstream is unreachable");
+            self.redispatch_needed = true;
         }
     }
 
-    fn log_failed_try(&mut self, key: u64, failed: FailedAttempt) {
-        if !self.lines.take(self.now_ms, false) {
+    fn log_failed_attempt(&mut self, key: u64, failed: FailedAttempt) {
+        if !self.log_budget.try_take(self.now_ms, false) {
             return;
         }
         let Some(request) = self.active.get(key) else {
@@ -171,7 +172,7 @@
         );
     }
 
-    pub(crate) fn pause(&mut self, key: u64, pause_ms: u64) {
+    pub(crate) fn pause_request(&mut self, key: u64, pause_ms: u64) {
         let until_ms = self.now_ms + pause_ms;
         if let Some(request) = self.active.get_mut(key) {
             request.phase = Phase::Pausing { until_ms };
@@ -179,7 +180,7 @@
         }
     }
 
-    fn give_up(&mut self, key: u64, failed: FailedAttempt) {
+    fn refuse_after_failures(&mut self, key: u64, failed: FailedAttempt) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,43 +1,44 @@
-//! The daemon of an entry VM.
+//! Daemon of an entry VM: proxies callers' requests to upstreams and, on the VM that holds the
+//! order lease, sends load and unload orders to engines.
 //!
-//! One thread serves everything over one readiness loop: callers, upstreams, the platform's store
-//! and the other VMs. Nothing in it blocks, and the number of threads does not grow with the
-//! connections. The decisions are made by other crates: `dispatch` for requests and `holder` for
-//! orders to engines. What is said on each connection is decided by the codecs ([`CallerCodec`],
-//! [`StoreCodec`], [`EngineCodec`]), one set for each platform.
+//! One thread serves callers, upstreams, the platform's store and the other VMs from one readiness
+//! loop. No operation in it blocks, and the number of threads does not grow with the number of
+//! connections. Decisions are made by other crates: `dispatch` for requests, `holder` for orders to
+//! engines. The wire formats are defined by the codecs ([`CallerCodec`], [`StoreCodec`],
+//! [`EngineCodec`]), one set for each platform.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod active;
-mod answering;
 mod block_store;
 mod caller;
-mod calling;
+mod calls;
 mod clock;
 mod codec;
 mod connections;
 mod crash_watch;
 mod daemon;
-mod ending;
+mod engine_orders;
+mod engine_probes;
 mod errors;
-mod failing;
-mod feeds;
+mod failed_attempts;
+mod lifecycle;
 mod limits;
-mod lines;
+mod log_budget;
 mod messages;
 mod metrics;
-mod news;
-mod ordering;
 mod outbound;
+mod peer_exchange;
 mod peers;
-mod serving;
+mod request_dispatch;
+mod request_ends;
+mod residence_updates;
 mod settings;
-mod stopping;
 mod store_era;
+mod store_pollers;
 mod stream;
-mod telling;
-mod watching;
+mod upstream_answers;
 
 pub use apricotdale_dispatch::LoadSample;
 pub use codec::AnswerFields;
@@ -56,6 +57,6 @@
 pub use daemon::Daemon;
 pub use errors::Error;
 pub use errors::Result;
+pub use lifecycle::start_log;
 pub use settings::LogLevel;
 pub use settings::Settings;
-pub use stopping::start_log;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms.
+//! Metrics of an entry VM: counters, gauges and latency histograms.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -27,32 +27,32 @@
     organisation: String,
 }
 
-/// Organisations with labels of their own, and the label of all others.
+/// Maximum number of organisations with labels of their own, and the label of all others.
 const MAX_ORGANISATIONS: usize = 64;
 const OTHER_ORGANISATIONS: &str = "other";
 
-/// `EntryMetrics` are the metrics of an entry VM. No label carries a request or a caller.
+/// Metrics of an entry VM. No label identifies a request or a caller.
 #[derive(Debug)]
 pub(crate) struct EntryMetrics {
     registry: Registry,
     requests: Family<Reason, Counter>,
     refusals: Family<Reason, Counter>,
-    failed_tries: Family<Reason, Counter>,
-    misfits: Family<Reason, Counter>,
+    failed_attempts: Family<Reason, Counter>,
+    mismatches: Family<Reason, Counter>,
     paused_answers: Counter,
     calls: Family<CallLabels, Counter>,
     orders: Family<CallLabels, Counter>,
     takeovers: Counter,
-    process_paused: Counter,
+    process_pauses: Counter,
     foreign_entries: Counter,
     lapsed_upstreams: Counter,
     store_reads_bytes: Family<Reason, Counter>,
-    store_set_backs: Counter,
+    store_rollbacks: Counter,
     answers_of_earlier_eras: Family<Reason, Counter>,
     list_repairs: Counter,
-    dark_engines: Counter,
+    unresponsive_engines: Counter,
     crashed_upstreams: Counter,
-    begun_blocks: Counter,
+    new_blocks: Counter,
     first_answer_ms: Histogram,
     wait_ms: Histogram,
     plan_ms: Histogram,
@@ -67,7 +67,7 @@
     pub store_loads: Gauge,
     pub store_loads_allowed: Gauge,
     trials: Counter,
-    asked_keeper: Counter,
+    waited_for_owner: Counter,
     over_limit: Family<OrganisationLabel, Counter>,
     /// Organisations that have labels of their own.
     organisations: HashSet<Arc<str>>,
@@ -84,22 +84,22 @@
             registry: Registry::with_prefix("apricotdale"),
             requests: Family::default(),
             refusals: Family::default(),
-            failed_tries: Family::default(),
-            misfits: Family::default(),
+            failed_attempts: Family::default(),
+            mismatches: Family::default(),
             paused_answers: Counter::default(),
             calls: Family::default(),
             orders: Family::default(),
             takeovers: Counter::default(),
-            process_paused: Counter::default(),
+            process_pauses: Counter::default(),
             foreign_entries: Counter::default(),
             lapsed_upstreams: Counter::default(),
             store_reads_bytes: Family::default(),
-            store_set_backs: Counter::default(),
+            store_rollbacks: Counter::default(),
             answers_of_earlier_eras: Family::default(),
             list_repairs: Counter::default(),
-            dark_engines: Counter::default(),
+            unresponsive_engines: Counter::default(),
             crashed_upstreams: Counter::default(),
-            begun_blocks: Counter::default(),
+            new_blocks: Counter::default(),
             first_answer_ms: Histogram::new(buckets()),
             wait_ms: Histogram::new(buckets()),
             plan_ms: Histogram::new(buckets()),
@@ -114,7 +114,7 @@
             store_loads: Gauge::default(),
             store_loads_allowed: Gauge::default(),
             trials: Counter::default(),
-            asked_keeper: Counter::default(),
+            waited_for_owner: Counter::default(),
             over_limit: Family::default(),
             organisations: HashSet::new(),
         };
@@ -134,22 +134,22 @@
         registry.register("refusals", "Refusals by reason", self.refusals.clone());
         registry.register(
             "failed_tries",
-            "Sends without an answer",
-            self.failed_tries.clone(),
+            "Failed attempts by reason",
+            self.failed_attempts.clone(),
         );
         registry.register(
             "misfits",
-            "Upstreams' answers that did not fit behind what the caller had been given",
-            self.misfits.clone(),
+            "Upstreams' answers that could not continue what the caller had received",
+            self.mismatches.clone(),
         );
         registry.register(
             "paused_answers",
-            "Times that an upstream was not read because a caller was slow",
+            "Pauses of reading from an upstream because a caller was slow",
             self.paused_answers.clone(),
         );
         registry.register(
             "calls",
-            "Calls to the store and engines",
+            "Calls to the store and to engines by outcome",
             self.calls.clone(),
         );
         registry.register(
@@ -159,22 +159,22 @@
         );
         registry.register(
             "takeovers",
-            "Leases taken by this VM",
+            "Takeovers of the order lease by this VM",
             self.takeovers.clone(),
         );
         registry.register(
             "stood_still",
-            "Times that this VM stood still",
-            self.process_paused.clone(),
+            "Pauses of this process",
+            self.process_pauses.clone(),
         );
         registry.register(
             "foreign_entries",
-            "Entries of the list that name nobody to send to",
+            "Entries of the upstream list that name no usable upstream",
             self.foreign_entries.clone(),
         );
         registry.register(
             "lapsed_upstreams",
-            "Upstreams that were kept for a time though their entries had vanished",
+            "Upstreams that stayed in use for a time although their entries had vanished",
             self.lapsed_upstreams.clone(),
         );
         registry.register(
@@ -184,33 +184,33 @@
         );
         registry.register(
             "store_set_backs",
-            "Times that the store came back from an older copy",
-            self.store_set_backs.clone(),
+            "Rollbacks of the store",
+            self.store_rollbacks.clone(),
         );
         registry.register(
             "answers_of_earlier_eras",
-            "Answers of the store from before it came back from an older copy, by call",
+            "Store answers from before a rollback, by call",
             self.answers_of_earlier_eras.clone(),
         );
         registry.register(
             "list_repairs",
-            "Reads because the list differed from the one that was told of",
+            "Reads because the upstream list differed from the announced one",
             self.list_repairs.clone(),
         );
         registry.register(
             "dark_engines",
-            "Engines that fell silent and did not answer when they were asked",
-            self.dark_engines.clone(),
+            "Engines that became unresponsive",
+            self.unresponsive_engines.clone(),
         );
         registry.register(
             "crashed_upstreams",
-            "Upstreams that crashed with requests of this VM in progress",
+            "Upstreams that crashed while requests of this VM were in progress there",
             self.crashed_upstreams.clone(),
         );
         registry.register(
             "begun_blocks",
-            "Requests that this VM found to crash upstreams",
-            self.begun_blocks.clone(),
+            "Requests that this VM judged to crash upstreams",
+            self.new_blocks.clone(),
         );
         registry.register(
             "blocked_requests",
@@ -219,52 +219,52 @@
         );
         registry.register(
             "crash_suspects",
-            "Requests remembered under crashes, counted once for each crash",
+            "Remembered requests that were in progress at a crash, counted once for each crash",
             self.suspects.clone(),
         );
         registry.register(
             "requests_on_probation",
-            "Requests whose copies are sent one at a time over all VMs",
+            "Requests of which all VMs together send only one copy at a time",
             self.on_probation.clone(),
         );
         registry.register(
             "store_loads",
-            "Loads from the weight store that this VM has ordered and that are not done",
+            "Loads from the weight store that this VM has ordered and that have not ended",
             self.store_loads.clone(),
         );
         registry.register(
             "store_loads_allowed",
-            "Loads from the weight store that this VM lets run at once",
+            "Maximum number of loads from the weight store that this VM allows at once",
             self.store_loads_allowed.clone(),
         );
         registry.register(
             "trials",
-            "Sends of requests on probation by this VM",
+            "Trial runs of requests on probation by this VM",
             self.trials.clone(),
         );
         registry.register(
             "asked_keeper",
-            "Requests that waited for the keeper of their organisation's limit",
-            self.asked_keeper.clone(),
+            "Requests that waited for the quota owner",
+            self.waited_for_owner.clone(),
         );
         registry.register(
             "over_limit",
-            "Requests refused because their organisation has used its limit, by organisation",
+            "Requests refused because of their organisation's limit, by organisation",
             self.over_limit.clone(),
         );
         registry.register(
             "first_answer_ms",
-            "From arrival to the first part of the answer",
+            "Time from arrival to the first part of the answer",
             self.first_answer_ms.clone(),
         );
         registry.register(
             "plan_ms",
-            "How long one round of planning takes",
+            "Duration of one round of planning",
             self.plan_ms.clone(),
         );
         registry.register(
             "wait_ms",
-            "From arrival to the first send",
+            "Time from arrival to the first attempt",
             self.wait_ms.clone(),
         );
         registry.register(
@@ -279,17 +279,17 @@
         );
         registry.register(
             "outbound_connections",
-            "Opened connections",
+            "Connections to upstreams and the store",
             self.outbound.clone(),
         );
         registry.register(
             "dropped_log_lines",
-            "Lines not written",
+            "Log lines dropped by the rate limit",
             self.dropped_lines.clone(),
         );
     }
 
-    /// Counts a request that ended.
+    /// Counts a request by how it ended.
     pub fn ended(&self, how: &str) {
         self.requests
             .get_or_create(&Reason {
@@ -298,7 +298,6 @@
             .inc();
     }
 
-    /// Counts a refusal.
     pub fn refused(&self, reason: &str) {
         self.refusals
             .get_or_create(&Reason {
@@ -307,30 +306,30 @@
             .inc();
     }
 
-    /// Counts an answer that did not fit behind what the caller had been given.
-    pub fn misfit(&self, reason: &str) {
-        self.misfits
+    /// Counts an answer that could not continue what the caller had received.
+    pub fn mismatch(&self, reason: &str) {
+        self.mismatches
             .get_or_create(&Reason {
                 reason: reason.to_owned(),
             })
             .inc();
     }
 
-    /// Counts an upstream that is no longer read because a caller is slow.
+    /// Counts a pause of reading from an upstream because a caller is slow.
     pub fn paused_answer(&self) {
         self.paused_answers.inc();
     }
 
-    /// Counts a send that brought no answer.
-    pub fn failed_try(&self, reason: &str) {
-        self.failed_tries
+    /// Counts a failed attempt.
+    pub fn failed_attempt(&self, reason: &str) {
+        self.failed_attempts
             .get_or_create(&Reason {
                 reason: reason.to_owned(),
             })
             .inc();
     }
 
-    /// Counts a call.
+    /// Counts a call by its outcome.
     pub fn call(&self, call: &str, outcome: &str) {
         let labels = CallLabels {
             call: call.to_owned(),
@@ -339,7 +338,7 @@
         self.calls.get_or_create(&labels).inc();
     }
 
-    /// Counts an order.
+    /// Counts an order by its outcome.
     pub fn order(&self, kind: &str, outcome: &str) {
         let labels = CallLabels {
             call: kind.to_owned(),
@@ -348,39 +347,39 @@
         self.orders.get_or_create(&labels).inc();
     }
 
-    /// Counts a lease that this VM took.
+    /// Counts a takeover of the lease by this VM.
     pub fn takeover(&self) {
         self.takeovers.inc();
     }
 
-    /// Counts an entry of the list that names nobody to send to.
+    /// Counts an entry that names no usable upstream.
     pub fn foreign_entry(&self) {
         self.foreign_entries.inc();
     }
 
-    /// Counts an upstream that is kept though its entry has vanished.
+    /// Counts an upstream that stays in use although its entry has vanished.
     pub fn lapsed_upstream(&mut self) {
         self.lapsed_upstreams.inc();
     }
 
-    /// Counts the bytes of an answer of the store.
+    /// Counts the bytes of a store answer.
     pub fn store_read(&mut self, call: &str, bytes: usize) {
         let reason = call.to_owned();
         let counter = self.store_reads_bytes.get_or_create(&Reason { reason });
         counter.inc_by(bytes as u64);
     }
 
-    /// Notes how long one round of planning took.
+    /// Records the duration of one round of planning.
     pub fn planned(&mut self, took_ms: u64) {
         self.plan_ms.observe(took_ms as f64);
     }
 
-    /// Counts that the store came back from an older copy.
-    pub fn store_set_back(&self) {
-        self.store_set_backs.inc();
+    /// Counts a rollback of the store.
+    pub fn store_rolled_back(&self) {
+        self.store_rollbacks.inc();
     }
 
-    /// Counts an answer of the store from before that.
+    /// Counts a store answer that is from before a rollback.
     pub fn answer_of_earlier_era(&self, call: &str) {
         let reason = call.to_owned();
         self.answers_of_earlier_eras
@@ -388,32 +387,32 @@
             .inc();
     }
 
-    /// Counts a read because the list differed from the one that was told of.
+    /// Counts a read of the upstream list because it differed from the announced one.
     pub fn list_repair(&mut self) {
         self.list_repairs.inc();
     }
 
-    /// Counts an engine that fell silent and did not answer when it was asked.
-    pub fn dark_engine(&self) {
-        self.dark_engines.inc();
+    /// Counts an engine that became unresponsive.
+    pub fn unresponsive_engine(&self) {
+        self.unresponsive_engines.inc();
     }
 
-    /// Counts an upstream that crashed with requests of this VM in progress.
+    /// Counts an upstream that crashed while requests of this VM were in progress there.
     pub fn crashed_upstream(&self) {
         self.crashed_upstreams.inc();
     }
 
-    /// Counts a send of a request on probation.
+    /// Counts a trial run of a request on probation.
     pub fn trial(&self) {
         self.trials.inc();
     }
 
-    /// Counts a request that waits for the keeper of its organisation's limit.
-    pub fn asked_keeper(&self) {
-        self.asked_keeper.inc();
+    /// Counts a request that waits for the quota owner.
+    pub fn waited_for_owner(&self) {
+        self.waited_for_owner.inc();
     }
 
-    /// Counts a request that was refused because its organisation has used its limit.
+    /// Counts a request that was refused because of its organisation's limit.
     pub fn over_limit(&mut self, organisation: &Arc<str>) {
         let is_known = self.organisations.contains(organisation);
         if !is_known && self.organisations.len() < MAX_ORGANISATIONS {
@@ -428,35 +427,35 @@
             .inc();
     }
 
-    /// Counts a request that this VM found to crash upstreams.
-    pub fn begun_block(&self) {
-        self.begun_blocks.inc();
+    /// Counts a request that this VM judged to crash upstreams.
+    pub fn new_block(&self) {
+        self.new_blocks.inc();
     }
 
-    /// Counts that this VM stood still.
+    /// Counts a pause of this process.
     pub fn process_paused(&self) {
-        self.process_paused.inc();
+        self.process_pauses.inc();
     }
 
-    /// Notes the time to the first part of an answer.
+    /// Records the time from arrival to the first part of the answer.
     pub fn first_answer(&self, took_ms: u64) {
         self.first_answer_ms.observe(took_ms as f64);
     }
 
-    /// Notes the time to the first send.
+    /// Records the time from arrival to the first attempt.
     pub fn waited(&self, took_ms: u64) {
         self.wait_ms.observe(took_ms as f64);
     }
 
-    /// Notes the time between two parts of a stream.
+    /// Records the time between two parts of an answer.
     pub fn gap(&self, gap_ms: u64) {
         self.gap_ms.observe(gap_ms as f64);
     }
 
-    /// Returns the metrics in the OpenMetrics text format.
+    /// Encodes the metrics in the OpenMetrics text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
-        encode(&mut text, &self.registry).expect("a string takes any text");
+        encode(&mut text, &self.registry).expect("writing to a string does not fail");
         text
     }
 }
--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -1,4 +1,4 @@
-//! Connections that this VM opens, to upstreams and to the store.
+//! Connections that this VM opens to upstreams and to the store.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,115 +11,121 @@
 use mio::Registry;
 use mio::Token;
 
-use crate::calling::CallTag;
+use crate::calls::CallTag;
 use crate::stream::ReadEnd;
 use crate::stream::Stream;
 
-/// The largest head of an answer.
+/// Size limit of an answer's head.
 const HEAD_LIMIT_BYTES: usize = 64 * 1024;
 
-/// How many bytes of an answer are read before they are handled.
+/// Maximum number of bytes of an answer that are read before they are handled.
 const READ_LIMIT_BYTES: usize = 128 * 1024;
 
-/// How long a connection stays idle if the other end does not say. Short: a request that is sent
-/// on a connection which the other end closes at the same moment may be lost.
+/// How long an idle connection is kept if the other end states no limit. The time is short because
+/// a request sent on a connection that the other end closes at the same moment may be lost.
 const DEFAULT_IDLE_MS: u64 = 4_000;
 
-/// How long a connection may take to be established. Within a region a packet takes a few
-/// milliseconds; a machine without power does not answer at all.
-const CONNECT_MS: u64 = 600;
+/// Time limit for establishing a connection. Packets take a few milliseconds within a region; a
+/// machine without power does not answer at all.
+const CONNECT_TIMEOUT_MS: u64 = 600;
 
-/// How long nothing may come of an answer that is read to its end for nobody.
-const DRAIN_MS: u64 = 1_000;
+/// Time limit for the next bytes of an answer that is read to its end only to reuse the connection.
+const DRAIN_TIMEOUT_MS: u64 = 1_000;
 
 /// How much earlier than the other end this VM closes an idle connection.
 const IDLE_MARGIN_MS: u64 = 1_000;
 
-/// `Peer` is whom a connection leads to.
+/// The other end of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Peer {
     /// The platform's store.
     Store,
-    /// One run of an upstream.
+    /// One incarnation of an upstream.
     Upstream(UpstreamName),
 }
 
-/// `Purpose` is what a connection is used for now.
+/// Current use of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// Nothing.
+    /// Idle, ready for another exchange.
     Idle,
-    /// A caller's request, by its key.
-    Relay(u64),
-    /// A call of this VM's own.
+    /// Proxies the caller's request with this key.
+    Proxy(u64),
+    /// Carries a call that this VM makes itself.
     Call(CallTag),
-    /// An answer that nobody waits for any more is read to its end.
+    /// Reads an abandoned answer to its end.
     Drain,
 }
 
+/// Parsing state of the answer in progress.
 #[derive(Debug)]
 enum Parse {
     Head,
     Body(BodyDecoder),
-    Whole,
+    Complete,
 }
 
-/// `Part` is the next part of an answer.
+/// Next part of an answer.
 #[derive(Debug)]
 pub(crate) enum Part {
     /// The head.
     Head(ResponseHead),
     /// Bytes of the body.
     Body(Vec<u8>),
-    /// The end of a whole answer.
+    /// End of a complete answer.
     End,
     /// More bytes are needed.
     Wait,
-    /// The connection ended or sent bytes that are no answer.
+    /// The connection ended, or sent bytes that are no valid answer.
     Failed,
 }
 
-/// `Outbound` is one connection that this VM opened.
+/// One connection that this VM opened, and the exchange on it.
 #[derive(Debug)]
 pub(crate) struct Outbound {
     pub stream: Stream,
     pub peer: Peer,
     pub purpose: Purpose,
-    /// Whether reading waits until the caller has taken what was read.
+    /// Whether reading waits until the caller has taken the bytes read so far.
     pub paused: bool,
     input: Vec<u8>,
     parse: Parse,
-    to_head: bool,
-    keeps: bool,
+    /// Whether the exchange in progress is a HEAD request, whose answer has no body.
+    is_head_request: bool,
+    /// Whether the last answer's head lets the connection be reused.
+    keep_alive: bool,
+    /// How reading ended; none while the other end has not closed the connection.
     ended: Option<ReadEnd>,
-    /// Whether the kernel may hold bytes of which it does not tell again: reading stopped at its
-    /// limit, or was paused.
+    /// Whether bytes may be unread for which no readiness event will come, because reading stopped
+    /// at its limit or was paused.
     has_more: bool,
-    /// When bytes last came, or the exchange began.
+    /// When bytes last arrived or the exchange began.
     pub heard_ms: u64,
+    /// How long the connection may stay idle.
     idle_ms: u64,
     idle_until_ms: u64,
-    /// Until when the connection has to be established.
+    /// Deadline for establishing the connection; none once it is established.
     connect_until_ms: Option<u64>,
-    /// When the call in progress is given up; callers' requests have deadlines of their own.
+    /// Deadline of the call in progress; none for callers' requests, whose deadlines are kept
+    /// elsewhere.
     pub call_until_ms: Option<u64>,
-    /// The era of the store that was known when the call in progress was made.
-    pub asked_era: u64,
+    /// Era of the store that was known when the call in progress began.
+    pub request_era: u64,
 }
 
 impl Outbound {
-    /// Begins an exchange: writes a whole request.
-    pub fn begin(&mut self, now_ms: u64, purpose: Purpose, bytes: &[u8], to_head: bool) {
+    /// Begins an exchange by writing a complete request.
+    pub fn begin(&mut self, now_ms: u64, purpose: Purpose, bytes: &[u8], is_head_request: bool) {
         self.purpose = purpose;
         self.heard_ms = now_ms;
         self.parse = Parse::Head;
-        self.to_head = to_head;
-        self.keeps = true;
+        self.is_head_request = is_head_request;
+        self.keep_alive = true;
         self.stream.sent_bytes = 0;
         self.stream.queue(bytes);
     }
 
-    /// Reads what is there.
+    /// Reads the available bytes, up to the limit.
     pub fn read(&mut self, now_ms: u64) {
         if self.ended.is_none() {
             let before = self.input.len();
@@ -134,9 +140,9 @@
         }
     }
 
-    /// Returns whether the other end was not there. One that resets a connection is there, and has
-    /// only as many as it accepts.
-    pub fn is_unreached(&self, now_ms: u64) -> bool {
+    /// Returns whether the other end was unreachable. One that resets a connection is reachable,
+    /// and has reached its limit of connections.
+    pub fn is_unreachable(&self, now_ms: u64) -> bool {
         let late = self
             .connect_until_ms
             .is_some_and(|until_ms| until_ms <= now_ms);
@@ -148,18 +154,19 @@
         self.ended.is_some()
     }
 
-    /// Stops reading until the caller has taken what was read. Returns whether it was read before.
+    /// Pauses reading until the caller has taken the bytes read so far. Returns whether reading was
+    /// active before.
     pub fn pause(&mut self) -> bool {
         self.has_more = true;
         !std::mem::replace(&mut self.paused, true)
     }
 
-    /// Returns whether bytes may be there of which the kernel does not tell again.
+    /// Returns whether bytes may be unread for which no readiness event will come.
     pub fn has_more(&self) -> bool {
         self.has_more && self.ended.is_none() && self.input.len() < READ_LIMIT_BYTES
     }
 
-    /// Returns the next part of the answer.
+    /// Parses the next part of the answer from the bytes read so far.
     pub fn next_part(&mut self) -> Part {
         match &mut self.parse {
             Parse::Head => self.next_head(),
@@ -169,28 +176,28 @@
                     return Part::Failed;
                 };
                 self.input.drain(..progress.consumed);
-                let at_close = decoder.is_whole_at_close();
+                let at_close = decoder.is_complete_at_close();
                 match self.ended {
                     _ if !body.is_empty() => Part::Body(body),
-                    _ if progress.whole => self.end(),
+                    _ if progress.is_complete => self.end(),
                     Some(ReadEnd::Closed) if at_close => self.end(),
                     Some(_) => Part::Failed,
                     None => Part::Wait,
                 }
             }
-            Parse::Whole => Part::Wait,
+            Parse::Complete => Part::Wait,
         }
     }
 
     fn next_head(&mut self) -> Part {
-        match parse_response_head(&self.input, HEAD_LIMIT_BYTES, self.to_head) {
+        match parse_response_head(&self.input, HEAD_LIMIT_BYTES, self.is_head_request) {
             Ok(Some((head, length))) => {
                 self.input.drain(..length);
-                // An interim answer comes before the answer.
+                // Interim answers precede the final one.
                 if head.status < 200 {
                     return self.next_head();
                 }
-                self.keeps = !head.close;
+                self.keep_alive = !head.close;
                 self.parse = Parse::Body(BodyDecoder::new(head.body));
                 Part::Head(head)
             }
@@ -201,53 +208,53 @@
     }
 
     fn end(&mut self) -> Part {
-        self.parse = Parse::Whole;
+        self.parse = Parse::Complete;
         Part::End
     }
 
-    /// Returns whether an idle connection has ended or was sent bytes that belong to no request.
-    pub fn next_idle_is_bad(&self) -> bool {
+    /// Returns whether an idle connection was closed or has received bytes of no request.
+    pub fn is_unusable_when_idle(&self) -> bool {
         self.ended.is_some() || !self.input.is_empty()
     }
 
-    /// Waits for another answer: the one before belonged to another request.
-    pub fn expect_another(&mut self) {
+    /// Expects another answer, since the last one belonged to another request.
+    pub fn await_next_answer(&mut self) {
         self.parse = Parse::Head;
     }
 
-    /// Notes how long the other end keeps an idle connection.
-    pub fn note_idle_ms(&mut self, idle_ms: u64) {
+    /// Sets the idle time from the limit that the other end states.
+    pub fn set_idle_time(&mut self, idle_ms: u64) {
         self.idle_ms = idle_ms.saturating_sub(IDLE_MARGIN_MS);
     }
 
-    /// Returns whether another request may be sent on this connection after a whole answer. Bytes
-    /// that follow the answer would be taken for the next one; a request that was answered before
-    /// it was written would go on in the next one.
+    /// Returns whether another exchange may use this connection after a complete answer. Extra
+    /// bytes behind the answer would be taken for the next one. The unwritten bytes of a request
+    /// that was answered early would be sent before the next request.
     fn is_reusable(&self) -> bool {
-        self.keeps
+        self.keep_alive
             && self.ended.is_none()
             && self.input.is_empty()
             && self.stream.unwritten_bytes() == 0
-            && matches!(self.parse, Parse::Whole)
+            && matches!(self.parse, Parse::Complete)
     }
 }
 
-/// `OutboundPool` holds the connections that this VM opened.
+/// All connections that this VM opened, with the idle ones by peer.
 #[derive(Debug, Default)]
 pub(crate) struct OutboundPool {
     connections: HashMap<Token, Outbound>,
+    /// Connections that are ready for another exchange, the most recently used last.
     idle: HashMap<Peer, Vec<Token>>,
     /// Connections opened so far.
     pub opened: u64,
 }
 
 impl OutboundPool {
-    /// Returns a connection.
     pub fn get_mut(&mut self, token: Token) -> Option<&mut Outbound> {
         self.connections.get_mut(&token)
     }
 
-    /// Returns an idle connection to a peer, if one is fit for another request.
+    /// Takes an idle connection to a peer out of the pool; none if there is no usable one.
     pub fn take_idle(&mut self, now_ms: u64, peer: &Peer) -> Option<Token> {
         let idle = self.idle.get_mut(peer)?;
         while let Some(token) = idle.pop() {
@@ -262,7 +269,7 @@
         None
     }
 
-    /// Opens a connection.
+    /// Starts opening a connection.
     pub fn open(
         &mut self,
         now_ms: u64,
@@ -279,23 +286,24 @@
             purpose: Purpose::Idle,
             paused: false,
             input: Vec::new(),
-            parse: Parse::Whole,
-            to_head: false,
-            keeps: true,
+            parse: Parse::Complete,
+            is_head_request: false,
+            keep_alive: true,
             ended: None,
             has_more: false,
             heard_ms: now_ms,
             idle_ms: DEFAULT_IDLE_MS,
             idle_until_ms: 0,
-            connect_until_ms: Some(now_ms + CONNECT_MS),
+            connect_until_ms: Some(now_ms + CONNECT_TIMEOUT_MS),
             call_until_ms: None,
-            asked_era: 0,
+            request_era: 0,
         };
         self.connections.insert(token, connection);
         Ok(())
     }
 
-    /// Takes back a connection after a whole answer: keeps it if it is fit, else closes it.
+    /// Releases a connection after a complete answer: pools it if it is reusable, and closes it if
+    /// not.
     pub fn release(&mut self, now_ms: u64, token: Token, registry: &Registry) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
@@ -303,7 +311,7 @@
         connection.call_until_ms = None;
         connection.connect_until_ms = None;
         connection.paused = false;
-        // The other end may have closed it while it was not read.
+        // The other end may have closed the connection while it was not read.
         if connection.has_more() {
             connection.read(now_ms);
         }
@@ -319,7 +327,7 @@
             .push(token);
     }
 
-    /// Closes a connection.
+    /// Closes a connection and returns what it was used for; none if there is no such connection.
     pub fn close(&mut self, token: Token, registry: &Registry) -> Option<Purpose> {
         let connection = self.connections.remove(&token)?;
         if let Some(idle) = self.idle.get_mut(&connection.peer) {
@@ -329,27 +337,27 @@
         Some(connection.purpose)
     }
 
-    /// Closes the idle connections to a peer that is gone.
+    /// Closes the idle connections to a peer.
     pub fn close_idle(&mut self, peer: &Peer, registry: &Registry) {
         for token in self.idle.remove(peer).unwrap_or_default() {
             self.close(token, registry);
         }
     }
 
-    /// Closes connections that have been idle for too long, or on which the rest of an answer does
-    /// not come, and returns the calls whose time is over.
+    /// Closes connections that have been idle for too long or that stalled while draining, and
+    /// returns the connections whose calls have timed out.
     pub fn sweep(&mut self, now_ms: u64, registry: &Registry) -> Vec<Token> {
-        let over: Vec<Token> = self
+        let timed_out: Vec<Token> = self
             .connections
             .iter()
             .filter(|(_, it)| match it.purpose {
                 Purpose::Idle => it.idle_until_ms <= now_ms,
-                Purpose::Drain => it.heard_ms + DRAIN_MS <= now_ms,
-                Purpose::Relay(_) | Purpose::Call(_) => false,
+                Purpose::Drain => it.heard_ms + DRAIN_TIMEOUT_MS <= now_ms,
+                Purpose::Proxy(_) | Purpose::Call(_) => false,
             })
             .map(|(token, _)| *token)
             .collect();
-        for token in over {
+        for token in timed_out {
             self.close(token, registry);
         }
         self.connections
@@ -359,37 +367,38 @@
             .collect()
     }
 
-    /// Returns the connections for callers' requests that were not established in time.
-    pub fn unestablished(&mut self, now_ms: u64) -> Vec<(Token, u64)> {
+    /// Returns the connections for callers' requests that were not established in time, with the
+    /// requests' keys.
+    pub fn late_connections(&mut self, now_ms: u64) -> Vec<(Token, u64)> {
         let mut late = Vec::new();
         for (token, connection) in &mut self.connections {
             let Some(until_ms) = connection.connect_until_ms else {
                 continue;
             };
-            // The first byte leaves only once the connection stands.
+            // The first byte is sent only once the connection is established.
             if connection.stream.sent_bytes > 0 {
                 connection.connect_until_ms = None;
-            } else if let (true, Purpose::Relay(key)) = (until_ms <= now_ms, &connection.purpose) {
+            } else if let (true, Purpose::Proxy(key)) = (until_ms <= now_ms, &connection.purpose) {
                 late.push((*token, *key));
             }
         }
         late
     }
 
-    /// Returns the connections to a peer on which callers' requests are in progress and nothing has
-    /// come since a time.
-    pub fn silent_relays(&self, peer: &Peer, since_ms: u64) -> Vec<(Token, u64)> {
+    /// Returns the connections to a peer that proxy callers' requests and have received nothing
+    /// since a time, with the requests' keys.
+    pub fn silent_proxied_requests(&self, peer: &Peer, since_ms: u64) -> Vec<(Token, u64)> {
         self.connections
             .iter()
             .filter(|(_, it)| it.peer == *peer && it.heard_ms <= since_ms)
             .filter_map(|(token, it)| match it.purpose {
-                Purpose::Relay(key) => Some((*token, key)),
+                Purpose::Proxy(key) => Some((*token, key)),
                 _ => None,
             })
             .collect()
     }
 
-    /// Returns when the first call in progress is given up.
+    /// Returns the earliest deadline of the calls in progress.
     pub fn next_call_until_ms(&self) -> Option<u64> {
         self.connections
             .values()
@@ -397,7 +406,7 @@
             .min()
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
--- /dev/null
+++ b/crates/entry/src/peer_exchange.rs
@@ -0,0 +1,420 @@
+//! Exchange of messages between VMs.
+//!
+//! VMs send each other small datagrams. Each message carries a state and not a change of it, so
+//! that the next one makes up for a lost one, and no VM waits for an answer. The lease holder
+//! announces itself, its forecasts and what engines hold to all others; the others send it their
+//! demand. The number of messages thus grows linearly with the number of VMs.
+
+use std::io;
+use std::net::SocketAddr;
+
+use apricotdale_core::names::ModelName;
+use apricotdale_core::names::UpstreamName;
+use apricotdale_dispatch::LoadForecast;
+use apricotdale_dispatch::WaitReason;
+use apricotdale_fleet::DirectoryChange;
+use apricotdale_fleet::Freshness;
+use apricotdale_fleet::residence_digests;
+use apricotdale_fleet::serving_digest;
+use apricotdale_holder::DemandRow;
+use apricotdale_holder::RequestState;
+use apricotdale_holder::ResidenceUpdate;
+
+use crate::active::Phase;
+use crate::codec::DecodeError;
+use crate::daemon::Daemon;
+use crate::messages::ForecastRow;
+use crate::messages::PeerMessage;
+use crate::messages::decode;
+use crate::peers::HELLO_INTERVAL_MS;
+use crate::peers::ROWS_PER_DATAGRAM;
+
+/// Datagrams received in one iteration of the loop. Hundreds of VMs may send more than a small
+/// share of a core can handle: with all of them received first, the holder would not renew its
+/// lease in time, and the messages would reach a VM that has lost it.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
+
+/// Time between two demand reports while requests wait: at least the first, and for each known VM
+/// the second, since the lease holder receives all reports and can handle about a thousand a
+/// second.
+const BUSY_DEMAND_INTERVAL_MS: u64 = 200;
+const BUSY_DEMAND_INTERVAL_US_PER_VM: u64 = 1_000;
+
+/// Time between two demand reports while no requests wait.
+const IDLE_DEMAND_INTERVAL_MS: u64 = 700;
+
+/// Time between two heartbeats of the lease holder.
+const HEARTBEAT_INTERVAL_MS: u64 = 400;
+
+impl Daemon {
+    /// Receives and handles messages of other VMs.
+    pub(crate) fn receive_peer_messages(&mut self) {
+        let mut bytes = [0_u8; 64 * 1024];
+        self.peers.may_have_more = true;
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
+            match self.peers.receive(&mut bytes) {
+                Ok((length, from)) => match decode(&bytes[..length]) {
+                    Ok(message) => self.handle_message(from, message),
+                    Err(error) => self.record_undecodable_message(from, &error),
+                },
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => {
+                    self.peers.may_have_more = false;
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Counts a message that this version can't decode, and logs it once for each sender.
+    fn record_undecodable_message(&mut self, from: SocketAddr, error: &DecodeError) {
+        self.metrics.failed_attempt("bad_peer_message");
+        if self.peers.should_log_undecodable(from) {
+            let (from, reason) = (from.to_string(), error.detail.as_str());
+            log::warn!(from, reason; "message of a VM not understood");
+        }
+    }
+
+    fn handle_message(&mut self, from: SocketAddr, message: PeerMessage) {
+        let now_ms = self.now_ms;
+        match message {
+            PeerMessage::Hello(record) => {
+                let is_new = !self.peers.knows_vm(&record.vm);
+                let is_other_incarnation = self.peers.record_heard(now_ms, &record);
+                if is_new {
+                    let hello = PeerMessage::Hello(self.peers.own.clone());
+                    self.peers.send(record.address, &hello);
+                }
+                if self.engine_orders.held_lease_end(now_ms).is_some() {
+                    self.send_blocks_to(record.address);
+                    self.send_probations_to(record.address);
+                }
+                if is_other_incarnation {
+                    self.send_local_reports_to(record.address, &record.vm);
+                }
+            }
+            PeerMessage::Goodbye(vm) => {
+                self.peers.forget(&vm);
+                if self
+                    .peers
+                    .lease_holder
+                    .as_ref()
+                    .is_some_and(|(holder, ..)| *holder == vm)
+                {
+                    self.peers.lease_holder = None;
+                }
+            }
+            PeerMessage::Demand { from: record, rows } => {
+                self.peers.record_heard(now_ms, &record);
+                for part in self
+                    .engine_orders
+                    .missed_residence_updates(&rows)
+                    .chunks(ROWS_PER_DATAGRAM / 2)
+                {
+                    self.peers
+                        .send(from, &PeerMessage::ResidenceUpdates(part.to_vec()));
+                }
+                self.engine_orders
+                    .record_demand(now_ms, &record.vm, record.incarnation, rows);
+            }
+            PeerMessage::Heartbeat {
+                from,
+                lease_end,
+                forecasts,
+                fresh,
+            } => {
+                self.peers.record_heard(now_ms, &from);
+                self.handle_era(lease_end.era);
+                if self.engine_orders.is_from_older_lease(lease_end) {
+                    return;
+                }
+                self.engine_orders.record_lease_end(now_ms, lease_end);
+                if self
+                    .peers
+                    .lease_holder
+                    .as_ref()
+                    .is_none_or(|(holder, ..)| *holder != from.vm)
+                {
+                    let (holder, lease_end) = (from.vm.to_string(), lease_end.to_string());
+                    log::info!(holder, lease_end; "another VM gives orders");
+                }
+                self.apply_freshness(&fresh);
+                self.peers.lease_holder = Some((from.vm, from.address, now_ms));
+                self.apply_forecasts(forecasts);
+            }
+            PeerMessage::ListRead { from, fresh } => {
+                self.peers.record_heard(now_ms, &from);
+                self.apply_freshness(&fresh);
+            }
+            PeerMessage::Entries { read_to, entries } => {
+                self.apply_announced_entries(read_to, entries)
+            }
+            PeerMessage::ResidenceUpdates(updates) => self.apply_residence_updates(updates),
+            PeerMessage::ModelMissing { engine, model } => {
+                self.handle_missing_model(&engine, &model)
+            }
+            PeerMessage::EngineUnresponsive(engine) => self.handle_peer_probe_failure(&engine),
+            PeerMessage::EngineResponsive(engine) => self.resume_engine(&engine),
+            PeerMessage::Released {
+                lease_end,
+                quiet_ms,
+            } => self
+                .engine_orders
+                .record_release(now_ms, lease_end, quiet_ms),
+            PeerMessage::Crashes(reports) => self.handle_crash_reports(&reports),
+            PeerMessage::Blocks(rows) => self.apply_announced_blocks(&rows),
+            PeerMessage::Cleared(fingerprint) => self.handle_cleared_request(&fingerprint, "told"),
+            PeerMessage::BlocksRequested => {
+                self.send_blocks_to(from);
+                self.send_probations_to(from);
+            }
+            PeerMessage::Probations(fingerprints) => {
+                self.crash_watch.record_probations(now_ms, &fingerprints);
+            }
+            PeerMessage::TrialRequested { asker, ask } => self.decide_trial(from, asker, &ask),
+            PeerMessage::TrialDecided(answer) => {
+                self.redispatch_needed |= self.crash_watch.record_trial_answer(now_ms, &answer);
+            }
+            PeerMessage::QuotaReport(report) => self.handle_quota_report(Some(from), &report),
+            PeerMessage::QuotaAnswer(answer) => self.apply_quota_answer(&answer),
+            PeerMessage::TrialOver { asker, end } => {
+                self.crash_watch.record_peer_trial_end(now_ms, asker, &end);
+            }
+        }
+    }
+
+    /// Reports to the lease holder that an engine does not hold a model. Otherwise the holder would
+    /// go on announcing to all VMs that the engine does.
+    pub(crate) fn report_missing_model(&mut self, engine: &UpstreamName, model: &ModelName) {
+        if self.engine_orders.held_lease_end(self.now_ms).is_some() {
+            self.handle_missing_model(engine, model);
+        } else if let Some((_, address, _)) = self.peers.lease_holder {
+            let message = PeerMessage::ModelMissing {
+                engine: engine.clone(),
+                model: model.clone(),
+            };
+            self.peers.send(address, &message);
+        }
+    }
+
+    /// Applies what another VM has read from the store.
+    fn apply_freshness(&mut self, fresh: &Freshness) {
+        let now_ms = self.now_ms;
+        self.handle_era(fresh.list_read_to.era);
+        // A VM that has not heard of the rollback does not know what the upstream list lacks now.
+        if self.store_era.is_past(fresh.list_read_to.era) {
+            return;
+        }
+        // The lease holder reads for itself, since the others depend on its announcements.
+        if self.engine_orders.held_lease_end(now_ms).is_none() {
+            let draw_ms = self.pacing.jitter_ms();
+            self.sharing
+                .handle_heartbeat(now_ms, fresh, self.pacing.spread_ms(), draw_ms);
+        }
+        if let Some(rate) = fresh.list_bytes_per_s {
+            self.pacing.set_list_rate(rate);
+        }
+        let is_outdated = self.sharing.announced_version() > self.directory.version();
+        self.store_pollers.record_outdated(now_ms, is_outdated);
+        if fresh.configuration == self.directory.version()
+            && let Some(age_ms) = fresh.configuration_age_ms
+        {
+            self.store_pollers
+                .record_confirmation(now_ms.saturating_sub(age_ms));
+        }
+        if is_outdated {
+            let at_ms = now_ms + self.pacing.jitter_ms();
+            self.store_pollers.read_configuration_at(at_ms);
+        }
+        if let Some(read_ms) = fresh.complete_list_read_ms(now_ms) {
+            // If only this VM was cut off, no entry has lapsed, and the upstreams that it misses
+            // have left: it must not keep them any longer.
+            self.directory.record_complete_list(read_ms);
+        }
+        for departure in &fresh.left {
+            if self.directory.record_departure(departure) == DirectoryChange::Left {
+                self.stop_sending_to(&departure.upstream, "told_by_another_vm");
+            }
+        }
+        self.compare_upstream_list(fresh);
+    }
+
+    /// Compares this VM's list with the one that another VM has read, and schedules repairs.
+    fn compare_upstream_list(&mut self, fresh: &Freshness) {
+        // A holder that can't read announces an old list until another VM takes over the lease.
+        if !fresh.is_fresh() || !self.directory.is_listed() {
+            return;
+        }
+        let is_same = serving_digest(&self.directory) == fresh.listed;
+        let holds_same: Vec<bool> = residence_digests(&self.directory)
+            .iter()
+            .zip(&fresh.held)
+            .map(|(own, told)| own == told)
+            .collect();
+        self.store_pollers.set_snapshot_bytes(fresh.snapshot_bytes);
+        let has_snapshot = fresh.snapshot_bytes > 0;
+        let draw_ms = self.pacing.jitter_for_answer_ms(fresh.snapshot_bytes);
+        let scheduled_read_ms = self.pacing.scheduled_read_ms();
+        let now_ms = self.now_ms;
+        let store_pollers = &mut self.store_pollers;
+        store_pollers.listing_repair.record_comparison(
+            now_ms,
+            &[is_same || !has_snapshot],
+            draw_ms,
+        );
+        store_pollers
+            .no_snapshot_repair
+            .record_comparison(now_ms, &[is_same], scheduled_read_ms);
+        store_pollers
+            .residence_repair
+            .record_comparison(now_ms, &holds_same, draw_ms);
+        let holds_lease = self.engine_orders.held_lease_end(self.now_ms).is_some();
+        if let (true, false, Some(read_to)) = (is_same, holds_lease, fresh.complete_list_read_to())
+        {
+            self.store_pollers.skip_list_to(read_to);
+            self.directory.record_same_list(read_to);
+        }
+    }
+
+    /// Returns what this VM has read from the store, for announcements.
+    pub(crate) fn freshness(&mut self) -> Freshness {
+        let now_ms = self.now_ms;
+        let listed = serving_digest(&self.directory);
+        Freshness {
+            configuration: self.directory.version(),
+            configuration_age_ms: self.store_pollers.configuration_age_ms(now_ms),
+            list_age_ms: self.store_pollers.list_age_ms(now_ms),
+            list_complete: self.directory.is_list_complete(now_ms),
+            list_read_to: self.store_pollers.list_read_to(),
+            list_bytes_per_s: self.pacing.list_rate(),
+            listed,
+            snapshot_bytes: self.store_pollers.snapshot_bytes(listed),
+            held: residence_digests(&self.directory),
+            left: self.sharing.left(now_ms),
+        }
+    }
+
+    fn apply_forecasts(&mut self, forecasts: Vec<ForecastRow>) {
+        let now_ms = self.now_ms;
+        for row in forecasts {
+            let ready_ms = row.ready_in_ms.map(|in_ms| now_ms + in_ms);
+            self.dispatcher
+                .record_forecast(now_ms, row.model, LoadForecast { ready_ms });
+        }
+        self.redispatch_needed = true;
+    }
+
+    pub(crate) fn apply_residence_updates(&mut self, updates: Vec<ResidenceUpdate>) {
+        for update in updates {
+            self.redispatch_needed |=
+                self.residence_updates
+                    .record(self.now_ms, &mut self.directory, update);
+        }
+    }
+
+    /// Sends the messages that are due.
+    pub(crate) fn advance_peers(&mut self) {
+        let now_ms = self.now_ms;
+        if now_ms >= self.peers.next_hello_ms {
+            self.peers.next_hello_ms = u64::MAX;
+            self.peers.send_hello();
+        }
+        if now_ms >= self.peers.next_residence_updates_ms {
+            self.peers.send_residence_updates();
+        }
+        if now_ms >= self.peers.next_heartbeat_ms {
+            self.peers.next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
+            self.peers.last_heartbeat_ms = now_ms;
+            self.send_heartbeat();
+        }
+        if now_ms >= self.peers.next_demand_ms {
+            self.send_demand();
+        }
+    }
+
+    fn send_heartbeat(&mut self) {
+        let now_ms = self.now_ms;
+        let Some(lease_end) = self.engine_orders.held_lease_end(now_ms) else {
+            let silent = self
+                .peers
+                .lease_holder
+                .as_ref()
+                .is_none_or(|(.., heard_ms)| now_ms.saturating_sub(*heard_ms) > HELLO_INTERVAL_MS);
+            if silent && self.peers.next_hello_ms == u64::MAX {
+                self.peers.next_hello_ms = now_ms + HELLO_INTERVAL_MS;
+            }
+            return;
+        };
+        self.peers.lease_holder = Some((self.peers.own.vm.clone(), self.peers.own.address, now_ms));
+        let rows = self.engine_orders.forecasts(now_ms);
+        let from = self.peers.own.clone();
+        let mut parts: Vec<Vec<ForecastRow>> = rows
+            .chunks(ROWS_PER_DATAGRAM)
+            .map(<[ForecastRow]>::to_vec)
+            .collect();
+        if parts.is_empty() {
+            parts.push(Vec::new());
+        }
+        self.sharing.lead();
+        let fresh = self.freshness();
+        for forecasts in parts {
+            let heartbeat = PeerMessage::Heartbeat {
+                from: from.clone(),
+                lease_end,
+                forecasts,
+                fresh: fresh.clone(),
+            };
+            self.peers.send_all(&heartbeat);
+        }
+        self.apply_forecasts(rows);
+    }
+
+    fn send_demand(&mut self) {
+        let now_ms = self.now_ms;
+        let rows = self.changed_demand();
+        let has_waiting_requests = rows
+            .iter()
+            .any(|row| row.waiting_for_load + row.waiting_for_slot > 0);
+        let by_fleet_ms = self.peers.others() as u64 * BUSY_DEMAND_INTERVAL_US_PER_VM / 1_000;
+        let waiting_ms = BUSY_DEMAND_INTERVAL_MS
+            .max(by_fleet_ms)
+            .min(IDLE_DEMAND_INTERVAL_MS);
+        let pause_ms = if has_waiting_requests {
+            waiting_ms
+        } else {
+            IDLE_DEMAND_INTERVAL_MS
+        };
+        self.peers.next_demand_ms = now_ms + pause_ms;
+        self.peers.last_demand_ms = now_ms;
+        let from = self.peers.own.clone();
+        if self.engine_orders.held_lease_end(now_ms).is_some() {
+            self.engine_orders
+                .record_demand(now_ms, &from.vm, from.incarnation, rows);
+            return;
+        }
+        let Some((_, address, _)) = self.peers.lease_holder else {
+            return;
+        };
+        for rows in rows.chunks(ROWS_PER_DATAGRAM) {
+            let message = PeerMessage::Demand {
+                from: from.clone(),
+                rows: rows.to_vec(),
+            };
+            self.peers.send(address, &message);
+        }
+    }
+
+    /// Returns the demand rows of models whose demand has changed or that requests in progress
+    /// need.
+    fn changed_demand(&mut self) -> Vec<DemandRow> {
+        let active = self.active.iter().filter_map(|(_, request)| {
+            let state = match request.phase {
+                Phase::Waiting(WaitReason::Missing) => RequestState::Missing,
+                Phase::Waiting(WaitReason::Full) => RequestState::Full,
+                _ => RequestState::Running,
+            };
+            Some((request.job.wanted.as_ref()?, state))
+        });
+        self.local_demand.rows(active)
+    }
+}
