--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other VMs, as far as this one knows them, and the socket towards them.
+//! The other VMs that this VM knows, and the datagram socket to them.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -16,78 +16,88 @@
 use crate::messages::VmRecord;
 use crate::messages::encode;
 
-/// Rows of demand in one datagram: a row takes some 30 bytes.
-pub(crate) const ROWS_A_DATAGRAM: usize = 30;
+/// Demand rows in one datagram. A row takes about 30 bytes.
+pub(crate) const ROWS_PER_DATAGRAM: usize = 30;
 
-/// The shortest time between two tellings, however many requests begin to wait.
-const DEMAND_MIN_MS: u64 = 15;
+/// Lower bound of the shortest time between two demand reports, however many requests start to
+/// wait.
+const MIN_DEMAND_PAUSE_MS: u64 = 15;
 
-/// What each VM adds to the longest such time.
-const DEMAND_MIN_US_A_VM: u64 = 350;
+/// What each known VM adds to the shortest time between two demand reports.
+const DEMAND_PAUSE_US_PER_VM: u64 = 350;
 
-/// The longest such time.
-const DEMAND_MOST_MIN_MS: u64 = 150;
+/// Upper bound of the shortest time between two demand reports.
+const MAX_DEMAND_PAUSE_MS: u64 = 150;
 
-/// The shortest time between two beats, however much changes. A beat is a datagram to each VM.
-const BEAT_MIN_MS: u64 = 40;
+/// Shortest time between two heartbeats, however much changes. A heartbeat is a datagram to each
+/// VM.
+const MIN_HEARTBEAT_INTERVAL_MS: u64 = 40;
 
-/// How long news are gathered, for each VM that they are told to. Hundreds of orders a second, each
-/// told by itself to hundreds of VMs, take the whole of a small part of a core in system calls.
-const NEWS_PAUSE_US_A_VM: u64 = 150;
+/// How long residence updates are collected before they are sent, for each known VM. Hundreds of
+/// orders a second, each announced separately to hundreds of VMs, use up a small share of a core in
+/// system calls alone.
+const UPDATE_COLLECTION_US_PER_VM: u64 = 150;
 
-/// VMs, besides the one that gives orders, that are told what was in progress at upstreams that
-/// crashed. Any one of them is enough.
-const JUDGES: usize = 4;
+/// Number of VMs, besides the lease holder, that receive reports of the requests in progress at
+/// crashed upstreams. Any one of them is sufficient.
+const JUDGE_COUNT: usize = 4;
 
-/// VMs that may keep the accounts of organisations: the first one, and others where it is lost.
-const KEEPERS: usize = 4;
+/// Number of VMs that may keep the accounts of organisations: one, and its substitutes if it is
+/// lost.
+const OWNER_CANDIDATES: usize = 4;
 
-/// How long a VM that was not heard of counts as there.
-const PEER_GOOD_MS: u64 = 3_000;
+/// How long a VM counts as alive after its last message.
+const PEER_TIMEOUT_MS: u64 = 3_000;
 
-/// Time between two greetings by a VM that does not hear the giver of orders.
-pub(crate) const GREETING_MS: u64 = 1_000;
+/// Time between two hellos of a VM that does not hear the lease holder.
+pub(crate) const HELLO_INTERVAL_MS: u64 = 1_000;
 
-/// VMs that are greeted at a time after the first greeting, in turn. When no giver is there all VMs
-/// greet: if each greeted all others, hundreds would exchange tens of thousands of datagrams a
-/// second.
-const GREETED_AT_ONCE: usize = 16;
+/// Number of VMs that receive each hello after the first one, which goes to all. While there is no
+/// lease holder all VMs send hellos: with each of them to all others, hundreds of VMs would
+/// exchange tens of thousands of datagrams a second.
+const HELLO_BATCH: usize = 16;
 
-/// Senders of messages that were not understood that have a line in the log.
-const STRANGERS: usize = 200;
+/// Maximum number of senders of undecodable messages that are logged.
+const MAX_LOGGED_SENDERS: usize = 200;
 
+/// What is known about another VM.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownVm {
     address: SocketAddr,
-    run: u64,
+    incarnation: u64,
+    /// How long a fixed amount of work took on the VM when it started.
     work_us: u32,
+    /// When the VM was last heard from; 0 if only its entry in the store is known.
     heard_ms: u64,
 }
 
-/// `Peers` are the other VMs.
+/// Known VMs, the lease holder among them, and the schedule of messages to them.
 #[derive(Debug)]
 pub(crate) struct Peers {
     pub(super) own: VmRecord,
     socket: UdpSocket,
-    known: HashMap<VmName, Known>,
-    /// Whether the store's entries of the VMs were read.
+    known: HashMap<VmName, KnownVm>,
+    /// Whether the VMs' entries in the store have been read.
     has_records: bool,
-    pub(super) holder: Option<(VmName, SocketAddr, u64)>,
+    /// Name and address of the lease holder, and when its last heartbeat was received or sent; none
+    /// before the first and after its goodbye.
+    pub(super) lease_holder: Option<(VmName, SocketAddr, u64)>,
     pub(super) next_demand_ms: u64,
     pub(super) last_demand_ms: u64,
-    pub(super) next_beat_ms: u64,
-    pub(super) last_beat_ms: u64,
-    /// News that are still to be told, and when they are.
-    news: Vec<ResidenceUpdate>,
-    pub(super) next_news_ms: u64,
-    pub(super) next_greeting_ms: u64,
-    /// Whether the socket may hold datagrams that were not taken in yet.
+    pub(super) next_heartbeat_ms: u64,
+    pub(super) last_heartbeat_ms: u64,
+    /// Residence updates that are collected for the next announcement.
+    residence_updates: Vec<ResidenceUpdate>,
+    pub(super) next_residence_updates_ms: u64,
+    pub(super) next_hello_ms: u64,
+    /// Whether the socket may hold datagrams that have not been received yet.
     pub may_have_more: bool,
-    /// Whether all VMs were greeted, and how many were since then.
-    has_greeted: bool,
-    greeted: usize,
-    /// Senders of messages that were not understood.
-    strangers: HashSet<SocketAddr>,
+    /// Whether the first hello has been sent to all VMs.
+    has_sent_first_hello: bool,
+    /// Index of the known VM that the next hello begins with.
+    hello_offset: usize,
+    /// Senders of undecodable messages that have been logged.
+    undecodable_senders: HashSet<SocketAddr>,
 }
 
 impl Peers {
@@ -97,74 +107,76 @@
             socket,
             known: HashMap::new(),
             has_records: false,
-            holder: None,
+            lease_holder: None,
             next_demand_ms: 0,
             last_demand_ms: 0,
-            next_beat_ms: 0,
-            last_beat_ms: 0,
-            news: Vec::new(),
-            next_news_ms: u64::MAX,
-            next_greeting_ms: u64::MAX,
+            next_heartbeat_ms: 0,
+            last_heartbeat_ms: 0,
+            residence_updates: Vec::new(),
+            next_residence_updates_ms: u64::MAX,
+            next_hello_ms: u64::MAX,
             may_have_more: false,
-            has_greeted: false,
-            greeted: 0,
-            strangers: HashSet::new(),
+            has_sent_first_hello: false,
+            hello_offset: 0,
+            undecodable_senders: HashSet::new(),
         }
     }
 
-    /// Returns whether a message of this sender was not understood for the first time.
-    pub fn is_new_stranger(&mut self, from: SocketAddr) -> bool {
-        self.strangers.len() < STRANGERS && self.strangers.insert(from)
+    /// Returns whether this sender's undecodable message should be logged: the first one of each
+    /// sender, up to a maximum number of senders.
+    pub fn should_log_undecodable(&mut self, from: SocketAddr) -> bool {
+        self.undecodable_senders.len() < MAX_LOGGED_SENDERS && self.undecodable_senders.insert(from)
     }
 
-    /// Returns the VM that gives orders as far as this one knows, for logs.
-    pub fn holder_text(&self) -> &str {
-        self.holder.as_ref().map_or("", |(vm, ..)| vm.as_str())
+    /// Returns the lease holder that this VM knows, for logs; empty if it knows none.
+    pub fn lease_holder_text(&self) -> &str {
+        self.lease_holder
+            .as_ref()
+            .map_or("", |(vm, ..)| vm.as_str())
     }
 
-    /// Returns this VM's entry for the store.
+    /// Returns this VM's entry in the store.
     pub fn own_record(&self) -> &VmRecord {
         &self.own
     }
 
-    /// Takes in the entries of the store and greets every VM.
-    pub fn note_records(&mut self, records: Vec<VmRecord>) {
+    /// Adds the VMs of the store's entries and schedules a hello to all VMs.
+    pub fn add_store_entries(&mut self, records: Vec<VmRecord>) {
         for record in records
             .into_iter()
             .filter(|record| record.vm != self.own.vm)
         {
-            self.known.entry(record.vm).or_insert(Known {
+            self.known.entry(record.vm).or_insert(KnownVm {
                 address: record.address,
-                run: record.run,
+                incarnation: record.incarnation,
                 work_us: record.work_us,
                 heard_ms: 0,
             });
         }
         self.has_records = true;
-        self.next_greeting_ms = 0;
+        self.next_hello_ms = 0;
     }
 
-    /// Has the demand told soon: a request has begun to wait.
-    pub fn tell_demand_soon(&mut self) {
-        let by_fleet_ms = self.known.len() as u64 * DEMAND_MIN_US_A_VM / 1_000;
-        let pause_ms = by_fleet_ms.clamp(DEMAND_MIN_MS, DEMAND_MOST_MIN_MS);
+    /// Schedules a demand report soon, since a request has started to wait.
+    pub fn schedule_demand_report(&mut self) {
+        let by_fleet_ms = self.known.len() as u64 * DEMAND_PAUSE_US_PER_VM / 1_000;
+        let pause_ms = by_fleet_ms.clamp(MIN_DEMAND_PAUSE_MS, MAX_DEMAND_PAUSE_MS);
         self.next_demand_ms = self.next_demand_ms.min(self.last_demand_ms + pause_ms);
     }
 
-    /// Returns when something is to be sent.
+    /// Returns when the next message is due.
     pub fn next_ms(&self) -> u64 {
         self.next_demand_ms
-            .min(self.next_beat_ms)
-            .min(self.next_greeting_ms)
-            .min(self.next_news_ms)
+            .min(self.next_heartbeat_ms)
+            .min(self.next_hello_ms)
+            .min(self.next_residence_updates_ms)
     }
 
-    /// Returns whether a VM is known.
-    pub(super) fn knows(&self, vm: &VmName) -> bool {
+    pub(super) fn knows_vm(&self, vm: &VmName) -> bool {
         self.known.contains_key(vm)
     }
 
-    /// Forgets a VM that stops.
+    /// Removes a VM that stops.
     pub(super) fn forget(&mut self, vm: &VmName) {
         self.known.remove(vm);
     }
@@ -174,19 +186,18 @@
         self.socket.recv_from(bytes)
     }
 
-    /// Returns how many VMs there are with this one, as far as the store and greetings have told;
-    /// none before the store has. VMs that are gone without a word still count.
+    /// Returns the number of VMs including this one; none before the store's entries have been
+    /// read. VMs that ended without a goodbye still count.
     pub fn vms(&self) -> Option<u32> {
         self.has_records.then(|| self.known.len() as u32 + 1)
     }
 
-    /// Returns how many other VMs are known.
+    /// Returns the number of other VMs that are known.
     pub fn others(&self) -> usize {
         self.known.len()
     }
 
-    /// Returns this VM's place among those that could take over the orders from the VM that last
-    /// gave them.
+    /// Returns this VM's rank among the VMs that could take over the lease from its last holder.
     pub fn takeover_rank(&self, now_ms: u64) -> u64 {
         if !self.has_records {
             return takeover_order::default_takeover_rank();
@@ -196,8 +207,14 @@
             work_us: self.own.work_us,
             is_alive: true,
         };
-        let holder = self.holder.as_ref().map(|(holder, ..)| holder);
-        let others = self.known.iter().filter(|(vm, _)| Some(*vm) != holder);
+        let lease_holder = self
+            .lease_holder
+            .as_ref()
+            .map(|(lease_holder, ..)| lease_holder);
+        let others = self
+            .known
+            .iter()
+            .filter(|(vm, _)| Some(*vm) != lease_holder);
         takeover_order::takeover_rank(
             &own,
             others.map(|(vm, known)| TakeoverCandidate {
@@ -208,8 +225,8 @@
         )
     }
 
-    /// Returns the VMs that judge which requests crash upstreams, this one among them or not: the
-    /// giver of orders, and some that all VMs choose alike from their names.
+    /// Returns the VMs that judge which requests crash upstreams: the lease holder, and some that
+    /// all VMs choose alike by hashes of their names. This VM may be one of them.
     pub fn judges(&self) -> Vec<(VmName, SocketAddr)> {
         let others = self.known.iter().map(|(vm, known)| (vm, known.address));
         let mut ranked: Vec<(u64, &VmName, SocketAddr)> = others
@@ -217,19 +234,21 @@
             .map(|(vm, address)| (xxh3_64(vm.as_str().as_bytes()), vm, address))
             .collect();
         ranked.sort_unstable();
-        let chosen = ranked.into_iter().take(JUDGES);
+        let chosen = ranked.into_iter().take(JUDGE_COUNT);
         let mut judges: Vec<(VmName, SocketAddr)> = chosen
             .map(|(_, vm, address)| (vm.clone(), address))
             .collect();
-        let holder = self.holder.as_ref();
-        let holder = holder.filter(|(vm, ..)| judges.iter().all(|(judge, _)| judge != vm));
-        judges.extend(holder.map(|(vm, address, _)| (vm.clone(), *address)));
+        let lease_holder = self.lease_holder.as_ref();
+        let lease_holder =
+            lease_holder.filter(|(vm, ..)| judges.iter().all(|(judge, _)| judge != vm));
+        judges.extend(lease_holder.map(|(vm, address, _)| (vm.clone(), *address)));
         judges
     }
 
-    /// Returns the VMs that may keep the accounts of organisations: the fast ones, chosen alike by all
-    /// VMs from their names. A slow one can't answer hundreds of VMs in time.
-    pub fn keepers(&self) -> Vec<(VmName, SocketAddr)> {
+    /// Returns the VMs that may keep the accounts of organisations: fast ones, which all VMs choose
+    /// alike by speed class and hashes of their names. A slow VM can't answer hundreds of VMs in
+    /// time.
+    pub fn quota_owners(&self) -> Vec<(VmName, SocketAddr)> {
         let others = self.known.iter();
         let others = others.map(|(vm, known)| (known.work_us, vm, known.address));
         let own = (self.own.work_us, &self.own.vm, self.own.address);
@@ -241,14 +260,14 @@
             })
             .collect();
         ranked.sort_unstable();
-        let chosen = ranked.into_iter().take(KEEPERS);
+        let chosen = ranked.into_iter().take(OWNER_CANDIDATES);
         chosen
             .map(|(_, _, vm, address)| (vm.clone(), address))
             .collect()
     }
 
-    /// Tells all VMs that this one stops.
-    pub fn say_goodbye(&mut self) {
+    /// Announces to all VMs that this one stops.
+    pub fn send_goodbye(&mut self) {
         self.send_all(&PeerMessage::Goodbye(self.own.vm.clone()));
     }
 
@@ -258,78 +277,89 @@
             return;
         };
         for known in self.known.values() {
-            // A datagram that can't be sent is as good as a lost one.
+            // A datagram that can't be sent is treated as lost.
             let _ = self.socket.send_to(&bytes, known.address);
         }
     }
 
-    /// Says to other VMs that this one is there: at first to all, later to some in turn.
-    pub fn greet(&mut self) {
-        let greeting = PeerMessage::Greeting(self.own.clone());
-        if !std::mem::replace(&mut self.has_greeted, true) {
-            self.send_all(&greeting);
+    /// Announces this VM to others: the first time to all, later to some in turn.
+    pub fn send_hello(&mut self) {
+        let hello = PeerMessage::Hello(self.own.clone());
+        if !std::mem::replace(&mut self.has_sent_first_hello, true) {
+            self.send_all(&hello);
             return;
         }
-        let at_once = self.known.len().min(GREETED_AT_ONCE);
-        let turn = self.known.values().cycle().skip(self.greeted).take(at_once);
+        let at_once = self.known.len().min(HELLO_BATCH);
+        let turn = self
+            .known
+            .values()
+            .cycle()
+            .skip(self.hello_offset)
+            .take(at_once);
         let addresses: Vec<SocketAddr> = turn.map(|known| known.address).collect();
         for address in addresses {
-            self.send(address, &greeting);
+            self.send(address, &hello);
         }
-        self.greeted = (self.greeted + at_once) % self.known.len().max(1);
+        self.hello_offset = (self.hello_offset + at_once) % self.known.len().max(1);
     }
 
-    /// Sends a message to one VM.
     pub(super) fn send(&self, address: SocketAddr, message: &PeerMessage) {
         if let Some(bytes) = encode(message) {
             let _ = self.socket.send_to(&bytes, address);
         }
     }
 
-    /// Has the next beat sent soon: something has changed that others should know.
-    pub fn beat_soon(&mut self) {
-        self.next_beat_ms = self.next_beat_ms.min(self.last_beat_ms + BEAT_MIN_MS);
+    /// Schedules the next heartbeat soon, since something has changed that other VMs should know.
+    pub fn schedule_heartbeat(&mut self) {
+        self.next_heartbeat_ms = self
+            .next_heartbeat_ms
+            .min(self.last_heartbeat_ms + MIN_HEARTBEAT_INTERVAL_MS);
     }
 
-    /// Has news told to all VMs, at once by a small fleet and gathered for some time by a large
-    /// one.
-    pub fn tell_news(&mut self, now_ms: u64, news: &[ResidenceUpdate]) {
-        for told in news {
-            self.news.retain(|other| !other.has_same_subject(told));
-            self.news.push(told.clone());
+    /// Queues residence updates for all VMs. A small fleet is sent them at once; for a large one
+    /// they are collected for some time.
+    pub fn queue_residence_updates(&mut self, now_ms: u64, residence_updates: &[ResidenceUpdate]) {
+        for update in residence_updates {
+            self.residence_updates
+                .retain(|other| !other.has_same_subject(update));
+            self.residence_updates.push(update.clone());
         }
-        let pause_ms = self.known.len() as u64 * NEWS_PAUSE_US_A_VM / 1_000;
-        self.next_news_ms = self.next_news_ms.min(now_ms + pause_ms);
+        let pause_ms = self.known.len() as u64 * UPDATE_COLLECTION_US_PER_VM / 1_000;
+        self.next_residence_updates_ms = self.next_residence_updates_ms.min(now_ms + pause_ms);
     }
 
-    /// Sends the news that were gathered, in as many datagrams as they take.
-    pub(super) fn send_news(&mut self) {
-        self.next_news_ms = u64::MAX;
-        for part in std::mem::take(&mut self.news).chunks(ROWS_A_DATAGRAM / 2) {
-            self.send_all(&PeerMessage::News(part.to_vec()));
+    /// Sends the collected residence updates, in as many datagrams as they need.
+    pub(super) fn send_residence_updates(&mut self) {
+        self.next_residence_updates_ms = u64::MAX;
+        for part in std::mem::take(&mut self.residence_updates).chunks(ROWS_PER_DATAGRAM / 2) {
+            self.send_all(&PeerMessage::ResidenceUpdates(part.to_vec()));
         }
     }
 
-    /// Notes that a VM was heard of. Returns whether this is another run than was heard of before.
-    pub(super) fn note_heard(&mut self, now_ms: u64, record: &VmRecord) -> bool {
+    /// Records that a VM was heard of. Returns whether this incarnation of it was unknown.
+    pub(super) fn record_heard(&mut self, now_ms: u64, record: &VmRecord) -> bool {
         if record.vm == self.own.vm {
             return false;
         }
-        let known = Known {
+        let known = KnownVm {
             address: record.address,
-            run: record.run,
+            incarnation: record.incarnation,
             work_us: record.work_us,
             heard_ms: now_ms,
         };
         let before = self.known.insert(record.vm.clone(), known);
-        let is_other_run = before.is_none_or(|before| before.run != record.run);
-        if is_other_run {
-            log::debug!(peer = record.vm.to_string(), run = record.run; "VM heard of");
+        let is_other_incarnation =
+            before.is_none_or(|before| before.incarnation != record.incarnation);
+        if is_other_incarnation {
+            log::debug!(
+                peer = record.vm.to_string(), run = record.incarnation;
+                "incarnation of a VM discovered"
+            );
         }
-        is_other_run
+        is_other_incarnation
     }
 }
 
-fn is_alive(known: &Known, now_ms: u64) -> bool {
-    known.heard_ms > 0 && now_ms.saturating_sub(known.heard_ms) < PEER_GOOD_MS
+fn is_alive(known: &KnownVm, now_ms: u64) -> bool {
+    known.heard_ms > 0 && now_ms.saturating_sub(known.heard_ms) < PEER_TIMEOUT_MS
 }
--- a/crates/entry/src/serving.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, up to the answer of an upstream.
+//! Dispatch of callers' requests, from their arrival until they are sent to an upstream.
 
 use std::sync::Arc;
 
@@ -20,42 +20,48 @@
 use apricotdale_quarantine::Permit;
 use mio::Token;
 
-use crate::active::Active;
+use crate::active::ActiveRequest;
 use crate::active::Phase;
 use crate::codec::ForwardFields;
 use crate::crash_watch::caller_hash;
 use crate::crash_watch::fingerprint;
 use crate::daemon::Daemon;
-use crate::failing::BUDGET_PAUSE_MS;
+use crate::failed_attempts::BUDGET_PAUSE_MS;
 use crate::limits::charge;
 use crate::outbound::Peer;
 use crate::outbound::Purpose;
 
-/// How long before a request's deadline it gets its final answer, so that the answer arrives.
+/// Time before a request's deadline at which it gets its final answer, so that the answer arrives
+/// in time.
 const ANSWER_MARGIN_MS: u64 = 30;
 
-/// The time until the first event that is expected of an engine that is not full.
-const FIRST_EVENT_MS: u64 = 250;
+/// Expected time until the first event of an engine that is not full.
+const EXPECTED_FIRST_EVENT_MS: u64 = 250;
 
-/// The expected time for one generated token.
-const TOKEN_MS: u64 = 7;
+/// Expected time to generate one token.
+const EXPECTED_TOKEN_MS: u64 = 7;
 
-/// What is awaited of a plain service.
-const SERVICE_RUN_MS: u64 = 50;
+/// Expected run time of a request at a plain service.
+const EXPECTED_SERVICE_MS: u64 = 50;
 
-/// When a refused caller should come back if nothing better is known: engines turn requests away
-/// for moments only.
+/// Retry delay that a refused caller is told if nothing better is known. Engines reject requests
+/// for short moments only.
 const RETRY_AFTER_MS: u64 = 250;
 
-/// Prompt parts that decide which engine probably has the prompt's beginning cached.
-const PREFIX_PARTS: usize = 2;
+/// Maximum number of prompt parts that select the engine which probably has the prefix cached.
+const MAX_PREFIX_PARTS: usize = 2;
 
-/// The shortest shared beginning of a prompt for which an engine is preferred. A shorter one is
-/// read faster than the queue at a preferred engine moves.
-const PREFIX_TOKENS: u32 = 1_000;
+/// Minimum length of a shared prompt prefix for prefix affinity. A shorter prefix is computed
+/// faster than the queue at a preferred engine moves.
+const MIN_PREFIX_TOKENS: u32 = 1_000;
 
 impl Daemon {
-    pub(crate) fn take_serving(&mut self, token: Token, mut head: RequestHead, body: Vec<u8>) {
+    pub(crate) fn handle_serving_request(
+        &mut self,
+        token: Token,
+        mut head: RequestHead,
+        body: Vec<u8>,
+    ) {
         let mut serving = match self.codecs.callers.decode(&head) {
             Ok(serving) => serving,
             Err(error) => {
@@ -64,7 +70,7 @@
                 return;
             }
         };
-        if !self.takes_requests() {
+        if !self.is_ready_for_requests() {
             let detail = match self.directory.is_complete() {
                 false => "this VM does not know its configuration yet",
                 true => "this VM waits for a newer configuration, which others have in force",
@@ -84,7 +90,7 @@
             self.refuse_new(token, &refusal, Some(&serving.id));
             return;
         };
-        // The key is not kept in clear for as long as the request is in progress.
+        // The key is not kept in clear text while the request is in progress.
         let key = std::mem::take(&mut serving.key);
         let organisation = match self.organisation_of(&key, &route) {
             Ok(organisation) => organisation,
@@ -96,7 +102,7 @@
         if self.directory.configuration().organisations.is_some() {
             self.codecs.callers.remove_key(&mut head);
         }
-        let Some(service) = route.service(draw(&serving.id)).cloned() else {
+        let Some(service) = route.service(request_hash(&serving.id)).cloned() else {
             let refusal = Refusal::not_run(RefusalReason::UnknownService, "no service");
             self.refuse_new(token, &refusal, Some(&serving.id));
             return;
@@ -105,17 +111,17 @@
             return;
         };
         let fingerprint = fingerprint(&serving, &head, &body);
-        if let Some(refusal) = self.blocked(&fingerprint) {
+        if let Some(refusal) = self.block_refusal(&fingerprint) {
             self.refuse_new(token, &refusal, Some(&serving.id));
             return;
         }
-        let mut job = self.job(&serving, &route, service);
+        let mut job = self.new_job(&serving, &route, service);
         if let Some(rank) = organisation.as_ref().and_then(|it| it.rank) {
             job.rank = rank;
         }
         self.dispatcher.arrived(self.now_ms, &job);
         if let Some(wanted) = &job.wanted {
-            self.own_demand.record_arrival(wanted);
+            self.local_demand.record_arrival(wanted);
         }
         let format = self.codecs.callers.stream_format();
         let delivery = Delivery::new(DeliveryOptions {
@@ -125,7 +131,7 @@
             last_event: serving.last_event,
             version_field: format.version_field,
         });
-        let key = self.active.insert(Active {
+        let key = self.active.insert(ActiveRequest {
             caller: Some(token),
             caller_hash: caller_hash(caller_address),
             fingerprint,
@@ -145,12 +151,12 @@
             first_answer_ms: None,
         });
         if let Some(caller) = self.callers.get_mut(&token) {
-            caller.answer_for(key);
+            caller.set_request(key);
         }
         self.dispatch(key);
     }
 
-    /// Returns the organisation that holds the key of a request; none where none is needed.
+    /// Returns the organisation that holds the key of a request; none if the route needs no key.
     fn organisation_of(
         &self,
         key: &PresentedKey,
@@ -161,7 +167,7 @@
         };
         let detail = match key {
             PresentedKey::Given(key) => match organisations.holder(key) {
-                Some(_) if !self.knows_keys() => {
+                Some(_) if !self.can_rely_on_keys() => {
                     let detail = "it is not known whether the key is still good";
                     let refusal = Refusal::not_run(RefusalReason::NotReady, detail);
                     return Err(refusal.retry_after(RETRY_AFTER_MS));
@@ -178,20 +184,24 @@
         }
     }
 
-    /// Returns whether keys may be relied on: always, unless the operators want them refused where
-    /// this VM has not heard for a while that its configuration is the newest. That others have a
-    /// newer one counts, too, whoever is heard and whatever the store holds.
-    fn knows_keys(&self) -> bool {
+    /// Returns whether keys can be relied on. They always can unless the operators configured that
+    /// keys are refused when, for longer than `revoke_ms`, this VM has not confirmed that its
+    /// configuration is the newest. A newer configuration announced by other VMs also counts
+    /// against it, regardless of who else is heard and of what the store contains.
+    fn can_rely_on_keys(&self) -> bool {
         let is_good = |age_ms| age_ms <= self.settings.revoke_ms;
-        match self.feeds.outdated_for_ms(self.now_ms) {
+        match self.store_pollers.outdated_for_ms(self.now_ms) {
             _ if !self.settings.fail_closed => true,
             Some(for_ms) => is_good(for_ms),
             None if self.sharing.is_following(self.now_ms) => true,
-            None => self.feeds.current_age_ms(self.now_ms).is_some_and(is_good),
+            None => self
+                .store_pollers
+                .confirmed_age_ms(self.now_ms)
+                .is_some_and(is_good),
         }
     }
 
-    fn job(&self, serving: &ServingRequest, route: &Arc<Route>, service: GroupName) -> Job {
+    fn new_job(&self, serving: &ServingRequest, route: &Arc<Route>, service: GroupName) -> Job {
         let now_ms = self.now_ms;
         let is_engine = self
             .directory
@@ -202,8 +212,8 @@
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         let expected_run_ms = match is_engine {
-            true => FIRST_EVENT_MS + TOKEN_MS * u64::from(serving.output_tokens),
-            false => SERVICE_RUN_MS,
+            true => EXPECTED_FIRST_EVENT_MS + EXPECTED_TOKEN_MS * u64::from(serving.output_tokens),
+            false => EXPECTED_SERVICE_MS,
         };
         Job {
             service,
@@ -222,10 +232,10 @@
         }
     }
 
-    /// Refuses a request that never became active.
+    /// Refuses a request before it is registered as active.
     fn refuse_new(&mut self, token: Token, refusal: &Refusal, id: Option<&RequestId>) {
         self.metrics.refused(refusal.reason.as_str());
-        if self.lines.take(self.now_ms, false) {
+        if self.log_budget.try_take(self.now_ms, false) {
             log::info!(
                 request_id = id.map_or("", RequestId::as_str),
                 reason = refusal.reason.as_str(),
@@ -239,25 +249,25 @@
         self.write_refusal(token, bytes);
     }
 
-    /// Returns whether the caller's connection ends after this answer.
+    /// Returns whether the caller's connection closes after the answer in progress.
     pub(crate) fn closes_after(&self, token: Token) -> bool {
-        self.stopping.has_begun()
+        self.planned_stop.has_begun()
             || self
                 .callers
                 .get(&token)
                 .is_some_and(|caller| caller.close_after)
     }
 
-    /// Looks again at every waiting request.
+    /// Retries the dispatch of every waiting request.
     pub(crate) fn dispatch_waiting(&mut self) {
         for key in self.active.waiting(self.now_ms) {
             self.dispatch(key);
         }
     }
 
-    /// Decides on a request and carries the verdict out.
+    /// Decides whether a request is sent, waits or is refused, and does so.
     pub(crate) fn dispatch(&mut self, key: u64) {
-        if !self.is_within_limit(key) {
+        if !self.admit_within_limit(key) {
             return;
         }
         let Some(request) = self.active.get_mut(key) else {
@@ -275,19 +285,19 @@
             .decide(self.now_ms, &self.directory, &request.job)
         {
             DispatchDecision::Send(upstream) => self.send_if_permitted(key, upstream),
-            DispatchDecision::Wait(WaitReason::Budget) => self.pause(key, BUDGET_PAUSE_MS),
+            DispatchDecision::Wait(WaitReason::Budget) => self.pause_request(key, BUDGET_PAUSE_MS),
             DispatchDecision::Wait(reason) => {
-                let news = request.phase != Phase::Waiting(reason);
+                let is_change = request.phase != Phase::Waiting(reason);
                 request.phase = Phase::Waiting(reason);
-                if news && reason == WaitReason::Missing {
-                    self.peers.tell_demand_soon();
+                if is_change && reason == WaitReason::Missing {
+                    self.peers.schedule_demand_report();
                 }
             }
             DispatchDecision::Refuse(refusal) => self.refuse(key, &refusal),
         }
     }
 
-    /// Sends a request unless it is on probation and another copy may be under way.
+    /// Sends a request, unless it is on probation and another copy of it may be in progress.
     fn send_if_permitted(&mut self, key: u64, upstream: UpstreamName) {
         let now_ms = self.now_ms;
         let Some(request) = self.active.get_mut(key) else {
@@ -302,7 +312,7 @@
                 request.is_trial = true;
                 self.metrics.trial();
                 self.send(key, upstream);
-                self.note_unsent_trial(key);
+                self.end_unsent_trial(key);
             }
             Permit::Wait => request.phase = Phase::Waiting(WaitReason::Suspected),
         }
@@ -317,7 +327,7 @@
         let instance = upstream.instance.clone();
         let peer = Peer::Upstream(name.clone());
         let Some(token) = self.connect(&peer, address) else {
-            log::warn!(upstream = name.to_string(); "no connection can be opened");
+            log::warn!(upstream = name.to_string(); "connection to upstream can't be opened");
             return;
         };
         let Some(request) = self.active.get_mut(key) else {
@@ -347,31 +357,31 @@
             at_ms: now_ms,
             first_byte_ms: None,
         };
-        let to_head = request.head.method.eq_ignore_ascii_case("HEAD");
+        let is_head_request = request.head.method.eq_ignore_ascii_case("HEAD");
         self.dispatcher.sent(now_ms, &request.job, &name);
         if request.job.wanted.is_some() {
             self.watch.sent(now_ms, &name);
         }
         if let Some(connection) = self.outbound.get_mut(token) {
-            connection.begin(now_ms, Purpose::Relay(key), &bytes, to_head);
-            let stands = connection.stream.flush();
-            if !stands {
-                self.advance_relay(token, key, false);
+            connection.begin(now_ms, Purpose::Proxy(key), &bytes, is_head_request);
+            let is_open = connection.stream.flush();
+            if !is_open {
+                self.advance_proxied_answer(token, key, false);
             }
         }
     }
 }
 
-/// Returns a number spread evenly over all values, the same for the same request.
-fn draw(id: &RequestId) -> u64 {
+/// Returns a hash of the request's ID, evenly distributed over all values.
+fn request_hash(id: &RequestId) -> u64 {
     xxhash_rust::xxh3::xxh3_64(id.as_str().as_bytes())
 }
 
 fn prefix_hash(serving: &ServingRequest) -> Option<u64> {
     let wanted = serving.model.as_ref()?;
-    let shared = &serving.parts[..serving.parts.len().saturating_sub(1).min(PREFIX_PARTS)];
+    let shared = &serving.parts[..serving.parts.len().saturating_sub(1).min(MAX_PREFIX_PARTS)];
     let tokens: u32 = shared.iter().map(|part| part.tokens).sum();
-    if tokens < PREFIX_TOKENS {
+    if tokens < MIN_PREFIX_TOKENS {
         return None;
     }
     let mut bytes = wanted.model.as_str().as_bytes().to_vec();
--- a/crates/entry/src/ending.rs
+++ b/crates/entry/src/request_ends.rs
@@ -1,4 +1,4 @@
-//! How requests end that are not answered by an upstream.
+//! Final answers that this VM gives itself, and the end of requests.
 
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::refusal::Ran;
@@ -12,7 +12,7 @@
 
 use crate::active::Phase;
 use crate::daemon::Daemon;
-use crate::failing::RETRY_AFTER_MS;
+use crate::failed_attempts::RETRY_AFTER_MS;
 
 impl Daemon {
     /// Refuses an active request.
@@ -21,7 +21,7 @@
         let Some(request) = self.active.get(key) else {
             return;
         };
-        if self.lines.take(self.now_ms, false) {
+        if self.log_budget.try_take(self.now_ms, false) {
             let job = &request.job;
             log::info!(
                 request_id = request.serving.id.to_string(),
@@ -33,24 +33,24 @@
                 age_ms = self.now_ms - job.arrived_ms,
                 tries = job.tried.len(),
                 config_version = self.directory.version(),
-                list_age_ms = self.feeds.list_age_ms(self.now_ms),
-                orders_by = self.peers.holder_text(),
+                list_age_ms = self.store_pollers.list_age_ms(self.now_ms),
+                orders_by = self.peers.lease_holder_text(),
                 forecast_in_ms = self.dispatcher.forecast_in_ms(self.now_ms, job);
                 "request refused"
             );
         }
         if let (Some(charge), Ran::NotRun) = (request.charge, refusal.ran) {
-            self.give_back(charge, key);
+            self.refund(charge, key);
         }
         if let Some(token) = self.active.get(key).and_then(|request| request.caller) {
-            self.close_answer(key, token, refusal);
+            self.refuse_or_abort(key, token, refusal);
         }
         self.end_request(key, refusal.reason.as_str());
-        self.serve_again();
+        self.schedule_redispatch();
     }
 
-    /// Answers with a refusal, or breaks an answer off that was begun.
-    fn close_answer(&mut self, key: u64, token: Token, refusal: &Refusal) {
+    /// Answers with a refusal, or aborts an answer that has begun.
+    fn refuse_or_abort(&mut self, key: u64, token: Token, refusal: &Refusal) {
         let close = self.closes_after(token);
         let Some(request) = self.active.get_mut(key) else {
             return;
@@ -66,18 +66,18 @@
         }
     }
 
-    /// Breaks a caller's connection, so that an answer that stopped midway does not look whole.
+    /// Resets a caller's connection, so that an answer that stopped midway does not look complete.
     pub(crate) fn abort_caller(&mut self, token: Token) {
         if let Some(caller) = self.callers.remove(&token) {
             caller.stream.close(self.poll.registry(), true);
         }
     }
 
-    fn serve_again(&mut self) {
-        self.look_again = true;
+    fn schedule_redispatch(&mut self) {
+        self.redispatch_needed = true;
     }
 
-    /// Forgets a request that has its final answer.
+    /// Removes a request that has its final answer, and logs how it ended.
     pub(crate) fn end_request(&mut self, key: u64, how: &str) {
         let Some(request) = self.active.remove(key) else {
             return;
@@ -85,7 +85,7 @@
         self.metrics.ended(how);
         let job = &request.job;
         let good = how == "answered";
-        if self.lines.take(self.now_ms, good) {
+        if self.log_budget.try_take(self.now_ms, good) {
             log::info!(
                 request_id = request.serving.id.to_string(),
                 reason = how,
@@ -105,14 +105,14 @@
         }
     }
 
-    /// Looks after requests whose deadline has come or whose pause is over.
-    pub(crate) fn due_requests(&mut self) {
+    /// Handles requests whose deadline has passed or whose pause has ended.
+    pub(crate) fn wake_due_requests(&mut self) {
         for key in self.active.due(self.now_ms) {
             let Some(request) = self.active.get_mut(key) else {
                 continue;
             };
             if self.now_ms >= request.job.deadline_ms {
-                self.deadline_passed(key);
+                self.handle_passed_deadline(key);
                 continue;
             }
             match request.phase {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn deadline_passed(&mut self, key: u64) {
+    fn handle_passed_deadline(&mut self, key: u64) {
         let Some(request) = self.active.get(key) else {
             return;
         };
@@ -144,12 +144,12 @@
             Ran::NotRun => refusal = refusal.retry_after(RETRY_AFTER_MS),
             _ => refusal.ran = ran,
         }
-        self.cancel_try(key);
+        self.cancel_attempt(key);
         self.refuse(key, &refusal);
     }
 }
 
-/// Returns the model and adapter that a request names, for logs.
+/// Returns the model and adapter that a request names, for logs; empty if it names none.
 pub(crate) fn model_text(job: &Job) -> String {
     match &job.wanted {
         Some(WantedModel {
@@ -164,7 +164,7 @@
     }
 }
 
-/// Returns the upstream to which a request was sent last, for logs.
+/// Returns the upstream that a request was last sent to, for logs; empty if there is none.
 pub(crate) fn upstream_text(job: &Job) -> &str {
     job.tried.last().map_or("", UpstreamName::as_str)
 }
--- a/crates/entry/src/store_era.rs
+++ b/crates/entry/src/store_era.rs
@@ -1,31 +1,31 @@
-//! The era of the store: what follows when it has come back from an older copy.
+//! The store's era, which counts its rollbacks, and the handling of a rollback.
 //!
-//! What was written since that copy is gone, and offsets are given out again. A position of an
-//! earlier era says nothing of where a topic ends now, so each VM keeps what it knows, forgets the
-//! places up to which it had read, and takes what is missing for missing as after an outage.
-//! Operators and upstreams write theirs again by themselves; what VMs keep in the store they write
-//! again here.
+//! In a rollback the store is restored from an older copy: later records are lost, and their
+//! offsets are assigned again. A position of an earlier era says nothing about the current end of a
+//! topic. Each VM therefore keeps the state that it has, discards its read positions, and treats
+//! missing entries as after an outage. Operators and upstreams write their records again by
+//! themselves; what VMs keep in the store is rewritten here.
 
 use apricotdale_core::numbers::Position;
 
-use crate::calling::CallAnswer;
-use crate::calling::CallOutcome;
-use crate::calling::CallTag;
+use crate::calls::CallAnswer;
+use crate::calls::CallOutcome;
+use crate::calls::CallTag;
 use crate::daemon::Daemon;
 
-/// `StoreEra` is the latest era of the store that is known.
+/// Latest known era of the store.
 #[derive(Debug, Default)]
 pub(crate) struct StoreEra {
     known: Option<u64>,
 }
 
 impl StoreEra {
-    /// Returns the era as far as it is known.
+    /// Returns the latest known era; 0 if none is known.
     pub fn now(&self) -> u64 {
         self.known.unwrap_or_default()
     }
 
-    /// Returns a position of this era.
+    /// Returns a position in the latest known era.
     pub fn position(&self, offset: u64) -> Position {
         Position::new(self.now(), offset)
     }
@@ -35,8 +35,9 @@
         era < self.now()
     }
 
-    /// Takes in an era. Returns the one before, if it has just begun for this VM.
-    fn note(&mut self, era: u64) -> Option<u64> {
+    /// Records an era. Returns the previous one if this era is new to this VM; none otherwise, and
+    /// for the first era.
+    fn record(&mut self, era: u64) -> Option<u64> {
         let before = self.known;
         self.known = before.max(Some(era));
         before.filter(|before| *before < era)
@@ -44,46 +45,48 @@
 }
 
 impl Daemon {
-    /// Returns how a call ended that was answered. An answer of an earlier era changes nothing.
-    pub(crate) fn outcome_in_era(
+    /// Returns the outcome of an answered call. An answer of an earlier era counts as none.
+    pub(crate) fn era_checked_outcome(
         &mut self,
         tag: &CallTag,
-        asked_era: u64,
+        request_era: u64,
         answer: CallAnswer,
     ) -> CallOutcome {
         let CallAnswer { status, era, body } = answer;
-        if let Some(era) = era.filter(|_| tag.is_of_store()) {
+        if let Some(era) = era.filter(|_| tag.targets_store()) {
             if self.store_era.is_past(era) {
                 self.metrics.answer_of_earlier_era(tag.as_str());
                 return CallOutcome::Unknown;
             }
-            let knew_another = self.store_era.known.is_some_and(|_| asked_era < era);
-            self.note_era(era);
-            if knew_another && tag.names_a_place() {
-                return CallOutcome::SetBack;
+            let knew_another = self.store_era.known.is_some_and(|_| request_era < era);
+            self.handle_era(era);
+            if knew_another && tag.continues_from_position() {
+                return CallOutcome::RolledBack;
             }
         }
         CallOutcome::Answered { status, body }
     }
 
-    /// Takes in the era of the store, as one of its answers or another VM tells it.
-    pub(crate) fn note_era(&mut self, era: u64) {
+    /// Records the era of the store as stated by a store's answer or by another VM, and handles a
+    /// rollback that this reveals.
+    pub(crate) fn handle_era(&mut self, era: u64) {
         let now_ms = self.now_ms;
-        self.ordering.note_era(now_ms, era);
-        let Some(before) = self.store_era.note(era) else {
+        self.engine_orders.record_era(now_ms, era);
+        let Some(before) = self.store_era.record(era) else {
             return;
         };
-        self.metrics.store_set_back();
+        self.metrics.store_rolled_back();
         log::warn!(
-            era, before, list_read_to = self.feeds.list_read_to().to_string(),
-            lease_end = self.ordering.lease_end().to_string(),
+            era, before, list_read_to = self.store_pollers.list_read_to().to_string(),
+            lease_end = self.engine_orders.lease_end().to_string(),
             configuration = self.directory.version();
             "store came back from an older copy"
         );
         self.directory.record_list_rollback(now_ms);
-        let leads = self.ordering.held_lease_end(now_ms).is_some();
-        self.feeds.set_back(now_ms, leads, &mut self.pacing);
-        self.block_store.set_back();
-        self.look_again = true;
+        let holds_lease = self.engine_orders.held_lease_end(now_ms).is_some();
+        self.store_pollers
+            .handle_rollback(now_ms, holds_lease, &mut self.pacing);
+        self.block_store.handle_rollback();
+        self.redispatch_needed = true;
     }
 }
--- /dev/null
+++ b/crates/entry/src/store_pollers/configuration.rs
@@ -0,0 +1,140 @@
+//! Reads of the configuration, and how a new one takes effect.
+
+use super::ANNOUNCED_CONFIGURATION_INTERVAL_MS;
+use super::CALL_TIMEOUT_MS;
+use super::COMPLETE_LIST_TIMEOUT_MS;
+use crate::calls::CallTag;
+use crate::codec::DecodeError;
+use crate::codec::KeyedRecord;
+use crate::codec::LogRead;
+use crate::codec::Topic;
+use crate::daemon::Daemon;
+
+/// How long a read of the configuration waits at the store for a change. A connection that has
+/// fallen silent is noticed little later than that, within the time in which a change must take
+/// effect.
+const CONFIGURATION_WAIT_MS: u64 = 2_000;
+
+/// Age of the last read above which the next one does not wait for a change.
+const MAX_AGE_FOR_WAITING_READ_MS: u64 = 2_200;
+
+/// How long a VM that starts waits for a configuration version that other VMs have in force. After
+/// a rollback of the store, operators publish their configuration again; if they do not, the one in
+/// the store is used.
+const NEWER_VERSION_WAIT_MS: u64 = 10_000;
+
+impl Daemon {
+    /// Returns whether this VM is ready for requests. A VM that starts right after a rollback of
+    /// the store reads a configuration that is no longer in force anywhere, and waits for the newer
+    /// one.
+    pub(crate) fn is_ready_for_requests(&mut self) -> bool {
+        if self.store_pollers.is_ready_for_requests || !self.directory.is_complete() {
+            return self.store_pollers.is_ready_for_requests;
+        }
+        let (version, announced) = (self.directory.version(), self.sharing.announced_version());
+        let waited_ms = self.now_ms
+            - *self
+                .store_pollers
+                .first_complete_ms
+                .get_or_insert(self.now_ms);
+        if version < announced && waited_ms < NEWER_VERSION_WAIT_MS {
+            return false;
+        }
+        if version < announced {
+            log::warn!(
+                version, told = announced;
+                "serving with an older configuration than other VMs have in force"
+            );
+        }
+        self.store_pollers.is_ready_for_requests = true;
+        true
+    }
+
+    pub(super) fn read_configuration(&mut self) {
+        self.store_pollers.configuration.calling = true;
+        let era = self.store_era.now();
+        match self.store_pollers.configuration.position_in_era(era) {
+            None => {
+                let bytes = self.codecs.store.newest(Topic::Configuration, None);
+                let timeout_ms = self
+                    .store_pollers
+                    .configuration
+                    .timeout_ms(&mut self.pacing, COMPLETE_LIST_TIMEOUT_MS);
+                self.call_store(CallTag::ConfigurationNewest, &bytes, timeout_ms);
+            }
+            Some(from) => {
+                // A VM that receives announcements of changes keeps no read waiting at the store.
+                // When the announcements have just stopped it reads once without a wait: what it
+                // announces about the upstream list counts for other VMs only if it has read the
+                // configuration too.
+                let age_ms = self.store_pollers.configuration_age_ms(self.now_ms);
+                let is_old = age_ms.is_none_or(|age_ms| age_ms > MAX_AGE_FOR_WAITING_READ_MS);
+                let wait_ms = match self.sharing.is_following(self.now_ms) || is_old {
+                    true => 0,
+                    false => CONFIGURATION_WAIT_MS,
+                };
+                let bytes = self
+                    .codecs
+                    .store
+                    .read(Topic::Configuration, from.offset, wait_ms);
+                let timeout_ms = self
+                    .store_pollers
+                    .configuration
+                    .timeout_ms(&mut self.pacing, CALL_TIMEOUT_MS);
+                self.call_store(CallTag::ConfigurationRead, &bytes, wait_ms + timeout_ms);
+            }
+        }
+    }
+
+    pub(super) fn handle_configuration_read(&mut self, read: LogRead) -> Result<u64, DecodeError> {
+        match read {
+            LogRead::Expired { .. } => {
+                self.store_pollers.configuration.restart();
+                Ok(0)
+            }
+            LogRead::Records { records, .. } => {
+                let mut keyed = Vec::new();
+                for record in &records {
+                    keyed.push(self.codecs.store.keyed(record)?);
+                }
+                self.apply_configurations(&keyed);
+                self.store_pollers
+                    .configuration
+                    .draw_read_phase(&mut self.pacing, ANNOUNCED_CONFIGURATION_INTERVAL_MS);
+                let from = self.store_pollers.configuration.from.unwrap_or_default();
+                self.store_pollers.configuration.from = Some(from.after(records.len() as u64));
+                Ok(0)
+            }
+        }
+    }
+
+    /// Puts configurations in force. Returns whether the records contained any.
+    pub(super) fn apply_configurations(&mut self, records: &[KeyedRecord]) -> bool {
+        let mut found = false;
+        for record in records {
+            let configuration = match self.codecs.store.configuration(record) {
+                Ok(Some(configuration)) => configuration,
+                Ok(None) => continue,
+                Err(error) => {
+                    log::error!(reason = error.detail; "configuration can't be decoded");
+                    continue;
+                }
+            };
+            found = true;
+            let version = configuration.version;
+            let before = self.directory.version();
+            match self.directory.configure(configuration) {
+                Ok(()) if version != before => {
+                    log::info!(version, before; "configuration in force");
+                    let is_outdated = self.sharing.announced_version() > version;
+                    self.store_pollers.record_outdated(self.now_ms, is_outdated);
+                    self.peers.schedule_heartbeat();
+                    self.redispatch_needed = true;
+                }
+                Ok(()) => {}
+                Err(error) => log::warn!(reason = error.to_string(); "configuration left alone"),
+            }
+        }
+        found
+    }
+}
--- a/crates/entry/src/answering.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -1,4 +1,4 @@
-//! Upstreams' answers, and what becomes of requests without one.
+//! Answers of upstreams, and how they are delivered to callers.
 
 use apricotdale_core::names::RequestId;
 use apricotdale_core::policy::UpstreamOutcome;
@@ -8,78 +8,79 @@
 use apricotdale_http1::ResponseHead;
 use mio::Token;
 
-use crate::active::Active;
+use crate::active::ActiveRequest;
 use crate::active::Phase;
 use crate::codec::AnswerFields;
 use crate::daemon::Daemon;
-use crate::ending::upstream_text;
 use crate::outbound::Part;
 use crate::outbound::Purpose;
+use crate::request_ends::upstream_text;
 
-/// Room for a head beside the bytes of a part.
-const HEAD_ROOM_BYTES: usize = 512;
+/// Space reserved for an answer's head in addition to the bytes of a part.
+const HEAD_RESERVE_BYTES: usize = 512;
 
-/// Bytes that may wait for a slow caller before the upstream is no longer read.
-const UNWRITTEN_BYTES: usize = 256 * 1024;
+/// Maximum number of unsent bytes to a slow caller before reading from the upstream pauses.
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
-/// `HeadVerdict` is what becomes of an answer by its head.
+/// How an answer is handled, judged by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeadVerdict {
-    /// It is the answer.
-    Take,
-    /// It answers another request; this request's own may follow.
+    /// The answer is delivered to the caller.
+    Deliver,
+    /// The answer belongs to another request; this request's own may follow.
     Skip,
-    /// The try has failed.
+    /// The attempt has failed.
     Fail(FailedAttempt),
-    /// It is the request's own, and does not fit behind what the caller has been given.
+    /// The answer is the request's own, and can't continue what the caller has received.
     ContinuationMismatch(ContinuationMismatch),
 }
 
 impl Daemon {
-    /// Goes on with the answer to a caller's request.
-    pub(crate) fn advance_relay(&mut self, token: Token, key: u64, stands: bool) {
+    /// Continues receiving the answer to a caller's request. `is_open` is false if writing the
+    /// request failed.
+    pub(crate) fn advance_proxied_answer(&mut self, token: Token, key: u64, is_open: bool) {
         let now_ms = self.now_ms;
         loop {
-            let too_full = self.caller_is_behind(key);
+            let is_slow = self.is_caller_slow(key);
             let Some(connection) = self.outbound.get_mut(token) else {
                 return;
             };
-            if connection.purpose != Purpose::Relay(key) {
+            if connection.purpose != Purpose::Proxy(key) {
                 return;
             }
-            if too_full {
+            if is_slow {
                 if connection.pause() {
                     self.metrics.paused_answer();
                 }
                 return;
             }
             match connection.next_part() {
-                Part::Head(head) => self.answer_head(token, key, head),
-                Part::Body(bytes) => self.answer_body(token, key, &bytes),
+                Part::Head(head) => self.handle_answer_head(token, key, head),
+                Part::Body(bytes) => self.handle_answer_body(token, key, &bytes),
                 Part::End => {
-                    if self.answer_end(token, key) {
+                    if self.handle_answer_end(token, key) {
                         return;
                     }
                 }
                 Part::Wait if connection.has_more() => connection.read(now_ms),
-                Part::Wait if stands => return,
+                Part::Wait if is_open => return,
                 Part::Wait | Part::Failed => {
-                    self.connection_failed(token, key);
+                    self.handle_failed_connection(token, key);
                     return;
                 }
             }
         }
     }
 
-    fn caller_is_behind(&self, key: u64) -> bool {
+    fn is_caller_slow(&self, key: u64) -> bool {
         self.active
             .get(key)
             .and_then(|request| request.caller)
             .and_then(|token| self.callers.get(&token))
-            .is_some_and(|caller| caller.stream.unwritten_bytes() > UNWRITTEN_BYTES)
+            .is_some_and(|caller| caller.stream.unwritten_bytes() > MAX_UNSENT_BYTES)
     }
 
-    /// Reads an answer that nobody waits for to its end.
+    /// Continues reading an abandoned answer to its end.
     pub(crate) fn advance_drain(&mut self, token: Token) {
         let now_ms = self.now_ms;
         loop {
@@ -106,16 +107,16 @@
         }
     }
 
-    fn answer_head(&mut self, token: Token, key: u64, head: ResponseHead) {
+    fn handle_answer_head(&mut self, token: Token, key: u64, head: ResponseHead) {
         let fields = self.codecs.callers.answer(&head);
-        self.note_idle(token, &head);
-        self.log_second_answer(key, &head);
+        self.record_idle_time(token, &head);
+        self.log_resumed_answer(key, &head);
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
-        let verdict = match judge(&head, &fields, &request.serving.id) {
-            HeadVerdict::Take => match request.delivery.head(head, fields.version) {
-                Ok(()) => HeadVerdict::Take,
+        let verdict = match classify_head(&head, &fields, &request.serving.id) {
+            HeadVerdict::Deliver => match request.delivery.head(head, fields.version) {
+                Ok(()) => HeadVerdict::Deliver,
                 Err(misfit) => HeadVerdict::ContinuationMismatch(misfit),
             },
             verdict => verdict,
@@ -135,42 +136,40 @@
             }
         }
         match verdict {
-            HeadVerdict::Take => {}
-            HeadVerdict::Skip => self.metrics.failed_try("crossed_answer"),
+            HeadVerdict::Deliver => {}
+            HeadVerdict::Skip => self.metrics.failed_attempt("crossed_answer"),
             HeadVerdict::Fail(failed) => {
                 if failed == FailedAttempt::Misdirected {
-                    self.note_misdirected(key, &fields);
+                    self.handle_misdirected(key, &fields);
                 }
                 match failed.is_not_run() {
-                    true => self.drain(token),
-                    false => self.leave(token),
+                    true => self.drain_answer(token),
+                    false => self.abandon(token),
                 }
-                self.try_failed(key, failed);
+                self.handle_failed_attempt(key, failed);
                 self.advance_drain(token);
             }
-            HeadVerdict::ContinuationMismatch(misfit) => {
-                self.answer_does_not_fit(token, key, misfit)
-            }
+            HeadVerdict::ContinuationMismatch(misfit) => self.reject_mismatch(token, key, misfit),
         }
     }
 
-    fn drain(&mut self, token: Token) {
+    fn drain_answer(&mut self, token: Token) {
         if let Some(connection) = self.outbound.get_mut(token) {
             connection.purpose = Purpose::Drain;
         }
     }
 
-    /// Closes the connection of an upstream that may still work on a request, by which the upstream
-    /// learns that the request is given up.
-    fn leave(&mut self, token: Token) {
+    /// Closes the connection of an upstream that may still work on a request, which informs the
+    /// upstream that the request is abandoned.
+    fn abandon(&mut self, token: Token) {
         self.outbound.close(token, self.poll.registry());
     }
 
-    /// Gives up an answer that does not fit behind what the caller has been given.
-    fn answer_does_not_fit(&mut self, token: Token, key: u64, misfit: ContinuationMismatch) {
-        self.metrics.misfit(misfit.as_str());
+    /// Abandons an answer that can't continue what the caller has received.
+    fn reject_mismatch(&mut self, token: Token, key: u64, misfit: ContinuationMismatch) {
+        self.metrics.mismatch(misfit.as_str());
         if let Some(request) = self.active.get(key)
-            && self.lines.take(self.now_ms, false)
+            && self.log_budget.try_take(self.now_ms, false)
         {
             log::warn!(
                 request_id = request.serving.id.to_string(),
@@ -178,37 +177,38 @@
                 upstream = upstream_text(&request.job),
                 last_event = request.delivery.last_event(),
                 begun = request.delivery.has_begun();
-                "answer does not fit"
+                "answer can't continue the delivered part"
             );
         }
         match misfit {
-            // The answer has ended, and its connection was released.
+            // The answer has ended, and its connection has been released.
             ContinuationMismatch::Unfinished | ContinuationMismatch::Empty => {}
-            _ => self.leave(token),
+            _ => self.abandon(token),
         }
-        self.try_failed(key, FailedAttempt::ContinuationMismatch);
+        self.handle_failed_attempt(key, FailedAttempt::ContinuationMismatch);
     }
 
-    /// Logs that an upstream answers a request of which the caller already has a part.
-    fn log_second_answer(&mut self, key: u64, head: &ResponseHead) {
-        let has_begun = |request: &&Active| request.delivery.has_begun();
+    /// Logs an upstream's answer to a request of which the caller already has a part.
+    fn log_resumed_answer(&mut self, key: u64, head: &ResponseHead) {
+        let has_begun = |request: &&ActiveRequest| request.delivery.has_begun();
         let Some(request) = self.active.get(key).filter(has_begun) else {
             return;
         };
-        if self.lines.take(self.now_ms, false) {
+        if self.log_budget.try_take(self.now_ms, false) {
             log::info!(
                 request_id = request.serving.id.to_string(),
                 upstream = upstream_text(&request.job),
                 status = head.status,
                 content_type = head.headers.text("Content-Type").unwrap_or_default(),
                 last_event = request.delivery.last_event();
-                "answer goes on at another upstream"
+                "answer resumed at another upstream"
             );
         }
     }
 
-    /// Learns from an answer that says the request was sent to the wrong place.
-    fn note_misdirected(&mut self, key: u64, fields: &AnswerFields) {
+    /// Corrects the directory after an answer that says that the request was sent to the wrong
+    /// upstream.
+    fn handle_misdirected(&mut self, key: u64, fields: &AnswerFields) {
         let Some(request) = self.active.get(key) else {
             return;
         };
@@ -224,42 +224,46 @@
         match (is_other, &request.job.wanted) {
             (true, _) => {
                 self.directory.record_gone(&upstream);
-                self.upstream_left(&upstream, "address_used_by_another");
+                self.stop_sending_to(&upstream, "address_used_by_another");
             }
             (false, Some(wanted)) => {
                 let wanted = wanted.clone();
-                self.news
-                    .note_missing(self.now_ms, &mut self.directory, &upstream, &wanted);
-                self.tell_turned_away(&upstream, &wanted.model);
+                self.residence_updates.record_missing(
+                    self.now_ms,
+                    &mut self.directory,
+                    &upstream,
+                    &wanted,
+                );
+                self.report_missing_model(&upstream, &wanted.model);
             }
             (false, None) => {}
         }
     }
 
-    fn answer_body(&mut self, token: Token, key: u64, bytes: &[u8]) {
-        let closes = self.caller_closes(key);
+    fn handle_answer_body(&mut self, token: Token, key: u64, bytes: &[u8]) {
+        let closes = self.caller_connection_closes(key);
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
         let had_begun = request.delivery.has_begun();
-        let mut out = Vec::with_capacity(bytes.len() + HEAD_ROOM_BYTES);
+        let mut out = Vec::with_capacity(bytes.len() + HEAD_RESERVE_BYTES);
         let fits = request.delivery.body(bytes, closes, &mut out);
         if !out.is_empty() {
-            self.give(key, had_begun, &out);
+            self.deliver(key, had_begun, &out);
         }
         if let Err(misfit) = fits {
-            self.answer_does_not_fit(token, key, misfit);
+            self.reject_mismatch(token, key, misfit);
         }
     }
 
-    /// Returns whether the connection of a request's caller ends after the answer.
-    fn caller_closes(&self, key: u64) -> bool {
+    /// Returns whether the connection of a request's caller closes after the answer.
+    fn caller_connection_closes(&self, key: u64) -> bool {
         let caller = self.active.get(key).and_then(|request| request.caller);
         caller.is_some_and(|token| self.closes_after(token))
     }
 
-    /// Writes part of an answer to the caller, if there still is one.
-    fn give(&mut self, key: u64, had_begun: bool, bytes: &[u8]) {
+    /// Writes part of an answer to the caller, unless the caller has left.
+    fn deliver(&mut self, key: u64, had_begun: bool, bytes: &[u8]) {
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -279,26 +283,26 @@
         self.write_to_caller(caller, bytes);
     }
 
-    /// Ends an answer. Returns whether the connection is done with.
-    fn answer_end(&mut self, token: Token, key: u64) -> bool {
+    /// Handles the end of an answer. Returns whether the request is done with the connection.
+    fn handle_answer_end(&mut self, token: Token, key: u64) -> bool {
         let Some(request) = self.active.get(key) else {
             self.outbound
                 .release(self.now_ms, token, self.poll.registry());
             return true;
         };
         let Some(status) = request.delivery.status() else {
-            // The answer belonged to another request; this one's own may still come.
+            // The answer belonged to another request; this request's own may still come.
             if let Some(connection) = self.outbound.get_mut(token) {
-                connection.expect_another();
+                connection.await_next_answer();
             }
             return false;
         };
         self.outbound
             .release(self.now_ms, token, self.poll.registry());
-        if status >= 500 && self.repeats_failure(key) {
+        if status >= 500 && self.retry_failed_answer(key) {
             return true;
         }
-        let closes = self.caller_closes(key);
+        let closes = self.caller_connection_closes(key);
         let Some(request) = self.active.get_mut(key) else {
             return true;
         };
@@ -306,13 +310,14 @@
         let mut out = Vec::new();
         match request.delivery.end(closes, &mut out) {
             Ok(()) => self.deliver_end(key, status, had_begun, &out),
-            Err(misfit) => self.answer_does_not_fit(token, key, misfit),
+            Err(misfit) => self.reject_mismatch(token, key, misfit),
         }
         true
     }
 
-    /// Decides whether an upstream's own failure is repeated elsewhere instead of passed on.
-    fn repeats_failure(&mut self, key: u64) -> bool {
+    /// Retries a request elsewhere after an upstream's own failure, if it may be retried. Returns
+    /// whether it is; otherwise the failure is passed on.
+    fn retry_failed_answer(&mut self, key: u64) -> bool {
         let Some(request) = self.active.get_mut(key) else {
             return false;
         };
@@ -320,27 +325,27 @@
             return false;
         }
         request.job.runs += 1;
-        let attempt =
+        let decision =
             self.dispatcher
                 .after_failure(self.now_ms, &request.job, FailedAttempt::Failed, false);
-        match attempt {
+        match decision {
             RetryAction::AfterMs(pause_ms) => {
-                self.metrics.failed_try(FailedAttempt::Failed.as_str());
-                self.end_try(key, UpstreamOutcome::Lost);
-                self.pause(key, pause_ms);
+                self.metrics.failed_attempt(FailedAttempt::Failed.as_str());
+                self.end_attempt(key, UpstreamOutcome::Lost);
+                self.pause_request(key, pause_ms);
                 true
             }
             RetryAction::OnceBudgetAllows | RetryAction::GiveUp => false,
         }
     }
 
-    /// Hands the end of an answer to the caller and ends the request.
+    /// Delivers the end of an answer to the caller and ends the request.
     fn deliver_end(&mut self, key: u64, status: u16, had_begun: bool, bytes: &[u8]) {
         let outcome = match status {
             500.. => UpstreamOutcome::Lost,
             _ => UpstreamOutcome::Answered,
         };
-        self.end_try(key, outcome);
+        self.end_attempt(key, outcome);
         let Some(request) = self.active.get_mut(key) else {
             return;
         };
@@ -363,20 +368,20 @@
         } else {
             self.end_request(key, "answered_to_nobody");
         }
-        self.look_again = true;
+        self.redispatch_needed = true;
     }
 }
 
-fn judge(head: &ResponseHead, fields: &AnswerFields, id: &RequestId) -> HeadVerdict {
+fn classify_head(head: &ResponseHead, fields: &AnswerFields, id: &RequestId) -> HeadVerdict {
     let success = (200..300).contains(&head.status);
     match &fields.request {
         Some(other) if other != id => HeadVerdict::Skip,
         _ if fields.misdirected => HeadVerdict::Fail(FailedAttempt::Misdirected),
         _ if fields.not_run => HeadVerdict::Fail(FailedAttempt::Rejected),
-        // Without the identity or the signature it may be anybody's answer.
+        // Without the request's ID or the upstream's signature the answer may come from anywhere.
         None => HeadVerdict::Fail(FailedAttempt::Lost),
         Some(_) if !fields.signed || fields.encoded => HeadVerdict::Fail(FailedAttempt::Lost),
-        Some(_) if success || head.status >= 400 => HeadVerdict::Take,
+        Some(_) if success || head.status >= 400 => HeadVerdict::Deliver,
         Some(_) => HeadVerdict::Fail(FailedAttempt::Lost),
     }
 }
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,22 +1,22 @@
-//! Bodies as they arrive.
+//! Incremental decoding of message bodies.
 
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::head::BodyLength;
 
-/// The longest line of a chunk's length or of a trailer, in bytes.
+/// Maximum length of a chunk-size line or trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// The most trailer lines that are read and dropped.
+/// Maximum number of trailer lines, which are read and dropped.
 const MAX_TRAILERS: u32 = 32;
 
-/// `BodyProgress` is what one call of [`BodyDecoder::decode`] has done.
+/// Result of one call of [`BodyDecoder::decode`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyProgress {
-    /// Bytes of the input that belong to the body and have been taken.
+    /// Number of input bytes that were consumed, framing included. Bytes behind the body are not.
     pub consumed: usize,
-    /// Whether the body is whole.
-    pub whole: bool,
+    /// Whether the body is complete.
+    pub is_complete: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,20 +27,20 @@
     ChunkEnd,
     Trailers(u32),
     UntilClose,
-    Whole,
+    Complete,
 }
 
-/// `BodyDecoder` finds the bytes of one body.
+/// Decoder of one body, which keeps its state between calls.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: State,
 }
 
 impl BodyDecoder {
-    /// Returns a decoder for a body of the given length.
+    /// Returns a decoder for a body with this framing.
     pub fn new(length: BodyLength) -> Self {
         let state = match length {
-            BodyLength::Bytes(0) => State::Whole,
+            BodyLength::Bytes(0) => State::Complete,
             BodyLength::Bytes(bytes) => State::Bytes(bytes),
             BodyLength::Chunked => State::ChunkLength,
             BodyLength::UntilClose => State::UntilClose,
@@ -48,63 +48,64 @@
         Self { state }
     }
 
-    /// Returns whether the body is whole.
-    pub fn is_whole(&self) -> bool {
-        self.state == State::Whole
+    /// Returns whether the body is complete.
+    pub fn is_complete(&self) -> bool {
+        self.state == State::Complete
     }
 
-    /// Returns whether the body is whole when the connection ends now in an orderly way.
-    pub fn is_whole_at_close(&self) -> bool {
-        matches!(self.state, State::Whole | State::UntilClose)
+    /// Returns whether the body is complete if the connection is closed now in an orderly way.
+    pub fn is_complete_at_close(&self) -> bool {
+        matches!(self.state, State::Complete | State::UntilClose)
     }
 
-    /// Takes bytes from the input and appends the body's to `output`.
+    /// Consumes bytes of the input and appends the decoded bytes of the body to `output`.
     ///
     /// # Errors
     ///
-    /// [`Error::MalformedChunk`] where the chunks' framing is broken.
+    /// [`Error::MalformedChunk`] if the chunked framing is invalid.
     pub fn decode(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<BodyProgress> {
         let mut consumed = 0;
         while let Some(step) = self.step(&input[consumed..], output)? {
             consumed += step;
-            if self.is_whole() {
+            if self.is_complete() {
                 break;
             }
         }
         Ok(BodyProgress {
             consumed,
-            whole: self.is_whole(),
+            is_complete: self.is_complete(),
         })
     }
 
-    /// Takes one step and returns how many bytes it took, or none where more bytes are needed.
+    /// Decodes one element of the framing and returns how many bytes it consumed; none if more
+    /// bytes are needed.
     fn step(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<Option<usize>> {
-        if input.is_empty() && self.state != State::Whole {
+        if input.is_empty() && self.state != State::Complete {
             return Ok(None);
         }
         match self.state {
-            State::Whole => Ok(None),
+            State::Complete => Ok(None),
             State::UntilClose => {
                 output.extend_from_slice(input);
                 Ok(Some(input.len()))
             }
-            State::Bytes(left) => {
-                let taken = take(left, input, output);
-                self.state = match left - taken as u64 {
-                    0 => State::Whole,
-                    left => State::Bytes(left),
+            State::Bytes(remaining) => {
+                let taken = consume(remaining, input, output);
+                self.state = match remaining - taken as u64 {
+                    0 => State::Complete,
+                    remaining => State::Bytes(remaining),
                 };
                 Ok(Some(taken))
             }
-            State::ChunkBytes(left) => {
-                let taken = take(left, input, output);
-                self.state = match left - taken as u64 {
+            State::ChunkBytes(remaining) => {
+                let taken = consume(remaining, input, output);
+                self.state = match remaining - taken as u64 {
                     0 => State::ChunkEnd,
-                    left => State::ChunkBytes(left),
+                    remaining => State::ChunkBytes(remaining),
                 };
                 Ok(Some(taken))
             }
-            State::ChunkLength => self.chunk_length(input),
+            State::ChunkLength => self.decode_chunk_size(input),
             State::ChunkEnd => match input {
                 [b'\r', b'\n', ..] => {
                     self.state = State::ChunkLength;
@@ -113,11 +114,11 @@
                 [b'\r'] => Ok(None),
                 _ => Err(Error::MalformedChunk),
             },
-            State::Trailers(count) => self.trailer(input, count),
+            State::Trailers(count) => self.drop_trailer(input, count),
         }
     }
 
-    fn chunk_length(&mut self, input: &[u8]) -> Result<Option<usize>> {
+    fn decode_chunk_size(&mut self, input: &[u8]) -> Result<Option<usize>> {
         match httparse::parse_chunk_size(input) {
             Ok(httparse::Status::Complete((length, bytes))) => {
                 self.state = match bytes {
@@ -131,12 +132,12 @@
         }
     }
 
-    /// Drops one trailer line; an empty line ends the body.
-    fn trailer(&mut self, input: &[u8], count: u32) -> Result<Option<usize>> {
+    /// Drops one trailer line. An empty line ends the body.
+    fn drop_trailer(&mut self, input: &[u8], count: u32) -> Result<Option<usize>> {
         let end = input.windows(2).position(|pair| pair == b"\r\n");
         match end {
             Some(0) => {
-                self.state = State::Whole;
+                self.state = State::Complete;
                 Ok(Some(2))
             }
             Some(end) if end <= MAX_LINE_BYTES && count < MAX_TRAILERS => {
@@ -149,8 +150,10 @@
     }
 }
 
-fn take(left: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
-    let taken = usize::try_from(left).unwrap_or(usize::MAX).min(input.len());
+fn consume(remaining: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
+    let taken = usize::try_from(remaining)
+        .unwrap_or(usize::MAX)
+        .min(input.len());
     output.extend_from_slice(&input[..taken]);
     taken
 }
