--- a/crates/state/examples/state_size.rs
+++ b/crates/state/examples/state_size.rs
@@ -1,8 +1,9 @@
 //! Measures how replay, digests and snapshots grow with the number of VMs, engines and models.
 //!
-//! `state_size control|claims [percent]` prints, for that part of the target's size, the bytes of a
-//! snapshot, the growth of the process's resident set, and the time of a record, a digest and a
-//! snapshot. Each size needs a process of its own, or the memory of one hides in that of another.
+//! `state_size control|claims [percent]` prints, for that percentage of the target size, the bytes
+//! of a snapshot, the growth of the process's resident set, and the times of a record, a digest and
+//! a snapshot. Measure each size in a process of its own; otherwise memory that the process has
+//! already allocated for one size is reused by the next and not counted.
 
 use std::fs;
 use std::hint::black_box;
@@ -36,7 +37,7 @@
 use apricotdale_state::snapshot::Lineage;
 use apricotdale_state::snapshot::Section;
 
-/// The sizes of the target in two years.
+/// Target size: the fleet as expected in two years.
 const VMS: u64 = 410;
 const ENGINES: u64 = 600;
 const BASES: u64 = 90;
@@ -45,7 +46,7 @@
 const CHANGES: u64 = 1_800;
 const KEYS: u64 = 20_000;
 
-/// `Fleet` is a state that is filled record by record.
+/// Control state that is filled record by record.
 #[derive(Default)]
 struct Fleet {
     state: ControlState,
@@ -120,7 +121,7 @@
                 .state
                 .config()
                 .model(&model)
-                .expect("it was put")
+                .expect("the model is configured")
                 .version,
             model,
         };
@@ -241,7 +242,7 @@
         }
         .encode();
         let verdicts = table.apply(table.next_offset(), key, &payload);
-        black_box(verdicts.expect("the record is a batch and the next one"));
+        black_box(verdicts.expect("the record is a valid batch and the next one"));
     }
     let claim_ns = began.elapsed().as_nanos() / u128::from(keys);
     let after_kib = resident_kib();
--- a/crates/state/src/claim_table.rs
+++ b/crates/state/src/claim_table.rs
@@ -1,4 +1,4 @@
-//! The state machine of one claim stream.
+//! State machine of one claim stream.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -28,27 +28,27 @@
 use crate::snapshot::encode;
 use crate::verdict::IgnoreReason;
 
-/// `Blindness` is what a table that has lost its records does not know.
+/// Period for which earlier records of the stream are missing from the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Blindness {
-    /// Nothing was lost, or long enough ago.
+enum HistoryGap {
+    /// No records are missing, or only ones that no longer matter.
     None,
-    /// Records were lost; the first one since has yet to come.
+    /// Records are missing, and none has been replayed since.
     UntilFirstRecord,
-    /// Records were lost; until then, a key that looks new may have been used.
+    /// Records are missing. Until this log time, a key that is not in the table may have been used.
     UntilMs(u64),
 }
 
-/// `ClaimTable` is what a VM knows from one claim stream up to an offset. Two VMs that have
-/// replayed the same records have the same table.
+/// State of one claim stream up to an offset. VMs that have replayed the same records have equal
+/// tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTable {
     options: ClaimOptions,
     next: Offset,
     now_ms: u64,
-    blindness: Blindness,
+    history_gap: HistoryGap,
     entries: BTreeMap<IdempotencyKey, ClaimEntry>,
-    expiring: BTreeSet<(u64, IdempotencyKey)>,
+    ended_by_time: BTreeSet<(u64, IdempotencyKey)>,
     answers: BTreeMap<u64, IdempotencyKey>,
     next_serial: u64,
     kept_bytes: usize,
@@ -56,15 +56,15 @@
 }
 
 impl ClaimTable {
-    /// Returns the table before the first record.
+    /// Creates the table before the first record.
     pub fn new(options: ClaimOptions) -> Self {
         Self {
             options,
             next: Offset(0),
             now_ms: 0,
-            blindness: Blindness::None,
+            history_gap: HistoryGap::None,
             entries: BTreeMap::new(),
-            expiring: BTreeSet::new(),
+            ended_by_time: BTreeSet::new(),
             answers: BTreeMap::new(),
             next_serial: 0,
             kept_bytes: 0,
@@ -72,14 +72,15 @@
         }
     }
 
-    /// Returns the table to start afresh from when the records before an offset are lost for good.
+    /// Creates the table to continue with when the records before an offset are permanently lost.
     ///
-    /// A key that looks new may then have been used before the loss, and its call may have run. So
-    /// every claim is answered with an unknown outcome until the least time to remember has passed.
+    /// A key that is not in the table may have been used before the loss, and its call may have
+    /// run. Every claim of a new key is therefore answered with an unknown outcome until
+    /// [`ClaimOptions::min_remember_ms`] has passed.
     pub fn after_loss(next: Offset, options: ClaimOptions) -> Self {
         Self {
             next,
-            blindness: Blindness::UntilFirstRecord,
+            history_gap: HistoryGap::UntilFirstRecord,
             ..Self::new(options)
         }
     }
@@ -89,50 +90,52 @@
         self.next
     }
 
-    /// Returns what is remembered of a key.
+    /// Returns the entry of a key; `None` if the key is unknown or forgotten.
     pub fn entry(&self, key: &IdempotencyKey) -> Option<&ClaimEntry> {
         self.entries.get(key)
     }
 
-    /// Returns the number of keys remembered.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether no key is remembered.
+    /// Returns whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns the bytes of the answers kept.
+    /// Returns the size of all kept answers, in bytes.
     pub fn kept_bytes(&self) -> usize {
         self.kept_bytes
     }
 
-    /// Returns the counts of verdicts.
+    /// Returns the number of verdicts by code.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Returns the digest of the present state.
+    /// Returns the digest of the present table.
     pub fn digest_now(&self) -> u64 {
         xxh3_64(&self.canonical())
     }
 
-    /// Returns the canonical encoding of the table.
+    /// Returns the canonical encoding, which is equal for equal tables.
     pub(crate) fn canonical(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Returns the claims that are held by processes which are over, as the finishes that make
-    /// their outcome known as unknown. Any VM may append them; only the first counts. A finish that
-    /// the winner itself appended while it ran still counts when it comes later.
-    pub fn finishes_of_ended_processes(&self, is_over: impl Fn(u64) -> bool) -> Vec<Finish> {
+    /// Returns a finish with an unknown outcome for each running claim whose process has ended.
+    ///
+    /// Any VM may append them; only the first finish of a claim is applied. If the process itself
+    /// appended a finish with a known outcome before it ended, that one is applied even if it
+    /// arrives later.
+    pub fn finishes_of_ended_processes(&self, has_ended: impl Fn(u64) -> bool) -> Vec<Finish> {
         let running = self
             .entries
             .iter()
             .filter(|(_, entry)| entry.state == ClaimState::Running);
-        let ended = running.filter(|(_, entry)| is_over(entry.process_id));
+        let ended = running.filter(|(_, entry)| has_ended(entry.process_id));
         let finish = |(key, entry): (&IdempotencyKey, &ClaimEntry)| Finish {
             key: key.clone(),
             request: entry.request.clone(),
@@ -144,12 +147,12 @@
 
     /// Replays one record and returns the verdicts on its entries, in order.
     ///
-    /// `appended_ms` is the time at which the log took it, in milliseconds of Unix time. Records
-    /// must come in order without gaps.
+    /// `appended_ms` is the time at which the log appended the record, in milliseconds of Unix
+    /// time. Records must be replayed in order of offset without gaps.
     ///
     /// # Errors
     ///
-    /// Why the record was ignored as a whole.
+    /// The reason for which the record as a whole was ignored.
     pub fn apply(
         &mut self,
         offset: Offset,
@@ -162,7 +165,7 @@
             Ordering::Equal => {}
         }
         self.next = offset.next();
-        self.advance(appended_ms);
+        self.advance_time(appended_ms);
         let Some(batch) = ClaimBatch::decode(payload) else {
             self.counters.add(IgnoreReason::Undecodable.as_str());
             return Err(IgnoreReason::Undecodable);
@@ -174,17 +177,17 @@
             .collect())
     }
 
-    /// Moves the table's time on. The log's clock may step back; the table's does not.
-    fn advance(&mut self, appended_ms: u64) {
+    /// Advances the time of the table. The clock of the log may step back; the table's does not.
+    fn advance_time(&mut self, appended_ms: u64) {
         self.now_ms = self.now_ms.max(appended_ms);
-        self.blindness = match self.blindness {
-            Blindness::UntilFirstRecord => {
-                Blindness::UntilMs(self.now_ms.saturating_add(self.options.least_ms))
+        self.history_gap = match self.history_gap {
+            HistoryGap::UntilFirstRecord => {
+                HistoryGap::UntilMs(self.now_ms.saturating_add(self.options.min_remember_ms))
             }
-            Blindness::UntilMs(until_ms) if self.now_ms > until_ms => Blindness::None,
-            blindness => blindness,
+            HistoryGap::UntilMs(until_ms) if self.now_ms > until_ms => HistoryGap::None,
+            history_gap => history_gap,
         };
-        self.expire();
+        self.remove_expired();
     }
 
     fn decide(&mut self, offset: Offset, record: &ClaimRecord) -> DecidedClaim {
@@ -207,9 +210,9 @@
     }
 
     fn claim(&mut self, offset: Offset, claim: &Claim) -> ClaimVerdict {
-        self.make_room(claim);
-        let past = match self.past_of(claim) {
-            Ok(past) => past,
+        self.make_room_for(claim);
+        let prior_holders = match self.prior_holders_if_free(claim) {
+            Ok(prior_holders) => prior_holders,
             Err(verdict) => return verdict,
         };
         let entry = ClaimEntry {
@@ -220,33 +223,33 @@
             won_at: offset,
             changed_ms: self.now_ms,
             state: ClaimState::Running,
-            past,
+            prior_holders,
             answer_serial: None,
         };
-        self.put(&claim.key, entry);
+        self.store_entry(&claim.key, entry);
         ClaimVerdict::Won
     }
 
-    /// Returns the requests that have freed the key before, or the verdict if the key is not free.
-    fn past_of(&self, claim: &Claim) -> Result<BTreeSet<RequestId>, ClaimVerdict> {
+    /// Returns the requests that have held and freed the key, or the verdict if it is not free.
+    fn prior_holders_if_free(&self, claim: &Claim) -> Result<BTreeSet<RequestId>, ClaimVerdict> {
         let Some(entry) = self.entries.get(&claim.key) else {
-            return match self.blindness {
-                Blindness::None if self.entries.len() < self.options.max_keys => {
+            return match self.history_gap {
+                HistoryGap::None if self.entries.len() < self.options.max_keys => {
                     Ok(BTreeSet::new())
                 }
-                Blindness::None => Err(ClaimVerdict::TableFull),
+                HistoryGap::None => Err(ClaimVerdict::TableFull),
                 _ => Err(ClaimVerdict::OutcomeUnknown),
             };
         };
-        // A request claims a key once. A batch that was appended twice would otherwise win again
-        // after its first win was freed: it would hold the key for nobody, and a late repetition of
-        // the first win's finish would free the key while a second run is in progress.
+        // A request wins a key at most once. Otherwise a batch that was appended twice would win
+        // again after its first win was freed: no request would use the claim, and a late duplicate
+        // of the first finish would free the key while another run is in progress.
         match &entry.state {
             _ if entry.is_repeated_by(claim) => Err(ClaimVerdict::Repeated),
-            ClaimState::Free if entry.past.len() >= self.options.max_tries => {
+            ClaimState::Free if entry.prior_holders.len() >= self.options.max_tries => {
                 Err(ClaimVerdict::TooManyTries)
             }
-            ClaimState::Free => Ok(entry.past.clone()),
+            ClaimState::Free => Ok(entry.prior_holders.clone()),
             _ if entry.call_hash != claim.call_hash => Err(ClaimVerdict::KeyReused),
             ClaimState::Running => Err(ClaimVerdict::AlreadyRunning),
             ClaimState::Finished(answer) => Err(ClaimVerdict::Finished(answer.clone())),
@@ -270,28 +273,28 @@
         entry.state = match finish.ran {
             Ran::NotRun => ClaimState::Free,
             Ran::Unknown => ClaimState::OutcomeUnknown,
-            Ran::Ran => ClaimState::Finished(self.kept(finish.answer.as_ref())),
+            Ran::Ran => ClaimState::Finished(self.answer_to_keep(finish.answer.as_ref())),
         };
         if entry.state == ClaimState::Free {
-            entry.past.insert(finish.request.clone());
+            entry.prior_holders.insert(finish.request.clone());
         }
-        self.put(&finish.key, entry);
-        self.drop_oldest_answers();
+        self.store_entry(&finish.key, entry);
+        self.evict_oldest_answers();
         ClaimVerdict::Ended
     }
 
-    fn kept(&self, answer: Option<&KeptAnswer>) -> Option<KeptAnswer> {
+    fn answer_to_keep(&self, answer: Option<&KeptAnswer>) -> Option<KeptAnswer> {
         answer
             .filter(|answer| answer_bytes(answer) <= self.options.max_answer_bytes)
             .cloned()
     }
 
-    fn put(&mut self, key: &IdempotencyKey, mut entry: ClaimEntry) {
-        self.take(key);
-        // A call that is running is remembered until it ends, however long that takes: its winner
-        // may be paused and send it yet.
+    fn store_entry(&mut self, key: &IdempotencyKey, mut entry: ClaimEntry) {
+        self.remove_entry(key);
+        // A running call is remembered until it ends, however long that takes: the process that won
+        // the claim may be paused and still send the call.
         if entry.state != ClaimState::Running {
-            self.expiring.insert((entry.changed_ms, key.clone()));
+            self.ended_by_time.insert((entry.changed_ms, key.clone()));
         }
         if entry.kept_bytes() > 0 {
             entry.answer_serial = Some(self.next_serial);
@@ -302,43 +305,43 @@
         self.entries.insert(key.clone(), entry);
     }
 
-    fn take(&mut self, key: &IdempotencyKey) {
+    fn remove_entry(&mut self, key: &IdempotencyKey) {
         let Some(entry) = self.entries.remove(key) else {
             return;
         };
-        self.expiring.remove(&(entry.changed_ms, key.clone()));
+        self.ended_by_time.remove(&(entry.changed_ms, key.clone()));
         self.kept_bytes -= entry.kept_bytes();
         entry
             .answer_serial
             .and_then(|serial| self.answers.remove(&serial));
     }
 
-    fn expire(&mut self) {
-        while self.take_oldest(self.options.remember_ms) {}
+    fn remove_expired(&mut self) {
+        while self.remove_oldest_ended(self.options.remember_ms) {}
     }
 
-    /// Makes room for one more key in a full table.
-    fn make_room(&mut self, claim: &Claim) {
+    /// Removes a key if the table is full, the claim is for a new key, and a key may be forgotten.
+    fn make_room_for(&mut self, claim: &Claim) {
         let is_new = !self.entries.contains_key(&claim.key);
         if is_new && self.entries.len() >= self.options.max_keys {
-            self.take_oldest(self.options.least_ms);
+            self.remove_oldest_ended(self.options.min_remember_ms);
         }
     }
 
-    /// Forgets the key that ended first if that is longer ago than `age_ms`, and returns whether it
-    /// did.
-    fn take_oldest(&mut self, age_ms: u64) -> bool {
+    /// Removes the key that ended first if it ended more than `age_ms` ago, and returns whether it
+    /// was removed.
+    fn remove_oldest_ended(&mut self, age_ms: u64) -> bool {
         let horizon_ms = self.now_ms.saturating_sub(age_ms);
-        match self.expiring.first().cloned() {
+        match self.ended_by_time.first().cloned() {
             Some((changed_ms, key)) if changed_ms < horizon_ms => {
-                self.take(&key);
+                self.remove_entry(&key);
                 true
             }
             _ => false,
         }
     }
 
-    fn drop_oldest_answers(&mut self) {
+    fn evict_oldest_answers(&mut self) {
         while self.kept_bytes > self.options.max_kept_bytes {
             let Some((_, key)) = self.answers.pop_first() else {
                 return;
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -1,4 +1,4 @@
-//! What is remembered of the calls under idempotency keys.
+//! Entries, limits and verdicts of the claim table.
 
 use std::collections::BTreeSet;
 
@@ -12,22 +12,21 @@
 use apricotdale_core::names::VmName;
 use apricotdale_core::numbers::Offset;
 
-/// `ClaimOptions` are the limits of a claim table. They are part of the state: all VMs must use the
-/// same.
+/// Limits of a claim table. They are part of the replicated state: all VMs must use the same.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimOptions {
-    /// How long a key whose call has ended is remembered, in milliseconds of the log's time.
+    /// Time for which a key is remembered after its call has ended, in milliseconds of log time.
     pub remember_ms: u64,
-    /// How long it is remembered even if its place is needed. This is what callers may rely on.
-    pub least_ms: u64,
-    /// The most keys remembered. For one more, the key that ended first goes if its least time has
-    /// passed; else the claim is rejected.
+    /// Time for which it is remembered even if the table is full. Callers may rely on this one.
+    pub min_remember_ms: u64,
+    /// Maximum number of keys in the table. When it is full, a new key replaces the one that ended
+    /// first if `min_remember_ms` has passed for that one; otherwise its claim is rejected.
     pub max_keys: usize,
-    /// The most requests that may have claimed one key without running the call.
+    /// Maximum number of requests that may have claimed and freed one key without running the call.
     pub max_tries: usize,
-    /// The largest answer kept, in bytes.
+    /// Maximum size of one kept answer, in bytes. A larger one is not kept.
     pub max_answer_bytes: usize,
-    /// The most bytes of answers kept; the oldest are dropped first.
+    /// Maximum size of all kept answers, in bytes. The oldest are evicted first.
     pub max_kept_bytes: usize,
 }
 
@@ -35,7 +34,7 @@
     fn default() -> Self {
         Self {
             remember_ms: 6 * 3_600_000,
-            least_ms: 3_600_000,
+            min_remember_ms: 3_600_000,
             max_keys: 20_000,
             max_tries: 64,
             max_answer_bytes: 16 * 1024,
@@ -44,51 +43,52 @@
     }
 }
 
-/// `ClaimState` is what became of the call under a key.
+/// State of the call under a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// The winner may be running the call.
+    /// The request that won the claim may be running the call.
     Running,
-    /// The call ran. Its answer may be kept.
+    /// The call ran. The answer is absent if it was not kept or has been evicted.
     Finished(Option<KeptAnswer>),
-    /// The call may have run; nobody will know.
+    /// The call may have run, and its outcome can't be determined.
     OutcomeUnknown,
-    /// The call did not run; the key is free.
+    /// The call did not run, so the key can be claimed again.
     Free,
 }
 
-/// `ClaimEntry` is what is remembered of one key.
+/// State that is remembered for one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimEntry {
-    /// The hash of the call.
+    /// Hash of the call.
     pub call_hash: u64,
-    /// The request that holds or held the claim.
+    /// Request that holds the claim, or held it last.
     pub request: RequestId,
-    /// The winner's VM.
+    /// VM of that request.
     pub vm: VmName,
-    /// The winner's process.
+    /// Identity of the process of that request.
     pub process_id: u64,
-    /// The record that won.
+    /// Offset of the record by which it won the claim.
     pub won_at: Offset,
-    /// When the log took the last record that counted, in milliseconds of Unix time.
+    /// Time at which the log appended the last record that changed the entry, in milliseconds of
+    /// Unix time.
     pub changed_ms: u64,
-    /// What became of the call.
+    /// State of the call.
     pub state: ClaimState,
-    /// Requests that held the claim before and freed it.
-    pub past: BTreeSet<RequestId>,
-    /// The place of the kept answer in the order in which answers are dropped.
+    /// Requests that held the claim before and freed the key.
+    pub prior_holders: BTreeSet<RequestId>,
+    /// Position of the kept answer in the order of eviction; `None` if no answer is kept.
     pub(crate) answer_serial: Option<u64>,
 }
 
 impl ClaimEntry {
-    /// Returns whether a claim says again what was said before. Requests of two processes may bear
-    /// the same name, but not two that have held the claim of one key.
+    /// Returns whether a claim repeats one that won this key before. Requests of two processes may
+    /// have the same identity, but not if both have held the claim of one key.
     pub(crate) fn is_repeated_by(&self, claim: &Claim) -> bool {
         let is_winner = self.request == claim.request && self.process_id == claim.process_id;
-        is_winner || self.past.contains(&claim.request)
+        is_winner || self.prior_holders.contains(&claim.request)
     }
 
-    /// Returns the size of the kept answer, or zero if there is none.
+    /// Returns the size of the kept answer in bytes; zero if none is kept.
     pub(crate) fn kept_bytes(&self) -> usize {
         match &self.state {
             ClaimState::Finished(Some(answer)) => answer_bytes(answer),
@@ -104,34 +104,34 @@
     }
 }
 
-/// Returns the memory that a kept answer takes.
+/// Returns the size of an answer that counts against the limits, in bytes.
 pub(crate) fn answer_bytes(answer: &KeptAnswer) -> usize {
     answer.body.len() + answer.content_type.len()
 }
 
-/// `ClaimVerdict` is what replay makes of one entry of a claim batch.
+/// Verdict of replay on one entry of a claim batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// The request may run the call, once.
+    /// The claim won: the request may run the call once.
     Won,
-    /// Another request runs the call.
+    /// Another request holds the claim and may be running the call.
     AlreadyRunning,
-    /// The call has run; its answer, if it is kept.
+    /// The call has run. The answer is absent if it was not kept.
     Finished(Option<KeptAnswer>),
-    /// The call may have run and will not be run again.
+    /// The call may have run and must not run again.
     OutcomeUnknown,
-    /// The key was used with another call.
+    /// The key was claimed with another call.
     KeyReused,
-    /// The request has claimed the key before. The record is a late repetition, and gives no right
-    /// to run.
+    /// The same request has won this key before. The record is a late duplicate and gives no right
+    /// to run the call.
     Repeated,
-    /// As many keys are remembered as may be.
+    /// The table is full, and no key in it may be forgotten yet.
     TableFull,
-    /// As many requests have claimed the key without running the call as may.
+    /// Too many requests have claimed and freed the key without running the call.
     TooManyTries,
-    /// A finish counted.
+    /// The finish was applied.
     Ended,
-    /// A finish did not count: the request does not hold the claim.
+    /// The finish was not applied, because its request does not hold the claim.
     NotHolder,
 }
 
@@ -153,15 +153,15 @@
     }
 }
 
-/// `DecidedClaim` is the verdict on one entry.
+/// Verdict on one entry of a claim batch, with the request that it concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecidedClaim {
-    /// The key.
+    /// Key of the entry.
     pub key: IdempotencyKey,
-    /// The request that the entry names.
+    /// Request of the entry.
     pub request: RequestId,
-    /// The process that claims, or none for a finish.
+    /// Process that made the claim; `None` for a finish.
     pub process_id: Option<u64>,
-    /// What became of it.
+    /// Verdict of replay.
     pub verdict: ClaimVerdict,
 }
--- a/crates/state/src/config_rules.rs
+++ b/crates/state/src/config_rules.rs
@@ -1,30 +1,30 @@
-//! Rules that a configuration must keep.
+//! Rules and limits that a configuration must satisfy.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The longest name of a class, model, group or operator, in bytes.
+/// Maximum length of the name of a class, model, group or operator, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// The most edits of one change.
+/// Maximum number of edits in one change.
 pub const MAX_EDITS: usize = 4096;
-/// The most classes.
+/// Maximum number of classes.
 pub const MAX_CLASSES: usize = 64;
-/// The most models and adapters together.
+/// Maximum number of models and adapters together.
 pub const MAX_MODELS: usize = 16_384;
-/// The most services.
+/// Maximum number of services.
 pub const MAX_SERVICES: usize = 256;
-/// The most idempotent paths of one service.
+/// Maximum number of idempotent paths of one service.
 pub const MAX_PATHS: usize = 64;
-/// The longest idempotent path, in bytes.
+/// Maximum length of an idempotent path, in bytes.
 pub const MAX_PATH_BYTES: usize = 256;
-/// The longest target of a class, in milliseconds: a day.
+/// Maximum latency target of a class, in milliseconds: one day.
 pub const MAX_TARGET_MS: u64 = 86_400_000;
-/// The largest model, in bytes: a pebibyte.
+/// Maximum size of a model, in bytes: one pebibyte.
 pub const MAX_MODEL_BYTES: u64 = 1 << 50;
 
-/// `ConfigRule` is a rule of the configuration that a change can break.
+/// Rule of the configuration that a change can violate. Each variant is documented by its rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ConfigRule {
     /// A change has at least one edit.
@@ -34,23 +34,23 @@
     /// A name has one to [`MAX_NAME_BYTES`] letters, digits, dots, colons, underscores or hyphens,
     /// and begins with a letter or digit.
     BadName,
-    /// An operator's name is printable and at most [`MAX_NAME_BYTES`] long.
+    /// An operator's name has no control characters and is at most [`MAX_NAME_BYTES`] long.
     BadOperator,
     /// A target is between one millisecond and [`MAX_TARGET_MS`].
     BadTarget,
     /// A model takes between one byte and [`MAX_MODEL_BYTES`].
     BadSize,
-    /// An idempotent path is printable, without spaces and at most [`MAX_PATH_BYTES`] long.
+    /// An idempotent path is printable ASCII without spaces, at most [`MAX_PATH_BYTES`] long.
     BadPath,
     /// A service has at most [`MAX_PATHS`] idempotent paths.
     TooManyPaths,
-    /// Only what is configured can be removed.
+    /// Only a configured class, model or service can be removed.
     NotConfigured,
-    /// An adapter's base is configured. A base that has adapters can't be removed.
+    /// The base of an adapter is configured. A base that still has adapters can't be removed.
     UnknownBase,
-    /// An adapter's base is a model, not itself an adapter.
+    /// The base of an adapter is a model, not an adapter.
     BaseIsAdapter,
-    /// An adapter is of the same group as its base.
+    /// An adapter belongs to the same group as its base.
     BaseInOtherGroup,
     /// There are at most [`MAX_CLASSES`] classes.
     TooManyClasses,
@@ -58,32 +58,33 @@
     TooManyModels,
     /// There are at most [`MAX_SERVICES`] services.
     TooManyServices,
-    /// Offset zero is also the version of the empty configuration, so no change can be there.
+    /// A change can't be at offset zero, which is the version of the empty configuration.
     FirstOffset,
 }
 
-/// `ConfigFault` is the rule that a change breaks, and where.
+/// Rule that a change violates, and the name that violates it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigFault {
-    /// The rule.
+    /// Violated rule.
     pub rule: ConfigRule,
-    /// The name of what breaks it, cut to the longest name allowed; empty for the whole change.
+    /// Name that violates the rule, truncated to [`MAX_NAME_BYTES`] characters; empty if the change
+    /// as a whole violates it.
     pub subject: String,
 }
 
 impl ConfigFault {
-    /// Returns the fault of the whole change.
-    pub fn whole(rule: ConfigRule) -> Self {
+    /// Creates the fault of a change as a whole.
+    pub fn of_change(rule: ConfigRule) -> Self {
         Self::of(rule, "")
     }
 
-    /// Returns the fault of one named thing.
+    /// Creates the fault of one class, model, service or operator.
     pub fn of(rule: ConfigRule, subject: &str) -> Self {
         let subject = subject.chars().take(MAX_NAME_BYTES).collect();
         Self { rule, subject }
     }
 
-    /// Returns the code under which it is counted.
+    /// Returns the code under which the fault is counted.
     pub fn as_str(&self) -> &'static str {
         match self.rule {
             ConfigRule::NoEdits => "no_edits",
@@ -115,7 +116,7 @@
     }
 }
 
-/// Returns whether a text is a name that may be configured.
+/// Returns whether a text satisfies [`ConfigRule::BadName`].
 pub fn is_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".:_-".contains(&byte);
     text.len() <= MAX_NAME_BYTES
@@ -126,7 +127,7 @@
             .is_some_and(|byte| byte.is_ascii_alphanumeric())
 }
 
-/// Returns whether a text is a path that may be configured.
+/// Returns whether a text satisfies [`ConfigRule::BadPath`].
 pub fn is_path(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_PATH_BYTES
--- a/crates/state/src/configuration.rs
+++ b/crates/state/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force.
+//! Configuration in force and the application of changes to it.
 
 use std::collections::BTreeMap;
 
@@ -28,29 +28,29 @@
 use crate::config_rules::is_name;
 use crate::config_rules::is_path;
 
-/// `ConfiguredClass` is a class's target and the version of its last change.
+/// Latency target of a class, and the version of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfiguredClass {
-    /// How soon a request of the class must be answered.
+    /// Time in milliseconds after its arrival within which a request must be answered.
     pub answer_within_ms: u64,
-    /// The class's own last change.
+    /// Version of the last change of this class.
     pub version: ConfigVersion,
 }
 
-/// `ConfiguredModel` is a model or adapter and the version of its last change.
+/// Properties of a model or adapter, and the version of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfiguredModel {
-    /// The model an adapter belongs to.
+    /// Model that the adapter belongs to; `None` for a model.
     pub base: Option<ModelName>,
-    /// The group of engines that can run it.
+    /// Group of engines that can run it.
     pub group: GroupName,
-    /// The accelerator memory it takes.
+    /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
-    /// The model's own last change.
+    /// Version of the last change of this model.
     pub version: ConfigVersion,
 }
 
-/// `Configuration` is the configuration in force.
+/// Classes, models and services that are in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
     version: ConfigVersion,
@@ -60,17 +60,17 @@
 }
 
 impl Configuration {
-    /// Returns the offset of the last accepted change, or zero before the first.
+    /// Returns the offset of the last accepted change; zero if there has been none.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// Returns the classes.
+    /// Returns all classes in order of name.
     pub fn classes(&self) -> impl Iterator<Item = (&ClassName, &ConfiguredClass)> {
         self.classes.iter()
     }
 
-    /// Returns one class.
+    /// Returns a class; `None` if it is not configured.
     pub fn class(&self, class: &ClassName) -> Option<ClassTarget> {
         let configured = self.classes.get(class)?;
         Some(ClassTarget {
@@ -79,17 +79,17 @@
         })
     }
 
-    /// Returns the models and adapters.
+    /// Returns all models and adapters in order of name.
     pub fn models(&self) -> impl Iterator<Item = (&ModelName, &ConfiguredModel)> {
         self.models.iter()
     }
 
-    /// Returns one model or adapter with its version.
+    /// Returns a model or adapter with its version; `None` if it is not configured.
     pub fn model(&self, model: &ModelName) -> Option<&ConfiguredModel> {
         self.models.get(model)
     }
 
-    /// Returns one model or adapter as it was published.
+    /// Returns a model or adapter as it was published; `None` if it is not configured.
     pub fn model_spec(&self, model: &ModelName) -> Option<ModelSpec> {
         let configured = self.models.get(model)?;
         Some(ModelSpec {
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Returns the services.
+    /// Returns all services in order of name.
     pub fn services(&self) -> impl Iterator<Item = ServiceSpec> + '_ {
         self.services.iter().map(|(service, paths)| ServiceSpec {
             service: service.clone(),
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Returns one service.
+    /// Returns a service; `None` if it is not configured.
     pub fn service(&self, service: &GroupName) -> Option<ServiceSpec> {
         let paths = self.services.get(service)?;
         Some(ServiceSpec {
@@ -117,50 +117,58 @@
         })
     }
 
-    /// Returns the fault of a change, or none if its edits could be made now. A publisher calls
-    /// this before it appends; replay calls it again.
+    /// Returns the first fault of a change; `None` if its edits can be applied now. A publisher
+    /// checks a change before it appends it; replay checks the change again.
     pub fn validate(&self, change: &ConfigChange) -> Option<ConfigFault> {
-        self.edited(change, self.version).err()
+        self.with_edits(change, self.version).err()
     }
 
-    /// Makes the edits of a change as one, under a new version.
+    /// Applies all edits of a change under a new version, or none of them.
     ///
     /// # Errors
     ///
-    /// The fault of the change; the configuration is then as it was.
+    /// The first fault of the change; the configuration is then unchanged.
     pub fn edit(
         &mut self,
         change: &ConfigChange,
         version: ConfigVersion,
     ) -> Result<(), ConfigFault> {
         if version == ConfigVersion::default() {
-            return Err(ConfigFault::whole(ConfigRule::FirstOffset));
+            return Err(ConfigFault::of_change(ConfigRule::FirstOffset));
         }
-        *self = self.edited(change, version)?;
+        *self = self.with_edits(change, version)?;
         Ok(())
     }
 
-    fn edited(&self, change: &ConfigChange, version: ConfigVersion) -> Result<Self, ConfigFault> {
+    fn with_edits(
+        &self,
+        change: &ConfigChange,
+        version: ConfigVersion,
+    ) -> Result<Self, ConfigFault> {
         check_change(change)?;
         let mut edited = self.clone();
         edited.version = version;
         for edit in &change.edits {
-            edited.make_edit(edit)?;
+            edited.apply_edit(edit)?;
         }
         edited.check_counts()?;
         edited.check_adapters()?;
         Ok(edited)
     }
 
-    fn make_edit(&mut self, edit: &ConfigEdit) -> Result<(), ConfigFault> {
+    fn apply_edit(&mut self, edit: &ConfigEdit) -> Result<(), ConfigFault> {
         match edit {
             ConfigEdit::PutClass(target) => self.put_class(target),
-            ConfigEdit::RemoveClass(class) => removed(self.classes.remove(class), class.as_str()),
+            ConfigEdit::RemoveClass(class) => {
+                check_removed(self.classes.remove(class), class.as_str())
+            }
             ConfigEdit::PutModel(spec) => self.put_model(spec),
-            ConfigEdit::RemoveModel(model) => removed(self.models.remove(model), model.as_str()),
+            ConfigEdit::RemoveModel(model) => {
+                check_removed(self.models.remove(model), model.as_str())
+            }
             ConfigEdit::PutService(spec) => self.put_service(spec),
             ConfigEdit::RemoveService(service) => {
-                removed(self.services.remove(service), service.as_str())
+                check_removed(self.services.remove(service), service.as_str())
             }
         }
     }
@@ -230,7 +238,7 @@
             ),
         ];
         match counts.into_iter().find(|(count, most, _)| count > most) {
-            Some((_, _, rule)) => Err(ConfigFault::whole(rule)),
+            Some((_, _, rule)) => Err(ConfigFault::of_change(rule)),
             None => Ok(()),
         }
     }
@@ -252,10 +260,10 @@
 
 fn check_change(change: &ConfigChange) -> Result<(), ConfigFault> {
     if change.edits.is_empty() {
-        return Err(ConfigFault::whole(ConfigRule::NoEdits));
+        return Err(ConfigFault::of_change(ConfigRule::NoEdits));
     }
     if change.edits.len() > MAX_EDITS {
-        return Err(ConfigFault::whole(ConfigRule::TooManyEdits));
+        return Err(ConfigFault::of_change(ConfigRule::TooManyEdits));
     }
     let operator = &change.operator;
     if operator.len() > MAX_NAME_BYTES || operator.chars().any(char::is_control) {
@@ -271,7 +279,7 @@
     }
 }
 
-fn removed<T>(old: Option<T>, name: &str) -> Result<(), ConfigFault> {
+fn check_removed<T>(old: Option<T>, name: &str) -> Result<(), ConfigFault> {
     match old {
         Some(_) => Ok(()),
         None => Err(ConfigFault::of(ConfigRule::NotConfigured, name)),
--- a/crates/state/src/control_state.rs
+++ b/crates/state/src/control_state.rs
@@ -1,4 +1,4 @@
-//! The state machine of the control stream.
+//! State machine of the control stream.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -22,8 +22,8 @@
 use crate::engines::Engine;
 use crate::history::DecidedChange;
 use crate::history::History;
-use crate::members::Authenticated;
 use crate::members::Members;
+use crate::members::ProposerStatus;
 use crate::replicas::Replicas;
 use crate::replicas::UnloadTask;
 use crate::snapshot::encode;
@@ -32,25 +32,25 @@
 use crate::verdict::RejectReason;
 use crate::verdict::Verdict;
 
-/// The number of offsets between two digests.
+/// Number of offsets between two state digests.
 pub const DIGEST_INTERVAL: u64 = 1024;
-/// The most recent digests that are kept.
-const KEPT_DIGESTS: usize = 16;
+/// Number of most recent digests that are kept.
+const MAX_KEPT_DIGESTS: usize = 16;
 
-/// `Decision` is what a rule makes of a record.
+/// Result of applying a record, whose proposer has already been checked.
 pub(crate) type Decision = Result<Accepted, RejectReason>;
 
-/// `Moment` is where and when the log took a record.
+/// Offset and time that the log gave a record.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Moment {
-    /// The record's offset.
+pub(crate) struct RecordStamp {
+    /// Offset of the record.
     pub offset: Offset,
-    /// When the log took it, in milliseconds of Unix time.
+    /// Time at which the log appended the record, in milliseconds of Unix time.
     pub appended_ms: u64,
 }
 
-/// `ControlState` is what a VM knows from the control stream up to an offset. Two VMs that have
-/// replayed the same records have the same state.
+/// State of the control stream up to an offset. VMs that have replayed the same records have equal
+/// states.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     pub(crate) next: Offset,
@@ -65,27 +65,27 @@
     pub(crate) digests: VecDeque<StateDigest>,
 }
 
-/// `StateDigest` is a digest of the whole state, by which VMs notice that they have diverged.
+/// Digest of the complete state, by which VMs detect that their states have diverged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDigest {
-    /// The offset up to which the state had been replayed, exclusive: a multiple of
+    /// Offset up to which the state had been replayed, exclusive: a multiple of
     /// [`DIGEST_INTERVAL`].
     pub at: Offset,
-    /// The digest.
+    /// Hash of the canonical encoding of the state.
     pub digest: u64,
 }
 
 impl ControlState {
-    /// Returns the state before the first record.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the state to start afresh from when the records before an offset are lost for good.
+    /// Creates the state to continue with when the records before an offset are permanently lost.
     ///
-    /// `outdated` is the newest state that is left, from before the gap; its configuration stays in
-    /// force. All else is forgotten: processes join anew, engines are observed anew, and what they
-    /// hold counts as undecided.
+    /// `outdated` is the newest remaining state from before the lost records; its configuration
+    /// stays in force. Everything else is discarded: processes join again, engines are observed
+    /// again, and the models on them count as unmanaged.
     pub fn after_loss(next: Offset, outdated: Option<&Self>) -> Self {
         let config = outdated
             .map(|outdated| outdated.config.clone())
@@ -99,49 +99,49 @@
 
     /// Replays one record.
     ///
-    /// `appended_ms` is the time at which the log took it, in milliseconds of Unix time. Records
-    /// must come in order without gaps: one that was replayed before or lies beyond the next offset
-    /// is ignored, without a trace in the state.
+    /// `appended_ms` is the time at which the log appended the record, in milliseconds of Unix
+    /// time. Records must be replayed in order without gaps: one that was replayed before or lies
+    /// beyond the next offset is ignored and does not change the state.
     pub fn apply(&mut self, offset: Offset, appended_ms: u64, payload: &[u8]) -> Verdict {
         match offset.cmp(&self.next) {
             Ordering::Less => return Verdict::Ignored(IgnoreReason::AlreadyReplayed),
             Ordering::Greater => return Verdict::Ignored(IgnoreReason::Gap),
             Ordering::Equal => {}
         }
-        let moment = Moment {
+        let stamp = RecordStamp {
             offset,
             appended_ms,
         };
         let verdict = match ControlRecord::decode(payload) {
-            Some(record) => self.decide(moment, &record),
+            Some(record) => self.decide(stamp, &record),
             None => Verdict::Ignored(IgnoreReason::Undecodable),
         };
         self.counters.add(verdict.as_str());
-        self.history.note_verdict(offset, verdict.clone());
+        self.history.record_verdict(offset, verdict.clone());
         self.next = offset.next();
         self.take_digest();
         verdict
     }
 
-    fn decide(&mut self, moment: Moment, record: &ControlRecord) -> Verdict {
-        match self.authenticate(moment, record) {
-            Ok(Authenticated::Repeated) => {
+    fn decide(&mut self, stamp: RecordStamp, record: &ControlRecord) -> Verdict {
+        match self.admit_proposer(stamp, record) {
+            Ok(ProposerStatus::Repeated) => {
                 return Verdict::Ignored(IgnoreReason::RepeatedSequence);
             }
             Ok(_) => {}
             Err(reason) => return Verdict::Rejected(reason),
         }
         let decision = match record {
-            ControlRecord::Config(change) => return self.configure(moment, change),
-            ControlRecord::Join(join) => return self.join(moment, join),
-            ControlRecord::Depart(depart) => self.depart(moment, depart),
-            ControlRecord::Load(intent) => self.load(moment, intent),
-            ControlRecord::LoadSettled(settlement) => self.settle_load(moment, settlement),
-            ControlRecord::Unload(intent) => self.unload(moment, intent),
-            ControlRecord::UnloadSettled(settlement) => self.settle_unload(moment, settlement),
-            ControlRecord::TakeOver(takeover) => self.take_over(moment, takeover),
-            ControlRecord::Observed(observation) => self.observe(moment, observation),
-            ControlRecord::UpstreamGone(gone) => self.remove_upstream(moment, gone),
+            ControlRecord::Config(change) => return self.configure(stamp, change),
+            ControlRecord::Join(join) => return self.join(stamp, join),
+            ControlRecord::Depart(depart) => self.depart(stamp, depart),
+            ControlRecord::Load(intent) => self.load(stamp, intent),
+            ControlRecord::LoadSettled(settlement) => self.settle_load(stamp, settlement),
+            ControlRecord::Unload(intent) => self.unload(stamp, intent),
+            ControlRecord::UnloadSettled(settlement) => self.settle_unload(stamp, settlement),
+            ControlRecord::TakeOver(takeover) => self.take_over(stamp, takeover),
+            ControlRecord::Observed(observation) => self.observe(stamp, observation),
+            ControlRecord::UpstreamGone(gone) => self.remove_upstream(stamp, gone),
         };
         match decision {
             Ok(accepted) => Verdict::Accepted(accepted),
@@ -149,26 +149,26 @@
         }
     }
 
-    fn authenticate(
+    fn admit_proposer(
         &mut self,
-        moment: Moment,
+        stamp: RecordStamp,
         record: &ControlRecord,
-    ) -> Result<Authenticated, RejectReason> {
+    ) -> Result<ProposerStatus, RejectReason> {
         let Some(proposer) = record.proposer() else {
-            return Ok(Authenticated::Current);
+            return Ok(ProposerStatus::Current);
         };
-        let authenticated = self.members.authenticate(proposer)?;
-        if let Authenticated::Supersedes(epoch) = authenticated {
-            self.end_process(moment, epoch);
+        let proposer_status = self.members.admit_proposer(proposer)?;
+        if let ProposerStatus::Supersedes(epoch) = proposer_status {
+            self.end_process(stamp, epoch);
         }
-        Ok(authenticated)
+        Ok(proposer_status)
     }
 
-    fn configure(&mut self, moment: Moment, change: &ConfigChange) -> Verdict {
+    fn configure(&mut self, stamp: RecordStamp, change: &ConfigChange) -> Verdict {
         if self.history.change(change.change_id).is_some() {
             return Verdict::Ignored(IgnoreReason::RepeatedChange);
         }
-        let version = ConfigVersion(moment.offset.0);
+        let version = ConfigVersion(stamp.offset.0);
         let verdict = match change.base_version == self.config.version() {
             false => Verdict::Rejected(RejectReason::VersionConflict),
             true => match self.config.edit(change, version) {
@@ -177,35 +177,35 @@
             },
         };
         let decided = DecidedChange {
-            offset: moment.offset,
+            offset: stamp.offset,
             verdict: verdict.clone(),
         };
-        self.history.note_change(change.change_id, decided);
+        self.history.record_change(change.change_id, decided);
         verdict
     }
 
-    fn join(&mut self, moment: Moment, join: &Join) -> Verdict {
-        let epoch = Epoch(moment.offset.0);
-        match self.members.join(join, epoch, moment.appended_ms) {
+    fn join(&mut self, stamp: RecordStamp, join: &Join) -> Verdict {
+        let epoch = Epoch(stamp.offset.0);
+        match self.members.join(join, epoch, stamp.appended_ms) {
             Ok(()) => Verdict::Accepted(Accepted::Joined(epoch)),
             Err(reason) => Verdict::Ignored(reason),
         }
     }
 
-    fn depart(&mut self, moment: Moment, depart: &Depart) -> Decision {
+    fn depart(&mut self, stamp: RecordStamp, depart: &Depart) -> Decision {
         self.members.depart(&depart.vm, depart.epoch)?;
-        self.end_process(moment, depart.epoch);
+        self.end_process(stamp, depart.epoch);
         Ok(Accepted::Departed)
     }
 
-    fn end_process(&mut self, moment: Moment, epoch: Epoch) {
-        self.replicas.end_sender(epoch, moment.offset);
-        self.sweep_all();
+    fn end_process(&mut self, stamp: RecordStamp, epoch: Epoch) {
+        self.replicas.record_sender_end(epoch, stamp.offset);
+        self.remove_all_dead_replicas();
     }
 
-    /// Forgets the replicas of an engine that can take memory neither in its present run nor in a
-    /// later one.
-    pub(crate) fn sweep(&mut self, name: &UpstreamName) {
+    /// Removes the replicas of an engine that can take memory neither in its present incarnation
+    /// nor in a later one.
+    pub(crate) fn remove_dead_replicas(&mut self, name: &UpstreamName) {
         let Some(engine) = self.engines.get(name) else {
             return;
         };
@@ -215,24 +215,24 @@
             let Some(replica) = self.replicas.get(load) else {
                 continue;
             };
-            // An order that can still be sent, or that may have been sent to a successor of the engine
-            // under the same name, outlives the engine.
+            // An order that can still be sent, or that may have been sent to a later engine with
+            // the same name, has to be remembered after the engine is gone.
             let holds_now = !is_gone && replica.may_hold_memory(boot);
-            if !holds_now && !replica.can_hold_after(boot) {
-                self.forget(load);
+            if !holds_now && !replica.may_hold_memory_after(boot) {
+                self.remove_replica(load);
             }
         }
     }
 
-    fn sweep_all(&mut self) {
+    fn remove_all_dead_replicas(&mut self) {
         let names: Vec<UpstreamName> = self.engines.keys().cloned().collect();
         for name in &names {
-            self.sweep(name);
+            self.remove_dead_replicas(name);
         }
     }
 
-    /// Forgets a replica and its unload.
-    pub(crate) fn forget(&mut self, load: Offset) {
+    /// Removes a replica and the unload of it that is in progress.
+    pub(crate) fn remove_replica(&mut self, load: Offset) {
         let Some(replica) = self.replicas.remove(load) else {
             return;
         };
@@ -245,7 +245,7 @@
         if !self.next.0.is_multiple_of(DIGEST_INTERVAL) {
             return;
         }
-        if self.digests.len() == KEPT_DIGESTS {
+        if self.digests.len() == MAX_KEPT_DIGESTS {
             self.digests.pop_front();
         }
         let digest = StateDigest {
@@ -260,7 +260,7 @@
         xxh3_64(&self.canonical())
     }
 
-    /// Returns the canonical encoding of the state.
+    /// Returns the canonical encoding, which is equal for equal states.
     pub(crate) fn canonical(&self) -> Vec<u8> {
         encode(self)
     }
--- a/crates/state/src/engines.rs
+++ b/crates/state/src/engines.rs
@@ -1,4 +1,4 @@
-//! The engines as last observed.
+//! Engines as last observed.
 
 use std::collections::BTreeMap;
 
@@ -13,76 +13,77 @@
 use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
-/// `Reading` is the place of a status in an engine's history. A later status is greater.
+/// Position of a status in the history of an engine. A later status compares greater.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Reading {
-    /// The run of the engine.
+    /// Incarnation of the engine.
     pub boot: BootId,
-    /// The status's sequence within that run.
+    /// Sequence of the status within that incarnation.
     pub sequence: u64,
 }
 
-/// `UnmanagedResident` is a model on an engine that no accepted load put there.
+/// Model on an engine that no accepted load put there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnmanagedResident {
-    /// The memory it takes.
+    /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
-    /// The number of the order that loaded it.
+    /// Fencing token of the order that loaded it.
     pub fence: FencingToken,
-    /// How far it is.
+    /// Whether the model is being loaded, loaded or being unloaded.
     pub residency: Residency,
-    /// The unload under way.
+    /// Offset of the unload in progress; `None` if there is none.
     pub unload: Option<Offset>,
 }
 
-/// `Engine` is an engine as last observed.
+/// State of an engine as last observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Its group.
+    /// Group of the engine.
     pub group: GroupName,
-    /// Its availability zone.
+    /// Availability zone of the engine.
     pub zone: ZoneName,
-    /// When the log took the first observation of its present run, in milliseconds of Unix time.
-    pub run_since_ms: u64,
-    /// The last status that was observed in whole.
+    /// Time at which the log appended the first observation of the present incarnation, in
+    /// milliseconds of Unix time.
+    pub incarnation_since_ms: u64,
+    /// Last status that was observed completely.
     pub reading: Reading,
-    /// The last status of which anything is known.
-    pub floor: Reading,
-    /// Its accelerator memory.
+    /// Newest status that any record mentions, observed completely or not. Older ones are rejected.
+    pub newest_reading: Reading,
+    /// Accelerator memory, in bytes.
     pub capacity_bytes: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the engine refuses orders whose fencing token is below the highest it has seen.
     pub checks_fence: bool,
-    /// The highest fencing number it has shown in its present run.
+    /// Highest fencing token that the engine has shown in its present incarnation.
     pub highest_fence: FencingToken,
-    /// Where the record is that removed it, if it is gone.
+    /// Offset of the record that removed the engine; `None` if it is not gone.
     pub gone_at: Option<Offset>,
-    /// The models on it that no accepted load put there.
+    /// Models on the engine that no accepted load put there.
     pub unmanaged: BTreeMap<ModelName, UnmanagedResident>,
-    /// The fencing numbers of its residents in the last whole status.
+    /// Fencing tokens of the models on the engine in the last complete status.
     pub(crate) resident_fences: Vec<FencingToken>,
 }
 
 impl Engine {
-    /// Returns the engine's present run, as far as it is known.
+    /// Returns the present incarnation of the engine, as last observed.
     pub fn boot(&self) -> BootId {
         self.reading.boot
     }
 
-    /// Returns whether the engine is gone.
+    /// Returns whether the engine has been removed.
     pub fn is_gone(&self) -> bool {
         self.gone_at.is_some()
     }
 
-    /// Returns the memory that undecided models take.
-    pub fn undecided_bytes(&self) -> u64 {
+    /// Returns the accelerator memory that unmanaged models take, in bytes.
+    pub fn unmanaged_bytes(&self) -> u64 {
         let sizes = self.unmanaged.values().map(|resident| resident.bytes);
         sizes.fold(0, u64::saturating_add)
     }
 
-    /// Notes a status of which only a part is known.
-    pub(crate) fn note_reading(&mut self, reading: Reading) {
-        self.floor = self.floor.max(reading);
+    /// Records a status that a settlement mentions without its residents.
+    pub(crate) fn record_reading(&mut self, reading: Reading) {
+        self.newest_reading = self.newest_reading.max(reading);
     }
 }
--- a/crates/state/src/errors.rs
+++ b/crates/state/src/errors.rs
@@ -1,20 +1,20 @@
-//! Errors of this crate.
+//! Errors of decoding snapshots.
 
 use thiserror::Error;
 
-/// `Result` is the result of a fallible function of this crate.
+/// Result of decoding a snapshot or a part of one.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what decoding a snapshot can fail with.
+/// Error of decoding a snapshot or a part of one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The bytes are no snapshot, or a damaged one.
+    /// The bytes are not a snapshot, or are damaged. The text says what is wrong.
     #[error("malformed snapshot: {0}")]
     Malformed(String),
-    /// The snapshot was written in a format that this program doesn't know.
+    /// The snapshot has a format that this program does not support.
     #[error("snapshot format {found} is not supported")]
     UnsupportedFormat {
-        /// The format found.
+        /// Format number in the snapshot.
         found: u32,
     },
 }
--- a/crates/state/src/history.rs
+++ b/crates/state/src/history.rs
@@ -1,4 +1,4 @@
-//! What was decided lately, so that whoever appended a record learns its verdict.
+//! Recent verdicts, from which the process that appended a record learns its verdict.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -10,21 +10,21 @@
 
 use crate::verdict::Verdict;
 
-/// The most recent offsets whose verdicts are kept.
-pub const KEPT_VERDICTS: usize = 1024;
-/// The most recent configuration changes whose verdicts are kept: two days of them.
-pub const KEPT_CHANGES: usize = 4096;
+/// Number of most recent offsets whose verdicts are kept.
+pub const MAX_KEPT_VERDICTS: usize = 1024;
+/// Number of most recent configuration changes whose verdicts are kept: about two days of them.
+pub const MAX_KEPT_CHANGES: usize = 4096;
 
-/// `DecidedChange` is the verdict on a configuration change.
+/// Verdict on a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecidedChange {
-    /// Where the change was.
+    /// Offset of the change.
     pub offset: Offset,
-    /// What became of it.
+    /// Verdict that replay gave.
     pub verdict: Verdict,
 }
 
-/// `History` holds recent verdicts by offset and by the identity of a configuration change.
+/// Recent verdicts by offset, and by the identity of a configuration change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     verdicts: VecDeque<(Offset, Verdict)>,
@@ -33,7 +33,8 @@
 }
 
 impl History {
-    /// Returns the verdict on the record at an offset, or none if it is too old or not yet there.
+    /// Returns the verdict on the record at an offset; `None` if it is no longer kept or the record
+    /// has not been replayed.
     pub fn verdict(&self, offset: Offset) -> Option<&Verdict> {
         let index = self
             .verdicts
@@ -42,20 +43,21 @@
         Some(&self.verdicts[index].1)
     }
 
-    /// Returns the verdict on a configuration change, or none if it is too old or not yet there.
+    /// Returns the verdict on a configuration change; `None` if it is no longer kept or the change
+    /// has not been replayed.
     pub fn change(&self, change_id: u64) -> Option<&DecidedChange> {
         self.changes.get(&change_id)
     }
 
-    pub(crate) fn note_verdict(&mut self, offset: Offset, verdict: Verdict) {
-        if self.verdicts.len() == KEPT_VERDICTS {
+    pub(crate) fn record_verdict(&mut self, offset: Offset, verdict: Verdict) {
+        if self.verdicts.len() == MAX_KEPT_VERDICTS {
             self.verdicts.pop_front();
         }
         self.verdicts.push_back((offset, verdict));
     }
 
-    pub(crate) fn note_change(&mut self, change_id: u64, change: DecidedChange) {
-        if self.change_order.len() == KEPT_CHANGES {
+    pub(crate) fn record_change(&mut self, change_id: u64, change: DecidedChange) {
+        if self.change_order.len() == MAX_KEPT_CHANGES {
             let oldest = self.change_order.pop_front();
             oldest.and_then(|oldest| self.changes.remove(&oldest));
         }
--- a/crates/state/src/intents.rs
+++ b/crates/state/src/intents.rs
@@ -1,4 +1,4 @@
-//! Rules of the records that start something: loads, unloads and takeovers.
+//! Rules for proposals: loads, unloads and takeovers.
 
 use apricotdale_core::control::LoadIntent;
 use apricotdale_core::control::Proposer;
@@ -11,7 +11,7 @@
 use crate::configuration::ConfiguredModel;
 use crate::control_state::ControlState;
 use crate::control_state::Decision;
-use crate::control_state::Moment;
+use crate::control_state::RecordStamp;
 use crate::engines::Engine;
 use crate::replicas::Owner;
 use crate::replicas::Progress;
@@ -22,8 +22,8 @@
 use crate::verdict::RejectReason;
 
 impl ControlState {
-    /// Decides on a load.
-    pub(crate) fn load(&mut self, moment: Moment, intent: &LoadIntent) -> Decision {
+    /// Decides on the proposal of a load.
+    pub(crate) fn load(&mut self, stamp: RecordStamp, intent: &LoadIntent) -> Decision {
         let model = self
             .config
             .model(&intent.model)
@@ -36,22 +36,22 @@
         self.check_replicas(intent, model, engine)?;
         self.check_memory(&intent.engine, engine, model.bytes)?;
         let replica = Replica {
-            load: moment.offset,
+            load: stamp.offset,
             model: intent.model.clone(),
             base: model.base.clone(),
             engine: intent.engine.clone(),
             bytes: model.bytes,
             model_version: model.version,
             progress: Progress::Ordered,
-            since_ms: moment.appended_ms,
+            since_ms: stamp.appended_ms,
             sender: intent.proposer.epoch,
-            owner: owner(&intent.proposer, moment),
+            owner: owner(&intent.proposer, stamp),
             sender_ended_at: None,
-            last_boot: None,
+            last_reachable_boot: None,
             refused_by: None,
-            shown: None,
+            effect_seen_at: None,
             unload: None,
-            engine_unloads: false,
+            engine_is_unloading: false,
         };
         self.replicas.insert(replica);
         Ok(Accepted::LoadReserved)
@@ -66,13 +66,13 @@
         if self.replica_count(&intent.model) != intent.expected_replicas {
             return Err(RejectReason::ReplicaCountChanged);
         }
-        // An engine names its models, so it can't tell two replicas of one model apart: an unload
-        // of the one would be an unload of both.
+        // Engines identify models by name and can't distinguish two replicas of one model: an order
+        // to unload one of them would unload both.
         let boot = engine.boot();
-        let is_same =
+        let is_same_model =
             |replica: &Replica| replica.model == intent.model && replica.may_hold_memory(boot);
         if engine.unmanaged.contains_key(&intent.model)
-            || self.replicas.of_engine(&intent.engine).any(is_same)
+            || self.replicas.of_engine(&intent.engine).any(is_same_model)
         {
             return Err(RejectReason::AlreadyOnEngine);
         }
@@ -89,12 +89,12 @@
         replicas.any(|replica| replica.model == *model && replica.stage() == Stage::Loaded)
     }
 
-    /// Checks that an engine's memory holds some more bytes, now and if it restarts.
+    /// Checks that an engine has memory for some more bytes, now and after a restart.
     ///
-    /// A restart frees what is loaded, but every order that has not yet been seen to take effect
-    /// can still reach the new run, and so can an order which the present run refuses, since a
-    /// restarted engine forgets the numbers it has seen. Both sums must fit, or a restart at the
-    /// wrong moment would overcommit the memory before anyone could know of it.
+    /// A restart frees what is loaded. But every order whose effect has not been seen can still
+    /// reach the new incarnation, including an order that the present incarnation refuses, since a
+    /// restarted engine forgets the fencing tokens it has seen. Both sums must fit; otherwise a
+    /// restart at an unfortunate time would overcommit the memory before any VM could know of it.
     fn check_memory(
         &self,
         name: &UpstreamName,
@@ -114,45 +114,45 @@
         Ok(())
     }
 
-    /// Returns the memory that is taken or may become taken in an engine's present run.
+    /// Returns the memory that is taken or may be taken in the present incarnation of an engine.
     pub(crate) fn held_bytes(&self, name: &UpstreamName, engine: &Engine) -> u64 {
         let boot = engine.boot();
         let holding = self
             .replicas
             .of_engine(name)
             .filter(|replica| replica.may_hold_memory(boot));
-        holding.fold(engine.undecided_bytes(), add_bytes)
+        holding.fold(engine.unmanaged_bytes(), add_bytes)
     }
 
-    /// Returns the memory that may become taken in a later run of an engine by orders already
-    /// given.
+    /// Returns the memory that orders already accepted may take in a later incarnation of an
+    /// engine.
     pub(crate) fn held_after_restart_bytes(&self, name: &UpstreamName, engine: &Engine) -> u64 {
         let boot = engine.boot();
         let holding = self
             .replicas
             .of_engine(name)
-            .filter(|replica| replica.can_hold_after(boot));
+            .filter(|replica| replica.may_hold_memory_after(boot));
         holding.fold(0, add_bytes)
     }
 
-    /// Decides on an unload.
-    pub(crate) fn unload(&mut self, moment: Moment, intent: &UnloadIntent) -> Decision {
+    /// Decides on the proposal of an unload.
+    pub(crate) fn unload(&mut self, stamp: RecordStamp, intent: &UnloadIntent) -> Decision {
         let task = UnloadTask {
             model: intent.model.clone(),
             engine: intent.engine.clone(),
             load: intent.load,
             sender: intent.proposer.epoch,
-            owner: owner(&intent.proposer, moment),
+            owner: owner(&intent.proposer, stamp),
         };
         match self.replicas.get(intent.load) {
             Some(replica) => {
                 self.check_unload(replica, intent)?;
                 let replica = self.replicas.get_mut(intent.load);
-                replica.expect("the replica was there a line above").unload = Some(moment.offset);
+                replica.expect("the replica was found above").unload = Some(stamp.offset);
             }
-            None => self.unload_undecided(moment.offset, intent)?,
+            None => self.unload_unmanaged(stamp.offset, intent)?,
         }
-        self.unloads.insert(moment.offset, task);
+        self.unloads.insert(stamp.offset, task);
         Ok(Accepted::UnloadStarted)
     }
 
@@ -174,7 +174,7 @@
         }
     }
 
-    fn unload_undecided(
+    fn unload_unmanaged(
         &mut self,
         offset: Offset,
         intent: &UnloadIntent,
@@ -198,8 +198,8 @@
     }
 
     /// Decides on a takeover.
-    pub(crate) fn take_over(&mut self, moment: Moment, takeover: &TakeOver) -> Decision {
-        let owner = owner(&takeover.proposer, moment);
+    pub(crate) fn take_over(&mut self, stamp: RecordStamp, takeover: &TakeOver) -> Decision {
+        let owner = owner(&takeover.proposer, stamp);
         if let Some(task) = self.unloads.get_mut(&takeover.intent) {
             task.owner = owner;
             return Ok(Accepted::TakenOver);
@@ -211,10 +211,10 @@
         if replica.progress == Progress::Loaded {
             return Err(RejectReason::UnknownIntent);
         }
-        // A sender that takes its own intent over says that its attempt is over and that it will
-        // not send the order again.
+        // A sender that takes over its own intent declares that its attempt has ended and that it
+        // will not send the order again.
         if replica.sender == owner.epoch {
-            replica.sender_ended_at.get_or_insert(moment.offset);
+            replica.sender_ended_at.get_or_insert(stamp.offset);
         }
         replica.owner = owner;
         Ok(Accepted::TakenOver)
@@ -230,21 +230,21 @@
         _ if model.version != intent.model_version => Err(RejectReason::ModelChanged),
         _ if engine.is_gone() => Err(RejectReason::EngineGone),
         _ if engine.boot() != intent.boot => Err(RejectReason::EngineRestarted),
-        _ if engine.floor.boot != intent.boot => Err(RejectReason::EngineRestarted),
+        _ if engine.newest_reading.boot != intent.boot => Err(RejectReason::EngineRestarted),
         _ if engine.group != model.group => Err(RejectReason::WrongGroup),
         _ => Ok(()),
     }
 }
 
-/// Adds without overflow: engines report sizes, and a wild one must not stop the process.
+/// Adds a size without overflow, since a wrong size reported by an engine must not cause a panic.
 fn add_bytes(sum: u64, replica: &Replica) -> u64 {
     sum.saturating_add(replica.bytes)
 }
 
-fn owner(proposer: &Proposer, moment: Moment) -> Owner {
+fn owner(proposer: &Proposer, stamp: RecordStamp) -> Owner {
     Owner {
         vm: proposer.vm.clone(),
         epoch: proposer.epoch,
-        since: moment.offset,
+        since: stamp.offset,
     }
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,16 +1,16 @@
-//! Replicated decision state: deterministic replay of the control and claim streams.
+//! Replicated state machines: deterministic replay of the control stream and the claim streams.
 //!
-//! Every VM replays the same streams with the state machines of this crate and so comes to the same
-//! decisions without a leader:
+//! Every VM replays the same streams with the state machines of this crate and thereby reaches the
+//! same decisions without a leader:
 //!
 //! - [`ControlState`] replays the control stream: configuration, members, engines and replicas;
 //! - [`ClaimTable`] replays one claim stream, so that a call under an idempotency key runs at most
 //!   once;
-//! - [`snapshot`] carries either state to a VM that starts after the log has dropped old records;
+//! - [`snapshot`] transfers either state to a VM that starts after the log has dropped old records;
 //! - [`catch_up`] decides where a VM gets its state from when it starts or has fallen behind.
 //!
-//! Nothing here reads a clock, opens a socket, starts a thread or uses randomness. The only time is
-//! that at which the log took a record, which is the same for all readers.
+//! The crate reads no clock, opens no sockets, starts no threads and uses no randomness. The only
+//! time that it uses is when the log appended a record, which is the same for all readers.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -1,4 +1,4 @@
-//! The daemon processes that have joined.
+//! Daemon processes that have joined.
 
 use std::collections::BTreeMap;
 
@@ -14,67 +14,67 @@
 use crate::verdict::IgnoreReason;
 use crate::verdict::RejectReason;
 
-/// The most processes of one VM that have joined and not yet appended a record.
-const MAX_UNCONFIRMED: usize = 8;
+/// Number of processes of one VM that may have joined without having appended a record since.
+const MAX_UNCONFIRMED_PER_VM: usize = 8;
 
-/// How much older than the time of a listing something must be for the listing to speak of it, in
-/// milliseconds. It covers the difference between the clocks of the platform's services.
-pub const LIST_MARGIN_MS: u64 = 5_000;
+/// Minimum age of an event, relative to the time of a VM list, for the list to apply to it, in
+/// milliseconds. Covers the difference between the clocks of the platform's services.
+pub const LIST_CLOCK_MARGIN_MS: u64 = 5_000;
 
-/// `Member` is one daemon process.
+/// One daemon process that has joined.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The offset of its join.
+    /// Offset of its join record.
     pub epoch: Epoch,
-    /// Its availability zone.
+    /// Availability zone of its VM.
     pub zone: ZoneName,
-    /// Its random identity.
+    /// Random identity that the process chose when it started.
     pub process_id: u64,
-    /// When the log took its join, in milliseconds of Unix time.
+    /// Time at which the log appended its join record, in milliseconds of Unix time.
     pub joined_ms: u64,
-    /// The sequence of its last record, or none before the first.
+    /// Sequence of its last record; `None` before the first.
     pub last_sequence: Option<u64>,
 }
 
-/// `VmMembers` are the processes of one VM.
+/// Processes of one VM: the current one, and later ones that have joined but appended no record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct VmMembers {
     current: Option<Member>,
     unconfirmed: Vec<Member>,
 }
 
-/// `Authenticated` is what a proposer's record says of its process.
+/// Status of the process that appended a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Authenticated {
-    /// The record is of the VM's current process.
+pub(crate) enum ProposerStatus {
+    /// The process is the current one of its VM.
     Current,
-    /// The record is the first of a process that has taken another's place.
+    /// The process has just replaced the one with this epoch, as the record is its first.
     Supersedes(Epoch),
-    /// The record repeats an older one.
+    /// The process has appended a record with this or a higher sequence before.
     Repeated,
 }
 
-/// `Members` are the daemon processes that have joined.
+/// Daemon processes that have joined, by VM.
 ///
-/// A join alone does not end the VM's earlier process: an append whose answer was lost can reach
-/// the stream long after its process has died, and would then end a later process that is alive and
-/// may still send an order. One would notice by two orders in the memory of one. So a joined
-/// process takes the earlier one's place only with its first record, which carries its epoch, and
-/// which it can write only after it has read its own join from the stream.
+/// A join alone does not end the earlier process of the VM. An append whose answer was lost can
+/// reach the stream long after its process has died, and would then end a later process that is
+/// alive and may still send an order; two orders could then take the same memory. A joined process
+/// therefore replaces the earlier one only with its first record. That record carries its epoch,
+/// which the process knows only after it has read its own join from the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     vms: BTreeMap<VmName, VmMembers>,
 }
 
 impl Members {
-    /// Returns each VM with its newest process.
+    /// Returns the newest process of each VM, whether current or not.
     pub fn newest(&self) -> impl Iterator<Item = (&VmName, &Member)> {
         self.vms
             .iter()
             .filter_map(|(vm, members)| Some((vm, members.newest()?)))
     }
 
-    /// Returns the epoch of a process, or none if it has not joined or is over.
+    /// Returns the epoch of a process; `None` if it has not joined or has ended.
     pub fn epoch_of(&self, vm: &VmName, process_id: u64) -> Option<Epoch> {
         let members = self.vms.get(vm)?;
         let member = members
@@ -83,7 +83,7 @@
         Some(member.epoch)
     }
 
-    /// Returns whether a process's records are accepted.
+    /// Returns whether records of the process with this epoch are accepted.
     pub fn is_current(&self, epoch: Epoch) -> bool {
         let mut current = self
             .vms
@@ -92,27 +92,27 @@
         current.any(|member| member.epoch == epoch)
     }
 
-    /// Returns the processes of a VM that the platform's list, speaking of the time `as_of_ms`,
-    /// shows as gone, as far as the list can mean them. Only these may be said to have departed.
+    /// Returns the epochs of a VM's processes that may be proposed as departed, given that the VM
+    /// list of the time `as_of_ms` shows the VM as gone.
     ///
-    /// The list lags, and a VM that was replaced under its old name may still be shown as gone
-    /// while its new process runs. To end that process would free the memory of orders that it may
-    /// still send. The list's time and the log's time are both the platform's; a join later than
-    /// [`LIST_MARGIN_MS`] before the list's time is not held against the process.
+    /// The list is delayed: a VM that was replaced under the same name may still be listed as gone
+    /// while its new process runs. Ending that process would free the memory of orders that it may
+    /// still send. The times of the list and of the log both come from the platform, so a process
+    /// is returned only if it joined more than [`LIST_CLOCK_MARGIN_MS`] before the list's time.
     pub fn departable_epochs(&self, vm: &VmName, as_of_ms: u64) -> Vec<Epoch> {
-        let joined_before_ms = as_of_ms.saturating_sub(LIST_MARGIN_MS);
+        let joined_before_ms = as_of_ms.saturating_sub(LIST_CLOCK_MARGIN_MS);
         let members = self.vms.get(vm).into_iter().flat_map(VmMembers::all);
         let departable = members.filter(|member| member.joined_ms < joined_before_ms);
         departable.map(|member| member.epoch).collect()
     }
 
-    /// Returns whether a process has joined and is not over.
+    /// Returns whether a process has joined and has not ended.
     pub fn has_process(&self, process_id: u64) -> bool {
         let mut all = self.vms.values().flat_map(VmMembers::all);
         all.any(|member| member.process_id == process_id)
     }
 
-    /// Takes in a join.
+    /// Adds a process that has joined.
     pub(crate) fn join(
         &mut self,
         join: &Join,
@@ -121,7 +121,7 @@
     ) -> Result<(), IgnoreReason> {
         let members = self.vms.entry(join.vm.clone()).or_default();
         // A join that was appended twice must not give its process a second epoch: the orders of
-        // the first epoch would count as those of a process that is over, while it still sends.
+        // the first epoch would count as those of an ended process, which still sends.
         if members
             .all()
             .any(|member| member.process_id == join.process_id)
@@ -139,11 +139,12 @@
         Ok(())
     }
 
-    /// Takes in the proposer of a record.
-    pub(crate) fn authenticate(
+    /// Checks the proposer of a record, records its sequence, and makes its process the current one
+    /// of the VM if the record is the first of a later process.
+    pub(crate) fn admit_proposer(
         &mut self,
         proposer: &Proposer,
-    ) -> Result<Authenticated, RejectReason> {
+    ) -> Result<ProposerStatus, RejectReason> {
         let members = self
             .vms
             .get_mut(&proposer.vm)
@@ -157,13 +158,13 @@
             .last_sequence
             .is_some_and(|last| proposer.sequence <= last)
         {
-            return Ok(Authenticated::Repeated);
+            return Ok(ProposerStatus::Repeated);
         }
         current.last_sequence = Some(proposer.sequence);
-        Ok(superseded.map_or(Authenticated::Current, Authenticated::Supersedes))
+        Ok(superseded.map_or(ProposerStatus::Current, ProposerStatus::Supersedes))
     }
 
-    /// Takes in that a process can act no more.
+    /// Removes a process that can no longer act.
     pub(crate) fn depart(&mut self, vm: &VmName, epoch: Epoch) -> Result<(), RejectReason> {
         let members = self.vms.get_mut(vm).ok_or(RejectReason::UnknownProcess)?;
         if !members.all().any(|member| member.epoch == epoch) {
@@ -192,13 +193,13 @@
             self.current = Some(member);
             return;
         }
-        if self.unconfirmed.len() == MAX_UNCONFIRMED {
+        if self.unconfirmed.len() == MAX_UNCONFIRMED_PER_VM {
             self.unconfirmed.remove(0);
         }
         self.unconfirmed.push(member);
     }
 
-    /// Makes an unconfirmed process the current one and returns the epoch whose place it takes.
+    /// Makes an unconfirmed process the current one and returns the epoch of the one it replaces.
     fn confirm(&mut self, epoch: Epoch) -> Option<Epoch> {
         let index = self
             .unconfirmed
--- a/crates/state/src/observations.rs
+++ b/crates/state/src/observations.rs
@@ -1,4 +1,4 @@
-//! Rules of the records that say what an engine showed.
+//! Rules for observations of engines and for their removal.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 
 use crate::control_state::ControlState;
 use crate::control_state::Decision;
-use crate::control_state::Moment;
+use crate::control_state::RecordStamp;
 use crate::engines::Engine;
 use crate::engines::Reading;
 use crate::engines::UnmanagedResident;
@@ -22,12 +22,12 @@
 use crate::verdict::Accepted;
 use crate::verdict::RejectReason;
 
-/// The most engines that are remembered after they are gone.
+/// Maximum number of engines that are remembered after they are gone.
 const MAX_GONE_ENGINES: usize = 1024;
 
 impl ControlState {
-    /// Takes in an engine's whole status.
-    pub(crate) fn observe(&mut self, moment: Moment, observation: &Observation) -> Decision {
+    /// Applies the complete status of an engine.
+    pub(crate) fn observe(&mut self, stamp: RecordStamp, observation: &Observation) -> Decision {
         let name = &observation.engine;
         let reading = Reading {
             boot: observation.boot,
@@ -36,24 +36,25 @@
         if self
             .engines
             .get(name)
-            .is_some_and(|engine| is_old(engine, reading, observation))
+            .is_some_and(|engine| is_outdated(engine, reading, observation))
         {
             return Err(RejectReason::OldReading);
         }
         for load in self.replicas.loads_of_engine(name) {
-            self.compare(moment, observation, reading, load);
+            self.update_replica(stamp, observation, reading, load);
         }
-        let unmanaged = self.undecided_of(observation);
+        let unmanaged = self.unmanaged_residents(observation);
         let old = self.engines.get(name);
-        let floor = old.map_or(reading, |old| old.floor.max(reading));
-        let same_run = old.filter(|old| old.boot() == reading.boot && !old.is_gone());
-        let run_since_ms = same_run.map_or(moment.appended_ms, |old| old.run_since_ms);
+        let newest_reading = old.map_or(reading, |old| old.newest_reading.max(reading));
+        let same_incarnation = old.filter(|old| old.boot() == reading.boot && !old.is_gone());
+        let incarnation_since_ms =
+            same_incarnation.map_or(stamp.appended_ms, |old| old.incarnation_since_ms);
         let engine = Engine {
             group: observation.group.clone(),
             zone: observation.zone.clone(),
-            run_since_ms,
+            incarnation_since_ms,
             reading,
-            floor,
+            newest_reading,
             capacity_bytes: observation.capacity_bytes,
             checks_fence: observation.checks_fence,
             highest_fence: observation.highest_fence,
@@ -66,15 +67,15 @@
                 .collect(),
         };
         self.engines.insert(name.clone(), engine);
-        self.drop_stray_unloads(name);
-        self.sweep(name);
+        self.remove_orphaned_unloads(name);
+        self.remove_dead_replicas(name);
         Ok(Accepted::Observed)
     }
 
-    /// Compares one replica with what its engine shows.
-    fn compare(
+    /// Updates one replica with the status of its engine.
+    fn update_replica(
         &mut self,
-        moment: Moment,
+        stamp: RecordStamp,
         observation: &Observation,
         reading: Reading,
         load: Offset,
@@ -83,57 +84,61 @@
             return;
         };
         let mut residents = observation.residents.iter();
-        let resident = residents.find(|resident| is_effect(resident, replica));
-        match (resident, replica.shown) {
-            (Some(resident), _) => note_effect(replica, resident, reading, moment.appended_ms),
-            (None, Some(shown)) if shown < reading => self.forget(load),
+        let resident = residents.find(|resident| results_from(resident, replica));
+        match (resident, replica.effect_seen_at) {
+            (Some(resident), _) => record_effect(replica, resident, reading, stamp.appended_ms),
+            (None, Some(effect_seen_at)) if effect_seen_at < reading => self.remove_replica(load),
             (None, Some(_)) => {}
-            (None, None) => note_refusal(replica, observation),
+            (None, None) => record_refusal(replica, observation),
         }
     }
 
-    /// Returns what an engine shows that no accepted load put there.
-    fn undecided_of(&self, observation: &Observation) -> BTreeMap<ModelName, UnmanagedResident> {
+    /// Returns the models in an engine's status that no accepted load put there.
+    fn unmanaged_residents(
+        &self,
+        observation: &Observation,
+    ) -> BTreeMap<ModelName, UnmanagedResident> {
         let old = self.engines.get(&observation.engine);
         let old = old.filter(|old| old.boot() == observation.boot);
         let mut unmanaged = BTreeMap::new();
         for resident in &observation.residents {
             let load = self.replicas.get(Offset(resident.fence.0));
             if load.is_some_and(|replica| {
-                replica.engine == observation.engine && is_effect(resident, replica)
+                replica.engine == observation.engine && results_from(resident, replica)
             }) {
                 continue;
             }
             let known = old.and_then(|old| old.unmanaged.get(&resident.model));
             let known = known.filter(|known| known.fence == resident.fence);
-            let stray = UnmanagedResident {
+            let unmanaged_resident = UnmanagedResident {
                 bytes: resident.bytes,
                 fence: resident.fence,
                 residency: resident.residency,
                 unload: known.and_then(|known| known.unload),
             };
-            unmanaged.insert(resident.model.clone(), stray);
+            unmanaged.insert(resident.model.clone(), unmanaged_resident);
         }
         unmanaged
     }
 
-    /// Forgets the unloads of undecided models that are gone.
-    fn drop_stray_unloads(&mut self, name: &UpstreamName) {
+    /// Removes unloads of unmanaged models that are no longer on the engine.
+    fn remove_orphaned_unloads(&mut self, name: &UpstreamName) {
         let Some(engine) = self.engines.get(name) else {
             return;
         };
         let replicas = &self.replicas;
         self.unloads.retain(|offset, task| {
-            let stray = engine.unmanaged.get(&task.model);
+            let unmanaged_resident = engine.unmanaged.get(&task.model);
             task.engine != *name
                 || replicas.get(task.load).is_some()
-                || stray.is_some_and(|stray| stray.unload == Some(*offset))
+                || unmanaged_resident
+                    .is_some_and(|unmanaged_resident| unmanaged_resident.unload == Some(*offset))
         });
     }
 
-    /// Takes in that an engine is gone for good. If the list was wrong, a later reading brings the
-    /// engine back, with all that it shows as undecided.
-    pub(crate) fn remove_upstream(&mut self, moment: Moment, gone: &UpstreamGone) -> Decision {
+    /// Removes an engine. If the VM list was wrong, a later observation restores the engine, with
+    /// its models as unmanaged.
+    pub(crate) fn remove_upstream(&mut self, stamp: RecordStamp, gone: &UpstreamGone) -> Decision {
         let engine = self
             .engines
             .get_mut(&gone.engine)
@@ -141,23 +146,24 @@
         if engine.is_gone() {
             return Err(RejectReason::EngineGone);
         }
-        // The list lags: the reader may have seen the end of an engine whose successor under the
-        // same name runs already.
-        if engine.floor.boot > gone.boot {
+        // The VM list is delayed: the reader may have seen the end of an earlier engine when a new
+        // one with the same name is running already.
+        if engine.newest_reading.boot > gone.boot {
             return Err(RejectReason::EngineRestarted);
         }
-        engine.gone_at = Some(moment.offset);
+        engine.gone_at = Some(stamp.offset);
         engine.unmanaged.clear();
         engine.resident_fences.clear();
-        self.drop_stray_unloads(&gone.engine);
-        self.sweep(&gone.engine);
-        self.forget_oldest_gone();
+        self.remove_orphaned_unloads(&gone.engine);
+        self.remove_dead_replicas(&gone.engine);
+        self.remove_oldest_gone_engine();
         Ok(Accepted::UpstreamRemoved)
     }
 
-    /// Bounds the memory of engines that are gone. They are kept so that a reading which comes late
-    /// does not bring them back, and so that orders at large are remembered if they do come back.
-    fn forget_oldest_gone(&mut self) {
+    /// Limits the number of remembered engines that are gone. They are remembered so that a late
+    /// observation does not restore them, and so that orders that may still arrive are known if the
+    /// engine does return.
+    fn remove_oldest_gone_engine(&mut self) {
         let gone = self
             .engines
             .iter()
@@ -170,28 +176,28 @@
             return;
         };
         for load in self.replicas.loads_of_engine(&oldest) {
-            self.forget(load);
+            self.remove_replica(load);
         }
         self.engines.remove(&oldest);
     }
 }
 
-/// Returns whether an observation says nothing new: a VM that was paused can append its reading
-/// long after a later one.
-fn is_old(engine: &Engine, reading: Reading, observation: &Observation) -> bool {
+/// Returns whether an observation adds nothing: a VM that was paused can append a status long after
+/// a later one was appended.
+fn is_outdated(engine: &Engine, reading: Reading, observation: &Observation) -> bool {
     let is_later = reading > engine.reading
         || (reading == engine.reading && observation.highest_fence > engine.highest_fence);
-    reading < engine.floor || !is_later
+    reading < engine.newest_reading || !is_later
 }
 
-fn is_effect(resident: &Resident, replica: &Replica) -> bool {
+fn results_from(resident: &Resident, replica: &Replica) -> bool {
     resident.fence == FencingToken::from(replica.load) && resident.model == replica.model
 }
 
-fn note_effect(replica: &mut Replica, resident: &Resident, reading: Reading, appended_ms: u64) {
-    replica.shown = replica.shown.max(Some(reading));
+fn record_effect(replica: &mut Replica, resident: &Resident, reading: Reading, appended_ms: u64) {
+    replica.effect_seen_at = replica.effect_seen_at.max(Some(reading));
     replica.bytes = replica.bytes.max(resident.bytes);
-    replica.engine_unloads = resident.residency == Residency::Unloading;
+    replica.engine_is_unloading = resident.residency == Residency::Unloading;
     let progress = match resident.residency {
         Residency::Loading if replica.progress != Progress::Loaded => Progress::Loading,
         _ => Progress::Loaded,
@@ -202,9 +208,10 @@
     }
 }
 
-/// Notes whether an engine's present run refuses an order which has had no effect on it. A run that
-/// has refused once refuses for good; a new run has forgotten the numbers that the old one saw.
-fn note_refusal(replica: &mut Replica, observation: &Observation) {
+/// Records whether the present incarnation of an engine refuses an order that has had no effect on
+/// it. An incarnation that refuses an order once always does; a new incarnation has forgotten the
+/// fencing tokens that the earlier one had seen.
+fn record_refusal(replica: &mut Replica, observation: &Observation) {
     let refuses =
         observation.checks_fence && observation.highest_fence > FencingToken::from(replica.load);
     let refused_before = replica.refused_by == Some(observation.boot);
--- a/crates/state/src/parts.rs
+++ b/crates/state/src/parts.rs
@@ -1,8 +1,8 @@
-//! The records of the snapshot stream, and what a reader makes of them.
+//! Records of the snapshot stream, and the catalog that a reader builds from them.
 //!
-//! The snapshot stream carries the sections of all streams in parts, and the fresh starts after a
-//! loss. It is replayed like every other stream, so all readers agree on which fresh start counts:
-//! the first one that was decided on in knowledge of all before it.
+//! The snapshot stream contains the sections of all streams in parts, and the proposals of a fresh
+//! start after state was lost. It is replayed like every other stream, so all readers agree on the
+//! fresh start that is accepted: the first one whose proposer had read all earlier accepted ones.
 
 use std::collections::BTreeMap;
 
@@ -23,58 +23,58 @@
 use crate::snapshot::decode;
 use crate::snapshot::encode;
 
-/// `SnapshotRecord` is one record of the snapshot stream.
+/// One record of the snapshot stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRecord {
-    /// The format of the record and of the state in it.
+    /// Format of the record and of the state in it.
     pub format: u32,
-    /// The stream whose state it is about.
+    /// Stream whose state the record concerns.
     pub stream: StreamName,
-    /// What it says.
+    /// Content of the record.
     pub body: SnapshotBody,
 }
 
-/// `SnapshotBody` is what a record of the snapshot stream says.
+/// Content of a [`SnapshotRecord`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SnapshotBody {
     /// One part of a section.
     Part(SectionPart),
-    /// A proposal to start afresh, since all state was lost.
+    /// Proposal to continue from a new state because all earlier state was lost.
     Fresh(FreshStart),
 }
 
-/// `SectionPart` is one part of a section.
+/// One part of a section.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionPart {
-    /// The history that the state belongs to.
+    /// History that the state belongs to.
     pub lineage: Lineage,
-    /// The offset up to which the state has replayed, exclusive.
+    /// Offset up to which the state has replayed its stream, exclusive.
     pub next: Offset,
-    /// The part, from zero.
+    /// Index of the part, starting at zero.
     pub part: u32,
-    /// How many parts there are.
+    /// Total number of parts.
     pub parts: u32,
-    /// The checksum of the whole section.
+    /// Checksum of the complete section.
     pub checksum: u64,
-    /// The bytes of this part.
+    /// Bytes of this part.
     pub bytes: Vec<u8>,
 }
 
-/// `FreshStart` proposes a state to go on from after a loss. Its offset becomes the new lineage.
+/// Proposes a state to continue from after a loss. The offset of the record becomes the lineage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreshStart {
-    /// The end of the snapshot stream as its proposer had read it. The proposal is accepted only if
-    /// no fresh start of the same stream was accepted since; so of two VMs that start afresh at the
-    /// same time, one gives in.
+    /// End of the snapshot stream as the proposer had read it. The proposal is accepted only if no
+    /// fresh start of the same stream has been accepted since then. Of two proposals made at the
+    /// same time, the first is accepted.
     pub after: Offset,
-    /// The offset from which records count.
+    /// Offset from which records of the stream are replayed onto the state.
     pub next: Offset,
-    /// The encoded state to start from.
+    /// Encoded state to start from.
     pub bytes: Vec<u8>,
 }
 
 impl SnapshotRecord {
-    /// Returns the records that carry a section, with parts of at most `part_bytes`.
+    /// Splits a section into records with at most `part_bytes` bytes of it each.
     pub fn of_section(stream: &StreamName, section: &Section, part_bytes: usize) -> Vec<Self> {
         let pieces: Vec<&[u8]> = section.bytes.chunks(part_bytes.max(1)).collect();
         let parts = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
@@ -97,7 +97,7 @@
         (0..parts).zip(&pieces).map(record).collect()
     }
 
-    /// Returns the record that proposes a fresh start.
+    /// Creates the record that proposes a fresh start.
     pub fn of_fresh_start(stream: &StreamName, fresh: FreshStart) -> Self {
         Self {
             format: FORMAT,
@@ -106,31 +106,30 @@
         }
     }
 
-    /// Returns the record as it is appended to the stream.
+    /// Encodes the record as the payload of a log record.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Returns the record that was appended.
+    /// Decodes the payload of a log record.
     ///
     /// # Errors
     ///
-    /// `Error::UnsupportedFormat` for another format, `Error::Malformed` if it can't be read.
+    /// `Error::UnsupportedFormat` for another format, `Error::Malformed` if it can't be decoded.
     pub fn decode(payload: &[u8]) -> Result<Self> {
         check_format(payload)?;
         decode(payload)
     }
 }
 
-/// `Collected` are the parts of one section that have been read.
+/// Parts of one section that have been read so far.
 #[derive(Clone, Debug, Default)]
-struct Collected {
+struct PartialSection {
     parts: BTreeMap<u32, Vec<u8>>,
     bytes: usize,
 }
 
-/// `SnapshotCatalog` is what a reader knows from the snapshot stream: the newest whole section of each
-/// stream.
+/// Newest complete section of each stream, as read from the snapshot stream.
 #[derive(Clone, Debug)]
 pub struct SnapshotCatalog {
     first: Offset,
@@ -142,11 +141,11 @@
 struct StreamCatalog {
     lineage: Lineage,
     newest: Option<Section>,
-    collecting: BTreeMap<(Offset, u64, u32), Collected>,
+    partial_sections: BTreeMap<(Offset, u64, u32), PartialSection>,
 }
 
 impl SnapshotCatalog {
-    /// Returns the catalog of a reader that begins at the first offset which the stream still keeps.
+    /// Creates the catalog of a reader that begins at the first offset that the stream still keeps.
     pub fn new(first: Offset) -> Self {
         Self {
             first,
@@ -160,12 +159,12 @@
         self.next
     }
 
-    /// Returns the newest whole section of a stream.
+    /// Returns the newest complete section of a stream; `None` if none has been read.
     pub fn newest(&self, stream: &StreamName) -> Option<&Section> {
         self.streams.get(stream)?.newest.as_ref()
     }
 
-    /// Returns a stream's unbroken history.
+    /// Returns the present lineage of a stream; zero if no loss is known.
     pub fn lineage(&self, stream: &StreamName) -> Lineage {
         self.streams
             .get(stream)
@@ -173,11 +172,12 @@
             .unwrap_or_default()
     }
 
-    /// Takes in one record. Records must come in order; one that was read before is ignored.
+    /// Applies one record. Records must come in order; one that was applied before is ignored.
     ///
     /// # Errors
     ///
-    /// As for [`SnapshotRecord::decode`]; the record is then passed over.
+    /// As for [`SnapshotRecord::decode`], and `Error::Malformed` for a part that is out of range or
+    /// completes a section whose checksum differs. The record is then skipped.
     pub fn apply(&mut self, offset: Offset, payload: &[u8]) -> Result<()> {
         if offset < self.next {
             return Ok(());
@@ -188,23 +188,23 @@
         match record.body {
             SnapshotBody::Part(part) => stream.add_part(part),
             SnapshotBody::Fresh(fresh) if fresh.after >= self.first => {
-                stream.add_fresh(offset, fresh);
+                stream.apply_fresh_start(offset, fresh);
                 Ok(())
             }
-            // The fresh start that it may have lost against is no longer kept. Whether it counts is
-            // seen from the parts that its lineage brings.
+            // An earlier fresh start that this one may conflict with is no longer kept. The parts
+            // that carry its lineage show whether this one was accepted.
             SnapshotBody::Fresh(_) => Ok(()),
         }
     }
 }
 
 impl StreamCatalog {
-    fn add_fresh(&mut self, offset: Offset, fresh: FreshStart) {
+    fn apply_fresh_start(&mut self, offset: Offset, fresh: FreshStart) {
         if self.lineage.0 >= fresh.after && self.lineage != Lineage::default() {
             return;
         }
         let lineage = Lineage(offset);
-        self.begin(lineage);
+        self.begin_lineage(lineage);
         self.newest = Some(Section {
             lineage,
             next: fresh.next,
@@ -212,10 +212,10 @@
         });
     }
 
-    fn begin(&mut self, lineage: Lineage) {
+    fn begin_lineage(&mut self, lineage: Lineage) {
         self.lineage = lineage;
         self.newest = None;
-        self.collecting.clear();
+        self.partial_sections.clear();
     }
 
     fn add_part(&mut self, part: SectionPart) -> Result<()> {
@@ -223,7 +223,7 @@
             return Ok(());
         }
         if part.lineage > self.lineage {
-            self.begin(part.lineage);
+            self.begin_lineage(part.lineage);
         }
         if self
             .newest
@@ -233,34 +233,39 @@
             return Ok(());
         }
         let key = (part.next, part.checksum, part.parts);
-        let collected = self.collecting.entry(key).or_default();
+        let collected = self.partial_sections.entry(key).or_default();
         collected.bytes += part.bytes.len();
         if collected.bytes > MAX_SNAPSHOT_BYTES || part.part >= part.parts {
-            self.collecting.remove(&key);
-            return Err(Error::malformed("the section is larger than the limit"));
+            self.partial_sections.remove(&key);
+            return Err(Error::malformed(
+                "a part is out of range or its section exceeds the size limit",
+            ));
         }
-        if let Some(again) = collected.parts.insert(part.part, part.bytes) {
-            collected.bytes -= again.len();
+        if let Some(previous) = collected.parts.insert(part.part, part.bytes) {
+            collected.bytes -= previous.len();
         }
         match collected.parts.len() == part.parts as usize {
-            true => self.complete(key),
+            true => self.complete_section(key),
             false => Ok(()),
         }
     }
 
-    fn complete(&mut self, key: (Offset, u64, u32)) -> Result<()> {
+    fn complete_section(&mut self, key: (Offset, u64, u32)) -> Result<()> {
         let (next, checksum, _) = key;
-        let collected = self.collecting.remove(&key).unwrap_or_default();
+        let collected = self.partial_sections.remove(&key).unwrap_or_default();
         let bytes: Vec<u8> = collected.parts.into_values().flatten().collect();
         if xxh3_64(&bytes) != checksum {
-            return Err(Error::malformed("the checksum differs"));
+            return Err(Error::malformed(
+                "the checksum of the section does not match",
+            ));
         }
         self.newest = Some(Section {
             lineage: self.lineage,
             next,
             bytes,
         });
-        self.collecting.retain(|(other, _, _), _| *other > next);
+        self.partial_sections
+            .retain(|(other, _, _), _| *other > next);
         Ok(())
     }
 }
--- a/crates/state/src/replicas.rs
+++ b/crates/state/src/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas and the orders that bring them.
+//! Replicas of models and the load orders that create them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,144 +16,147 @@
 
 use crate::engines::Reading;
 
-/// `Owner` is the process that settles an intent.
+/// Process that is responsible for settling an intent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
-    /// Its VM.
+    /// VM of the process.
     pub vm: VmName,
-    /// Its epoch.
+    /// Epoch of the process.
     pub epoch: Epoch,
-    /// Where it became the owner: the intent itself or the last takeover. Orders that it gives
-    /// carry this as their fencing number.
+    /// Offset of the record that made it the owner: the intent itself or the last takeover. This is
+    /// the fencing token of the orders that it sends as the owner.
     pub since: Offset,
 }
 
-/// `Progress` is how far a load is known to have come.
+/// Progress of a load, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// The order may be sent, may be on its way, or may have been lost.
+    /// The order may be unsent, on its way or lost.
     Ordered,
-    /// The engine has shown that it loads the model.
+    /// The engine has shown that it is loading the model.
     Loading,
     /// The engine has loaded the model.
     Loaded,
 }
 
-/// `Stage` is what a replica is to the rest of the system.
+/// Stage of a replica, derived from its progress, its unload and the state of its order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// Decided; its memory is reserved.
+    /// The load is accepted and its memory is reserved.
     Reserved,
-    /// The engine loads it.
+    /// The engine is loading the model.
     Loading,
-    /// It can serve.
+    /// The replica can serve.
     Loaded,
-    /// It takes no new work and is about to go.
+    /// The replica takes no new work and is being unloaded.
     Unloading,
-    /// The engine's present run refuses its order, but a later run might not, and the order's
-    /// sender may still send it. Nobody expects it to come up.
+    /// The present incarnation of the engine refuses the order. A later one may accept it, and the
+    /// sender may still send it. The replica is not expected to be loaded.
     Revoked,
-    /// Its order's sender is over, but the order may wait in a connection of an engine that obeys
-    /// every order. Its memory is reserved. Nobody expects it to come up.
+    /// The sender of the order has ended, but the order may be queued in a connection of an engine
+    /// that does not check fencing tokens. Its memory stays reserved. The replica is not expected
+    /// to be loaded.
     Lingering,
 }
 
-/// `Replica` is one accepted load and what became of it.
+/// One accepted load and its progress.
 ///
-/// Its order is sent at most once, and only by the process that proposed it. So once an engine has
-/// shown the order's effect, the order can have no other.
+/// Its order is sent at most once, and only by the process that proposed the load. Once an engine
+/// has shown the effect of the order, the order can therefore have no other effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// The offset of the load, which is its order's fencing number.
+    /// Offset of the load, which is the fencing token of its order.
     pub load: Offset,
-    /// The model or adapter.
+    /// Model or adapter.
     pub model: ModelName,
-    /// The model an adapter belongs to.
+    /// Model that the adapter belongs to; `None` for a model.
     pub base: Option<ModelName>,
-    /// The engine.
+    /// Engine that holds or is to hold the replica.
     pub engine: UpstreamName,
-    /// The memory it takes.
+    /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
-    /// The model's last change on which the load was based.
+    /// Version of the model's last configuration change on which the load was based.
     pub model_version: ConfigVersion,
-    /// How far it is known to have come.
+    /// Progress of the load, as far as it is known.
     pub progress: Progress,
-    /// When the log took the record that brought it so far, in milliseconds of Unix time.
+    /// Time at which the log appended the record that led to this progress, in milliseconds of Unix
+    /// time.
     pub since_ms: u64,
-    /// The process that may send the order.
+    /// Epoch of the process that may send the order.
     pub sender: Epoch,
-    /// The process that settles the intent.
+    /// Process that settles the intent.
     pub owner: Owner,
-    /// The record since which the sender certainly sends no more: its VM's departure, the first
-    /// record of the VM's next process, or its own takeover of its intent.
+    /// Offset of the record after which the sender can no longer send the order: the departure of
+    /// its VM, the first record of the VM's next process, or the sender's own takeover of the
+    /// intent. `None` as long as the sender may send it.
     pub sender_ended_at: Option<Offset>,
-    /// The last run of the engine that the order can still reach, once that is known.
-    pub last_boot: Option<BootId>,
-    /// The run of the engine that certainly refuses the order.
+    /// Last incarnation of the engine that the order can still reach; `None` if that is unknown.
+    pub last_reachable_boot: Option<BootId>,
+    /// Present incarnation of the engine if it certainly refuses the order; `None` otherwise.
     pub refused_by: Option<BootId>,
-    /// The last status that showed the order's effect.
-    pub shown: Option<Reading>,
-    /// The unload under way.
+    /// Last status that showed the effect of the order; `None` if none has.
+    pub effect_seen_at: Option<Reading>,
+    /// Offset of the unload in progress; `None` if there is none.
     pub unload: Option<Offset>,
-    /// Whether the engine has shown that it unloads the model.
-    pub engine_unloads: bool,
+    /// Whether the engine has shown that it is unloading the model.
+    pub engine_is_unloading: bool,
 }
 
 impl Replica {
-    /// Returns what the replica is to the rest of the system.
+    /// Returns the stage of the replica.
     pub fn stage(&self) -> Stage {
         match self.progress {
-            _ if self.unload.is_some() || self.engine_unloads => Stage::Unloading,
+            _ if self.unload.is_some() || self.engine_is_unloading => Stage::Unloading,
             Progress::Loaded => Stage::Loaded,
             Progress::Loading => Stage::Loading,
             Progress::Ordered if self.refused_by.is_some() => Stage::Revoked,
-            Progress::Ordered if self.last_boot.is_some() => Stage::Lingering,
+            Progress::Ordered if self.last_reachable_boot.is_some() => Stage::Lingering,
             Progress::Ordered => Stage::Reserved,
         }
     }
 
-    /// Returns whether the order's sender may still send it.
+    /// Returns whether the sender may still send the order.
     pub fn sender_may_act(&self) -> bool {
-        self.shown.is_none() && self.sender_ended_at.is_none()
+        self.effect_seen_at.is_none() && self.sender_ended_at.is_none()
     }
 
-    /// Returns whether the replica takes memory, now or at any moment, in a run of its engine.
+    /// Returns whether the replica takes memory in an incarnation of its engine, or still may.
     pub fn may_hold_memory(&self, boot: BootId) -> bool {
-        match self.shown {
-            Some(shown) => shown.boot >= boot,
-            None => self.can_reach(boot) && self.refused_by != Some(boot),
+        match self.effect_seen_at {
+            Some(effect_seen_at) => effect_seen_at.boot >= boot,
+            None => self.order_may_reach(boot) && self.refused_by != Some(boot),
         }
     }
 
-    /// Returns whether the replica can take memory in a run later than the given one.
-    pub fn can_hold_after(&self, boot: BootId) -> bool {
-        match self.shown {
-            Some(shown) => shown.boot > boot,
-            None => self.last_boot.is_none_or(|last| last > boot),
+    /// Returns whether the replica may take memory in an incarnation later than the given one.
+    pub fn may_hold_memory_after(&self, boot: BootId) -> bool {
+        match self.effect_seen_at {
+            Some(effect_seen_at) => effect_seen_at.boot > boot,
+            None => self.last_reachable_boot.is_none_or(|last| last > boot),
         }
     }
 
-    fn can_reach(&self, boot: BootId) -> bool {
-        self.last_boot.is_none_or(|last| last >= boot)
+    fn order_may_reach(&self, boot: BootId) -> bool {
+        self.last_reachable_boot.is_none_or(|last| last >= boot)
     }
 }
 
-/// `UnloadTask` is an accepted unload that is not settled.
+/// Accepted unload that has not been settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnloadTask {
-    /// The model or adapter.
+    /// Model or adapter to unload.
     pub model: ModelName,
-    /// The engine.
+    /// Engine that holds the replica.
     pub engine: UpstreamName,
-    /// The load whose replica goes.
+    /// Offset of the load that created the replica.
     pub load: Offset,
-    /// The process that proposed it.
+    /// Epoch of the process that proposed the unload.
     pub sender: Epoch,
-    /// The process that settles it.
+    /// Process that settles the unload.
     pub owner: Owner,
 }
 
-/// `Replicas` are the replicas with their indexes.
+/// Replicas by load offset, with indexes by engine and by model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Replicas {
     by_load: BTreeMap<Offset, Replica>,
@@ -207,8 +210,8 @@
         Some(replica)
     }
 
-    /// Notes that a process certainly sends no more.
-    pub(crate) fn end_sender(&mut self, epoch: Epoch, at: Offset) {
+    /// Records that a process can send no more orders.
+    pub(crate) fn record_sender_end(&mut self, epoch: Epoch, at: Offset) {
         for replica in self
             .by_load
             .values_mut()
@@ -218,7 +221,7 @@
         }
     }
 
-    /// Builds the indexes, which are not part of the encoded state.
+    /// Rebuilds the indexes after decoding; they are not part of the encoded state.
     pub(crate) fn rebuild_indexes(&mut self) {
         let replicas: Vec<Replica> = self.by_load.values().cloned().collect();
         for replica in &replicas {
--- a/crates/state/src/settlements.rs
+++ b/crates/state/src/settlements.rs
@@ -1,9 +1,10 @@
-//! Rules of the records that say how an order ended.
+//! Rules for settlements, which report the outcome of orders.
 //!
-//! The process that may send an order knows best: what it says of its own order stands. Whoever
-//! took the intent over knows only what the engine showed it afterwards. That a load took effect is
-//! certain once the engine shows it. That it will not is certain only for as far as the order can
-//! no longer reach the engine; see `docs/design/decisions.md`.
+//! The process that may send an order has certain knowledge of it, so its report on its own order
+//! is accepted. A process that took the intent over knows only what the engine showed after the
+//! takeover. An engine that shows the effect of a load proves that the load took effect. That a
+//! load will have no effect is certain only where the order can no longer reach the engine; see
+//! `docs/design/decisions.md`.
 
 use apricotdale_core::control::SettledAs;
 use apricotdale_core::control::Settlement;
@@ -13,7 +14,7 @@
 
 use crate::control_state::ControlState;
 use crate::control_state::Decision;
-use crate::control_state::Moment;
+use crate::control_state::RecordStamp;
 use crate::engines::Engine;
 use crate::engines::Reading;
 use crate::replicas::Progress;
@@ -23,8 +24,8 @@
 use crate::verdict::RejectReason;
 
 impl ControlState {
-    /// Decides on the outcome of a load.
-    pub(crate) fn settle_load(&mut self, moment: Moment, settlement: &Settlement) -> Decision {
+    /// Decides on the settlement of a load.
+    pub(crate) fn settle_load(&mut self, stamp: RecordStamp, settlement: &Settlement) -> Decision {
         let replica = self
             .replicas
             .get(settlement.intent)
@@ -33,13 +34,15 @@
         match (&settlement.outcome, replica) {
             _ if replica.progress == Progress::Loaded => Err(RejectReason::UnknownIntent),
             _ if !may_settle(replica, epoch) => Err(RejectReason::NotOwner),
-            (SettledAs::Done, _) => self.settle_loaded(moment, settlement),
-            (_, replica) if speaks_of_own_order(replica, epoch) => self.settle_own(settlement),
-            _ => self.settle_absent(settlement),
+            (SettledAs::Done, _) => self.settle_loaded(stamp, settlement),
+            (_, replica) if knows_outcome_of_own_order(replica, epoch) => {
+                self.settle_own_order(settlement)
+            }
+            _ => self.settle_unseen_effect(settlement),
         }
     }
 
-    fn settle_loaded(&mut self, moment: Moment, settlement: &Settlement) -> Decision {
+    fn settle_loaded(&mut self, stamp: RecordStamp, settlement: &Settlement) -> Decision {
         let reading = reading(settlement).ok_or(RejectReason::NoReading)?;
         let load = settlement.intent;
         let replica = self
@@ -50,41 +53,41 @@
             .engines
             .get_mut(&replica.engine)
             .ok_or(RejectReason::UnknownEngine)?;
-        // The engine may have lost the model again before its answer came onto the stream. One
-        // would notice by requests that this engine refuses although the replica counts as loaded.
-        if is_over(engine, reading, load) {
-            self.forget(load);
+        // The engine may have lost the model again before this record was appended. Without this
+        // check the replica would count as loaded while the engine refuses its requests.
+        if effect_has_ended(engine, reading, load) {
+            self.remove_replica(load);
             return Ok(Accepted::LoadFreed);
         }
-        engine.note_reading(reading);
+        engine.record_reading(reading);
         replica.progress = Progress::Loaded;
-        replica.since_ms = moment.appended_ms;
-        replica.shown = replica.shown.max(Some(reading));
+        replica.since_ms = stamp.appended_ms;
+        replica.effect_seen_at = replica.effect_seen_at.max(Some(reading));
         Ok(Accepted::Loaded)
     }
 
-    /// Takes the word of a process that its own order had and will have no effect.
-    fn settle_own(&mut self, settlement: &Settlement) -> Decision {
+    /// Accepts the report of a process that its own order has and will have no effect.
+    fn settle_own_order(&mut self, settlement: &Settlement) -> Decision {
         let replica = self
             .replicas
             .get(settlement.intent)
             .ok_or(RejectReason::UnknownIntent)?;
-        if settlement.outcome == SettledAs::Abandoned && replica.shown.is_some() {
+        if settlement.outcome == SettledAs::Abandoned && replica.effect_seen_at.is_some() {
             return Err(RejectReason::OrderTookEffect);
         }
-        // With a reading, an older one that comes late can't show the order's effect once more.
+        // This prevents an older status that arrives late from showing the order's effect again.
         if let (Some(engine), Some(reading)) =
             (self.engines.get_mut(&replica.engine), reading(settlement))
         {
-            engine.note_reading(reading);
+            engine.record_reading(reading);
         }
-        self.forget(settlement.intent);
+        self.remove_replica(settlement.intent);
         Ok(Accepted::LoadFreed)
     }
 
-    /// Decides what it means that an engine did not show the order's effect to an owner who can't
-    /// speak for the sender.
-    fn settle_absent(&mut self, settlement: &Settlement) -> Decision {
+    /// Settles a load whose effect the engine did not show, reported by an owner that has no
+    /// knowledge of what the sender did.
+    fn settle_unseen_effect(&mut self, settlement: &Settlement) -> Decision {
         let reading = reading(settlement).ok_or(RejectReason::NoReading)?;
         let load = settlement.intent;
         let replica = self
@@ -95,10 +98,10 @@
             .engines
             .get(&replica.engine)
             .ok_or(RejectReason::UnknownEngine)?;
-        if let Some(shown) = replica.shown {
-            return match reading > shown {
+        if let Some(effect_seen_at) = replica.effect_seen_at {
+            return match reading > effect_seen_at {
                 true => {
-                    self.forget(load);
+                    self.remove_replica(load);
                     Ok(Accepted::LoadFreed)
                 }
                 false => Err(RejectReason::OldReading),
@@ -107,9 +110,9 @@
         if reading.boot > engine.boot() {
             return Err(RejectReason::RunNotObserved);
         }
-        note_absence(replica, engine, reading)?;
+        record_absence(replica, engine, reading)?;
         let name = replica.engine.clone();
-        self.sweep(&name);
+        self.remove_dead_replicas(&name);
         Ok(match self.replicas.get(load) {
             None => Accepted::LoadFreed,
             Some(replica) if replica.refused_by.is_some() => Accepted::LoadRevoked,
@@ -117,8 +120,12 @@
         })
     }
 
-    /// Decides on the outcome of an unload.
-    pub(crate) fn settle_unload(&mut self, _moment: Moment, settlement: &Settlement) -> Decision {
+    /// Decides on the settlement of an unload.
+    pub(crate) fn settle_unload(
+        &mut self,
+        _stamp: RecordStamp,
+        settlement: &Settlement,
+    ) -> Decision {
         let task = self
             .unloads
             .get(&settlement.intent)
@@ -133,8 +140,8 @@
                 let reading = reading(settlement).ok_or(RejectReason::NoReading)?;
                 self.finish_unload(settlement.intent, &task, reading)
             }
-            // The replica keeps its memory, so this is safe even if the order still takes effect;
-            // the next observation then shows that the replica is gone.
+            // The replica keeps its memory, so this is safe even if the order still takes effect.
+            // The next observation then shows that the replica is gone.
             SettledAs::Failed(_) | SettledAs::Abandoned => {
                 self.cancel_unload(settlement.intent, &task);
                 Ok(Accepted::UnloadCancelled)
@@ -147,19 +154,19 @@
             .engines
             .get_mut(&task.engine)
             .ok_or(RejectReason::UnknownEngine)?;
-        let is_old = reading < engine.reading && shows(engine, task.load);
+        let is_old = reading < engine.reading && lists_load(engine, task.load);
         let replica = self.replicas.get(task.load);
-        let is_before = replica.is_some_and(|replica| replica.shown >= Some(reading));
-        // A status from before the replica was there says nothing of the replica. Taking it for
-        // the replica's end would give its memory away while it is in use.
+        let is_before = replica.is_some_and(|replica| replica.effect_seen_at >= Some(reading));
+        // A status from before the replica existed does not prove that the replica is gone. If it
+        // counted as proof, the replica's memory would be reassigned while it is in use.
         if is_old || is_before {
             return Err(RejectReason::OldReading);
         }
-        engine.note_reading(reading);
+        engine.record_reading(reading);
         if replica.is_none() {
             engine.unmanaged.remove(&task.model);
         }
-        self.forget(task.load);
+        self.remove_replica(task.load);
         self.unloads.remove(&unload);
         Ok(Accepted::Unloaded)
     }
@@ -178,25 +185,25 @@
     }
 }
 
-/// Notes what follows from an owner's reading that does not show the order's effect.
-fn note_absence(
+/// Records what follows from a status, read by the owner, that does not show the order's effect.
+fn record_absence(
     replica: &mut Replica,
     engine: &Engine,
     reading: Reading,
 ) -> Result<(), RejectReason> {
-    // The owner should have raised the engine's fence before it took the reading. Only an
-    // observation proves that it did: raising the fence can fail where reading the status does not.
-    // Without the proof the order could take effect after its memory was given away.
+    // The owner should have raised the engine's fence before it read the status. Only an
+    // observation proves that it did: raising the fence can fail when reading the status succeeds.
+    // Without this proof the order could take effect after its memory was reassigned.
     let is_refused = replica.refused_by == Some(engine.boot()) && reading.boot == engine.boot();
-    // The owner took the reading after its takeover. If the sender had ended before that, no later
-    // run of the engine has ever had a connection from the sender.
-    let quiet_before = replica
+    // The owner read the status after its takeover. If the sender had ended before that, no later
+    // incarnation of the engine has ever had a connection from the sender.
+    let ended_before_takeover = replica
         .sender_ended_at
-        .is_some_and(|quiet| replica.owner.since >= quiet);
+        .is_some_and(|ended_at| replica.owner.since >= ended_at);
     match replica.sender_ended_at {
-        _ if quiet_before => {
-            let last_boot = replica.last_boot.unwrap_or(reading.boot);
-            replica.last_boot = Some(last_boot.min(reading.boot));
+        _ if ended_before_takeover => {
+            let last_reachable_boot = replica.last_reachable_boot.unwrap_or(reading.boot);
+            replica.last_reachable_boot = Some(last_reachable_boot.min(reading.boot));
             Ok(())
         }
         _ if is_refused => Ok(()),
@@ -209,20 +216,20 @@
     replica.sender == epoch || replica.owner.epoch == epoch
 }
 
-/// Returns whether a process settles an order that it may itself have sent, with knowledge of how
-/// its attempt ended. A sender that has taken its own intent over does not have that knowledge.
-fn speaks_of_own_order(replica: &Replica, epoch: Epoch) -> bool {
+/// Returns whether a process reports on its own order and knows how its attempt ended. A sender
+/// that has taken over its own intent does not know that.
+fn knows_outcome_of_own_order(replica: &Replica, epoch: Epoch) -> bool {
     replica.sender == epoch && replica.sender_ended_at.is_none()
 }
 
-/// Returns whether an engine has shown since a reading that a load's effect is gone again.
-fn is_over(engine: &Engine, reading: Reading, load: Offset) -> bool {
+/// Returns whether an engine has shown, after a status, that the effect of a load has ended.
+fn effect_has_ended(engine: &Engine, reading: Reading, load: Offset) -> bool {
     let later = engine.reading.boot == reading.boot && engine.reading > reading;
     let is_gone = engine.is_gone() && reading.boot <= engine.boot();
-    is_gone || engine.floor.boot > reading.boot || (later && !shows(engine, load))
+    is_gone || engine.newest_reading.boot > reading.boot || (later && !lists_load(engine, load))
 }
 
-fn shows(engine: &Engine, load: Offset) -> bool {
+fn lists_load(engine: &Engine, load: Offset) -> bool {
     engine.resident_fences.contains(&FencingToken::from(load))
 }
 
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,9 +1,9 @@
 //! Snapshots of replayed states.
 //!
-//! A [`Section`] is the encoded state of one stream; its parts go onto the snapshot stream (see
-//! [`parts`](crate::parts)). A [`Snapshot`] holds the sections of all streams and goes to a peer
-//! that starts. The bytes are canonical: two VMs that encode the state of the same offset write
-//! the same bytes, so parts from different writers fit together.
+//! A [`Section`] is the encoded state of one stream. Its parts are appended to the snapshot stream
+//! (see [`parts`](crate::parts)). A [`Snapshot`] contains the sections of several streams and is
+//! sent to a peer that starts. The encoding is canonical: VMs that encode the state of the same
+//! offset produce the same bytes, so parts from different VMs can be combined.
 
 use std::collections::BTreeMap;
 
@@ -22,33 +22,33 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The format that this program writes and reads. It grows with each change of an encoded type.
+/// Format that this program writes and reads, increased with each change of an encoded type.
 pub const FORMAT: u32 = 1;
-/// The default size of a part, in bytes.
+/// Default size of a part, in bytes.
 pub const PART_BYTES: usize = 64 * 1024;
-/// The largest snapshot that is read, in bytes.
+/// Maximum size of a snapshot that is decoded, in bytes.
 pub const MAX_SNAPSHOT_BYTES: usize = 64 * 1024 * 1024;
 
-/// `Lineage` names an unbroken history of a stream's state. It is zero as long as nothing was lost,
-/// and else the offset on the snapshot stream of the fresh start that was agreed upon.
+/// Identifies an uninterrupted history of the state of a stream: zero until state is lost, then the
+/// offset on the snapshot stream of the fresh start that was accepted.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Lineage(pub Offset);
 
-/// `Section` is the encoded state of one stream.
+/// Encoded state of one stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Section {
-    /// The history that the state belongs to.
+    /// History that the state belongs to.
     pub lineage: Lineage,
-    /// The offset up to which the state has replayed, exclusive.
+    /// Offset up to which the state has replayed the stream, exclusive.
     pub next: Offset,
-    /// The encoded state.
+    /// Encoded state.
     pub bytes: Vec<u8>,
 }
 
 impl Section {
-    /// Returns the section of the control stream's state.
+    /// Encodes the state of the control stream.
     pub fn of_control(lineage: Lineage, state: &ControlState) -> Self {
         let digests: Vec<StateDigest> = state.digests.iter().copied().collect();
         let bytes = encode(&(state, digests));
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the section of a claim stream's state.
+    /// Encodes the state of a claim stream.
     pub fn of_claims(lineage: Lineage, table: &ClaimTable) -> Self {
         Self {
             lineage,
@@ -68,11 +68,11 @@
         }
     }
 
-    /// Returns the control stream's state.
+    /// Decodes the state of the control stream.
     ///
     /// # Errors
     ///
-    /// `Error::Malformed` if the bytes can't be read.
+    /// `Error::Malformed` if the bytes can't be decoded or their offset is not that of the section.
     pub fn control(&self) -> Result<ControlState> {
         let (mut state, digests): (ControlState, Vec<StateDigest>) = decode(&self.bytes)?;
         state.digests = digests.into();
@@ -81,11 +81,11 @@
         Ok(state)
     }
 
-    /// Returns a claim stream's state.
+    /// Decodes the state of a claim stream.
     ///
     /// # Errors
     ///
-    /// `Error::Malformed` if the bytes can't be read.
+    /// `Error::Malformed` if the bytes can't be decoded or their offset is not that of the section.
     pub fn claims(&self) -> Result<ClaimTable> {
         let table: ClaimTable = decode(&self.bytes)?;
         self.check_offset(table.next_offset())?;
@@ -96,16 +96,16 @@
         match self.next == next {
             true => Ok(()),
             false => Err(Error::malformed(
-                "the section's offset is not that of its state",
+                "the offset of the section differs from that of its state",
             )),
         }
     }
 }
 
-/// `Snapshot` is the encoded state of several streams.
+/// Encoded states of several streams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The states by stream.
+    /// Sections by stream.
     pub sections: BTreeMap<StreamName, Section>,
 }
 
@@ -117,7 +117,7 @@
 }
 
 impl Snapshot {
-    /// Returns the snapshot's bytes.
+    /// Encodes the snapshot with its format and checksum.
     pub fn encode(&self) -> Vec<u8> {
         let body = encode(self);
         let checksum = xxh3_64(&body);
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Returns the snapshot of some bytes.
+    /// Decodes a snapshot and verifies its checksum.
     ///
     /// # Errors
     ///
@@ -137,12 +137,14 @@
         check_format(bytes)?;
         let envelope: Envelope = decode(bytes)?;
         if xxh3_64(&envelope.body) != envelope.checksum {
-            return Err(Error::malformed("the checksum differs"));
+            return Err(Error::malformed(
+                "the checksum of the snapshot does not match",
+            ));
         }
         decode(&envelope.body)
     }
 
-    /// Returns the snapshot in parts for a peer. All parts carry the same offset, `at`.
+    /// Splits the encoded snapshot into parts for a peer. All parts carry the offset `at`.
     pub fn to_parts(&self, at: Offset, part_bytes: usize) -> Vec<SnapshotPart> {
         let bytes = self.encode();
         let pieces: Vec<&[u8]> = bytes.chunks(part_bytes.max(1)).collect();
@@ -156,25 +158,27 @@
         (0..parts).zip(&pieces).map(part).collect()
     }
 
-    /// Returns the snapshot of all parts from a peer, in order.
+    /// Joins and decodes all parts from a peer, which must be in order.
     ///
     /// # Errors
     ///
-    /// `Error::Malformed` if a part is missing or of another snapshot; else as for
+    /// `Error::Malformed` if a part is missing or belongs to another snapshot; otherwise as for
     /// [`decode`](Self::decode).
     pub fn from_parts(parts: &[SnapshotPart]) -> Result<Self> {
-        let first = parts.first().ok_or_else(|| Error::malformed("no part"))?;
+        let first = parts
+            .first()
+            .ok_or_else(|| Error::malformed("the snapshot has no parts"))?;
         let size: usize = parts.iter().map(|part| part.bytes.len()).sum();
         let fits = |(index, part): (usize, &SnapshotPart)| {
             part.at == first.at && part.parts == first.parts && part.part as usize == index
         };
         if first.parts as usize != parts.len() || !parts.iter().enumerate().all(fits) {
             return Err(Error::malformed(
-                "parts are missing or of several snapshots",
+                "parts are missing or belong to different snapshots",
             ));
         }
         if size > MAX_SNAPSHOT_BYTES {
-            return Err(Error::malformed("the snapshot is larger than the limit"));
+            return Err(Error::malformed("the snapshot exceeds the size limit"));
         }
         let bytes: Vec<u8> = parts
             .iter()
@@ -192,7 +196,7 @@
     postcard::from_bytes(bytes).map_err(|error| Error::malformed(error.to_string()))
 }
 
-/// Checks the format, which every encoded envelope begins with.
+/// Checks the format, with which every encoded snapshot and record begins.
 pub(crate) fn check_format(bytes: &[u8]) -> Result<()> {
     let (format, _) = postcard::take_from_bytes::<u32>(bytes)
         .map_err(|error| Error::malformed(error.to_string()))?;
--- a/crates/state/src/verdict.rs
+++ b/crates/state/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What replay makes of a record.
+//! Verdicts of replay on the records of the control stream.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,14 +8,14 @@
 
 use crate::config_rules::ConfigFault;
 
-/// `Verdict` is what replay makes of one record, the same on every VM.
+/// Verdict of replay on one record, the same on every VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// The record changed the state.
     Accepted(Accepted),
-    /// The record was understood, but what it was based on no longer holds. It changed nothing.
+    /// The record was valid, but a condition for it does not hold. The state is unchanged.
     Rejected(RejectReason),
-    /// The record is unreadable or says again what was said before. It changed nothing.
+    /// The record can't be decoded or repeats an earlier one. The state is unchanged.
     Ignored(IgnoreReason),
 }
 
@@ -35,43 +35,43 @@
     }
 }
 
-/// `Accepted` is what an accepted record did.
+/// Effect of an accepted record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Accepted {
-    /// The configuration has this version now.
+    /// The configuration now has this version.
     Configured(ConfigVersion),
-    /// The process has this epoch.
+    /// The process has joined with this epoch.
     Joined(Epoch),
-    /// The process can act no more.
+    /// The process has departed and can no longer act.
     Departed,
-    /// Memory and a replica are reserved; the proposer may send the order once.
+    /// Memory is reserved for a replica; the proposer may send the order once.
     LoadReserved,
     /// The load took effect: the replica can serve.
     Loaded,
-    /// The load has no effect, and its memory is free.
+    /// The load has and will have no effect, and its memory is free.
     LoadFreed,
-    /// The load can't take effect on the engine's present run, but may still do so on a later one.
-    /// Its memory and its replica stay reserved against that.
+    /// The load can't take effect on the present incarnation of the engine, but may on a later one.
+    /// The replica is still counted, and its memory stays reserved for a restart.
     LoadRevoked,
-    /// The load's sender can act no more, but its order may wait in a connection of the engine's
-    /// present run. Its memory and its replica stay reserved.
+    /// The sender of the load has ended, but the order may be queued in a connection of the present
+    /// incarnation of the engine. The replica is still counted, and its memory stays reserved.
     LoadLingers,
-    /// The replica takes no new work; the proposer may send the order.
+    /// The replica takes no new work; the proposer may send the unload order.
     UnloadStarted,
-    /// The replica is gone and its memory is free.
+    /// The replica is removed and its memory is free.
     Unloaded,
-    /// The unload had no effect: the replica can serve again.
+    /// The unload had no effect, and the replica can serve again.
     UnloadCancelled,
     /// The intent has a new owner.
     TakenOver,
-    /// The engine's reading was taken in.
+    /// The status of the engine was applied.
     Observed,
-    /// The engine was removed with what was on it.
+    /// The engine was removed together with the models on it.
     UpstreamRemoved,
 }
 
 impl Accepted {
-    /// Returns the code under which it is counted.
+    /// Returns the code under which the effect is counted.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Configured(_) => "configured",
@@ -92,67 +92,68 @@
     }
 }
 
-/// `RejectReason` is why replay rejected a record.
+/// Reason for which replay rejected a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// The proposer's VM has not joined or has departed.
+    /// No process of the proposer's VM has joined, or the last one has departed.
     NotMember,
-    /// A later process of the proposer's VM has taken its place.
+    /// The proposer is not the current process of its VM.
     StaleEpoch,
-    /// Another change of the configuration was accepted since.
+    /// Another configuration change has been accepted since the version on which this one is based.
     VersionConflict,
-    /// The change breaks a rule of the configuration.
+    /// The change violates a rule of the configuration.
     InvalidChange(ConfigFault),
-    /// The departure names a process that is not there.
+    /// The departure names a process that has not joined or has ended.
     UnknownProcess,
     /// The model is not configured.
     UnknownModel,
-    /// The model was changed since.
+    /// The model's configuration has changed since the version on which the load is based.
     ModelChanged,
     /// The engine has not been observed.
     UnknownEngine,
     /// The engine is gone.
     EngineGone,
-    /// The engine has restarted since.
+    /// The engine has restarted since the incarnation on which the record is based.
     EngineRestarted,
-    /// The engine is of another group than the model.
+    /// The engine belongs to another group than the model.
     WrongGroup,
-    /// The number of the model's replicas has changed since.
+    /// The number of the model's replicas is not the one on which the load is based.
     ReplicaCountChanged,
-    /// The engine holds or may yet hold the model.
+    /// The engine holds the model or may still load it.
     AlreadyOnEngine,
-    /// The adapter's base is not loaded on the engine.
+    /// The base of the adapter is not loaded on the engine.
     BaseNotLoaded,
-    /// The engine's memory does not hold the model.
+    /// The engine does not have enough free memory for the model.
     NoMemory,
-    /// The engine's memory would not hold all orders that may yet reach it after a restart.
+    /// After a restart, the engine would not have enough memory for all orders that may reach it.
     NoMemoryAfterRestart,
     /// There is no such intent, or it has been settled.
     UnknownIntent,
-    /// The intent belongs to another process.
+    /// The intent is owned by another process.
     NotOwner,
-    /// The settlement lacks the engine's reading that it needs.
+    /// The settlement lacks the engine status that it requires.
     NoReading,
-    /// The reading is older than what is known.
+    /// The engine status is older than one already applied.
     OldReading,
-    /// The reading is of a run of the engine that has not been observed.
+    /// The engine status belongs to an incarnation that has not been observed.
     RunNotObserved,
-    /// The order's sender may still send it, and the engine would obey.
+    /// The sender may still send the order, and the engine would accept it.
     SenderMayAct,
-    /// The intent was taken over before its sender's end was known, so the reading may be too old.
+    /// The intent was taken over before its sender's end was recorded, so the status of the engine
+    /// may have been read too early.
     TakeOverTooOld,
-    /// An engine has shown that the order took effect.
+    /// The engine has shown the effect of the order.
     OrderTookEffect,
     /// There is no such replica.
     UnknownReplica,
     /// The replica is not loaded, or is being unloaded.
     NotLoaded,
-    /// Adapters of the replica are on the engine.
+    /// The engine still holds adapters of the model.
     HasAdapters,
 }
 
 impl RejectReason {
-    /// Returns the code under which it is counted.
+    /// Returns the code under which the reason is counted.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::NotMember => "not_member",
@@ -186,25 +187,25 @@
     }
 }
 
-/// `IgnoreReason` is why replay ignored a record.
+/// Reason for which replay ignored a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IgnoreReason {
-    /// The payload is no control record.
+    /// The payload can't be decoded as a record of the stream.
     Undecodable,
-    /// The process has appended a record with this or a higher sequence.
+    /// The process has appended a record with this or a higher sequence before.
     RepeatedSequence,
     /// The process has joined before.
     RepeatedJoin,
-    /// A change with this identity was decided before.
+    /// A change with this identity has been decided before.
     RepeatedChange,
-    /// The offset has been replayed. The state does not count this.
+    /// The offset has been replayed before. Not counted, since the state must not change.
     AlreadyReplayed,
-    /// Offsets before this one are missing. The state does not count this.
+    /// Records before this offset are missing. Not counted, since the state must not change.
     Gap,
 }
 
 impl IgnoreReason {
-    /// Returns the code under which it is counted.
+    /// Returns the code under which the reason is counted.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Undecodable => "undecodable",
--- a/crates/state/src/view.rs
+++ b/crates/state/src/view.rs
@@ -1,4 +1,4 @@
-//! What the daemon reads from the control state.
+//! Read access to the control state for the daemon.
 
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::UpstreamName;
@@ -13,58 +13,59 @@
 use crate::counters::Counters;
 use crate::engines::Engine;
 use crate::history::DecidedChange;
-use crate::members::LIST_MARGIN_MS;
+use crate::members::LIST_CLOCK_MARGIN_MS;
 use crate::members::Members;
 use crate::replicas::Owner;
 use crate::replicas::Progress;
 use crate::replicas::Replica;
 use crate::verdict::Verdict;
 
-/// `IntentKind` is what an unsettled intent is about.
+/// Kind of an unsettled intent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum IntentKind {
-    /// A load.
+    /// Load of a new replica.
     Load,
-    /// An unload.
+    /// Unload of a replica.
     Unload,
 }
 
-/// `IntentView` is an accepted intent that is not settled.
+/// Accepted intent that has not been settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntentView {
-    /// The intent's offset.
+    /// Offset of the intent.
     pub intent: Offset,
-    /// What it is about.
+    /// Whether the intent is a load or an unload.
     pub kind: IntentKind,
-    /// The model or adapter.
+    /// Model or adapter.
     pub model: ModelName,
-    /// The engine.
+    /// Engine that the order is addressed to.
     pub engine: UpstreamName,
-    /// The load whose replica it is about: the intent itself for a load.
+    /// Offset of the load of the replica concerned; for a load, that of the intent itself.
     pub load: Offset,
-    /// The process that proposed it. Only this one may send a load's order, once.
+    /// Epoch of the process that proposed it. The order of a load is sent by this process only, and
+    /// at most once.
     pub sender: Epoch,
-    /// The process that settles it.
+    /// Process that settles the intent.
     pub owner: Owner,
     /// Whether the sender may still send the order.
     pub sender_may_act: bool,
-    /// Whether another process could now settle it further by a takeover.
-    pub wants_take_over: bool,
+    /// Whether a takeover would let another process settle the intent, or settle it further.
+    pub needs_take_over: bool,
 }
 
-/// `EngineMemory` is how an engine's memory is taken.
+/// Use of an engine's accelerator memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineMemory {
-    /// The whole memory.
+    /// Total memory, in bytes.
     pub capacity_bytes: u64,
-    /// Taken, or reserved for what may still come, in the present run.
+    /// Memory that is taken in the present incarnation, or reserved for orders that may reach it.
     pub held_bytes: u64,
-    /// Reserved for what may still come in a later run.
+    /// Memory that is reserved for orders that may reach a later incarnation.
     pub held_after_restart_bytes: u64,
 }
 
 impl EngineMemory {
-    /// Returns the bytes that a load may ask for.
+    /// Returns the memory that is free both now and after a restart, in bytes.
     pub fn free_bytes(&self) -> u64 {
         let held_bytes = self.held_bytes.max(self.held_after_restart_bytes);
         self.capacity_bytes.saturating_sub(held_bytes)
@@ -82,60 +83,67 @@
         &self.config
     }
 
-    /// Returns the daemon processes.
+    /// Returns the daemon processes that have joined.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Returns the counts of verdicts.
+    /// Returns the number of verdicts by code.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Returns the verdict on the record at an offset, or none if it is too old or not yet there.
+    /// Returns the verdict on the record at an offset; `None` if it is no longer kept or the record
+    /// has not been replayed.
     pub fn verdict(&self, offset: Offset) -> Option<&Verdict> {
         self.history.verdict(offset)
     }
 
-    /// Returns the verdict on a configuration change, or none if it is too old or not yet there.
+    /// Returns the verdict on a configuration change; `None` if it is no longer kept or the change
+    /// has not been replayed.
     pub fn change(&self, change_id: u64) -> Option<&DecidedChange> {
         self.history.change(change_id)
     }
 
-    /// Returns the newest digest, or none before the first.
+    /// Returns the newest digest; `None` before the first.
     pub fn digest(&self) -> Option<StateDigest> {
         self.digests.back().copied()
     }
 
-    /// Returns the digest taken at an offset, or none if there is none or it is too old.
+    /// Returns the digest taken at an offset; `None` if none was taken or it is no longer kept.
     pub fn digest_at(&self, at: Offset) -> Option<StateDigest> {
         self.digests.iter().copied().find(|digest| digest.at == at)
     }
 
-    /// Returns the engines that are not gone.
+    /// Returns the engines that are not gone, in order of name.
     pub fn engines(&self) -> impl Iterator<Item = (&UpstreamName, &Engine)> {
         self.engines.iter().filter(|(_, engine)| !engine.is_gone())
     }
 
-    /// Returns one engine, also if it is gone.
+    /// Returns an engine, even if it is gone; `None` if it was never observed or is forgotten.
     pub fn engine(&self, engine: &UpstreamName) -> Option<&Engine> {
         self.engines.get(engine)
     }
 
-    /// Returns the present run of an engine that the platform's list, speaking of the time
-    /// `as_of_ms`, shows as gone, if the list can mean that run. Only then may the engine be said to
-    /// be gone: a lagging list can still show the end of an engine whose successor of the same name
-    /// runs already.
+    /// Returns the present incarnation of an engine if it may be proposed as gone, given that the
+    /// VM list of the time `as_of_ms` shows the engine as gone.
+    ///
+    /// The delayed list may still show the end of an earlier engine when a new one with the same
+    /// name is running already. So the present incarnation is returned only if it was first
+    /// observed more than [`LIST_CLOCK_MARGIN_MS`] before the list's time.
     pub fn removable_boot(&self, engine: &UpstreamName, as_of_ms: u64) -> Option<BootId> {
         let engine = self
             .engines
             .get(engine)
             .filter(|engine| !engine.is_gone())?;
-        let is_meant = engine.run_since_ms.saturating_add(LIST_MARGIN_MS) < as_of_ms;
-        is_meant.then_some(engine.boot())
+        let is_covered_by_list = engine
+            .incarnation_since_ms
+            .saturating_add(LIST_CLOCK_MARGIN_MS)
+            < as_of_ms;
+        is_covered_by_list.then_some(engine.boot())
     }
 
-    /// Returns how an engine's memory is taken.
+    /// Returns the memory use of an engine; `None` if the engine is not known.
     pub fn memory(&self, name: &UpstreamName) -> Option<EngineMemory> {
         let engine = self.engines.get(name)?;
         Some(EngineMemory {
@@ -145,28 +153,28 @@
         })
     }
 
-    /// Returns every replica.
+    /// Returns all replicas in order of load.
     pub fn replicas(&self) -> impl Iterator<Item = &Replica> {
         self.replicas.iter()
     }
 
-    /// Returns the replica that a load brought.
+    /// Returns the replica that a load created; `None` if it has been removed.
     pub fn replica(&self, load: Offset) -> Option<&Replica> {
         self.replicas.get(load)
     }
 
-    /// Returns the replicas of a model.
+    /// Returns the replicas of a model in any stage.
     pub fn replicas_of(&self, model: &ModelName) -> impl Iterator<Item = &Replica> {
         self.replicas.of_model(model)
     }
 
-    /// Returns the replicas on an engine.
+    /// Returns the replicas on an engine in any stage.
     pub fn replicas_on(&self, engine: &UpstreamName) -> impl Iterator<Item = &Replica> {
         self.replicas.of_engine(engine)
     }
 
-    /// Returns the number of a model's replicas in any stage, with those that no accepted load
-    /// brought. A load must be based on this number.
+    /// Returns the number of replicas of a model in any stage, including unmanaged ones. A proposal
+    /// to load another replica must name this number.
     pub fn replica_count(&self, model: &ModelName) -> u32 {
         let decided = self.replicas.of_model(model).count();
         let engines = self.engines.values();
@@ -176,9 +184,9 @@
         u32::try_from(decided + unmanaged).unwrap_or(u32::MAX)
     }
 
-    /// Returns every accepted intent that is not settled, loads first. A load whose sender is over
-    /// and whose engine is gone is left out, since nobody can settle it unless the engine comes
-    /// back.
+    /// Returns the accepted intents that have not been settled, loads first. Loads whose sender has
+    /// ended and whose engine is gone are omitted, since no process can settle them unless the
+    /// engine returns.
     pub fn unsettled(&self) -> impl Iterator<Item = IntentView> + '_ {
         let loads = self
             .replicas
@@ -194,7 +202,8 @@
             sender: replica.sender,
             owner: replica.owner.clone(),
             sender_may_act: replica.sender_may_act(),
-            wants_take_over: replica.last_boot.is_none() && replica.sender_ended_at.is_some(),
+            needs_take_over: replica.last_reachable_boot.is_none()
+                && replica.sender_ended_at.is_some(),
         });
         let unloads = self.unloads.iter().map(|(offset, task)| IntentView {
             intent: *offset,
@@ -205,7 +214,7 @@
             sender: task.sender,
             owner: task.owner.clone(),
             sender_may_act: self.is_current(task.sender),
-            wants_take_over: !self.is_current(task.owner.epoch),
+            needs_take_over: !self.is_current(task.owner.epoch),
         });
         loads.chain(unloads)
     }
@@ -220,12 +229,12 @@
             .filter(move |intent| intent.owner.epoch == epoch)
     }
 
-    /// Returns whether a process's records are accepted.
+    /// Returns whether records of the process with this epoch are accepted.
     pub fn is_current(&self, epoch: Epoch) -> bool {
         self.members.is_current(epoch)
     }
 
-    /// Returns the epoch of a process, or none if it has not joined or is over.
+    /// Returns the epoch of a process; `None` if it has not joined or has ended.
     pub fn epoch_of(&self, vm: &VmName, process_id: u64) -> Option<Epoch> {
         self.members.epoch_of(vm, process_id)
     }
--- a/crates/state/tests/catch_up.rs
+++ b/crates/state/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Where a VM gets its state from when it starts or has fallen behind.
+//! Tests of the decision where a VM gets its state from when it starts or has fallen behind.
 
 use rstest::rstest;
 
@@ -48,7 +48,7 @@
     }
 }
 
-fn later(next: u64) -> Position {
+fn position_after_loss(next: u64) -> Position {
     Position {
         lineage: Lineage(Offset(3)),
         next: Offset(next),
@@ -64,31 +64,31 @@
 }
 
 #[rstest]
-// Ordinary starts.
+// Starts with a log that can be read.
 #[case::nothing_known(None, Unknown, Unread, &[], ReadLogRange)]
 #[case::all_kept(None, keeps(0, 9), Unread, &[], Follow(Offset(0)))]
 #[case::read_snapshots(None, keeps(5, 9), Unread, &[NotAsked], ReadSnapshotStream)]
 #[case::from_stream(None, keeps(5, 9), stream(5), &[NotAsked], InstallFromStream)]
 #[case::ask_peers(None, keeps(5, 9), stream(4), &[NotAsked], AskPeers(vec!["p0".into()]))]
 #[case::from_peer(None, keeps(5, 9), Absent, &[reaches(6), reaches(8)], InstallFromPeer("p1".into()))]
-// A VM with a state of its own.
+// VMs that have a state.
 #[case::following(Some(at(7)), keeps(5, 9), Unread, &[], Follow(Offset(7)))]
-#[case::idle_and_trimmed(Some(at(9)), keeps(9, 9), Unread, &[], Follow(Offset(9)))]
+#[case::idle_log_trimmed(Some(at(9)), keeps(9, 9), Unread, &[], Follow(Offset(9)))]
 #[case::fell_behind(Some(at(4)), keeps(5, 9), stream(6), &[], InstallFromStream)]
-#[case::log_went_back(Some(at(10)), keeps(0, 9), Unread, &[], Halt)]
+#[case::log_truncated(Some(at(10)), keeps(0, 9), Unread, &[], Halt)]
 // The log is down.
 #[case::serving(Some(at(7)), Down, Unread, &[NotAsked], ServeOnly)]
 #[case::asking(None, Down, Unread, &[NotAsked], AskPeers(vec!["p0".into()]))]
-#[case::serving_a_peers(None, Down, Unread, &[Silent, reaches(2)], InstallFromPeer("p1".into()))]
-#[case::nobody_knows(None, Down, Unread, &[Silent, NoState], Wait(WaitReason::NoSource))]
-// All VMs were replaced and the log has trimmed past everything.
+#[case::serving_peer_state(None, Down, Unread, &[Silent, reaches(2)], InstallFromPeer("p1".into()))]
+#[case::no_source(None, Down, Unread, &[Silent, NoState], Wait(WaitReason::NoSource))]
+// All VMs were replaced, and the log no longer has the records that their state needs.
 #[case::silent_peer(None, keeps(5, 9), Absent, &[Silent, NoState], Wait(WaitReason::SilentPeer))]
 #[case::all_lost(None, keeps(5, 9), stream(4), &[NoState], ProposeFresh(Offset(9)))]
-#[case::alone(None, keeps(5, 9), Absent, &[], ProposeFresh(Offset(9)))]
+#[case::no_peers(None, keeps(5, 9), Absent, &[], ProposeFresh(Offset(9)))]
 #[case::own_outdated(Some(at(4)), keeps(5, 9), Absent, &[NoState], SaveAndRestart)]
 #[case::peer_outdated(None, keeps(5, 9), Absent, &[reaches(4)], Wait(WaitReason::OutdatedPeer))]
-#[case::others_went_on(Some(at(4)), keeps(5, 9), StreamSnapshot::Reaches(later(6)), &[], Restart)]
-fn the_next_step_follows_from_what_is_known(
+#[case::others_restarted(Some(at(4)), keeps(5, 9), StreamSnapshot::Reaches(position_after_loss(6)), &[], Restart)]
+fn next_action(
     #[case] own: Option<Position>,
     #[case] log: LogRange,
     #[case] stream: StreamSnapshot,
@@ -103,45 +103,44 @@
     let peers = peers
         .map(|(index, answer)| (format!("p{index}").into(), *answer))
         .collect();
-    let knowledge = StateSources {
+    let sources = StateSources {
         own,
         log,
         stream,
         lineage,
         peers: Some(peers),
     };
-    assert_eq!(plan(&knowledge), action);
+    assert_eq!(plan(&sources), action);
 }
 
 #[test]
-fn without_a_list_of_vms_nothing_counts_as_lost() {
+fn missing_vm_list() {
     let log = keeps(5, 9);
     let lineage = Lineage::default();
-    let knowledge = StateSources {
+    let sources = StateSources {
         own: None,
         log,
         stream: Absent,
         lineage,
         peers: None,
     };
-    assert_eq!(plan(&knowledge), Wait(WaitReason::NoList));
+    assert_eq!(plan(&sources), Wait(WaitReason::NoList));
 }
 
-/// Symptom: a VM goes on from a state of before a loss.
-/// Sequence: the others have agreed on a fresh start; a VM that was paused holds an old state that
-/// the log could still continue.
-/// Cause: offsets alone do not tell the two histories apart.
+/// Guards against a VM that continues from a state of before a loss. The other VMs have agreed on a
+/// fresh start, and a VM that was paused holds an old state that the records of the log would fit.
+/// Only the lineage tells the two histories apart; the offsets do not.
 #[test]
-fn a_state_of_a_lost_history_is_given_up() {
-    let stream = StreamSnapshot::Reaches(later(6));
+fn outdated_lineage_restarts() {
+    let stream = StreamSnapshot::Reaches(position_after_loss(6));
     let lineage = Lineage(Offset(3));
     let own = Some(at(7));
-    let knowledge = StateSources {
+    let sources = StateSources {
         own,
         log: keeps(5, 9),
         stream,
         lineage,
         peers: None,
     };
-    assert_eq!(plan(&knowledge), Restart);
+    assert_eq!(plan(&sources), Restart);
 }
--- a/crates/state/tests/claim_rules.rs
+++ b/crates/state/tests/claim_rules.rs
@@ -1,4 +1,4 @@
-//! Which claims win and what the others are told.
+//! Tests of the verdicts on claims and finishes, and of the limits of the claim table.
 
 use rstest::rstest;
 
@@ -45,7 +45,7 @@
 fn options() -> ClaimOptions {
     ClaimOptions {
         remember_ms: 100,
-        least_ms: 50,
+        min_remember_ms: 50,
         max_keys: 3,
         max_tries: 2,
         max_answer_bytes: 10,
@@ -60,12 +60,12 @@
     .encode();
     let verdicts = table.apply(table.next_offset(), appended_ms, &payload);
     verdicts
-        .expect("the record is a batch and the next one")
+        .expect("the record is a valid batch and the next one")
         .remove(0)
         .verdict
 }
 
-/// Returns a table on which request `r1` of process 1 holds key `k`, after some finishes.
+/// Returns a table in which request `r1` of process 1 has claimed key `k`, followed by finishes.
 fn table_with(finishes: &[ClaimRecord]) -> ClaimTable {
     let mut table = ClaimTable::new(options());
     assert_eq!(
@@ -85,7 +85,7 @@
 #[case::unknown(&[finish("k", "r1", Ran::Unknown, None)], ClaimVerdict::OutcomeUnknown)]
 #[case::not_run(&[finish("k", "r1", Ran::NotRun, None)], ClaimVerdict::Won)]
 #[case::not_run_by_another(&[finish("k", "r9", Ran::NotRun, None)], ClaimVerdict::AlreadyRunning)]
-#[case::not_run_after_all(
+#[case::not_run_after_run(
     &[finish("k", "r1", Ran::Ran, None), finish("k", "r1", Ran::NotRun, None)],
     ClaimVerdict::Finished(None)
 )]
@@ -93,16 +93,13 @@
     &[finish("k", "r1", Ran::Unknown, None), finish("k", "r1", Ran::Ran, Some(answer(4)))],
     ClaimVerdict::Finished(Some(answer(4)))
 )]
-fn a_second_request_is_told_what_became_of_the_first(
-    #[case] finishes: &[ClaimRecord],
-    #[case] verdict: ClaimVerdict,
-) {
+fn second_claim_verdict(#[case] finishes: &[ClaimRecord], #[case] verdict: ClaimVerdict) {
     let mut table = table_with(finishes);
     assert_eq!(apply(&mut table, 30, claim("k", "r2", 2)), verdict);
 }
 
 #[test]
-fn a_key_with_another_call_is_refused() {
+fn reused_key_rejected() {
     let mut table = table_with(&[]);
     let ClaimRecord::Claim(other) = claim("k", "r2", 2) else {
         return;
@@ -114,12 +111,11 @@
     assert_eq!(apply(&mut table, 30, other), ClaimVerdict::KeyReused);
 }
 
-/// Symptom: a cut order is carried out twice.
-/// Sequence: request r1 claims, does not run and frees the key; r2 claims and runs; the finish of
-/// r1, whose append's answer was lost, lands once more; r3 claims.
-/// Cause: a finish that frees the key for whoever holds it.
+/// Guards against a call that runs twice. Request r1 claims a key and frees it without running; r2
+/// claims it and runs. The finish of r1 is appended again because the answer to its append was
+/// lost. If that duplicate freed the key for r3, the call could run again.
 #[test]
-fn a_repeated_finish_does_not_free_anothers_claim() {
+fn duplicate_finish_ignored() {
     let freed = finish("k", "r1", Ran::NotRun, None);
     let mut table = table_with(std::slice::from_ref(&freed));
     assert_eq!(
@@ -133,12 +129,12 @@
     );
 }
 
-/// Symptom: a key is blocked by a request that ended long ago, or, if the request tries again
-/// under its own name, is freed by the repetition of its first finish while it runs.
+/// Guards against a duplicate claim that holds a key for a request that has ended. If the request
+/// used the claim, the duplicate of its first finish would free the key while it runs.
 #[rstest]
 #[case::still_holding(&[])]
 #[case::after_it_was_freed(&[finish("k", "r1", Ran::NotRun, None)])]
-fn a_repeated_claim_wins_nothing(#[case] finishes: &[ClaimRecord]) {
+fn duplicate_claim_rejected(#[case] finishes: &[ClaimRecord]) {
     let mut table = table_with(finishes);
     assert_eq!(
         apply(&mut table, 30, claim("k", "r1", 1)),
@@ -146,9 +142,9 @@
     );
 }
 
-/// Symptom: a call runs twice because two processes name their requests alike.
+/// Guards against a call that runs twice because two processes give their requests the same ID.
 #[test]
-fn a_request_of_the_same_name_in_another_process_is_another() {
+fn request_id_collision() {
     let mut table = table_with(&[]);
     assert_eq!(
         apply(&mut table, 30, claim("k", "r1", 2)),
@@ -157,7 +153,7 @@
 }
 
 #[test]
-fn a_dead_winner_leaves_an_unknown_outcome() {
+fn ended_holder_outcome() {
     let mut table = table_with(&[]);
     assert!(
         table
@@ -178,7 +174,7 @@
 }
 
 #[test]
-fn an_ended_key_is_remembered_for_its_time_and_a_running_one_until_it_ends() {
+fn ended_keys_expire() {
     let mut table = table_with(&[finish("k", "r1", Ran::Ran, None)]);
     apply(&mut table, 20, claim("running", "r5", 5));
     assert_eq!(
@@ -193,9 +189,9 @@
     assert_eq!(verdict, ClaimVerdict::AlreadyRunning);
 }
 
-/// The log's clock may step back; what was forgotten by then stays forgotten everywhere alike.
+/// The clock of the log may step back. Keys that were forgotten before stay forgotten on all VMs.
 #[test]
-fn time_does_not_go_back() {
+fn clock_steps_back() {
     let mut table = table_with(&[finish("k", "r1", Ran::Ran, None)]);
     apply(&mut table, 500, claim("other", "r5", 5));
     assert_eq!(
@@ -230,7 +226,7 @@
 }
 
 #[test]
-fn a_key_that_is_freed_again_and_again_is_refused() {
+fn repeated_release_limit() {
     let mut table = ClaimTable::new(options());
     for request in ["r1", "r2"] {
         assert_eq!(
@@ -245,10 +241,10 @@
     );
 }
 
-/// Symptom: a caller repeats a call after a total loss of the claims, and it runs twice.
-/// Cause: a table that has lost its records takes every key for new.
+/// Guards against a call that runs twice when a caller repeats it after all claims were lost. A
+/// table that has lost its records can't tell whether a key is new.
 #[test]
-fn a_table_that_lost_its_records_lets_nothing_run_for_a_time() {
+fn claims_after_loss() {
     let mut table = ClaimTable::after_loss(Offset(50), options());
     let unknown = ClaimVerdict::OutcomeUnknown;
     assert_eq!(apply(&mut table, 1_000, claim("k", "r1", 1)), unknown);
@@ -260,7 +256,7 @@
 }
 
 #[test]
-fn records_count_once_and_in_order() {
+fn records_in_order() {
     let mut table = table_with(&[]);
     let before = table.clone();
     assert_eq!(
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A stream in memory with builders of records, for the tests of the control state.
+//! In-memory control stream with builders of records.
 
 #![allow(dead_code)]
 
@@ -32,7 +32,7 @@
 use apricotdale_state::Verdict;
 use apricotdale_state::replicas::Stage;
 
-/// `Stream` is a control stream and the state replayed from it.
+/// Control stream and the state replayed from it.
 #[derive(Default)]
 pub struct Stream {
     pub state: ControlState,
@@ -43,8 +43,8 @@
 }
 
 impl Stream {
-    /// Returns a stream with VMs `a` and `b`, engine `e1` of 100 bytes, models `m1` and `m2` of 60
-    /// and 40 bytes, and the adapter `m1-ad` of 10 bytes.
+    /// Returns a stream with VMs `a` and `b`, engine `e1` with 100 bytes of memory, models `m1` and
+    /// `m2` of 60 and 40 bytes, and adapter `m1-ad` of 10 bytes, and the epochs of `a` and `b`.
     pub fn ready(checks_fence: bool) -> (Self, Epoch, Epoch) {
         let mut stream = Self::default();
         let a = stream.join("a", 1);
@@ -69,7 +69,7 @@
         self.append_bytes(record.encode())
     }
 
-    pub fn last(&self) -> Offset {
+    pub fn last_offset(&self) -> Offset {
         Offset(self.state.next_offset().0 - 1)
     }
 
@@ -95,7 +95,7 @@
             process_id,
         };
         self.append(&ControlRecord::Join(join));
-        let epoch = Epoch(self.last().0);
+        let epoch = Epoch(self.last_offset().0);
         self.vms.insert(epoch, vm.to_owned());
         epoch
     }
@@ -139,10 +139,11 @@
     pub fn load(&mut self, by: Epoch, model: &str, engine: &str) -> (Offset, Verdict) {
         let intent = self.load_intent(by, model, engine);
         let verdict = self.append(&ControlRecord::Load(intent));
-        (self.last(), verdict)
+        (self.last_offset(), verdict)
     }
 
-    /// Appends a load that is settled as done at a reading, and returns its offset.
+    /// Appends a load and its successful settlement at a status, and returns the offset of the
+    /// load.
     pub fn loaded(&mut self, by: Epoch, model: &str, engine: &str, reading: (u64, u64)) -> Offset {
         let (load, verdict) = self.load(by, model, engine);
         assert!(verdict.is_accepted(), "{verdict:?}");
@@ -230,7 +231,7 @@
         self.append(&ControlRecord::Observed(observation))
     }
 
-    pub fn gone(&mut self, by: Epoch, engine: &str, boot: u64) -> Verdict {
+    pub fn remove_engine(&mut self, by: Epoch, engine: &str, boot: u64) -> Verdict {
         let proposer = self.proposer(by);
         let gone = UpstreamGone {
             proposer,
@@ -244,7 +245,7 @@
         self.state.replica(load).map(|replica| replica.stage())
     }
 
-    pub fn held(&self, engine: &str) -> u64 {
+    pub fn held_bytes(&self, engine: &str) -> u64 {
         self.state
             .memory(&engine.into())
             .expect("the engine was observed")
--- a/crates/state/tests/config_rules.rs
+++ b/crates/state/tests/config_rules.rs
@@ -1,4 +1,4 @@
-//! Which changes of the configuration are accepted.
+//! Tests of the rules by which changes of the configuration are accepted.
 
 mod common;
 
@@ -46,25 +46,22 @@
 #[case::name_with_slash(vec![model("../m", None, 1)], "bad_name")]
 #[case::long_name(vec![class(&"x".repeat(129), 1)], "bad_name")]
 #[case::zero_target(vec![class("quick", 0)], "bad_target")]
-#[case::endless_target(vec![class("quick", u64::MAX)], "bad_target")]
+#[case::target_too_long(vec![class("quick", u64::MAX)], "bad_target")]
 #[case::zero_size(vec![model("m9", None, 0)], "bad_size")]
-#[case::wild_size(vec![model("m9", None, u64::MAX)], "bad_size")]
+#[case::oversized(vec![model("m9", None, u64::MAX)], "bad_size")]
 #[case::unknown_base(vec![model("ad", Some("m9"), 1)], "unknown_base")]
 #[case::own_base(vec![model("m9", Some("m9"), 1)], "base_is_adapter")]
 #[case::adapter_of_adapter(vec![model("ad", Some("m1-ad"), 1)], "base_is_adapter")]
 #[case::base_removed(vec![ConfigEdit::RemoveModel("m1".into())], "unknown_base")]
-#[case::model_not_there(vec![ConfigEdit::RemoveModel("m9".into())], "not_configured")]
-#[case::class_not_there(vec![ConfigEdit::RemoveClass("c9".into())], "not_configured")]
-#[case::service_not_there(vec![ConfigEdit::RemoveService("s9".into())], "not_configured")]
+#[case::unknown_model(vec![ConfigEdit::RemoveModel("m9".into())], "not_configured")]
+#[case::unknown_class(vec![ConfigEdit::RemoveClass("c9".into())], "not_configured")]
+#[case::unknown_service(vec![ConfigEdit::RemoveService("s9".into())], "not_configured")]
 #[case::empty_path(vec![service(vec![String::new()])], "bad_path")]
-#[case::path_with_break(vec![service(vec!["/a\n/b".to_owned()])], "bad_path")]
+#[case::path_with_newline(vec![service(vec!["/a\n/b".to_owned()])], "bad_path")]
 #[case::many_paths(vec![service(vec!["/a".to_owned(); 65])], "too_many_paths")]
 #[case::many_classes(many_classes(), "too_many_classes")]
 #[case::second_edit_bad(vec![class("quick", 5), class("late", 0)], "bad_target")]
-fn a_change_that_breaks_a_rule_is_rejected_whole(
-    #[case] edits: Vec<ConfigEdit>,
-    #[case] code: &str,
-) {
+fn invalid_change_rejected(#[case] edits: Vec<ConfigEdit>, #[case] code: &str) {
     let (mut stream, _, _) = Stream::ready(true);
     let before = stream.state.config().clone();
     let verdict = stream.configure(edits);
@@ -78,7 +75,7 @@
 }
 
 #[test]
-fn a_base_goes_together_with_its_adapters() {
+fn base_removed_together() {
     let (mut stream, _, _) = Stream::ready(true);
     let edits = vec![
         ConfigEdit::RemoveModel("m1".into()),
@@ -92,7 +89,7 @@
 }
 
 #[test]
-fn only_what_changes_gets_a_new_version() {
+fn unchanged_version_kept() {
     let (mut stream, _, _) = Stream::ready(true);
     let before = stream
         .state
@@ -121,11 +118,10 @@
     }
 }
 
-/// Symptom: an operator's change is undone by another's that never saw it.
-/// Sequence: both read version V; the first change is accepted; the second, based on V, arrives.
-/// Cause: without the comparison of versions the later one would win.
+/// Guards against a change that undoes another one which its operator has not seen. Two operators
+/// read the same version; the first change is accepted, and the second is based on the old version.
 #[test]
-fn of_two_racing_changes_the_first_wins() {
+fn first_change_wins() {
     let (mut stream, _, _) = Stream::ready(true);
     let version = stream.state.config().version();
     let first = stream.append(&ControlRecord::Config(change(101, version)));
@@ -142,11 +138,11 @@
     assert_eq!(decided.verdict, second);
 }
 
-/// Symptom: a publisher is told that its change was rejected although it is in force.
-/// Sequence: the append's answer is lost, the publisher appends again.
-/// Cause: the second copy conflicts with the first unless it is recognised.
+/// Guards against a publisher that sees its change rejected although it is in force. The answer
+/// to the append is lost and the publisher appends again. The duplicate would conflict with the
+/// first copy if it were not recognised.
 #[test]
-fn a_change_appended_twice_counts_once() {
+fn duplicate_change_ignored() {
     let (mut stream, _, _) = Stream::ready(true);
     let record = ControlRecord::Config(change(101, stream.state.config().version()));
     assert!(stream.append(&record).is_accepted());
@@ -164,12 +160,11 @@
     );
 }
 
-/// Symptom: of two changes that both read the empty configuration, the second undoes the first.
-/// Sequence: the first change is the stream's first record, so its version is zero, like that of
-/// the empty configuration.
-/// Cause: one number for two versions.
+/// Guards against a second change that undoes the first, where both are based on the empty
+/// configuration. A change in the first record of the stream would get version zero, which is also
+/// the version of the empty configuration.
 #[test]
-fn the_first_record_of_a_stream_is_no_change() {
+fn first_offset_rejected() {
     let mut stream = Stream::default();
     let verdict = stream.append(&ControlRecord::Config(change(1, ConfigVersion(0))));
     assert_eq!(verdict.as_str(), "first_offset");
@@ -178,7 +173,7 @@
 }
 
 #[test]
-fn publication_validates_by_the_same_rules() {
+fn publisher_validation() {
     let state = ControlState::new();
     let good = change(1, ConfigVersion(0));
     let bad = ConfigChange {
--- a/crates/state/tests/decision_search/engine.rs
+++ b/crates/state/tests/decision_search/engine.rs
@@ -1,4 +1,4 @@
-//! A small model of an engine: what it holds, what waits in its connections, and what it answers.
+//! Model of an engine: its residents, the orders queued in its connections, and its answers.
 
 use std::collections::BTreeMap;
 
@@ -8,43 +8,43 @@
 use apricotdale_core::numbers::FencingToken;
 use apricotdale_core::numbers::Offset;
 
-/// `Order` is an order on its way to an engine.
+/// Order on its way to an engine.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The sender's process.
+    /// Process that sent the order.
     pub process_id: u64,
-    /// The intent it carries out.
+    /// Offset of the intent that the order executes.
     pub intent: Offset,
-    /// The model.
+    /// Model or adapter.
     pub model: ModelName,
-    /// The model's base.
+    /// Model that the adapter belongs to; `None` for a model.
     pub base: Option<ModelName>,
-    /// The memory it takes, or none for an unload.
+    /// Memory that the model takes; `None` if the order is an unload.
     pub bytes: Option<u64>,
-    /// The order's number.
+    /// Fencing token of the order.
     pub fence: FencingToken,
 }
 
-/// `Answer` is what an engine says of an order.
+/// Answer of an engine to an order.
 #[derive(Clone, Copy, Debug)]
 pub enum Answer {
-    /// It took effect, seen at this run and sequence.
+    /// The order took effect, at this incarnation and sequence.
     Done(u64, u64),
-    /// It had and will have no effect.
+    /// The order had no effect and never will.
     Refused,
 }
 
-/// `FakeEngine` is one engine. It obeys every order that its fence lets through, even beyond its
-/// memory, so that an overcommitment shows.
+/// One engine. It executes every order that its fence admits, even beyond its memory, so that the
+/// search can detect an overcommitment.
 #[derive(Clone, Debug)]
 pub struct FakeEngine {
     pub checks_fence: bool,
     pub capacity_bytes: u64,
     pub boot: u64,
     pub sequence: u64,
-    pub highest: u64,
+    pub highest_fence: u64,
     pub residents: BTreeMap<ModelName, (Resident, Option<Order>)>,
-    /// Orders received and not yet acted on. They end with the run.
+    /// Orders that were received and not executed yet. A restart drops them.
     pub inbox: Vec<Order>,
 }
 
@@ -55,7 +55,7 @@
             capacity_bytes,
             boot: 1,
             sequence: 0,
-            highest: 0,
+            highest_fence: 0,
             residents: BTreeMap::new(),
             inbox: Vec::new(),
         }
@@ -81,24 +81,24 @@
     }
 
     pub fn raise_fence(&mut self, fence: u64) {
-        self.highest = self.highest.max(fence);
+        self.highest_fence = self.highest_fence.max(fence);
     }
 
     pub fn restart(&mut self) {
         self.boot += 1;
         self.sequence = 0;
-        self.highest = 0;
+        self.highest_fence = 0;
         self.residents.clear();
         self.inbox.clear();
     }
 
-    /// Acts on one received order and returns it with the answer, if that comes at once.
-    pub fn act(&mut self, index: usize) -> Option<(Order, Answer)> {
+    /// Executes one received order and returns it with the answer if that follows at once.
+    pub fn handle_order(&mut self, index: usize) -> Option<(Order, Answer)> {
         if self.inbox.is_empty() {
             return None;
         }
         let order = self.inbox.remove(index % self.inbox.len());
-        if self.checks_fence && order.fence.0 < self.highest {
+        if self.checks_fence && order.fence.0 < self.highest_fence {
             return Some((order, Answer::Refused));
         }
         self.raise_fence(order.fence.0);
@@ -129,18 +129,18 @@
     }
 
     fn begin_unload(&mut self, order: Order) -> Option<(Order, Answer)> {
-        let Some((resident, waiting)) = self.residents.get_mut(&order.model) else {
+        let Some((resident, pending_order)) = self.residents.get_mut(&order.model) else {
             return Some((order, Answer::Done(self.boot, self.sequence)));
         };
         self.sequence += 1;
         resident.residency = Residency::Unloading;
-        let load = waiting.replace(order);
+        let load = pending_order.replace(order);
         load.filter(|load| load.bytes.is_some())
             .map(|load| (load, Answer::Refused))
     }
 
-    /// Ends what is under way for one resident, well or badly, and returns the order's answer.
-    pub fn finish(&mut self, index: usize, well: bool) -> Option<(Order, Answer)> {
+    /// Ends the load or unload of one model and returns its order with the answer.
+    pub fn finish(&mut self, index: usize, succeeds: bool) -> Option<(Order, Answer)> {
         let busy = self.residents.values().filter(|(resident, _)| {
             matches!(
                 resident.residency,
@@ -152,7 +152,7 @@
         let (resident, order) = self.residents.get_mut(model)?;
         self.sequence += 1;
         let order = order.take();
-        if resident.residency == Residency::Loading && well {
+        if resident.residency == Residency::Loading && succeeds {
             resident.residency = Residency::Loaded;
             return Some((order?, Answer::Done(self.boot, self.sequence)));
         }
@@ -164,10 +164,10 @@
         }
     }
 
-    /// Does the next thing there is to do, or returns none if there is nothing.
-    pub fn work_off(&mut self) -> Option<Option<(Order, Answer)>> {
+    /// Executes the next order or ends the next load or unload; `None` if there is nothing to do.
+    pub fn run_next(&mut self) -> Option<Option<(Order, Answer)>> {
         if !self.inbox.is_empty() {
-            return Some(self.act(0));
+            return Some(self.handle_order(0));
         }
         self.finish(0, true).map(Some)
     }
--- a/crates/state/tests/decision_search/main.rs
+++ b/crates/state/tests/decision_search/main.rs
@@ -1,5 +1,5 @@
 //! Searches interleavings of appends, pauses, takeovers, restarts and lost answers for one that
-//! overcommits an engine's memory, loads more replicas than were decided or makes replays differ.
+//! overcommits an engine's memory, loads more replicas than were accepted or makes replays differ.
 
 mod engine;
 mod process;
@@ -20,88 +20,101 @@
 use world::VMS;
 use world::World;
 
-/// The seed of the search, fixed so that CI looks at the same cases every time, unless
-/// `STATE_SEARCH_SEED` names another.
+/// Default seed of the search, fixed so that CI runs the same cases every time.
+/// `STATE_SEARCH_SEED` overrides it.
 const SEED: u64 = 20_260_101;
-/// The cases that CI looks at, unless `STATE_SEARCH_CASES` names another number.
+/// Default number of cases. `STATE_SEARCH_CASES` overrides it.
 const CASES: u32 = 2_500;
-/// The most steps of a case.
-const STEPS: usize = 240;
+/// Maximum number of steps of a case.
+const MAX_STEPS: usize = 240;
 
-/// `Step` is one step of a case: what happens, to whom, and how.
+/// One random step: its kind, the VM that acts, the choice among its options, and a variation such
+/// as the loss of an append's answer.
 type Step = (u8, u8, u8, u8);
 
-fn take_step(world: &mut World, (what, who, which, how): Step) {
-    let vm = usize::from(who) % VMS;
-    let index = usize::from(which);
+fn take_step(world: &mut World, (kind, actor, choice, variation): Step) {
+    let vm = usize::from(actor) % VMS;
+    let index = usize::from(choice);
     let engine = index % world.engines.len();
-    match what % 64 {
-        0 => world.start(vm, how),
+    match kind % 64 {
+        0 => world.start(vm, variation),
         1 => world.remove_vm(vm),
         2..=5 => world.depart(
             vm,
             world.gone.iter().position(|gone| *gone).unwrap_or(0),
-            how,
+            variation,
         ),
-        6..=13 => world.propose_load(vm, index, usize::from(how) % world.engines.len(), how / 2),
-        15..=19 => world.pick(
-            world.vm_with(vm, |process| !process.to_pick().is_empty()),
+        6..=13 => world.propose_load(
+            vm,
+            index,
+            usize::from(variation) % world.engines.len(),
+            variation / 2,
+        ),
+        15..=19 => world.prepare_load(
+            world.vm_matching(vm, |process| !process.startable_loads().is_empty()),
             index,
         ),
         20..=25 => world.send(
-            world.vm_with(vm, |process| !process.hands.is_empty()),
+            world.vm_matching(vm, |process| !process.ready_to_send.is_empty()),
             index,
         ),
         26 => world.abandon(vm, index),
         27 => world.lose_answer(
-            world.vm_with(vm, |process| !process.waiting.is_empty()),
+            world.vm_matching(vm, |process| !process.awaiting_answer.is_empty()),
             index,
         ),
         28..=33 => {
-            let engine = world.engine_with(engine, |engine| !engine.inbox.is_empty());
-            let answered = world.engines[engine].act(usize::from(how));
-            world.answer(answered, how > 200);
+            let engine = world.engine_matching(engine, |engine| !engine.inbox.is_empty());
+            let answered = world.engines[engine].handle_order(usize::from(variation));
+            world.answer(answered, variation > 200);
         }
         34..=39 => {
-            let engine = world.engine_with(engine, FakeEngine::is_busy);
-            let answered = world.engines[engine].finish(usize::from(who), how % 8 != 0);
-            world.answer(answered, how > 200);
+            let engine = world.engine_matching(engine, FakeEngine::is_busy);
+            let answered = world.engines[engine].finish(usize::from(actor), variation % 8 != 0);
+            world.answer(answered, variation > 200);
         }
         40 => world.engines[engine].restart(),
-        41 | 42 => world.read(vm, engine),
+        41 | 42 => world.read_status(vm, engine),
         43 | 44 => {
-            let vm = world.vm_with(vm, |process| !process.readings.is_empty());
-            world.append_reading(vm, index, how);
+            let vm = world.vm_matching(vm, |process| !process.statuses.is_empty());
+            world.append_status(vm, index, variation);
         }
         14 | 45 | 46 => {
-            let vm = world.vm_with(vm, |process| !process.to_take_over().is_empty());
-            world.take_over(vm, index, how);
+            let vm = world.vm_matching(vm, |process| !process.intents_to_take_over().is_empty());
+            world.take_over(vm, index, variation);
         }
         47..=49 => {
-            let vm = world.vm_with(vm, |process| !process.to_resolve().is_empty());
-            world.resolve(vm, index, how % 4 != 0);
-            world.read(vm, engine);
+            let vm = world.vm_matching(vm, |process| !process.intents_to_resolve().is_empty());
+            world.resolve(vm, index, variation % 4 != 0);
+            world.read_status(vm, engine);
         }
-        50..=53 => world.settle(world.vm_with(vm, |p| !p.outcomes.is_empty()), index, how),
-        54 | 55 => world.propose_unload(vm, index, how),
-        56 | 57 => world.pick_unload(world.vm_with(vm, |p| !p.to_unload().is_empty()), index),
-        58 if how % 2 == 0 => world.remove_engine(vm, engine, how / 2),
+        50..=53 => world.settle(
+            world.vm_matching(vm, |p| !p.outcomes.is_empty()),
+            index,
+            variation,
+        ),
+        54 | 55 => world.propose_unload(vm, index, variation),
+        56 | 57 => world.prepare_unload(
+            world.vm_matching(vm, |p| !p.intents_to_unload().is_empty()),
+            index,
+        ),
+        58 if variation % 2 == 0 => world.remove_engine(vm, engine, variation / 2),
         58 => world.take_snapshot(vm),
-        59 | 60 => world.land_delayed(index),
+        59 | 60 => world.append_delayed(index),
         61 => world.change_model(index),
         _ => world.replay(vm, 1 + index % 8),
     }
-    // Most processes keep up most of the time.
-    if how % 4 != 3 {
+    // Most processes stay caught up most of the time.
+    if variation % 4 != 3 {
         world.replay(vm, usize::MAX);
     }
     world.check();
 }
 
-/// Ends all processes and lets one that is new clear up. Nothing may be left reserved.
-fn clear_up(world: &mut World) {
-    while !world.delayed.is_empty() {
-        world.land_delayed(0);
+/// Ends all processes and lets a new one settle everything. No memory may stay reserved.
+fn check_all_settles(world: &mut World) {
+    while !world.delayed_appends.is_empty() {
+        world.append_delayed(0);
         world.check();
     }
     for vm in 1..VMS {
@@ -110,8 +123,8 @@
     world.start(0, 7);
     world.replay(0, usize::MAX);
     for engine in 0..world.engines.len() {
-        world.read(0, engine);
-        world.append_reading(0, 0, 7);
+        world.read_status(0, engine);
+        world.append_status(0, 0, 7);
     }
     world.replay(0, usize::MAX);
     for _ in 0..12 {
@@ -123,16 +136,19 @@
     settle_all(world);
     for engine in 0..world.engines.len() {
         world.engines[engine].restart();
-        world.read(0, engine);
-        world.append_reading(0, 0, 7);
+        world.read_status(0, engine);
+        world.append_status(0, 0, 7);
     }
     world.replay(0, usize::MAX);
     world.check();
     let left: Vec<_> = world.reference.replicas().collect();
-    assert!(left.is_empty(), "left over after all is over: {left:#?}");
+    assert!(
+        left.is_empty(),
+        "replicas left after all processes ended: {left:#?}"
+    );
 }
 
-/// Lets the one process take over and settle whatever is unsettled.
+/// Lets the remaining process take over and settle all unsettled intents.
 fn settle_all(world: &mut World) {
     for _ in 0..4 {
         settle_round(world);
@@ -141,11 +157,11 @@
     let unsettled: Vec<_> = world.reference.unsettled().collect();
     let stuck = unsettled
         .iter()
-        .filter(|intent| !steps::lingers(world, intent));
+        .filter(|intent| !steps::is_lingering(world, intent));
     let stuck: Vec<_> = stuck.collect();
     assert!(
         stuck.is_empty(),
-        "not settled although all senders are over: {stuck:#?}"
+        "not settled although all senders have ended: {stuck:#?}"
     );
 }
 
@@ -156,11 +172,11 @@
         world.replay(0, usize::MAX);
     }
     for index in 0..count {
-        world.pick_unload(0, index);
+        world.prepare_unload(0, index);
         world.send(0, 0);
     }
     for engine in 0..world.engines.len() {
-        while let Some(answered) = world.engines[engine].work_off() {
+        while let Some(answered) = world.engines[engine].run_next() {
             world.answer(answered, false);
         }
     }
@@ -176,20 +192,20 @@
 
 fn observe_all(world: &mut World) {
     for engine in 0..world.engines.len() {
-        world.read(0, engine);
-        world.append_reading(0, 0, 7);
+        world.read_status(0, engine);
+        world.append_status(0, 0, 7);
     }
     world.replay(0, usize::MAX);
 }
 
-fn setting<T: FromStr>(name: &str) -> Option<T> {
+fn env_setting<T: FromStr>(name: &str) -> Option<T> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 #[test]
-fn no_interleaving_overcommits_or_diverges() {
-    let cases = setting("STATE_SEARCH_CASES").unwrap_or(CASES);
-    let seed = setting("STATE_SEARCH_SEED").unwrap_or(SEED);
+fn replay_never_overcommits() {
+    let cases = env_setting("STATE_SEARCH_CASES").unwrap_or(CASES);
+    let seed = env_setting("STATE_SEARCH_SEED").unwrap_or(SEED);
     let config = Config {
         cases,
         rng_seed: RngSeed::Fixed(seed),
@@ -198,14 +214,14 @@
         ..Config::default()
     };
     let verdicts: Mutex<BTreeMap<&'static str, u64>> = Mutex::default();
-    let case = (vec(any::<bool>(), 2), vec(any::<Step>(), 1..STEPS));
+    let case = (vec(any::<bool>(), 2), vec(any::<Step>(), 1..MAX_STEPS));
     let outcome = TestRunner::new(config).run(&case, |(checks_fence, steps)| {
         let mut world = World::new(&checks_fence);
         for step in steps {
             take_step(&mut world, step);
         }
         let counted = world.verdicts.clone();
-        clear_up(&mut world);
+        check_all_settles(&mut world);
         world.check_replays();
         let mut verdicts = verdicts.lock().expect("no case panics while it counts");
         for (code, count) in &counted {
--- a/crates/state/tests/decision_search/process.rs
+++ b/crates/state/tests/decision_search/process.rs
@@ -1,4 +1,4 @@
-//! A daemon process as the rules of the control stream want it to behave.
+//! Model of a daemon process that follows the protocol of the control stream.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
 
 use crate::engine::Order;
 
-/// `Outcome` is what a process knows of how an intent ended.
+/// Outcome of an intent as the process knows it.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub kind: IntentKind,
@@ -24,23 +24,23 @@
     pub reading: Option<(u64, u64)>,
 }
 
-/// `Process` is one daemon process.
+/// One daemon process.
 #[derive(Clone, Debug)]
 pub struct Process {
     pub vm: String,
     pub process_id: u64,
     pub sequence: u64,
     pub state: ControlState,
-    /// Loads that the process has taken up or given up, so that it sends none of them twice.
-    pub picked: BTreeSet<Offset>,
-    /// Orders past their last check, which a pause may hold for any length of time.
-    pub hands: Vec<(usize, Order)>,
-    /// Orders sent and not yet answered.
-    pub waiting: BTreeSet<Offset>,
-    /// What the process knows and has not yet seen settled.
+    /// Loads that the process has prepared or abandoned, so that it sends none of them twice.
+    pub handled_loads: BTreeSet<Offset>,
+    /// Orders that are ready to be sent after the last check; a pause may delay them by any time.
+    pub ready_to_send: Vec<(usize, Order)>,
+    /// Offsets of the intents whose orders were sent and not answered yet.
+    pub awaiting_answer: BTreeSet<Offset>,
+    /// Outcomes that the process knows and has not seen settled yet.
     pub outcomes: BTreeMap<Offset, Outcome>,
-    /// Readings that the process has not yet appended.
-    pub readings: Vec<Observation>,
+    /// Statuses that the process has read and not appended yet.
+    pub statuses: Vec<Observation>,
 }
 
 impl Process {
@@ -50,11 +50,11 @@
             process_id,
             sequence: 0,
             state,
-            picked: BTreeSet::new(),
-            hands: Vec::new(),
-            waiting: BTreeSet::new(),
+            handled_loads: BTreeSet::new(),
+            ready_to_send: Vec::new(),
+            awaiting_answer: BTreeSet::new(),
             outcomes: BTreeMap::new(),
-            readings: Vec::new(),
+            statuses: Vec::new(),
         }
     }
 
@@ -63,31 +63,31 @@
             .epoch_of(&self.vm.as_str().into(), self.process_id)
     }
 
-    /// Returns the loads that the process may still take up: its own, and seen as accepted.
-    pub fn to_pick(&self) -> Vec<Offset> {
+    /// Returns the process's own accepted loads that it has neither prepared nor abandoned.
+    pub fn startable_loads(&self) -> Vec<Offset> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
         };
         let own = self.state.replicas().filter(|replica| {
             replica.sender == epoch
                 && replica.progress == Progress::Ordered
-                && !self.picked.contains(&replica.load)
+                && !self.handled_loads.contains(&replica.load)
         });
         own.map(|replica| replica.load).collect()
     }
 
-    /// Returns the intents that the process may take over. Of its own loads those whose attempt is
-    /// over, or that it will not take up any more.
-    pub fn to_take_over(&self) -> Vec<IntentView> {
+    /// Returns the intents that the process may take over. Its own loads are included only if it
+    /// has no order for them that is ready to be sent or awaits an answer.
+    pub fn intents_to_take_over(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
         };
         let is_trying = |intent: &IntentView| {
             intent.kind == IntentKind::Load
                 && intent.sender == epoch
-                && (self.waiting.contains(&intent.intent)
+                && (self.awaiting_answer.contains(&intent.intent)
                     || self
-                        .hands
+                        .ready_to_send
                         .iter()
                         .any(|(_, order)| order.intent == intent.intent))
         };
@@ -97,8 +97,8 @@
             .collect()
     }
 
-    /// Returns the intents that the process has taken over and can now ask the engine about.
-    pub fn to_resolve(&self) -> Vec<IntentView> {
+    /// Returns the intents that the process has taken over and can query the engine about.
+    pub fn intents_to_resolve(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
         };
@@ -108,8 +108,8 @@
             .collect()
     }
 
-    /// Returns the unloads that the process may order.
-    pub fn to_unload(&self) -> Vec<IntentView> {
+    /// Returns the unloads that the process owns and may order.
+    pub fn intents_to_unload(&self) -> Vec<IntentView> {
         let Some(epoch) = self.epoch() else {
             return Vec::new();
         };
