--- a/crates/state/tests/decision_search/steps.rs
+++ b/crates/state/tests/decision_search/steps.rs
@@ -1,4 +1,4 @@
-//! The steps that processes and engines take.
+//! Steps of processes and engines.
 
 use apricotdale_core::control::ControlRecord;
 use apricotdale_core::control::Depart;
@@ -28,11 +28,11 @@
 use crate::world::World;
 
 impl World {
-    /// Lets a process append a record that it makes for its proposer.
+    /// Lets the process of a VM append the record that `record` returns, if any.
     fn propose(
         &mut self,
         vm: usize,
-        how: u8,
+        variation: u8,
         record: impl FnOnce(&mut Process, Proposer) -> Option<ControlRecord>,
     ) {
         let Some(process) = &mut self.processes[vm] else {
@@ -47,12 +47,12 @@
         };
         if let Some(record) = record(process, proposer) {
             process.sequence = sequence;
-            self.append(record.encode(), how);
+            self.append(record.encode(), variation);
         }
     }
 
-    pub fn propose_load(&mut self, vm: usize, model: usize, engine: usize, how: u8) {
-        self.propose(vm, how, |process, proposer| {
+    pub fn propose_load(&mut self, vm: usize, model: usize, engine: usize, variation: u8) {
+        self.propose(vm, variation, |process, proposer| {
             let model = ModelName::from(MODELS[model % MODELS.len()].0);
             let engine = World::engine_name(engine);
             let intent = LoadIntent {
@@ -67,14 +67,17 @@
         });
     }
 
-    /// A process takes up one of its accepted loads: after its last check, before it sends.
-    pub fn pick(&mut self, vm: usize, index: usize) {
+    /// Prepares the order of one of a process's accepted loads, after the last check.
+    pub fn prepare_load(&mut self, vm: usize, index: usize) {
         let engines = self.engines.len();
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
-        let to_pick = process.to_pick();
-        let Some(load) = to_pick.get(index % to_pick.len().max(1)).copied() else {
+        let startable_loads = process.startable_loads();
+        let Some(load) = startable_loads
+            .get(index % startable_loads.len().max(1))
+            .copied()
+        else {
             return;
         };
         let Some(replica) = process.state.replica(load) else {
@@ -89,20 +92,20 @@
             fence: FencingToken::from(load),
         };
         let engine = (0..engines).find(|engine| World::engine_name(*engine) == replica.engine);
-        process.picked.insert(load);
+        process.handled_loads.insert(load);
         process
-            .hands
+            .ready_to_send
             .push((engine.expect("engines are not renamed"), order));
     }
 
-    /// A process takes up an unload, which it may order more than once.
-    pub fn pick_unload(&mut self, vm: usize, index: usize) {
+    /// Prepares the order of an unload, which may be sent more than once.
+    pub fn prepare_unload(&mut self, vm: usize, index: usize) {
         let engines = self.engines.len();
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
-        let to_unload = process.to_unload();
-        let Some(intent) = to_unload.get(index % to_unload.len().max(1)) else {
+        let intents_to_unload = process.intents_to_unload();
+        let Some(intent) = intents_to_unload.get(index % intents_to_unload.len().max(1)) else {
             return;
         };
         let order = Order {
@@ -115,33 +118,38 @@
         };
         let engine = (0..engines).find(|engine| World::engine_name(*engine) == intent.engine);
         process
-            .hands
+            .ready_to_send
             .push((engine.expect("engines are not renamed"), order));
     }
 
-    /// A process sends what it has taken up, however long ago.
+    /// Sends an order that was prepared at any earlier time.
     pub fn send(&mut self, vm: usize, index: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
-        if process.hands.is_empty() {
+        if process.ready_to_send.is_empty() {
             return;
         }
-        let (engine, order) = process.hands.remove(index % process.hands.len());
-        process.waiting.insert(order.intent);
+        let (engine, order) = process
+            .ready_to_send
+            .remove(index % process.ready_to_send.len());
+        process.awaiting_answer.insert(order.intent);
         self.engines[engine].inbox.push(order);
     }
 
-    /// A process gives up one of its accepted loads without having taken it up.
+    /// Abandons one of a process's accepted loads without having prepared its order.
     pub fn abandon(&mut self, vm: usize, index: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
-        let to_pick = process.to_pick();
-        let Some(load) = to_pick.get(index % to_pick.len().max(1)).copied() else {
+        let startable_loads = process.startable_loads();
+        let Some(load) = startable_loads
+            .get(index % startable_loads.len().max(1))
+            .copied()
+        else {
             return;
         };
-        process.picked.insert(load);
+        process.handled_loads.insert(load);
         let settled_as = SettledAs::Abandoned;
         let outcome = Outcome {
             kind: IntentKind::Load,
@@ -151,14 +159,14 @@
         process.outcomes.insert(load, outcome);
     }
 
-    /// A process's connection breaks before the answer.
+    /// Breaks the connection of a process before the answer arrives.
     pub fn lose_answer(&mut self, vm: usize, index: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
-        let waiting: Vec<Offset> = process.waiting.iter().copied().collect();
-        if let Some(intent) = waiting.get(index % waiting.len().max(1)) {
-            process.waiting.remove(intent);
+        let awaiting_answer: Vec<Offset> = process.awaiting_answer.iter().copied().collect();
+        if let Some(intent) = awaiting_answer.get(index % awaiting_answer.len().max(1)) {
+            process.awaiting_answer.remove(intent);
         }
     }
 
@@ -170,7 +178,7 @@
         let Some(process) = processes.find(|process| process.process_id == order.process_id) else {
             return;
         };
-        if !process.waiting.remove(&order.intent) || is_lost {
+        if !process.awaiting_answer.remove(&order.intent) || is_lost {
             return;
         }
         let kind = match order.bytes {
@@ -191,9 +199,9 @@
         );
     }
 
-    /// A process appends an outcome that it knows.
-    pub fn settle(&mut self, vm: usize, index: usize, how: u8) {
-        self.propose(vm, how, |process, proposer| {
+    /// Appends an outcome that a process knows.
+    pub fn settle(&mut self, vm: usize, index: usize, variation: u8) {
+        self.propose(vm, variation, |process, proposer| {
             let known: Vec<Offset> = process.outcomes.keys().copied().collect();
             let intent = *known.get(index % known.len().max(1))?;
             let outcome = process.outcomes.get(&intent)?.clone();
@@ -219,7 +227,7 @@
         });
     }
 
-    pub fn read(&mut self, vm: usize, engine: usize) {
+    pub fn read_status(&mut self, vm: usize, engine: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
@@ -238,20 +246,20 @@
             sequence: status.sequence,
             capacity_bytes: status.capacity_bytes,
             checks_fence: status.checks_fence,
-            highest_fence: FencingToken(status.highest),
+            highest_fence: FencingToken(status.highest_fence),
             residents: status.resident_list(),
         };
-        process.readings.push(reading);
+        process.statuses.push(reading);
     }
 
-    /// A process appends a reading, however old.
-    pub fn append_reading(&mut self, vm: usize, index: usize, how: u8) {
-        self.propose(vm, how, |process, proposer| {
-            if process.readings.is_empty() {
+    /// Appends a status that a process read at any earlier time.
+    pub fn append_status(&mut self, vm: usize, index: usize, variation: u8) {
+        self.propose(vm, variation, |process, proposer| {
+            if process.statuses.is_empty() {
                 return None;
             }
-            let index = index % process.readings.len();
-            let reading = process.readings.remove(index);
+            let index = index % process.statuses.len();
+            let reading = process.statuses.remove(index);
             Some(ControlRecord::Observed(Observation {
                 proposer,
                 ..reading
@@ -259,30 +267,30 @@
         });
     }
 
-    pub fn take_over(&mut self, vm: usize, index: usize, how: u8) {
-        self.propose(vm, how, |process, proposer| {
-            let intents = process.to_take_over();
+    pub fn take_over(&mut self, vm: usize, index: usize, variation: u8) {
+        self.propose(vm, variation, |process, proposer| {
+            let intents = process.intents_to_take_over();
             let intent = intents.get(index % intents.len().max(1))?.intent;
-            process.picked.insert(intent);
+            process.handled_loads.insert(intent);
             process.outcomes.remove(&intent);
             Some(ControlRecord::TakeOver(TakeOver { proposer, intent }))
         });
     }
 
-    /// A process asks an engine about an intent that it has taken over. Raising the fence can fail
-    /// where reading the status does not.
-    pub fn resolve(&mut self, vm: usize, index: usize, raises: bool) {
+    /// Queries an engine about an intent that a process has taken over. Raising the fence can fail
+    /// when reading the status succeeds.
+    pub fn resolve(&mut self, vm: usize, index: usize, raises_fence: bool) {
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
-        let intents = process.to_resolve();
+        let intents = process.intents_to_resolve();
         let Some(intent) = intents.get(index % intents.len().max(1)) else {
             return;
         };
         let mut names = (0..self.engines.len()).map(World::engine_name);
         let engine = names.position(|name| name == intent.engine);
         let engine = &mut self.engines[engine.expect("engines are not renamed")];
-        if engine.checks_fence && raises {
+        if engine.checks_fence && raises_fence {
             engine.raise_fence(intent.owner.since.0);
         }
         let resident = engine
@@ -305,8 +313,8 @@
         process.outcomes.insert(intent.intent, outcome);
     }
 
-    pub fn propose_unload(&mut self, vm: usize, index: usize, how: u8) {
-        self.propose(vm, how, |process, proposer| {
+    pub fn propose_unload(&mut self, vm: usize, index: usize, variation: u8) {
+        self.propose(vm, variation, |process, proposer| {
             let loaded = process
                 .state
                 .replicas()
@@ -322,11 +330,11 @@
         });
     }
 
-    /// A process proposes that an engine is gone whose present run, as the process knows it, is over.
-    /// The engine's successor bears the same name.
-    pub fn remove_engine(&mut self, vm: usize, engine: usize, how: u8) {
+    /// Proposes that an engine is gone if the incarnation that the process knows has ended. The new
+    /// incarnation has the same engine name.
+    pub fn remove_engine(&mut self, vm: usize, engine: usize, variation: u8) {
         let boot = self.engines[engine].boot;
-        self.propose(vm, how, |process, proposer| {
+        self.propose(vm, variation, |process, proposer| {
             let engine = World::engine_name(engine);
             let known = process.state.engine(&engine)?.boot();
             let gone = UpstreamGone {
@@ -338,18 +346,18 @@
         });
     }
 
-    /// The platform takes a VM away.
+    /// Removes a VM, which the platform's list then shows as gone.
     pub fn remove_vm(&mut self, vm: usize) {
         self.processes[vm] = None;
         self.gone[vm] = true;
     }
 
-    /// A process proposes that a VM which the list shows as gone has departed.
-    pub fn depart(&mut self, vm: usize, other: usize, how: u8) {
+    /// Proposes the departure of a VM that the list shows as gone.
+    pub fn depart(&mut self, vm: usize, other: usize, variation: u8) {
         if !self.gone[other] {
             return;
         }
-        self.propose(vm, how, |process, proposer| {
+        self.propose(vm, variation, |process, proposer| {
             let name = format!("vm{other}").as_str().into();
             let mut newest = process.state.members().newest();
             let (_, member) = newest.find(|(vm, _)| **vm == name)?;
@@ -362,8 +370,9 @@
     }
 }
 
-/// Returns whether an intent only waits for the next run of an engine that obeys every order.
-pub fn lingers(world: &World, intent: &IntentView) -> bool {
+/// Returns whether an intent can only be settled after a restart of its engine, which does not
+/// check fencing tokens.
+pub fn is_lingering(world: &World, intent: &IntentView) -> bool {
     let replica = world.reference.replica(intent.intent);
     let engine = world.reference.engine(&intent.engine);
     replica.is_some_and(|replica| replica.stage() == Stage::Lingering)
--- a/crates/state/tests/decision_search/world.rs
+++ b/crates/state/tests/decision_search/world.rs
@@ -1,4 +1,4 @@
-//! VMs, engines and a log, moved on step by step.
+//! Simulated VMs, engines and log.
 
 use std::collections::BTreeMap;
 
@@ -19,36 +19,35 @@
 use crate::engine::FakeEngine;
 use crate::process::Process;
 
-/// The number of VMs.
 pub const VMS: usize = 3;
-/// Models with their bases and sizes.
+/// Name, base and size in bytes of each model.
 pub const MODELS: [(&str, Option<&str>, u64); 4] = [
     ("m0", None, 60),
     ("m1", None, 50),
     ("m2", None, 30),
     ("m2-ad", Some("m2"), 20),
 ];
-/// Each engine's memory.
+/// Accelerator memory of each engine.
 pub const CAPACITY_BYTES: u64 = 100;
 
-/// `World` is everything that the search moves.
+/// Complete state of the simulation.
 pub struct World {
     pub engines: Vec<FakeEngine>,
-    /// The process of each VM, if one runs.
+    /// Process of each VM; `None` while none runs.
     pub processes: Vec<Option<Process>>,
-    /// VMs that the platform's list shows as gone.
+    /// Whether the platform's list shows each VM as gone.
     pub gone: Vec<bool>,
-    /// Appends that were lost on their way or repeated, and may land at any later time.
-    pub delayed: Vec<Vec<u8>>,
-    /// The records on the log.
+    /// Payloads of lost or repeated appends, which may reach the log at any later time.
+    pub delayed_appends: Vec<Vec<u8>>,
+    /// Payloads of the records on the log.
     pub payloads: Vec<Vec<u8>>,
-    /// A replay of all records as they land.
+    /// State that has replayed all records on the log.
     pub reference: ControlState,
-    /// The bytes of a snapshot taken on the way.
+    /// Last snapshot that was taken.
     pub snapshot: Option<Section>,
     pub next_process_id: u64,
     pub next_change_id: u64,
-    /// How often each verdict was given.
+    /// Number of verdicts by code.
     pub verdicts: BTreeMap<&'static str, u64>,
 }
 
@@ -61,7 +60,7 @@
             engines: engines.collect(),
             processes: vec![None; VMS],
             gone: vec![false; VMS],
-            delayed: Vec::new(),
+            delayed_appends: Vec::new(),
             payloads: Vec::new(),
             reference: ControlState::new(),
             snapshot: None,
@@ -80,8 +79,8 @@
             world.replay(vm, usize::MAX);
         }
         for engine in 0..world.engines.len() {
-            world.read(0, engine);
-            world.append_reading(0, 0, 0);
+            world.read_status(0, engine);
+            world.append_status(0, 0, 0);
         }
         world
     }
@@ -90,28 +89,30 @@
         UpstreamName::new(format!("e{engine}"))
     }
 
-    /// Lands a record on the log. `how` says what happens to its append.
-    pub fn append(&mut self, payload: Vec<u8>, how: u8) {
-        match how % 8 {
-            // The append's answer is lost and the client appends again; the first or the second
-            // copy may land at any later time.
+    /// Appends a record. `variation` decides whether the append is delayed or repeated.
+    pub fn append(&mut self, payload: Vec<u8>, variation: u8) {
+        match variation % 8 {
+            // The answer to the append is lost and the client appends again. One of the copies
+            // may reach the log at any later time.
             0 => {
-                self.delayed.push(payload.clone());
-                self.land(payload);
+                self.delayed_appends.push(payload.clone());
+                self.append_now(payload);
             }
-            1 => self.delayed.push(payload),
-            _ => self.land(payload),
+            1 => self.delayed_appends.push(payload),
+            _ => self.append_now(payload),
         }
     }
 
-    pub fn land_delayed(&mut self, index: usize) {
-        if !self.delayed.is_empty() {
-            let payload = self.delayed.remove(index % self.delayed.len());
-            self.land(payload);
+    pub fn append_delayed(&mut self, index: usize) {
+        if !self.delayed_appends.is_empty() {
+            let payload = self
+                .delayed_appends
+                .remove(index % self.delayed_appends.len());
+            self.append_now(payload);
         }
     }
 
-    fn land(&mut self, payload: Vec<u8>) {
+    fn append_now(&mut self, payload: Vec<u8>) {
         let offset = self.reference.next_offset();
         let verdict = self.reference.apply(offset, appended_ms(offset), &payload);
         self.payloads.push(payload);
@@ -119,8 +120,8 @@
         assert!(!matches!(verdict, Verdict::Ignored(ref why) if why.as_str() == "gap"));
     }
 
-    /// Starts a process on a VM, in place of the one that ran there.
-    pub fn start(&mut self, vm: usize, how: u8) {
+    /// Starts a process on a VM in place of the one that ran there.
+    pub fn start(&mut self, vm: usize, variation: u8) {
         let process_id = self.next_process_id;
         self.next_process_id += 1;
         let name = format!("vm{vm}");
@@ -135,15 +136,15 @@
             zone: "z".into(),
             process_id,
         };
-        self.append(ControlRecord::Join(join).encode(), how);
+        self.append(ControlRecord::Join(join).encode(), variation);
     }
 
-    pub fn replay(&mut self, vm: usize, most: usize) {
+    pub fn replay(&mut self, vm: usize, max_records: usize) {
         let Some(process) = &mut self.processes[vm] else {
             return;
         };
         let from = usize::try_from(process.state.next_offset().0).expect("offsets are small");
-        for payload in self.payloads.iter().skip(from).take(most) {
+        for payload in self.payloads.iter().skip(from).take(max_records) {
             let offset = process.state.next_offset();
             process.state.apply(offset, appended_ms(offset), payload);
         }
@@ -169,15 +170,17 @@
         self.append(ControlRecord::Config(change).encode(), 7);
     }
 
-    /// Returns the first VM from the given one on whose process has something to do, or that one.
-    pub fn vm_with(&self, vm: usize, has: impl Fn(&Process) -> bool) -> usize {
+    /// Returns the first VM, counted from `vm`, whose process satisfies `has`; `vm` if there is
+    /// none.
+    pub fn vm_matching(&self, vm: usize, has: impl Fn(&Process) -> bool) -> usize {
         let mut vms = (vm..vm + VMS).map(|vm| vm % VMS);
         let found = vms.find(|vm| self.processes[*vm].as_ref().is_some_and(&has));
         found.unwrap_or(vm)
     }
 
-    /// Returns the first engine from the given one on that has something to do, or that one.
-    pub fn engine_with(&self, engine: usize, has: impl Fn(&FakeEngine) -> bool) -> usize {
+    /// Returns the first engine, counted from `engine`, that satisfies `has`; `engine` if none
+    /// does.
+    pub fn engine_matching(&self, engine: usize, has: impl Fn(&FakeEngine) -> bool) -> usize {
         let count = self.engines.len();
         let mut engines = (engine..engine + count).map(|engine| engine % count);
         engines
@@ -185,7 +188,7 @@
             .unwrap_or(engine)
     }
 
-    /// Changes a model's size there and back, so that loads based on the old version are rejected.
+    /// Toggles the size of a model, so that loads based on the old version are rejected.
     pub fn change_model(&mut self, index: usize) {
         let (name, base, bytes) = MODELS[index % MODELS.len()];
         let configured = self.reference.config().model(&ModelName::from(name));
@@ -196,7 +199,7 @@
         self.configure(vec![put_model(name, base, bytes)]);
     }
 
-    /// Checks what must always hold.
+    /// Asserts that no engine is overcommitted and that every replica on an engine was accepted.
     pub fn check(&self) {
         for (index, engine) in self.engines.iter().enumerate() {
             assert!(
@@ -208,7 +211,7 @@
                 let replica = self.reference.replica(Offset(resident.fence.0));
                 assert!(
                     replica.is_some(),
-                    "engine {index} holds {resident:?}, not decided"
+                    "engine {index} holds {resident:?}, which no accepted load put there"
                 );
             }
         }
@@ -222,12 +225,12 @@
             let decided = self.reference.replica_count(&model) as usize;
             assert!(
                 held <= decided,
-                "{model}: {held} replicas held, {decided} decided"
+                "{model}: {held} replicas on engines, {decided} accepted"
             );
         }
     }
 
-    /// Checks that replays from the start and from a snapshot come to the same state.
+    /// Asserts that replays from the start and from a snapshot reach the same state.
     pub fn check_replays(&self) {
         let mut again = ControlState::new();
         let mut from_snapshot = None;
--- a/crates/state/tests/join_epochs.rs
+++ b/crates/state/tests/join_epochs.rs
@@ -1,4 +1,4 @@
-//! Whose records count: joins, epochs, sequences and departures.
+//! Tests of joins, epochs, sequences and departures, which decide whose records are accepted.
 
 mod common;
 
@@ -24,31 +24,31 @@
 }
 
 #[test]
-fn a_later_process_takes_over_with_its_first_record() {
+fn first_record_supersedes() {
     let (mut stream, a, _) = Stream::ready(false);
     let (load, _) = stream.load(a, "m1", "e1");
     let next = stream.join("a", 10);
-    assert!(stream.state.is_current(a), "a join alone ends nobody");
+    assert!(stream.state.is_current(a), "a join alone ends no process");
     assert!(stream.take_over(next, load).is_accepted());
     assert!(!stream.state.is_current(a));
     assert!(
         !stream
             .state
             .replica(load)
-            .expect("it is unsettled")
+            .expect("the load is unsettled")
             .sender_may_act()
     );
     let (_, verdict) = stream.load(a, "m2", "e1");
     assert_eq!(verdict, Verdict::Rejected(RejectReason::StaleEpoch));
 }
 
-/// Symptom: two orders in the memory of one, on an engine that ignores fencing numbers.
-/// Sequence: a process dies while its join is on the way; its successor joins, proposes a load and
-/// is paused before sending; the dead process's join lands; another VM takes the load over as one
-/// whose sender is over; the memory is given away; the successor wakes up and sends.
-/// Cause: the order of joins on the stream is not the order in which processes lived.
+/// Guards against two orders that take the same memory of an engine that does not check fencing
+/// tokens. A process dies while its join is on its way. Its successor joins, proposes a load and is
+/// paused before it sends the order. The late join is appended. If it ended the successor, another
+/// VM would take the load over and reassign its memory, and the successor would then still send it.
+/// The order of joins on the stream is not the order in which the processes ran.
 #[test]
-fn a_join_that_lands_late_ends_nobody() {
+fn late_join_harmless() {
     let (mut stream, a, b) = Stream::ready(false);
     let (load, _) = stream.load(a, "m1", "e1");
     stream.append(&join_record("a", 99));
@@ -56,12 +56,12 @@
     assert!(stream.take_over(b, load).is_accepted());
     let verdict = stream.settle_load(b, load, SettledAs::Abandoned, Some((1, 0)));
     assert_eq!(verdict, Verdict::Rejected(RejectReason::SenderMayAct));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
 }
 
-/// Symptom and cause as above, by a join whose append's answer was lost, so that it came twice.
+/// Guards against the same failure after a join whose append was repeated.
 #[test]
-fn a_join_appended_twice_gives_one_epoch() {
+fn duplicate_join_ignored() {
     let (mut stream, a, _) = Stream::ready(true);
     let verdict = stream.append(&join_record("a", 1));
     assert_eq!(verdict, Verdict::Ignored(IgnoreReason::RepeatedJoin));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_unconfirmed_process_gives_way_to_a_later_one() {
+fn unconfirmed_process_superseded() {
     let (mut stream, _, _) = Stream::ready(true);
     let second = stream.join("a", 10);
     let third = stream.join("a", 11);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_record_appended_twice_counts_once() {
+fn duplicate_record_ignored() {
     let (mut stream, a, _) = Stream::ready(true);
     let record = ControlRecord::Load(stream.load_intent(a, "m1", "e1"));
     assert!(stream.append(&record).is_accepted());
@@ -94,18 +94,14 @@
 #[rstest]
 #[case::unknown_vm("x", 0, RejectReason::UnknownProcess)]
 #[case::older_process("a", 77, RejectReason::UnknownProcess)]
-fn a_departure_must_name_a_process_that_is_there(
-    #[case] vm: &str,
-    #[case] epoch: u64,
-    #[case] reason: RejectReason,
-) {
+fn unknown_departure_rejected(#[case] vm: &str, #[case] epoch: u64, #[case] reason: RejectReason) {
     let (mut stream, _, b) = Stream::ready(true);
     let verdict = stream.depart(b, vm, Epoch(epoch));
     assert_eq!(verdict, Verdict::Rejected(reason));
 }
 
 #[test]
-fn a_departed_process_can_append_no_more() {
+fn departed_process_rejected() {
     let (mut stream, a, b) = Stream::ready(true);
     assert!(stream.depart(b, "a", a).is_accepted());
     let (_, verdict) = stream.load(a, "m1", "e1");
@@ -114,10 +110,10 @@
 }
 
 #[rstest]
-#[case::garbage(b"\xff\x00".to_vec())]
+#[case::invalid_utf8(b"\xff\x00".to_vec())]
 #[case::empty(Vec::new())]
 #[case::other_json(b"{\"reboot\":{}}".to_vec())]
-fn an_unreadable_record_is_passed_over(#[case] payload: Vec<u8>) {
+fn undecodable_record_ignored(#[case] payload: Vec<u8>) {
     let (mut stream, a, _) = Stream::ready(true);
     assert_eq!(
         stream.append_bytes(payload),
@@ -127,14 +123,14 @@
 }
 
 #[test]
-fn a_gap_or_a_repeated_offset_leaves_no_trace() {
+fn out_of_order_ignored() {
     let (mut stream, a, _) = Stream::ready(true);
     let record = ControlRecord::Load(stream.load_intent(a, "m1", "e1")).encode();
     let before = stream.state.clone();
     let next = stream.state.next_offset();
     let ahead = stream.state.apply(next.next(), 1, &record);
     assert_eq!(ahead, Verdict::Ignored(IgnoreReason::Gap));
-    let behind = stream.state.apply(stream.last(), 1, &record);
+    let behind = stream.state.apply(stream.last_offset(), 1, &record);
     assert_eq!(behind, Verdict::Ignored(IgnoreReason::AlreadyReplayed));
     assert_eq!(stream.state, before);
 }
--- a/crates/state/tests/load_cycle.rs
+++ b/crates/state/tests/load_cycle.rs
@@ -1,4 +1,4 @@
-//! The life of a replica when nothing fails.
+//! Life cycle of a replica without failures.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use common::Stream;
 
 #[test]
-fn a_load_reserves_then_serves_then_frees() {
+fn replica_life_cycle() {
     let (mut stream, a, _) = Stream::ready(true);
     let (load, verdict) = stream.load(a, "m1", "e1");
     assert!(verdict.is_accepted(), "{verdict:?}");
     assert_eq!(stream.stage(load), Some(Stage::Reserved));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
 
     let verdict = stream.settle_load(a, load, SettledAs::Done, Some((1, 2)));
     assert!(verdict.is_accepted(), "{verdict:?}");
@@ -23,11 +23,11 @@
     let verdict = stream.unload(a, "m1", "e1", load);
     assert!(verdict.is_accepted(), "{verdict:?}");
     assert_eq!(stream.stage(load), Some(Stage::Unloading));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
 
-    let unload = stream.last();
+    let unload = stream.last_offset();
     let verdict = stream.settle_unload(a, unload, SettledAs::Done, Some((1, 4)));
     assert!(verdict.is_accepted(), "{verdict:?}");
     assert_eq!(stream.stage(load), None);
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
 }
--- a/crates/state/tests/load_rules.rs
+++ b/crates/state/tests/load_rules.rs
@@ -1,4 +1,4 @@
-//! Which loads and unloads are accepted.
+//! Tests of the rules by which loads and unloads are accepted.
 
 mod common;
 
@@ -24,27 +24,23 @@
 #[case::unknown_model(|intent: &mut LoadIntent| intent.model = "m9".into(), RejectReason::UnknownModel)]
 #[case::old_model(|intent: &mut LoadIntent| intent.model_version = ConfigVersion(1), RejectReason::ModelChanged)]
 #[case::unknown_engine(|intent: &mut LoadIntent| intent.engine = "e9".into(), RejectReason::UnknownEngine)]
-#[case::old_run(|intent: &mut LoadIntent| intent.boot = BootId(0), RejectReason::EngineRestarted)]
-#[case::later_run(|intent: &mut LoadIntent| intent.boot = BootId(2), RejectReason::EngineRestarted)]
+#[case::old_incarnation(|intent: &mut LoadIntent| intent.boot = BootId(0), RejectReason::EngineRestarted)]
+#[case::later_incarnation(|intent: &mut LoadIntent| intent.boot = BootId(2), RejectReason::EngineRestarted)]
 #[case::other_count(|intent: &mut LoadIntent| intent.expected_replicas = 1, RejectReason::ReplicaCountChanged)]
 #[case::base_missing(|intent: &mut LoadIntent| intent.model = "m1-ad".into(), RejectReason::BaseNotLoaded)]
-fn a_load_based_on_what_no_longer_holds_is_rejected(
-    #[case] change: fn(&mut LoadIntent),
-    #[case] reason: RejectReason,
-) {
+fn outdated_load_rejected(#[case] change: fn(&mut LoadIntent), #[case] reason: RejectReason) {
     let (mut stream, a, _) = Stream::ready(true);
     let mut intent = stream.load_intent(a, "m1", "e1");
     change(&mut intent);
     let verdict = stream.append(&ControlRecord::Load(intent));
     assert_eq!(verdict, Verdict::Rejected(reason));
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
 }
 
-/// Symptom: two VMs each load a replica for the same burst of first requests.
-/// Sequence: both see no replica and propose one.
-/// Cause: without the expected count both proposals would be decisions.
+/// Guards against two VMs that each load a replica for the same burst of first requests. Both see
+/// no replica and propose one; the expected number of replicas makes the second proposal fail.
 #[test]
-fn of_two_equal_proposals_one_is_accepted() {
+fn one_proposal_accepted() {
     let (mut stream, a, b) = Stream::ready(true);
     stream.observe(a, "e2", true, 1, 0, 0, &[]);
     let first = stream.load_intent(a, "m1", "e1");
@@ -58,7 +54,7 @@
 }
 
 #[test]
-fn memory_counts_what_is_reserved_loaded_and_unloading() {
+fn memory_accounting() {
     let (mut stream, a, _) = Stream::ready(true);
     stream.configure(vec![model("m3", None, 41), model("m4", None, 1)]);
     let load = stream.loaded(a, "m1", "e1", (1, 2));
@@ -75,7 +71,7 @@
 }
 
 #[test]
-fn a_model_is_once_on_an_engine() {
+fn model_once_per_engine() {
     let (mut stream, a, _) = Stream::ready(true);
     stream.configure(vec![model("m4", None, 10)]);
     stream.loaded(a, "m4", "e1", (1, 2));
@@ -86,7 +82,7 @@
 }
 
 #[test]
-fn a_load_for_another_group_is_rejected() {
+fn wrong_group_rejected() {
     let (mut stream, a, _) = Stream::ready(true);
     stream.configure(vec![ConfigEdit::PutModel(ModelSpec {
         model: "far".into(),
@@ -101,7 +97,7 @@
 }
 
 #[test]
-fn an_adapter_needs_its_base_to_serve() {
+fn adapter_needs_base() {
     let (mut stream, a, _) = Stream::ready(true);
     let (base, _) = stream.load(a, "m1", "e1");
     assert_eq!(
@@ -121,16 +117,15 @@
     );
 }
 
-/// Symptom: a replica that was just loaded for waiting requests is unloaded.
-/// Sequence: a VM decides to unload an idle replica and is paused; the replica goes, another one of
-/// the same model comes; the VM's proposal lands.
-/// Cause: the proposal names the model and the engine, which are the same.
+/// Guards against unloading a replica that was just loaded for waiting requests. A VM decides to
+/// unload an idle replica and is paused. That replica is unloaded and another one of the same model
+/// is loaded on the same engine before the VM's proposal is appended.
 #[test]
-fn a_late_unload_spares_a_later_replica() {
+fn late_unload_rejected() {
     let (mut stream, a, b) = Stream::ready(true);
     let first = stream.loaded(a, "m1", "e1", (1, 2));
     assert!(stream.unload(a, "m1", "e1", first).is_accepted());
-    let unload = stream.last();
+    let unload = stream.last_offset();
     assert!(
         stream
             .settle_unload(a, unload, SettledAs::Done, Some((1, 4)))
@@ -144,23 +139,23 @@
 #[rstest]
 #[case::not_sent(SettledAs::Abandoned)]
 #[case::refused(SettledAs::Failed("stale".to_owned()))]
-fn an_unload_without_effect_lets_the_replica_serve_again(#[case] outcome: SettledAs) {
+fn failed_unload_cancelled(#[case] outcome: SettledAs) {
     let (mut stream, a, _) = Stream::ready(true);
     let load = stream.loaded(a, "m1", "e1", (1, 2));
     stream.unload(a, "m1", "e1", load);
     let verdict = stream.unload(a, "m1", "e1", load);
     assert_eq!(verdict, Verdict::Rejected(RejectReason::NotLoaded));
-    let unload = stream.last().0 - 1;
+    let unload = stream.last_offset().0 - 1;
     let unload = Offset(unload);
     assert!(stream.settle_unload(a, unload, outcome, None).is_accepted());
     assert_eq!(stream.stage(load), Some(Stage::Loaded));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
 }
 
 #[rstest]
-#[case::before_the_order(SettledAs::Done, None, RejectReason::NoReading)]
-#[case::by_a_stranger(SettledAs::Done, Some((1, 2)), RejectReason::NotOwner)]
-fn a_settlement_needs_a_reading_and_an_owner(
+#[case::without_reading(SettledAs::Done, None, RejectReason::NoReading)]
+#[case::not_owner(SettledAs::Done, Some((1, 2)), RejectReason::NotOwner)]
+fn settlement_requirements(
     #[case] outcome: SettledAs,
     #[case] reading: Option<(u64, u64)>,
     #[case] reason: RejectReason,
@@ -170,14 +165,14 @@
     let by = if reading.is_some() { b } else { a };
     let verdict = stream.settle_load(by, load, outcome, reading);
     assert_eq!(verdict, Verdict::Rejected(reason));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
 }
 
 #[test]
-fn a_load_settles_once() {
+fn load_settles_once() {
     let (mut stream, a, _) = Stream::ready(true);
     let load = stream.loaded(a, "m1", "e1", (1, 2));
     let verdict = stream.settle_load(a, load, SettledAs::Failed("late".to_owned()), None);
     assert_eq!(verdict, Verdict::Rejected(RejectReason::UnknownIntent));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
 }
--- a/crates/state/tests/lost_senders.rs
+++ b/crates/state/tests/lost_senders.rs
@@ -1,5 +1,5 @@
-//! Loads whose sender died, was paused or lost the answer, on engines that check fencing numbers
-//! and on engines that obey every order.
+//! Tests of loads whose sender ended, was paused or lost the answer, on engines that check fencing
+//! tokens and on engines that accept every order.
 
 mod common;
 
@@ -22,70 +22,70 @@
     SettledAs::Failed("not there".to_owned())
 }
 
-/// Returns a stream on which `a` has proposed a load of 60 bytes on `e1`.
-fn with_load(checks_fence: bool) -> (Stream, Epoch, Epoch, Offset) {
+/// Returns a stream on which `a` has proposed a load of 60 bytes onto `e1`.
+fn stream_with_load(checks_fence: bool) -> (Stream, Epoch, Epoch, Offset) {
     let (mut stream, a, b) = Stream::ready(checks_fence);
     let (load, verdict) = stream.load(a, "m1", "e1");
     assert!(verdict.is_accepted());
     (stream, a, b, load)
 }
 
-/// Takes a load over, raises the fence of `e1` to the takeover's offset and observes the engine. An
-/// engine that obeys all takes no notice of the number.
+/// Takes a load over, raises the fence of `e1` to the offset of the takeover and observes the
+/// engine. An engine that does not check fencing tokens ignores the token.
 fn raise_fence(stream: &mut Stream, by: Epoch, load: Offset) {
     stream.take_over(by, load);
-    let fence = stream.last().0;
+    let fence = stream.last_offset().0;
     let engine = stream.state.engine(&"e1".into());
     let checks_fence = engine.expect("the engine was observed").checks_fence;
     stream.observe(by, "e1", checks_fence, 1, 0, fence, &[]);
 }
 
-/// Symptom: an order takes effect after it was settled as absent on an engine that checks.
-/// Sequence: the sender is paused; another VM takes the load over; its call to raise the fence
-/// fails, but it reads the status, which does not show the model; the sender wakes up.
-/// Cause: the settlement was taken as proof that the fence was raised.
+/// Guards against an order that takes effect after it was settled as without effect, on an engine
+/// that checks fencing tokens. The sender is paused and another VM takes the load over. Its call to
+/// raise the fence fails, but it reads the status, which does not show the model. Then the sender
+/// resumes. The settlement alone does not prove that the fence was raised.
 #[rstest]
 #[case::paused_sender(false, Verdict::Rejected(RejectReason::SenderMayAct))]
-#[case::dead_sender(true, Verdict::Accepted(Accepted::LoadLingers))]
-fn only_an_observed_fence_frees_memory(#[case] is_over: bool, #[case] expected: Verdict) {
-    let (mut stream, a, b, load) = with_load(true);
-    if is_over {
+#[case::ended_sender(true, Verdict::Accepted(Accepted::LoadLingers))]
+fn unobserved_fence(#[case] has_ended: bool, #[case] expected: Verdict) {
+    let (mut stream, a, b, load) = stream_with_load(true);
+    if has_ended {
         stream.depart(b, "a", a);
     }
     stream.take_over(b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
     assert_eq!(verdict, expected);
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
 }
 
-/// Symptom: an engine's memory is overcommitted by an order that comes minutes late.
-/// Sequence: the sender is paused before it sends; another VM takes the load over, does not see it
-/// on the engine and settles it; its memory is given to another load; the sender wakes up.
-/// Cause: an engine that ignores fencing numbers obeys the late order.
+/// Guards against an engine that is overcommitted by an order that arrives minutes late. The sender
+/// is paused before it sends. Another VM takes the load over and does not see it on the engine. If
+/// it could settle the load, the memory would be reassigned. An engine that does not check fencing
+/// tokens would still accept the order when the sender resumes.
 #[test]
-fn a_paused_sender_keeps_its_reservation_on_an_engine_that_obeys_all() {
-    let (mut stream, a, b, load) = with_load(false);
+fn paused_sender_reservation() {
+    let (mut stream, a, b, load) = stream_with_load(false);
     assert!(stream.take_over(b, load).is_accepted());
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
     assert_eq!(verdict, Verdict::Rejected(RejectReason::SenderMayAct));
-    assert_eq!(stream.held("e1"), 60);
-    // The sender wakes up, sees that the load is no longer its own, and says so.
+    assert_eq!(stream.held_bytes("e1"), 60);
+    // The sender resumes, sees that it no longer owns the load, and reports it as not sent.
     let verdict = stream.settle_load(a, load, SettledAs::Abandoned, None);
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadFreed));
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
 }
 
-/// The same sequence where the engine checks: its fence is raised, so the memory is free at once.
-/// But a restarted engine forgets the fence, so the order counts against what may come after a
-/// restart, and as a replica, until its sender is over.
+/// The same sequence on an engine that checks fencing tokens: its fence is raised, so the memory is
+/// free at once. A restarted engine forgets the fence, so the order still counts against the memory
+/// after a restart, and as a replica, until its sender has ended.
 #[test]
-fn a_raised_fence_frees_memory_until_the_engine_restarts() {
-    let (mut stream, a, b, load) = with_load(true);
+fn fence_until_restart() {
+    let (mut stream, a, b, load) = stream_with_load(true);
     raise_fence(&mut stream, b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadRevoked));
     assert_eq!(stream.stage(load), Some(Stage::Revoked));
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
     assert_eq!(stream.state.replica_count(&"m1".into()), 1);
     let (_, verdict) = stream.load(b, "m1", "e1");
     assert_eq!(
@@ -96,8 +96,8 @@
 
     stream.observe(b, "e1", true, 2, 0, 0, &[]);
     assert_eq!(stream.stage(load), Some(Stage::Reserved));
-    assert_eq!(stream.held("e1"), 100);
-    // The sender sends to the new run, which obeys.
+    assert_eq!(stream.held_bytes("e1"), 100);
+    // The sender sends the order to the new incarnation, which accepts it.
     let verdict = stream.settle_load(a, load, SettledAs::Done, Some((2, 2)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::Loaded));
 }
@@ -105,31 +105,32 @@
 #[rstest]
 #[case::departed(false)]
 #[case::superseded(true)]
-fn an_order_of_a_dead_sender_lingers_until_the_engine_restarts(#[case] superseded: bool) {
-    let (mut stream, a, b, load) = with_load(false);
+fn lingering_order(#[case] superseded: bool) {
+    let (mut stream, a, b, load) = stream_with_load(false);
     if superseded {
         let next = stream.join("a", 10);
         stream.observe(next, "e2", true, 1, 0, 0, &[]);
     } else {
         stream.depart(b, "a", a);
     }
-    assert_eq!(stream.held("e1"), 60);
-    // A new run may be one to which the sender still spoke: only a takeover after its end tells.
+    assert_eq!(stream.held_bytes("e1"), 60);
+    // The sender may still have reached the new incarnation. Only a takeover after the sender's end
+    // excludes that.
     stream.observe(b, "e1", false, 2, 0, 0, &[]);
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
     stream.take_over(b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((2, 0)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadLingers));
     assert_eq!(stream.stage(load), Some(Stage::Lingering));
-    assert_eq!(stream.held("e1"), 60);
+    assert_eq!(stream.held_bytes("e1"), 60);
     stream.observe(b, "e1", false, 3, 0, 0, &[]);
     assert_eq!(stream.stage(load), None);
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
 }
 
 #[test]
-fn an_order_of_a_dead_sender_is_over_once_a_fence_is_raised() {
-    let (mut stream, a, b, load) = with_load(true);
+fn fence_ends_order() {
+    let (mut stream, a, b, load) = stream_with_load(true);
     stream.depart(b, "a", a);
     raise_fence(&mut stream, b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
@@ -137,13 +138,13 @@
     assert_eq!(stream.state.replica_count(&"m1".into()), 0);
 }
 
-/// Symptom: an order takes effect after it was settled as absent.
-/// Sequence: a VM takes the load over while its sender lives, and reads the engine; the sender then
-/// sends to the engine's next run and dies; its departure lands, then the settlement.
-/// Cause: the reading is from before the sender's end, so it does not bound the order's reach.
+/// Guards against an order that takes effect after it was settled as without effect. A VM takes the
+/// load over while its sender runs, and reads the status. The sender then sends the order to the
+/// next incarnation and ends. Its departure is appended, then the settlement. The status was read
+/// before the sender's end, so it does not limit which incarnations the order can reach.
 #[test]
-fn a_reading_from_before_the_senders_end_settles_nothing() {
-    let (mut stream, a, b, load) = with_load(false);
+fn takeover_too_old() {
+    let (mut stream, a, b, load) = stream_with_load(false);
     stream.take_over(b, load);
     stream.depart(b, "a", a);
     let verdict = stream.settle_load(b, load, failed(), Some((1, 0)));
@@ -154,8 +155,8 @@
 }
 
 #[test]
-fn a_settlement_waits_for_the_observation_of_its_run() {
-    let (mut stream, a, b, load) = with_load(true);
+fn incarnation_observed_first() {
+    let (mut stream, a, b, load) = stream_with_load(true);
     stream.depart(b, "a", a);
     stream.take_over(b, load);
     let verdict = stream.settle_load(b, load, failed(), Some((2, 0)));
@@ -165,28 +166,28 @@
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadFreed));
 }
 
-/// A sender that lost the answer ends its attempt and takes its own intent over. Its word is then
-/// worth no more than another's: the order may still wait in a connection.
+/// A sender that lost the answer ends its attempt and takes over its own intent. Its report then
+/// counts no more than that of another process, since the order may be queued in a connection.
 #[rstest]
 #[case::checks(true, Accepted::LoadFreed, 0)]
-#[case::obeys_all(false, Accepted::LoadLingers, 60)]
-fn a_sender_that_lost_the_answer_takes_its_own_load_over(
+#[case::ignores_tokens(false, Accepted::LoadLingers, 60)]
+fn own_load_takeover(
     #[case] checks_fence: bool,
     #[case] accepted: Accepted,
     #[case] held_bytes: u64,
 ) {
-    let (mut stream, a, _, load) = with_load(checks_fence);
+    let (mut stream, a, _, load) = stream_with_load(checks_fence);
     raise_fence(&mut stream, a, load);
     let verdict = stream.settle_load(a, load, failed(), Some((1, 0)));
     assert_eq!(verdict, Verdict::Accepted(accepted));
-    assert_eq!(stream.held("e1"), held_bytes);
+    assert_eq!(stream.held_bytes("e1"), held_bytes);
 }
 
 #[rstest]
 #[case::checks(true)]
-#[case::obeys_all(false)]
-fn a_shown_order_settles_without_its_sender(#[case] checks_fence: bool) {
-    let (mut stream, a, b, load) = with_load(checks_fence);
+#[case::ignores_tokens(false)]
+fn observed_load_settles(#[case] checks_fence: bool) {
+    let (mut stream, a, b, load) = stream_with_load(checks_fence);
     let loading = [resident("m1", Residency::Loading, 60, load)];
     stream.observe(b, "e1", checks_fence, 1, 1, load.0, &loading);
     assert_eq!(stream.stage(load), Some(Stage::Loading));
@@ -196,27 +197,27 @@
     assert_eq!(stream.stage(load), Some(Stage::Loaded));
 }
 
-/// An order is sent once. So if the engine died in the middle of the load, the order is over.
+/// An order is sent once. If the engine ended during the load, the order can have no other effect.
 #[rstest]
-#[case::same_run(1, 2)]
-#[case::next_run(2, 0)]
-fn a_load_that_was_shown_and_is_gone_is_over(#[case] boot: u64, #[case] sequence: u64) {
-    let (mut stream, _, b, load) = with_load(false);
+#[case::same_incarnation(1, 2)]
+#[case::next_incarnation(2, 0)]
+fn observed_load_gone(#[case] boot: u64, #[case] sequence: u64) {
+    let (mut stream, _, b, load) = stream_with_load(false);
     let loading = [resident("m1", Residency::Loading, 60, load)];
     stream.observe(b, "e1", false, 1, 1, load.0, &loading);
     stream.observe(b, "e1", false, boot, sequence, load.0, &[]);
     assert_eq!(stream.stage(load), None);
-    assert_eq!(stream.held("e1"), 0);
+    assert_eq!(stream.held_bytes("e1"), 0);
 }
 
-/// Symptom: an engine is overcommitted just after a restart that nobody has seen.
-/// Sequence: a load of 60 is proposed and its sender paused; the engine checks, a fence is raised,
-/// 40 are given away; another 60 are proposed for the same engine; the engine restarts and forgets
-/// its fence; both senders of 60 wake up.
-/// Cause: what the present run refuses the next one obeys.
+/// Guards against an engine that is overcommitted right after a restart that no VM has observed. A
+/// load of 60 bytes is proposed and its sender paused. The engine checks fencing tokens, its fence
+/// is raised, 40 bytes are given to another load, and a second load of 60 is proposed. The engine
+/// restarts and forgets its fence, and both senders of 60 resume. The new incarnation accepts what
+/// the earlier one refused.
 #[test]
-fn what_could_follow_a_restart_fits_the_memory() {
-    let (mut stream, _, b, load) = with_load(true);
+fn restart_memory_fits() {
+    let (mut stream, _, b, load) = stream_with_load(true);
     raise_fence(&mut stream, b, load);
     stream.settle_load(b, load, failed(), Some((1, 0)));
     stream.configure(vec![
@@ -229,25 +230,25 @@
         Verdict::Rejected(RejectReason::NoMemoryAfterRestart)
     );
     let loaded = stream.loaded(b, "m4", "e1", (1, 2));
-    // What has taken effect ends with the run, so it leaves room for what may follow.
+    // A replica whose load took effect ends with the incarnation, so its memory is not counted.
     assert!(stream.load(b, "m2", "e1").1.is_accepted(), "{loaded}");
 }
 
 #[test]
-fn a_senders_own_refusal_frees_at_once() {
-    let (mut stream, a, b, load) = with_load(false);
+fn own_refusal_frees() {
+    let (mut stream, a, b, load) = stream_with_load(false);
     stream.take_over(b, load);
     let verdict = stream.settle_load(a, load, failed(), Some((1, 3)));
     assert_eq!(verdict, Verdict::Accepted(Accepted::LoadFreed));
-    // A reading from before the refusal comes late and shows the order once more.
+    // A status from before the refusal arrives late and shows the order's effect again.
     let loading = [resident("m1", Residency::Loading, 60, load)];
     let verdict = stream.observe(b, "e1", false, 1, 2, load.0, &loading);
     assert_eq!(verdict, Verdict::Rejected(RejectReason::OldReading));
 }
 
 #[test]
-fn a_sender_cannot_abandon_what_was_shown() {
-    let (mut stream, a, b, load) = with_load(false);
+fn abandon_after_effect() {
+    let (mut stream, a, b, load) = stream_with_load(false);
     let loading = [resident("m1", Residency::Loading, 60, load)];
     stream.observe(b, "e1", false, 1, 1, load.0, &loading);
     let verdict = stream.settle_load(a, load, SettledAs::Abandoned, None);
--- a/crates/state/tests/snapshot_parts.rs
+++ b/crates/state/tests/snapshot_parts.rs
@@ -1,4 +1,4 @@
-//! Snapshots in parts, damaged and mixed, and fresh starts.
+//! Tests of snapshots in parts, damaged or mixed, and of fresh starts.
 
 mod common;
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn parts_of_two_writers_fit_together() {
+fn writers_combine() {
     let (section, state) = section();
     let payloads = payloads(&section);
     assert!(payloads.len() > 2);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_older_section_does_not_replace_a_newer_one() {
+fn newest_section_kept() {
     let (newer, _) = section();
     let older = Section::of_control(Lineage::default(), &ControlState::new());
     let mut catalog = SnapshotCatalog::new(Offset(0));
@@ -69,10 +69,10 @@
 }
 
 #[rstest]
-#[case::flipped(|bytes: &mut Vec<u8>| { let last = bytes.len() - 1; bytes[last] ^= 1; })]
-#[case::cut(|bytes: &mut Vec<u8>| { bytes.pop(); })]
+#[case::flipped_bit(|bytes: &mut Vec<u8>| { let last = bytes.len() - 1; bytes[last] ^= 1; })]
+#[case::truncated(|bytes: &mut Vec<u8>| { bytes.pop(); })]
 #[case::empty(|bytes: &mut Vec<u8>| bytes.clear())]
-fn a_damaged_part_is_passed_over(#[case] damage: fn(&mut Vec<u8>)) {
+fn damaged_part_skipped(#[case] damage: fn(&mut Vec<u8>)) {
     let (section, _) = section();
     let good = payloads(&section);
     let mut damaged = good.clone();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn another_format_is_named() {
+fn unsupported_format() {
     let mut payload = payloads(&section().0).remove(0);
     payload[0] = 99;
     let error = SnapshotRecord::decode(&payload).expect_err("the format is unknown");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_peer_gets_all_streams_in_one_snapshot() {
+fn peer_snapshot_complete() {
     let (section, state) = section();
     let table = ClaimTable::new(ClaimOptions::default());
     let mut snapshot = Snapshot::default();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn digests_travel_with_a_snapshot() {
+fn snapshot_keeps_digests() {
     let mut state = ControlState::new();
     for _ in 0..2_100 {
         state.apply(state.next_offset(), 1, b"noise");
@@ -153,11 +153,11 @@
     SnapshotRecord::of_fresh_start(&control(), fresh).encode()
 }
 
-/// Symptom: after a total loss two VMs go on from different states.
-/// Sequence: both find nothing and propose to start afresh at different offsets.
-/// Cause: each would take its own proposal for the state.
+/// Guards against two VMs that continue from different states after a total loss. Both find no
+/// state and propose fresh starts at different offsets. If each used its own proposal, they would
+/// differ.
 #[test]
-fn of_two_fresh_starts_the_first_counts() {
+fn first_start_wins() {
     let mut catalog = SnapshotCatalog::new(Offset(4));
     apply_all(&mut catalog, &[fresh(4, 100), fresh(4, 150)]);
     let newest = catalog.newest(&control()).expect("a fresh start counts");
@@ -165,13 +165,13 @@
         (newest.lineage, newest.next),
         (Lineage(Offset(4)), Offset(100))
     );
-    // A later loss is decided on in knowledge of the first.
+    // The proposer of the next fresh start has read the first one.
     apply_all(&mut catalog, &[fresh(6, 900)]);
     assert_eq!(catalog.lineage(&control()), Lineage(Offset(6)));
 }
 
 #[test]
-fn a_section_from_before_a_loss_does_not_count_after_it() {
+fn old_lineage_ignored() {
     let (section, _) = section();
     let mut catalog = SnapshotCatalog::new(Offset(0));
     apply_all(&mut catalog, &[fresh(0, 100)]);
@@ -183,14 +183,14 @@
 }
 
 #[test]
-fn a_fresh_start_whose_rivals_are_not_kept_is_not_judged() {
+fn unverifiable_start_ignored() {
     let mut catalog = SnapshotCatalog::new(Offset(7));
     apply_all(&mut catalog, &[fresh(6, 100)]);
     assert!(catalog.newest(&control()).is_none());
 }
 
 #[test]
-fn a_configuration_outlives_a_loss() {
+fn configuration_survives_loss() {
     let (_, state) = section();
     let fresh = ControlState::after_loss(Offset(500), Some(&state));
     assert_eq!(fresh.config(), state.config());
