--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-/// `Result` with this crate's [`Error`].
+/// `Result` with this crate's [`enum@Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Error at the start of a link or server.
