--- a/crates/admission/examples/admission_figures.rs
+++ b/crates/admission/examples/admission_figures.rs
@@ -1,5 +1,5 @@
-//! Prints the figures of docs/design/admission.md: a model of one target's queue, and the time
-//! that one decision takes on the machine at hand.
+//! Prints the figures of docs/design/admission.md: simulations of one target's queue, and the time
+//! that one decision takes on this machine.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -60,7 +60,8 @@
     }
 }
 
-/// Returns the policies to compare: the registered ones and the chosen one without its checks.
+/// Returns the policies to compare: the registered ones, and the earliest deadline without
+/// forecasts and limits.
 fn policies() -> Vec<(&'static str, Box<dyn AdmissionPolicy>)> {
     let unchecked = Options {
         fill: f64::INFINITY,
--- a/crates/admission/examples/slots_figures.rs
+++ b/crates/admission/examples/slots_figures.rs
@@ -1,5 +1,5 @@
-//! Prints the figures on slots over many VMs of docs/design/admission.md: several VMs with the
-//! chosen policy before one engine, whose reports lag. Compares ways to give a VM its slots.
+//! Prints the figures on slots over many VMs of docs/design/admission.md: several VMs that send to
+//! one engine with delayed load reports, with different rules for the number of slots of a VM.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
     Arrive { vm: usize, ticket: u64 },
 }
 
-/// `Bench` is some VMs before one engine.
+/// Simulation of some VMs that send to one engine.
 struct Bench {
     rule: SlotRule,
     slots: u32,
@@ -88,7 +88,7 @@
     share_of_slots(2 * view.total_slots, view.vm_rank, view.vm_count)
 }
 
-/// `Burst` is some requests that arrive at one VM at one moment.
+/// Requests that arrive at one VM at one time.
 #[derive(Clone, Copy)]
 struct Burst {
     at_ms: u64,
@@ -132,7 +132,7 @@
         .collect()
 }
 
-/// Returns twenty seconds of single requests that keep some slots busy.
+/// Returns single requests for twenty seconds, which keep some slots busy on average.
 fn steady(vms: usize, busy_slots: f64) -> Vec<Burst> {
     let gap_ms = RUN_MS as f64 / busy_slots;
     let count = (20_000.0 / gap_ms) as usize;
--- a/crates/admission/src/callers.rs
+++ b/crates/admission/src/callers.rs
@@ -1,4 +1,4 @@
-//! What each caller of one class uses of one target.
+//! Work of each caller in one class of one target.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 
 use crate::class_queue::Key;
 
-/// `Callers` keeps the work that each caller has waiting or running, and which caller has most.
+/// Work that each caller has waiting or running, and the caller with the most.
 #[derive(Debug, Default)]
 pub(crate) struct Callers {
     by_name: BTreeMap<CallerName, CallerUse>,
@@ -23,8 +23,8 @@
     waiting: BTreeSet<Key>,
 }
 
-/// `Weight` orders the callers that have requests waiting. Of callers with equal work the one with
-/// the newest request is the heaviest, so that the request that came last gives way.
+/// Sort key of the callers that have requests waiting: by their work, and by their newest request
+/// among callers with equal work, so that the last arrival is evicted first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Weight {
     work_ms: u64,
@@ -33,7 +33,7 @@
 }
 
 impl Callers {
-    /// Notes a request that waits.
+    /// Records a request that waits.
     pub(crate) fn wait(&mut self, caller: &CallerName, key: Key, work_ms: u64) {
         self.change(caller, |caller_use| {
             caller_use.work_ms += work_ms;
@@ -42,7 +42,7 @@
         self.work_ms += work_ms;
     }
 
-    /// Notes that a waiting request was started.
+    /// Records that a waiting request was started.
     pub(crate) fn start(&mut self, caller: &CallerName, key: Key) {
         self.change(caller, |caller_use| {
             caller_use.waiting.remove(&key);
@@ -50,7 +50,7 @@
         });
     }
 
-    /// Notes that a waiting request waits no more.
+    /// Records that a waiting request will not be started.
     pub(crate) fn leave(&mut self, caller: &CallerName, key: Key, work_ms: u64) {
         self.change(caller, |caller_use| {
             caller_use.waiting.remove(&key);
@@ -59,7 +59,7 @@
         self.work_ms -= work_ms;
     }
 
-    /// Notes that a running request ended.
+    /// Records that a running request ended.
     pub(crate) fn end(&mut self, caller: &CallerName, work_ms: u64) {
         self.change(caller, |caller_use| {
             caller_use.running -= 1;
@@ -68,14 +68,15 @@
         self.work_ms -= work_ms;
     }
 
-    /// Returns the caller that has most, and the request of it that has to start last.
+    /// Returns the caller with the most work, and its waiting request that must start last.
     pub(crate) fn heaviest(&self) -> Option<(&CallerName, Key)> {
         let heaviest = &self.by_weight.last()?.caller;
         let last = self.by_name.get(heaviest)?.waiting.last()?;
         Some((heaviest, *last))
     }
 
-    /// Returns whether the caller has more than an equal part while others have something too.
+    /// Returns whether the caller has more than an equal share of the work while other callers have
+    /// some.
     pub(crate) fn is_over_share(&self, caller: &CallerName) -> bool {
         let work_ms = self
             .by_name
@@ -85,7 +86,7 @@
         callers > 1 && work_ms.saturating_mul(callers) > self.work_ms
     }
 
-    /// Returns whether one caller has more than another.
+    /// Returns whether one caller has more work than another.
     pub(crate) fn is_heavier(&self, caller: &CallerName, other: &CallerName) -> bool {
         let work_ms = |caller| {
             self.by_name
--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -1,4 +1,4 @@
-//! The requests of one class that wait for one target.
+//! Waiting requests of one class at one target.
 
 use std::collections::BTreeMap;
 
@@ -11,30 +11,29 @@
 use crate::need::Need;
 use crate::run_estimate::RunEstimate;
 
-/// `Key` orders waiting requests by when they have to start.
+/// Sort key of waiting requests, by their latest start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Key {
-    /// The latest start that still meets the deadline.
+    /// Latest start that still meets the deadline.
     pub(crate) start_by_ms: u64,
-    /// The request.
+    /// Ticket of the request.
     pub(crate) ticket: Ticket,
 }
 
-/// `Waiting` is one request that waits.
+/// Waiting request.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    /// Its caller.
+    /// Caller of the request.
     pub(crate) caller: CallerName,
-    /// When it arrived.
+    /// Time of its arrival.
     pub(crate) arrived_ms: u64,
-    /// How long it was expected to run by its sender.
+    /// Run time that its sender expects, or zero if unknown.
     pub(crate) expected_ms: u64,
-    /// How long it will probably run.
+    /// Estimated run time.
     pub(crate) work_ms: u64,
 }
 
-/// `ClassQueue` holds the waiting requests of one class, earliest start first, with what is known
-/// of the class.
+/// Waiting requests of one class, earliest start first, and the measurements of the class.
 #[derive(Debug)]
 pub(crate) struct ClassQueue {
     pub(crate) class: ClassName,
@@ -65,8 +64,7 @@
         self.waiting.len()
     }
 
-    /// Returns how long a request of the class usually runs: the mean of those that wait, or of
-    /// those that ran if none waits.
+    /// Returns the mean run time of the waiting requests, or of the ended ones if none waits.
     pub(crate) fn typical_run_ms(&self) -> u64 {
         match self.waiting.len() as u64 {
             0 => self.run.mean_ms(),
@@ -79,12 +77,13 @@
         self.waiting.iter()
     }
 
-    /// Returns the request that has to start first.
+    /// Returns the request that must start first.
     pub(crate) fn head(&self) -> Option<Key> {
         self.waiting.first_key_value().map(|(key, _)| *key)
     }
 
-    /// Returns what has to be done before the last request starts, seen from a moment.
+    /// Returns the work before the start of the last request, and the time from `at_ms` to that
+    /// start.
     pub(crate) fn backlog(&self, at_ms: u64) -> Backlog {
         let Some((key, waiting)) = self.waiting.last_key_value() else {
             return Backlog::default();
@@ -95,19 +94,19 @@
         }
     }
 
-    /// Returns one waiting request.
+    /// Returns the waiting request with a key.
     pub(crate) fn get(&self, key: &Key) -> Option<&Waiting> {
         self.waiting.get(key)
     }
 
-    /// Adds a request.
+    /// Adds a waiting request.
     pub(crate) fn push(&mut self, key: Key, waiting: Waiting) {
         self.callers.wait(&waiting.caller, key, waiting.work_ms);
         self.work_ms += waiting.work_ms;
         self.waiting.insert(key, waiting);
     }
 
-    /// Takes a request out that will not start.
+    /// Removes a request that will not start.
     pub(crate) fn remove(&mut self, key: &Key) -> Option<Waiting> {
         let waiting = self.waiting.remove(key)?;
         self.work_ms -= waiting.work_ms;
@@ -115,7 +114,7 @@
         Some(waiting)
     }
 
-    /// Takes the request out that has to start first, and counts it as running.
+    /// Removes the request that must start first, and counts it as running.
     pub(crate) fn start_head(&mut self) -> Option<(Key, Waiting)> {
         let (key, waiting) = self.waiting.pop_first()?;
         self.work_ms -= waiting.work_ms;
@@ -124,7 +123,7 @@
         Some((key, waiting))
     }
 
-    /// Notes that a running request ended.
+    /// Records that a running request ended.
     pub(crate) fn end(&mut self, caller: &CallerName, work_ms: u64) {
         self.callers.end(caller, work_ms);
         self.running -= 1;
--- a/crates/admission/src/earliest_deadline.rs
+++ b/crates/admission/src/earliest_deadline.rs
@@ -1,4 +1,4 @@
-//! The chosen admission policy.
+//! Admission policy by earliest deadline, with a forecast of each request's start.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,12 +17,13 @@
 use crate::target::Place;
 use crate::target::Target;
 
-/// `EarliestDeadline` is the chosen admission policy.
+/// Admission policy that starts the request with the earliest deadline first, and refuses requests
+/// that a forecast shows to start too late.
 ///
-/// It lets a request wait only while a forecast says that it will start in time, and refuses it at
-/// the moment when that is no longer so. Each class of work may fill the slots that are not
-/// guaranteed to the other classes by their measured need. Where a class has more than fits, the
-/// caller with the most work in it gives way.
+/// A request waits only as long as the forecast lets it start in time, and is refused as soon as it
+/// does not. Each class may fill the slots that are not guaranteed to the other classes by their
+/// measured need. If a class has more work than fits, requests of the caller with the most work in
+/// it are evicted.
 #[derive(Debug)]
 pub struct EarliestDeadline {
     options: Options,
@@ -33,7 +34,7 @@
     last_ms: u64,
 }
 
-/// `Held` is where a request is that has been let in.
+/// Target and queue entry of a request that was admitted.
 #[derive(Clone, Debug)]
 struct Held {
     target: ModelName,
@@ -41,7 +42,7 @@
 }
 
 impl EarliestDeadline {
-    /// Returns the policy.
+    /// Returns the policy with the given tunables.
     pub fn new(options: Options) -> Self {
         Self {
             options,
@@ -54,13 +55,11 @@
     }
 
     fn arrive(&mut self, now_ms: u64, arrival: &Arrival, actions: &mut Vec<AdmissionAction>) {
-        // The gateway gives each request its own ticket. A ticket that came twice would make one
-        // request's end free the slot of another.
+        // The gateway gives each request its own ticket. With a repeated ticket, one request's end
+        // would free the slot of another.
         if self.tickets.contains_key(&arrival.ticket) {
             return;
         }
-        // The gateway gives each request its own ticket. A ticket that came twice would make one
-        // request's end free the slot of another.
         if self.tickets.contains_key(&arrival.ticket) {
             return;
         }
@@ -85,7 +84,7 @@
         self.check_arrival(now_ms, &arrival.target, place, actions);
     }
 
-    /// Refuses what does not fit now that a request has arrived: the request itself or others.
+    /// Refuses what does not fit after a request has arrived: the request itself or others.
     fn check_arrival(
         &mut self,
         now_ms: u64,
@@ -101,7 +100,7 @@
         self.trim(now_ms, name, actions);
     }
 
-    /// Refuses what some class has waiting beyond its capacity, as when that capacity has shrunk.
+    /// Evicts what a class has waiting beyond its capacity, for instance after that has shrunk.
     fn trim(&mut self, now_ms: u64, name: &ModelName, actions: &mut Vec<AdmissionAction>) {
         let options = self.options;
         let overfull = |target: &Target| overfull(now_ms, target, &options);
@@ -110,7 +109,7 @@
         }
     }
 
-    /// Refuses what can no longer be started in time.
+    /// Refuses the requests that can't be started in time any more.
     fn recheck(&mut self, now_ms: u64, name: &ModelName, actions: &mut Vec<AdmissionAction>) {
         let options = self.options;
         let Some(target) = self.targets.get(name) else {
@@ -126,8 +125,9 @@
         self.trim(now_ms, name, actions);
     }
 
-    /// Refuses the requests whose time ran out and starts those that may start. The order matters:
-    /// a request that is started too late takes a slot for an answer that nobody waits for.
+    /// Refuses the requests whose latest start has passed, and then starts those that may start. In
+    /// the other order, a request started too late would take a slot for an answer that nobody
+    /// waits for.
     fn dispatch(&mut self, now_ms: u64, name: &ModelName, actions: &mut Vec<AdmissionAction>) {
         let Some(target) = self.targets.get_mut(name) else {
             return;
@@ -157,7 +157,7 @@
         let Some(target) = self.targets.get_mut(&held.target) else {
             return;
         };
-        // A request that was started meanwhile is not withdrawn; its end is still to come.
+        // A request that was started meanwhile can't be withdrawn; its end is still to come.
         if !target.is_waiting(held.place) {
             return;
         }
@@ -194,7 +194,8 @@
     }
 }
 
-/// Returns a request that has to go for the one at `place` to fit, and why, or none if it fits.
+/// Returns a request that must be refused for the one at `place` to fit, and its refusal, or `None`
+/// if it fits.
 fn unfit(
     now_ms: u64,
     target: &Target,
@@ -223,7 +224,7 @@
     heaviest(target, place.class, excess_ms)
 }
 
-/// Returns the refusal of a request that is predicted to start late, by what makes it so.
+/// Returns the refusal of a request that the forecast starts too late.
 fn late(target: &Target, place: Place, late_ms: u64) -> Refusal {
     match target.class(place.class).len() {
         0 | 1 => refusals::too_short(late_ms),
@@ -231,13 +232,14 @@
     }
 }
 
-/// Returns a request that has to go because its class has more waiting than its capacity bears.
+/// Returns a request that must be evicted because its class has more work waiting than its capacity
+/// allows, and its refusal.
 fn overfull(now_ms: u64, target: &Target, options: &Options) -> Option<(Place, Refusal)> {
     let (class, excess_ms) = target.overfull(now_ms, options)?;
     heaviest(target, class, excess_ms)
 }
 
-/// Returns the last request of a class's heaviest caller, and why it goes.
+/// Returns the last request of the caller with the most work in a class, and its refusal.
 fn heaviest(target: &Target, class: usize, excess_ms: u64) -> Option<(Place, Refusal)> {
     let callers = &target.class(class).callers;
     let (caller, key) = callers.heaviest()?;
@@ -248,7 +250,7 @@
     Some((Place { class, key }, refusal))
 }
 
-/// Returns a request of a heavier caller that stands before the one at `place`.
+/// Returns a request before the one at `place` whose caller has more work, and its refusal.
 fn ahead_of(target: &Target, place: Place, late_ms: u64) -> Option<(Place, Refusal)> {
     let queue = target.class(place.class);
     let own = &queue.get(&place.key)?.caller;
--- a/crates/admission/src/errors.rs
+++ b/crates/admission/src/errors.rs
@@ -2,18 +2,18 @@
 
 use thiserror::Error;
 
-/// `Result` is the result of building a policy.
+/// Result of building a policy.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what building a policy can fail with.
+/// Error of building a policy.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// No policy of that name exists.
+    /// No policy has this name.
     #[error("unknown policy {name:?}, expected one of {known:?}")]
     UnknownPolicy {
-        /// The name that was asked for.
+        /// Name that was requested.
         name: String,
-        /// The names that exist.
+        /// Names of the existing policies.
         known: &'static [&'static str],
     },
 }
--- a/crates/admission/src/first_come.rs
+++ b/crates/admission/src/first_come.rs
@@ -1,5 +1,5 @@
-//! The plain baselines of admission: one queue a target, served in order of arrival or newest
-//! first.
+//! Admission policies without forecasts, as baselines for comparison: one queue per target, served
+//! in order of arrival or newest first.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 
 use crate::options::Options;
 
-/// `Order` is the order in which a plain queue is served.
+/// Order in which a queue is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// In order of arrival.
@@ -25,8 +25,9 @@
     NewestFirst,
 }
 
-/// `FirstCome` starts requests in order of arrival, or against it, and refuses one only when the
-/// queue is full or its deadline has passed. It is kept for comparison.
+/// Admission policy that starts requests in order of arrival or newest first, and refuses a request
+/// only if the queue is full or its deadline has passed. It is a baseline for comparison with
+/// [`EarliestDeadline`](crate::EarliestDeadline).
 #[derive(Debug)]
 pub struct FirstCome {
     options: Options,
@@ -44,7 +45,7 @@
 }
 
 impl FirstCome {
-    /// Returns the policy.
+    /// Returns the policy with the given tunables.
     pub fn new(options: Options, order: Order) -> Self {
         Self {
             options,
--- a/crates/admission/src/forecast.rs
+++ b/crates/admission/src/forecast.rs
@@ -1,4 +1,4 @@
-//! When the waiting requests will start, by playing the dispatch forward.
+//! Forecast of when the waiting requests will start, by simulating the dispatch.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,18 +8,18 @@
 use crate::class_queue::Key;
 use crate::lanes::Lanes;
 
-/// `Late` is a waiting request that will miss its deadline.
+/// Waiting request that will miss its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Late {
-    /// The place of its class.
+    /// Index of its class.
     pub(crate) class: usize,
-    /// Its key there.
+    /// Its key in the class's queue.
     pub(crate) key: Key,
-    /// By how much it will miss it.
+    /// Time by which it will start too late.
     pub(crate) late_ms: u64,
 }
 
-/// `Forecast` plays the dispatch of one target forward with the expected run times.
+/// Simulates the dispatch of one target with the expected run times.
 pub(crate) struct Forecast<'a> {
     lanes: Lanes<'a>,
     at_ms: u64,
@@ -29,8 +29,8 @@
 }
 
 impl<'a> Forecast<'a> {
-    /// Returns a forecast that begins at `at_ms`. `busy` holds, for each running request, when it
-    /// will end and the place of its class. Run times are multiplied by `run_factor`, and the
+    /// Returns a forecast that begins at `at_ms`. `busy` holds the expected end of each running
+    /// request and the index of its class. Run times are multiplied by `run_factor`, and the
     /// forecast ends after `starts` starts.
     pub(crate) fn new(
         lanes: Lanes<'a>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns when a waiting request will start, or none if that is beyond the forecast.
+    /// Returns when a waiting request will start, or `None` if that is beyond the forecast.
     pub(crate) fn start_of(mut self, ticket: Ticket) -> Option<u64> {
         loop {
             let lane = self.next_lane()?;
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Returns the waiting requests that will miss their deadlines. Requests that come after a late
-    /// one are judged as if that one had been refused.
+    /// Returns the waiting requests that will miss their deadlines. Requests after a late one are
+    /// simulated as if that one had been refused.
     pub(crate) fn late(mut self) -> Vec<Late> {
         let mut late = Vec::new();
         while let Some(lane) = self.next_lane() {
@@ -83,7 +83,7 @@
         late
     }
 
-    /// Moves on to the next moment at which a class may start a request.
+    /// Advances to the next time at which a class may start a request, and returns the class.
     fn next_lane(&mut self) -> Option<usize> {
         loop {
             self.free_ended();
--- a/crates/admission/src/lanes.rs
+++ b/crates/admission/src/lanes.rs
@@ -1,11 +1,11 @@
-//! Which class starts its next request: the rule that both dispatch and forecast follow.
+//! Rule for which class starts its next request, used by both dispatch and forecast.
 
 use crate::class_queue::ClassQueue;
 use crate::class_queue::Key;
 use crate::class_queue::Waiting;
 use crate::rates::ClassRate;
 
-/// `Lane` is one class as the rule sees it.
+/// State of one class to which the rule is applied: its queue, its running requests and its rate.
 pub(crate) struct Lane<'a> {
     waiting: Box<dyn Iterator<Item = (&'a Key, &'a Waiting)> + 'a>,
     head: Option<(Key, &'a Waiting)>,
@@ -16,7 +16,7 @@
     running: u32,
 }
 
-/// `Lanes` holds all classes of one target.
+/// State of all classes of one target.
 pub(crate) struct Lanes<'a> {
     lanes: Vec<Lane<'a>>,
     slots: u32,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Returns how much of its time the class already needs: of the time its head could wait, the
-    /// part that has passed, or of the time its backlog has left, the part that working it off at
-    /// the class's own rate takes. One means that it can't wait any longer.
+    /// Returns the share of its time that the class has already used: the larger one of the share
+    /// of its head's possible wait that has passed, and the share of its backlog's remaining time
+    /// that the backlog takes at the class's rate. At one, it can't wait any longer.
     ///
-    /// With the head's deadline alone, a class that can wait long would stand back until its whole
-    /// backlog is due at once, and then push out requests of other classes that had been let in.
+    /// By the head's deadline alone, a class that can wait long would wait until its whole backlog
+    /// is due at once, and then displace admitted requests of other classes.
     fn urgency(&self, now_ms: u64) -> Option<f64> {
         let (key, waiting) = self.head?;
         let waited_ms = now_ms.saturating_sub(waiting.arrived_ms) as f64;
@@ -54,9 +54,9 @@
         Some(head.max(backlog) * self.preference())
     }
 
-    /// Returns two for a class that needs no more than it is guaranteed, and one for others. Where
-    /// another class floods the target, its heads are always urgent; the rare requests of this
-    /// class would then start at the last moment or just after it.
+    /// Returns two for a class that needs no more than its guarantee, and one for others. Under a
+    /// flood of another class, whose heads are always urgent, the rare requests of this class would
+    /// otherwise start at the last moment or just after it.
     fn preference(&self) -> f64 {
         match self.rate.is_modest {
             true => 2.0,
@@ -77,7 +77,7 @@
 }
 
 impl<'a> Lanes<'a> {
-    /// Returns the classes of a target.
+    /// Returns the state of a target's classes.
     pub(crate) fn new(queues: &'a [ClassQueue], rates: &[ClassRate], slots: u32) -> Self {
         let classes = queues.iter().zip(rates);
         Self {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Returns the class that starts its next request while `busy` slots are taken, or none if no
-    /// class may: of those that may, the one that can wait least.
+    /// Returns the class that starts its next request while `busy` slots are taken: among those
+    /// that may start one, the most urgent. Returns `None` if no class may.
     pub(crate) fn pick(&self, now_ms: u64, busy: u32) -> Option<usize> {
         let may_start = |&lane: &usize| busy + self.kept_from(lane) < self.slots;
         let urgency = |lane: usize| Some((lane, self.lanes[lane].urgency(now_ms)?));
@@ -98,14 +98,14 @@
         most.map(|(lane, _)| lane)
     }
 
-    /// Takes the head of a class and counts it as running.
+    /// Removes the head of a class and counts it as running.
     pub(crate) fn start(&mut self, lane: usize) -> Option<(Key, &'a Waiting)> {
         let started = self.lanes[lane].advance()?;
         self.lanes[lane].running += 1;
         Some(started)
     }
 
-    /// Drops the head of a class.
+    /// Removes the head of a class.
     pub(crate) fn drop_head(&mut self, lane: usize) {
         self.lanes[lane].advance();
     }
@@ -121,10 +121,10 @@
         *running = running.saturating_sub(1);
     }
 
-    /// Returns the slots that a class must leave free for others. A request that runs longer than
-    /// another class can wait may not take the last slots which that class needs: no deadline order
-    /// helps once they are taken, and the other class's requests would all be refused until the
-    /// long one ends. At most half of the slots are kept free.
+    /// Returns the number of slots that a class must leave free for others. A request that runs
+    /// longer than another class can wait must not take the last slots that class needs: no order
+    /// by deadline helps once they are taken, and the other class's requests would all be refused
+    /// until the long one ends. At most half of the slots are reserved.
     fn kept_from(&self, lane: usize) -> u32 {
         let run_ms = self.lanes[lane]
             .head
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,9 @@
-//! Admission policies: which requests start, wait or are refused, by class target.
+//! Admission policies: decision on which requests start, wait or are refused, by the target time of
+//! their class.
 //!
 //! [`admission_policy`] builds a policy by its name. One policy serves one VM with all its targets
-//! and classes. All policies are pure: the time and the events come in, actions go out.
+//! and classes. The policies do no I/O: the time and the events are passed in, and actions are
+//! returned.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/admission/src/need.rs
+++ b/crates/admission/src/need.rs
@@ -1,24 +1,24 @@
-//! What each class needs of a target, as measured.
+//! Measured need of each class at a target.
 
 use crate::options::Options;
 
-/// The shortest time over which arrivals are taken to have come, so that the first one of a class
-/// does not make a rate of its own.
+/// Shortest time over which arrivals are averaged, so that the first arrival of a class does not
+/// count as a high rate.
 const MIN_OBSERVED_MS: u64 = 5_000;
 
-/// `Backlog` is the work that must be done before the last waiting request of a class starts, and
-/// the time left until that has to happen.
+/// Work before the start of the last waiting request of a class, and the remaining time until that
+/// start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Backlog {
-    /// The work.
+    /// Sum of the run times of the requests before it.
     pub(crate) work_ms: u64,
-    /// The time left.
+    /// Remaining time until its latest start.
     pub(crate) left_ms: u64,
 }
 
 impl Backlog {
-    /// Returns how long the work beyond a capacity takes: `rate` slots over the time left, of which
-    /// the part `fill` may be filled. Returns none if there is no such work.
+    /// Returns the time that `rate` slots need for the work beyond the capacity, of which the share
+    /// `fill` may be filled, or `None` if there is no such work.
     pub(crate) fn excess_ms(&self, rate: f64, fill: f64) -> Option<u64> {
         let needed_ms = self.work_ms as f64 / rate.max(f64::EPSILON);
         let excess_ms = needed_ms - self.left_ms as f64 * fill;
@@ -26,8 +26,8 @@
     }
 }
 
-/// `Need` measures how much work of one class is offered to one target, whether or not it is let
-/// in. An arrival counts half after each half-life.
+/// Measures the work of one class that arrives for one target, whether or not it is admitted. The
+/// weight of an arrival decays exponentially.
 #[derive(Debug, Default)]
 pub(crate) struct Need {
     first_ms: u64,
@@ -38,7 +38,7 @@
 }
 
 impl Need {
-    /// Takes in an arrival with its work and the time it can wait.
+    /// Records an arrival with its work and the time that it can wait.
     pub(crate) fn arrived(&mut self, now_ms: u64, work_ms: u64, wait_ms: u64, options: &Options) {
         self.offered_ms = self.faded_ms(now_ms, options) + work_ms as f64;
         self.at_ms = now_ms;
@@ -50,25 +50,26 @@
         self.horizon_ms += step * (wait_ms as f64 - self.horizon_ms);
     }
 
-    /// Returns the slots that the class needs: what is offered to it in the long run, or what it
-    /// takes to work off a backlog in the time that the backlog has left.
+    /// Returns the number of slots that the class needs: for its mean arriving work, or for its
+    /// backlog within the remaining time, whichever is larger.
     pub(crate) fn slots(&self, now_ms: u64, backlog: Backlog, options: &Options) -> f64 {
         let offered = self.faded_ms(now_ms, options) / self.observed_ms(now_ms, options);
         offered.max(backlog.work_ms as f64 / backlog.left_ms.max(1) as f64)
     }
 
-    /// Returns how long a request of the class can usually wait.
+    /// Returns the mean time that a request of the class can wait.
     pub(crate) fn horizon_ms(&self) -> u64 {
         self.horizon_ms as u64
     }
 
-    /// Returns whether a request of the class arrived lately.
+    /// Returns whether a request of the class arrived within [`Options::class_memory_ms`].
     pub(crate) fn is_recent(&self, now_ms: u64, options: &Options) -> bool {
         self.arrivals > 0 && now_ms.saturating_sub(self.at_ms) < options.class_memory_ms
     }
 
-    /// Returns the time over which the arrivals count. A class that has been seen for a short time
-    /// only would otherwise seem to need little, until a whole mean life has passed.
+    /// Returns the time over which the arrivals are averaged. It is shorter for a class that was
+    /// first seen a short time ago, whose need would otherwise be underestimated for a mean
+    /// lifetime.
     fn observed_ms(&self, now_ms: u64, options: &Options) -> f64 {
         let half_life_ms = options.need_half_life_ms.max(1) as f64;
         let mean_life_ms = half_life_ms / std::f64::consts::LN_2;
--- a/crates/admission/src/options.rs
+++ b/crates/admission/src/options.rs
@@ -1,42 +1,41 @@
 //! Tunables of the admission policies.
 
-/// `Options` holds the tunables of the admission policies.
+/// Tunables of the admission policies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// The most requests that wait on this VM, over all targets.
+    /// Largest number of requests that wait on this VM, over all targets.
     pub max_waiting: usize,
-    /// The most requests that wait for one target.
+    /// Largest number of requests that wait for one target.
     pub max_waiting_per_target: usize,
-    /// The time from a request's start to the beginning of its answer.
+    /// Time from a request's start to the beginning of its answer.
     pub begin_ms: u64,
-    /// The time that must be left for a request to wait while neither capacity nor a load is
-    /// decided for its target.
+    /// Least remaining time with which a request waits for a target that has neither slots nor a
+    /// scheduled load.
     pub min_undecided_ms: u64,
-    /// When to come back where no wait can be predicted.
+    /// Time after which to retry if no wait can be predicted.
     pub fallback_retry_ms: u64,
-    /// The slots assumed of a target that has not had any yet.
+    /// Number of slots assumed for a target that has never had any.
     pub cold_slots: u32,
-    /// The part of a class's capacity that new requests fill. The rest absorbs estimates that are
-    /// too low.
+    /// Share of a class's capacity that new requests may fill. The remainder absorbs run time
+    /// estimates that are too low.
     pub fill: f64,
-    /// How far the waiting requests of a class may exceed its capacity before some are refused
-    /// that had been let in.
+    /// Share of a class's capacity that admitted requests may fill before some of them are evicted.
     pub overfill: f64,
-    /// The part of the expected run times at which a request that was let in is given up: its
-    /// deadline is missed even if everything ahead runs that fast.
+    /// Factor on the expected run times in the forecast that decides whether an admitted request is
+    /// refused after all: its deadline would be missed even if all runs before it were that fast.
     pub hope: f64,
-    /// The starts that a forecast looks ahead. Beyond it, the class's capacity decides alone.
+    /// Number of starts that a forecast covers. Beyond these, the class's capacity alone decides.
     pub forecast_starts: usize,
-    /// The time in which an arrival loses half of its weight in its class's need.
+    /// Half-life of an arrival's weight in the measured need of its class.
     pub need_half_life_ms: u64,
-    /// How long after its last arrival a class still has slots kept free for it.
+    /// Time after its last arrival for which slots are reserved for a class.
     pub class_memory_ms: u64,
-    /// The weight of the last run in the estimates of run times.
+    /// Weight of the last run in the estimates of run times.
     pub run_weight: f64,
-    /// The part of its expected run time that a request is expected to go on for once that time is
-    /// over.
+    /// Share of its expected run time for which a request is expected to run on once that time has
+    /// passed.
     pub overdue: f64,
-    /// The time between two looks at the waiting requests.
+    /// Interval at which the waiting requests are checked.
     pub tick_ms: u64,
 }
 
--- a/crates/admission/src/rates.rs
+++ b/crates/admission/src/rates.rs
@@ -1,33 +1,33 @@
-//! What each class gets of a target's slots.
+//! Division of a target's slots among the classes.
 
-/// The slots by which a class's need is exceeded, for a need of one.
+/// Slots in excess of a class's need, per square root of the need.
 const STAFFING: f64 = 0.5;
 
-/// `ClassDemand` is what the sharing of slots looks at in a class.
+/// What the division of slots depends on in a class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassDemand {
-    /// The slots it needs, as measured.
+    /// Number of slots that it needs, as measured.
     pub(crate) need: f64,
-    /// Whether a request of it arrived lately.
+    /// Whether a request of it arrived within [`Options::class_memory_ms`](crate::Options).
     pub(crate) is_recent: bool,
-    /// How long a request of it can usually wait.
+    /// Mean time that a request of it can wait.
     pub(crate) horizon_ms: u64,
-    /// How long a request of it usually runs.
+    /// Mean run time of a request of it.
     pub(crate) run_ms: u64,
 }
 
-/// `ClassRate` is what a class gets of a target's slots.
+/// Part of a target's slots for a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ClassRate {
-    /// Whether it needs no more than it is guaranteed.
+    /// Whether it needs no more than its guarantee.
     pub(crate) is_modest: bool,
-    /// The slots it may fill: all that is not guaranteed to others.
+    /// Number of slots that it may fill: all that are not guaranteed to others.
     pub(crate) rate: f64,
-    /// The slots that are kept for it against requests which run longer than it can wait.
+    /// Number of slots reserved for it against requests that run longer than it can wait.
     pub(crate) kept_slots: u32,
 }
 
-/// Returns what each class gets.
+/// Returns the part of each class.
 pub(crate) fn class_rates(slots: u32, demands: &[ClassDemand]) -> Vec<ClassRate> {
     let capacity = f64::from(slots);
     let needs: Vec<f64> = demands
@@ -44,10 +44,10 @@
     demands.iter().zip(guaranteed).map(rate).collect()
 }
 
-/// Returns what a class needs, in whole slots where it can't wait for the runs of another class to
-/// end: half a slot is of no use to it while both halves are taken. The slots follow square-root
-/// staffing, because a class whose slots are all busy in the mean waits for them without bound. More
-/// than half of all slots is not set aside that way.
+/// Returns the need of a class, rounded up to whole slots if it can't wait for the runs of another
+/// class to end, since two halves of different slots don't help it. The number follows square-root
+/// staffing, because requests wait without bound if all slots of their class are busy on average.
+/// It is limited to half of all slots.
 fn whole_need(demand: &ClassDemand, all: &[ClassDemand], capacity: f64) -> f64 {
     let blocks = |other: &ClassDemand| other.run_ms > demand.horizon_ms;
     if !demand.is_recent || !all.iter().any(blocks) {
@@ -58,8 +58,8 @@
     demand.need.max(whole)
 }
 
-/// Returns what each class is guaranteed of `capacity`: its need, as long as that is below an equal
-/// part of what the classes with smaller needs leave over.
+/// Returns the guarantee of each class in `capacity`: its need, limited to an equal part of what
+/// the classes with smaller needs leave.
 fn guarantees(capacity: f64, needs: &[f64]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..needs.len()).collect();
     order.sort_by(|&left, &right| needs[left].total_cmp(&needs[right]));
--- a/crates/admission/src/registry.rs
+++ b/crates/admission/src/registry.rs
@@ -1,4 +1,4 @@
-//! Policies by name.
+//! Construction of policies by name.
 
 use apricotdale_core::policy::AdmissionPolicy;
 
@@ -9,14 +9,14 @@
 use crate::first_come::Order;
 use crate::options::Options;
 
-/// The names that [`admission_policy`] knows.
+/// Names that [`admission_policy`] accepts.
 pub const ADMISSION_POLICIES: &[&str] = &["earliest_deadline", "first_come", "newest_first"];
 
-/// Returns the admission policy of the given name.
+/// Returns the admission policy with the given name.
 ///
 /// # Errors
 ///
-/// [`Error::UnknownPolicy`] if the name is not one of [`ADMISSION_POLICIES`].
+/// Returns [`Error::UnknownPolicy`] if the name is not one of [`ADMISSION_POLICIES`].
 pub fn admission_policy(name: &str, options: Options) -> Result<Box<dyn AdmissionPolicy>> {
     match name {
         "earliest_deadline" => Ok(Box::new(EarliestDeadline::new(options))),
--- a/crates/admission/src/run_estimate.rs
+++ b/crates/admission/src/run_estimate.rs
@@ -1,10 +1,10 @@
-//! How long the requests of one class run at one target.
+//! Estimate of the run times of one class at one target.
 
-/// Runs after which the estimate follows `Options::run_weight`. Earlier runs weigh as in a plain
-/// mean.
+/// Number of runs up to which the estimate is a plain mean. After that, it is an exponential moving
+/// average with the weight [`Options::run_weight`](crate::Options::run_weight).
 const FIRST_RUNS: u32 = 8;
 
-/// `RunEstimate` corrects the expected run times by what was measured.
+/// Corrects the expected run times by the measured ones.
 #[derive(Debug, Default)]
 pub(crate) struct RunEstimate {
     runs: u32,
@@ -14,7 +14,7 @@
 }
 
 impl RunEstimate {
-    /// Takes in a run that ended.
+    /// Records a run that ended. `expected_ms` is zero if its sender did not expect a time.
     pub(crate) fn learn(&mut self, expected_ms: u64, ran_ms: u64, weight: f64) {
         self.runs = self.runs.saturating_add(1);
         let step = step_of(self.runs, weight);
@@ -27,8 +27,8 @@
         self.ratio += step_of(self.rated, weight) * (ratio - self.ratio);
     }
 
-    /// Returns how long a request will probably run, given what its sender expects: zero if that
-    /// is not known.
+    /// Returns the estimated run time of a request whose sender expects `expected_ms`, or zero if
+    /// the sender does not expect a time. It is at least one millisecond.
     pub(crate) fn work_ms(&self, expected_ms: u64) -> u64 {
         let work_ms = match expected_ms {
             0 => self.mean_ms,
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -1,39 +1,40 @@
-//! Each VM's share of a target's slots, so that a limit over all VMs needs no message a request.
+//! Shares of a target's slots per VM, which enforce a limit over all VMs without a message per
+//! request.
 //!
-//! Every VM works out its own share from the membership view and the engines' lagging reports. No
-//! VM asks another one. The engine queues what is sent beyond its slots; memory is not at stake.
+//! Every VM computes its own share from the membership view and the engines' delayed load reports.
+//! Requests beyond an engine's slots wait at the engine and take none of its memory for running
+//! requests.
 
-/// The part of the slots unused by others, as one over this number, that a VM takes on top of its
-/// share.
+/// Divisor of the slots unused by others, for the part that a VM takes in addition to its share.
 const LENT_PART: u32 = 2;
 
-/// `SlotView` is what a VM knows of a target's slots.
+/// One VM's view of a target's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotView {
-    /// The slots of all replicas of the target.
+    /// Number of slots of all replicas of the target.
     pub total_slots: u32,
-    /// This VM's rank for the target among all VMs, from zero. Ranks by rendezvous give the odd
-    /// slots of different targets to different VMs.
+    /// Rank of this VM for the target among all VMs, from zero. Ranks come from rendezvous hashing,
+    /// so that the remainder slots of different targets go to different VMs.
     pub vm_rank: u32,
-    /// The number of VMs.
+    /// Number of VMs.
     pub vm_count: u32,
-    /// The engines' load as last reported, or none if a report is missing, is old, or speaks of a
-    /// time before the replicas were loaded.
+    /// Load in the engines' last reports, or `None` if a report is missing, is old, or is from
+    /// before the replicas were loaded.
     pub report: Option<SlotReport>,
 }
 
-/// `SlotReport` is the reported use of a target's slots.
+/// Reported use of a target's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotReport {
-    /// Requests running and waiting at the engines.
+    /// Number of requests running and waiting at the engines.
     pub busy: u32,
-    /// How many of them this VM had sent.
+    /// Number of these requests that this VM had sent.
     pub own: u32,
 }
 
-/// Returns the slots of the VM of rank `vm_rank` among `vm_count` VMs. The shares of all ranks add
-/// up to `total_slots`, and no two differ by more than one. VMs of rank `total_slots` and above
-/// have none.
+/// Returns the slots of the VM with rank `vm_rank` among `vm_count` VMs. The shares of all ranks
+/// add up to `total_slots` and differ by at most one. VMs with rank `total_slots` and above have
+/// none.
 pub fn share_of_slots(total_slots: u32, vm_rank: u32, vm_count: u32) -> u32 {
     if vm_rank >= vm_count {
         return 0;
@@ -42,14 +43,16 @@
     total_slots / vm_count + u32::from(vm_rank < odd_slots)
 }
 
-/// Returns how many requests this VM may have in progress at a target: its share, half of what a
-/// fresh report shows as left unused by the others, and at least one if there is any slot.
+/// Returns the number of requests that this VM may have in progress at a target: its share, plus
+/// half of the slots that a recent report shows as unused by the others, and at least one if there
+/// is any slot.
 ///
-/// Without lending, a rarely called model would serve one VM's burst on that VM's share alone while
-/// the rest of its batch is idle. A VM whose share is zero, because there are fewer slots than VMs,
-/// still gets one: it has callers like any other, and no other VM knows of them. Over all VMs the
-/// requests in progress are at most `max(total_slots, vm_count)`, plus, within the lag of one
-/// report, half of the slots reported unused for each VM that uses them at that moment.
+/// Without the unused slots, a burst at one VM for a rarely called model would run on that VM's
+/// share alone while the rest of the batch is idle. A VM whose share is zero, because there are
+/// fewer slots than VMs, still gets one slot: it has callers like any other VM, and no other VM
+/// knows of them. Over all VMs, the requests in progress are at most `max(total_slots, vm_count)`,
+/// plus, within the delay of one report, half of the slots reported as unused for each VM that uses
+/// them at that time.
 pub fn vm_slots(view: &SlotView) -> u32 {
     if view.total_slots == 0 {
         return 0;
@@ -66,9 +69,9 @@
     (share + unused / LENT_PART).max(1)
 }
 
-/// Returns the slots of the VM at `index` when every VM's demand is known: requests waiting and in
-/// progress there. A VM that demands less than an equal part gets its demand, the others share what
-/// is left, and what nobody demands is shared out equally. The results of all VMs add up to
+/// Returns the slots of the VM at `index` if the demand of every VM is known: its requests waiting
+/// and in progress. A VM that demands less than an equal part gets its demand, the others share the
+/// remainder, and slots that no VM demands are distributed evenly. The results of all VMs add up to
 /// `total_slots`.
 pub fn share_by_demand(total_slots: u32, demands: &[u32], index: usize) -> u32 {
     if index >= demands.len() {
@@ -83,8 +86,8 @@
         shares[vm] = demands[vm].min(equal_part);
         rest -= shares[vm];
     }
-    // What is left is the rounding of the equal parts, which goes to those that still demand, or
-    // what nobody demands.
+    // What remains is either the rounding of the equal parts, which goes to the VMs that still
+    // demand slots, or slots that no VM demands.
     for &vm in order.iter().rev() {
         let missing = demands[vm].saturating_sub(shares[vm]).min(1).min(rest);
         shares[vm] += missing;
--- a/crates/admission/src/target.rs
+++ b/crates/admission/src/target.rs
@@ -1,4 +1,4 @@
-//! One target: its slots, its classes and what runs there.
+//! One target: its slots, and the waiting and running requests of its classes.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 use crate::rates::ClassRate;
 use crate::rates::class_rates;
 
-/// `Target` is a model or a service for which requests queue.
+/// Model or service for which requests queue.
 #[derive(Debug, Default)]
 pub(crate) struct Target {
     slots: u32,
@@ -29,12 +29,12 @@
     running: BTreeMap<Ticket, Running>,
 }
 
-/// `Place` is where a waiting request is.
+/// Position of a waiting request in the queues of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Place {
-    /// The place of its class.
+    /// Index of its class.
     pub(crate) class: usize,
-    /// Its key there.
+    /// Its key in the class's queue.
     pub(crate) key: Key,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Target {
-    /// Sets the slots, or when the first one is expected.
+    /// Sets the number of slots, and the time at which the first one is expected if there is none.
     pub(crate) fn set_capacity(&mut self, slots: u32, ready_at_ms: Option<u64>) {
         self.slots = slots;
         self.ready_at_ms = ready_at_ms;
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Returns whether neither slots nor a load are decided.
+    /// Returns whether the target has neither slots nor a scheduled load.
     pub(crate) fn is_undecided(&self) -> bool {
         self.slots == 0 && self.ready_at_ms.is_none()
     }
 
-    /// Returns the earliest moment by which a waiting request has to start.
+    /// Returns the earliest of the latest starts of the waiting requests.
     pub(crate) fn first_start_by_ms(&self) -> Option<u64> {
         let heads = self.classes.iter().filter_map(ClassQueue::head);
         heads.map(|head| head.start_by_ms).min()
@@ -73,23 +73,23 @@
         self.classes.iter().map(ClassQueue::len).sum()
     }
 
-    /// Returns the class at a place.
+    /// Returns the class with an index.
     pub(crate) fn class(&self, class: usize) -> &ClassQueue {
         &self.classes[class]
     }
 
-    /// Returns the places of all classes.
+    /// Returns the indices of all classes.
     pub(crate) fn class_places(&self) -> std::ops::Range<usize> {
         0..self.classes.len()
     }
 
-    /// Returns the place of the class with the most waiting requests.
+    /// Returns the index of the class with the most waiting requests.
     pub(crate) fn longest_queue(&self) -> Option<usize> {
         self.class_places()
             .max_by_key(|&class| self.classes[class].len())
     }
 
-    /// Adds a request to its class.
+    /// Adds a request to the queue of its class.
     pub(crate) fn push(&mut self, now_ms: u64, arrival: &Arrival, options: &Options) -> Place {
         let key = Key {
             start_by_ms: arrival.deadline_ms.saturating_sub(options.begin_ms),
@@ -110,7 +110,7 @@
         Place { class, key }
     }
 
-    /// Takes out a request that will not start.
+    /// Removes a request that will not start.
     pub(crate) fn remove(&mut self, place: Place) {
         self.classes[place.class].remove(&place.key);
     }
@@ -120,7 +120,7 @@
         self.classes[place.class].get(&place.key).is_some()
     }
 
-    /// Starts the requests that may start now and returns them.
+    /// Starts the requests that may start now, and returns them.
     pub(crate) fn dispatch(&mut self, now_ms: u64, options: &Options) -> Vec<Ticket> {
         let mut started = Vec::new();
         while let Some(class) = self.next_class(now_ms, options) {
@@ -140,7 +140,7 @@
         started
     }
 
-    /// Notes that a running request ended.
+    /// Records that a running request ended.
     pub(crate) fn end(&mut self, ticket: Ticket, ran_ms: u64, options: &Options) {
         let Some(running) = self.running.remove(&ticket) else {
             return;
@@ -152,7 +152,7 @@
             .learn(running.expected_ms, ran_ms, options.run_weight);
     }
 
-    /// Takes out the requests whose latest start has passed and returns them.
+    /// Removes the requests whose latest start has passed, and returns them.
     pub(crate) fn expire(&mut self, now_ms: u64) -> Vec<Ticket> {
         let mut expired = Vec::new();
         for queue in &mut self.classes {
@@ -164,15 +164,15 @@
         expired
     }
 
-    /// Returns when a waiting request will start if all run as long as expected, or none if that is
-    /// beyond the forecast.
+    /// Returns when a waiting request will start if all run as long as expected, or `None` if that
+    /// is beyond the forecast.
     pub(crate) fn start_of(&self, now_ms: u64, place: Place, options: &Options) -> Option<u64> {
         self.forecast(now_ms, 1.0, options)
             .start_of(place.key.ticket)
     }
 
-    /// Returns the waiting requests that will miss their deadlines even if all run in the hoped
-    /// part of the expected time.
+    /// Returns the waiting requests that will miss their deadlines even if all runs are shorter
+    /// than expected by [`Options::hope`].
     pub(crate) fn late(&self, now_ms: u64, options: &Options) -> Vec<Late> {
         if self.is_undecided() {
             return Vec::new();
@@ -180,10 +180,10 @@
         self.forecast(now_ms, options.hope, options).late()
     }
 
-    /// Returns how long a class would need to work off what it has beyond its capacity, or none if
-    /// it has no more than that or if the capacity is undecided. `fill` is the part of its capacity
-    /// that may be filled. A class with a single waiting request has no excess: what that request
-    /// waits for runs already, and the forecast knows it better.
+    /// Returns the time that a class needs for its work beyond its capacity, or `None` if there is
+    /// none or the capacity is undecided. `fill` is the share of its capacity that may be filled. A
+    /// class with a single waiting request has no excess: that request waits only for running ones,
+    /// which the forecast covers better.
     pub(crate) fn excess_ms(
         &self,
         now_ms: u64,
@@ -199,7 +199,7 @@
         backlogs[class].excess_ms(rates[class].rate, fill)
     }
 
-    /// Returns a class that has more than its capacity, with its excess as by
+    /// Returns a class that has more work than its capacity allows, and its excess as in
     /// [`excess_ms`](Self::excess_ms).
     pub(crate) fn overfull(&self, now_ms: u64, options: &Options) -> Option<(usize, u64)> {
         if self.is_undecided() || self.waiting() == 0 {
@@ -237,7 +237,7 @@
     fn forecast(&self, now_ms: u64, run_factor: f64, options: &Options) -> Forecast<'_> {
         let rates = self.rates(now_ms, &self.backlogs(now_ms, options), options);
         let lanes = Lanes::new(&self.classes, &rates, self.planned_slots(options));
-        // What still runs on a replica that is being lost takes no slot of the next one.
+        // Running requests of a replica that is being lost take no slot of its successor.
         let running = self.running.values().filter(|_| self.slots > 0);
         let busy = running.map(|running| {
             let end_ms = running.end_ms(now_ms, run_factor, options);
@@ -247,7 +247,7 @@
         Forecast::new(lanes, begin_ms, busy, run_factor, options.forecast_starts)
     }
 
-    /// Returns the slots that the target has, or will probably have once it is loaded.
+    /// Returns the number of slots that the target has, or will probably have once it is loaded.
     fn planned_slots(&self, options: &Options) -> u32 {
         match self.slots {
             0 => self.last_slots.unwrap_or(options.cold_slots).max(1),
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Returns the first moment at which a slot can be free.
+    /// Returns the earliest time at which a slot can be free.
     fn begin_ms(&self, now_ms: u64) -> u64 {
         match self.slots {
             0 => now_ms.max(self.ready_at_ms.unwrap_or_default()),
@@ -274,9 +274,9 @@
         class_rates(self.planned_slots(options), &demands)
     }
 
-    /// Returns each class's backlog with what is left of its running requests, as far as that falls
-    /// into the time that the backlog has left. Once a replica is lost, nothing that runs on it
-    /// takes from the capacity of the next one.
+    /// Returns each class's backlog, including the remaining work of its running requests as far as
+    /// it falls into the backlog's remaining time. Running requests of a lost replica take nothing
+    /// from the capacity of its successor.
     fn backlogs(&self, now_ms: u64, options: &Options) -> Vec<Backlog> {
         let begin_ms = self.begin_ms(now_ms);
         let waiting = self.classes.iter().map(|queue| queue.backlog(begin_ms));
@@ -291,8 +291,8 @@
 }
 
 impl Running {
-    /// Returns when the request will probably end, now at the earliest. One that has run for longer
-    /// than expected is taken to run on for a part of that time.
+    /// Returns when the request will probably end, which is not before now. A request that has run
+    /// for longer than expected is assumed to run on for a share of that time.
     fn end_ms(&self, now_ms: u64, run_factor: f64, options: &Options) -> u64 {
         let work_ms = self.work_ms as f64 * run_factor;
         let end_ms = self.started_ms + work_ms as u64;
--- a/crates/admission/tests/arrival_check.rs
+++ b/crates/admission/tests/arrival_check.rs
@@ -1,4 +1,4 @@
-//! What is let in, and what is refused at once.
+//! Requests that are admitted on arrival, and requests that are refused at once.
 
 use rstest::rstest;
 
@@ -20,7 +20,8 @@
     EarliestDeadline::new(Options::default())
 }
 
-/// Fills `slots` slots with requests that run for `run_ms`, and lets `waiting` more wait.
+/// Returns a policy with `slots` slots taken by requests that run for `run_ms`, and with `waiting`
+/// more waiting.
 fn filled(slots: u32, run_ms: u64, waiting: u64) -> EarliestDeadline {
     let mut policy = policy();
     policy.handle(0, capacity(slots, None));
@@ -102,9 +103,8 @@
     assert_eq!(refused_for(action), expected);
 }
 
-/// Symptom: a caller waits its whole target for a load that could never have been ready.
-/// Sequence: requests wait while the load is undecided; then the load's time becomes known.
-/// Cause: nobody compares the new time with the deadlines of those that already wait.
+/// Guards against keeping a request waiting for a load that turns out to be ready only after its
+/// deadline: a newly known time must be compared with the deadlines of those that wait already.
 #[test]
 fn a_load_that_is_too_late_refuses_those_that_wait() {
     let mut policy = policy();
@@ -119,9 +119,8 @@
     assert_eq!(actions, [AdmissionAction::Start(Ticket(2))]);
 }
 
-/// Symptom: a request that waits for a load is dropped, or refused only after its time.
-/// Sequence: nobody decides on the load until the request's time has run out.
-/// Cause: requests are judged only where a capacity is known.
+/// Guards against dropping a request, or refusing it only after its deadline, if no load is decided
+/// for its target until then.
 #[test]
 fn an_undecided_target_refuses_before_the_deadline() {
     let mut policy = policy();
@@ -142,9 +141,8 @@
     assert!(now_ms < 1_300, "{now_ms}");
 }
 
-/// Symptom: a caller that comes back when it was told to is refused again.
-/// Sequence: a request is refused with a time to come back; nothing else arrives; it comes back.
-/// Cause: the time was not worked out from the forecast that refused the request.
+/// Guards against refusing a request again that is retried exactly after the time given in its
+/// refusal, although nothing else has arrived.
 #[rstest]
 #[case::busy_slots(filled(2, 5_000, 0))]
 #[case::long_queue(filled(2, 5_000, 3))]
--- a/crates/admission/tests/class_shares.rs
+++ b/crates/admission/tests/class_shares.rs
@@ -1,4 +1,4 @@
-//! What a class may fill of a target's slots, by single events.
+//! Slots of a target that each class may fill, by single events.
 
 use apricotdale_admission::EarliestDeadline;
 use apricotdale_admission::Options;
@@ -32,7 +32,8 @@
     actions.iter().filter(of_range).count()
 }
 
-/// Returns the policy with two slots taken and as many re-plans waiting as it lets in.
+/// Returns the policy with two slots taken and as many re-plans waiting as it admits, and their
+/// number.
 fn full_of_replans() -> (EarliestDeadline, usize) {
     let mut policy = EarliestDeadline::new(Options::default());
     policy.handle(0, capacity(2, None));
@@ -53,10 +54,9 @@
     );
 }
 
-/// Symptom: re-plans that were let in are refused a minute later.
-/// Sequence: re-plans fill the queue for all slots; then quick answers arrive that need half of the
-/// slots.
-/// Cause: each class counts on all slots, and nothing is taken back when another class comes.
+/// Guards against refusing admitted re-plans only a minute after another class has arrived.
+/// Re-plans fill the queue for all slots. Quick requests that then need half of the slots must get
+/// their part at once.
 #[test]
 fn a_class_that_comes_later_gets_its_part_at_once() {
     let (mut policy, waiting) = full_of_replans();
--- a/crates/admission/tests/overload_goodput.rs
+++ b/crates/admission/tests/overload_goodput.rs
@@ -1,4 +1,4 @@
-//! What is answered in time when more arrives than fits, in a model of one queue.
+//! Requests answered in time under overload, in a simulation of one queue.
 
 use rstest::rstest;
 
@@ -42,9 +42,8 @@
     }
 }
 
-/// Symptom: in overload every caller waits its whole target and is refused at its end.
-/// Sequence: requests arrive at a multiple of what the slots can serve.
-/// Cause: requests are let in without a forecast of their wait.
+/// Guards against keeping requests waiting until their deadlines under overload, only to refuse
+/// them then: a forecast of the wait must refuse them on arrival.
 #[rstest]
 fn overload_is_refused_at_once_and_costs_no_goodput(#[values(1.5, 2.0, 4.0)] load: f64) {
     let offers = offers(11, &[quick("fyn", load * 16.0)]);
@@ -62,9 +61,8 @@
     assert!(outcome.most_running <= SLOTS as usize);
 }
 
-/// Symptom: as above, or the slots stand idle, although the estimates are at hand.
-/// Sequence: senders expect a third, or three times, of the real run time.
-/// Cause: expected run times are believed and never compared with the measured ones.
+/// Guards against believing expected run times that are a third, or three times, of the real ones:
+/// requests would wait and be refused late, or slots would be idle.
 #[rstest]
 fn wrong_expectations_are_corrected(#[values(0.3, 3.0)] factor: f64) {
     let source = Source {
@@ -79,9 +77,8 @@
     assert!(mean_wait_ms < 20, "{tally:?}");
 }
 
-/// Symptom: the re-plans of a night never come back while shops ask for stock all the time.
-/// Sequence: quick answers arrive at twice and more of the capacity, re-plans now and then.
-/// Cause: the order by deadline alone always prefers the quick ones.
+/// Guards against starving re-plans, whose deadlines are far away, by a constant overload of quick
+/// requests.
 #[rstest]
 fn a_flood_of_quick_answers_does_not_starve_replans(#[values(40.0, 100.0)] per_s: f64) {
     let offers = offers(13, &[quick("fyn", per_s), replan(0.1)]);
@@ -95,14 +92,14 @@
     assert!(quick.in_time >= 16 * 120 * 75 / 100, "{quick:?}");
 }
 
-/// Symptom: slot answers are refused for minutes although each takes half a second.
-/// Sequence: re-plans arrive at a multiple of the capacity and take every slot for eight seconds.
-/// Cause: no slot is left free for requests that can't wait for a long run to end.
+/// Guards against refusing quick requests for minutes while re-plans at a multiple of the capacity
+/// take every slot for eight seconds each: some slots must stay free for requests that can't wait
+/// for a long run to end.
 #[rstest]
 fn a_flood_of_replans_does_not_starve_quick_answers(#[values(4.0, 20.0)] per_s: f64) {
     let offers = offers(14, &[quick("fyn", 2.0), replan(per_s)]);
     let outcome = Model::play(chosen().as_mut(), &[(0, SLOTS, None)], &offers);
-    // Before the first quick request is seen, re-plans have taken every slot for one run.
+    // Until the first quick request has arrived, re-plans may have taken every slot for one run.
     let seen = |arrival: &Arrival| arrival.deadline_ms > 12_000 + 1_300;
     let quick = outcome.tally(&offers, |arrival| {
         arrival.class.as_str() == "quick" && seen(arrival)
@@ -112,9 +109,7 @@
     assert!(replans.in_time >= 8 * 120 / 8 * 75 / 100, "{replans:?}");
 }
 
-/// Symptom: one caller's batch job takes the answers of all others of its class.
-/// Sequence: one caller sends sixty requests a second, two others one or two.
-/// Cause: requests of a class are served without a look at whose they are.
+/// Guards against one caller whose batch job displaces the other callers of its class.
 #[test]
 fn a_caller_that_floods_gives_way_to_the_others() {
     let sources = [
@@ -143,9 +138,8 @@
     assert!(tally.in_time * 100 >= tally.offered * 98, "{tally:?}");
 }
 
-/// Symptom: requests wait to their deadlines for slots that are gone.
-/// Sequence: a replica is lost and most slots with it while re-plans wait.
-/// Cause: requests that had been let in are never judged again.
+/// Guards against keeping admitted requests waiting until their deadlines for slots that were lost
+/// with a replica.
 #[test]
 fn lost_slots_refuse_at_that_moment_what_no_longer_fits() {
     let offers = offers(17, &[replan(2.0)]);
--- a/crates/admission/tests/slot_shares.rs
+++ b/crates/admission/tests/slot_shares.rs
@@ -1,4 +1,4 @@
-//! Shares of slots over all VMs.
+//! Shares of a target's slots over all VMs.
 
 use rstest::rstest;
 
@@ -64,9 +64,8 @@
     assert_eq!(vm_slots(&view), expected);
 }
 
-/// Symptom: an engine's batch is filled several times over by VMs that each believe it is free.
-/// Sequence: the engine is loaded, no report of it has come yet, and every VM has callers waiting.
-/// Cause: each VM takes all slots for its own.
+/// Guards against VMs that together fill an engine's batch several times over. Before the first
+/// report of a newly loaded engine, each VM could otherwise take all slots for itself.
 #[rstest]
 fn without_reports_all_vms_together_keep_to_the_limit(
     #[values(1, 6, 9, 410)] vm_count: u32,
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small model of one target's queue: seeded arrivals, a policy and slots that run requests.
+//! Simulation of one target's queue: seeded arrivals, a policy, and slots that run requests.
 
 #![allow(dead_code)]
 
@@ -21,12 +21,12 @@
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
 
-/// The model's time after which something must have gone wrong.
+/// Simulated time after which the simulation must have ended.
 const LONGEST_RUN_MS: u64 = 3_600_000;
 
 pub const MODEL: &str = "planner-lm";
 
-/// `Source` is a steady source of requests.
+/// Source of requests at a constant mean rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Source {
     pub class: &'static str,
@@ -39,7 +39,7 @@
     pub to_ms: u64,
 }
 
-/// `Offer` is one request with the time it really takes.
+/// Request with its real run time.
 #[derive(Clone, Debug)]
 pub struct Offer {
     pub at_ms: u64,
@@ -47,14 +47,14 @@
     pub run_ms: u64,
 }
 
-/// `Fate` is what became of one request.
+/// Decision on one request.
 #[derive(Clone, Debug)]
 pub enum Fate {
     Started(u64),
     Refused(u64, Refusal),
 }
 
-/// `Tally` counts what became of some requests.
+/// Counts over some requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub offered: u32,
@@ -68,7 +68,7 @@
     pub by_reason: BTreeMap<RefusalReason, u32>,
 }
 
-/// `Outcome` is one run of the model.
+/// Result of one simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub fates: BTreeMap<Ticket, Fate>,
@@ -76,7 +76,7 @@
     pub most_waiting: usize,
 }
 
-/// Returns one arrival.
+/// Returns a quick request for the target.
 pub fn arrival(ticket: u64, deadline_ms: u64, expected_run_ms: u64) -> Arrival {
     Arrival {
         ticket: Ticket(ticket),
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns a capacity event for the model.
+/// Returns a capacity event for the target.
 pub fn capacity(slots: u32, ready_at_ms: Option<u64>) -> AdmissionEvent {
     AdmissionEvent::Capacity {
         target: ModelName::new(MODEL),
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns the arrivals of some sources, with random gaps and run times.
+/// Returns the requests of some sources, with random gaps and run times.
 pub fn offers(seed: u64, sources: &[Source]) -> Vec<Offer> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut offers = Vec::new();
@@ -136,7 +136,7 @@
     }
 }
 
-/// `Model` plays a policy against offers.
+/// Simulation of a policy.
 pub struct Model<'a> {
     policy: &'a mut dyn AdmissionPolicy,
     run_ms: BTreeMap<Ticket, u64>,
@@ -146,7 +146,8 @@
 }
 
 impl<'a> Model<'a> {
-    /// Plays all offers to their end. `capacities` are moments with a slot count and a promise.
+    /// Simulates all offers to their end. `capacities` are times with a number of slots and the
+    /// time at which the first slot is expected.
     pub fn play(
         policy: &'a mut dyn AdmissionPolicy,
         capacities: &[(u64, u32, Option<u64>)],
@@ -218,7 +219,7 @@
 }
 
 impl Outcome {
-    /// Counts the offers for which `of` holds.
+    /// Counts over the offers for which `of` holds.
     pub fn tally(&self, offers: &[Offer], of: impl Fn(&Arrival) -> bool) -> Tally {
         let mut tally = Tally::default();
         for offer in offers.iter().filter(|offer| of(&offer.arrival)) {
@@ -244,19 +245,19 @@
         tally
     }
 
-    /// Counts the offers of one class.
+    /// Counts over the offers of one class.
     pub fn of_class(&self, offers: &[Offer], class: &str) -> Tally {
         self.tally(offers, |arrival| arrival.class.as_str() == class)
     }
 
-    /// Counts the offers of one caller.
+    /// Counts over the offers of one caller.
     pub fn of_caller(&self, offers: &[Offer], caller: &str) -> Tally {
         self.tally(offers, |arrival| arrival.caller.as_str() == caller)
     }
 }
 
 impl Outcome {
-    /// Counts the refusals within a span of time.
+    /// Returns the number of refusals within a span of time.
     pub fn refused_between(&self, from_ms: u64, to_ms: u64) -> usize {
         let refused = self.fates.values().filter(|fate| match fate {
             Fate::Refused(at_ms, _) => (from_ms..to_ms).contains(at_ms),
