--- a/crates/admission/examples/admission_figures.rs
+++ b/crates/admission/examples/admission_figures.rs
@@ -16,10 +16,10 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use support::Model;
+use support::Counts;
 use support::Offer;
+use support::Simulation;
 use support::Source;
-use support::Tally;
 use support::arrival;
 use support::capacity;
 use support::offers;
@@ -84,32 +84,32 @@
 fn compare(title: &str, offers: &[Offer], name_of: fn(&Arrival) -> &str) {
     let names: BTreeSet<&str> = offers.iter().map(|offer| name_of(&offer.arrival)).collect();
     for (policy_name, mut policy) in policies() {
-        let outcome = Model::play(policy.as_mut(), &[(0, SLOTS, None)], offers);
+        let outcome = Simulation::run(policy.as_mut(), &[(0, SLOTS, None)], offers);
         for name in &names {
-            let tally = outcome.tally(offers, |arrival| name_of(arrival) == *name);
-            print_line(&format!("{title} | {policy_name} | {name}"), tally);
+            let counts = outcome.counts(offers, |arrival| name_of(arrival) == *name);
+            print_line(&format!("{title} | {policy_name} | {name}"), counts);
         }
     }
 }
 
-fn print_line(title: &str, mut tally: Tally) {
-    tally.waits_to_start_ms.sort_unstable();
-    let waits = &tally.waits_to_start_ms;
+fn print_line(title: &str, mut counts: Counts) {
+    counts.waits_to_start_ms.sort_unstable();
+    let waits = &counts.waits_to_start_ms;
     let at = |part: usize| waits.get(waits.len() * part / 100).copied().unwrap_or(0);
     println!(
         "{title} | offered {} | in time {} | late {} | refused {}, {} of them after the deadline, \
          after {} ms in the mean and {} ms at most | waits p50 {} p95 {} p99 {} ms | {:?}",
-        tally.offered,
-        tally.in_time,
-        tally.late,
-        tally.refused,
-        tally.refused_after_deadline,
-        tally.waits_for_refusal_ms / u64::from(tally.refused.max(1)),
-        tally.longest_wait_for_refusal_ms,
+        counts.offered,
+        counts.in_time,
+        counts.late,
+        counts.refused,
+        counts.refused_after_deadline,
+        counts.waits_for_refusal_ms / u64::from(counts.refused.max(1)),
+        counts.longest_wait_for_refusal_ms,
         at(50),
         at(95),
         at(99),
-        tally.by_reason,
+        counts.by_reason,
     );
 }
 
@@ -167,12 +167,15 @@
         let mut policy = admission_policy(name, options).expect("a known policy");
         policy.handle(0, capacity(32, None));
         for ticket in 0..waiting + 32 {
-            policy.handle(0, AdmissionEvent::Arrived(long(ticket)));
+            policy.handle(0, AdmissionEvent::Arrived(long_deadline_arrival(ticket)));
         }
         let begun = Instant::now();
         for round in 0..ROUNDS {
             let ticket = Ticket(round);
-            policy.handle(round, AdmissionEvent::Arrived(long(waiting + 32 + round)));
+            policy.handle(
+                round,
+                AdmissionEvent::Arrived(long_deadline_arrival(waiting + 32 + round)),
+            );
             policy.handle(
                 round,
                 AdmissionEvent::Ended {
@@ -186,7 +189,7 @@
     }
 }
 
-fn long(ticket: u64) -> Arrival {
+fn long_deadline_arrival(ticket: u64) -> Arrival {
     let mut arrival = arrival(ticket, 10_000_000 + ticket, 500);
     arrival.caller = CallerName::new(format!("caller-{}", ticket % 50));
     arrival
--- a/crates/admission/examples/slots_figures.rs
+++ b/crates/admission/examples/slots_figures.rs
@@ -25,7 +25,7 @@
 
 const TARGET_MS: u64 = 1_300;
 const RUN_MS: u64 = 500;
-const REPORT_EVERY_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 1_000;
 const REPORT_LAG_MS: u64 = 2_000;
 const WARM_AT_MS: u64 = 5_000;
 
@@ -41,7 +41,7 @@
 }
 
 /// Simulation of some VMs that send to one engine.
-struct Bench {
+struct SlotSimulation {
     rule: SlotRule,
     slots: u32,
     policies: Vec<Box<dyn AdmissionPolicy>>,
@@ -68,12 +68,15 @@
     for (vms, slots) in [(7, 8), (9, 32), (410, 32)] {
         for (title, bursts) in bursts(vms, slots) {
             for (name, rule) in rules {
-                let mut bench = Bench::new(vms, slots, rule);
-                bench.play(&bursts);
+                let mut simulation = SlotSimulation::new(vms, slots, rule);
+                simulation.run(&bursts);
                 println!(
                     "{vms} VMs, {slots} slots | {title} | {name} | {} in time, {} late, {} \
                      refused | longest queue at the engine {}",
-                    bench.in_time, bench.late, bench.refused, bench.longest_queue
+                    simulation.in_time,
+                    simulation.late,
+                    simulation.refused,
+                    simulation.longest_queue
                 );
             }
         }
@@ -144,7 +147,7 @@
     (0..count).map(burst).collect()
 }
 
-impl Bench {
+impl SlotSimulation {
     fn new(vms: usize, slots: u32, rule: SlotRule) -> Self {
         let policy = || admission_policy("earliest_deadline", Options::default());
         Self {
@@ -165,7 +168,7 @@
         }
     }
 
-    fn play(&mut self, bursts: &[Burst]) {
+    fn run(&mut self, bursts: &[Burst]) {
         let mut ticket = 0;
         for Burst {
             at_ms,
@@ -179,7 +182,7 @@
                 ticket += 1;
             }
         }
-        self.tell_slots(WARM_AT_MS, None);
+        self.set_slots(WARM_AT_MS, None);
         self.events.push(Reverse((WARM_AT_MS, Event::Measure)));
         while let Some(Reverse((now_ms, event))) = self.events.pop() {
             self.handle(now_ms, event);
@@ -200,14 +203,14 @@
                 let read_ms = now_ms + REPORT_LAG_MS;
                 self.events.push(Reverse((read_ms, Event::Report { busy })));
                 self.events
-                    .push(Reverse((now_ms + REPORT_EVERY_MS, Event::Measure)));
+                    .push(Reverse((now_ms + REPORT_INTERVAL_MS, Event::Measure)));
             }
             Event::Measure => {}
-            Event::Report { busy } => self.tell_slots(now_ms, Some(busy)),
+            Event::Report { busy } => self.set_slots(now_ms, Some(busy)),
         }
     }
 
-    fn tell_slots(&mut self, now_ms: u64, busy: Option<u32>) {
+    fn set_slots(&mut self, now_ms: u64, busy: Option<u32>) {
         for vm in 0..self.policies.len() {
             let own = self.in_progress[vm];
             let view = SlotView {
--- a/crates/admission/src/callers.rs
+++ b/crates/admission/src/callers.rs
@@ -11,13 +11,13 @@
 /// Work that each caller has waiting or running, and the caller with the most.
 #[derive(Debug, Default)]
 pub(crate) struct Callers {
-    by_name: BTreeMap<CallerName, CallerUse>,
-    by_weight: BTreeSet<Weight>,
+    by_name: BTreeMap<CallerName, CallerWork>,
+    by_load: BTreeSet<CallerLoad>,
     work_ms: u64,
 }
 
 #[derive(Debug, Default)]
-struct CallerUse {
+struct CallerWork {
     work_ms: u64,
     running: u32,
     waiting: BTreeSet<Key>,
@@ -26,7 +26,7 @@
 /// Sort key of the callers that have requests waiting: by their work, and by their newest request
 /// among callers with equal work, so that the last arrival is evicted first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Weight {
+struct CallerLoad {
     work_ms: u64,
     newest: Ticket,
     caller: CallerName,
@@ -34,45 +34,45 @@
 
 impl Callers {
     /// Records a request that waits.
-    pub(crate) fn wait(&mut self, caller: &CallerName, key: Key, work_ms: u64) {
-        self.change(caller, |caller_use| {
-            caller_use.work_ms += work_ms;
-            caller_use.waiting.insert(key);
+    pub(crate) fn add_waiting(&mut self, caller: &CallerName, key: Key, work_ms: u64) {
+        self.update(caller, |caller_work| {
+            caller_work.work_ms += work_ms;
+            caller_work.waiting.insert(key);
         });
         self.work_ms += work_ms;
     }
 
     /// Records that a waiting request was started.
-    pub(crate) fn start(&mut self, caller: &CallerName, key: Key) {
-        self.change(caller, |caller_use| {
-            caller_use.waiting.remove(&key);
-            caller_use.running += 1;
+    pub(crate) fn record_start(&mut self, caller: &CallerName, key: Key) {
+        self.update(caller, |caller_work| {
+            caller_work.waiting.remove(&key);
+            caller_work.running += 1;
         });
     }
 
     /// Records that a waiting request will not be started.
-    pub(crate) fn leave(&mut self, caller: &CallerName, key: Key, work_ms: u64) {
-        self.change(caller, |caller_use| {
-            caller_use.waiting.remove(&key);
-            caller_use.work_ms -= work_ms;
+    pub(crate) fn remove_waiting(&mut self, caller: &CallerName, key: Key, work_ms: u64) {
+        self.update(caller, |caller_work| {
+            caller_work.waiting.remove(&key);
+            caller_work.work_ms -= work_ms;
         });
         self.work_ms -= work_ms;
     }
 
     /// Records that a running request ended.
-    pub(crate) fn end(&mut self, caller: &CallerName, work_ms: u64) {
-        self.change(caller, |caller_use| {
-            caller_use.running -= 1;
-            caller_use.work_ms -= work_ms;
+    pub(crate) fn record_end(&mut self, caller: &CallerName, work_ms: u64) {
+        self.update(caller, |caller_work| {
+            caller_work.running -= 1;
+            caller_work.work_ms -= work_ms;
         });
         self.work_ms -= work_ms;
     }
 
     /// Returns the caller with the most work, and its waiting request that must start last.
-    pub(crate) fn heaviest(&self) -> Option<(&CallerName, Key)> {
-        let heaviest = &self.by_weight.last()?.caller;
-        let last = self.by_name.get(heaviest)?.waiting.last()?;
-        Some((heaviest, *last))
+    pub(crate) fn most_loaded(&self) -> Option<(&CallerName, Key)> {
+        let most_loaded = &self.by_load.last()?.caller;
+        let last = self.by_name.get(most_loaded)?.waiting.last()?;
+        Some((most_loaded, *last))
     }
 
     /// Returns whether the caller has more than an equal share of the work while other callers have
@@ -81,40 +81,40 @@
         let work_ms = self
             .by_name
             .get(caller)
-            .map_or(0, |caller_use| caller_use.work_ms);
+            .map_or(0, |caller_work| caller_work.work_ms);
         let callers = self.by_name.len() as u64;
         callers > 1 && work_ms.saturating_mul(callers) > self.work_ms
     }
 
     /// Returns whether one caller has more work than another.
-    pub(crate) fn is_heavier(&self, caller: &CallerName, other: &CallerName) -> bool {
+    pub(crate) fn has_more_work(&self, caller: &CallerName, other: &CallerName) -> bool {
         let work_ms = |caller| {
             self.by_name
                 .get(caller)
-                .map_or(0, |used: &CallerUse| used.work_ms)
+                .map_or(0, |used: &CallerWork| used.work_ms)
         };
         work_ms(caller) > work_ms(other)
     }
 
-    fn change(&mut self, caller: &CallerName, change: impl FnOnce(&mut CallerUse)) {
-        let mut caller_use = self.by_name.remove(caller).unwrap_or_default();
-        if let Some(weight) = caller_use.weight(caller) {
-            self.by_weight.remove(&weight);
+    fn update(&mut self, caller: &CallerName, update: impl FnOnce(&mut CallerWork)) {
+        let mut caller_work = self.by_name.remove(caller).unwrap_or_default();
+        if let Some(load) = caller_work.load(caller) {
+            self.by_load.remove(&load);
         }
-        change(&mut caller_use);
-        if let Some(weight) = caller_use.weight(caller) {
-            self.by_weight.insert(weight);
+        update(&mut caller_work);
+        if let Some(load) = caller_work.load(caller) {
+            self.by_load.insert(load);
         }
-        if caller_use.running > 0 || !caller_use.waiting.is_empty() {
-            self.by_name.insert(caller.clone(), caller_use);
+        if caller_work.running > 0 || !caller_work.waiting.is_empty() {
+            self.by_name.insert(caller.clone(), caller_work);
         }
     }
 }
 
-impl CallerUse {
-    fn weight(&self, caller: &CallerName) -> Option<Weight> {
+impl CallerWork {
+    fn load(&self, caller: &CallerName) -> Option<CallerLoad> {
         let newest = self.waiting.last()?.ticket;
-        Some(Weight {
+        Some(CallerLoad {
             work_ms: self.work_ms,
             newest,
             caller: caller.clone(),
--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -101,7 +101,8 @@
 
     /// Adds a waiting request.
     pub(crate) fn push(&mut self, key: Key, waiting: Waiting) {
-        self.callers.wait(&waiting.caller, key, waiting.work_ms);
+        self.callers
+            .add_waiting(&waiting.caller, key, waiting.work_ms);
         self.work_ms += waiting.work_ms;
         self.waiting.insert(key, waiting);
     }
@@ -110,7 +111,8 @@
     pub(crate) fn remove(&mut self, key: &Key) -> Option<Waiting> {
         let waiting = self.waiting.remove(key)?;
         self.work_ms -= waiting.work_ms;
-        self.callers.leave(&waiting.caller, *key, waiting.work_ms);
+        self.callers
+            .remove_waiting(&waiting.caller, *key, waiting.work_ms);
         Some(waiting)
     }
 
@@ -118,14 +120,14 @@
     pub(crate) fn start_head(&mut self) -> Option<(Key, Waiting)> {
         let (key, waiting) = self.waiting.pop_first()?;
         self.work_ms -= waiting.work_ms;
-        self.callers.start(&waiting.caller, key);
+        self.callers.record_start(&waiting.caller, key);
         self.running += 1;
         Some((key, waiting))
     }
 
     /// Records that a running request ended.
     pub(crate) fn end(&mut self, caller: &CallerName, work_ms: u64) {
-        self.callers.end(caller, work_ms);
+        self.callers.record_end(caller, work_ms);
         self.running -= 1;
     }
 }
--- a/crates/admission/src/earliest_deadline.rs
+++ b/crates/admission/src/earliest_deadline.rs
@@ -14,7 +14,7 @@
 
 use crate::options::Options;
 use crate::refusals;
-use crate::target::Place;
+use crate::target::QueueEntry;
 use crate::target::Target;
 
 /// Admission policy that starts the request with the earliest deadline first, and refuses requests
@@ -28,17 +28,17 @@
 pub struct EarliestDeadline {
     options: Options,
     targets: BTreeMap<ModelName, Target>,
-    tickets: HashMap<Ticket, Held>,
-    waited_for: BTreeSet<ModelName>,
+    admitted_by_ticket: HashMap<Ticket, Admitted>,
+    targets_with_waiting: BTreeSet<ModelName>,
     waiting: usize,
     last_ms: u64,
 }
 
 /// Target and queue entry of a request that was admitted.
 #[derive(Clone, Debug)]
-struct Held {
+struct Admitted {
     target: ModelName,
-    place: Place,
+    entry: QueueEntry,
 }
 
 impl EarliestDeadline {
@@ -47,8 +47,8 @@
         Self {
             options,
             targets: BTreeMap::new(),
-            tickets: HashMap::new(),
-            waited_for: BTreeSet::new(),
+            admitted_by_ticket: HashMap::new(),
+            targets_with_waiting: BTreeSet::new(),
             waiting: 0,
             last_ms: 0,
         }
@@ -57,10 +57,10 @@
     fn arrive(&mut self, now_ms: u64, arrival: &Arrival, actions: &mut Vec<AdmissionAction>) {
         // The gateway gives each request its own ticket. With a repeated ticket, one request's end
         // would free the slot of another.
-        if self.tickets.contains_key(&arrival.ticket) {
+        if self.admitted_by_ticket.contains_key(&arrival.ticket) {
             return;
         }
-        if self.tickets.contains_key(&arrival.ticket) {
+        if self.admitted_by_ticket.contains_key(&arrival.ticket) {
             return;
         }
         let mut refuse = |refusal| actions.push(AdmissionAction::Refuse(arrival.ticket, refusal));
@@ -72,16 +72,16 @@
             return refuse(refusals::overloaded(self.options.fallback_retry_ms));
         }
         let target = self.targets.entry(arrival.target.clone()).or_default();
-        let place = target.push(now_ms, arrival, &self.options);
-        let held = Held {
+        let entry = target.push(now_ms, arrival, &self.options);
+        let admitted = Admitted {
             target: arrival.target.clone(),
-            place,
+            entry,
         };
-        self.tickets.insert(arrival.ticket, held);
+        self.admitted_by_ticket.insert(arrival.ticket, admitted);
         self.waiting += 1;
-        self.waited_for.insert(arrival.target.clone());
+        self.targets_with_waiting.insert(arrival.target.clone());
         self.dispatch(now_ms, &arrival.target, actions);
-        self.check_arrival(now_ms, &arrival.target, place, actions);
+        self.check_arrival(now_ms, &arrival.target, entry, actions);
     }
 
     /// Refuses what does not fit after a request has arrived: the request itself or others.
@@ -89,23 +89,23 @@
         &mut self,
         now_ms: u64,
         name: &ModelName,
-        place: Place,
+        entry: QueueEntry,
         actions: &mut Vec<AdmissionAction>,
     ) {
         let options = self.options;
-        let unfit = |target: &Target| unfit(now_ms, target, place, &options);
-        while let Some((victim, refusal)) = self.targets.get(name).and_then(unfit) {
-            self.refuse(name, victim, refusal, actions);
+        let eviction_to_fit = |target: &Target| eviction_to_fit(now_ms, target, entry, &options);
+        while let Some((evicted, refusal)) = self.targets.get(name).and_then(eviction_to_fit) {
+            self.refuse(name, evicted, refusal, actions);
         }
-        self.trim(now_ms, name, actions);
+        self.evict_excess(now_ms, name, actions);
     }
 
     /// Evicts what a class has waiting beyond its capacity, for instance after that has shrunk.
-    fn trim(&mut self, now_ms: u64, name: &ModelName, actions: &mut Vec<AdmissionAction>) {
+    fn evict_excess(&mut self, now_ms: u64, name: &ModelName, actions: &mut Vec<AdmissionAction>) {
         let options = self.options;
-        let overfull = |target: &Target| overfull(now_ms, target, &options);
-        while let Some((victim, refusal)) = self.targets.get(name).and_then(overfull) {
-            self.refuse(name, victim, refusal, actions);
+        let eviction_for_excess = |target: &Target| eviction_for_excess(now_ms, target, &options);
+        while let Some((evicted, refusal)) = self.targets.get(name).and_then(eviction_for_excess) {
+            self.refuse(name, evicted, refusal, actions);
         }
     }
 
@@ -116,13 +116,13 @@
             return;
         };
         for late in target.late(now_ms, &options) {
-            let victim = Place {
+            let evicted = QueueEntry {
                 class: late.class,
                 key: late.key,
             };
-            self.refuse(name, victim, refusals::too_short(late.late_ms), actions);
+            self.refuse(name, evicted, refusals::too_short(late.late_ms), actions);
         }
-        self.trim(now_ms, name, actions);
+        self.evict_excess(now_ms, name, actions);
     }
 
     /// Refuses the requests whose latest start has passed, and then starts those that may start. In
@@ -136,97 +136,98 @@
         let started = target.dispatch(now_ms, &self.options);
         self.waiting -= started.len();
         for ticket in expired {
-            self.forget_waiting(&ticket);
+            self.remove_waiting(&ticket);
             actions.push(AdmissionAction::Refuse(ticket, refusals::passed()));
         }
         actions.extend(started.into_iter().map(AdmissionAction::Start));
-        self.note_waiting(name);
+        self.update_targets_with_waiting(name);
     }
 
     fn end(&mut self, ticket: Ticket, ran_ms: u64) -> Option<ModelName> {
-        let held = self.tickets.remove(&ticket)?;
-        let target = self.targets.get_mut(&held.target)?;
+        let admitted = self.admitted_by_ticket.remove(&ticket)?;
+        let target = self.targets.get_mut(&admitted.target)?;
         target.end(ticket, ran_ms, &self.options);
-        Some(held.target)
+        Some(admitted.target)
     }
 
     fn withdraw(&mut self, ticket: Ticket) {
-        let Some(held) = self.tickets.get(&ticket).cloned() else {
+        let Some(admitted) = self.admitted_by_ticket.get(&ticket).cloned() else {
             return;
         };
-        let Some(target) = self.targets.get_mut(&held.target) else {
+        let Some(target) = self.targets.get_mut(&admitted.target) else {
             return;
         };
         // A request that was started meanwhile can't be withdrawn; its end is still to come.
-        if !target.is_waiting(held.place) {
+        if !target.is_waiting(admitted.entry) {
             return;
         }
-        target.remove(held.place);
-        self.forget_waiting(&ticket);
-        self.note_waiting(&held.target);
+        target.remove(admitted.entry);
+        self.remove_waiting(&ticket);
+        self.update_targets_with_waiting(&admitted.target);
     }
 
     fn refuse(
         &mut self,
         name: &ModelName,
-        victim: Place,
+        evicted: QueueEntry,
         refusal: Refusal,
         actions: &mut Vec<AdmissionAction>,
     ) {
         if let Some(target) = self.targets.get_mut(name) {
-            target.remove(victim);
+            target.remove(evicted);
         }
-        self.forget_waiting(&victim.key.ticket);
-        actions.push(AdmissionAction::Refuse(victim.key.ticket, refusal));
-        self.note_waiting(name);
+        self.remove_waiting(&evicted.key.ticket);
+        actions.push(AdmissionAction::Refuse(evicted.key.ticket, refusal));
+        self.update_targets_with_waiting(name);
     }
 
-    fn forget_waiting(&mut self, ticket: &Ticket) {
-        self.tickets.remove(ticket);
+    fn remove_waiting(&mut self, ticket: &Ticket) {
+        self.admitted_by_ticket.remove(ticket);
         self.waiting -= 1;
     }
 
-    fn note_waiting(&mut self, name: &ModelName) {
+    fn update_targets_with_waiting(&mut self, name: &ModelName) {
         let waiting = self.targets.get(name).map_or(0, Target::waiting);
         if waiting == 0 {
-            self.waited_for.remove(name);
+            self.targets_with_waiting.remove(name);
         }
     }
 }
 
-/// Returns a request that must be refused for the one at `place` to fit, and its refusal, or `None`
+/// Returns a request that must be refused for the one at `entry` to fit, and its refusal, or `None`
 /// if it fits.
-fn unfit(
+fn eviction_to_fit(
     now_ms: u64,
     target: &Target,
-    place: Place,
+    entry: QueueEntry,
     options: &Options,
-) -> Option<(Place, Refusal)> {
-    let start_by_ms = place.key.start_by_ms;
-    if !target.is_waiting(place) {
+) -> Option<(QueueEntry, Refusal)> {
+    let start_by_ms = entry.key.start_by_ms;
+    if !target.is_waiting(entry) {
         return None;
     }
     if target.waiting() > options.max_waiting_per_target {
-        return heaviest(target, target.longest_queue()?, options.fallback_retry_ms);
+        return eviction_of_most_loaded(target, target.longest_queue()?, options.fallback_retry_ms);
     }
     if target.is_undecided() {
         let too_short = start_by_ms < now_ms + options.min_undecided_ms;
-        return too_short.then(|| (place, refusals::undecided(options.fallback_retry_ms)));
+        return too_short.then(|| (entry, refusals::undecided(options.fallback_retry_ms)));
     }
-    let start_ms = target.start_of(now_ms, place, options);
+    let start_ms = target.start_ms_of(now_ms, entry, options);
     let late_ms = start_ms.map_or(0, |start_ms| start_ms.saturating_sub(start_by_ms));
     if late_ms > 0 {
         return Some(
-            ahead_of(target, place, late_ms).unwrap_or((place, late(target, place, late_ms))),
+            eviction_before(target, entry, late_ms)
+                .unwrap_or((entry, late(target, entry, late_ms))),
         );
     }
-    let excess_ms = target.excess_ms(now_ms, place.class, options.fill, options)?;
-    heaviest(target, place.class, excess_ms)
+    let excess_ms = target.excess_ms(now_ms, entry.class, options.fill, options)?;
+    eviction_of_most_loaded(target, entry.class, excess_ms)
 }
 
 /// Returns the refusal of a request that the forecast starts too late.
-fn late(target: &Target, place: Place, late_ms: u64) -> Refusal {
-    match target.class(place.class).len() {
+fn late(target: &Target, entry: QueueEntry, late_ms: u64) -> Refusal {
+    match target.class(entry.class).len() {
         0 | 1 => refusals::too_short(late_ms),
         _ => refusals::overloaded(late_ms),
     }
@@ -234,33 +235,45 @@
 
 /// Returns a request that must be evicted because its class has more work waiting than its capacity
 /// allows, and its refusal.
-fn overfull(now_ms: u64, target: &Target, options: &Options) -> Option<(Place, Refusal)> {
-    let (class, excess_ms) = target.overfull(now_ms, options)?;
-    heaviest(target, class, excess_ms)
+fn eviction_for_excess(
+    now_ms: u64,
+    target: &Target,
+    options: &Options,
+) -> Option<(QueueEntry, Refusal)> {
+    let (class, excess_ms) = target.excess_class(now_ms, options)?;
+    eviction_of_most_loaded(target, class, excess_ms)
 }
 
 /// Returns the last request of the caller with the most work in a class, and its refusal.
-fn heaviest(target: &Target, class: usize, excess_ms: u64) -> Option<(Place, Refusal)> {
+fn eviction_of_most_loaded(
+    target: &Target,
+    class: usize,
+    excess_ms: u64,
+) -> Option<(QueueEntry, Refusal)> {
     let callers = &target.class(class).callers;
-    let (caller, key) = callers.heaviest()?;
+    let (caller, key) = callers.most_loaded()?;
     let refusal = match callers.is_over_share(caller) {
         true => refusals::over_share(excess_ms),
         false => refusals::overloaded(excess_ms),
     };
-    Some((Place { class, key }, refusal))
+    Some((QueueEntry { class, key }, refusal))
 }
 
-/// Returns a request before the one at `place` whose caller has more work, and its refusal.
-fn ahead_of(target: &Target, place: Place, late_ms: u64) -> Option<(Place, Refusal)> {
-    let queue = target.class(place.class);
-    let own = &queue.get(&place.key)?.caller;
-    let (caller, key) = queue.callers.heaviest()?;
-    let ahead = key < place.key && queue.callers.is_heavier(caller, own);
-    let victim = Place {
-        class: place.class,
+/// Returns a request before the one at `entry` whose caller has more work, and its refusal.
+fn eviction_before(
+    target: &Target,
+    entry: QueueEntry,
+    late_ms: u64,
+) -> Option<(QueueEntry, Refusal)> {
+    let queue = target.class(entry.class);
+    let own = &queue.get(&entry.key)?.caller;
+    let (caller, key) = queue.callers.most_loaded()?;
+    let ahead = key < entry.key && queue.callers.has_more_work(caller, own);
+    let evicted = QueueEntry {
+        class: entry.class,
         key,
     };
-    ahead.then(|| (victim, refusals::over_share(late_ms)))
+    ahead.then(|| (evicted, refusals::over_share(late_ms)))
 }
 
 impl AdmissionPolicy for EarliestDeadline {
@@ -286,7 +299,7 @@
                 self.recheck(now_ms, &target, &mut actions);
             }
             AdmissionEvent::Tick => {
-                for name in self.waited_for.clone() {
+                for name in self.targets_with_waiting.clone() {
                     self.dispatch(now_ms, &name, &mut actions);
                     self.recheck(now_ms, &name, &mut actions);
                 }
@@ -297,7 +310,7 @@
 
     fn next_tick_ms(&self) -> Option<u64> {
         let targets = self
-            .waited_for
+            .targets_with_waiting
             .iter()
             .filter_map(|name| self.targets.get(name));
         let first_ms = targets.filter_map(Target::first_start_by_ms).min()?;
--- a/crates/admission/src/forecast.rs
+++ b/crates/admission/src/forecast.rs
@@ -10,7 +10,7 @@
 
 /// Waiting request that will miss its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Late {
+pub(crate) struct LateRequest {
     /// Index of its class.
     pub(crate) class: usize,
     /// Its key in the class's queue.
@@ -49,7 +49,7 @@
     }
 
     /// Returns when a waiting request will start, or `None` if that is beyond the forecast.
-    pub(crate) fn start_of(mut self, ticket: Ticket) -> Option<u64> {
+    pub(crate) fn start_ms_of(mut self, ticket: Ticket) -> Option<u64> {
         loop {
             let lane = self.next_lane()?;
             let key = self.start(lane)?;
@@ -61,7 +61,7 @@
 
     /// Returns the waiting requests that will miss their deadlines. Requests after a late one are
     /// simulated as if that one had been refused.
-    pub(crate) fn late(mut self) -> Vec<Late> {
+    pub(crate) fn late(mut self) -> Vec<LateRequest> {
         let mut late = Vec::new();
         while let Some(lane) = self.next_lane() {
             let Some(key) = self.lanes.head(lane) else {
@@ -69,7 +69,7 @@
             };
             if self.at_ms > key.start_by_ms {
                 self.lanes.drop_head(lane);
-                late.push(Late {
+                late.push(LateRequest {
                     class: lane,
                     key,
                     late_ms: self.at_ms - key.start_by_ms,
@@ -86,7 +86,7 @@
     /// Advances to the next time at which a class may start a request, and returns the class.
     fn next_lane(&mut self) -> Option<usize> {
         loop {
-            self.free_ended();
+            self.end_finished();
             let busy = self.busy.len() as u32;
             if let Some(lane) = self.lanes.pick(self.at_ms, busy) {
                 return Some(lane);
@@ -96,7 +96,7 @@
         }
     }
 
-    fn free_ended(&mut self) {
+    fn end_finished(&mut self) {
         while let Some(&Reverse((ends_at_ms, lane))) = self.busy.peek() {
             if ends_at_ms > self.at_ms {
                 break;
--- a/crates/admission/src/lanes.rs
+++ b/crates/admission/src/lanes.rs
@@ -46,8 +46,8 @@
     fn urgency(&self, now_ms: u64) -> Option<f64> {
         let (key, waiting) = self.head?;
         let waited_ms = now_ms.saturating_sub(waiting.arrived_ms) as f64;
-        let could_wait_ms = key.start_by_ms.saturating_sub(waiting.arrived_ms);
-        let head = waited_ms / could_wait_ms.max(1) as f64;
+        let max_wait_ms = key.start_by_ms.saturating_sub(waiting.arrived_ms);
+        let head = waited_ms / max_wait_ms.max(1) as f64;
         let backlog_ms = self.backlog_ms as f64 / self.rate.rate.max(f64::EPSILON);
         let left_ms = self.tail_start_by_ms.saturating_sub(now_ms);
         let backlog = backlog_ms / left_ms.max(1) as f64;
@@ -58,7 +58,7 @@
     /// flood of another class, whose heads are always urgent, the rare requests of this class would
     /// otherwise start at the last moment or just after it.
     fn preference(&self) -> f64 {
-        match self.rate.is_modest {
+        match self.rate.is_within_guarantee {
             true => 2.0,
             false => 1.0,
         }
@@ -91,11 +91,11 @@
     /// Returns the class that starts its next request while `busy` slots are taken: among those
     /// that may start one, the most urgent. Returns `None` if no class may.
     pub(crate) fn pick(&self, now_ms: u64, busy: u32) -> Option<usize> {
-        let may_start = |&lane: &usize| busy + self.kept_from(lane) < self.slots;
+        let may_start = |&lane: &usize| busy + self.slots_kept_for_others(lane) < self.slots;
         let urgency = |lane: usize| Some((lane, self.lanes[lane].urgency(now_ms)?));
         let urgent = (0..self.lanes.len()).filter(may_start).filter_map(urgency);
-        let most = urgent.max_by(|left, right| left.1.total_cmp(&right.1));
-        most.map(|(lane, _)| lane)
+        let most_urgent = urgent.max_by(|left, right| left.1.total_cmp(&right.1));
+        most_urgent.map(|(lane, _)| lane)
     }
 
     /// Removes the head of a class and counts it as running.
@@ -125,14 +125,14 @@
     /// longer than another class can wait must not take the last slots that class needs: no order
     /// by deadline helps once they are taken, and the other class's requests would all be refused
     /// until the long one ends. At most half of the slots are reserved.
-    fn kept_from(&self, lane: usize) -> u32 {
+    fn slots_kept_for_others(&self, lane: usize) -> u32 {
         let run_ms = self.lanes[lane]
             .head
             .map_or(0, |(_, waiting)| waiting.work_ms);
         let others = self.lanes.iter().enumerate();
         let kept: u32 = others
-            .filter(|(other, contender)| *other != lane && contender.horizon_ms < run_ms)
-            .map(|(_, contender)| contender.missing_slots())
+            .filter(|(other, other_lane)| *other != lane && other_lane.horizon_ms < run_ms)
+            .map(|(_, other_lane)| other_lane.missing_slots())
             .sum();
         kept.min(self.slots / 2)
     }
--- a/crates/admission/src/need.rs
+++ b/crates/admission/src/need.rs
@@ -40,7 +40,7 @@
 impl Need {
     /// Records an arrival with its work and the time that it can wait.
     pub(crate) fn arrived(&mut self, now_ms: u64, work_ms: u64, wait_ms: u64, options: &Options) {
-        self.offered_ms = self.faded_ms(now_ms, options) + work_ms as f64;
+        self.offered_ms = self.decayed_ms(now_ms, options) + work_ms as f64;
         self.at_ms = now_ms;
         if self.arrivals == 0 {
             self.first_ms = now_ms;
@@ -53,7 +53,7 @@
     /// Returns the number of slots that the class needs: for its mean arriving work, or for its
     /// backlog within the remaining time, whichever is larger.
     pub(crate) fn slots(&self, now_ms: u64, backlog: Backlog, options: &Options) -> f64 {
-        let offered = self.faded_ms(now_ms, options) / self.observed_ms(now_ms, options);
+        let offered = self.decayed_ms(now_ms, options) / self.observed_ms(now_ms, options);
         offered.max(backlog.work_ms as f64 / backlog.left_ms.max(1) as f64)
     }
 
@@ -62,9 +62,9 @@
         self.horizon_ms as u64
     }
 
-    /// Returns whether a request of the class arrived within [`Options::class_memory_ms`].
+    /// Returns whether a request of the class arrived within [`Options::class_ttl_ms`].
     pub(crate) fn is_recent(&self, now_ms: u64, options: &Options) -> bool {
-        self.arrivals > 0 && now_ms.saturating_sub(self.at_ms) < options.class_memory_ms
+        self.arrivals > 0 && now_ms.saturating_sub(self.at_ms) < options.class_ttl_ms
     }
 
     /// Returns the time over which the arrivals are averaged. It is shorter for a class that was
@@ -77,7 +77,7 @@
         mean_life_ms * (1.0 - 0.5_f64.powf(age_ms / half_life_ms))
     }
 
-    fn faded_ms(&self, now_ms: u64, options: &Options) -> f64 {
+    fn decayed_ms(&self, now_ms: u64, options: &Options) -> f64 {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         self.offered_ms * 0.5_f64.powf(elapsed_ms / options.need_half_life_ms.max(1) as f64)
     }
--- a/crates/admission/src/options.rs
+++ b/crates/admission/src/options.rs
@@ -15,7 +15,7 @@
     /// Time after which to retry if no wait can be predicted.
     pub fallback_retry_ms: u64,
     /// Number of slots assumed for a target that has never had any.
-    pub cold_slots: u32,
+    pub cold_start_slots: u32,
     /// Share of a class's capacity that new requests may fill. The remainder absorbs run time
     /// estimates that are too low.
     pub fill: f64,
@@ -23,18 +23,18 @@
     pub overfill: f64,
     /// Factor on the expected run times in the forecast that decides whether an admitted request is
     /// refused after all: its deadline would be missed even if all runs before it were that fast.
-    pub hope: f64,
+    pub optimistic_run_factor: f64,
     /// Number of starts that a forecast covers. Beyond these, the class's capacity alone decides.
     pub forecast_starts: usize,
     /// Half-life of an arrival's weight in the measured need of its class.
     pub need_half_life_ms: u64,
     /// Time after its last arrival for which slots are reserved for a class.
-    pub class_memory_ms: u64,
+    pub class_ttl_ms: u64,
     /// Weight of the last run in the estimates of run times.
     pub run_weight: f64,
     /// Share of its expected run time for which a request is expected to run on once that time has
     /// passed.
-    pub overdue: f64,
+    pub overrun_share: f64,
     /// Interval at which the waiting requests are checked.
     pub tick_ms: u64,
 }
@@ -47,15 +47,15 @@
             begin_ms: 20,
             min_undecided_ms: 100,
             fallback_retry_ms: 1_000,
-            cold_slots: 4,
+            cold_start_slots: 4,
             fill: 0.9,
             overfill: 1.1,
-            hope: 0.5,
+            optimistic_run_factor: 0.5,
             forecast_starts: 64,
             need_half_life_ms: 30_000,
-            class_memory_ms: 300_000,
+            class_ttl_ms: 300_000,
             run_weight: 0.1,
-            overdue: 0.25,
+            overrun_share: 0.25,
             tick_ms: 50,
         }
     }
--- a/crates/admission/src/rates.rs
+++ b/crates/admission/src/rates.rs
@@ -1,14 +1,14 @@
 //! Division of a target's slots among the classes.
 
 /// Slots in excess of a class's need, per square root of the need.
-const STAFFING: f64 = 0.5;
+const STAFFING_FACTOR: f64 = 0.5;
 
 /// What the division of slots depends on in a class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassDemand {
     /// Number of slots that it needs, as measured.
     pub(crate) need: f64,
-    /// Whether a request of it arrived within [`Options::class_memory_ms`](crate::Options).
+    /// Whether a request of it arrived within [`Options::class_ttl_ms`](crate::Options).
     pub(crate) is_recent: bool,
     /// Mean time that a request of it can wait.
     pub(crate) horizon_ms: u64,
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ClassRate {
     /// Whether it needs no more than its guarantee.
-    pub(crate) is_modest: bool,
+    pub(crate) is_within_guarantee: bool,
     /// Number of slots that it may fill: all that are not guaranteed to others.
     pub(crate) rate: f64,
     /// Number of slots reserved for it against requests that run longer than it can wait.
@@ -32,14 +32,14 @@
     let capacity = f64::from(slots);
     let needs: Vec<f64> = demands
         .iter()
-        .map(|demand| whole_need(demand, demands, capacity))
+        .map(|demand| whole_slots_needed(demand, demands, capacity))
         .collect();
     let guaranteed = guarantees(capacity, &needs);
     let spare = (capacity - guaranteed.iter().sum::<f64>()).max(0.0);
-    let rate = |(demand, own): (&ClassDemand, f64)| ClassRate {
-        is_modest: demand.need <= own,
-        rate: own + spare,
-        kept_slots: kept_slots(demand, own, slots),
+    let rate = |(demand, guaranteed): (&ClassDemand, f64)| ClassRate {
+        is_within_guarantee: demand.need <= guaranteed,
+        rate: guaranteed + spare,
+        kept_slots: kept_slots(demand, guaranteed, slots),
     };
     demands.iter().zip(guaranteed).map(rate).collect()
 }
@@ -48,12 +48,12 @@
 /// class to end, since two halves of different slots don't help it. The number follows square-root
 /// staffing, because requests wait without bound if all slots of their class are busy on average.
 /// It is limited to half of all slots.
-fn whole_need(demand: &ClassDemand, all: &[ClassDemand], capacity: f64) -> f64 {
-    let blocks = |other: &ClassDemand| other.run_ms > demand.horizon_ms;
-    if !demand.is_recent || !all.iter().any(blocks) {
+fn whole_slots_needed(demand: &ClassDemand, all: &[ClassDemand], capacity: f64) -> f64 {
+    let runs_too_long = |other: &ClassDemand| other.run_ms > demand.horizon_ms;
+    if !demand.is_recent || !all.iter().any(runs_too_long) {
         return demand.need;
     }
-    let staffed = demand.need + STAFFING * demand.need.sqrt();
+    let staffed = demand.need + STAFFING_FACTOR * demand.need.sqrt();
     let whole = staffed.ceil().max(1.0).min(capacity / 2.0);
     demand.need.max(whole)
 }
@@ -64,11 +64,11 @@
     let mut order: Vec<usize> = (0..needs.len()).collect();
     order.sort_by(|&left, &right| needs[left].total_cmp(&needs[right]));
     let mut guarantees = vec![0.0; needs.len()];
-    let mut rest = capacity;
-    for (done, &class) in order.iter().enumerate() {
-        let equal_part = rest / (needs.len() - done) as f64;
+    let mut remaining = capacity;
+    for (assigned, &class) in order.iter().enumerate() {
+        let equal_part = remaining / (needs.len() - assigned) as f64;
         guarantees[class] = needs[class].min(equal_part);
-        rest -= guarantees[class];
+        remaining -= guarantees[class];
     }
     guarantees
 }
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -6,7 +6,7 @@
 //! requests.
 
 /// Divisor of the slots unused by others, for the part that a VM takes in addition to its share.
-const LENT_PART: u32 = 2;
+const LENT_DIVISOR: u32 = 2;
 
 /// One VM's view of a target's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,8 +39,8 @@
     if vm_rank >= vm_count {
         return 0;
     }
-    let odd_slots = total_slots % vm_count;
-    total_slots / vm_count + u32::from(vm_rank < odd_slots)
+    let remainder_slots = total_slots % vm_count;
+    total_slots / vm_count + u32::from(vm_rank < remainder_slots)
 }
 
 /// Returns the number of requests that this VM may have in progress at a target: its share, plus
@@ -66,7 +66,7 @@
             .saturating_sub(others)
             .saturating_sub(share)
     });
-    (share + unused / LENT_PART).max(1)
+    (share + unused / LENT_DIVISOR).max(1)
 }
 
 /// Returns the slots of the VM at `index` if the demand of every VM is known: its requests waiting
@@ -80,18 +80,18 @@
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|&vm| (demands[vm], vm));
     let mut shares = vec![0; demands.len()];
-    let mut rest = total_slots;
-    for (done, &vm) in order.iter().enumerate() {
-        let equal_part = rest / (demands.len() - done) as u32;
+    let mut remaining = total_slots;
+    for (assigned, &vm) in order.iter().enumerate() {
+        let equal_part = remaining / (demands.len() - assigned) as u32;
         shares[vm] = demands[vm].min(equal_part);
-        rest -= shares[vm];
+        remaining -= shares[vm];
     }
     // What remains is either the rounding of the equal parts, which goes to the VMs that still
     // demand slots, or slots that no VM demands.
     for &vm in order.iter().rev() {
-        let missing = demands[vm].saturating_sub(shares[vm]).min(1).min(rest);
-        shares[vm] += missing;
-        rest -= missing;
+        let extra = demands[vm].saturating_sub(shares[vm]).min(1).min(remaining);
+        shares[vm] += extra;
+        remaining -= extra;
     }
-    shares[index] + share_of_slots(rest, index as u32, demands.len() as u32)
+    shares[index] + share_of_slots(remaining, index as u32, demands.len() as u32)
 }
--- a/crates/admission/src/target.rs
+++ b/crates/admission/src/target.rs
@@ -11,7 +11,7 @@
 use crate::class_queue::Key;
 use crate::class_queue::Waiting;
 use crate::forecast::Forecast;
-use crate::forecast::Late;
+use crate::forecast::LateRequest;
 use crate::lanes::Lanes;
 use crate::need::Backlog;
 use crate::options::Options;
@@ -31,7 +31,7 @@
 
 /// Position of a waiting request in the queues of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct QueueEntry {
     /// Index of its class.
     pub(crate) class: usize,
     /// Its key in the class's queue.
@@ -79,23 +79,23 @@
     }
 
     /// Returns the indices of all classes.
-    pub(crate) fn class_places(&self) -> std::ops::Range<usize> {
+    pub(crate) fn class_indices(&self) -> std::ops::Range<usize> {
         0..self.classes.len()
     }
 
     /// Returns the index of the class with the most waiting requests.
     pub(crate) fn longest_queue(&self) -> Option<usize> {
-        self.class_places()
+        self.class_indices()
             .max_by_key(|&class| self.classes[class].len())
     }
 
     /// Adds a request to the queue of its class.
-    pub(crate) fn push(&mut self, now_ms: u64, arrival: &Arrival, options: &Options) -> Place {
+    pub(crate) fn push(&mut self, now_ms: u64, arrival: &Arrival, options: &Options) -> QueueEntry {
         let key = Key {
             start_by_ms: arrival.deadline_ms.saturating_sub(options.begin_ms),
             ticket: arrival.ticket,
         };
-        let class = self.place_of(&arrival.class);
+        let class = self.class_index(&arrival.class);
         let queue = &mut self.classes[class];
         let work_ms = queue.run.work_ms(arrival.expected_run_ms);
         let wait_ms = key.start_by_ms.saturating_sub(now_ms);
@@ -107,17 +107,17 @@
             work_ms,
         };
         queue.push(key, waiting);
-        Place { class, key }
+        QueueEntry { class, key }
     }
 
     /// Removes a request that will not start.
-    pub(crate) fn remove(&mut self, place: Place) {
-        self.classes[place.class].remove(&place.key);
+    pub(crate) fn remove(&mut self, entry: QueueEntry) {
+        self.classes[entry.class].remove(&entry.key);
     }
 
     /// Returns whether a request still waits.
-    pub(crate) fn is_waiting(&self, place: Place) -> bool {
-        self.classes[place.class].get(&place.key).is_some()
+    pub(crate) fn is_waiting(&self, entry: QueueEntry) -> bool {
+        self.classes[entry.class].get(&entry.key).is_some()
     }
 
     /// Starts the requests that may start now, and returns them.
@@ -149,7 +149,7 @@
         queue.end(&running.caller, running.work_ms);
         queue
             .run
-            .learn(running.expected_ms, ran_ms, options.run_weight);
+            .record(running.expected_ms, ran_ms, options.run_weight);
     }
 
     /// Removes the requests whose latest start has passed, and returns them.
@@ -166,18 +166,24 @@
 
     /// Returns when a waiting request will start if all run as long as expected, or `None` if that
     /// is beyond the forecast.
-    pub(crate) fn start_of(&self, now_ms: u64, place: Place, options: &Options) -> Option<u64> {
+    pub(crate) fn start_ms_of(
+        &self,
+        now_ms: u64,
+        entry: QueueEntry,
+        options: &Options,
+    ) -> Option<u64> {
         self.forecast(now_ms, 1.0, options)
-            .start_of(place.key.ticket)
+            .start_ms_of(entry.key.ticket)
     }
 
     /// Returns the waiting requests that will miss their deadlines even if all runs are shorter
-    /// than expected by [`Options::hope`].
-    pub(crate) fn late(&self, now_ms: u64, options: &Options) -> Vec<Late> {
+    /// than expected by [`Options::optimistic_run_factor`].
+    pub(crate) fn late(&self, now_ms: u64, options: &Options) -> Vec<LateRequest> {
         if self.is_undecided() {
             return Vec::new();
         }
-        self.forecast(now_ms, options.hope, options).late()
+        self.forecast(now_ms, options.optimistic_run_factor, options)
+            .late()
     }
 
     /// Returns the time that a class needs for its work beyond its capacity, or `None` if there is
@@ -201,14 +207,14 @@
 
     /// Returns a class that has more work than its capacity allows, and its excess as in
     /// [`excess_ms`](Self::excess_ms).
-    pub(crate) fn overfull(&self, now_ms: u64, options: &Options) -> Option<(usize, u64)> {
+    pub(crate) fn excess_class(&self, now_ms: u64, options: &Options) -> Option<(usize, u64)> {
         if self.is_undecided() || self.waiting() == 0 {
             return None;
         }
         let backlogs = self.backlogs(now_ms, options);
         let rates = self.rates(now_ms, &backlogs, options);
         let waiting = self
-            .class_places()
+            .class_indices()
             .filter(|&class| self.classes[class].len() > 1);
         let mut excesses = waiting.map(|class| {
             let excess_ms = backlogs[class].excess_ms(rates[class].rate, options.overfill);
@@ -217,7 +223,7 @@
         excesses.find_map(|excess| excess)
     }
 
-    fn place_of(&mut self, class: &ClassName) -> usize {
+    fn class_index(&mut self, class: &ClassName) -> usize {
         let known = self.classes.iter().position(|queue| queue.class == *class);
         known.unwrap_or_else(|| {
             self.classes.push(ClassQueue::new(class.clone()));
@@ -250,7 +256,7 @@
     /// Returns the number of slots that the target has, or will probably have once it is loaded.
     fn planned_slots(&self, options: &Options) -> u32 {
         match self.slots {
-            0 => self.last_slots.unwrap_or(options.cold_slots).max(1),
+            0 => self.last_slots.unwrap_or(options.cold_start_slots).max(1),
             slots => slots,
         }
     }
@@ -299,7 +305,7 @@
         match run_factor {
             _ if end_ms > now_ms => end_ms,
             factor if factor < 1.0 => now_ms,
-            _ => now_ms + (work_ms * options.overdue) as u64,
+            _ => now_ms + (work_ms * options.overrun_share) as u64,
         }
     }
 }
--- a/crates/admission/tests/arrival_check.rs
+++ b/crates/admission/tests/arrival_check.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_free_slot_is_taken_at_once() {
+fn free_slot() {
     let mut policy = filled(2, 1_000, 0);
     policy.handle(
         10,
@@ -74,7 +74,7 @@
 #[case::queue_ahead_is_too_long(2, 1_000, 8, 60_000, None)]
 #[case::queue_ahead_fits(2, 1_000, 4, 4_000, None)]
 #[case::deadline_has_passed(2, 1_000, 0, 0, Some(RefusalReason::DeadlineTooShort))]
-fn a_warm_target_is_judged_by_its_queue(
+fn loaded_target(
     #[case] slots: u32,
     #[case] run_ms: u64,
     #[case] waiting: u64,
@@ -91,8 +91,8 @@
 #[case::undecided_without_time(None, 100, Some(RefusalReason::DeadlineTooShort))]
 #[case::ready_in_time(Some(1_000), 1_300, None)]
 #[case::ready_too_late(Some(2_000), 1_300, Some(RefusalReason::DeadlineTooShort))]
-#[case::promise_is_over(Some(5), 1_300, None)]
-fn a_cold_target_is_judged_by_its_load(
+#[case::past_ready_time(Some(5), 1_300, None)]
+fn unloaded_target(
     #[case] ready_at_ms: Option<u64>,
     #[case] deadline_ms: u64,
     #[case] expected: Option<RefusalReason>,
@@ -106,7 +106,7 @@
 /// Guards against keeping a request waiting for a load that turns out to be ready only after its
 /// deadline: a newly known time must be compared with the deadlines of those that wait already.
 #[test]
-fn a_load_that_is_too_late_refuses_those_that_wait() {
+fn late_load() {
     let mut policy = policy();
     policy.handle(0, AdmissionEvent::Arrived(arrival(1, 1_300, 500)));
     policy.handle(0, AdmissionEvent::Arrived(arrival(2, 30_000, 500)));
@@ -122,7 +122,7 @@
 /// Guards against dropping a request, or refusing it only after its deadline, if no load is decided
 /// for its target until then.
 #[test]
-fn an_undecided_target_refuses_before_the_deadline() {
+fn undecided_load() {
     let mut policy = policy();
     policy.handle(0, AdmissionEvent::Arrived(arrival(1, 1_300, 500)));
     let mut actions = Vec::new();
@@ -146,7 +146,7 @@
 #[rstest]
 #[case::busy_slots(filled(2, 5_000, 0))]
 #[case::long_queue(filled(2, 5_000, 3))]
-fn a_request_that_comes_back_in_time_is_let_in(#[case] mut policy: EarliestDeadline) {
+fn retry_after_refusal(#[case] mut policy: EarliestDeadline) {
     let refused = arrive(&mut policy, 0, 1_300);
     let Some(AdmissionAction::Refuse(_, refusal)) = refused else {
         panic!("{refused:?}");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_withdrawn_request_never_starts() {
+fn withdrawn_request() {
     let mut policy = filled(1, 1_000, 1);
     assert_eq!(
         policy.handle(5, AdmissionEvent::Withdrawn { ticket: Ticket(1) }),
@@ -185,7 +185,7 @@
 #[rstest]
 #[case::all_targets(Options { max_waiting: 3, ..Options::default() })]
 #[case::one_target(Options { max_waiting_per_target: 3, ..Options::default() })]
-fn queues_are_bounded(#[case] options: Options) {
+fn queue_limits(#[case] options: Options) {
     let mut policy = EarliestDeadline::new(options);
     let mut refused = 0;
     for ticket in 0..10 {
--- a/crates/admission/tests/class_shares.rs
+++ b/crates/admission/tests/class_shares.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn refused(actions: &[AdmissionAction], tickets: &std::ops::Range<u64>) -> usize {
+fn refused_among(actions: &[AdmissionAction], tickets: &std::ops::Range<u64>) -> usize {
     let of_range = |action: &&AdmissionAction| match action {
         AdmissionAction::Refuse(Ticket(ticket), _) => tickets.contains(ticket),
         AdmissionAction::Start(_) => false,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_class_alone_fills_all_slots() {
+fn single_class() {
     let (_, waiting) = full_of_replans();
     assert!(
         (11..=13).contains(&waiting),
@@ -58,15 +58,15 @@
 /// Re-plans fill the queue for all slots. Quick requests that then need half of the slots must get
 /// their part at once.
 #[test]
-fn a_class_that_comes_later_gets_its_part_at_once() {
+fn later_class() {
     let (mut policy, waiting) = full_of_replans();
     let mut refused_replans = 0;
     for ticket in QUICK.take(20) {
         let now_ms = 1_000 + (ticket - QUICK.start) * 100;
         let arrival = arrival(ticket, now_ms + 30_000, 500);
         let actions = policy.handle(now_ms, AdmissionEvent::Arrived(arrival));
-        assert_eq!(refused(&actions, &QUICK), 0, "{actions:?}");
-        refused_replans += refused(&actions, &REPLANS);
+        assert_eq!(refused_among(&actions, &QUICK), 0, "{actions:?}");
+        refused_replans += refused_among(&actions, &REPLANS);
     }
     assert!(
         refused_replans >= waiting / 3,
--- a/crates/admission/tests/slot_shares.rs
+++ b/crates/admission/tests/slot_shares.rs
@@ -15,7 +15,7 @@
 #[case::one_slot(1, 6)]
 #[case::none(0, 6)]
 #[case::one_vm(32, 1)]
-fn shares_add_up_to_the_slots(#[case] total_slots: u32, #[case] vm_count: u32) {
+fn equal_shares(#[case] total_slots: u32, #[case] vm_count: u32) {
     let shares: Vec<u32> = (0..vm_count)
         .map(|rank| share_of_slots(total_slots, rank, vm_count))
         .collect();
@@ -25,18 +25,14 @@
 }
 
 #[rstest]
-#[case::nobody_asks(10, &[0, 0, 0], &[4, 3, 3])]
-#[case::one_asks(10, &[0, 9, 0], &[1, 9, 0])]
-#[case::one_asks_for_more(10, &[0, 20, 0], &[0, 10, 0])]
-#[case::all_ask_for_more(10, &[20, 20, 20], &[3, 3, 4])]
+#[case::no_demand(10, &[0, 0, 0], &[4, 3, 3])]
+#[case::one_demand(10, &[0, 9, 0], &[1, 9, 0])]
+#[case::one_large_demand(10, &[0, 20, 0], &[0, 10, 0])]
+#[case::large_demands(10, &[20, 20, 20], &[3, 3, 4])]
 #[case::small_demand_is_met(10, &[1, 20, 20], &[1, 4, 5])]
-#[case::fewer_slots_than_askers(2, &[5, 5, 5], &[0, 1, 1])]
+#[case::fewer_slots_than_demands(2, &[5, 5, 5], &[0, 1, 1])]
 #[case::no_slot(0, &[5, 5], &[0, 0])]
-fn demand_shares_meet_small_demands_first(
-    #[case] total_slots: u32,
-    #[case] demands: &[u32],
-    #[case] expected: &[u32],
-) {
+fn demand_shares(#[case] total_slots: u32, #[case] demands: &[u32], #[case] expected: &[u32]) {
     let shares: Vec<u32> = (0..demands.len())
         .map(|vm| share_by_demand(total_slots, demands, vm))
         .collect();
@@ -60,14 +56,14 @@
 #[case::rank_without_share_gets_one(view(8, 300, 410, None), 1)]
 #[case::full_target_still_gives_one(view(8, 300, 410, Some(SlotReport { busy: 99, own: 0 })), 1)]
 #[case::no_slot(view(0, 0, 9, None), 0)]
-fn a_vm_gets_its_share_and_half_of_the_unused(#[case] view: SlotView, #[case] expected: u32) {
+fn share_and_unused(#[case] view: SlotView, #[case] expected: u32) {
     assert_eq!(vm_slots(&view), expected);
 }
 
 /// Guards against VMs that together fill an engine's batch several times over. Before the first
 /// report of a newly loaded engine, each VM could otherwise take all slots for itself.
 #[rstest]
-fn without_reports_all_vms_together_keep_to_the_limit(
+fn fleet_limit_without_reports(
     #[values(1, 6, 9, 410)] vm_count: u32,
     #[values(1, 8, 32, 600)] total_slots: u32,
 ) {
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -22,7 +22,7 @@
 use apricotdale_core::refusal::RefusalReason;
 
 /// Simulated time after which the simulation must have ended.
-const LONGEST_RUN_MS: u64 = 3_600_000;
+const MAX_SIMULATED_MS: u64 = 3_600_000;
 
 pub const MODEL: &str = "planner-lm";
 
@@ -49,14 +49,14 @@
 
 /// Decision on one request.
 #[derive(Clone, Debug)]
-pub enum Fate {
+pub enum TicketDecision {
     Started(u64),
     Refused(u64, Refusal),
 }
 
 /// Counts over some requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counts {
     pub offered: u32,
     pub in_time: u32,
     pub late: u32,
@@ -71,9 +71,9 @@
 /// Result of one simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    pub fates: BTreeMap<Ticket, Fate>,
-    pub most_running: usize,
-    pub most_waiting: usize,
+    pub decisions: BTreeMap<Ticket, TicketDecision>,
+    pub max_running: usize,
+    pub max_waiting: usize,
 }
 
 /// Returns a quick request for the target.
@@ -137,7 +137,7 @@
 }
 
 /// Simulation of a policy.
-pub struct Model<'a> {
+pub struct Simulation<'a> {
     policy: &'a mut dyn AdmissionPolicy,
     run_ms: BTreeMap<Ticket, u64>,
     ends: BinaryHeap<Reverse<(u64, Ticket)>>,
@@ -145,15 +145,15 @@
     outcome: Outcome,
 }
 
-impl<'a> Model<'a> {
+impl<'a> Simulation<'a> {
     /// Simulates all offers to their end. `capacities` are times with a number of slots and the
     /// time at which the first slot is expected.
-    pub fn play(
+    pub fn run(
         policy: &'a mut dyn AdmissionPolicy,
         capacities: &[(u64, u32, Option<u64>)],
         offers: &[Offer],
     ) -> Outcome {
-        let mut model = Self {
+        let mut simulation = Self {
             policy,
             run_ms: BTreeMap::new(),
             ends: BinaryHeap::new(),
@@ -165,28 +165,28 @@
         loop {
             let capacity_at = capacities.peek().map(|(at_ms, ..)| *at_ms);
             let offer_at = offers.peek().map(|offer| offer.at_ms);
-            let end_at = model.ends.peek().map(|Reverse((at_ms, _))| *at_ms);
-            let tick_at = model.policy.next_tick_ms();
+            let end_at = simulation.ends.peek().map(|Reverse((at_ms, _))| *at_ms);
+            let tick_at = simulation.policy.next_tick_ms();
             let times = [capacity_at, end_at, tick_at, offer_at];
             let Some(now_ms) = times.into_iter().flatten().min() else {
                 break;
             };
-            assert!(now_ms < LONGEST_RUN_MS, "requests wait without an end");
+            assert!(now_ms < MAX_SIMULATED_MS, "requests wait without an end");
             if capacity_at == Some(now_ms) {
                 let (_, slots, ready_at_ms) = *capacities.next().expect("peeked");
-                model.handle(now_ms, capacity(slots, ready_at_ms));
+                simulation.handle(now_ms, capacity(slots, ready_at_ms));
             } else if end_at == Some(now_ms) {
-                model.end_next(now_ms);
+                simulation.end_next(now_ms);
             } else if offer_at == Some(now_ms) {
                 let offer = offers.next().expect("peeked");
-                model.run_ms.insert(offer.arrival.ticket, offer.run_ms);
-                model.waiting += 1;
-                model.handle(now_ms, AdmissionEvent::Arrived(offer.arrival.clone()));
+                simulation.run_ms.insert(offer.arrival.ticket, offer.run_ms);
+                simulation.waiting += 1;
+                simulation.handle(now_ms, AdmissionEvent::Arrived(offer.arrival.clone()));
             } else {
-                model.handle(now_ms, AdmissionEvent::Tick);
+                simulation.handle(now_ms, AdmissionEvent::Tick);
             }
         }
-        model.outcome
+        simulation.outcome
     }
 
     fn end_next(&mut self, now_ms: u64) {
@@ -199,69 +199,69 @@
 
     fn handle(&mut self, now_ms: u64, event: AdmissionEvent) {
         for action in self.policy.handle(now_ms, event) {
-            let (ticket, fate) = match action {
+            let (ticket, decision) = match action {
                 AdmissionAction::Start(ticket) => {
                     self.ends
                         .push(Reverse((now_ms + self.run_ms[&ticket], ticket)));
-                    (ticket, Fate::Started(now_ms))
+                    (ticket, TicketDecision::Started(now_ms))
                 }
                 AdmissionAction::Refuse(ticket, refusal) => {
-                    (ticket, Fate::Refused(now_ms, refusal))
+                    (ticket, TicketDecision::Refused(now_ms, refusal))
                 }
             };
-            let before = self.outcome.fates.insert(ticket, fate);
-            assert!(before.is_none(), "ticket {ticket:?} was decided twice");
+            let previous = self.outcome.decisions.insert(ticket, decision);
+            assert!(previous.is_none(), "ticket {ticket:?} was decided twice");
             self.waiting -= 1;
         }
-        self.outcome.most_running = self.outcome.most_running.max(self.ends.len());
-        self.outcome.most_waiting = self.outcome.most_waiting.max(self.waiting);
+        self.outcome.max_running = self.outcome.max_running.max(self.ends.len());
+        self.outcome.max_waiting = self.outcome.max_waiting.max(self.waiting);
     }
 }
 
 impl Outcome {
     /// Counts over the offers for which `of` holds.
-    pub fn tally(&self, offers: &[Offer], of: impl Fn(&Arrival) -> bool) -> Tally {
-        let mut tally = Tally::default();
+    pub fn counts(&self, offers: &[Offer], of: impl Fn(&Arrival) -> bool) -> Counts {
+        let mut counts = Counts::default();
         for offer in offers.iter().filter(|offer| of(&offer.arrival)) {
             let deadline_ms = offer.arrival.deadline_ms;
-            tally.offered += 1;
-            match &self.fates[&offer.arrival.ticket] {
-                Fate::Started(at_ms) if *at_ms <= deadline_ms => {
-                    tally.in_time += 1;
-                    tally.waits_to_start_ms.push(at_ms - offer.at_ms);
+            counts.offered += 1;
+            match &self.decisions[&offer.arrival.ticket] {
+                TicketDecision::Started(at_ms) if *at_ms <= deadline_ms => {
+                    counts.in_time += 1;
+                    counts.waits_to_start_ms.push(at_ms - offer.at_ms);
                 }
-                Fate::Started(_) => tally.late += 1,
-                Fate::Refused(at_ms, refusal) => {
-                    tally.refused += 1;
-                    tally.refused_after_deadline += u32::from(*at_ms > deadline_ms);
+                TicketDecision::Started(_) => counts.late += 1,
+                TicketDecision::Refused(at_ms, refusal) => {
+                    counts.refused += 1;
+                    counts.refused_after_deadline += u32::from(*at_ms > deadline_ms);
                     let waited_ms = at_ms - offer.at_ms;
-                    let longest_ms = &mut tally.longest_wait_for_refusal_ms;
+                    let longest_ms = &mut counts.longest_wait_for_refusal_ms;
                     *longest_ms = waited_ms.max(*longest_ms);
-                    tally.waits_for_refusal_ms += waited_ms;
-                    *tally.by_reason.entry(refusal.reason).or_default() += 1;
+                    counts.waits_for_refusal_ms += waited_ms;
+                    *counts.by_reason.entry(refusal.reason).or_default() += 1;
                 }
             }
         }
-        tally
+        counts
     }
 
     /// Counts over the offers of one class.
-    pub fn of_class(&self, offers: &[Offer], class: &str) -> Tally {
-        self.tally(offers, |arrival| arrival.class.as_str() == class)
+    pub fn of_class(&self, offers: &[Offer], class: &str) -> Counts {
+        self.counts(offers, |arrival| arrival.class.as_str() == class)
     }
 
     /// Counts over the offers of one caller.
-    pub fn of_caller(&self, offers: &[Offer], caller: &str) -> Tally {
-        self.tally(offers, |arrival| arrival.caller.as_str() == caller)
+    pub fn of_caller(&self, offers: &[Offer], caller: &str) -> Counts {
+        self.counts(offers, |arrival| arrival.caller.as_str() == caller)
     }
 }
 
 impl Outcome {
     /// Returns the number of refusals within a span of time.
     pub fn refused_between(&self, from_ms: u64, to_ms: u64) -> usize {
-        let refused = self.fates.values().filter(|fate| match fate {
-            Fate::Refused(at_ms, _) => (from_ms..to_ms).contains(at_ms),
-            Fate::Started(_) => false,
+        let refused = self.decisions.values().filter(|decision| match decision {
+            TicketDecision::Refused(at_ms, _) => (from_ms..to_ms).contains(at_ms),
+            TicketDecision::Started(_) => false,
         });
         refused.count()
     }
