--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -16,16 +16,13 @@
 pub(crate) struct Key {
     /// Latest start that still meets the deadline.
     pub(crate) start_by_ms: u64,
-    /// Ticket of the request.
     pub(crate) ticket: Ticket,
 }
 
 /// Waiting request.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    /// Caller of the request.
     pub(crate) caller: CallerName,
-    /// Time of its arrival.
     pub(crate) arrived_ms: u64,
     /// Run time that its sender expects, or zero if unknown.
     pub(crate) expected_ms: u64,
@@ -46,7 +43,6 @@
 }
 
 impl ClassQueue {
-    /// Returns an empty queue.
     pub(crate) fn new(class: ClassName) -> Self {
         Self {
             class,
--- a/crates/dispatch/src/liveness.rs
+++ b/crates/dispatch/src/liveness.rs
@@ -6,7 +6,7 @@
 //! milliseconds without data are a reason to probe it. [`LivenessMonitor`] says which engines to
 //! probe, over a connection of the probe's own. An engine that does not answer the probe within a
 //! few round trips counts as unresponsive. It is probed again until it answers, and the other VMs
-//! are told both times.
+//! are informed of both.
 //!
 //! Missing data alone proves nothing: a long prompt, a full batch or a lost packet also delay an
 //! event. An engine that answers the probe is therefore not suspended, however long its requests
--- a/crates/quarantine/src/blocks.rs
+++ b/crates/quarantine/src/blocks.rs
@@ -130,14 +130,14 @@
         let of_caller = of_caller.filter(|block| block.caller == new.caller).count();
         let is_other = |fingerprint: &Fingerprint| *fingerprint != new.fingerprint;
         if of_caller > options.max_blocks_per_caller {
-            self.remove_first(|it, block| is_other(it) && block.caller == new.caller);
+            self.remove_ending_first(|it, block| is_other(it) && block.caller == new.caller);
         }
         if self.by_fingerprint.len() > options.max_blocks {
-            self.remove_first(|it, _| is_other(it));
+            self.remove_ending_first(|it, _| is_other(it));
         }
     }
 
-    fn remove_first(&mut self, is_removable: impl Fn(&Fingerprint, &Block) -> bool) {
+    fn remove_ending_first(&mut self, is_removable: impl Fn(&Fingerprint, &Block) -> bool) {
         let first = self
             .by_fingerprint
             .iter()
--- a/crates/routing/src/corrected_load.rs
+++ b/crates/routing/src/corrected_load.rs
@@ -182,7 +182,7 @@
 
     /// Returns the candidate for a request with a prefix. That is `best` if it has probably cached
     /// the prefix or if those that have are too busy, and else the least used of these.
-    fn cached_or(
+    fn prefer_cached(
         &self,
         best: usize,
         cached: Vec<WeightedCandidate>,
@@ -251,6 +251,6 @@
             return Some(best);
         };
         let cached = self.probably_cached(now_ms, prefix_hash, candidates, &weighted);
-        Some(self.cached_or(best, cached, candidates))
+        Some(self.prefer_cached(best, cached, candidates))
     }
 }
