--- a/crates/admission/tests/arrival_check.rs
+++ b/crates/admission/tests/arrival_check.rs
@@ -1,4 +1,4 @@
-//! What is let in, and what is refused at once.
+//! Requests that are admitted on arrival, and requests that are refused at once.
 
 use rstest::rstest;
 
@@ -20,7 +20,8 @@
     EarliestDeadline::new(Options::default())
 }
 
-/// Fills `slots` slots with requests that run for `run_ms`, and lets `waiting` more wait.
+/// Returns a policy with `slots` slots taken by requests that run for `run_ms`, and with `waiting`
+/// more waiting.
 fn filled(slots: u32, run_ms: u64, waiting: u64) -> EarliestDeadline {
     let mut policy = policy();
     policy.handle(0, capacity(slots, None));
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn a_free_slot_is_taken_at_once() {
+fn free_slot() {
     let mut policy = filled(2, 1_000, 0);
     policy.handle(
         10,
@@ -73,7 +74,7 @@
 #[case::queue_ahead_is_too_long(2, 1_000, 8, 60_000, None)]
 #[case::queue_ahead_fits(2, 1_000, 4, 4_000, None)]
 #[case::deadline_has_passed(2, 1_000, 0, 0, Some(RefusalReason::DeadlineTooShort))]
-fn a_warm_target_is_judged_by_its_queue(
+fn loaded_target(
     #[case] slots: u32,
     #[case] run_ms: u64,
     #[case] waiting: u64,
@@ -90,8 +91,8 @@
 #[case::undecided_without_time(None, 100, Some(RefusalReason::DeadlineTooShort))]
 #[case::ready_in_time(Some(1_000), 1_300, None)]
 #[case::ready_too_late(Some(2_000), 1_300, Some(RefusalReason::DeadlineTooShort))]
-#[case::promise_is_over(Some(5), 1_300, None)]
-fn a_cold_target_is_judged_by_its_load(
+#[case::past_ready_time(Some(5), 1_300, None)]
+fn unloaded_target(
     #[case] ready_at_ms: Option<u64>,
     #[case] deadline_ms: u64,
     #[case] expected: Option<RefusalReason>,
@@ -102,11 +103,10 @@
     assert_eq!(refused_for(action), expected);
 }
 
-/// Symptom: a caller waits its whole target for a load that could never have been ready.
-/// Sequence: requests wait while the load is undecided; then the load's time becomes known.
-/// Cause: nobody compares the new time with the deadlines of those that already wait.
+/// Guards against keeping a request waiting for a load that turns out to be ready only after its
+/// deadline: a newly known time must be compared with the deadlines of those that wait already.
 #[test]
-fn a_load_that_is_too_late_refuses_those_that_wait() {
+fn late_load() {
     let mut policy = policy();
     policy.handle(0, AdmissionEvent::Arrived(arrival(1, 1_300, 500)));
     policy.handle(0, AdmissionEvent::Arrived(arrival(2, 30_000, 500)));
@@ -119,11 +119,10 @@
     assert_eq!(actions, [AdmissionAction::Start(Ticket(2))]);
 }
 
-/// Symptom: a request that waits for a load is dropped, or refused only after its time.
-/// Sequence: nobody decides on the load until the request's time has run out.
-/// Cause: requests are judged only where a capacity is known.
+/// Guards against dropping a request, or refusing it only after its deadline, if no load is decided
+/// for its target until then.
 #[test]
-fn an_undecided_target_refuses_before_the_deadline() {
+fn undecided_load() {
     let mut policy = policy();
     policy.handle(0, AdmissionEvent::Arrived(arrival(1, 1_300, 500)));
     let mut actions = Vec::new();
@@ -142,13 +141,12 @@
     assert!(now_ms < 1_300, "{now_ms}");
 }
 
-/// Symptom: a caller that comes back when it was told to is refused again.
-/// Sequence: a request is refused with a time to come back; nothing else arrives; it comes back.
-/// Cause: the time was not worked out from the forecast that refused the request.
+/// Guards against refusing a request again that is retried exactly after the time given in its
+/// refusal, although nothing else has arrived.
 #[rstest]
 #[case::busy_slots(filled(2, 5_000, 0))]
 #[case::long_queue(filled(2, 5_000, 3))]
-fn a_request_that_comes_back_in_time_is_let_in(#[case] mut policy: EarliestDeadline) {
+fn retry_after_refusal(#[case] mut policy: EarliestDeadline) {
     let refused = arrive(&mut policy, 0, 1_300);
     let Some(AdmissionAction::Refuse(_, refusal)) = refused else {
         panic!("{refused:?}");
@@ -170,7 +168,7 @@
 }
 
 #[test]
-fn a_withdrawn_request_never_starts() {
+fn withdrawn_request() {
     let mut policy = filled(1, 1_000, 1);
     assert_eq!(
         policy.handle(5, AdmissionEvent::Withdrawn { ticket: Ticket(1) }),
@@ -187,7 +185,7 @@
 #[rstest]
 #[case::all_targets(Options { max_waiting: 3, ..Options::default() })]
 #[case::one_target(Options { max_waiting_per_target: 3, ..Options::default() })]
-fn queues_are_bounded(#[case] options: Options) {
+fn queue_limits(#[case] options: Options) {
     let mut policy = EarliestDeadline::new(options);
     let mut refused = 0;
     for ticket in 0..10 {
--- a/crates/routing/examples/routing_figures.rs
+++ b/crates/routing/examples/routing_figures.rs
@@ -1,5 +1,5 @@
-//! Prints the figures of docs/design/routing.md and docs/design/retries.md: models of many VMs
-//! before a group of engines, and the time that one decision takes on the machine at hand.
+//! Prints the figures of docs/design/routing.md and docs/design/retries.md: simulations of many VMs
+//! that send to a group of engines, and the time that one decision takes on this machine.
 
 use std::time::Instant;
 
@@ -21,10 +21,10 @@
 mod support;
 
 use support::Fault;
-use support::Figures;
 use support::Fleet;
+use support::Results;
 use support::candidates;
-use support::play;
+use support::simulate;
 
 fn main() {
     for vms in [1, 7, 50] {
@@ -63,32 +63,32 @@
 
 fn compare(title: &str, fleet: &Fleet) {
     for policy in ROUTING_POLICIES {
-        let figures = play(&Fleet {
+        let results = simulate(&Fleet {
             policy,
             ..fleet.clone()
         });
-        print_line(&format!("{title} | {policy}"), &figures);
+        print_line(&format!("{title} | {policy}"), &results);
     }
 }
 
-fn print_line(title: &str, figures: &Figures) {
-    let requests = figures.requests().max(1);
+fn print_line(title: &str, results: &Results) {
+    let requests = results.requests().max(1);
     let percent = |count: u32| 100.0 * f64::from(count) / f64::from(requests);
     println!(
         "{title} | {requests} requests | wait p50 {} p95 {} p99 {} ms | longest queue {} | failed \
          {:.2} % | own zone {:.0} % | prefix hits {:.0} %",
-        figures.wait_ms(50),
-        figures.wait_ms(95),
-        figures.wait_ms(99),
-        figures.longest_queue,
-        percent(figures.failed),
-        percent(figures.own_zone),
-        percent(figures.prefix_hits),
+        results.wait_ms(50),
+        results.wait_ms(95),
+        results.wait_ms(99),
+        results.longest_queue,
+        percent(results.failed),
+        percent(results.own_zone),
+        percent(results.prefix_hits),
     );
 }
 
-/// Compares tunings where all VMs reach all engines alike, and where other systems keep a third of
-/// the engines busy.
+/// Compares tunings, for engines that serve only the simulated VMs and for engines of which a third
+/// is busy with requests of other systems.
 fn tunings() {
     let uneven: Vec<(usize, f64)> = (0..6).map(|engine| (engine, 0.6)).collect();
     for (kind, load, background) in [("even", 0.9, Vec::new()), ("uneven", 0.7, uneven)] {
@@ -119,13 +119,13 @@
                 ..fleet.clone()
             };
             let title = format!("{title}, choices {choices}, gains {weight_gain} {fresh_gain}");
-            print_line(&title, &play(&fleet));
+            print_line(&title, &simulate(&fleet));
         }
     }
 }
 
-/// Compares caps on the extra load for a cached prefix: with many prefixes, and with one that half
-/// of all requests share.
+/// Compares limits of the extra load for a cached prefix: with many prefixes, and with one that
+/// half of all requests share.
 fn prefixes() {
     for (kind, prefixes) in [("many prefixes", 2_000), ("one hot prefix", 10)] {
         for affinity_pressure in [-10.0, 0.0, 0.25, 0.5, 1.0, 10.0] {
@@ -139,7 +139,10 @@
                 load: 1.0,
                 ..Fleet::default()
             };
-            print_line(&format!("{kind}, cap {affinity_pressure}"), &play(&fleet));
+            print_line(
+                &format!("{kind}, cap {affinity_pressure}"),
+                &simulate(&fleet),
+            );
         }
     }
 }
@@ -169,7 +172,7 @@
     );
 }
 
-/// Counts the tries that reach a group which fails every request, for 10,000 first tries.
+/// Counts the attempts that reach a group that fails every request, for 10,000 first attempts.
 fn outage() {
     for name in RETRY_POLICIES {
         let mut policy = retry_policy(name, RetryOptions::default()).expect("a known policy");
--- a/crates/routing/src/fixed_retry.rs
+++ b/crates/routing/src/fixed_retry.rs
@@ -1,4 +1,4 @@
-//! The plain baseline of retries.
+//! Retry policy with a fixed pause, as a baseline for comparison.
 
 use apricotdale_core::names::GroupName;
 use apricotdale_core::policy::RetryDecision;
@@ -7,27 +7,30 @@
 
 use crate::options::RetryOptions;
 
-/// Returns why a retry is out of the question, or none if it may be considered.
-pub(crate) fn forbidden(request: &RetryRequest, options: &RetryOptions) -> Option<RetryDecision> {
-    let may_repeat = request.idempotent || request.certainly_not_run;
+/// Returns why a request must not be retried, or `None` if it may be.
+pub(crate) fn refusal_reason(
+    request: &RetryRequest,
+    options: &RetryOptions,
+) -> Option<RetryDecision> {
+    let may_retry = request.idempotent || request.certainly_not_run;
     match request {
         _ if request.answer_begun => Some(RetryDecision::AnswerBegun),
-        _ if !may_repeat => Some(RetryDecision::MayHaveRun),
+        _ if !may_retry => Some(RetryDecision::MayHaveRun),
         _ if request.tries >= options.max_tries => Some(RetryDecision::TooManyTries),
         _ if request.left_ms < options.min_left_ms => Some(RetryDecision::NoTimeLeft),
         _ => None,
     }
 }
 
-/// `FixedRetry` is the plain baseline: it repeats what may be repeated after a fixed pause and
-/// knows no budget. It is kept for comparison.
+/// Retry policy that retries whatever may be retried after a fixed pause, without a budget. It is a
+/// baseline for comparison with [`BudgetedRetry`](crate::BudgetedRetry).
 #[derive(Debug)]
 pub struct FixedRetry {
     options: RetryOptions,
 }
 
 impl FixedRetry {
-    /// Returns the policy.
+    /// Returns the policy with the given tunables.
     pub fn new(options: RetryOptions) -> Self {
         Self { options }
     }
@@ -37,10 +40,10 @@
     fn record_first_attempt(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, request: &RetryRequest) -> RetryDecision {
-        if let Some(decision) = forbidden(request, &self.options) {
+        if let Some(decision) = refusal_reason(request, &self.options) {
             return decision;
         }
-        let longest_ms = request.left_ms - self.options.min_left_ms;
-        RetryDecision::RetryAfterMs(self.options.base_pause_ms.min(longest_ms))
+        let time_left_ms = request.left_ms - self.options.min_left_ms;
+        RetryDecision::RetryAfterMs(self.options.base_pause_ms.min(time_left_ms))
     }
 }
--- a/crates/routing/src/load_estimate.rs
+++ b/crates/routing/src/load_estimate.rs
@@ -1,47 +1,48 @@
-//! How busy an upstream is, from lagging reports and from this VM's own requests.
+//! Estimate of an upstream's load from delayed reports and from this VM's own requests.
 
 use apricotdale_core::engine::LoadReport;
 
 use crate::in_flight::InFlight;
 use crate::options::Options;
 
-/// The mean pressure below which a group counts as idle, so that single requests on idle upstreams
-/// do not shift the weights.
-const IDLE_PRESSURE: f64 = 0.25;
+/// Mean pressure below which a group counts as idle, so that single requests on idle upstreams do
+/// not shift the weights.
+const MIN_REFERENCE_PRESSURE: f64 = 0.25;
 
-/// `LoadEstimate` keeps one upstream's last report, its weight and this VM's own requests there.
+/// Last report of one upstream, its weight, and this VM's requests there.
 ///
-/// A report shows the requests of all VMs as they were some seconds ago. This VM knows its own ones
-/// at that time and now. The rest is known for that time only; by now those requests have probably
-/// left, and the other VMs have sent theirs where the same report looked best. So single reports
-/// only move the upstream's weight, step by step.
+/// A report shows the requests of all VMs as of some seconds ago. This VM knows how many of them
+/// were its own, and how many of its own are there now. The other VMs' requests are known for the
+/// time of the report only: by now they have probably ended, and the other VMs have sent new ones
+/// to the upstreams that looked best in the same report. A single report therefore only moves the
+/// upstream's weight by a step.
 #[derive(Debug)]
 pub(crate) struct LoadEstimate {
-    pub(crate) own: InFlight,
+    pub(crate) local: InFlight,
     report: Option<Report>,
     log_weight: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    /// The time of which the report speaks, as the engine gave it.
+    /// Time at which the report was made, on the engine's clock.
     as_of_ms: u64,
     /// The same time on this VM's clock.
-    placed_ms: u64,
+    local_as_of_ms: u64,
     read_at_ms: u64,
-    /// All requests as a share of the places.
+    /// All requests as a share of the slots.
     total: f64,
-    /// The other VMs' requests as a share of the places.
+    /// Requests of the other VMs as a share of the slots.
     others: f64,
     slots: u32,
 }
 
-/// `GroupLoad` is what the reports of a group say together.
+/// Load of a group according to all its reports.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GroupLoad {
-    /// The mean of all upstreams' requests as a share of their places.
+    /// Mean over the upstreams of all requests as a share of the slots.
     pub(crate) mean_total: f64,
-    /// The time for which a request stays at an upstream in the mean.
+    /// Mean time from the send of a request to its end.
     pub(crate) residence_ms: f64,
 }
 
@@ -49,14 +50,15 @@
     /// Returns the estimate of an upstream that has not reported.
     pub(crate) fn new() -> Self {
         Self {
-            own: InFlight::default(),
+            local: InFlight::default(),
             report: None,
             log_weight: 0.0,
         }
     }
 
-    /// Takes in a report. One that is older than the last is ignored, unless none has come for so
-    /// long that the engine's clock must have been set back. Returns whether it was taken in.
+    /// Records a report, and returns whether it was used. A report older than the last one is
+    /// ignored, unless no report was used for so long that the engine's clock must have been set
+    /// back.
     pub(crate) fn reported(
         &mut self,
         now_ms: u64,
@@ -64,61 +66,61 @@
         group: GroupLoad,
         options: &Options,
     ) -> bool {
-        let older = self.report.is_some_and(|last| {
-            let silent_ms = now_ms.saturating_sub(last.read_at_ms);
-            report.as_of_ms < last.as_of_ms && silent_ms < options.max_lag_ms
+        let is_older = self.report.is_some_and(|previous| {
+            let unread_ms = now_ms.saturating_sub(previous.read_at_ms);
+            report.as_of_ms < previous.as_of_ms && unread_ms < options.max_lag_ms
         });
-        if older {
+        if is_older {
             return false;
         }
-        let placed_ms = placed_ms(now_ms, report.as_of_ms, options);
+        let local_as_of_ms = local_as_of_ms(now_ms, report.as_of_ms, options);
         let slots = match report.slots {
             0 => options.default_slots.max(1),
             slots => slots,
         };
         let load = report.running.saturating_add(report.waiting);
-        let others = load.saturating_sub(self.own.at(placed_ms));
+        let others = load.saturating_sub(self.local.at(local_as_of_ms));
         let next = Report {
             as_of_ms: report.as_of_ms,
-            placed_ms,
+            local_as_of_ms,
             read_at_ms: now_ms,
             total: f64::from(load) / f64::from(slots),
             others: f64::from(others) / f64::from(slots),
             slots,
         };
-        if let Some(last) = self.report.replace(next) {
-            self.move_weight(last, next, group, options);
+        if let Some(previous) = self.report.replace(next) {
+            self.move_weight(previous, next, group, options);
         }
         true
     }
 
-    /// Returns all requests as last reported, as a share of the places.
+    /// Returns all requests in the last report, as a share of the slots.
     pub(crate) fn total(&self) -> Option<f64> {
         self.report.map(|report| report.total)
     }
 
-    /// Returns this VM's own requests as a share of the places.
-    pub(crate) fn own_pressure(&self, options: &Options) -> f64 {
-        f64::from(self.own.now()) / f64::from(self.slots(options))
+    /// Returns this VM's requests as a share of the slots.
+    pub(crate) fn local_pressure(&self, options: &Options) -> f64 {
+        f64::from(self.local.now()) / f64::from(self.slots(options))
     }
 
-    /// Returns all requests as a share of the places: this VM's as they are now, the others' as
-    /// last reported.
+    /// Returns all requests as a share of the slots: this VM's as of now, and the other VMs' as of
+    /// the last report.
     pub(crate) fn pressure(&self, mean_total: f64, options: &Options) -> f64 {
         let others = self.report.map_or(mean_total, |report| report.others);
-        self.own_pressure(options) + others
+        self.local_pressure(options) + others
     }
 
-    /// Returns how often the upstream is to be drawn, compared with others of its group.
+    /// Returns the weight with which the upstream is drawn from its group.
     pub(crate) fn weight(&self, now_ms: u64, group: GroupLoad, options: &Options) -> f64 {
         let slots = f64::from(self.slots(options));
         let Some(report) = self.report else {
             return slots;
         };
-        let age_ms = now_ms.saturating_sub(report.placed_ms) as f64;
-        let still_true = (-age_ms / group.residence_ms).exp();
-        let fresh = options.fresh_gain * still_true * (report.total - group.mean_total);
-        slots * (self.log_weight - fresh).exp()
+        let age_ms = now_ms.saturating_sub(report.local_as_of_ms) as f64;
+        let recency = (-age_ms / group.residence_ms).exp();
+        let recent_shift = options.fresh_gain * recency * (report.total - group.mean_total);
+        slots * (self.log_weight - recent_shift).exp()
     }
 
     fn slots(&self, options: &Options) -> u32 {
@@ -126,25 +128,27 @@
         self.report.map_or(default_slots, |report| report.slots)
     }
 
-    /// Moves the weight against the report's distance from the group's mean. A step counts by the
-    /// time between the two reports over the time after which its effect shows in a report. So the
-    /// VMs, which all see the same reports and move alike, don't correct the same distance twice.
-    fn move_weight(&mut self, last: Report, next: Report, group: GroupLoad, options: &Options) {
-        let gap_ms = next.placed_ms.saturating_sub(last.placed_ms) as f64;
-        let lag_ms = next.read_at_ms.saturating_sub(next.placed_ms) as f64;
+    /// Moves the weight against the report's distance from the group's mean.
+    ///
+    /// A step is scaled by the time between the two reports over the time until its effect shows in
+    /// a report. All VMs see the same reports and move alike, and would otherwise correct the same
+    /// distance more than once.
+    fn move_weight(&mut self, previous: Report, next: Report, group: GroupLoad, options: &Options) {
+        let gap_ms = next.local_as_of_ms.saturating_sub(previous.local_as_of_ms) as f64;
+        let lag_ms = next.read_at_ms.saturating_sub(next.local_as_of_ms) as f64;
         let effect_ms = (lag_ms + gap_ms + group.residence_ms).max(1.0);
-        let yardstick = group.mean_total.max(IDLE_PRESSURE);
-        let distance = ((group.mean_total - next.total) / yardstick).clamp(-1.0, 1.0);
-        let keep = 0.5_f64.powf(gap_ms / options.weight_half_life_ms.max(1) as f64);
+        let reference = group.mean_total.max(MIN_REFERENCE_PRESSURE);
+        let distance = ((group.mean_total - next.total) / reference).clamp(-1.0, 1.0);
+        let decay = 0.5_f64.powf(gap_ms / options.weight_half_life_ms.max(1) as f64);
         let step = options.weight_gain * distance * (gap_ms / effect_ms).min(1.0);
-        let bound = options.max_weight.max(1.0).ln();
-        self.log_weight = (self.log_weight * keep + step).clamp(-bound, bound);
+        let max_log_weight = options.max_weight.max(1.0).ln();
+        self.log_weight = (self.log_weight * decay + step).clamp(-max_log_weight, max_log_weight);
     }
 }
 
-/// Returns an engine's time on this VM's clock. A time that lies ahead of this clock is of another
-/// clock, so the usual lag is assumed.
-fn placed_ms(now_ms: u64, as_of_ms: u64, options: &Options) -> u64 {
+/// Converts an engine's time to this VM's clock. A time in the future must be of another clock, so
+/// that the usual delay is assumed.
+fn local_as_of_ms(now_ms: u64, as_of_ms: u64, options: &Options) -> u64 {
     if as_of_ms > now_ms {
         return now_ms.saturating_sub(options.assumed_lag_ms);
     }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small model of many VMs before a group of engines whose reports lag.
+//! Simulation of many VMs that send to a group of engines with delayed load reports.
 
 #![allow(dead_code)]
 
@@ -22,22 +22,22 @@
 use apricotdale_routing::Options;
 use apricotdale_routing::routing_policy;
 
-/// The time that a refusal or a broken connection takes.
+/// Time until a refusal or a broken connection reaches the VM.
 const FAILURE_MS: u64 = 2;
 
-/// `Fault` is what is wrong with an engine.
+/// Fault of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
     /// Runs take this many times as long.
     Slow(f64),
-    /// Each request is refused at once, so that the engine always looks idle.
+    /// Every request is refused at once, so that the engine always looks idle.
     Refuses,
-    /// This share of the requests is lost in the middle.
+    /// This share of the requests is lost while it runs.
     Loses(f64),
 }
 
-/// `Fleet` describes one run of the model.
+/// Parameters of one simulation.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub policy: &'static str,
@@ -46,19 +46,21 @@
     pub engines: usize,
     pub slots: u32,
     pub run_ms: f64,
-    /// Arrivals as a share of what all slots can serve.
+    /// Arrivals as a share of the capacity of all slots.
     pub load: f64,
-    pub report_every_ms: u64,
+    pub report_interval_ms: u64,
     pub report_lag_ms: u64,
     pub zones: usize,
-    /// Prompt prefixes, the first half of the requests using a tenth of them; none for no prompts.
+    /// Number of prompt prefixes, or 0 for requests without prompts. Half of the requests use a
+    /// tenth of the prefixes.
     pub prefixes: u64,
-    /// Prefixes that one engine keeps cached.
+    /// Number of prefixes that one engine keeps cached.
     pub cached: usize,
-    /// Engines that other systems keep busy, with the share of their places.
+    /// Engines that are busy with requests of other systems, and the share of their slots for
+    /// these.
     pub background: Vec<(usize, f64)>,
     pub faults: Vec<(usize, Fault)>,
-    /// When the faults end.
+    /// Time at which the faults end.
     pub faults_end_ms: u64,
     pub length_ms: u64,
     pub seed: u64,
@@ -74,7 +76,7 @@
             slots: 8,
             run_ms: 1_000.0,
             load: 0.8,
-            report_every_ms: 1_000,
+            report_interval_ms: 1_000,
             report_lag_ms: 2_000,
             zones: 1,
             prefixes: 0,
@@ -88,9 +90,9 @@
     }
 }
 
-/// `Figures` is what one run of the model showed.
+/// Result of one simulation.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct Results {
     pub waits_ms: Vec<u64>,
     pub sent: Vec<u32>,
     pub sent_late: Vec<u32>,
@@ -100,8 +102,8 @@
     pub longest_queue: usize,
 }
 
-impl Figures {
-    /// Returns a percentile of the waits at the engines.
+impl Results {
+    /// Returns a percentile of the waiting times at the engines.
     pub fn wait_ms(&self, percent: usize) -> u64 {
         let index = self.waits_ms.len().saturating_sub(1) * percent / 100;
         self.waits_ms.get(index).copied().unwrap_or(0)
@@ -156,7 +158,7 @@
     cache: VecDeque<u64>,
 }
 
-struct Run {
+struct Simulation {
     fleet: Fleet,
     random: ChaCha8Rng,
     policies: Vec<Box<dyn RoutingPolicy>>,
@@ -164,23 +166,24 @@
     engines: Vec<Engine>,
     requests: Vec<Request>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    figures: Figures,
+    results: Results,
 }
 
-/// Plays one run of the model.
-pub fn play(fleet: &Fleet) -> Figures {
-    let mut run = Run::new(fleet.clone());
-    run.events.push(Reverse((0, Event::Arrive)));
-    run.events.push(Reverse((0, Event::Measure)));
+/// Runs one simulation.
+pub fn simulate(fleet: &Fleet) -> Results {
+    let mut simulation = Simulation::new(fleet.clone());
+    simulation.events.push(Reverse((0, Event::Arrive)));
+    simulation.events.push(Reverse((0, Event::Measure)));
     for (engine, _) in &fleet.background {
-        run.events
+        simulation
+            .events
             .push(Reverse((0, Event::Background { engine: *engine })));
     }
-    while let Some(Reverse((now_ms, event))) = run.events.pop() {
-        run.handle(now_ms, event);
+    while let Some(Reverse((now_ms, event))) = simulation.events.pop() {
+        simulation.handle(now_ms, event);
     }
-    run.figures.waits_ms.sort_unstable();
-    run.figures
+    simulation.results.waits_ms.sort_unstable();
+    simulation.results
 }
 
 /// Returns the candidates of a group, spread evenly over some availability zones.
@@ -194,12 +197,12 @@
 }
 
 impl Engine {
-    fn taken(&self) -> u32 {
+    fn busy_slots(&self) -> u32 {
         self.running + self.background
     }
 }
 
-impl Run {
+impl Simulation {
     fn new(fleet: Fleet) -> Self {
         let policy = |vm: usize| {
             let options = Options {
@@ -216,10 +219,10 @@
             engines: vec![Engine::default(); fleet.engines],
             requests: Vec::new(),
             events: BinaryHeap::new(),
-            figures: Figures {
+            results: Results {
                 sent: vec![0; fleet.engines],
                 sent_late: vec![0; fleet.engines],
-                ..Figures::default()
+                ..Results::default()
             },
             fleet,
         }
@@ -230,7 +233,7 @@
             Event::Arrive if now_ms < self.fleet.length_ms => self.arrive(now_ms),
             Event::Measure if now_ms < self.fleet.length_ms => self.measure(now_ms),
             Event::Background { engine } if now_ms < self.fleet.length_ms => {
-                self.arrive_from_elsewhere(now_ms, engine);
+                self.arrive_background(now_ms, engine);
             }
             Event::Arrive | Event::Measure | Event::Background { .. } => {}
             Event::BackgroundEnd { engine } => {
@@ -238,7 +241,9 @@
                 self.start_next(now_ms, engine);
             }
             Event::End { engine, request } => self.end(now_ms, engine, request),
-            Event::Fail { request } => self.tell(now_ms, request, UpstreamOutcome::Refused, None),
+            Event::Fail { request } => {
+                self.record_end(now_ms, request, UpstreamOutcome::Refused, None)
+            }
             Event::Report {
                 engine,
                 running,
@@ -264,11 +269,11 @@
         self.send(now_ms, vm, chosen.expect("there are candidates"), prefix);
     }
 
-    /// Lets another system's request take a place at once, beyond the batch if need be.
-    fn arrive_from_elsewhere(&mut self, now_ms: u64, engine: usize) {
+    /// Lets another system's request take a slot at once, even if all slots are taken.
+    fn arrive_background(&mut self, now_ms: u64, engine: usize) {
         let background = self.fleet.background.iter();
         let share: f64 = background
-            .filter(|(place, _)| *place == engine)
+            .filter(|(index, _)| *index == engine)
             .map(|(_, s)| s)
             .sum();
         let per_ms = share * f64::from(self.fleet.slots) / self.fleet.run_ms;
@@ -287,19 +292,19 @@
             return None;
         }
         let popular = self.random.random_bool(0.5);
-        let among = if popular {
+        let range = if popular {
             self.fleet.prefixes.div_ceil(10)
         } else {
             self.fleet.prefixes
         };
-        Some(self.random.random_range(0..among))
+        Some(self.random.random_range(0..range))
     }
 
     fn send(&mut self, now_ms: u64, vm: usize, engine: usize, prefix: Option<u64>) {
-        self.figures.sent[engine] += 1;
-        self.figures.sent_late[engine] += u32::from(now_ms >= self.fleet.length_ms / 2);
+        self.results.sent[engine] += 1;
+        self.results.sent_late[engine] += u32::from(now_ms >= self.fleet.length_ms / 2);
         let near = self.candidates[engine].zone == zone_of(vm, self.fleet.zones);
-        self.figures.own_zone += u32::from(near);
+        self.results.own_zone += u32::from(near);
         let sent = RoutingEvent::Sent {
             upstream: self.candidates[engine].upstream.clone(),
             prefix_hash: prefix,
@@ -308,18 +313,18 @@
         let fault = self.fault(now_ms, engine);
         let request = self.request(now_ms, vm, engine, prefix, fault);
         self.requests.push(request);
-        let place = self.requests.len() - 1;
+        let index = self.requests.len() - 1;
         if fault == Fault::Refuses {
-            self.figures.failed += 1;
+            self.results.failed += 1;
             self.events.push(Reverse((
                 now_ms + FAILURE_MS,
-                Event::Fail { request: place },
+                Event::Fail { request: index },
             )));
             return;
         }
-        self.engines[engine].queue.push_back(place);
+        self.engines[engine].queue.push_back(index);
         let queue = self.engines[engine].queue.len();
-        self.figures.longest_queue = self.figures.longest_queue.max(queue);
+        self.results.longest_queue = self.results.longest_queue.max(queue);
         self.start_next(now_ms, engine);
     }
 
@@ -349,7 +354,7 @@
 
     fn fault(&self, now_ms: u64, engine: usize) -> Fault {
         let faults = self.fleet.faults.iter();
-        let mut of_engine = faults.filter(|(place, _)| *place == engine);
+        let mut of_engine = faults.filter(|(index, _)| *index == engine);
         let active = now_ms < self.fleet.faults_end_ms;
         of_engine
             .next()
@@ -358,17 +363,17 @@
     }
 
     fn start_next(&mut self, now_ms: u64, engine: usize) {
-        while self.engines[engine].taken() < self.fleet.slots {
+        while self.engines[engine].busy_slots() < self.fleet.slots {
             let Some(request) = self.engines[engine].queue.pop_front() else {
                 return;
             };
             self.engines[engine].running += 1;
             let started = self.requests[request];
-            self.figures.waits_ms.push(now_ms - started.sent_ms);
+            self.results.waits_ms.push(now_ms - started.sent_ms);
             let cached = started
                 .prefix
-                .is_some_and(|prefix| self.use_cache(engine, prefix));
-            self.figures.prefix_hits += u32::from(cached);
+                .is_some_and(|prefix| self.touch_cache(engine, prefix));
+            self.results.prefix_hits += u32::from(cached);
             let run_ms = if cached {
                 started.run_ms / 2
             } else {
@@ -381,33 +386,33 @@
         }
     }
 
-    fn use_cache(&mut self, engine: usize, prefix: u64) -> bool {
+    fn touch_cache(&mut self, engine: usize, prefix: u64) -> bool {
         let cache = &mut self.engines[engine].cache;
-        let place = cache.iter().position(|cached| *cached == prefix);
-        if let Some(place) = place {
-            cache.remove(place);
+        let index = cache.iter().position(|cached| *cached == prefix);
+        if let Some(index) = index {
+            cache.remove(index);
         }
         cache.push_back(prefix);
         if cache.len() > self.fleet.cached {
             cache.pop_front();
         }
-        place.is_some()
+        index.is_some()
     }
 
     fn end(&mut self, now_ms: u64, engine: usize, request: usize) {
         self.engines[engine].running -= 1;
         let ended = self.requests[request];
-        self.figures.failed += u32::from(ended.lost);
+        self.results.failed += u32::from(ended.lost);
         let outcome = match ended.lost {
             true => UpstreamOutcome::Lost,
             false => UpstreamOutcome::Answered,
         };
         let first_byte_ms = (!ended.lost).then(|| now_ms - ended.sent_ms);
-        self.tell(now_ms, request, outcome, first_byte_ms);
+        self.record_end(now_ms, request, outcome, first_byte_ms);
         self.start_next(now_ms, engine);
     }
 
-    fn tell(
+    fn record_end(
         &mut self,
         now_ms: u64,
         request: usize,
@@ -424,17 +429,17 @@
     }
 
     fn measure(&mut self, now_ms: u64) {
-        for (place, engine) in self.engines.iter().enumerate() {
+        for (index, engine) in self.engines.iter().enumerate() {
             let report = Event::Report {
-                engine: place,
-                running: engine.taken(),
+                engine: index,
+                running: engine.busy_slots(),
                 waiting: engine.queue.len() as u32,
                 as_of_ms: now_ms,
             };
             let read_ms = now_ms + self.fleet.report_lag_ms;
             self.events.push(Reverse((read_ms, report)));
         }
-        let next_ms = now_ms + self.fleet.report_every_ms;
+        let next_ms = now_ms + self.fleet.report_interval_ms;
         self.events.push(Reverse((next_ms, Event::Measure)));
     }
 
