--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the stand-ins.
+//! Monotonic and wall-clock time of the stand-ins.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,7 +7,7 @@
 
 use apricotdale_core::serving::Clock;
 
-/// The longest wait that [`after_ms`] returns. Longer ones would overflow an `Instant`.
+/// Longest wait that [`after_ms`] returns, one year; a much longer one would overflow an `Instant`.
 const LONGEST_WAIT_MS: u64 = 365 * 24 * 60 * 60 * 1_000;
 
 /// Returns the instant that is `wait_ms` milliseconds from now, or a year from now if that is
@@ -16,7 +16,7 @@
     Instant::now() + Duration::from_millis(wait_ms.min(LONGEST_WAIT_MS))
 }
 
-/// `SystemClock` is the clock of the machine.
+/// Clock of the machine: monotonic time since its creation, and Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemClock {
     start: Instant,
