--- a/crates/standins/src/errors.rs
+++ b/crates/standins/src/errors.rs
@@ -5,29 +5,29 @@
 
 use thiserror::Error;
 
-/// `Result` is the result of starting a stand-in.
+/// Result of starting a stand-in.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why a stand-in could not be started.
+/// Reason why a stand-in could not start.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The address could not be listened on.
+    /// The server could not listen on its address.
     #[error("can't listen: {0}")]
     Listen(#[from] std::io::Error),
     /// A file could not be read.
     #[error("can't read {path}: {cause}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         cause: std::io::Error,
     },
-    /// A line of a file of models is not `name bytes`.
+    /// A line of the file of models is not a name followed by a number of bytes.
     #[error("{path}, line {line}: expected a name and a number of bytes")]
     ModelLine {
-        /// The file.
+        /// Path of the file of models.
         path: PathBuf,
-        /// The line, from one.
+        /// Line number, from one.
         line: usize,
     },
 }
