--- a/crates/standins/src/fault.rs
+++ b/crates/standins/src/fault.rs
@@ -1,21 +1,21 @@
-//! Faults that a control call sets and that hold for all calls or for the next few.
+//! Faults that a control call sets, for all later calls or for a number of them.
 
 use serde::Deserialize;
 
-/// `FaultOrder` is the body of `POST /standin/fault` at a stand-in with modes.
+/// Body of `POST /standin/fault` at a stand-in whose faults are modes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct FaultOrder<M> {
-    /// How the stand-in behaves from now on.
+    /// Mode of the stand-in from now on.
     pub mode: M,
-    /// The number of calls that the mode holds for, or none if it holds until it is changed.
+    /// Number of calls that the mode applies to; absent if it applies until the next order.
     #[serde(default)]
     pub count: Option<u64>,
-    /// The delay of each call in a slow mode, in milliseconds.
+    /// Delay of each call in a slow mode, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
 }
 
-/// `FaultSwitch` holds the mode of a stand-in. The default mode is the one without a fault.
+/// Present mode of a stand-in. The default mode is the one without a fault.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultSwitch<M> {
     order: FaultOrder<M>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Replaces the mode.
+    /// Replaces the mode. An order for zero calls sets the mode without a fault.
     pub fn set(&mut self, order: FaultOrder<M>) {
         self.order = if order.count == Some(0) {
             Self::healthy()
@@ -41,24 +41,24 @@
         self.generation += 1;
     }
 
-    /// Returns the mode that the next call meets.
+    /// Returns the mode that applies to the next call.
     pub fn mode(&self) -> M {
         self.order.mode
     }
 
-    /// Returns the delay that belongs to the mode, in milliseconds.
+    /// Returns the delay of the mode, in milliseconds.
     pub fn delay_ms(&self) -> u64 {
         self.order.delay_ms
     }
 
-    /// Returns a number that changes each time the mode is set, so that a call which is held by
-    /// one mode notices the next one.
+    /// Returns a number that increases each time the mode is set. A call that is held in one mode
+    /// compares it to notice the next mode.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Counts one call that met the mode. After the last call that the mode holds for, the fault
-    /// is over.
+    /// Counts one call to which the mode applied. After the last call of the order's count, the
+    /// fault ends.
     pub fn consume(&mut self) {
         match self.order.count {
             None => {}
