--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,16 +1,17 @@
 //! Stand-ins for the platform and the upstreams, for tests and demonstrations.
 //!
-//! Each stand-in is a small program of its own that answers the wire format of `docs/PLATFORM.md`
-//! and, below `/standin/`, control calls by which a test injects faults and reads the effects that
-//! took place. The logic is in this library, so that a test can also run a stand-in in its own
-//! process: build one, pass it to [`http::Server::start`] and read the address.
+//! Each stand-in is a small program that answers the wire format of `docs/PLATFORM.md` and, below
+//! `/standin/`, control calls through which a test injects faults and reads what took effect. The
+//! logic is in this library, so that a test can also run a stand-in in its own process: it builds
+//! one, passes it to [`http::Server::start`] and reads the address.
 //!
 //! - [`log`] is the append-only log service,
 //! - [`engine`] is a model engine,
 //! - [`service`] is one instance of a plain service,
 //! - [`weights`] is the weight store,
-//! - [`vm_list`] is the lagging list of VMs,
-//! - [`platform`] is the users' platform: its store, its engines and its plain services.
+//! - [`vm_list`] is the list of VMs, which is published with a lag,
+//! - [`platform`] is the users' platform: its store, engines, plain services and callers, and entry
+//!   VMs as processes in front of them.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
