--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -1,4 +1,4 @@
-//! What the five programs have in common.
+//! Start of a stand-in program, shared by all five.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use crate::http::Handler;
 use crate::http::Server;
 
-/// The address that a stand-in listens on if it is not told: a port of the system's choice.
+/// Default address of a stand-in: loopback, on a port that the system chooses.
 pub const DEFAULT_LISTEN: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// Serves until the process is ended, after printing the line `listening ADDRESS`. Returns only if
-/// the stand-in can't be started.
+/// Prints the line `listening ADDRESS` and serves until the process is ended. Returns only if the
+/// stand-in can't be started.
 pub fn run(listen: SocketAddr, handler: Result<Arc<dyn Handler>>) -> ExitCode {
     match handler.and_then(|handler| start(listen, handler)) {
         Ok(server) => {
