--- a/crates/standins/src/rate_limit.rs
+++ b/crates/standins/src/rate_limit.rs
@@ -1,10 +1,10 @@
-//! A limit on the number of calls in any second.
+//! Limit on the number of calls within any second.
 
 use std::collections::VecDeque;
 
 const WINDOW_MS: u64 = 1_000;
 
-/// `RateLimit` allows so many calls within any second and no more.
+/// Limit on the number of calls within any interval of one second.
 #[derive(Clone, Debug)]
 pub struct RateLimit {
     calls_per_s: u32,
@@ -12,7 +12,7 @@
 }
 
 impl RateLimit {
-    /// Returns a limit of `calls_per_s` calls in any second.
+    /// Returns a limit of `calls_per_s` calls within any second.
     pub fn new(calls_per_s: u32) -> Self {
         Self {
             calls_per_s,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Returns whether a call is allowed now, and if so counts it.
+    /// Returns whether a call at `now_ms` is allowed, and counts it if so.
     pub fn allow(&mut self, now_ms: u64) -> bool {
         while self
             .allowed_ms
