--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! The stand-in of one instance of a plain service.
+//! Stand-in of one instance of a plain service.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,27 +19,27 @@
 use crate::http::Reply;
 use crate::http::Request;
 
-/// How often a call that hangs looks whether its caller is still there.
+/// Interval at which a held call checks whether its caller is still connected.
 const CALLER_POLL: Duration = Duration::from_millis(50);
 
-/// `Mode` is how the service stand-in behaves.
+/// Behaviour of the service stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Works.
+    /// Carries out and answers every call.
     #[default]
     Up,
-    /// Answers every call with 503, without an effect.
+    /// Answers every call with 503 and does not carry it out.
     Refuse,
-    /// Takes effect, then closes the connection without an answer.
+    /// Carries out the call, then closes the connection without an answer.
     LostAnswer,
-    /// Takes effect, then does not answer until the mode is set anew.
+    /// Carries out the call, then does not answer until the mode is set again.
     Hang,
-    /// Takes effect only after a delay.
+    /// Carries out the call only after the order's delay.
     Slow,
 }
 
-/// `ServiceStandin` answers any call and counts it.
+/// Plain service that answers any call and counts it.
 #[derive(Default)]
 pub struct ServiceStandin {
     state: Mutex<State>,
@@ -61,7 +61,7 @@
 }
 
 impl ServiceStandin {
-    /// Returns a service without effects so far.
+    /// Returns a service that has carried out no call.
     pub fn new() -> Self {
         Self::default()
     }
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Holds a call until a deadline or until the mode is set anew. A call without a deadline ends
-    /// with its caller, so that its thread does not stay for ever.
+    /// Holds a call until its deadline or until the mode is set again. A call without a deadline
+    /// also ends when its caller disconnects, so that its thread does not stay for ever.
     fn hold(
         &self,
         state: &mut MutexGuard<'_, State>,
@@ -138,7 +138,7 @@
 }
 
 impl Effects {
-    /// Counts a call that takes effect and returns its answer.
+    /// Counts a call that is carried out and returns its answer.
     fn count(&mut self, request: &Request) -> Reply {
         let call = format!("{} {}", request.method, request.path);
         let calls = self.calls.entry(call.clone()).or_default();
