--- a/crates/standins/src/vm_list.rs
+++ b/crates/standins/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's lagging list of VMs.
+//! Stand-in of the platform's list of VMs, which is published with a lag.
 
 use std::sync::Arc;
 
@@ -20,27 +20,27 @@
 use crate::http::Request;
 use crate::lagged::Lagged;
 
-/// `Options` are the settings of the list stand-in.
+/// Settings of the VM list stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Bpaf)]
 #[bpaf(generate(options), ignore_rustdoc)]
 pub struct Options {
-    /// Time in milliseconds after which a change shows
+    /// Time in milliseconds after which a change is published
     #[bpaf(argument("MS"), fallback(0), display_fallback)]
     pub lag_ms: u64,
 }
 
-/// `Mode` is how the list stand-in behaves.
+/// Behaviour of the VM list stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Works.
+    /// Answers reads.
     #[default]
     Up,
-    /// Answers every reading with 503.
+    /// Answers every read with 503.
     Down,
 }
 
-/// `VmListStandin` publishes the entries it was given, with a lag.
+/// List of VMs that control calls set and that is published with a lag.
 pub struct VmListStandin {
     clock: SystemClock,
     state: Mutex<State>,
@@ -58,7 +58,7 @@
 }
 
 impl VmListStandin {
-    /// Returns an empty list.
+    /// Returns an empty list with the lag of the options.
     pub fn new(options: Options) -> Self {
         Self {
             clock: SystemClock::new(),
