--- a/crates/standins/src/bin/standin-engine.rs
+++ b/crates/standins/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! The program of the model engine's stand-in.
+//! Program of the model engine's stand-in.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/standins/src/bin/standin-log.rs
+++ b/crates/standins/src/bin/standin-log.rs
@@ -1,4 +1,4 @@
-//! The program of the log service's stand-in.
+//! Program of the log service's stand-in.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/standins/src/bin/standin-service.rs
+++ b/crates/standins/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! The program of the plain service's stand-in.
+//! Program of the plain service's stand-in.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/standins/src/bin/standin-vmlist.rs
+++ b/crates/standins/src/bin/standin-vmlist.rs
@@ -1,4 +1,4 @@
-//! The program of the stand-in of the list of VMs.
+//! Program of the stand-in of the VM list.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -10,7 +10,7 @@
 use apricotdale_standins::vm_list;
 use apricotdale_standins::vm_list::VmListStandin;
 
-/// Stand-in of the platform's lagging list of VMs
+/// Stand-in of the platform's list of VMs, which is published with a lag
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
--- a/crates/standins/src/bin/standin-weights.rs
+++ b/crates/standins/src/bin/standin-weights.rs
@@ -1,4 +1,4 @@
-//! The program of the weight store's stand-in.
+//! Program of the weight store's stand-in.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
