--- a/crates/standins/src/log/options.rs
+++ b/crates/standins/src/log/options.rs
@@ -6,17 +6,17 @@
 
 const DEFAULT_APPENDS_PER_S: u32 = 300;
 
-/// `Options` are the settings of the log stand-in.
+/// Settings of the log stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(generate(options), ignore_rustdoc)]
 pub struct Options {
-    /// Appends that are accepted within any second; the others get 429
+    /// Appends that are accepted within any second; further ones get 429
     #[bpaf(argument("N"), fallback(DEFAULT_APPENDS_PER_S), display_fallback)]
     pub appends_per_s: u32,
-    /// Age in milliseconds after which records expire
+    /// Age in milliseconds at which records expire; without it they don't expire by age
     #[bpaf(argument("MS"))]
     pub retention_ms: Option<u64>,
-    /// Records that a stream keeps
+    /// Records that a stream keeps; without it there is no limit
     #[bpaf(argument("N"))]
     pub retention_records: Option<usize>,
     /// Delay of every call in milliseconds
@@ -36,7 +36,7 @@
 }
 
 impl Options {
-    /// Returns how long records are kept.
+    /// Returns the limits on what each stream keeps.
     pub fn retention(&self) -> Retention {
         Retention {
             age_ms: self.retention_ms,
