--- a/crates/standins/src/log/server.rs
+++ b/crates/standins/src/log/server.rs
@@ -1,4 +1,4 @@
-//! The calls of the log stand-in.
+//! Calls of the log stand-in.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,22 +29,22 @@
 
 const DEFAULT_MAX_RECORDS: u64 = 100;
 
-/// `Mode` is how the log stand-in behaves.
+/// Behaviour of the log stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Works.
+    /// Serves every call.
     #[default]
     Up,
     /// Answers every call with 503.
     Down,
-    /// Acts on each call only after a delay.
+    /// Serves each call only after the order's delay.
     Slow,
-    /// Appends, then closes the connection without an answer. Reads work.
+    /// Appends records, then closes the connection without an answer. Reads are answered.
     LostAnswer,
 }
 
-/// `LogStandin` keeps streams of records in memory.
+/// Append-only log that keeps its streams in memory.
 pub struct LogStandin {
     options: Options,
     clock: SystemClock,
@@ -140,7 +140,7 @@
                 return Reply::json(200, &json!({"first": first, "end": end, "records": found}));
             }
             self.changed.wait_until(&mut state, request.deadline);
-            // An outage that begins while a reader waits ends its wait, too.
+            // An outage that begins while a reader waits ends the wait as well.
             if state.fault.mode() == Mode::Down {
                 state.fault.consume();
                 return unavailable();
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Returns the stream after dropping what has expired. An unknown stream is empty.
+    /// Returns a stream after dropping its expired records. An unknown stream is empty.
     fn kept<'a>(&self, state: &'a mut State, stream: &str) -> &'a StreamRecords {
         let now_ms = self.clock.unix_ms();
         let records = state.streams.entry(stream.to_owned()).or_default();
@@ -156,7 +156,7 @@
         records
     }
 
-    /// Lets a call meet the fault that comes before its effect, and returns whether it goes on.
+    /// Applies the faults that precede a call's effect, and returns whether the call is served.
     fn pass(&self, state: &mut MutexGuard<'_, State>) -> bool {
         self.delay(state, self.options.slow_ms);
         match state.fault.mode() {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Holds a call for a time, or until the mode is set anew.
+    /// Holds a call for a time, or until the mode is set again.
     fn delay(&self, state: &mut MutexGuard<'_, State>, delay_ms: u64) {
         let generation = state.fault.generation();
         let deadline = after_ms(delay_ms);
