--- a/crates/standins/src/log/streams.rs
+++ b/crates/standins/src/log/streams.rs
@@ -1,20 +1,20 @@
-//! The records of one stream.
+//! Records of one stream.
 
 use std::collections::VecDeque;
 
 use apricotdale_core::log::LogRecord;
 use apricotdale_core::numbers::Offset;
 
-/// `Retention` says how long records are kept.
+/// Limits on the records that a stream keeps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Retention {
-    /// The age after which a record expires, in milliseconds.
+    /// Age at which a record expires, in milliseconds; absent if records don't expire by age.
     pub age_ms: Option<u64>,
-    /// The number of records that are kept.
+    /// Maximum number of records; absent without a limit.
     pub records: Option<usize>,
 }
 
-/// `StreamRecords` holds the records of one stream that have not expired.
+/// Records of one stream that have not expired.
 #[derive(Clone, Debug, Default)]
 pub struct StreamRecords {
     first: u64,
@@ -24,23 +24,23 @@
 }
 
 impl StreamRecords {
-    /// Returns the first offset that is kept.
+    /// Returns the offset of the first record that is kept; the end if none is.
     pub fn first(&self) -> Offset {
         Offset(self.first)
     }
 
-    /// Returns the offset that the next append will get.
+    /// Returns the offset that the next append gets.
     pub fn end(&self) -> Offset {
         Offset(self.first + self.records.len() as u64)
     }
 
-    /// Returns the bytes of the payloads that are kept.
+    /// Returns the total size of the payloads that are kept, in bytes.
     pub fn bytes_kept(&self) -> u64 {
         self.bytes_kept
     }
 
-    /// Appends a record and returns its offset. The time of a record is never before that of the
-    /// record in front of it, whatever the clock does.
+    /// Appends a record and returns its offset. The record's time is never before that of its
+    /// predecessor, even if the clock goes back.
     pub fn append(&mut self, now_ms: u64, payload: Vec<u8>) -> Offset {
         let offset = self.end();
         self.last_appended_ms = self.last_appended_ms.max(now_ms);
@@ -53,8 +53,7 @@
         offset
     }
 
-    /// Returns the records from an offset on, at most `max_records` of them, or none if the offset
-    /// has expired.
+    /// Returns at most `max_records` records from an offset on, or none if the offset has expired.
     pub fn read(&self, from: Offset, max_records: usize) -> Option<Vec<LogRecord>> {
         let skipped = from.0.checked_sub(self.first)?;
         let skipped = usize::try_from(skipped).unwrap_or(usize::MAX);
@@ -69,7 +68,7 @@
         }
     }
 
-    /// Drops the records that the retention does not keep.
+    /// Drops the records that exceed the retention.
     pub fn expire(&mut self, now_ms: u64, retention: Retention) {
         let most = retention.records.unwrap_or(usize::MAX);
         while self.records.len() > most || self.first_is_older(now_ms, retention.age_ms) {
