--- a/crates/standins/src/log/mod.rs
+++ b/crates/standins/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the append-only log service.
+//! Stand-in of the append-only log service.
 
 mod options;
 mod server;
