--- a/crates/standins/src/http/mod.rs
+++ b/crates/standins/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! A small HTTP/1.1 server, one thread a connection.
+//! Small HTTP/1.1 server with one thread per connection.
 //!
-//! The usual server libraries can neither close a connection instead of answering, which the
-//! lost-answer faults need, nor send a stream event by event: they hold a chunked body back until
-//! some kilobytes are there. Heads are parsed by `httparse`, chunks are coded by
+//! The usual server libraries can neither close a connection instead of answering, which faults
+//! that lose an answer need, nor send a stream event by event: they buffer a chunked body until it
+//! has some kilobytes. Heads are parsed by `httparse`, chunks are encoded and decoded by
 //! `chunked_transfer`.
 
 mod caller;
