--- a/crates/standins/src/http/caller.rs
+++ b/crates/standins/src/http/caller.rs
@@ -1,10 +1,10 @@
-//! The other end of a connection.
+//! Connection to the client of a request.
 
 use std::io;
 use std::net::TcpStream;
 
-/// `Caller` is the client of a request. It may only be asked from the thread that handles the
-/// request, since asking switches the socket to non-blocking for a moment.
+/// Client of a request. It must only be queried from the thread that handles the request, since a
+/// query switches the socket to non-blocking for a moment.
 #[derive(Debug)]
 pub struct Caller {
     stream: TcpStream,
@@ -15,9 +15,9 @@
         Self { stream }
     }
 
-    /// Waits until the client closes the connection or sends more.
+    /// Waits until the client closes the connection or sends more bytes.
     pub fn wait_gone(&self) {
-        // Whatever comes, an end or bytes, the wait is over.
+        // Both an end of the connection and bytes end the wait.
         let _ = self.stream.peek(&mut [0]);
     }
 
