--- a/crates/standins/src/http/reply.rs
+++ b/crates/standins/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Writing answers.
+//! Replies to requests, and how they are sent.
 
 use std::io;
 use std::io::Write;
@@ -10,56 +10,56 @@
 
 use crate::http::caller::Caller;
 
-/// `Reply` is what becomes of a request.
+/// What is sent in reply to a request.
 pub enum Reply {
-    /// A whole answer.
+    /// An answer whose body is known in advance.
     Whole(Whole),
     /// No answer: the connection is closed.
     Lost,
     /// A stream of server-sent events.
     Stream(Stream),
-    /// Bytes as they are, which need not be an answer.
+    /// Bytes that are sent unchanged and need not be a valid answer.
     Raw(Raw),
 }
 
-/// `Raw` are bytes that are sent as they are.
+/// Bytes that are sent unchanged.
 #[derive(Clone, Debug)]
 pub struct Raw {
-    /// The bytes.
+    /// Head and body, or anything else.
     pub bytes: Vec<u8>,
-    /// Whether the connection stays open.
+    /// Whether the connection stays open for more requests.
     pub keeps: bool,
 }
 
-/// `Whole` is an answer whose body is known in advance.
+/// Answer whose body is known in advance.
 #[derive(Clone, Debug)]
 pub struct Whole {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// Headers besides the content type and length.
+    /// Headers other than the content type and length.
     pub headers: Vec<(String, String)>,
-    /// The JSON body.
+    /// JSON body; empty for status 304.
     pub body: Vec<u8>,
 }
 
-/// `Stream` is an answer that is sent event by event.
+/// Answer that is sent event by event.
 pub struct Stream {
-    /// Headers besides the content type.
+    /// Headers other than the content type.
     pub headers: Vec<(String, String)>,
-    /// Sends the events. It runs on the connection's thread after the head was sent.
+    /// Function that sends the events. It runs on the connection's thread once the head is sent.
     pub produce: Box<dyn FnOnce(&mut EventWriter) -> StreamEnd + Send>,
 }
 
-/// `StreamEnd` is how a stream ended.
+/// How the body of a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The body is closed properly.
+    /// The body ends properly.
     Closed,
-    /// The connection breaks without an end of the body.
+    /// The connection breaks before the end of the body.
     Broken,
 }
 
-/// `EventWriter` sends server-sent events, each as one chunk that goes out at once.
+/// Writer of server-sent events, each of which is sent at once as one chunk.
 pub struct EventWriter {
     encoder: Encoder<TcpStream>,
     caller: Caller,
@@ -70,13 +70,13 @@
     ///
     /// # Errors
     ///
-    /// Any of the connection: the client is gone.
+    /// Errors of the connection, as when the client has disconnected.
     pub fn send(&mut self, data: &str) -> io::Result<()> {
         let event = format!("data: {data}\n\n");
         self.encoder.write_all(event.as_bytes())
     }
 
-    /// Sends bytes of the body as they are, such as a part of an event.
+    /// Sends bytes of the body unchanged, such as a part of an event.
     ///
     /// # Errors
     ///
@@ -85,14 +85,14 @@
         self.encoder.write_all(bytes)
     }
 
-    /// Returns the client.
+    /// Returns the client that the events are sent to.
     pub fn caller(&self) -> &Caller {
         &self.caller
     }
 }
 
 impl Reply {
-    /// Returns a whole answer with a JSON body.
+    /// Returns an answer with a JSON body.
     pub fn json(status: u16, body: &impl Serialize) -> Self {
         Self::Whole(Whole {
             status,
@@ -101,12 +101,12 @@
         })
     }
 
-    /// Returns a whole answer with an empty JSON object.
+    /// Returns a successful answer with an empty JSON object.
     pub fn ok() -> Self {
         Self::json(200, &serde_json::json!({}))
     }
 
-    /// Returns the answer that what the client knows is still right.
+    /// Returns the answer with status 304: the version that the client has is current.
     pub fn not_modified() -> Self {
         Self::Whole(Whole {
             status: 304,
@@ -115,12 +115,12 @@
         })
     }
 
-    /// Returns the answer to an unknown path.
+    /// Returns the answer with status 404 to an unknown path.
     pub fn not_found() -> Self {
         Self::json(404, &serde_json::json!({"error": {"code": "unknown_path"}}))
     }
 
-    /// Returns this answer with one more header.
+    /// Returns this answer with one more header. A reply without a head is returned unchanged.
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
         let header = (name.to_owned(), value.to_owned());
         match &mut self {
@@ -131,7 +131,7 @@
         self
     }
 
-    /// Sends the answer and returns whether the connection can take another request.
+    /// Sends the reply and returns whether the connection can carry another request.
     pub(crate) fn send(self, connection: &TcpStream, is_head: bool) -> io::Result<bool> {
         match self {
             Self::Whole(whole) => whole.send(connection, is_head),
