--- a/crates/standins/src/http/request.rs
+++ b/crates/standins/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Reading requests.
+//! Requests and how they are read.
 
 use std::borrow::Cow;
 use std::io;
@@ -19,23 +19,23 @@
 const MAX_HEAD_BYTES: u64 = 64 * 1024;
 const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// `Request` is one request that has arrived in whole.
+/// Request that has been read completely.
 #[derive(Debug)]
 pub struct Request {
-    /// The method, such as `GET`.
+    /// Method, such as `GET`.
     pub method: String,
-    /// The path without the query, still percent-encoded.
+    /// Path without the query, still percent-encoded.
     pub path: String,
-    /// The body.
+    /// Body without transfer encoding; empty if none was sent.
     pub body: Vec<u8>,
-    /// The client.
+    /// Client that sent the request.
     pub caller: Caller,
     query: String,
     headers: Vec<(String, String)>,
 }
 
 impl Request {
-    /// Reads the next request of a connection, or none if the connection ended before one began.
+    /// Reads the next request of a connection, or none if the connection ended before it began.
     pub(crate) fn read(reader: &mut BufReader<TcpStream>) -> io::Result<Option<Self>> {
         let Some(head) = read_head(reader)? else {
             return Ok(None);
@@ -50,7 +50,7 @@
         Ok(Some(request))
     }
 
-    /// Returns the value of a header.
+    /// Returns the value of the first header of a name in any case, or none without one.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -68,7 +68,7 @@
             .and_then(|(_, value)| value.parse().ok())
     }
 
-    /// Returns the decoded text that a query parameter holds.
+    /// Returns the percent-decoded value of a query parameter, or none without one.
     pub fn query_text(&self, name: &str) -> Option<Cow<'_, str>> {
         self.query
             .split('&')
@@ -77,7 +77,7 @@
             .map(|(_, value)| decode(value))
     }
 
-    /// Returns every header in order.
+    /// Returns all headers in the order in which they were sent.
     pub fn headers(&self) -> &[(String, String)] {
         &self.headers
     }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns the decoded segments of the path.
+    /// Returns the percent-decoded segments of the path.
     pub fn segments(&self) -> Vec<Cow<'_, str>> {
         self.path
             .trim_start_matches('/')
@@ -99,13 +99,13 @@
             .collect()
     }
 
-    /// Returns the decoded rest of the path after a prefix, or none if the path does not start
-    /// with it.
+    /// Returns the percent-decoded remainder of the path after a prefix, or none if the path does
+    /// not start with it.
     pub fn rest(&self, prefix: &str) -> Option<Cow<'_, str>> {
         self.path.strip_prefix(prefix).map(decode)
     }
 
-    /// Returns the body as JSON, or the reply that refuses it.
+    /// Returns the body deserialized from JSON, or the reply that refuses it.
     ///
     /// # Errors
     ///
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Returns whether the client wants to send more requests on the connection.
+    /// Returns whether the client keeps the connection open for more requests.
     pub(crate) fn keeps_alive(&self) -> bool {
         self.header("Connection")
             .is_none_or(|value| !value.eq_ignore_ascii_case("close"))
@@ -165,7 +165,7 @@
         if blank && line_start > 0 {
             return Ok(Some(head));
         }
-        // A blank line before the request line is to be skipped.
+        // A blank line before the request line is skipped.
         if blank {
             head.clear();
         }
