--- a/crates/standins/src/http/server.rs
+++ b/crates/standins/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Server that accepts connections and serves each on a thread.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,20 +18,20 @@
 
 const STACK_BYTES: usize = 256 * 1024;
 
-/// `Handler` answers requests. Its calls run on many threads at once and may block.
+/// Handler of requests. It is called on many threads at once and may block.
 pub trait Handler: Send + Sync {
-    /// Returns what becomes of a request.
+    /// Returns the reply to a request.
     fn handle(self: Arc<Self>, request: &Request) -> Reply;
 }
 
-/// `Server` accepts connections on one address until it is stopped.
+/// HTTP server that accepts connections on one address until it is stopped.
 pub struct Server {
     address: SocketAddr,
     connections: Arc<Connections>,
     accepting: JoinHandle<()>,
 }
 
-/// `Connections` are the open connections, kept so that a stopped server can break them.
+/// Open connections, which a stopped server breaks.
 #[derive(Default)]
 struct Connections {
     open: Mutex<Open>,
@@ -45,11 +45,11 @@
 }
 
 impl Server {
-    /// Listens on an address and serves from threads of its own.
+    /// Listens on an address and serves from threads that it starts.
     ///
     /// # Errors
     ///
-    /// Any of listening.
+    /// Errors of listening and of starting a thread.
     pub fn start(listen: SocketAddr, handler: Arc<dyn Handler>) -> io::Result<Self> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
@@ -76,7 +76,7 @@
         let _ = self.accepting.join();
     }
 
-    /// Stops accepting and breaks every connection, as the death of the process would.
+    /// Stops accepting and breaks every connection, as the end of the process would.
     pub fn stop(self) {
         self.stopper().stop();
         self.wait();
@@ -91,7 +91,7 @@
     }
 }
 
-/// `Stopper` ends a server without waiting for its threads.
+/// Handle that stops a server without waiting for its threads.
 #[derive(Clone)]
 pub struct Stopper {
     address: SocketAddr,
@@ -99,7 +99,7 @@
 }
 
 impl Stopper {
-    /// Stops accepting and breaks every connection. Again, it does nothing.
+    /// Stops accepting and breaks every connection. Only the first call has an effect.
     pub fn stop(&self) {
         let streams = {
             let mut open = self.connections.open.lock();
@@ -118,7 +118,7 @@
 }
 
 impl Connections {
-    /// Notes a connection and returns its number, or none once the server is stopped.
+    /// Records a connection and returns its number, or none once the server is stopped.
     fn add(&self, stream: &TcpStream) -> Option<u64> {
         let mut open = self.open.lock();
         if open.stopped {
@@ -144,7 +144,7 @@
         if connections.is_stopped() {
             return;
         }
-        // A client that is gone before it was accepted is no concern of the server.
+        // The client disconnected before its connection was accepted.
         let Ok(stream) = stream else { continue };
         let Some(id) = connections.add(&stream) else {
             continue;
@@ -155,7 +155,7 @@
             .name("connection".to_owned())
             .stack_size(STACK_BYTES)
             .spawn(move || {
-                // An error means that the client is gone or that it sent no HTTP; either way the
+                // An error means that the client disconnected or sent no valid HTTP. Either way the
                 // connection ends.
                 let _ = serve(&stream, &handler);
                 served.remove(id);
