--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -1,9 +1,9 @@
-//! Which sequences generate and which wait.
+//! Batch of an engine: the sequences that generate and those that wait.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// `SequenceId` names one sequence within one engine process.
+/// Identity of one sequence within one engine process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SequenceId(u64);
 
@@ -13,18 +13,18 @@
     }
 }
 
-/// `Entry` is what becomes of a sequence that enters the batch.
+/// Outcome of adding a sequence to the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// It generates.
+    /// The sequence has a slot and generates.
     Running(SequenceId),
-    /// It waits for a slot.
+    /// The sequence waits for a slot.
     Waiting(SequenceId),
-    /// It is refused, since as many wait as may.
+    /// The sequence is refused, since the queue is full.
     Full,
 }
 
-/// `Batch` holds the sequences that generate and those that wait, which follow by priority, lower
+/// Sequences that generate and a queue of those that wait for a slot, ordered by priority, lower
 /// numbers first, and then by arrival.
 #[derive(Clone, Debug)]
 pub struct Batch {
@@ -36,7 +36,7 @@
 }
 
 impl Batch {
-    /// Returns an empty batch with so many slots and so many places to wait.
+    /// Returns an empty batch with `slots` slots and a queue for `queue` sequences.
     pub fn new(slots: usize, queue: usize) -> Self {
         Self {
             slots,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes in a sequence.
+    /// Adds a sequence, which generates if a slot is free and waits otherwise.
     pub fn enter(&mut self, priority: u32) -> Entry {
         let id = SequenceId(self.next_id);
         if self.running.len() < self.slots {
@@ -63,7 +63,7 @@
         Entry::Waiting(id)
     }
 
-    /// Takes out a sequence and returns the one that now gets its slot, if one does.
+    /// Removes a sequence and returns the one that now gets its slot, if any.
     pub fn leave(&mut self, id: SequenceId) -> Option<SequenceId> {
         self.waiting.retain(|(_, waiting)| *waiting != id);
         if !self.running.remove(&id) {
@@ -74,7 +74,7 @@
         Some(next)
     }
 
-    /// Takes out all sequences. Their numbers are not used again.
+    /// Removes all sequences. Their numbers are not reused.
     pub fn clear(&mut self) {
         self.running.clear();
         self.waiting.clear();
