--- a/crates/standins/src/engine/completion.rs
+++ b/crates/standins/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! Requests for completions and the bodies of their answers, in OpenAI's format.
+//! Completion requests and the bodies of their answers, in OpenAI's format.
 
 use apricotdale_core::names::ModelName;
 use apricotdale_core::names::RequestId;
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The bytes of a prompt's JSON text that make up its prefix.
+/// Number of bytes of a prompt's JSON text that make up its prefix.
 pub const PREFIX_BYTES: usize = 256;
 
 const DEFAULT_MAX_TOKENS: u32 = 16;
@@ -20,13 +20,13 @@
     xxh3_64(&prefix[..prefix.len().min(PREFIX_BYTES)])
 }
 
-/// Returns the text of a request's token with the given number, from zero. It names the request,
-/// so that a test sees whose answer it got.
+/// Returns the text of a request's token with the given number, from zero. The text names the
+/// request, so that a test can tell which request an answer belongs to.
 pub fn token(id: &RequestId, number: u32) -> String {
     format!("tok-{id}-{number} ")
 }
 
-/// `Format` is one of the two published formats.
+/// API format of a request and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
     /// `POST /v1/completions`.
@@ -35,7 +35,7 @@
     Chat,
 }
 
-/// `CompletionBody` is the body of a request.
+/// Body of a completion request.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct CompletionBody {
     pub(crate) model: ModelName,
@@ -55,7 +55,7 @@
     include_usage: bool,
 }
 
-/// `Answer` writes the bodies of one request's answer.
+/// Writer of the bodies of one request's answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub(crate) id: RequestId,
@@ -72,7 +72,7 @@
         asked.unwrap_or(DEFAULT_MAX_TOKENS).max(1)
     }
 
-    /// Returns whether a stream ends with an event that tells the usage.
+    /// Returns whether a stream ends with an event that reports the token usage.
     pub(crate) fn includes_usage(&self) -> bool {
         self.stream_options.include_usage
     }
@@ -83,8 +83,8 @@
         prompt.map_or("", |text| text.get())
     }
 
-    /// Returns the usage when so many tokens were generated. Each word of the prompt counts as one
-    /// token.
+    /// Returns the token usage of an answer with `generated` tokens. Each word of the prompt counts
+    /// as one token.
     pub(crate) fn usage(&self, generated: u32) -> Value {
         let prompt = serde_json::from_str(self.prompt_json()).map_or(0, |prompt| words(&prompt));
         json!({
@@ -95,7 +95,7 @@
     }
 }
 
-/// Counts the words of a prompt, or of messages with contents of whatever form.
+/// Counts the words of a prompt, or of messages whose contents are texts or lists of parts.
 fn words(prompt: &Value) -> usize {
     match prompt {
         Value::String(text) => text.split_whitespace().count(),
@@ -119,14 +119,14 @@
         self.body(self.chunk_object(), json!([choice])).to_string()
     }
 
-    /// Returns the data of the event that tells the usage.
+    /// Returns the data of the event that reports the token usage.
     pub(crate) fn usage_event(&self, usage: Value) -> String {
         let mut body = self.body(self.chunk_object(), json!([]));
         body["usage"] = usage;
         body.to_string()
     }
 
-    /// Returns the body of an answer that is no stream.
+    /// Returns the body of an answer that is not streamed.
     pub(crate) fn whole(&self, tokens: u32, usage: Value) -> Value {
         let text: String = (0..tokens).map(|number| token(&self.id, number)).collect();
         let (object, choice) = match self.format {
