--- a/crates/standins/src/engine/faults.rs
+++ b/crates/standins/src/engine/faults.rs
@@ -1,9 +1,9 @@
-//! The faults that a control call arms.
+//! Faults of the engine that a control call arms.
 
 use serde::Deserialize;
 
-/// `FaultOrder` is the body of `POST /standin/fault` at the engine stand-in. What it does not name
-/// stays as it is.
+/// Body of `POST /standin/fault` at the engine stand-in. Faults that it does not name stay as they
+/// are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct FaultOrder {
@@ -16,47 +16,45 @@
     pub(crate) restart: Option<bool>,
 }
 
-/// `LoadFault` is what happens to the next load that begins.
+/// Fault of the next load that begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum LoadFault {
-    /// It fails after its weights were fetched.
+    /// The load fails after its weights were fetched.
     Die,
-    /// It stays in progress.
+    /// The load stays in progress.
     Hang,
-    /// Nothing, and the loads that hang go on.
+    /// No fault; loads that hang continue.
     Finish,
 }
 
-/// `OrderKind` is a kind of order whose answer can be lost.
+/// Kind of order whose answer can be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum OrderKind {
-    /// A load.
     Load,
-    /// An unload.
     Unload,
 }
 
-/// `Faults` are the faults that are armed.
+/// Faults that are armed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
-    /// What happens to the next load.
+    /// Fault of the next load.
     pub(crate) load: Option<LoadFault>,
-    /// Grows each time the loads that hang are let go on.
+    /// Number of orders so far that made hanging loads continue.
     pub(crate) finishes: u64,
-    /// The kind of order whose next answer is lost.
+    /// Kind of order whose next answer is lost.
     pub(crate) answer_lost: Option<OrderKind>,
-    /// The events after which the next stream breaks.
+    /// Number of events after which the next stream breaks.
     pub(crate) cut_stream_after: Option<u64>,
     /// Whether the next answer carries another request's identity.
     pub(crate) crossed: bool,
-    /// By how much everything on the engine is slower.
+    /// Factor by which prefill, generation and copies are slower; one is normal speed.
     pub(crate) slow_factor: f64,
 }
 
 impl Faults {
-    /// Returns a state without faults.
+    /// Returns a state in which no fault is armed.
     pub(crate) fn new() -> Self {
         Self {
             load: None,
@@ -87,7 +85,7 @@
             .unwrap_or(self.slow_factor);
     }
 
-    /// Returns whether the answer to an order of this kind that took effect is lost. Only one is.
+    /// Returns whether the answer to an order of this kind is lost, and disarms the fault if so.
     pub(crate) fn loses_answer(&mut self, kind: OrderKind) -> bool {
         let lost = self.answer_lost == Some(kind);
         if lost {
