--- a/crates/standins/src/engine/gate.rs
+++ b/crates/standins/src/engine/gate.rs
@@ -1,12 +1,12 @@
-//! The gate that holds orders back after they were received.
+//! Gate that delays orders after they were received.
 
 use std::collections::VecDeque;
 
-/// `OrderTicket` is an order's place in the row of those received.
+/// Position of an order in the sequence of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderTicket(u64);
 
-/// `OrderGate` lets orders pass in the sequence of their arrival, and none while it is closed.
+/// Gate that lets orders pass in the sequence of their arrival, and none while it is closed.
 #[derive(Debug, Default)]
 pub struct OrderGate {
     closed: bool,
@@ -20,7 +20,7 @@
         self.closed = closed;
     }
 
-    /// Notes an order that was received.
+    /// Appends an order to the queue and returns its position.
     pub fn arrive(&mut self) -> OrderTicket {
         let ticket = OrderTicket(self.next);
         self.next += 1;
@@ -28,7 +28,7 @@
         ticket
     }
 
-    /// Returns whether an order passes now, and if so takes it out of the row.
+    /// Returns whether an order passes now, and removes it from the queue if so.
     pub fn pass(&mut self, ticket: OrderTicket) -> bool {
         if self.closed || self.row.front() != Some(&ticket) {
             return false;
@@ -37,7 +37,7 @@
         true
     }
 
-    /// Forgets the orders that have not passed.
+    /// Drops the orders that have not passed.
     pub fn clear(&mut self) {
         self.row.clear();
     }
