--- a/crates/standins/src/engine/host_cache.rs
+++ b/crates/standins/src/engine/host_cache.rs
@@ -1,18 +1,18 @@
-//! The checkpoints on the engine's host.
+//! Checkpoints cached on the engine's host.
 
 use apricotdale_core::engine::CacheTier;
 use apricotdale_core::engine::CachedCheckpoint;
 use apricotdale_core::names::ModelName;
 
-/// `HostCache` holds checkpoints in the host's memory and on its disk. Each of the two is limited
-/// in bytes and drops the checkpoint that was used longest ago.
+/// Checkpoints cached in the host's memory and on its disk. Each of the two tiers is limited in
+/// bytes and evicts the least recently used checkpoint.
 #[derive(Clone, Debug)]
 pub struct HostCache {
     memory: Tier,
     disk: Tier,
 }
 
-/// `Tier` holds checkpoints, the one used last at the end.
+/// Checkpoints of one tier with their sizes in bytes, the most recently used last.
 #[derive(Clone, Debug)]
 struct Tier {
     limit_bytes: u64,
@@ -20,7 +20,7 @@
 }
 
 impl HostCache {
-    /// Returns an empty cache with the given limits.
+    /// Returns an empty cache with the given limits in bytes.
     pub fn new(memory_bytes: u64, disk_bytes: u64) -> Self {
         Self {
             memory: Tier::new(memory_bytes),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the fastest tier that holds a checkpoint.
+    /// Returns the fastest tier that holds a checkpoint; remote if the host does not hold it.
     pub fn tier(&self, model: &ModelName) -> CacheTier {
         match model {
             model if self.memory.holds(model) => CacheTier::Memory,
@@ -37,18 +37,18 @@
         }
     }
 
-    /// Notes that a checkpoint was fetched or used.
+    /// Records that a checkpoint was fetched or used, and caches it in each tier that it fits into.
     pub fn touch(&mut self, model: &ModelName, bytes: u64) {
         self.memory.touch(model, bytes);
         self.disk.touch(model, bytes);
     }
 
-    /// Drops what only the host's memory holds, as a new engine process would find it.
+    /// Drops the checkpoints in memory, as the end of the engine process does.
     pub fn forget_memory(&mut self) {
         self.memory.held.clear();
     }
 
-    /// Returns the checkpoints held, each with its fastest tier.
+    /// Returns the cached checkpoints, each with its fastest tier.
     pub fn checkpoints(&self) -> Vec<CachedCheckpoint> {
         let on_disk = self.disk.held.iter();
         let on_disk = on_disk.filter(|(model, _)| !self.memory.holds(model));
