--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,8 +1,9 @@
-//! The stand-in of a model engine.
+//! Stand-in of a model engine.
 //!
-//! The parts that decide something are pure and know neither time nor threads: [`Models`] decides
-//! on orders and memory, [`OrderGate`] on which order acts next, [`Batch`] on which sequence generates next,
-//! [`HostCache`] and [`PrefixCache`] on what is cached. [`EngineStandin`] joins them with threads and the clock.
+//! The types that make decisions use neither threads nor a clock: [`Models`] decides on orders and
+//! memory, [`OrderGate`] on which order is carried out next, [`Batch`] on which sequence generates
+//! next, [`HostCache`] and [`PrefixCache`] on what is cached. [`EngineStandin`] connects them with
+//! threads and the clock.
 
 mod batch;
 mod completion;
