--- a/crates/standins/src/engine/models.rs
+++ b/crates/standins/src/engine/models.rs
@@ -1,4 +1,4 @@
-//! The models in the accelerator memory, and what orders do to them.
+//! Models in the accelerator memory, and the effect of orders on them.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +12,19 @@
 
 use crate::engine::options::Options;
 
-/// `OrderRefusal` is why an order had no effect.
+/// Reason why an order had no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderRefusal {
-    /// The order's fencing number is lower than the highest one seen.
+    /// The order's fencing token is lower than the highest one seen.
     StaleFence {
-        /// The highest one seen.
+        /// Highest token seen.
         highest: FencingNumber,
     },
-    /// The memory does not hold the model.
+    /// The model does not fit into the free memory.
     NoMemory,
     /// The model that the adapter belongs to is not loaded.
     BaseMissing,
-    /// The weights could not be fetched or not be loaded.
+    /// The weights could not be fetched or loaded.
     WeightsFailed,
     /// The weight store does not hold the model.
     UnknownModel,
@@ -32,21 +32,21 @@
     AdaptersLoaded,
 }
 
-/// `LoadStep` is what a load order has to do next.
+/// Next step of a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadStep {
-    /// Nothing: the model is loaded.
+    /// Nothing is to be done: the model is loaded.
     Loaded,
     /// Wait until the models change, since the model is being loaded or unloaded.
     Wait,
-    /// Load. The memory is taken.
+    /// Start the load. Its memory is reserved.
     Begin,
 }
 
-/// `UnloadStep` is what an unload order has to do next.
+/// Next step of an unload order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnloadStep {
-    /// Nothing: the model is not there.
+    /// Nothing is to be done: the model is not in memory.
     Absent,
     /// Wait until the models change, since the model is being loaded.
     Wait,
@@ -54,7 +54,7 @@
     Ending(u64),
 }
 
-/// `Models` are the models in the accelerator memory.
+/// Models in the accelerator memory of an engine.
 #[derive(Clone, Debug)]
 pub struct Models {
     boot: BootId,
@@ -80,7 +80,7 @@
 }
 
 impl Models {
-    /// Returns the empty memory of a new engine process.
+    /// Returns the empty memory of an engine process that has just started.
     pub fn new(options: &Options, boot: BootId) -> Self {
         Self {
             boot,
@@ -96,22 +96,22 @@
         }
     }
 
-    /// Returns the run of the engine process.
+    /// Returns the boot number, which identifies the incarnation of the engine process.
     pub fn boot(&self) -> BootId {
         self.boot
     }
 
-    /// Returns the most memory that was ever taken, in bytes.
+    /// Returns the largest amount of memory that was ever reserved, in bytes.
     pub fn most_bytes_held(&self) -> u64 {
         self.most_bytes_held
     }
 
-    /// Returns how many loads were begun that the memory does not hold.
+    /// Returns the number of loads that began although they did not fit into the memory.
     pub fn overcommitted(&self) -> u64 {
         self.overcommitted
     }
 
-    /// Begins the next run of the engine process: models and fencing number are forgotten.
+    /// Starts the next incarnation of the engine process, without models and fencing token.
     pub fn restart(&mut self) {
         self.boot = BootId(self.boot.0 + 1);
         self.sequence = 0;
@@ -119,12 +119,12 @@
         self.residents.clear();
     }
 
-    /// Refuses a fencing number lower than the highest one seen, and notes a higher one. An engine
-    /// that does not check numbers takes no notice of them.
+    /// Refuses a fencing token lower than the highest one seen, and records a higher one. An engine
+    /// that does not check tokens ignores them.
     ///
     /// # Errors
     ///
-    /// `OrderRefusal::StaleFence`.
+    /// `OrderRefusal::StaleFence` for a lower token.
     pub fn check_fence(&mut self, fence: FencingNumber) -> Result<(), OrderRefusal> {
         if !self.checks_fence {
             return Ok(());
@@ -137,11 +137,11 @@
         Ok(())
     }
 
-    /// Returns what a load order has to do next. For `LoadStep::Begin` the memory is taken.
+    /// Returns the next step of a load order. For `LoadStep::Begin` the memory has been reserved.
     ///
     /// # Errors
     ///
-    /// Why the order is refused.
+    /// The reason why the order is refused.
     pub fn load_step(&mut self, order: &LoadOrder) -> Result<LoadStep, OrderRefusal> {
         self.check_fence(order.fence)?;
         match self.residency(&order.model) {
@@ -162,7 +162,7 @@
         Ok(LoadStep::Begin)
     }
 
-    /// Ends a load that was begun.
+    /// Ends a load that was begun. A failed load frees its memory.
     pub fn load_ended(&mut self, model: &ModelName, loaded: bool) {
         self.sequence += 1;
         if !loaded {
@@ -174,12 +174,12 @@
         }
     }
 
-    /// Returns what an unload order has to do next. The memory of a model without requests in
-    /// progress is free at once.
+    /// Returns the next step of an unload order. The memory of a model without requests in progress
+    /// is freed at once.
     ///
     /// # Errors
     ///
-    /// Why the order is refused.
+    /// The reason why the order is refused.
     pub fn unload_step(
         &mut self,
         model: &ModelName,
@@ -203,7 +203,7 @@
         self.residents.values().all(|held| held.number != number)
     }
 
-    /// Counts a request on a model and returns true, or returns false if the model can't serve.
+    /// Counts a request on a model and returns true, or returns false if the model is not loaded.
     pub fn begin_request(&mut self, model: &ModelName) -> bool {
         let held = self.residents.get_mut(model);
         let Some(held) = held.filter(|held| held.residency == Residency::Loaded) else {
@@ -213,7 +213,8 @@
         true
     }
 
-    /// Ends a request that was counted. A model that is being unloaded goes with its last one.
+    /// Ends a request that was counted. With its last request, a model that is being unloaded frees
+    /// its memory.
     pub fn end_request(&mut self, model: &ModelName) {
         let Some(held) = self.residents.get_mut(model) else {
             return;
@@ -222,7 +223,7 @@
         self.free_if_idle(model);
     }
 
-    /// Returns the exact status.
+    /// Returns the present status of the engine.
     pub fn status(&self) -> EngineStatus {
         EngineStatus {
             boot: self.boot,
@@ -262,10 +263,10 @@
         self.most_bytes_held = self.most_bytes_held.max(self.bytes_held());
     }
 
-    /// Refuses new requests for a loaded model from now on and returns its residency's number.
+    /// Stops accepting requests for a loaded model and returns its residency's number.
     fn start_unloading(&mut self, model: &ModelName) -> u64 {
         let held = self.residents.get_mut(model);
-        let held = held.expect("the caller has seen that the model is there");
+        let held = held.expect("the caller has checked that the model is in memory");
         let number = held.number;
         if held.residency == Residency::Loaded {
             held.residency = Residency::Unloading;
