--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -27,17 +27,17 @@
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// `OrderEnd` is how an order ended.
+/// Outcome of an order.
 enum OrderEnd {
-    /// It took effect.
+    /// The order took effect.
     Done,
-    /// It had no effect.
+    /// The order had no effect.
     Refused(OrderRefusal),
-    /// The engine process that received it is no more.
+    /// The engine process that received the order has ended.
     Restarted,
 }
 
-/// `LoadJob` is one load in progress.
+/// Load in progress.
 #[derive(Clone)]
 struct LoadJob {
     boot: BootId,
@@ -86,8 +86,8 @@
         answer(&mut state, Some(OrderKind::Unload), end)
     }
 
-    /// Raises the fencing number. Such an order passes a closed gate: it is there to overtake the
-    /// orders that are held up on their way.
+    /// Raises the fencing token. Such an order passes a closed gate, since it has to overtake the
+    /// orders that are delayed.
     pub(crate) fn order_fence(&self, request: &Request) -> Reply {
         let order: FenceOrder = match request.json() {
             Ok(order) => order,
@@ -101,8 +101,8 @@
         answer(&mut state, None, end)
     }
 
-    /// Waits until the order's turn at the gate, and returns false if the engine process ended
-    /// before that.
+    /// Waits until the order passes the gate, and returns false if the engine process ended before
+    /// that.
     fn pass_gate(&self, state: &mut MutexGuard<'_, State>, boot: BootId) -> bool {
         let ticket = state.gate.arrive();
         while !state.gate.pass(ticket) {
@@ -115,8 +115,8 @@
         true
     }
 
-    /// Loads a model and waits for that. The caller's connection is not looked at: a load that was
-    /// begun goes on without it.
+    /// Loads a model and waits until it is loaded. The caller's connection is not checked: a load
+    /// that was begun continues without it.
     fn load(
         self: &Arc<Self>,
         state: &mut MutexGuard<'_, State>,
@@ -185,7 +185,7 @@
         self.orders_changed.notify_all();
     }
 
-    /// Takes the time that fetching the weights takes.
+    /// Waits as long as fetching the weights takes.
     fn fetch(&self, job: &LoadJob) -> Result<(), OrderRefusal> {
         match job.tier {
             CacheTier::Memory => self.copy(job, self.options.memory_bytes_per_s),
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Keeps a load in progress until the hanging loads are let go on or the process ends.
+    /// Keeps a load in progress until hanging loads may continue or the process ends.
     fn hang(&self, state: &mut MutexGuard<'_, State>, job: &LoadJob) {
         while state.models.boot() == job.boot && state.faults.finishes == job.finishes {
             self.orders_changed.wait(state);
