--- a/crates/standins/src/engine/prefix_cache.rs
+++ b/crates/standins/src/engine/prefix_cache.rs
@@ -1,15 +1,15 @@
-//! The prompt prefixes that the engine has cached, and the events that tell of them.
+//! Prompt prefixes that the engine has cached, and the events that report changes of the cache.
 
 use std::collections::VecDeque;
 
 use apricotdale_core::engine::CacheEvent;
 use apricotdale_core::names::ModelName;
 
-/// The events that are kept for readers.
+/// Maximum number of events that are kept for readers.
 const KEPT_EVENTS: usize = 4_096;
 
-/// `PrefixCache` holds prompt prefixes, limited in number, and drops the one used longest ago. It
-/// publishes what it does late and with gaps.
+/// Cache of a limited number of prompt prefixes, which evicts the least recently used one. Events
+/// report its changes with a lag and with gaps.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     limit: usize,
@@ -22,7 +22,7 @@
 
 impl PrefixCache {
     /// Returns an empty cache of `limit` prefixes, whose events are published `lag_ms`
-    /// milliseconds late and of which every `gap_every`th is lost (none for 0).
+    /// milliseconds late. Every `gap_every`th event is lost, none for 0.
     pub fn new(limit: usize, lag_ms: u64, gap_every: u64) -> Self {
         Self {
             limit,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Uses a prefix: returns whether it was cached, and caches it if it was not.
+    /// Records the use of a prefix: returns whether it was cached, and caches it if it was not.
     pub fn touch(&mut self, now_ms: u64, model: &ModelName, prefix_hash: u64) -> bool {
         let prefix = (model.clone(), prefix_hash);
         let position = self.held.iter().position(|held| *held == prefix);
@@ -55,7 +55,7 @@
         false
     }
 
-    /// Returns the events after a sequence number that are published by now and were not lost.
+    /// Returns the events after a sequence number that are published by `now_ms` and not lost.
     pub fn events(&self, now_ms: u64, after: u64) -> Vec<CacheEvent> {
         let published = self.events.iter().filter(|(since_ms, event)| {
             event.sequence > after && since_ms.saturating_add(self.lag_ms) <= now_ms
@@ -63,7 +63,7 @@
         published.map(|(_, event)| event.clone()).collect()
     }
 
-    /// Forgets all prefixes and events, as a new engine process has none.
+    /// Removes all prefixes and events, as a restart of the engine process does.
     pub fn clear(&mut self) {
         self.held.clear();
         self.events.clear();
