--- a/crates/standins/src/engine/sequence.rs
+++ b/crates/standins/src/engine/sequence.rs
@@ -1,4 +1,4 @@
-//! The signal by which a sequence learns that it may run or must end.
+//! Signal that starts or ends a sequence.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,10 +9,10 @@
 use crate::engine::effects::RequestState;
 use crate::http::Caller;
 
-/// How often a sequence that has nothing to send looks whether its caller is still there.
+/// Interval at which a sequence with nothing to send checks whether its caller is connected.
 const CALLER_POLL: Duration = Duration::from_millis(50);
 
-/// `Phase` is how far a sequence is.
+/// Progress of a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Waiting,
@@ -20,7 +20,7 @@
     Ended(RequestState),
 }
 
-/// `Signal` tells one sequence what the others and the orders mean for it.
+/// Signal by which other threads give a sequence a slot or end it.
 #[derive(Debug)]
 pub(crate) struct Signal {
     phase: Mutex<Phase>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Gives the sequence a slot.
+    /// Gives the sequence a slot if it waits for one.
     pub(crate) fn run(&self) {
         let mut phase = self.phase.lock();
         if *phase == Phase::Waiting {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Ends the sequence.
+    /// Ends the sequence in the given state.
     pub(crate) fn end(&self, state: RequestState) {
         *self.phase.lock() = Phase::Ended(state);
         self.changed.notify_all();
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// How the sequence ended before that.
+    /// The state in which the sequence ended before that.
     pub(crate) fn wait_for_slot(&self, caller: &Caller) -> Result<(), RequestState> {
         let mut phase = self.phase.lock();
         loop {
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Waits until a time, while the sequence generates.
+    /// Waits until a time at which the sequence's next output is due.
     ///
     /// # Errors
     ///
-    /// How the sequence ended before that.
+    /// The state in which the sequence ended before that.
     pub(crate) fn wait_until(&self, due: Instant, caller: &Caller) -> Result<(), RequestState> {
         let mut phase = self.phase.lock();
         loop {
