--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in: its state, its reports and its control calls.
+//! Engine stand-in: its state, its reports and its control calls.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,8 +31,8 @@
 use crate::http::Request;
 use crate::lagged::Lagged;
 
-/// `EngineStandin` pretends to be a model engine: it loads, generates and batches in the time that
-/// this would take, and its tokens name the request they belong to.
+/// Simulated model engine. Loading, generation and batching take as long as on a real engine, and
+/// the tokens name the request that they belong to.
 pub struct EngineStandin {
     pub(crate) options: Options,
     pub(crate) clock: SystemClock,
@@ -42,7 +42,7 @@
     pub(crate) orders_changed: Condvar,
 }
 
-/// `State` is everything that changes on an engine.
+/// State of an engine that changes.
 pub(crate) struct State {
     pub(crate) models: Models,
     pub(crate) gate: OrderGate,
@@ -55,7 +55,7 @@
     report: Lagged<LoadReport>,
 }
 
-/// `Listed` is a sequence as orders and cancellations find it.
+/// Sequence in progress, as orders and cancellations find it.
 pub(crate) struct Listed {
     pub(crate) request: RequestId,
     pub(crate) signal: Arc<Signal>,
@@ -66,7 +66,7 @@
     pub fn new(options: Options) -> Self {
         let clock = SystemClock::new();
         let boot = BootId(options.boot.unwrap_or_else(|| clock.unix_ms()));
-        // The weight store is reached directly, whatever the environment says of proxies.
+        // The weight store is reached directly, even if the environment sets a proxy.
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .proxy(None);
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Notes the present load for the lagging report.
+    /// Records the present load for the load report, which is published with a lag.
     pub(crate) fn note_load(&self, state: &mut State) {
         let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
         let report = LoadReport {
@@ -142,8 +142,8 @@
         Reply::ok()
     }
 
-    /// Does what the death of the process and the start of the next one do. Orders and sequences
-    /// notice that the boot number or their signal has changed, and break their connections.
+    /// Simulates the end of the process and the start of the next one. Orders and sequences notice
+    /// that the boot number or their signal has changed, and close their connections.
     fn restart(&self, state: &mut MutexGuard<'_, State>) {
         state.models.restart();
         state.gate.clear();
