--- a/crates/standins/src/engine/serving.rs
+++ b/crates/standins/src/engine/serving.rs
@@ -1,4 +1,4 @@
-//! Requests to the engine stand-in.
+//! Completion requests to the engine stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,8 +29,8 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// `Sequence` is one request that was accepted. Dropping it frees its slot, and a sequence that
-/// was dropped without an end counts as cancelled.
+/// Request that was accepted. Dropping it frees its slot, and a sequence that is dropped before its
+/// end counts as cancelled.
 struct Sequence {
     engine: Arc<EngineStandin>,
     id: SequenceId,
@@ -41,7 +41,7 @@
     cut_after: Option<u64>,
 }
 
-/// `Pace` says when the tokens of a sequence are due.
+/// Schedule of a sequence's tokens.
 struct Pace {
     due: Instant,
 }
@@ -73,7 +73,7 @@
         reply.with_header("X-Request-Id", id.as_str())
     }
 
-    /// Ends the sequences of a request.
+    /// Cancels the sequences of a request.
     pub(crate) fn cancel(&self, request: &RequestId) -> Reply {
         let state = self.state.lock();
         let sequences = state.sequences.values();
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Gives a sequence's slot to the next one.
+    /// Frees a sequence's slot and gives it to the next one that waits.
     fn release(&self, sequence: &Sequence) {
         let mut state = self.state.lock();
         state
@@ -172,7 +172,7 @@
         Ok(pace)
     }
 
-    /// Returns the writer of the answer, with the identity that the answer carries.
+    /// Returns the writer of the answer. With an armed fault it carries another request's identity.
     fn answer(&self, format: Format) -> Answer {
         let mut state = self.engine.state.lock();
         let crossed = std::mem::take(&mut state.faults.crossed);
@@ -238,7 +238,7 @@
         if self.body.includes_usage() {
             send(writer, &answer.usage_event(self.body.usage(tokens)))?;
         }
-        // The end is noted before it is sent, so that a reader of the whole answer finds it noted.
+        // Recorded before it is sent, so that a reader of the complete answer finds it recorded.
         self.end(RequestState::Whole);
         send(writer, "[DONE]")
     }
@@ -254,7 +254,7 @@
         Ok(())
     }
 
-    /// Ends a request whose answer has not begun by closing its connection.
+    /// Ends a request whose answer has not begun, by closing its connection.
     fn lose(&self, state: RequestState) -> Reply {
         self.end(state);
         Reply::Lost
