--- a/crates/standins/src/weights/bandwidth.rs
+++ b/crates/standins/src/weights/bandwidth.rs
@@ -1,18 +1,18 @@
-//! How the loads in progress share the weight store's bandwidth.
+//! Bandwidth of the weight store, shared by the loads in progress.
 
 use std::collections::BTreeMap;
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// What rounding may leave of a load that is done, in bytes.
+/// Number of bytes that rounding may leave of a complete load.
 const REMAINDER_BYTES: f64 = 0.5;
 
-/// `LoadId` names one load in progress.
+/// Identity of one load in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LoadId(u64);
 
-/// `Bandwidth` is how far the loads in progress are. Up to a number of loads each runs at full
-/// speed; more of them share the bandwidth of that number in equal parts.
+/// Progress of the loads. Up to a number of loads, each runs at full speed; more of them share the
+/// bandwidth of that number in equal parts.
 #[derive(Clone, Debug)]
 pub struct Bandwidth {
     full_speed_loads: u32,
@@ -45,13 +45,13 @@
         id
     }
 
-    /// Ends a load, done or not.
+    /// Ends a load, whether it is complete or not.
     pub fn end(&mut self, now_ms: f64, id: LoadId) {
         self.advance(now_ms);
         self.left_bytes.remove(&id);
     }
 
-    /// Makes every load slower by a factor. One is the normal speed.
+    /// Slows every load by a factor; one is normal speed, as is any factor that is not positive.
     pub fn slow_by(&mut self, now_ms: f64, factor: f64) {
         self.advance(now_ms);
         self.factor = if factor > 0.0 { factor } else { 1.0 };
@@ -62,8 +62,8 @@
         u32::try_from(self.left_bytes.len()).unwrap_or(u32::MAX)
     }
 
-    /// Returns the time in milliseconds until a load is done if no other begins or ends before
-    /// that, or none if it is done or has ended.
+    /// Returns the time in milliseconds until a load is complete if no other begins or ends before
+    /// that, or none if it is complete or has ended.
     pub fn left_ms(&mut self, now_ms: f64, id: LoadId) -> Option<f64> {
         self.advance(now_ms);
         let left_bytes = self.left_bytes.get(&id).copied()?;
@@ -77,8 +77,8 @@
         full_speed * f64::from(self.full_speed_loads) / f64::from(sharing)
     }
 
-    /// Takes off what each load has fetched since the last call. Between two calls that change the
-    /// speed it is constant, except that a load which is done keeps its part until it ends.
+    /// Subtracts what each load has fetched since the last call. The speed is constant between two
+    /// calls that change it, except that a complete load keeps its share until it is ended.
     fn advance(&mut self, now_ms: f64) {
         let fetched = (now_ms - self.as_of_ms).max(0.0) * self.bytes_per_ms();
         self.as_of_ms = self.as_of_ms.max(now_ms);
