--- a/crates/standins/src/weights/models.rs
+++ b/crates/standins/src/weights/models.rs
@@ -1,4 +1,4 @@
-//! The models that the weight store holds.
+//! Models that the weight store holds.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// `ModelSizes` are the models that the weight store holds, with their sizes.
+/// Models that the weight store holds, with their sizes in bytes.
 #[derive(Clone, Debug, Default)]
 pub struct ModelSizes {
     listed: Option<BTreeMap<ModelName, u64>>,
@@ -16,12 +16,12 @@
 }
 
 impl ModelSizes {
-    /// Returns a store that holds any model, of the size that its first load names.
+    /// Returns a store that holds any model, in the size that its first load names.
     pub fn any() -> Self {
         Self::default()
     }
 
-    /// Returns a store that holds just the given models.
+    /// Returns a store that holds only the given models.
     pub fn listed(sizes: impl IntoIterator<Item = (ModelName, u64)>) -> Self {
         Self {
             listed: Some(sizes.into_iter().collect()),
@@ -29,11 +29,11 @@
         }
     }
 
-    /// Returns a store that holds the models of a file, with a line `name bytes` for each.
+    /// Returns a store that holds the models of a file, which has a line `name bytes` for each.
     ///
     /// # Errors
     ///
-    /// `Error::File` or `Error::ModelLine`.
+    /// `Error::File` if the file can't be read, `Error::ModelLine` for a malformed line.
     pub fn read(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path).map_err(|cause| Error::file(path, cause))?;
         let lines = text.lines().enumerate();
@@ -44,7 +44,7 @@
         Ok(Self::listed(sizes))
     }
 
-    /// Returns a model's size in bytes, or none if it is not held or not known yet.
+    /// Returns a model's size in bytes, or none if the model is not held or its size not known yet.
     pub fn bytes(&self, model: &ModelName) -> Option<u64> {
         let held = self.listed.as_ref().unwrap_or(&self.learned);
         held.get(model).copied()
