--- a/crates/standins/src/weights/server.rs
+++ b/crates/standins/src/weights/server.rs
@@ -1,4 +1,4 @@
-//! The calls of the weight store stand-in.
+//! Calls of the weight store stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,23 +23,23 @@
 use crate::weights::models::ModelSizes;
 use crate::weights::options::Options;
 
-/// How often a load in progress looks whether its engine is still there.
+/// Interval at which a load in progress checks whether its engine is still connected.
 const CALLER_POLL: Duration = Duration::from_millis(50);
 
-/// `Mode` is how the weight store stand-in behaves.
+/// Behaviour of the weight store stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Works.
+    /// Serves every call.
     #[default]
     Up,
-    /// Answers every call with 503. Loads in progress end so, too.
+    /// Answers every call with 503, those of loads in progress included.
     Down,
-    /// Fetches slower by a factor.
+    /// Slows loads by the order's factor.
     Slow,
 }
 
-/// `WeightsStandin` pretends to hold weights and takes the time that fetching them would take.
+/// Weight store that holds no weights and only takes the time that fetching them would take.
 pub struct WeightsStandin {
     options: Options,
     start: Instant,
@@ -77,11 +77,11 @@
 }
 
 impl WeightsStandin {
-    /// Returns a store that holds the models of the options' file.
+    /// Returns a store that holds the models of the options' file, or any model without a file.
     ///
     /// # Errors
     ///
-    /// Those of reading the file.
+    /// Errors of reading the file.
     pub fn new(options: Options) -> Result<Self> {
         let sizes = match &options.models {
             Some(path) => ModelSizes::read(path)?,
@@ -90,7 +90,7 @@
         Ok(Self::with_sizes(options, sizes))
     }
 
-    /// Returns a store that holds the given models.
+    /// Returns a store that holds the given models, whatever file the options name.
     pub fn with_sizes(options: Options, sizes: ModelSizes) -> Self {
         let bandwidth = Bandwidth::new(options.full_speed_loads, options.bytes_per_s);
         let limit = RateLimit::new(options.loads_per_s);
@@ -168,13 +168,13 @@
         let id = state.bandwidth.start(self.now_ms(), bytes);
         state.effects.loads += 1;
         state.effects.most_at_once = state.effects.most_at_once.max(state.bandwidth.active());
-        // The loads in progress have become slower, so they have to reckon anew.
+        // The loads in progress have become slower and must compute their remaining time again.
         self.changed.notify_all();
         id
     }
 
-    /// Waits until a load is fetched, and returns false if the store went down or the engine went
-    /// away before that.
+    /// Waits until a load is complete, and returns false if the store went down or the engine
+    /// disconnected before that.
     fn wait(&self, state: &mut MutexGuard<'_, State>, id: LoadId, request: &Request) -> bool {
         while let Some(left_ms) = state.bandwidth.left_ms(self.now_ms(), id) {
             if state.mode == Mode::Down || request.caller.is_gone() {
