--- a/crates/standins/src/weights/mod.rs
+++ b/crates/standins/src/weights/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the rate-limited weight store.
+//! Stand-in of the rate-limited weight store.
 
 mod bandwidth;
 mod models;
