--- a/crates/standins/src/lagged.rs
+++ b/crates/standins/src/lagged.rs
@@ -1,8 +1,8 @@
-//! Values that are published with a lag.
+//! Values whose changes are published with a lag.
 
 use std::collections::VecDeque;
 
-/// `Lagged` publishes a value as it was some time ago.
+/// Value that is published as it was a fixed time ago.
 #[derive(Clone, Debug)]
 pub struct Lagged<T> {
     lag_ms: u64,
@@ -10,7 +10,7 @@
 }
 
 impl<T: Clone> Lagged<T> {
-    /// Returns a value that is published `lag_ms` milliseconds late and was always `initial`.
+    /// Returns a value with the given lag in milliseconds, which has always been `initial`.
     pub fn new(lag_ms: u64, initial: T) -> Self {
         Self {
             lag_ms,
@@ -23,26 +23,26 @@
         self.lag_ms
     }
 
-    /// Notes the value from now on.
+    /// Records the value that holds from `now_ms` on.
     pub fn record(&mut self, now_ms: u64, value: T) {
         self.history.push_back((now_ms, value));
         self.forget(now_ms);
     }
 
-    /// Returns the newest value, which is not published yet.
+    /// Returns the newest value, which may not be published yet.
     pub fn newest(&self) -> &T {
         let (_, value) = self.history.back().expect("the history is never empty");
         value
     }
 
-    /// Returns the value as it was a lag ago.
+    /// Returns the value as it was one lag before `now_ms`.
     pub fn published(&mut self, now_ms: u64) -> &T {
         self.forget(now_ms);
         let (_, value) = self.history.front().expect("the history is never empty");
         value
     }
 
-    /// Drops what was replaced more than a lag ago. The front is then what is published.
+    /// Drops the values that were replaced at least one lag ago, so that the front is published.
     fn forget(&mut self, now_ms: u64) {
         while self
             .history
