--- a/crates/standins/src/engine/effects.rs
+++ b/crates/standins/src/engine/effects.rs
@@ -1,4 +1,4 @@
-//! What took effect on the engine.
+//! Record of what took effect on the engine.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
 use apricotdale_core::numbers::BootId;
 use serde::Serialize;
 
-/// `RequestState` is how far a request is.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum RequestState {
-    /// It waits for a slot or generates.
+    /// The request waits for a slot or generates.
     Running,
-    /// Its whole answer was sent.
+    /// The complete answer was sent.
     Whole,
-    /// It was cancelled, or its caller went away.
+    /// The request was cancelled, or its caller disconnected.
     Cancelled,
-    /// A fault broke its answer off.
+    /// A fault cut the answer.
     Cut,
 }
 
-/// `RequestEffect` is what became of the requests with one identity.
+/// Outcome of the requests with one identity.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct RequestEffect {
     model: ModelName,
@@ -29,21 +29,21 @@
     runs: u64,
 }
 
-/// `Effects` count what took effect, over all runs of the engine process.
+/// Counts of what took effect, over all incarnations of the engine process.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Effects {
-    /// Load orders received.
+    /// Number of load orders received.
     pub(crate) load_orders: u64,
-    /// Unload orders received.
+    /// Number of unload orders received.
     pub(crate) unload_orders: u64,
-    /// Orders refused, those to raise the fencing number included.
+    /// Number of refused orders, including those that raise the fencing token.
     pub(crate) refused_orders: u64,
     loads: BTreeMap<ModelName, u64>,
     requests: BTreeMap<RequestId, RequestEffect>,
     last_request: Option<RequestId>,
 }
 
-/// `EffectsReport` is the answer to `GET /standin/effects`.
+/// Body of the answer to `GET /standin/effects`.
 #[derive(Serialize)]
 pub(crate) struct EffectsReport<'a> {
     pub(crate) boot: BootId,
@@ -57,12 +57,12 @@
 }
 
 impl Effects {
-    /// Counts a load that is done.
+    /// Counts a load that succeeded.
     pub(crate) fn loaded(&mut self, model: &ModelName) {
         *self.loads.entry(model.clone()).or_default() += 1;
     }
 
-    /// Notes a request that was accepted.
+    /// Records a request that was accepted.
     pub(crate) fn accepted(&mut self, id: &RequestId, model: &ModelName) {
         let effect = self.requests.entry(id.clone()).or_insert(RequestEffect {
             model: model.clone(),
@@ -74,7 +74,7 @@
         self.last_request = Some(id.clone());
     }
 
-    /// Notes how a request ended. The end that is noted first counts.
+    /// Records how a request ended. Only the first end counts.
     pub(crate) fn ended(&mut self, id: &RequestId, state: RequestState) {
         let effect = self.requests.get_mut(id);
         let effect = effect.filter(|effect| effect.state == RequestState::Running);
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Returns the identity of another request than the given one: the last one accepted, or an
-    /// invented one.
+    /// Returns the identity of a request other than the given one: preferably the last one
+    /// accepted, and an invented one if there is no other.
     pub(crate) fn other_request(&self, id: &RequestId) -> RequestId {
         let others = self.last_request.iter().chain(self.requests.keys());
         let other = others.into_iter().find(|other| *other != id);
@@ -93,12 +93,12 @@
             .unwrap_or_else(|| RequestId::new(format!("not-{id}")))
     }
 
-    /// Returns the loads that are done, by model.
+    /// Returns the number of loads that succeeded, by model.
     pub(crate) fn loads(&self) -> &BTreeMap<ModelName, u64> {
         &self.loads
     }
 
-    /// Returns what became of each request.
+    /// Returns the outcome of each request.
     pub(crate) fn requests(&self) -> &BTreeMap<RequestId, RequestEffect> {
         &self.requests
     }
