--- a/crates/standins/src/platform/calling.rs
+++ b/crates/standins/src/platform/calling.rs
@@ -21,29 +21,29 @@
 use crate::platform::serving::VERSION;
 use crate::platform::serving::holds;
 
-/// The host that callers name, which the routes of [`crate::platform::Site`] have.
+/// Host that callers name and that the routes of [`crate::platform::Site`] have.
 pub const HOST: &str = "site.example";
 
-/// The largest head of an answer that a caller reads.
+/// Maximum size of the head of an answer that a caller reads.
 const HEAD_BYTES: usize = 64 * 1024;
 
-/// `Ask` is a request of a caller.
+/// Request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// The method.
+    /// HTTP method.
     pub method: &'static str,
-    /// The path with the query.
+    /// Path with the query.
     pub target: String,
-    /// The identity of this try.
+    /// Identity of this attempt.
     pub id: String,
-    /// Headers besides the host, the identity and the length.
+    /// Headers other than the host, the identity and the length.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body; empty for none.
     pub body: Vec<u8>,
 }
 
 impl Ask {
-    /// Returns a request without headers of its own and without a body.
+    /// Returns a request without further headers and without a body.
     pub fn new(method: &'static str, target: &str, id: &str) -> Self {
         Self {
             method,
@@ -54,22 +54,22 @@
         }
     }
 
-    /// Returns a call to the plain service that may run once.
+    /// Returns a call to the plain service that may run only once.
     pub fn book(id: &str) -> Self {
         Self::new("POST", "/book/slot?n=1", id).with_body(b"{\"slot\":1}")
     }
 
-    /// Returns a call to the plain service that may be repeated.
+    /// Returns a call to the plain service that may be retried.
     pub fn look(id: &str) -> Self {
         Self::new("GET", "/look/shelf", id)
     }
 
-    /// Returns a stream that may be resumed.
+    /// Returns a streaming request whose answer may be resumed.
     pub fn quick(id: &str, model: &str) -> Self {
         Self::stream("/quick/1f", id, model)
     }
 
-    /// Returns a stream that may run once.
+    /// Returns a streaming request that may run only once.
     pub fn patient(id: &str, model: &str) -> Self {
         Self::stream("/patient/2f", id, model)
     }
@@ -82,13 +82,13 @@
             .with_body(b"prompt")
     }
 
-    /// Returns the request with another header.
+    /// Returns the request with one more header.
     pub fn with(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// Returns the request with how long its caller will wait.
+    /// Returns the request with its caller's timeout.
     pub fn waiting_ms(self, patience_ms: u64) -> Self {
         self.with("Apricotdale-Request-Deadline", &patience_ms.to_string())
     }
@@ -99,7 +99,7 @@
         self
     }
 
-    /// Returns the request's bytes.
+    /// Returns the bytes of the request as they are sent.
     pub fn bytes(&self) -> Vec<u8> {
         let mut text = format!(
             "{} {} HTTP/1.1\r\nHost: {HOST}\r\n{ID}: {}\r\n",
@@ -118,29 +118,29 @@
     }
 }
 
-/// `Answer` is what a caller gets.
+/// Answer that a caller receives.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// The head; none if the connection ended before it.
+    /// Head; absent if the connection ended before it.
     pub head: Option<ResponseHead>,
-    /// The body as far as it came.
+    /// Body as far as it was received.
     pub body: Vec<u8>,
-    /// Whether the answer came to its end as its head announced.
+    /// Whether the answer is as long as its head announced.
     pub whole: bool,
 }
 
 impl Answer {
-    /// Returns the status; 0 if there was no answer.
+    /// Returns the status, or 0 without an answer.
     pub fn status(&self) -> u16 {
         self.head.as_ref().map_or(0, |head| head.status)
     }
 
-    /// Returns whether the answer is a whole success.
+    /// Returns whether the answer is complete and a success.
     pub fn is_success(&self) -> bool {
         self.whole && (200..300).contains(&self.status())
     }
 
-    /// Returns the value of a header.
+    /// Returns the value of a header, or none without one.
     pub fn header(&self, name: &str) -> Option<String> {
         self.head
             .as_ref()
@@ -153,7 +153,7 @@
         self.header(ID)
     }
 
-    /// Returns whether the answer carries an upstream's signature.
+    /// Returns whether the answer has an upstream's signature.
     pub fn is_signed(&self) -> bool {
         self.header(SIGNATURE).is_some()
     }
@@ -170,12 +170,12 @@
             .is_none_or(|head| !self.whole || head.headers.has_token("Connection", "close"))
     }
 
-    /// Returns the body as text.
+    /// Returns the body as text, with replacements for invalid UTF-8.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Returns the ids of the events in the body, in order.
+    /// Returns the event IDs in the body, in order.
     pub fn event_ids(&self) -> Vec<u64> {
         let text = self.text();
         let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
@@ -183,13 +183,13 @@
     }
 }
 
-/// The most bytes in a packet to a distant caller.
+/// Maximum segment size of a distant caller.
 const DISTANT_PACKET_BYTES: u32 = 536;
 
-/// The receive buffer of a distant caller.
+/// Receive buffer of a distant caller.
 const DISTANT_WINDOW_BYTES: usize = 16 * 1024;
 
-/// `Caller` is a caller's connection to a VM.
+/// Connection of a caller to a VM.
 #[derive(Debug)]
 pub struct Caller {
     stream: TcpStream,
@@ -197,20 +197,20 @@
 }
 
 impl Caller {
-    /// Opens a connection on which reads end after a time.
+    /// Opens a connection on which reads and writes time out.
     ///
     /// # Errors
     ///
-    /// Any of connecting.
+    /// Errors of connecting.
     pub fn connect(address: SocketAddr, patience: Duration) -> io::Result<Self> {
         Self::over(TcpStream::connect_timeout(&address, patience)?, patience)
     }
 
-    /// Opens a connection from an address.
+    /// Opens a connection from a source address.
     ///
     /// # Errors
     ///
-    /// Any of connecting, or of an address that is not this machine's.
+    /// Errors of connecting, as for an address that this machine does not have.
     pub fn connect_from(
         source: IpAddr,
         address: SocketAddr,
@@ -222,11 +222,11 @@
         Self::over(socket.into(), patience)
     }
 
-    /// Opens a connection with small packets and a small window, as a distant caller has.
+    /// Opens a connection with small packets and a small window, like that of a distant caller.
     ///
     /// # Errors
     ///
-    /// Any of connecting.
+    /// Errors of connecting.
     pub fn connect_distant(address: SocketAddr, patience: Duration) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_tcp_mss(DISTANT_PACKET_BYTES)?;
@@ -245,11 +245,11 @@
         })
     }
 
-    /// Sets how long a read of an answer may take.
+    /// Sets the timeout of each read.
     ///
     /// # Errors
     ///
-    /// Any of the socket.
+    /// Errors of the socket.
     pub fn set_patience(&self, patience: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(patience))
     }
@@ -258,7 +258,7 @@
     ///
     /// # Errors
     ///
-    /// Any of writing.
+    /// Errors of writing.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
@@ -267,17 +267,17 @@
     ///
     /// # Errors
     ///
-    /// Any of writing, and those of [`Caller::answer`].
+    /// Errors of writing, and those of [`Caller::answer`].
     pub fn ask(&mut self, request: &Ask) -> io::Result<Answer> {
         self.send(&request.bytes())?;
         self.answer()
     }
 
-    /// Reads the next answer, as far as it comes.
+    /// Reads the next answer, up to its end or that of the connection or the timeout.
     ///
     /// # Errors
     ///
-    /// `InvalidData` for bytes that are no answer in HTTP.
+    /// `InvalidData` for bytes that are no HTTP answer.
     pub fn answer(&mut self) -> io::Result<Answer> {
         let no_answer = |error| io::Error::new(io::ErrorKind::InvalidData, format!("{error}"));
         let mut answer = Answer::default();
@@ -309,11 +309,11 @@
         }
     }
 
-    /// Reads some bytes of an answer and drops them.
+    /// Reads bytes of an answer and drops them.
     ///
     /// # Errors
     ///
-    /// Any of the socket, and the end of the connection before.
+    /// Errors of the socket, and `UnexpectedEof` if the connection ends before that.
     pub fn skip_bytes(&mut self, count: u64) -> io::Result<()> {
         let skipped = io::copy(&mut (&mut self.stream).take(count), &mut io::sink())?;
         match skipped == count {
@@ -322,11 +322,11 @@
         }
     }
 
-    /// Reads until an event of a stream has come, and keeps what was read for [`Caller::answer`].
+    /// Reads until an event of a stream has arrived, and keeps the bytes for [`Caller::answer`].
     ///
     /// # Errors
     ///
-    /// `UnexpectedEof`, with what came, if the connection ends before; any of reading.
+    /// `UnexpectedEof`, with the bytes received, if the connection ends before; errors of reading.
     pub fn wait_event(&mut self, event: u64) -> io::Result<()> {
         let line = format!("id: {event}\n");
         let mut bytes = [0_u8; 4096];
@@ -342,21 +342,21 @@
         Ok(())
     }
 
-    /// Tells the VM that nothing more is sent.
+    /// Shuts down the sending direction of the connection.
     ///
     /// # Errors
     ///
-    /// Any of the socket.
+    /// Errors of the socket.
     pub fn shut_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// Returns whether the VM ends the connection before it sends anything more.
+    /// Reads once, and returns whether the connection ends or fails before more bytes arrive.
     pub fn is_ended(&mut self) -> bool {
         !matches!(self.stream.read(&mut [0_u8; 64]), Ok(1..))
     }
 
-    /// Returns whether the VM has ended the connection, without waiting for it to.
+    /// Returns whether the VM has closed the connection, without waiting.
     pub fn has_ended(&self) -> bool {
         if self.stream.set_nonblocking(true).is_err() {
             return true;
@@ -369,18 +369,18 @@
         }
     }
 
-    /// Leaves: both directions end.
+    /// Closes the connection in both directions.
     pub fn leave(self) {
-        // A connection that the VM ended first can't be shut down any more.
+        // A connection that the VM closed first can't be shut down any more.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// Sends a bare GET request on a connection of its own.
+/// Sends a plain GET request on a new connection and reads the answer.
 ///
 /// # Errors
 ///
-/// Any of connecting and writing, and those of [`Caller::answer`].
+/// Errors of connecting and writing, and those of [`Caller::answer`].
 pub fn get(address: SocketAddr, target: &str, patience: Duration) -> io::Result<Answer> {
     let mut caller = Caller::connect(address, patience)?;
     let request = format!("GET {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -388,7 +388,7 @@
     caller.answer()
 }
 
-/// Returns whether a VM that is asked as the balancer does takes callers.
+/// Returns whether a VM answers the load balancer's readiness check with success.
 pub fn is_ready(address: SocketAddr, patience: Duration) -> bool {
     get(address, "/api/ready", patience).is_ok_and(|answer| answer.status() == 200)
 }
