--- a/crates/standins/src/platform/engine.rs
+++ b/crates/standins/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine of the platform.
+//! Model engine of the platform.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -26,53 +26,53 @@
 use crate::platform::serving::holds;
 use crate::platform::store::PlatformStore;
 
-/// When the first run of each engine starts, in Unix milliseconds.
+/// Start of the first incarnation of each engine, in Unix milliseconds.
 const FIRST_BORN_MS: u64 = 1_700_000_000_000;
 
-/// How much later each further run starts.
+/// Time between the starts of two incarnations, in milliseconds.
 const NEXT_BORN_MS: u64 = 1_000;
 
-/// `CrashTrigger` is a request under which an engine ends.
+/// Request that makes an engine crash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashTrigger {
-    /// Bytes by which the request's body is known.
+    /// Bytes that mark the request's body.
     pub marker: Vec<u8>,
-    /// Events that are sent before the end.
+    /// Number of events that are sent before the crash.
     pub after_events: u64,
-    /// How long the request runs before its first event, or before the end where none is sent.
+    /// Time from the start of the request to its first event, or to the crash if none is sent.
     pub after_ms: u64,
 }
 
-/// `EngineOptions` is what an engine is like.
+/// Properties of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// The identity under which it starts, also again.
+    /// Identity of the engine, which stays the same after a restart.
     pub instance: String,
-    /// The service.
+    /// Service that the engine belongs to.
     pub service: String,
-    /// The availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Models that it holds at its start.
+    /// Models that are loaded at the start.
     pub models: Vec<String>,
-    /// Models of which it has copies on its disk.
+    /// Models whose weights are on the engine's disk at the start.
     pub on_disk: Vec<String>,
-    /// Models that fit at once.
+    /// Number of models that fit at once.
     pub model_places: usize,
-    /// Adapters that fit at once.
+    /// Number of adapters that fit at once.
     pub adapter_places: usize,
-    /// A load from the weight store.
+    /// Duration of a load from the weight store.
     pub store_load_ms: u64,
-    /// A load from the disk.
+    /// Duration of a load from the disk.
     pub disk_load_ms: u64,
-    /// An unload.
+    /// Duration of an unload.
     pub unload_ms: u64,
-    /// Events of a whole stream.
+    /// Number of events of a complete stream.
     pub events: u64,
-    /// The time between two events.
+    /// Time between two events.
     pub gap_ms: u64,
-    /// Bytes by which each event is made larger.
+    /// Number of bytes that are added to each event.
     pub filler_bytes: usize,
-    /// The requests under which it ends.
+    /// Requests that make the engine crash.
     pub crashes: Vec<CrashTrigger>,
 }
 
@@ -97,20 +97,20 @@
     }
 }
 
-/// `EngineEffects` is what an engine was told and did.
+/// Record of the orders that an engine received and carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineEffects {
-    /// Loads that ended.
+    /// Number of loads that ended.
     pub loads: u64,
-    /// Orders that were refused.
+    /// Number of orders that were refused.
     pub refused: u64,
-    /// Orders for which there was no room; a real engine crashes.
+    /// Number of orders for which there was no free slot; they would crash a real engine.
     pub overcommitted: u64,
-    /// Fence and holder of each order that was taken, in order.
+    /// Fencing token and lease holder of each order that was accepted, in order.
     pub holders: Vec<(u64, String)>,
 }
 
-/// `PlatformEngine` is a model engine. It can start again under its identity.
+/// Model engine, which can restart under its identity.
 pub struct PlatformEngine {
     options: EngineOptions,
     holdings: Mutex<Holdings>,
@@ -119,11 +119,11 @@
     store: PlatformStore,
     entry: Mutex<Entry>,
     full: AtomicBool,
-    /// How the engine ends by itself, once it listens.
+    /// Handle that ends the engine's server in a crash; absent until it listens.
     stopper: Mutex<Option<Stopper>>,
-    /// When the engine ended by itself, and the body of the request under which it did.
+    /// When the engine crashed, and the body of the request that caused it.
     crashed: Mutex<Option<(Instant, Vec<u8>)>>,
-    /// When requests with a marker began to run, and their bodies.
+    /// When requests that make the engine crash began to run, and their bodies.
     marked_runs: Mutex<Vec<(Instant, Vec<u8>)>>,
 }
 
@@ -133,7 +133,7 @@
     revision: u64,
     draining: bool,
     gone: bool,
-    /// How often the engine has started again.
+    /// Number of restarts.
     restarts: u64,
 }
 
@@ -144,7 +144,7 @@
 }
 
 impl PlatformEngine {
-    /// Returns an engine that writes its entry into a store.
+    /// Returns an engine that writes its entry to a store.
     pub fn new(options: EngineOptions, store: PlatformStore) -> Self {
         Self {
             holdings: Mutex::new(Holdings::new(options.clone())),
@@ -160,18 +160,18 @@
         }
     }
 
-    /// Takes in how the engine can end by itself.
+    /// Sets the handle that ends the engine's server in a crash.
     pub(crate) fn set_stopper(&self, stopper: Stopper) {
         *self.stopper.lock() = Some(stopper);
     }
 
-    /// Returns when the engine ended under a request, and the request's body.
+    /// Returns when the engine crashed and the body of the request that caused it.
     pub fn crashed(&self) -> Option<(Instant, Vec<u8>)> {
         self.crashed.lock().clone()
     }
 
-    /// Returns when requests began to run under which the engine ends, with their bodies. Those whose
-    /// callers have left do not count.
+    /// Returns when requests that make the engine crash began to run, and their bodies. Requests
+    /// whose callers have disconnected are left out.
     pub fn marked_runs(&self) -> Vec<(Instant, Vec<u8>)> {
         self.marked_runs.lock().clone()
     }
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Ends the engine as a fault of its process does: nothing more is sent or accepted.
+    /// Crashes the engine: nothing more is sent or accepted.
     fn crash(&self, body: &[u8]) {
         self.crashed
             .lock()
@@ -193,12 +193,12 @@
         }
     }
 
-    /// Returns the run's identity.
+    /// Returns the engine's identity.
     pub fn name(&self) -> &str {
         &self.options.instance
     }
 
-    /// Writes the engine's entry, at its start with its address.
+    /// Writes the engine's entry. The address is given at the start and kept for later calls.
     pub fn announce(&self, address: Option<SocketAddr>) {
         let mut entry = self.entry.lock();
         entry.address = address.or(entry.address);
@@ -221,9 +221,9 @@
             .put("keyed.servers", &self.options.instance, &bytes);
     }
 
-    /// Starts the engine again under its identity: it holds only what is on its disk, and counts
-    /// from the beginning. What the run before had of requests stays without an answer. The entry
-    /// is written with the next [`PlatformEngine::announce`].
+    /// Restarts the engine under its identity: only the models on its disk remain, and it counts
+    /// from the beginning. Requests of the previous incarnation stay unanswered. The entry is
+    /// written with the next [`PlatformEngine::announce`].
     pub fn restart(&self) {
         let mut entry = self.entry.lock();
         entry.restarts += 1;
@@ -232,23 +232,23 @@
         self.holdings.lock().restart();
     }
 
-    /// Returns the bytes of the engine's entry as it was last written.
+    /// Returns the engine's entry as it was last written.
     pub fn entry(&self) -> Option<Vec<u8>> {
         self.store.newest("keyed.servers", &self.options.instance)
     }
 
-    /// Writes other bytes where the engine's entry stands.
+    /// Replaces the engine's entry by other bytes.
     pub fn overwrite_entry(&self, bytes: &[u8]) {
         self.store
             .put("keyed.servers", &self.options.instance, bytes);
     }
 
-    /// Sends nothing any more, on any connection, as if the engine had lost its power; or again.
+    /// Stops or resumes sending on all connections, as if the engine had lost its power.
     pub fn set_dark(&self, dark: bool) {
         self.answers.dark.store(dark, Ordering::Relaxed);
     }
 
-    /// Closes new connections unanswered while its streams stand still, as a full engine does.
+    /// Makes the engine close new connections unanswered and pause its streams, as a full one does.
     pub fn set_full(&self, full: bool) {
         self.full.store(full, Ordering::Relaxed);
         self.answers.dark.store(full, Ordering::Relaxed);
@@ -260,20 +260,19 @@
         Reply::json(200, &report)
     }
 
-    /// Reports that the engine leaves.
+    /// Writes an entry which says that the engine is draining.
     pub fn drain(&self) {
         self.entry.lock().draining = true;
         self.announce(None);
     }
 
-    /// Removes the engine's entry, until it [comes back](PlatformEngine::come_back).
+    /// Removes the engine's entry until [`PlatformEngine::come_back`].
     pub fn withdraw(&self) {
         self.entry.lock().gone = true;
         self.store.put("keyed.servers", &self.options.instance, b"");
     }
 
-    /// Writes the engine's entry as it is now, or removes it again, in a store that came back from an
-    /// older copy.
+    /// Writes the engine's entry as it is now, or removes it again, after a rollback of the store.
     pub fn write_again(&self) {
         let gone = self.entry.lock().gone;
         match gone {
@@ -282,24 +281,24 @@
         }
     }
 
-    /// Writes the engine's entry again after it was removed, as a live engine does whose entry
-    /// lapsed.
+    /// Writes the engine's entry again after its removal, as a running engine does whose entry
+    /// expired.
     pub fn come_back(&self) {
         self.entry.lock().gone = false;
         self.announce(None);
     }
 
-    /// Spoils the next answer.
+    /// Adds a fault to the queue of faults, each of which applies to one answer.
     pub fn push_fault(&self, fault: AnswerFault) {
         self.answers.push_fault(fault);
     }
 
-    /// Takes back the faults that are still to come.
+    /// Removes the faults that have not been applied yet.
     pub fn clear_faults(&self) {
         self.answers.clear_faults();
     }
 
-    /// Spoils the next order.
+    /// Adds a fault to the queue of faults, each of which applies to one order.
     pub fn push_order_fault(&self, fault: OrderFault) {
         self.order_faults.lock().push_back(fault);
     }
@@ -314,17 +313,17 @@
         self.answers.run_counts()
     }
 
-    /// Returns the requests whose client left while they ran.
+    /// Returns the requests whose client disconnected while they ran.
     pub fn left(&self) -> Vec<String> {
         self.answers.left.lock().clone()
     }
 
-    /// Returns the requests whose streams were sent to their ends.
+    /// Returns the requests whose streams were sent completely.
     pub fn streamed(&self) -> Vec<String> {
         self.answers.streamed.lock().clone()
     }
 
-    /// Returns what the engine was told and did.
+    /// Returns the record of the orders that the engine received and carried out.
     pub fn effects(&self) -> EngineEffects {
         let holdings = self.holdings.lock();
         EngineEffects {
@@ -335,7 +334,7 @@
         }
     }
 
-    /// Returns whether the engine can run a model, or an adapter after a slash.
+    /// Returns whether the engine can serve a model, or an adapter after a slash.
     pub fn serves(&self, wanted: &str) -> bool {
         let mut holdings = self.holdings.lock();
         holdings.advance();
