--- a/crates/standins/src/platform/orders.rs
+++ b/crates/standins/src/platform/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, and what it holds.
+//! Orders to an engine, and the models that it holds.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -11,25 +11,25 @@
 
 use crate::platform::engine::EngineOptions;
 
-/// `OrderFault` is how the next order goes.
+/// Fault of the next order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
-    /// It is carried out, its answer is lost.
+    /// The order is carried out, and its answer is lost.
     LostAnswer,
-    /// It is carried out after a time, with no answer.
+    /// The order is carried out after a delay, without an answer.
     Late {
-        /// The time.
+        /// Delay in milliseconds.
         after_ms: u64,
     },
 }
 
-/// `WireOrder` is an order as it comes.
+/// Order in the platform's wire format.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct WireOrder {
     pub operation: String,
     pub model: String,
     pub adapter: Option<String>,
-    /// The number of orders that must have been taken.
+    /// Number of orders that must have been accepted; absent if it does not matter.
     pub precondition: Option<u64>,
     pub holder: String,
     pub fencing_token: u64,
@@ -42,11 +42,11 @@
     until: Instant,
 }
 
-/// `Holdings` is what an engine holds and has been told.
+/// Models that an engine holds, and the orders that it received.
 #[derive(Debug)]
 pub(crate) struct Holdings {
     options: EngineOptions,
-    /// Models that can run, with their adapters.
+    /// Models that can serve, with their adapters.
     pub models: HashMap<String, HashSet<String>>,
     on_disk: HashSet<String>,
     running: Option<Running>,
@@ -55,7 +55,7 @@
     pub refused: u64,
     pub overcommitted: u64,
     pub loads: u64,
-    /// Fence and holder of each order that was taken, in order.
+    /// Fencing token and lease holder of each order that was accepted, in order.
     pub holders: Vec<(u64, String)>,
 }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Forgets what a restart forgets: what was loaded, the orders, their count and the fences.
+    /// Drops what a restart loses: loaded models, orders, their count and the fencing token.
     pub fn restart(&mut self) {
         self.models.clear();
         self.running = None;
@@ -92,7 +92,7 @@
         self.highest_fence = 0;
     }
 
-    /// Finishes an order whose time is over. Returns whether something changed.
+    /// Completes the order in progress once its time has passed. Returns whether it did so.
     pub fn advance(&mut self) -> bool {
         let Some(done) = self
             .running
@@ -110,7 +110,7 @@
         true
     }
 
-    /// Takes an order and returns the status of its answer.
+    /// Accepts or refuses an order and returns the status of its answer.
     pub fn take(&mut self, order: &WireOrder) -> u16 {
         self.advance();
         if order.fencing_token < self.highest_fence {
@@ -190,7 +190,7 @@
         200
     }
 
-    /// Returns whether a request for a model, or for an adapter after a slash, can run.
+    /// Returns whether a model, or an adapter after a slash, can serve.
     pub fn serves(&self, wanted: &str) -> bool {
         match wanted.split_once('/') {
             Some((model, adapter)) => self
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Returns the report, or the part of a list entry that tells what is held.
+    /// Returns the report, which is also the part of an entry that says what the engine holds.
     pub fn describe(&self) -> Value {
         let models: Vec<Value> = self
             .models
