--- a/crates/standins/src/platform/service.rs
+++ b/crates/standins/src/platform/service.rs
@@ -1,4 +1,4 @@
-//! One instance of a plain service.
+//! Plain service of the platform.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use crate::platform::serving::holds;
 use crate::platform::store::PlatformStore;
 
-/// `PlatformService` is one run of a plain service's instance.
+/// One instance of a plain service.
 pub struct PlatformService {
     instance: String,
     service: String,
@@ -31,13 +31,13 @@
     revision: AtomicU64,
     address: Mutex<Option<SocketAddr>>,
     store: PlatformStore,
-    /// How the instance ends by itself under a request whose body holds these bytes.
+    /// Marker in the bodies of requests that make the instance crash, and the handle for it.
     crash: Mutex<Option<(Vec<u8>, Stopper)>>,
     has_crashed: AtomicBool,
 }
 
 impl PlatformService {
-    /// Returns an instance that works on each request for a time and writes its entry into a store.
+    /// Returns an instance that works `work_ms` on each request and writes its entry to a store.
     pub fn new(instance: &str, service: &str, work_ms: u64, store: PlatformStore) -> Self {
         Self {
             instance: instance.to_owned(),
@@ -57,17 +57,17 @@
         &self.instance
     }
 
-    /// Has the instance end under each request whose body holds a marker.
+    /// Makes the instance crash at each request whose body contains a marker.
     pub(crate) fn crash_on(&self, marker: &[u8], stopper: Stopper) {
         *self.crash.lock() = Some((marker.to_vec(), stopper));
     }
 
-    /// Returns whether the instance ended under a request.
+    /// Returns whether a request made the instance crash.
     pub fn has_crashed(&self) -> bool {
         self.has_crashed.load(Ordering::Relaxed)
     }
 
-    /// Writes the instance's entry again, unless it was never written or has been removed.
+    /// Writes the instance's entry again, unless it was never written or was removed.
     pub fn announce_again(&self) {
         let address = *self.address.lock();
         if let Some(address) = address {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Writes the instance's entry.
+    /// Writes the instance's entry with its address.
     pub fn announce(&self, address: SocketAddr) {
         *self.address.lock() = Some(address);
         let revision = self.revision.fetch_add(1, Ordering::Relaxed) + 1;
@@ -97,12 +97,12 @@
         self.store.put("keyed.servers", &self.instance, b"");
     }
 
-    /// Spoils the next answer.
+    /// Adds a fault to the queue of faults, each of which applies to one answer.
     pub fn push_fault(&self, fault: AnswerFault) {
         self.answers.push_fault(fault);
     }
 
-    /// Takes back the faults that are still to come.
+    /// Removes the faults that have not been applied yet.
     pub fn clear_faults(&self) {
         self.answers.clear_faults();
     }
@@ -117,7 +117,7 @@
         self.answers.run_counts()
     }
 
-    /// Returns the requests whose client left while they ran without an answer.
+    /// Returns the requests whose client disconnected while they ran without an answer.
     pub fn left(&self) -> Vec<String> {
         self.answers.left.lock().clone()
     }
