--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -1,4 +1,4 @@
-//! A small deployment: a store, engines and plain services on loopback.
+//! Small deployment of the platform on loopback: a store, engines and plain services.
 
 use std::io;
 use std::net::IpAddr;
@@ -19,27 +19,27 @@
 
 const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// `SiteOptions` is what a site is made of.
+/// Properties of a site.
 #[derive(Clone, Debug)]
 pub struct SiteOptions {
-    /// The engines.
+    /// Engines.
     pub engines: Vec<EngineOptions>,
-    /// Instances of the plain service.
+    /// Number of instances of the plain service.
     pub instances: usize,
-    /// How long the plain service works on a request.
+    /// Time that the plain service works on a request.
     pub work_ms: u64,
-    /// The engines' models.
+    /// Names of the models that the engines may load.
     pub models: Vec<String>,
-    /// Doors to the store.
+    /// Number of endpoints of the store, at least one; each has its own address and fault.
     pub doors: usize,
-    /// Bytes in the body of a request under which an instance of the plain service ends.
+    /// Marker in the bodies of requests that make an instance of the plain service crash.
     pub service_crash: Option<Vec<u8>>,
-    /// How long the longest request may take.
+    /// Timeout of every route.
     pub timeout_ms: u64,
-    /// The organisations as the configuration tells them; none if requests carry no keys.
+    /// Organisations in the form of the configuration; absent if requests carry no API keys.
     pub tenants: Option<Value>,
-    /// Whether upstreams announce the addresses that they listen on. Otherwise whoever starts the
-    /// site announces others, such as those of proxies in front of them.
+    /// Whether upstreams write entries with the addresses that they listen on. Otherwise whoever
+    /// starts the site announces other addresses, such as those of proxies in front of them.
     pub announces: bool,
 }
 
@@ -64,26 +64,26 @@
     }
 }
 
-/// `Site` runs in the process that starts it and ends with [`Site::stop`].
+/// Deployment that runs in the process that starts it, until [`Site::stop`].
 pub struct Site {
-    /// The store's doors.
+    /// Endpoints of the store.
     pub doors: Vec<PlatformStore>,
-    /// Their addresses.
+    /// Addresses of the store's endpoints, in the same order.
     pub door_addresses: Vec<SocketAddr>,
-    /// The engines, those that were stopped too.
+    /// Engines, including those that were stopped.
     pub engines: Vec<Arc<PlatformEngine>>,
-    /// Where the engines listen.
+    /// Addresses that the engines listen on, in the same order.
     pub engine_addresses: Vec<SocketAddr>,
-    /// The plain service's instances.
+    /// Instances of the plain service.
     pub services: Vec<Arc<PlatformService>>,
-    /// Where they listen.
+    /// Addresses that the instances listen on, in the same order.
     pub service_addresses: Vec<SocketAddr>,
     store: PlatformStore,
-    /// The last configuration that was written.
+    /// Configuration that was written last.
     configuration: Mutex<Vec<u8>>,
     options: SiteOptions,
     servers: Vec<Server>,
-    /// None for an engine that was stopped.
+    /// Servers of the engines; none for an engine that was stopped.
     engine_servers: Vec<Option<Server>>,
 }
 
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// Any of listening on loopback.
+    /// Errors of listening on loopback.
     pub fn start(options: SiteOptions) -> io::Result<Self> {
         let mut site = Self {
             doors: Vec::new(),
@@ -139,11 +139,11 @@
         Ok(site)
     }
 
-    /// Starts another engine, which does not announce itself yet, and returns its index.
+    /// Starts another engine, which has no entry yet, and returns its index.
     ///
     /// # Errors
     ///
-    /// Any of listening on loopback.
+    /// Errors of listening on loopback.
     pub fn start_engine(&mut self, options: EngineOptions) -> io::Result<usize> {
         let engine = Arc::new(PlatformEngine::new(options, self.store.clone()));
         let server = Server::start(LOOPBACK, engine.clone())?;
@@ -154,15 +154,15 @@
         Ok(self.engines.len() - 1)
     }
 
-    /// Ends an engine's process: every connection breaks, and nothing is announced.
+    /// Ends an engine's process: every connection breaks, and its entry stays as it is.
     pub fn stop_engine(&mut self, index: usize) {
         if let Some(server) = self.engine_servers.get_mut(index).and_then(Option::take) {
             server.stop();
         }
     }
 
-    /// Returns the routes of the first configuration: quick and patient streams, of which the
-    /// first may be resumed, and calls that may and may not be repeated.
+    /// Returns the routes of the first configuration: streams that may be resumed and that may not,
+    /// and calls that may not be retried and that may.
     pub fn routes(&self) -> Vec<Value> {
         vec![
             self.route("quick", "/quick/", "streaming", "llm", 2),
@@ -181,12 +181,12 @@
         })
     }
 
-    /// Writes a configuration that has, besides the first routes, one of its own version.
+    /// Writes a configuration with one route more than the first, named after the version.
     pub fn configure_with_extra(&self, version: u64) {
         self.configure(version, &self.routes_with_extra(version));
     }
 
-    /// Writes a configuration with organisations and a numbered route besides the first ones.
+    /// Writes a configuration with organisations, the first routes and one numbered route.
     pub fn configure_organisations(
         &self,
         version: u64,
@@ -207,13 +207,13 @@
         routes
     }
 
-    /// Returns the path of a numbered route.
+    /// Returns the path prefix of a numbered route.
     pub fn extra_prefix(number: u64) -> String {
         format!("/extra-{number}/")
     }
 
-    /// Deletes the history of the topics that the operators, the upstreams and the VMs write. The
-    /// newest record of each key stays.
+    /// Deletes the history of the topics that operators, upstreams and VMs write. The newest record
+    /// of each key stays.
     pub fn forget_history(&self) {
         for topic in [
             "keyed.op",
@@ -225,12 +225,12 @@
         }
     }
 
-    /// Writes a configuration.
+    /// Writes a configuration with the options' organisations.
     pub fn configure(&self, version: u64, routes: &[Value]) {
         self.configure_with(version, routes, self.options.tenants.as_ref());
     }
 
-    /// Writes a configuration with other organisations.
+    /// Writes a configuration with the given organisations.
     pub fn configure_with(&self, version: u64, routes: &[Value], tenants: Option<&Value>) {
         let models: Vec<Value> = self
             .options
@@ -266,7 +266,7 @@
         *self.configuration.lock() = bytes;
     }
 
-    /// Writes the last configuration again without a service and the routes to it.
+    /// Writes the last configuration again, without a service and the routes to it.
     pub fn configure_without(&self, version: u64, service: &str) {
         let bytes = self.configuration.lock().clone();
         let mut configuration: Value =
@@ -282,8 +282,8 @@
         *self.configuration.lock() = bytes;
     }
 
-    /// Lets the operators and all upstreams write theirs again, in a store that came back from an
-    /// older copy.
+    /// Writes the configuration and the entries of all upstreams again, after a rollback of the
+    /// store.
     pub fn write_again(&self) {
         self.store
             .put("keyed.op", "config", &self.configuration.lock());
@@ -293,7 +293,7 @@
             .for_each(|service| service.announce_again());
     }
 
-    /// Ends all servers of the site.
+    /// Stops all servers of the site.
     pub fn stop(self) {
         for server in self.servers {
             server.stop();
