--- a/crates/standins/src/platform/stream_faults.rs
+++ b/crates/standins/src/platform/stream_faults.rs
@@ -1,4 +1,4 @@
-//! Streams that are spoiled by what they hold, not by how their connection ends.
+//! Streams with faults in their contents, as opposed to the end of their connection.
 
 use crate::http::Raw;
 use crate::platform::serving::ID;
@@ -7,59 +7,59 @@
 use crate::platform::serving::VERSION;
 use crate::platform::serving::event_text;
 
-/// The version of the weights of which [`StreamFault::OtherVersion`] tells.
+/// Version of the weights that [`StreamFault::OtherVersion`] names.
 const OTHER_VERSION: u64 = 2;
 
-/// Longer than any program holds back of one event.
+/// Size of an event that is larger than what any program buffers of one event.
 const OVERSIZE_BYTES: usize = 300 * 1024;
 
-/// `StreamFault` is how a stream is spoiled.
+/// Fault in the contents of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum StreamFault {
-    /// It leaves out its first event.
+    /// The first event is left out.
     Skips,
-    /// It begins one event too early.
+    /// The stream begins one event too early.
     Repeats,
-    /// It begins with the first event of all, whatever the client has.
+    /// The stream begins with event 1, whichever events the client has.
     BeginsAnew,
-    /// Its numbers go back in the middle.
+    /// The event IDs go back in the middle.
     GoesBack,
-    /// It leaves out an event in the middle.
+    /// The second event is left out.
     SkipsLater,
-    /// Its events have no numbers.
+    /// The events have no IDs.
     Unnumbered,
-    /// It ends at once.
+    /// The body is empty.
     Empty,
-    /// It is no stream but a JSON text.
+    /// The body is not a stream but JSON.
     OtherContent,
-    /// It is a failure of the engine's own.
+    /// The answer is a failure, with status 500.
     Failed,
-    /// It is a refusal that says that nothing ran.
+    /// The answer is a refusal which says that nothing ran.
     TurnedAway,
-    /// It is 204, without a body.
+    /// The answer has status 204 and no body.
     NoContent,
-    /// It is 302, to another place.
+    /// The answer has status 302.
     Redirect,
-    /// An interim answer, and the connection ends.
+    /// An interim answer is sent, and the connection ends.
     InterimOnly,
-    /// It was made by other weights.
+    /// The answer and its events come from another version of the weights.
     OtherVersion,
-    /// It has no length, and its connection is closed in the middle of an event.
+    /// The body has no length, and the connection is closed in the middle of an event.
     ClosedInside,
-    /// It is whole by its length, and ends in the middle of an event.
+    /// The body is complete by its length but ends in the middle of an event.
     EndsInside,
-    /// An event that is too large to be held back is broken off by the close of the connection.
+    /// The connection is closed in the middle of an event that is too large to be buffered.
     OversizeClosedInside,
 }
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 enum Framing {
     Length,
     Close,
 }
 
 impl StreamFault {
-    /// Ways in which an engine may spoil what it sends behind another's events.
+    /// Faults of an answer that is to continue another engine's events.
     pub const RESTS: [Self; 16] = [
         Self::Skips,
         Self::Repeats,
