--- a/crates/standins/src/platform/groups.rs
+++ b/crates/standins/src/platform/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of the store: members that share the partitions of topics among themselves.
+//! Consumer groups of the store, whose members share the partitions of topics.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,29 +6,29 @@
 
 use serde::Deserialize;
 
-/// Partitions of each topic that a group shares.
+/// Number of partitions of each topic that a group shares.
 const PARTITIONS: u64 = 4;
 
-/// `Join` is a call by which a member joins a group or stays in it.
+/// Call by which a member joins a group or stays in it.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Join {
     pub group: String,
     pub member: String,
     pub topics: Vec<String>,
     pub ttl_ms: u64,
-    /// The last generation that the member was told; 0 at first.
+    /// Last generation that the member was sent; 0 at first.
     #[serde(default)]
     pub generation: u64,
 }
 
-/// `Leave` is a call by which a member leaves a group.
+/// Call by which a member leaves a group.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Leave {
     pub group: String,
     pub member: String,
 }
 
-/// `Commit` is a call by which a member notes how far it has read a partition.
+/// Call by which a member records how far it has read a partition.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Commit {
     pub group: String,
@@ -39,7 +39,7 @@
     pub offset: u64,
 }
 
-/// `Owned` is a partition with its owner and how far it has been read.
+/// Partition with its owner and its committed offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Owned {
     pub topic: String,
@@ -50,24 +50,24 @@
 
 #[derive(Debug, Default)]
 struct Partition {
-    /// Who holds it, and since which generation.
+    /// Owner, and the generation since which it holds the partition.
     held: Option<(String, u64)>,
-    /// Who is to have it next.
+    /// Member that is to own the partition next; empty for none.
     target: String,
     offset: u64,
 }
 
-/// `Group` is one group.
+/// Consumer group of the store.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
     generation: u64,
-    /// Until when each member counts as there.
+    /// Members with the times at which they expire.
     members: BTreeMap<String, Instant>,
     partitions: BTreeMap<(String, u64), Partition>,
 }
 
 impl Group {
-    /// Has a member join or stay, and returns the generation and the partitions that it holds.
+    /// Adds or renews a member, and returns the generation and the partitions that it owns.
     pub fn join(&mut self, now: Instant, join: &Join) -> (u64, Vec<Owned>) {
         self.drop_lapsed(now);
         let until = now + Duration::from_millis(join.ttl_ms);
@@ -91,7 +91,7 @@
         )
     }
 
-    /// Has a member leave.
+    /// Removes a member and reassigns its partitions.
     pub fn leave(&mut self, member: &str) {
         if self.members.remove(member).is_some() {
             self.free(member);
@@ -100,8 +100,8 @@
         self.hand_over();
     }
 
-    /// Notes an offset. Returns whether the member holds the partition, and did so in the generation
-    /// that it names.
+    /// Records an offset. Returns whether the member owns the partition and did so in the
+    /// generation that it names.
     pub fn commit(&mut self, now: Instant, commit: &Commit) -> bool {
         self.drop_lapsed(now);
         let place = (commit.topic.clone(), commit.part);
@@ -118,7 +118,7 @@
         holds
     }
 
-    /// Returns the partitions that are held.
+    /// Returns the partitions that have owners.
     pub fn owners(&self) -> Vec<Owned> {
         self.partitions
             .iter()
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Decides anew who is to have which partition.
+    /// Decides again which member is to own which partition.
     fn share_out(&mut self) {
         self.generation += 1;
         let members: Vec<&String> = self.members.keys().collect();
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Takes from a member, which has seen the newest generation, what others are to have.
+    /// Releases the partitions of a member that others are to own. The member has seen the newest
+    /// generation.
     fn release(&mut self, member: &str) {
         for partition in self.partitions.values_mut() {
             let target = &partition.target;
@@ -168,14 +169,14 @@
         }
     }
 
-    /// Takes everything from a member that is gone.
+    /// Releases all partitions of a member that has left.
     fn free(&mut self, member: &str) {
         for partition in self.partitions.values_mut() {
             partition.held.take_if(|(holder, _)| holder == member);
         }
     }
 
-    /// Gives what nobody holds to those who are to have it.
+    /// Assigns the partitions without owners to their targets.
     fn hand_over(&mut self) {
         let generation = self.generation;
         for partition in self.partitions.values_mut() {
