--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the users' platform: its store, its model engines, its plain services and its
-//! callers, on the wire that `platform/` translates; and entry VMs as real processes before them.
+//! Stand-ins for the users' platform: its store, model engines, plain services and callers, with
+//! the wire format that `platform/` translates, and entry VMs as real processes in front of them.
 
 mod calling;
 mod engine;
