--- a/crates/standins/src/platform/organisations.rs
+++ b/crates/standins/src/platform/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations, their keys and their limits.
+//! Organisations, their API keys and their limits.
 
 use serde_json::Value;
 use serde_json::json;
@@ -6,36 +6,36 @@
 use crate::platform::calling::Ask;
 use crate::platform::serving::RunSeen;
 
-/// The header that carries a caller's key.
+/// Header with a caller's API key.
 const KEY: &str = "Authorization";
 
-/// The header that tells upstreams whose request it is.
+/// Header by which entry VMs name a request's organisation to upstreams.
 const ORGANISATION: &str = "Apricotdale-Tenant";
 
-/// `SiteOrganisation` is an organisation as the operators configure it.
+/// Organisation as operators configure it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteOrganisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: String,
-    /// Its keys in clear.
+    /// API keys in clear text.
     pub keys: Vec<String>,
-    /// What it may use; none without a limit.
+    /// Limit over all VMs; absent without one.
     pub limit: Option<SiteLimit>,
 }
 
-/// `SiteLimit` is what an organisation may use over all VMs.
+/// Limit on what an organisation may use over all VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteLimit {
-    /// What is counted, as the configuration names it.
+    /// Unit that is counted, by its name in the configuration.
     pub unit: &'static str,
-    /// How much a second.
+    /// Units per second.
     pub per_s: f64,
-    /// How much at once beyond that.
+    /// Burst: units that may be used at once beyond the rate.
     pub burst: f64,
 }
 
 impl SiteLimit {
-    /// Returns a limit of requests.
+    /// Returns a limit on requests.
     pub fn requests(per_s: f64, burst: f64) -> Self {
         Self {
             unit: "requests",
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Returns a limit of tokens.
+    /// Returns a limit on tokens.
     pub fn tokens(per_s: f64, burst: f64) -> Self {
         Self {
             unit: "tokens",
@@ -55,7 +55,7 @@
 }
 
 impl SiteOrganisation {
-    /// Returns the list of organisations for [`crate::platform::SiteOptions::tenants`].
+    /// Returns the value of [`crate::platform::SiteOptions::tenants`] for some organisations.
     pub fn list(organisations: &[Self]) -> Value {
         organisations.iter().map(Self::to_value).collect()
     }
@@ -73,17 +73,17 @@
 }
 
 impl Ask {
-    /// Returns the request with one more key.
+    /// Returns the request with one more API key.
     pub fn with_key(self, key: &str) -> Self {
         self.with(KEY, &format!("Token {key}"))
     }
 
-    /// Returns the request with the name of an organisation that its caller claims to be.
+    /// Returns the request with a header in which its caller claims to be an organisation.
     pub fn claiming(self, organisation: &str) -> Self {
         self.with(ORGANISATION, organisation)
     }
 
-    /// Returns the request without keys and claims.
+    /// Returns the request without API keys and claims.
     pub fn without_keys(mut self) -> Self {
         self.headers
             .retain(|(name, _)| name != KEY && name != ORGANISATION);
@@ -92,7 +92,7 @@
 }
 
 impl RunSeen {
-    /// Returns the organisations that the upstream was told.
+    /// Returns the organisations that the upstream was sent in headers.
     pub fn organisations(&self) -> Vec<String> {
         let told = self.headers.iter();
         told.filter(|(name, _)| name.eq_ignore_ascii_case(ORGANISATION))
@@ -100,7 +100,7 @@
             .collect()
     }
 
-    /// Returns whether any header or the body holds a text.
+    /// Returns whether the value of a header or the body contains a text.
     pub fn holds(&self, text: &str) -> bool {
         let mut headers = self.headers.iter();
         headers.any(|(_, value)| value.contains(text))
