--- a/crates/standins/src/platform/serving.rs
+++ b/crates/standins/src/platform/serving.rs
@@ -1,4 +1,4 @@
-//! Answers to requests, good and bad.
+//! Answers of the platform's upstreams to requests, with and without faults.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -28,99 +28,99 @@
 const LOAD: &str = "Apricotdale-Server-Load";
 pub(crate) const VERSION: &str = "Apricotdale-Weight-Versions";
 
-/// The time between two looks of a stream at a dark upstream whether its client has left.
+/// Interval at which a stream of an unresponsive upstream checks whether its client is connected.
 const DARK_LOOK_MS: u64 = 5;
 
-/// The bytes of a large body: more than an entry VM holds back.
+/// Size of a large body, which is more than an entry VM buffers.
 pub const LARGE_BYTES: usize = 1_500_000;
 
-/// The fewest events of a rest that is spoiled. In a shorter one, some faults would leave events that
-/// follow the ones before, and no reader could tell.
+/// Minimum number of events of a remainder that gets a fault. In a shorter one, some faults would
+/// leave only events that continue the ones before, and no reader could detect the fault.
 const SPOILED_EVENTS: u64 = 3;
 
-/// Interim answers of [`AnswerFault::ManyInterim`].
+/// Number of interim answers of [`AnswerFault::ManyInterim`].
 const INTERIM_ANSWERS: usize = 100_000;
 
-/// What sends the events of a stream.
+/// Function that sends the events of a stream.
 type Produce = Box<dyn FnOnce(&mut EventWriter) -> StreamEnd + Send>;
 
-/// `AnswerFault` is how an answer is spoiled.
+/// Fault of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AnswerFault {
-    /// The request is turned away, not run.
+    /// The request is rejected before it runs.
     TurnedAway,
     /// The request runs and fails.
     Failed,
-    /// The request runs, its answer is lost.
+    /// The request runs, and its answer is lost.
     LostAnswer,
-    /// The request runs, nothing is ever answered.
+    /// The request runs, and no answer is ever sent.
     Mute,
-    /// The stream breaks after some events, in the middle of the next.
+    /// The stream breaks after some events, in the middle of the next one.
     CutAfter {
-        /// Whole events before the break.
+        /// Number of complete events before the break.
         events: u64,
     },
-    /// The stream is spoiled by what it holds.
+    /// The stream has a fault in its contents.
     Stream(StreamFault),
-    /// A request for all events is cut after some, one for three or more of the rest gets a spoiled
-    /// stream.
+    /// A request for all events is cut after some. A request for a remainder of three or more
+    /// events gets a stream with a fault.
     CutThen {
-        /// Whole events before the break.
+        /// Number of complete events before the break.
         events: u64,
-        /// The stream of the rest.
+        /// Fault of the remainder's stream.
         then: StreamFault,
     },
-    /// The body has [`LARGE_BYTES`].
+    /// The body has [`LARGE_BYTES`] bytes.
     Large,
-    /// The body is cut after [`LARGE_BYTES`].
+    /// The body is cut after [`LARGE_BYTES`] bytes.
     LargeCut,
-    /// Nothing follows [`LARGE_BYTES`] of the body, and the connection stays open.
+    /// Nothing follows [`LARGE_BYTES`] bytes of the body, and the connection stays open.
     LargeStalled,
     /// The body never ends.
     Endless,
     /// The answer lacks its signature.
     Unsigned,
-    /// The stream lacks its signature, and goes on.
+    /// The stream lacks its signature but is otherwise sent as usual.
     UnsignedStream,
-    /// The request is turned away, not run, and the body of the answer never comes.
+    /// The request is rejected before it runs, and the body of the answer is never sent.
     TurnedAwayStalled,
-    /// Interim answers without number come first.
+    /// A large number of interim answers precede the answer.
     ManyInterim,
-    /// Another request's answer comes first.
+    /// Another request's answer precedes the answer.
     CrossedFirst,
-    /// Another answer follows the whole one.
+    /// Another answer follows the complete one.
     ExtraAfter,
     /// The answer has no length and ends with its connection.
     Unframed,
-    /// The answer has no length, and its connection is reset before its end.
+    /// The answer names a length, and its connection is closed before that.
     UnframedCut,
-    /// The bytes are no answer.
+    /// The bytes are not a valid HTTP answer.
     Garbage,
-    /// The body is encoded.
+    /// The body has a content encoding.
     Encoded,
 }
 
-/// `RunSeen` is a request as the upstream got it.
+/// Request that ran, as the upstream received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunSeen {
-    /// The request's identity.
+    /// Identity of the request.
     pub id: String,
-    /// The method.
+    /// HTTP method.
     pub method: String,
-    /// The path with the query.
+    /// Path with the query.
     pub target: String,
-    /// The headers.
+    /// Headers in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// When it came.
+    /// Time at which the request arrived.
     pub at: Instant,
-    /// How its answer was spoiled.
+    /// Fault of its answer; absent without one.
     pub fault: Option<AnswerFault>,
 }
 
 impl RunSeen {
-    /// Returns the value of a header.
+    /// Returns the value of a header, or none without one.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -129,16 +129,16 @@
     }
 }
 
-/// `Answers` gives the answers of one upstream and remembers what ran.
+/// Answers of one upstream, and the record of the requests that ran.
 #[derive(Debug)]
 pub(crate) struct Answers {
     instance: String,
     faults: Mutex<VecDeque<AnswerFault>>,
     /// Requests that ran, in order.
     pub runs: Mutex<Vec<RunSeen>>,
-    /// Requests whose client left while they ran.
+    /// Requests whose client disconnected while they ran.
     pub left: Arc<Mutex<Vec<String>>>,
-    /// Requests whose streams were sent to their ends.
+    /// Requests whose streams were sent completely.
     pub streamed: Arc<Mutex<Vec<String>>>,
     /// Whether nothing is sent, as if the upstream had lost its power.
     pub dark: Arc<AtomicBool>,
@@ -164,13 +164,13 @@
         self.faults.lock().clear();
     }
 
-    /// Returns the answer that refuses a request which is not for this upstream.
+    /// Returns the answer that refuses a request meant for another upstream, or none.
     pub fn misdirected(&self, request: &Request) -> Option<Reply> {
         let meant = request.header(MEANT)?;
         (meant != self.instance).then(|| self.not_run(request, 421))
     }
 
-    /// Returns an answer that says the request was not run.
+    /// Returns an answer which says that the request was not run.
     pub fn not_run(&self, request: &Request, status: u16) -> Reply {
         Reply::json(status, &json!({}))
             .with_header(ID, id_of(request))
@@ -178,7 +178,7 @@
             .with_header(INSTANCE, &self.instance)
     }
 
-    /// Returns the next fault, and notes the run unless the fault is that there is none.
+    /// Takes the next fault, and records the request as run unless the fault rejects it.
     pub fn begin(&self, request: &Request) -> Option<AnswerFault> {
         let fault = self.faults.lock().pop_front();
         let turned_away = [AnswerFault::TurnedAway, AnswerFault::TurnedAwayStalled];
@@ -196,7 +196,7 @@
         fault
     }
 
-    /// Returns the answer to a plain request.
+    /// Returns the answer to a request that is not streamed.
     pub fn whole(&self, request: &Request, fault: Option<AnswerFault>, body: &str) -> Reply {
         let id = id_of(request);
         let head = |status: u16, fields: &str| {
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Returns the answer to a streaming request: events from one after the last that the client
-    /// has, up to a count.
+    /// Returns the answer to a streaming request: the events after the last one that the client
+    /// has, up to the event with number `count`.
     pub fn events(
         &self,
         request: &Request,
@@ -345,8 +345,8 @@
         }
     }
 
-    /// Returns the answer to a streaming request that stops after some events, and then does
-    /// something.
+    /// Returns the answer to a streaming request that sends `count` events, then calls a function
+    /// and breaks.
     pub fn events_until(
         &self,
         request: &Request,
@@ -393,19 +393,19 @@
     }
 }
 
-/// Returns whether a body holds a marker.
+/// Returns whether a body contains a marker.
 pub(crate) fn holds(body: &[u8], marker: &[u8]) -> bool {
     let mut windows = body.windows(marker.len().max(1));
     windows.any(|window| window == marker)
 }
 
-/// Returns the first event that the client does not have.
+/// Returns the number of the first event that the client does not have.
 fn first_event(request: &Request) -> u64 {
     let last = request.header("Last-Event-Id");
     last.and_then(|id| id.parse().ok()).unwrap_or(0) + 1
 }
 
-/// Returns an event as a sound engine sends it.
+/// Returns the text of an event without faults.
 pub(crate) fn event_text(event: u64) -> String {
     format!("id: {event}\ndata: piece {event}\n\n")
 }
