--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! Store of the platform.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -27,50 +27,50 @@
 use crate::platform::topics::Condition;
 use crate::platform::topics::Partition;
 
-/// The field that tells the store's era.
+/// Header with the store's era.
 const ERA_HEADER: &str = "Store-Era";
 
-/// Items of one page of newest records.
+/// Maximum number of items in a page of newest records.
 const PAGE_ITEMS: usize = 500;
 
-/// `StoreFault` is how the store treats the calls that come through one door.
+/// Fault of the calls to one endpoint of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It serves them.
+    /// Calls are served.
     #[default]
     None,
-    /// It answers 503.
+    /// Calls get status 503.
     Busy,
-    /// It answers 429.
+    /// Calls get status 429.
     Limited,
-    /// It closes the connection without an answer and does nothing.
+    /// The connection is closed without an answer, and the call has no effect.
     Reset,
-    /// It does not answer and does nothing.
+    /// Calls get no answer and have no effect; the connection stays open.
     Silent,
-    /// It does what is asked and closes the connection without an answer.
+    /// Calls are carried out, and the connection is closed without an answer.
     LostAnswer,
-    /// Appends are done after a time, with no answer.
+    /// Calls with POST are carried out after a delay, without an answer; others are served.
     Late {
-        /// The time.
+        /// Delay in milliseconds.
         after_ms: u64,
     },
-    /// It answers after a time.
+    /// Calls are served after a delay.
     Slow {
-        /// The time.
+        /// Delay in milliseconds.
         by_ms: u64,
     },
 }
 
 type Topics = HashMap<(String, u64), Partition>;
 
-/// `StoreCopy` is what a store held at a moment.
+/// Contents of a store at one time.
 #[derive(Clone, Default)]
 pub struct StoreCopy {
     topics: Topics,
 }
 
 impl StoreCopy {
-    /// Returns the newest value of a key.
+    /// Returns the newest value of a key, or none without one.
     pub fn newest(&self, topic: &str, key: &str) -> Option<Vec<u8>> {
         let partition = self.topics.get(&(topic.to_owned(), 0))?;
         let mut newest = partition.newest(None);
@@ -82,27 +82,27 @@
 #[derive(Default)]
 struct Shared {
     topics: Mutex<Topics>,
-    /// How often the store has come back from a copy.
+    /// Number of rollbacks of the store.
     era: AtomicU64,
     changed: Condvar,
     groups: Mutex<HashMap<String, Group>>,
-    /// Topics to which nothing can be appended now.
+    /// Topics to which appends are refused.
     full: Mutex<HashSet<String>>,
 }
 
-/// `PlatformStore` is one door to a store. Doors share the topics, and each has a fault of its own,
-/// so that the store can turn one VM away and serve another.
+/// Endpoint of a store. Endpoints of one store share its topics and have separate faults, so that
+/// the store can refuse one VM and serve another.
 #[derive(Clone, Default)]
 pub struct PlatformStore {
     shared: Arc<Shared>,
     fault: Arc<Mutex<StoreFault>>,
-    /// Topics of which the next read gets no answer.
+    /// Topics whose next read gets no answer.
     swallowed: Arc<Mutex<HashSet<String>>>,
     calls: Arc<Mutex<HashMap<String, u64>>>,
 }
 
 impl PlatformStore {
-    /// Returns another door to the same topics.
+    /// Returns another endpoint of the same store.
     pub fn door(&self) -> Self {
         Self {
             shared: self.shared.clone(),
@@ -110,17 +110,17 @@
         }
     }
 
-    /// Sets the fault of this door.
+    /// Sets the fault of this endpoint.
     pub fn set_fault(&self, fault: StoreFault) {
         *self.fault.lock() = fault;
     }
 
-    /// Leaves the next read of a topic through this door without an answer, and no other call.
+    /// Makes the next read of a topic at this endpoint get no answer. No other call is affected.
     pub fn swallow_read(&self, topic: &str) {
         self.swallowed.lock().insert(topic.to_owned());
     }
 
-    /// Refuses appends to a topic, or takes them again.
+    /// Refuses appends to a topic, or accepts them again.
     pub fn set_full(&self, topic: &str, is_full: bool) {
         let mut full = self.shared.full.lock();
         match is_full {
@@ -129,20 +129,20 @@
         };
     }
 
-    /// Returns how many calls to a path came through this door.
+    /// Returns the number of calls to a path at this endpoint.
     pub fn calls(&self, path: &str) -> u64 {
         self.calls.lock().get(path).copied().unwrap_or_default()
     }
 
-    /// Returns a copy of all topics as they are now.
+    /// Returns the present contents of all topics.
     pub fn copy(&self) -> StoreCopy {
         StoreCopy {
             topics: self.shared.topics.lock().clone(),
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, its offsets are given out again, and
-    /// a new era begins.
+    /// Rolls the store back to older contents: later records are lost, their offsets are used
+    /// again, and a new era begins.
     pub fn set_back(&self, copy: StoreCopy) {
         let mut topics = self.shared.topics.lock();
         *topics = copy.topics;
@@ -154,13 +154,13 @@
         self.shared.era.load(Ordering::Relaxed)
     }
 
-    /// Returns an answer that tells the present era. An answer from the topics is made while they
-    /// are held, or it would tell the era after that of which it speaks.
+    /// Returns an answer with the present era. An answer from the topics must be built while they
+    /// are locked, or it could name the era after the one that its contents belong to.
     fn of_this_era(&self, reply: Reply) -> Reply {
         reply.with_header(ERA_HEADER, &self.era().to_string())
     }
 
-    /// Writes a record with a key, as an operator or an engine does. An empty value drops the key.
+    /// Appends a record with a key, as operators and engines do. An empty value removes the key.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
         let mut record = vec![key.len() as u8];
         record.extend_from_slice(key.as_bytes());
@@ -171,7 +171,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// Returns the newest value of a key.
+    /// Returns the newest value of a key, or none without one.
     pub fn newest(&self, topic: &str, key: &str) -> Option<Vec<u8>> {
         let topics = self.shared.topics.lock();
         let partition = topics.get(&(topic.to_owned(), 0))?;
@@ -181,7 +181,7 @@
             .map(|(_, (_, value))| value.clone())
     }
 
-    /// Returns the records of a topic that are kept.
+    /// Returns the records of a topic that are kept, oldest first.
     pub fn records(&self, topic: &str) -> Vec<Vec<u8>> {
         let topics = self.shared.topics.lock();
         topics
@@ -191,7 +191,7 @@
             .unwrap_or_default()
     }
 
-    /// Deletes every record of a topic. The newest of each key is kept.
+    /// Deletes every record of a topic except for the newest of each key.
     pub fn forget(&self, topic: &str) {
         let mut topics = self.shared.topics.lock();
         if let Some(partition) = topics.get_mut(&(topic.to_owned(), 0)) {
