--- a/crates/standins/src/platform/topics.rs
+++ b/crates/standins/src/platform/topics.rs
@@ -1,12 +1,12 @@
-//! The topics of the store: records by offset, and the newest record of each key.
+//! Topics of the store: records by offset, and the newest record of each key.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// The beginning of the names of topics that keep the newest record of each key.
+/// Prefix of the names of topics that keep the newest record of each key.
 const KEYED: &str = "keyed.";
 
-/// `Partition` is one partition of a topic.
+/// Partition of a topic.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Partition {
     first: u64,
@@ -22,7 +22,7 @@
     last_offset: u64,
 }
 
-/// `Appended` is how an append ended.
+/// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Appended {
     Done { offset: u64 },
@@ -31,12 +31,12 @@
     WrongSequence { expected: u64 },
 }
 
-/// `Condition` is what an append depends on.
+/// Conditions of an append.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Condition {
-    /// The end of the partition.
+    /// End that the partition must have; absent if any end will do.
     pub at: Option<u64>,
-    /// The producer's name, epoch and sequence number.
+    /// Producer's name, epoch and sequence number.
     pub producer: Option<(String, u64, u64)>,
 }
 
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Returns the records from an offset; none if they are no longer kept, or if the partition
-    /// does not reach so far.
+    /// Returns the records from an offset on; none if the offset is no longer kept or lies after
+    /// the end.
     pub fn read(&self, from: u64) -> Option<&[Vec<u8>]> {
         let skip = from.checked_sub(self.first)? as usize;
         self.records.get(skip..)
@@ -115,7 +115,7 @@
         self.first += count;
     }
 
-    /// Returns the newest records after a key.
+    /// Returns the newest records of the keys after a key.
     pub fn newest(&self, after: Option<&str>) -> impl Iterator<Item = (&String, &(u64, Vec<u8>))> {
         let after = after.unwrap_or_default().to_owned();
         self.newest.iter().filter(move |(key, _)| **key > after)
