--- a/crates/standins/src/platform/vm.rs
+++ b/crates/standins/src/platform/vm.rs
@@ -27,29 +27,30 @@
 use crate::platform::calling::get;
 use crate::platform::calling::is_ready;
 
-/// How long a process may take to open its sockets.
+/// Maximum time from the start of a process until it listens.
 const START_PATIENCE: Duration = Duration::from_secs(20);
 
-/// `VmOptions` is how an entry VM is started.
+/// Options with which an entry VM is started.
 #[derive(Clone, Debug)]
 pub struct VmOptions {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// The VM's name.
+    /// Name of the VM.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Where it reaches the store.
+    /// Address of the store's endpoint.
     pub store: SocketAddr,
-    /// Where callers connect; port 0 has the system choose one.
+    /// Address on which callers connect; with port 0 the system chooses one.
     pub callers: SocketAddr,
-    /// How long a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub stop_ms: u64,
-    /// The pause before a new giver's first order, where engines do not check fencing tokens.
+    /// Pause before the first order of a new lease holder, for engines that don't check fencing
+    /// tokens.
     pub order_pause_ms: u64,
-    /// What the store sends, as the settings tell it.
+    /// Rate at which the store sends reads, as the VM's settings state it.
     pub read_mb_per_s: f64,
-    /// More lines of the settings file.
+    /// Further lines of the settings file.
     pub more_settings: String,
 }
 
@@ -95,17 +96,17 @@
     changed: Condvar,
 }
 
-/// `VmProcess` is one run of an entry VM's program. It is killed when it is dropped.
+/// Process of an entry VM, which is killed when it is dropped.
 #[derive(Debug)]
 pub struct VmProcess {
     process: Child,
     lines: Arc<Lines>,
     settings: NamedTempFile,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the VM takes callers.
+    /// Address of the load balancer's readiness check.
     pub ready: SocketAddr,
-    /// Where metrics are read.
+    /// Address at which metrics are read.
     pub metrics: SocketAddr,
 }
 
@@ -114,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// Any of starting it; `TimedOut` if it does not log its addresses.
+    /// Errors of starting the process; `TimedOut` if it does not log its addresses in time.
     pub fn start(options: &VmOptions) -> io::Result<Self> {
         let mut settings = NamedTempFile::new()?;
         settings.write_all(options.settings().as_bytes())?;
@@ -148,25 +149,25 @@
         Ok(vm)
     }
 
-    /// Returns whether the VM takes callers.
+    /// Returns whether the VM accepts callers.
     pub fn is_ready(&self, patience: Duration) -> bool {
         is_ready(self.ready, patience)
     }
 
-    /// Returns the metrics.
+    /// Returns the text of the metrics.
     ///
     /// # Errors
     ///
-    /// Any of reading them.
+    /// Errors of connecting and reading.
     pub fn metrics_text(&self, patience: Duration) -> io::Result<String> {
         get(self.metrics, "/metrics", patience).map(|answer| answer.text())
     }
 
-    /// Waits for a log line that holds a text, and returns it.
+    /// Waits for a log line that contains a text, and returns it.
     ///
     /// # Errors
     ///
-    /// `TimedOut` if none comes.
+    /// `TimedOut` if there is no such line in time.
     pub fn wait_line(&self, text: &str, patience: Duration) -> io::Result<String> {
         let until = Instant::now() + patience;
         let mut lines = self.lines.lines.lock();
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Returns the log lines that hold a text.
+    /// Returns the log lines that contain a text.
     pub fn lines_with(&self, text: &str) -> Vec<String> {
         let lines = self.lines.lines.lock();
         lines
@@ -195,22 +196,22 @@
     ///
     /// # Errors
     ///
-    /// Any of the system, as when the process has been waited for.
+    /// Errors of the system, as when the process has ended and been waited for.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let id = Pid::from_raw(self.process.id() as i32);
         kill(id, signal).map_err(io::Error::from)
     }
 
-    /// Returns how the process ended, or none while it runs.
+    /// Returns the exit status of the process, or none while it runs.
     ///
     /// # Errors
     ///
-    /// Any of the system.
+    /// Errors of the system.
     pub fn try_wait(&mut self) -> io::Result<Option<ExitStatus>> {
         self.process.try_wait()
     }
 
-    /// Returns the process's number.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.process.id()
     }
@@ -223,7 +224,7 @@
 
 impl Drop for VmProcess {
     fn drop(&mut self) {
-        // The process may have ended by itself.
+        // The process may already have ended.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
