--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -8,12 +8,12 @@
 use apricotdale_core::serving::Clock;
 
 /// Longest wait that [`after_ms`] returns, one year; a much longer one would overflow an `Instant`.
-const LONGEST_WAIT_MS: u64 = 365 * 24 * 60 * 60 * 1_000;
+const MAX_WAIT_MS: u64 = 365 * 24 * 60 * 60 * 1_000;
 
 /// Returns the instant that is `wait_ms` milliseconds from now, or a year from now if that is
 /// earlier.
 pub fn after_ms(wait_ms: u64) -> Instant {
-    Instant::now() + Duration::from_millis(wait_ms.min(LONGEST_WAIT_MS))
+    Instant::now() + Duration::from_millis(wait_ms.min(MAX_WAIT_MS))
 }
 
 /// Clock of the machine: monotonic time since its creation, and Unix time.
--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -15,7 +15,7 @@
 
 /// Outcome of adding a sequence to the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum Admission {
     /// The sequence has a slot and generates.
     Running(SequenceId),
     /// The sequence waits for a slot.
@@ -48,19 +48,19 @@
     }
 
     /// Adds a sequence, which generates if a slot is free and waits otherwise.
-    pub fn enter(&mut self, priority: u32) -> Entry {
+    pub fn enter(&mut self, priority: u32) -> Admission {
         let id = SequenceId(self.next_id);
         if self.running.len() < self.slots {
             self.next_id += 1;
             self.running.insert(id);
-            return Entry::Running(id);
+            return Admission::Running(id);
         }
         if self.waiting.len() >= self.queue {
-            return Entry::Full;
+            return Admission::Full;
         }
         self.next_id += 1;
         self.waiting.insert((priority, id));
-        Entry::Waiting(id)
+        Admission::Waiting(id)
     }
 
     /// Removes a sequence and returns the one that now gets its slot, if any.
--- a/crates/standins/src/engine/completion.rs
+++ b/crates/standins/src/engine/completion.rs
@@ -68,8 +68,8 @@
 impl CompletionBody {
     /// Returns the number of tokens to generate, at least one.
     pub(crate) fn max_tokens(&self) -> u32 {
-        let asked = self.max_completion_tokens.or(self.max_tokens);
-        asked.unwrap_or(DEFAULT_MAX_TOKENS).max(1)
+        let requested = self.max_completion_tokens.or(self.max_tokens);
+        requested.unwrap_or(DEFAULT_MAX_TOKENS).max(1)
     }
 
     /// Returns whether a stream ends with an event that reports the token usage.
@@ -127,7 +127,7 @@
     }
 
     /// Returns the body of an answer that is not streamed.
-    pub(crate) fn whole(&self, tokens: u32, usage: Value) -> Value {
+    pub(crate) fn unstreamed_answer(&self, tokens: u32, usage: Value) -> Value {
         let text: String = (0..tokens).map(|number| token(&self.id, number)).collect();
         let (object, choice) = match self.format {
             Format::Text => (
--- a/crates/standins/src/engine/effects.rs
+++ b/crates/standins/src/engine/effects.rs
@@ -58,12 +58,12 @@
 
 impl Effects {
     /// Counts a load that succeeded.
-    pub(crate) fn loaded(&mut self, model: &ModelName) {
+    pub(crate) fn count_load(&mut self, model: &ModelName) {
         *self.loads.entry(model.clone()).or_default() += 1;
     }
 
     /// Records a request that was accepted.
-    pub(crate) fn accepted(&mut self, id: &RequestId, model: &ModelName) {
+    pub(crate) fn record_accepted(&mut self, id: &RequestId, model: &ModelName) {
         let effect = self.requests.entry(id.clone()).or_insert(RequestEffect {
             model: model.clone(),
             state: RequestState::Running,
@@ -75,7 +75,7 @@
     }
 
     /// Records how a request ended. Only the first end counts.
-    pub(crate) fn ended(&mut self, id: &RequestId, state: RequestState) {
+    pub(crate) fn record_end(&mut self, id: &RequestId, state: RequestState) {
         let effect = self.requests.get_mut(id);
         let effect = effect.filter(|effect| effect.state == RequestState::Running);
         if let Some(effect) = effect {
--- a/crates/standins/src/engine/gate.rs
+++ b/crates/standins/src/engine/gate.rs
@@ -11,7 +11,7 @@
 pub struct OrderGate {
     closed: bool,
     next: u64,
-    row: VecDeque<OrderTicket>,
+    queue: VecDeque<OrderTicket>,
 }
 
 impl OrderGate {
@@ -21,24 +21,24 @@
     }
 
     /// Appends an order to the queue and returns its position.
-    pub fn arrive(&mut self) -> OrderTicket {
+    pub fn enqueue(&mut self) -> OrderTicket {
         let ticket = OrderTicket(self.next);
         self.next += 1;
-        self.row.push_back(ticket);
+        self.queue.push_back(ticket);
         ticket
     }
 
     /// Returns whether an order passes now, and removes it from the queue if so.
-    pub fn pass(&mut self, ticket: OrderTicket) -> bool {
-        if self.closed || self.row.front() != Some(&ticket) {
+    pub fn try_pass(&mut self, ticket: OrderTicket) -> bool {
+        if self.closed || self.queue.front() != Some(&ticket) {
             return false;
         }
-        self.row.pop_front();
+        self.queue.pop_front();
         true
     }
 
     /// Drops the orders that have not passed.
     pub fn clear(&mut self) {
-        self.row.clear();
+        self.queue.clear();
     }
 }
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -19,8 +19,8 @@
 mod server;
 mod serving;
 
+pub use batch::Admission;
 pub use batch::Batch;
-pub use batch::Entry;
 pub use batch::SequenceId;
 pub use completion::PREFIX_BYTES;
 pub use completion::prefix_hash;
--- a/crates/standins/src/engine/models.rs
+++ b/crates/standins/src/engine/models.rs
@@ -63,14 +63,14 @@
     checks_fence: bool,
     checks_memory: bool,
     highest_fence: FencingNumber,
-    residents: BTreeMap<ModelName, Held>,
+    residents: BTreeMap<ModelName, ResidentModel>,
     next_number: u64,
     most_bytes_held: u64,
     overcommitted: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct ResidentModel {
     number: u64,
     residency: Residency,
     bytes: u64,
@@ -158,12 +158,12 @@
             return Err(OrderRefusal::NoMemory);
         }
         self.overcommitted += u64::from(!fits);
-        self.take(order);
+        self.reserve(order);
         Ok(LoadStep::Begin)
     }
 
     /// Ends a load that was begun. A failed load frees its memory.
-    pub fn load_ended(&mut self, model: &ModelName, loaded: bool) {
+    pub fn end_load(&mut self, model: &ModelName, loaded: bool) {
         self.sequence += 1;
         if !loaded {
             self.residents.remove(model);
@@ -248,8 +248,8 @@
         self.residents.values().map(|held| held.bytes).sum()
     }
 
-    fn take(&mut self, order: &LoadOrder) {
-        let held = Held {
+    fn reserve(&mut self, order: &LoadOrder) {
+        let held = ResidentModel {
             number: self.next_number,
             residency: Residency::Loading,
             bytes: order.bytes,
@@ -288,7 +288,7 @@
     }
 }
 
-fn resident((model, held): (&ModelName, &Held)) -> Resident {
+fn resident((model, held): (&ModelName, &ResidentModel)) -> Resident {
     Resident {
         model: model.clone(),
         residency: held.residency,
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -104,8 +104,8 @@
     /// Waits until the order passes the gate, and returns false if the engine process ended before
     /// that.
     fn pass_gate(&self, state: &mut MutexGuard<'_, State>, boot: BootId) -> bool {
-        let ticket = state.gate.arrive();
-        while !state.gate.pass(ticket) {
+        let ticket = state.gate.enqueue();
+        while !state.gate.try_pass(ticket) {
             self.orders_changed.wait(state);
             if state.models.boot() != boot {
                 return false;
@@ -174,11 +174,11 @@
             Some(LoadFault::Die) => Err(OrderRefusal::WeightsFailed),
             _ => fetched,
         };
-        state.models.load_ended(&job.order.model, loaded.is_ok());
+        state.models.end_load(&job.order.model, loaded.is_ok());
         if loaded.is_ok() {
-            state.effects.loaded(&job.order.model);
+            state.effects.count_load(&job.order.model);
             state.host.touch(&job.order.model, job.order.bytes);
-            self.note_load(&mut state);
+            self.record_load(&mut state);
         }
         // Only this thread sets the outcome, so it can't be set already.
         let _ = job.outcome.set(loaded);
--- a/crates/standins/src/engine/prefix_cache.rs
+++ b/crates/standins/src/engine/prefix_cache.rs
@@ -6,7 +6,7 @@
 use apricotdale_core::names::ModelName;
 
 /// Maximum number of events that are kept for readers.
-const KEPT_EVENTS: usize = 4_096;
+const MAX_KEPT_EVENTS: usize = 4_096;
 
 /// Cache of a limited number of prompt prefixes, which evicts the least recently used one. Events
 /// report its changes with a lag and with gaps.
@@ -48,10 +48,10 @@
         }
         if self.held.len() >= self.limit {
             let (_, dropped) = self.held.remove(0);
-            self.note(now_ms, dropped, false);
+            self.record(now_ms, dropped, false);
         }
         self.held.push(prefix);
-        self.note(now_ms, prefix_hash, true);
+        self.record(now_ms, prefix_hash, true);
         false
     }
 
@@ -70,13 +70,13 @@
         self.sequence = 0;
     }
 
-    fn note(&mut self, now_ms: u64, prefix_hash: u64, cached: bool) {
+    fn record(&mut self, now_ms: u64, prefix_hash: u64, cached: bool) {
         self.sequence += 1;
         let lost = self.gap_every > 0 && self.sequence.is_multiple_of(self.gap_every);
         if lost {
             return;
         }
-        if self.events.len() >= KEPT_EVENTS {
+        if self.events.len() >= MAX_KEPT_EVENTS {
             self.events.pop_front();
         }
         let event = CacheEvent {
--- a/crates/standins/src/engine/sequence.rs
+++ b/crates/standins/src/engine/sequence.rs
@@ -10,7 +10,7 @@
 use crate::http::Caller;
 
 /// Interval at which a sequence with nothing to send checks whether its caller is connected.
-const CALLER_POLL: Duration = Duration::from_millis(50);
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Progress of a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     }
 
     /// Gives the sequence a slot if it waits for one.
-    pub(crate) fn run(&self) {
+    pub(crate) fn grant_slot(&self) {
         let mut phase = self.phase.lock();
         if *phase == Phase::Waiting {
             *phase = Phase::Running;
@@ -67,8 +67,8 @@
             match *phase {
                 Phase::Running => return Ok(()),
                 Phase::Ended(state) => return Err(state),
-                Phase::Waiting if caller.is_gone() => return Err(RequestState::Cancelled),
-                Phase::Waiting => self.changed.wait_for(&mut phase, CALLER_POLL),
+                Phase::Waiting if caller.is_disconnected() => return Err(RequestState::Cancelled),
+                Phase::Waiting => self.changed.wait_for(&mut phase, CALLER_POLL_INTERVAL),
             };
         }
     }
@@ -83,11 +83,11 @@
         loop {
             match *phase {
                 Phase::Ended(state) => return Err(state),
-                _ if caller.is_gone() => return Err(RequestState::Cancelled),
+                _ if caller.is_disconnected() => return Err(RequestState::Cancelled),
                 _ if Instant::now() >= due => return Ok(()),
                 _ => {}
             }
-            let poll = Instant::now() + CALLER_POLL;
+            let poll = Instant::now() + CALLER_POLL_INTERVAL;
             self.changed.wait_until(&mut phase, due.min(poll));
         }
     }
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -47,7 +47,7 @@
     pub(crate) models: Models,
     pub(crate) gate: OrderGate,
     pub(crate) batch: Batch,
-    pub(crate) sequences: BTreeMap<SequenceId, Listed>,
+    pub(crate) sequences: BTreeMap<SequenceId, ActiveSequence>,
     pub(crate) host: HostCache,
     pub(crate) prefixes: PrefixCache,
     pub(crate) faults: Faults,
@@ -56,7 +56,7 @@
 }
 
 /// Sequence in progress, as orders and cancellations find it.
-pub(crate) struct Listed {
+pub(crate) struct ActiveSequence {
     pub(crate) request: RequestId,
     pub(crate) signal: Arc<Signal>,
 }
@@ -80,7 +80,7 @@
     }
 
     /// Records the present load for the load report, which is published with a lag.
-    pub(crate) fn note_load(&self, state: &mut State) {
+    pub(crate) fn record_load(&self, state: &mut State) {
         let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
         let report = LoadReport {
             as_of_ms: 0,
@@ -150,11 +150,11 @@
         state.batch.clear();
         state.host.forget_memory();
         state.prefixes.clear();
-        for listed in std::mem::take(&mut state.sequences).into_values() {
-            listed.signal.end(RequestState::Cut);
-            state.effects.ended(&listed.request, RequestState::Cut);
+        for active in std::mem::take(&mut state.sequences).into_values() {
+            active.signal.end(RequestState::Cut);
+            state.effects.record_end(&active.request, RequestState::Cut);
         }
-        self.note_load(state);
+        self.record_load(state);
     }
 }
 
@@ -181,7 +181,7 @@
 impl Handler for EngineStandin {
     fn handle(self: Arc<Self>, request: &Request) -> Reply {
         if let Some(id) = request
-            .rest("/v1/cancel/")
+            .remainder("/v1/cancel/")
             .filter(|_| request.method == "POST")
         {
             return self.cancel(&RequestId::new(id));
--- a/crates/standins/src/engine/serving.rs
+++ b/crates/standins/src/engine/serving.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 use crate::clock::after_ms;
-use crate::engine::batch::Entry;
+use crate::engine::batch::Admission;
 use crate::engine::batch::SequenceId;
 use crate::engine::completion::Answer;
 use crate::engine::completion::CompletionBody;
@@ -18,8 +18,8 @@
 use crate::engine::completion::prefix_hash;
 use crate::engine::effects::RequestState;
 use crate::engine::sequence::Signal;
+use crate::engine::server::ActiveSequence;
 use crate::engine::server::EngineStandin;
-use crate::engine::server::Listed;
 use crate::http::Caller;
 use crate::http::EventWriter;
 use crate::http::Reply;
@@ -58,7 +58,7 @@
         };
         let mut pace = match sequence.start(&request.caller) {
             Ok(pace) => pace,
-            Err(state) => return sequence.lose(state),
+            Err(state) => return sequence.end_unanswered(state),
         };
         let answer = sequence.answer(format);
         let id = answer.id.clone();
@@ -68,7 +68,7 @@
                 produce: Box::new(move |writer| sequence.stream(writer, &answer, pace)),
             })
         } else {
-            sequence.whole(&request.caller, &answer, &mut pace)
+            sequence.unstreamed_answer(&request.caller, &answer, &mut pace)
         };
         reply.with_header("X-Request-Id", id.as_str())
     }
@@ -77,8 +77,8 @@
     pub(crate) fn cancel(&self, request: &RequestId) -> Reply {
         let state = self.state.lock();
         let sequences = state.sequences.values();
-        for listed in sequences.filter(|listed| listed.request == *request) {
-            listed.signal.end(RequestState::Cancelled);
+        for active in sequences.filter(|active| active.request == *request) {
+            active.signal.end(RequestState::Cancelled);
         }
         Reply::ok()
     }
@@ -95,9 +95,9 @@
             return Err(refused(404, "model_not_loaded"));
         }
         let (id, running) = match state.batch.enter(priority) {
-            Entry::Running(id) => (id, true),
-            Entry::Waiting(id) => (id, false),
-            Entry::Full => {
+            Admission::Running(id) => (id, true),
+            Admission::Waiting(id) => (id, false),
+            Admission::Full => {
                 state.models.end_request(&body.model);
                 return Err(refused(503, "queue_full"));
             }
@@ -107,17 +107,17 @@
             None => RequestId::new(format!("{}-{id}", self.options.name)),
         };
         let signal = Arc::new(Signal::new(running));
-        let listed = Listed {
+        let active = ActiveSequence {
             request: request.clone(),
             signal: signal.clone(),
         };
-        state.sequences.insert(id, listed);
-        state.effects.accepted(&request, &body.model);
+        state.sequences.insert(id, active);
+        state.effects.record_accepted(&request, &body.model);
         let mut cut_after = None;
         if body.stream {
             cut_after = state.faults.cut_stream_after.take();
         }
-        self.note_load(&mut state);
+        self.record_load(&mut state);
         Ok(Sequence {
             engine: self.clone(),
             id,
@@ -134,17 +134,17 @@
         let mut state = self.state.lock();
         state
             .effects
-            .ended(&sequence.request, RequestState::Cancelled);
+            .record_end(&sequence.request, RequestState::Cancelled);
         if state.models.boot() != sequence.boot {
             return;
         }
         state.sequences.remove(&sequence.id);
         state.models.end_request(&sequence.body.model);
         let next = state.batch.leave(sequence.id);
-        if let Some(listed) = next.and_then(|next| state.sequences.get(&next)) {
-            listed.signal.run();
+        if let Some(active) = next.and_then(|next| state.sequences.get(&next)) {
+            active.signal.grant_slot();
         }
-        self.note_load(&mut state);
+        self.record_load(&mut state);
         self.orders_changed.notify_all();
     }
 }
@@ -190,15 +190,18 @@
         }
     }
 
-    fn whole(&self, caller: &Caller, answer: &Answer, pace: &mut Pace) -> Reply {
+    fn unstreamed_answer(&self, caller: &Caller, answer: &Answer, pace: &mut Pace) -> Reply {
         let tokens = self.body.max_tokens();
         for _ in 0..tokens {
             if let Err(state) = self.wait_for_token(caller, pace) {
-                return self.lose(state);
+                return self.end_unanswered(state);
             }
         }
         self.end(RequestState::Whole);
-        Reply::json(200, &answer.whole(tokens, self.body.usage(tokens)))
+        Reply::json(
+            200,
+            &answer.unstreamed_answer(tokens, self.body.usage(tokens)),
+        )
     }
 
     fn stream(self, writer: &mut EventWriter, answer: &Answer, mut pace: Pace) -> StreamEnd {
@@ -255,13 +258,17 @@
     }
 
     /// Ends a request whose answer has not begun, by closing its connection.
-    fn lose(&self, state: RequestState) -> Reply {
+    fn end_unanswered(&self, state: RequestState) -> Reply {
         self.end(state);
         Reply::Lost
     }
 
     fn end(&self, state: RequestState) {
-        self.engine.state.lock().effects.ended(&self.request, state);
+        self.engine
+            .state
+            .lock()
+            .effects
+            .record_end(&self.request, state);
     }
 }
 
--- a/crates/standins/src/http/caller.rs
+++ b/crates/standins/src/http/caller.rs
@@ -16,13 +16,13 @@
     }
 
     /// Waits until the client closes the connection or sends more bytes.
-    pub fn wait_gone(&self) {
+    pub fn wait_until_disconnected(&self) {
         // Both an end of the connection and bytes end the wait.
         let _ = self.stream.peek(&mut [0]);
     }
 
     /// Returns whether the client has closed the connection.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         if self.stream.set_nonblocking(true).is_err() {
             return true;
         }
--- a/crates/standins/src/http/mod.rs
+++ b/crates/standins/src/http/mod.rs
@@ -11,12 +11,12 @@
 mod server;
 
 pub use caller::Caller;
+pub use reply::Buffered;
 pub use reply::EventWriter;
 pub use reply::Raw;
 pub use reply::Reply;
 pub use reply::Stream;
 pub use reply::StreamEnd;
-pub use reply::Whole;
 pub use request::Request;
 pub use server::Handler;
 pub use server::Server;
--- a/crates/standins/src/http/reply.rs
+++ b/crates/standins/src/http/reply.rs
@@ -13,7 +13,7 @@
 /// What is sent in reply to a request.
 pub enum Reply {
     /// An answer whose body is known in advance.
-    Whole(Whole),
+    Buffered(Buffered),
     /// No answer: the connection is closed.
     Lost,
     /// A stream of server-sent events.
@@ -28,12 +28,12 @@
     /// Head and body, or anything else.
     pub bytes: Vec<u8>,
     /// Whether the connection stays open for more requests.
-    pub keeps: bool,
+    pub keep_alive: bool,
 }
 
 /// Answer whose body is known in advance.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct Buffered {
     /// HTTP status.
     pub status: u16,
     /// Headers other than the content type and length.
@@ -94,7 +94,7 @@
 impl Reply {
     /// Returns an answer with a JSON body.
     pub fn json(status: u16, body: &impl Serialize) -> Self {
-        Self::Whole(Whole {
+        Self::Buffered(Buffered {
             status,
             headers: Vec::new(),
             body: serde_json::to_vec(body).expect("answers hold only strings, numbers and lists"),
@@ -108,7 +108,7 @@
 
     /// Returns the answer with status 304: the version that the client has is current.
     pub fn not_modified() -> Self {
-        Self::Whole(Whole {
+        Self::Buffered(Buffered {
             status: 304,
             headers: Vec::new(),
             body: Vec::new(),
@@ -124,7 +124,7 @@
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
         let header = (name.to_owned(), value.to_owned());
         match &mut self {
-            Self::Whole(whole) => whole.headers.push(header),
+            Self::Buffered(buffered) => buffered.headers.push(header),
             Self::Stream(stream) => stream.headers.push(header),
             Self::Lost | Self::Raw(_) => {}
         }
@@ -134,19 +134,19 @@
     /// Sends the reply and returns whether the connection can carry another request.
     pub(crate) fn send(self, connection: &TcpStream, is_head: bool) -> io::Result<bool> {
         match self {
-            Self::Whole(whole) => whole.send(connection, is_head),
+            Self::Buffered(buffered) => buffered.send(connection, is_head),
             Self::Stream(stream) => stream.send(connection),
             Self::Lost => Ok(false),
             Self::Raw(raw) => {
                 let mut connection = connection;
                 connection.write_all(&raw.bytes)?;
-                Ok(raw.keeps)
+                Ok(raw.keep_alive)
             }
         }
     }
 }
 
-impl Whole {
+impl Buffered {
     fn send(self, mut connection: &TcpStream, is_head: bool) -> io::Result<bool> {
         let mut answer = head(self.status, "application/json", &self.headers);
         answer.extend_from_slice(format!("Content-Length: {}\r\n\r\n", self.body.len()).as_bytes());
--- a/crates/standins/src/http/request.rs
+++ b/crates/standins/src/http/request.rs
@@ -101,7 +101,7 @@
 
     /// Returns the percent-decoded remainder of the path after a prefix, or none if the path does
     /// not start with it.
-    pub fn rest(&self, prefix: &str) -> Option<Cow<'_, str>> {
+    pub fn remainder(&self, prefix: &str) -> Option<Cow<'_, str>> {
         self.path.strip_prefix(prefix).map(decode)
     }
 
--- a/crates/standins/src/lagged.rs
+++ b/crates/standins/src/lagged.rs
@@ -26,7 +26,7 @@
     /// Records the value that holds from `now_ms` on.
     pub fn record(&mut self, now_ms: u64, value: T) {
         self.history.push_back((now_ms, value));
-        self.forget(now_ms);
+        self.drop_expired(now_ms);
     }
 
     /// Returns the newest value, which may not be published yet.
@@ -37,13 +37,13 @@
 
     /// Returns the value as it was one lag before `now_ms`.
     pub fn published(&mut self, now_ms: u64) -> &T {
-        self.forget(now_ms);
+        self.drop_expired(now_ms);
         let (_, value) = self.history.front().expect("the history is never empty");
         value
     }
 
     /// Drops the values that were replaced at least one lag ago, so that the front is published.
-    fn forget(&mut self, now_ms: u64) {
+    fn drop_expired(&mut self, now_ms: u64) {
         while self
             .history
             .get(1)
--- a/crates/standins/src/log/server.rs
+++ b/crates/standins/src/log/server.rs
@@ -104,7 +104,7 @@
 
     fn append(&self, stream: &str, request: &Request) -> Reply {
         let mut state = self.state.lock();
-        if !self.pass(&mut state) {
+        if !self.apply_faults(&mut state) {
             return unavailable();
         }
         if !state.limit.allow(self.clock.monotonic_ms()) {
@@ -124,12 +124,12 @@
 
     fn read(&self, stream: &str, request: &ReadRequest) -> Reply {
         let mut state = self.state.lock();
-        if !self.pass(&mut state) {
+        if !self.apply_faults(&mut state) {
             return unavailable();
         }
         state.effects.reads += 1;
         loop {
-            let records = self.kept(&mut state, stream);
+            let records = self.unexpired(&mut state, stream);
             let (first, end) = (records.first(), records.end());
             let Some(found) = records.read(request.from, request.max_records) else {
                 return Reply::json(410, &json!({"first": first}));
@@ -149,7 +149,7 @@
     }
 
     /// Returns a stream after dropping its expired records. An unknown stream is empty.
-    fn kept<'a>(&self, state: &'a mut State, stream: &str) -> &'a StreamRecords {
+    fn unexpired<'a>(&self, state: &'a mut State, stream: &str) -> &'a StreamRecords {
         let now_ms = self.clock.unix_ms();
         let records = state.streams.entry(stream.to_owned()).or_default();
         records.expire(now_ms, self.options.retention());
@@ -157,7 +157,7 @@
     }
 
     /// Applies the faults that precede a call's effect, and returns whether the call is served.
-    fn pass(&self, state: &mut MutexGuard<'_, State>) -> bool {
+    fn apply_faults(&self, state: &mut MutexGuard<'_, State>) -> bool {
         self.delay(state, self.options.slow_ms);
         match state.fault.mode() {
             Mode::Down => {
--- a/crates/standins/src/log/streams.rs
+++ b/crates/standins/src/log/streams.rs
@@ -70,8 +70,8 @@
 
     /// Drops the records that exceed the retention.
     pub fn expire(&mut self, now_ms: u64, retention: Retention) {
-        let most = retention.records.unwrap_or(usize::MAX);
-        while self.records.len() > most || self.first_is_older(now_ms, retention.age_ms) {
+        let max_records = retention.records.unwrap_or(usize::MAX);
+        while self.records.len() > max_records || self.first_is_older(now_ms, retention.age_ms) {
             self.drop_first();
         }
     }
--- a/crates/standins/src/platform/engine.rs
+++ b/crates/standins/src/platform/engine.rs
@@ -387,7 +387,7 @@
             self.marked_runs.lock().push(run);
             thread::sleep(Duration::from_millis(trigger.after_ms));
             // A request whose connection is closed is dropped.
-            if request.caller.is_gone() {
+            if request.caller.is_disconnected() {
                 self.forget_marked_run(&request.body);
                 return Reply::Lost;
             }
@@ -409,7 +409,7 @@
             return Reply::Lost;
         }
         if self.answers.dark.load(Ordering::Relaxed) {
-            request.caller.wait_gone();
+            request.caller.wait_until_disconnected();
             return Reply::Lost;
         }
         self.advance();
--- a/crates/standins/src/platform/service.rs
+++ b/crates/standins/src/platform/service.rs
@@ -132,13 +132,13 @@
         thread::sleep(Duration::from_millis(self.work_ms));
         if let Some((marker, stopper)) = &*self.crash.lock()
             && holds(&request.body, marker)
-            && !request.caller.is_gone()
+            && !request.caller.is_disconnected()
         {
             self.has_crashed.store(true, Ordering::Relaxed);
             stopper.stop();
             return Reply::Lost;
         }
         let body = format!("{} {}", request.method, request.target());
-        self.answers.whole(request, fault, &body)
+        self.answers.unstreamed_answer(request, fault, &body)
     }
 }
--- a/crates/standins/src/platform/serving.rs
+++ b/crates/standins/src/platform/serving.rs
@@ -197,7 +197,12 @@
     }
 
     /// Returns the answer to a request that is not streamed.
-    pub fn whole(&self, request: &Request, fault: Option<AnswerFault>, body: &str) -> Reply {
+    pub fn unstreamed_answer(
+        &self,
+        request: &Request,
+        fault: Option<AnswerFault>,
+        body: &str,
+    ) -> Reply {
         let id = id_of(request);
         let head = |status: u16, fields: &str| {
             format!(
@@ -216,10 +221,10 @@
         let other = format!(
             "HTTP/1.1 200 OK\r\n{ID}: other-{id}\r\n{SIGNATURE}: s\r\nContent-Length: 5\r\n\r\nother"
         );
-        let raw = |text: String, keeps| {
+        let raw = |text: String, keep_alive| {
             Reply::Raw(Raw {
                 bytes: text.into_bytes(),
-                keeps,
+                keep_alive,
             })
         };
         match fault {
@@ -259,7 +264,7 @@
             Some(AnswerFault::Failed) => raw(framed(500, ""), true),
             Some(AnswerFault::LostAnswer) => Reply::Lost,
             Some(AnswerFault::Mute) => {
-                request.caller.wait_gone();
+                request.caller.wait_until_disconnected();
                 self.left.lock().push(id.to_owned());
                 Reply::Lost
             }
@@ -310,7 +315,7 @@
             }
             Some(fault) => {
                 let body: String = (first..=count).map(event_text).collect();
-                return self.whole(request, Some(fault), &body);
+                return self.unstreamed_answer(request, Some(fault), &body);
             }
         };
         let dark = self.dark.clone();
@@ -323,14 +328,15 @@
                     return StreamEnd::Broken;
                 }
                 while dark.load(Ordering::Relaxed) {
-                    if writer.caller().is_gone() {
+                    if writer.caller().is_disconnected() {
                         left.lock().push(id);
                         return StreamEnd::Broken;
                     }
                     thread::sleep(Duration::from_millis(DARK_LOOK_MS));
                 }
                 let text = filled_event_text(event, filler_bytes);
-                if writer.send_bytes(text.as_bytes()).is_err() || writer.caller().is_gone() {
+                if writer.send_bytes(text.as_bytes()).is_err() || writer.caller().is_disconnected()
+                {
                     left.lock().push(id);
                     return StreamEnd::Broken;
                 }
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -244,7 +244,7 @@
     fn serve_read(&self, request: &Request) -> Reply {
         let (topic, part) = place(request);
         if self.swallowed.lock().remove(&topic) {
-            request.caller.wait_gone();
+            request.caller.wait_until_disconnected();
             return Reply::Lost;
         }
         let from = request.query_number("from").unwrap_or_default();
@@ -364,7 +364,7 @@
             StoreFault::Limited => self.of_this_era(Reply::json(429, &json!({}))),
             StoreFault::Reset => Reply::Lost,
             StoreFault::Silent => {
-                request.caller.wait_gone();
+                request.caller.wait_until_disconnected();
                 Reply::Lost
             }
             StoreFault::LostAnswer => {
@@ -431,5 +431,8 @@
     )
     .into_bytes();
     bytes.extend_from_slice(&body);
-    Reply::Raw(Raw { bytes, keeps: true })
+    Reply::Raw(Raw {
+        bytes,
+        keep_alive: true,
+    })
 }
--- a/crates/standins/src/platform/stream_faults.rs
+++ b/crates/standins/src/platform/stream_faults.rs
@@ -111,7 +111,7 @@
             Self::InterimOnly => {
                 return Raw {
                     bytes: b"HTTP/1.1 103 Early Hints\r\n\r\n".to_vec(),
-                    keeps: false,
+                    keep_alive: false,
                 };
             }
             Self::OtherVersion => {
@@ -140,7 +140,7 @@
         if self == Self::TurnedAway {
             head.push_str(&format!("{NOT_RUN}: 1\r\n"));
         }
-        let keeps = match framing {
+        let keep_alive = match framing {
             Framing::Length if status == 204 => true,
             Framing::Length => {
                 head.push_str(&format!("Content-Length: {}\r\n", body.len()));
@@ -150,7 +150,7 @@
         };
         Raw {
             bytes: format!("{head}\r\n{body}").into_bytes(),
-            keeps,
+            keep_alive,
         }
     }
 }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -20,7 +20,7 @@
 use crate::http::Request;
 
 /// Interval at which a held call checks whether its caller is still connected.
-const CALLER_POLL: Duration = Duration::from_millis(50);
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Behaviour of the service stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
@@ -104,12 +104,12 @@
         while state.fault.generation() == generation {
             let expired = match deadline {
                 Some(deadline) => Instant::now() >= deadline,
-                None => request.caller.is_gone(),
+                None => request.caller.is_disconnected(),
             };
             if expired {
                 break;
             }
-            let poll = Instant::now() + CALLER_POLL;
+            let poll = Instant::now() + CALLER_POLL_INTERVAL;
             self.changed.wait_until(state, deadline.unwrap_or(poll));
         }
         state.effects.held -= 1;
--- a/crates/standins/src/weights/bandwidth.rs
+++ b/crates/standins/src/weights/bandwidth.rs
@@ -5,7 +5,7 @@
 const MS_PER_S: f64 = 1_000.0;
 
 /// Number of bytes that rounding may leave of a complete load.
-const REMAINDER_BYTES: f64 = 0.5;
+const ROUNDING_BYTES: f64 = 0.5;
 
 /// Identity of one load in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -67,7 +67,7 @@
     pub fn left_ms(&mut self, now_ms: f64, id: LoadId) -> Option<f64> {
         self.advance(now_ms);
         let left_bytes = self.left_bytes.get(&id).copied()?;
-        (left_bytes > REMAINDER_BYTES).then(|| left_bytes / self.bytes_per_ms())
+        (left_bytes > ROUNDING_BYTES).then(|| left_bytes / self.bytes_per_ms())
     }
 
     /// Returns the present speed of each load.
--- a/crates/standins/src/weights/models.rs
+++ b/crates/standins/src/weights/models.rs
@@ -52,11 +52,11 @@
 
     /// Returns the size in bytes of a model that is about to be loaded, or none if it is not held.
     /// A store that holds any model takes the size from the load.
-    pub fn bytes_to_load(&mut self, model: &ModelName, asked_bytes: u64) -> Option<u64> {
+    pub fn bytes_to_load(&mut self, model: &ModelName, requested_bytes: u64) -> Option<u64> {
         if self.listed.is_some() {
             return self.bytes(model);
         }
-        let bytes = self.learned.entry(model.clone()).or_insert(asked_bytes);
+        let bytes = self.learned.entry(model.clone()).or_insert(requested_bytes);
         Some(*bytes)
     }
 }
--- a/crates/standins/src/weights/server.rs
+++ b/crates/standins/src/weights/server.rs
@@ -24,7 +24,7 @@
 use crate::weights::options::Options;
 
 /// Interval at which a load in progress checks whether its engine is still connected.
-const CALLER_POLL: Duration = Duration::from_millis(50);
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Behaviour of the weight store stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
@@ -177,11 +177,11 @@
     /// disconnected before that.
     fn wait(&self, state: &mut MutexGuard<'_, State>, id: LoadId, request: &Request) -> bool {
         while let Some(left_ms) = state.bandwidth.left_ms(self.now_ms(), id) {
-            if state.mode == Mode::Down || request.caller.is_gone() {
+            if state.mode == Mode::Down || request.caller.is_disconnected() {
                 return false;
             }
             let left = Duration::from_secs_f64(left_ms / 1_000.0);
-            self.changed.wait_for(state, left.min(CALLER_POLL));
+            self.changed.wait_for(state, left.min(CALLER_POLL_INTERVAL));
         }
         true
     }
@@ -209,7 +209,10 @@
 
 impl Handler for WeightsStandin {
     fn handle(self: Arc<Self>, request: &Request) -> Reply {
-        if let Some(model) = request.rest("/models/").filter(|_| request.method == "GET") {
+        if let Some(model) = request
+            .remainder("/models/")
+            .filter(|_| request.method == "GET")
+        {
             return self.size(&ModelName::new(model));
         }
         match (request.method.as_str(), request.path.as_str()) {
--- a/crates/standins/tests/batch_order.rs
+++ b/crates/standins/tests/batch_order.rs
@@ -5,15 +5,15 @@
 use rstest::rstest;
 use serde_json::json;
 
+use apricotdale_standins::engine::Admission;
 use apricotdale_standins::engine::Batch;
-use apricotdale_standins::engine::Entry;
 use apricotdale_standins::engine::Options;
 use apricotdale_standins::engine::SequenceId;
 
-fn id(entry: Entry) -> SequenceId {
+fn id(entry: Admission) -> SequenceId {
     match entry {
-        Entry::Running(id) | Entry::Waiting(id) => id,
-        Entry::Full => panic!("the batch is full"),
+        Admission::Running(id) | Admission::Waiting(id) => id,
+        Admission::Full => panic!("the batch is full"),
     }
 }
 
@@ -38,7 +38,7 @@
     let mut batch = Batch::new(1, 1);
     batch.enter(0);
     let waiting = id(batch.enter(0));
-    assert_eq!(batch.enter(0), Entry::Full);
+    assert_eq!(batch.enter(0), Admission::Full);
     assert_eq!(batch.leave(waiting), None);
     assert_eq!((batch.running(), batch.waiting()), (1, 0));
 }
--- a/crates/standins/tests/stale_fence.rs
+++ b/crates/standins/tests/stale_fence.rs
@@ -94,12 +94,12 @@
 fn held_orders_act_in_the_sequence_of_their_arrival() {
     let mut gate = OrderGate::default();
     gate.set_closed(true);
-    let [first, second] = [gate.arrive(), gate.arrive()];
-    assert!(!gate.pass(first));
+    let [first, second] = [gate.enqueue(), gate.enqueue()];
+    assert!(!gate.try_pass(first));
     gate.set_closed(false);
-    assert!(!gate.pass(second), "the first order has not passed");
-    assert!(gate.pass(first));
-    assert!(gate.pass(second));
+    assert!(!gate.try_pass(second), "the first order has not passed");
+    assert!(gate.try_pass(first));
+    assert!(gate.try_pass(second));
 }
 
 #[test]
