--- a/crates/standins/src/platform/calling.rs
+++ b/crates/standins/src/platform/calling.rs
@@ -19,13 +19,13 @@
 use crate::platform::serving::ID;
 use crate::platform::serving::SIGNATURE;
 use crate::platform::serving::VERSION;
-use crate::platform::serving::holds;
+use crate::platform::serving::contains;
 
 /// Host that callers name and that the routes of [`crate::platform::Site`] have.
 pub const HOST: &str = "site.example";
 
 /// Maximum size of the head of an answer that a caller reads.
-const HEAD_BYTES: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -89,8 +89,8 @@
     }
 
     /// Returns the request with its caller's timeout.
-    pub fn waiting_ms(self, patience_ms: u64) -> Self {
-        self.with("Apricotdale-Request-Deadline", &patience_ms.to_string())
+    pub fn waiting_ms(self, timeout_ms: u64) -> Self {
+        self.with("Apricotdale-Request-Deadline", &timeout_ms.to_string())
     }
 
     /// Returns the request with a body.
@@ -184,7 +184,7 @@
 }
 
 /// Maximum segment size of a distant caller.
-const DISTANT_PACKET_BYTES: u32 = 536;
+const DISTANT_SEGMENT_BYTES: u32 = 536;
 
 /// Receive buffer of a distant caller.
 const DISTANT_WINDOW_BYTES: usize = 16 * 1024;
@@ -202,8 +202,8 @@
     /// # Errors
     ///
     /// Errors of connecting.
-    pub fn connect(address: SocketAddr, patience: Duration) -> io::Result<Self> {
-        Self::over(TcpStream::connect_timeout(&address, patience)?, patience)
+    pub fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
+        Self::over(TcpStream::connect_timeout(&address, timeout)?, timeout)
     }
 
     /// Opens a connection from a source address.
@@ -214,12 +214,12 @@
     pub fn connect_from(
         source: IpAddr,
         address: SocketAddr,
-        patience: Duration,
+        timeout: Duration,
     ) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.bind(&SocketAddr::new(source, 0).into())?;
-        socket.connect_timeout(&address.into(), patience)?;
-        Self::over(socket.into(), patience)
+        socket.connect_timeout(&address.into(), timeout)?;
+        Self::over(socket.into(), timeout)
     }
 
     /// Opens a connection with small packets and a small window, like that of a distant caller.
@@ -227,17 +227,17 @@
     /// # Errors
     ///
     /// Errors of connecting.
-    pub fn connect_distant(address: SocketAddr, patience: Duration) -> io::Result<Self> {
+    pub fn connect_distant(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-        socket.set_tcp_mss(DISTANT_PACKET_BYTES)?;
+        socket.set_tcp_mss(DISTANT_SEGMENT_BYTES)?;
         socket.set_recv_buffer_size(DISTANT_WINDOW_BYTES)?;
-        socket.connect_timeout(&address.into(), patience)?;
-        Self::over(socket.into(), patience)
+        socket.connect_timeout(&address.into(), timeout)?;
+        Self::over(socket.into(), timeout)
     }
 
-    fn over(stream: TcpStream, patience: Duration) -> io::Result<Self> {
-        stream.set_read_timeout(Some(patience))?;
-        stream.set_write_timeout(Some(patience))?;
+    fn over(stream: TcpStream, timeout: Duration) -> io::Result<Self> {
+        stream.set_read_timeout(Some(timeout))?;
+        stream.set_write_timeout(Some(timeout))?;
         stream.set_nodelay(true)?;
         Ok(Self {
             stream,
@@ -250,8 +250,8 @@
     /// # Errors
     ///
     /// Errors of the socket.
-    pub fn set_patience(&self, patience: Duration) -> io::Result<()> {
-        self.stream.set_read_timeout(Some(patience))
+    pub fn set_patience(&self, timeout: Duration) -> io::Result<()> {
+        self.stream.set_read_timeout(Some(timeout))
     }
 
     /// Sends bytes.
@@ -284,7 +284,7 @@
         let mut decoder: Option<BodyDecoder> = None;
         loop {
             if decoder.is_none() {
-                let parsed = parse_response_head(&self.pending, HEAD_BYTES, false);
+                let parsed = parse_response_head(&self.pending, MAX_HEAD_BYTES, false);
                 if let Some((head, length)) = parsed.map_err(no_answer)? {
                     self.pending.drain(..length);
                     decoder = Some(BodyDecoder::new(head.body));
@@ -330,11 +330,11 @@
     pub fn wait_event(&mut self, event: u64) -> io::Result<()> {
         let line = format!("id: {event}\n");
         let mut bytes = [0_u8; 4096];
-        while !holds(&self.pending, line.as_bytes()) {
+        while !contains(&self.pending, line.as_bytes()) {
             match self.stream.read(&mut bytes)? {
                 0 => {
-                    let came = String::from_utf8_lossy(&self.pending).into_owned();
-                    return Err(io::Error::new(io::ErrorKind::UnexpectedEof, came));
+                    let received = String::from_utf8_lossy(&self.pending).into_owned();
+                    return Err(io::Error::new(io::ErrorKind::UnexpectedEof, received));
                 }
                 count => self.pending.extend_from_slice(&bytes[..count]),
             }
@@ -381,14 +381,14 @@
 /// # Errors
 ///
 /// Errors of connecting and writing, and those of [`Caller::answer`].
-pub fn get(address: SocketAddr, target: &str, patience: Duration) -> io::Result<Answer> {
-    let mut caller = Caller::connect(address, patience)?;
+pub fn get(address: SocketAddr, target: &str, timeout: Duration) -> io::Result<Answer> {
+    let mut caller = Caller::connect(address, timeout)?;
     let request = format!("GET {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     caller.send(request.as_bytes())?;
     caller.answer()
 }
 
 /// Returns whether a VM answers the load balancer's readiness check with success.
-pub fn is_ready(address: SocketAddr, patience: Duration) -> bool {
-    get(address, "/api/ready", patience).is_ok_and(|answer| answer.status() == 200)
+pub fn is_ready(address: SocketAddr, timeout: Duration) -> bool {
+    get(address, "/api/ready", timeout).is_ok_and(|answer| answer.status() == 200)
 }
--- a/crates/standins/src/platform/engine.rs
+++ b/crates/standins/src/platform/engine.rs
@@ -23,14 +23,14 @@
 use crate::platform::serving::AnswerFault;
 use crate::platform::serving::Answers;
 use crate::platform::serving::RunSeen;
-use crate::platform::serving::holds;
+use crate::platform::serving::contains;
 use crate::platform::store::PlatformStore;
 
 /// Start of the first incarnation of each engine, in Unix milliseconds.
-const FIRST_BORN_MS: u64 = 1_700_000_000_000;
+const FIRST_START_MS: u64 = 1_700_000_000_000;
 
 /// Time between the starts of two incarnations, in milliseconds.
-const NEXT_BORN_MS: u64 = 1_000;
+const RESTART_INTERVAL_MS: u64 = 1_000;
 
 /// Request that makes an engine crash.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -138,8 +138,8 @@
 }
 
 impl Entry {
-    fn born_ms(&self) -> u64 {
-        FIRST_BORN_MS + self.restarts * NEXT_BORN_MS
+    fn started_ms(&self) -> u64 {
+        FIRST_START_MS + self.restarts * RESTART_INTERVAL_MS
     }
 }
 
@@ -215,7 +215,7 @@
         value["state"] = json!(if entry.draining { "draining" } else { "ready" });
         value["cold_remaining_ms"] = json!(0);
         value["sequence"] = json!(entry.revision);
-        value["born"] = json!(entry.born_ms());
+        value["born"] = json!(entry.started_ms());
         let bytes = value.to_string().into_bytes();
         self.store
             .put("keyed.servers", &self.options.instance, &bytes);
@@ -244,19 +244,21 @@
     }
 
     /// Stops or resumes sending on all connections, as if the engine had lost its power.
-    pub fn set_dark(&self, dark: bool) {
-        self.answers.dark.store(dark, Ordering::Relaxed);
+    pub fn set_dark(&self, unresponsive: bool) {
+        self.answers
+            .unresponsive
+            .store(unresponsive, Ordering::Relaxed);
     }
 
     /// Makes the engine close new connections unanswered and pause its streams, as a full one does.
     pub fn set_full(&self, full: bool) {
         self.full.store(full, Ordering::Relaxed);
-        self.answers.dark.store(full, Ordering::Relaxed);
+        self.answers.unresponsive.store(full, Ordering::Relaxed);
     }
 
     fn report(&self) -> Reply {
         let mut report = self.holdings.lock().describe();
-        report["born"] = json!(self.entry.lock().born_ms());
+        report["born"] = json!(self.entry.lock().started_ms());
         Reply::json(200, &report)
     }
 
@@ -273,7 +275,7 @@
     }
 
     /// Writes the engine's entry as it is now, or removes it again, after a rollback of the store.
-    pub fn write_again(&self) {
+    pub fn rewrite_entry(&self) {
         let gone = self.entry.lock().gone;
         match gone {
             true => self.withdraw(),
@@ -348,7 +350,7 @@
         }
     }
 
-    fn take_order(self: &Arc<Self>, request: &Request) -> Reply {
+    fn receive_order(self: &Arc<Self>, request: &Request) -> Reply {
         let order: WireOrder = match request.json() {
             Ok(order) => order,
             Err(reply) => return reply,
@@ -356,18 +358,18 @@
         let fault = self.order_faults.lock().pop_front();
         match fault {
             None => {
-                let status = self.holdings.lock().take(&order);
+                let status = self.holdings.lock().handle_order(&order);
                 Reply::json(status, &json!({}))
             }
             Some(OrderFault::LostAnswer) => {
-                self.holdings.lock().take(&order);
+                self.holdings.lock().handle_order(&order);
                 Reply::Lost
             }
             Some(OrderFault::Late { after_ms }) => {
                 let engine = self.clone();
                 thread::spawn(move || {
                     thread::sleep(Duration::from_millis(after_ms));
-                    engine.holdings.lock().take(&order);
+                    engine.holdings.lock().handle_order(&order);
                 });
                 Reply::Lost
             }
@@ -381,7 +383,7 @@
         }
         let fault = self.answers.begin(request);
         let crashes = self.options.crashes.iter();
-        let mut crashes = crashes.filter(|it| holds(&request.body, &it.marker));
+        let mut crashes = crashes.filter(|it| contains(&request.body, &it.marker));
         if let Some(trigger) = crashes.next() {
             let run = (Instant::now(), request.body.clone());
             self.marked_runs.lock().push(run);
@@ -408,7 +410,7 @@
         if self.full.load(Ordering::Relaxed) {
             return Reply::Lost;
         }
-        if self.answers.dark.load(Ordering::Relaxed) {
+        if self.answers.unresponsive.load(Ordering::Relaxed) {
             request.caller.wait_until_disconnected();
             return Reply::Lost;
         }
@@ -418,7 +420,7 @@
         }
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/api/report") => self.report(),
-            ("POST", "/api/order") => self.take_order(request),
+            ("POST", "/api/order") => self.receive_order(request),
             _ => self.serve(request),
         }
     }
--- a/crates/standins/src/platform/groups.rs
+++ b/crates/standins/src/platform/groups.rs
@@ -41,7 +41,7 @@
 
 /// Partition with its owner and its committed offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Owned {
+pub(crate) struct OwnedPartition {
     pub topic: String,
     pub part: u64,
     pub member: String,
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 struct Partition {
     /// Owner, and the generation since which it holds the partition.
-    held: Option<(String, u64)>,
+    owner: Option<(String, u64)>,
     /// Member that is to own the partition next; empty for none.
     target: String,
     offset: u64,
@@ -68,8 +68,8 @@
 
 impl Group {
     /// Adds or renews a member, and returns the generation and the partitions that it owns.
-    pub fn join(&mut self, now: Instant, join: &Join) -> (u64, Vec<Owned>) {
-        self.drop_lapsed(now);
+    pub fn join(&mut self, now: Instant, join: &Join) -> (u64, Vec<OwnedPartition>) {
+        self.drop_expired(now);
         let until = now + Duration::from_millis(join.ttl_ms);
         let is_new = self.members.insert(join.member.clone(), until).is_none();
         for topic in &join.topics {
@@ -78,53 +78,53 @@
             }
         }
         if is_new {
-            self.share_out();
+            self.reassign();
         }
         if join.generation >= self.generation {
             self.release(&join.member);
         }
-        self.hand_over();
-        let own = self.owners().into_iter();
+        self.assign_unowned();
+        let owners = self.owners().into_iter();
         (
             self.generation,
-            own.filter(|owned| owned.member == join.member).collect(),
+            owners.filter(|owned| owned.member == join.member).collect(),
         )
     }
 
     /// Removes a member and reassigns its partitions.
     pub fn leave(&mut self, member: &str) {
         if self.members.remove(member).is_some() {
-            self.free(member);
-            self.share_out();
+            self.release_all(member);
+            self.reassign();
         }
-        self.hand_over();
+        self.assign_unowned();
     }
 
     /// Records an offset. Returns whether the member owns the partition and did so in the
     /// generation that it names.
     pub fn commit(&mut self, now: Instant, commit: &Commit) -> bool {
-        self.drop_lapsed(now);
-        let place = (commit.topic.clone(), commit.part);
-        let Some(partition) = self.partitions.get_mut(&place) else {
+        self.drop_expired(now);
+        let key = (commit.topic.clone(), commit.part);
+        let Some(partition) = self.partitions.get_mut(&key) else {
             return false;
         };
-        let holds = partition
-            .held
+        let is_owner = partition
+            .owner
             .as_ref()
             .is_some_and(|(member, since)| *member == commit.member && commit.generation >= *since);
-        if holds {
+        if is_owner {
             partition.offset = commit.offset;
         }
-        holds
+        is_owner
     }
 
     /// Returns the partitions that have owners.
-    pub fn owners(&self) -> Vec<Owned> {
+    pub fn owners(&self) -> Vec<OwnedPartition> {
         self.partitions
             .iter()
             .filter_map(|((topic, part), partition)| {
-                let (member, _) = partition.held.as_ref()?;
-                Some(Owned {
+                let (member, _) = partition.owner.as_ref()?;
+                Some(OwnedPartition {
                     topic: topic.clone(),
                     part: *part,
                     member: member.clone(),
@@ -134,20 +134,20 @@
             .collect()
     }
 
-    fn drop_lapsed(&mut self, now: Instant) {
-        let lapsed: Vec<String> = self
+    fn drop_expired(&mut self, now: Instant) {
+        let expired: Vec<String> = self
             .members
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(member, _)| member.clone())
             .collect();
-        for member in lapsed {
+        for member in expired {
             self.leave(&member);
         }
     }
 
     /// Decides again which member is to own which partition.
-    fn share_out(&mut self) {
+    fn reassign(&mut self) {
         self.generation += 1;
         let members: Vec<&String> = self.members.keys().collect();
         for (index, partition) in self.partitions.values_mut().enumerate() {
@@ -164,24 +164,24 @@
         for partition in self.partitions.values_mut() {
             let target = &partition.target;
             partition
-                .held
+                .owner
                 .take_if(|(holder, _)| holder == member && target != member);
         }
     }
 
     /// Releases all partitions of a member that has left.
-    fn free(&mut self, member: &str) {
+    fn release_all(&mut self, member: &str) {
         for partition in self.partitions.values_mut() {
-            partition.held.take_if(|(holder, _)| holder == member);
+            partition.owner.take_if(|(holder, _)| holder == member);
         }
     }
 
     /// Assigns the partitions without owners to their targets.
-    fn hand_over(&mut self) {
+    fn assign_unowned(&mut self) {
         let generation = self.generation;
         for partition in self.partitions.values_mut() {
-            if partition.held.is_none() && !partition.target.is_empty() {
-                partition.held = Some((partition.target.clone(), generation));
+            if partition.owner.is_none() && !partition.target.is_empty() {
+                partition.owner = Some((partition.target.clone(), generation));
             }
         }
     }
--- a/crates/standins/src/platform/orders.rs
+++ b/crates/standins/src/platform/orders.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct OrderInProgress {
     load: bool,
     model: String,
     until: Instant,
@@ -49,8 +49,8 @@
     /// Models that can serve, with their adapters.
     pub models: HashMap<String, HashSet<String>>,
     on_disk: HashSet<String>,
-    running: Option<Running>,
-    taken: u64,
+    in_progress: Option<OrderInProgress>,
+    accepted: u64,
     highest_fence: u64,
     pub refused: u64,
     pub overcommitted: u64,
@@ -74,8 +74,8 @@
                 .cloned()
                 .collect(),
             options,
-            running: None,
-            taken: 0,
+            in_progress: None,
+            accepted: 0,
             highest_fence: 0,
             refused: 0,
             overcommitted: 0,
@@ -87,16 +87,16 @@
     /// Drops what a restart loses: loaded models, orders, their count and the fencing token.
     pub fn restart(&mut self) {
         self.models.clear();
-        self.running = None;
-        self.taken = 0;
+        self.in_progress = None;
+        self.accepted = 0;
         self.highest_fence = 0;
     }
 
     /// Completes the order in progress once its time has passed. Returns whether it did so.
     pub fn advance(&mut self) -> bool {
         let Some(done) = self
-            .running
-            .take_if(|running| running.until <= Instant::now())
+            .in_progress
+            .take_if(|in_progress| in_progress.until <= Instant::now())
         else {
             return false;
         };
@@ -111,14 +111,18 @@
     }
 
     /// Accepts or refuses an order and returns the status of its answer.
-    pub fn take(&mut self, order: &WireOrder) -> u16 {
+    pub fn handle_order(&mut self, order: &WireOrder) -> u16 {
         self.advance();
         if order.fencing_token < self.highest_fence {
             self.refused += 1;
             return 412;
         }
         self.highest_fence = order.fencing_token;
-        if self.running.is_some() || order.precondition.is_some_and(|count| count != self.taken) {
+        if self.in_progress.is_some()
+            || order
+                .precondition
+                .is_some_and(|count| count != self.accepted)
+        {
             self.refused += 1;
             return 409;
         }
@@ -130,7 +134,7 @@
             _ => 400,
         };
         if status == 202 || (status == 200 && order.operation == "unload") {
-            self.taken += 1;
+            self.accepted += 1;
             self.holders
                 .push((order.fencing_token, order.holder.clone()));
         }
@@ -162,7 +166,7 @@
 
     fn run(&mut self, load: bool, model: &str, took_ms: u64) {
         let until = Instant::now() + Duration::from_millis(took_ms);
-        self.running = Some(Running {
+        self.in_progress = Some(OrderInProgress {
             load,
             model: model.to_owned(),
             until,
@@ -211,8 +215,8 @@
         json!({
             "stage": "both",
             "models": models,
-            "busy": self.running.is_some(),
-            "sequence": self.taken,
+            "busy": self.in_progress.is_some(),
+            "sequence": self.accepted,
             "waiting": 0,
             "running": 0,
             "kv_used": 0,
--- a/crates/standins/src/platform/service.rs
+++ b/crates/standins/src/platform/service.rs
@@ -19,7 +19,7 @@
 use crate::platform::serving::AnswerFault;
 use crate::platform::serving::Answers;
 use crate::platform::serving::RunSeen;
-use crate::platform::serving::holds;
+use crate::platform::serving::contains;
 use crate::platform::store::PlatformStore;
 
 /// One instance of a plain service.
@@ -68,7 +68,7 @@
     }
 
     /// Writes the instance's entry again, unless it was never written or was removed.
-    pub fn announce_again(&self) {
+    pub fn rewrite_entry(&self) {
         let address = *self.address.lock();
         if let Some(address) = address {
             self.announce(address);
@@ -131,7 +131,7 @@
         let fault = self.answers.begin(request);
         thread::sleep(Duration::from_millis(self.work_ms));
         if let Some((marker, stopper)) = &*self.crash.lock()
-            && holds(&request.body, marker)
+            && contains(&request.body, marker)
             && !request.caller.is_disconnected()
         {
             self.has_crashed.store(true, Ordering::Relaxed);
--- a/crates/standins/src/platform/serving.rs
+++ b/crates/standins/src/platform/serving.rs
@@ -24,19 +24,19 @@
 pub(crate) const SIGNATURE: &str = "Apricotdale-Response-Signature";
 pub(crate) const NOT_RUN: &str = "Apricotdale-Not-Executed";
 const INSTANCE: &str = "Apricotdale-Instance-Id";
-const MEANT: &str = "Apricotdale-Expect-Instance";
+const EXPECTED_INSTANCE: &str = "Apricotdale-Expect-Instance";
 const LOAD: &str = "Apricotdale-Server-Load";
 pub(crate) const VERSION: &str = "Apricotdale-Weight-Versions";
 
 /// Interval at which a stream of an unresponsive upstream checks whether its client is connected.
-const DARK_LOOK_MS: u64 = 5;
+const CLIENT_POLL_INTERVAL_MS: u64 = 5;
 
 /// Size of a large body, which is more than an entry VM buffers.
 pub const LARGE_BYTES: usize = 1_500_000;
 
 /// Minimum number of events of a remainder that gets a fault. In a shorter one, some faults would
 /// leave only events that continue the ones before, and no reader could detect the fault.
-const SPOILED_EVENTS: u64 = 3;
+const MIN_FAULTY_EVENTS: u64 = 3;
 
 /// Number of interim answers of [`AnswerFault::ManyInterim`].
 const INTERIM_ANSWERS: usize = 100_000;
@@ -141,7 +141,7 @@
     /// Requests whose streams were sent completely.
     pub streamed: Arc<Mutex<Vec<String>>>,
     /// Whether nothing is sent, as if the upstream had lost its power.
-    pub dark: Arc<AtomicBool>,
+    pub unresponsive: Arc<AtomicBool>,
 }
 
 impl Answers {
@@ -152,7 +152,7 @@
             runs: Mutex::default(),
             left: Arc::default(),
             streamed: Arc::default(),
-            dark: Arc::default(),
+            unresponsive: Arc::default(),
         }
     }
 
@@ -166,8 +166,8 @@
 
     /// Returns the answer that refuses a request meant for another upstream, or none.
     pub fn misdirected(&self, request: &Request) -> Option<Reply> {
-        let meant = request.header(MEANT)?;
-        (meant != self.instance).then(|| self.not_run(request, 421))
+        let expected = request.header(EXPECTED_INSTANCE)?;
+        (expected != self.instance).then(|| self.not_run(request, 421))
     }
 
     /// Returns an answer which says that the request was not run.
@@ -181,8 +181,8 @@
     /// Takes the next fault, and records the request as run unless the fault rejects it.
     pub fn begin(&self, request: &Request) -> Option<AnswerFault> {
         let fault = self.faults.lock().pop_front();
-        let turned_away = [AnswerFault::TurnedAway, AnswerFault::TurnedAwayStalled];
-        if fault.is_none_or(|fault| !turned_away.contains(&fault)) {
+        let rejections = [AnswerFault::TurnedAway, AnswerFault::TurnedAwayStalled];
+        if fault.is_none_or(|fault| !rejections.contains(&fault)) {
             self.runs.lock().push(RunSeen {
                 id: id_of(request).to_owned(),
                 method: request.method.clone(),
@@ -302,12 +302,12 @@
         gap_ms: u64,
     ) -> Reply {
         let first = first_event(request);
-        let goes_on = first > 1;
+        let continues = first > 1;
         let cut_after = match fault {
             None | Some(AnswerFault::UnsignedStream) => None,
             Some(AnswerFault::CutAfter { events }) => Some(events),
-            Some(AnswerFault::CutThen { events, .. }) if !goes_on => Some(events),
-            Some(AnswerFault::CutThen { .. }) if first + SPOILED_EVENTS > count + 1 => None,
+            Some(AnswerFault::CutThen { events, .. }) if !continues => Some(events),
+            Some(AnswerFault::CutThen { .. }) if first + MIN_FAULTY_EVENTS > count + 1 => None,
             Some(AnswerFault::Stream(_)) if first > count => None,
             Some(AnswerFault::Stream(fault) | AnswerFault::CutThen { then: fault, .. }) => {
                 let id = id_of(request);
@@ -318,7 +318,7 @@
                 return self.unstreamed_answer(request, Some(fault), &body);
             }
         };
-        let dark = self.dark.clone();
+        let unresponsive = self.unresponsive.clone();
         let (left, streamed) = (self.left.clone(), self.streamed.clone());
         let id = id_of(request).to_owned();
         let produce = move |writer: &mut EventWriter| {
@@ -327,12 +327,12 @@
                     let _ = writer.send_bytes(format!("id: {event}\nda").as_bytes());
                     return StreamEnd::Broken;
                 }
-                while dark.load(Ordering::Relaxed) {
+                while unresponsive.load(Ordering::Relaxed) {
                     if writer.caller().is_disconnected() {
                         left.lock().push(id);
                         return StreamEnd::Broken;
                     }
-                    thread::sleep(Duration::from_millis(DARK_LOOK_MS));
+                    thread::sleep(Duration::from_millis(CLIENT_POLL_INTERVAL_MS));
                 }
                 let text = filled_event_text(event, filler_bytes);
                 if writer.send_bytes(text.as_bytes()).is_err() || writer.caller().is_disconnected()
@@ -400,7 +400,7 @@
 }
 
 /// Returns whether a body contains a marker.
-pub(crate) fn holds(body: &[u8], marker: &[u8]) -> bool {
+pub(crate) fn contains(body: &[u8], marker: &[u8]) -> bool {
     let mut windows = body.windows(marker.len().max(1));
     windows.any(|window| window == marker)
 }
--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -287,10 +287,12 @@
     pub fn write_again(&self) {
         self.store
             .put("keyed.op", "config", &self.configuration.lock());
-        self.engines.iter().for_each(|engine| engine.write_again());
+        self.engines
+            .iter()
+            .for_each(|engine| engine.rewrite_entry());
         self.services
             .iter()
-            .for_each(|service| service.announce_again());
+            .for_each(|service| service.rewrite_entry());
     }
 
     /// Stops all servers of the site.
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -97,7 +97,7 @@
     shared: Arc<Shared>,
     fault: Arc<Mutex<StoreFault>>,
     /// Topics whose next read gets no answer.
-    swallowed: Arc<Mutex<HashSet<String>>>,
+    unanswered_reads: Arc<Mutex<HashSet<String>>>,
     calls: Arc<Mutex<HashMap<String, u64>>>,
 }
 
@@ -117,7 +117,7 @@
 
     /// Makes the next read of a topic at this endpoint get no answer. No other call is affected.
     pub fn swallow_read(&self, topic: &str) {
-        self.swallowed.lock().insert(topic.to_owned());
+        self.unanswered_reads.lock().insert(topic.to_owned());
     }
 
     /// Refuses appends to a topic, or accepts them again.
@@ -156,7 +156,7 @@
 
     /// Returns an answer with the present era. An answer from the topics must be built while they
     /// are locked, or it could name the era after the one that its contents belong to.
-    fn of_this_era(&self, reply: Reply) -> Reply {
+    fn with_era(&self, reply: Reply) -> Reply {
         reply.with_header(ERA_HEADER, &self.era().to_string())
     }
 
@@ -206,34 +206,34 @@
             ("POST", "/api/log-append") => self.serve_append(request),
             ("GET", "/api/log-read") => self.serve_read(request),
             ("GET", "/api/log-newest") => self.serve_newest(request),
-            ("POST", "/api/log-trim") => self.of_this_era(self.serve_trim(request)),
-            ("POST", "/api/log-join") => self.of_this_era(self.serve_join(request)),
-            ("POST", "/api/log-leave") => self.of_this_era(self.serve_leave(request)),
-            ("POST", "/api/log-commit") => self.of_this_era(self.serve_commit(request)),
-            ("GET", "/api/log-owners") => self.of_this_era(self.serve_owners(request)),
-            _ => self.of_this_era(Reply::not_found()),
+            ("POST", "/api/log-trim") => self.with_era(self.serve_trim(request)),
+            ("POST", "/api/log-join") => self.with_era(self.serve_join(request)),
+            ("POST", "/api/log-leave") => self.with_era(self.serve_leave(request)),
+            ("POST", "/api/log-commit") => self.with_era(self.serve_commit(request)),
+            ("GET", "/api/log-owners") => self.with_era(self.serve_owners(request)),
+            _ => self.with_era(Reply::not_found()),
         }
     }
 
     fn serve_append(&self, request: &Request) -> Reply {
-        let (topic, part) = place(request);
+        let (topic, part) = topic_and_part(request);
         if ["keyed.op", "keyed.servers"].contains(&topic.as_str()) {
-            return self.of_this_era(Reply::json(403, &json!({})));
+            return self.with_era(Reply::json(403, &json!({})));
         }
         if self.shared.full.lock().contains(&topic) {
-            return self.of_this_era(Reply::json(503, &json!({})));
+            return self.with_era(Reply::json(503, &json!({})));
         }
         let Some(records) = split_records(&request.body) else {
-            return self.of_this_era(Reply::json(400, &json!({})));
+            return self.with_era(Reply::json(400, &json!({})));
         };
         let mut topics = self.shared.topics.lock();
         let partition = topics.entry((topic.clone(), part)).or_default();
         let appended = partition.append(&topic, &records, &condition(request));
         let end = partition.end();
         self.shared.changed.notify_all();
-        self.of_this_era(match appended {
+        self.with_era(match appended {
             Appended::Done { offset } => Reply::json(200, &json!({"offset": offset, "end": end})),
-            Appended::EndedElsewhere => Reply::json(412, &json!({"end": end})),
+            Appended::EndMismatch => Reply::json(412, &json!({"end": end})),
             Appended::Fenced => Reply::json(409, &json!({"why": "fenced"})),
             Appended::WrongSequence { expected } => {
                 Reply::json(409, &json!({"why": "seq", "sequence": expected}))
@@ -242,8 +242,8 @@
     }
 
     fn serve_read(&self, request: &Request) -> Reply {
-        let (topic, part) = place(request);
-        if self.swallowed.lock().remove(&topic) {
+        let (topic, part) = topic_and_part(request);
+        if self.unanswered_reads.lock().remove(&topic) {
             request.caller.wait_until_disconnected();
             return Reply::Lost;
         }
@@ -255,7 +255,7 @@
             let partition = topics.entry((topic.clone(), part)).or_default();
             let Some(records) = partition.read(from) else {
                 let gone = Reply::json(410, &json!({"first": partition.first()}));
-                return self.of_this_era(gone);
+                return self.with_era(gone);
             };
             if !records.is_empty() || Instant::now() >= until {
                 return read_reply(self.era(), partition, records);
@@ -265,12 +265,12 @@
     }
 
     fn serve_newest(&self, request: &Request) -> Reply {
-        let (topic, part) = place(request);
+        let (topic, part) = topic_and_part(request);
         let after = request.query_text("after");
         let topics = self.shared.topics.lock();
         let Some(partition) = topics.get(&(topic, part)) else {
             let nothing = json!({"items": [], "more": false, "end": 0});
-            return self.of_this_era(Reply::json(200, &nothing));
+            return self.with_era(Reply::json(200, &nothing));
         };
         let found: Vec<_> = partition.newest(after.as_deref()).collect();
         let items: Vec<_> = found
@@ -282,11 +282,11 @@
             .collect();
         let more = found.len() > PAGE_ITEMS;
         let page = json!({"items": items, "more": more, "end": partition.end()});
-        self.of_this_era(Reply::json(200, &page))
+        self.with_era(Reply::json(200, &page))
     }
 
     fn serve_trim(&self, request: &Request) -> Reply {
-        let (topic, part) = place(request);
+        let (topic, part) = topic_and_part(request);
         let before = request.query_number("before").unwrap_or_default();
         self.shared
             .topics
@@ -360,8 +360,8 @@
         let fault = *self.fault.lock();
         match fault {
             StoreFault::None => self.serve(request),
-            StoreFault::Busy => self.of_this_era(Reply::json(503, &json!({}))),
-            StoreFault::Limited => self.of_this_era(Reply::json(429, &json!({}))),
+            StoreFault::Busy => self.with_era(Reply::json(503, &json!({}))),
+            StoreFault::Limited => self.with_era(Reply::json(429, &json!({}))),
             StoreFault::Reset => Reply::Lost,
             StoreFault::Silent => {
                 request.caller.wait_until_disconnected();
@@ -385,7 +385,7 @@
     }
 }
 
-fn place(request: &Request) -> (String, u64) {
+fn topic_and_part(request: &Request) -> (String, u64) {
     let topic = request.query_text("topic").unwrap_or_default().into_owned();
     (topic, request.query_number("part").unwrap_or_default())
 }
@@ -400,7 +400,7 @@
         )
     });
     Condition {
-        at: request.query_number("at"),
+        expected_end: request.query_number("at"),
         producer,
     }
 }
--- a/crates/standins/src/platform/topics.rs
+++ b/crates/standins/src/platform/topics.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 /// Prefix of the names of topics that keep the newest record of each key.
-const KEYED: &str = "keyed.";
+const KEYED_PREFIX: &str = "keyed.";
 
 /// Partition of a topic.
 #[derive(Clone, Debug, Default)]
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Appended {
     Done { offset: u64 },
-    EndedElsewhere,
+    EndMismatch,
     Fenced,
     WrongSequence { expected: u64 },
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Condition {
     /// End that the partition must have; absent if any end will do.
-    pub at: Option<u64>,
+    pub expected_end: Option<u64>,
     /// Producer's name, epoch and sequence number.
     pub producer: Option<(String, u64, u64)>,
 }
@@ -50,8 +50,11 @@
     }
 
     pub fn append(&mut self, topic: &str, records: &[Vec<u8>], condition: &Condition) -> Appended {
-        if condition.at.is_some_and(|at| at != self.end()) {
-            return Appended::EndedElsewhere;
+        if condition
+            .expected_end
+            .is_some_and(|expected_end| expected_end != self.end())
+        {
+            return Appended::EndMismatch;
         }
         if let Some((name, epoch, sequence)) = &condition.producer {
             let known = self.producers.get(name).copied();
@@ -78,7 +81,7 @@
         }
         let offset = self.end();
         for record in records {
-            if topic.starts_with(KEYED) {
+            if topic.starts_with(KEYED_PREFIX) {
                 self.keep_newest(record);
             }
             self.records.push(record.clone());
--- a/crates/standins/src/platform/vm.rs
+++ b/crates/standins/src/platform/vm.rs
@@ -28,7 +28,7 @@
 use crate::platform::calling::is_ready;
 
 /// Maximum time from the start of a process until it listens.
-const START_PATIENCE: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Options with which an entry VM is started.
 #[derive(Clone, Debug)]
@@ -142,7 +142,7 @@
             ready: unknown,
             metrics: unknown,
         };
-        let start = vm.wait_line("entry VM starts", START_PATIENCE)?;
+        let start = vm.wait_line("entry VM starts", START_TIMEOUT)?;
         vm.callers = address(&start, "callers")?;
         vm.ready = address(&start, "ready")?;
         vm.metrics = address(&start, "metrics")?;
@@ -150,8 +150,8 @@
     }
 
     /// Returns whether the VM accepts callers.
-    pub fn is_ready(&self, patience: Duration) -> bool {
-        is_ready(self.ready, patience)
+    pub fn is_ready(&self, timeout: Duration) -> bool {
+        is_ready(self.ready, timeout)
     }
 
     /// Returns the text of the metrics.
@@ -159,8 +159,8 @@
     /// # Errors
     ///
     /// Errors of connecting and reading.
-    pub fn metrics_text(&self, patience: Duration) -> io::Result<String> {
-        get(self.metrics, "/metrics", patience).map(|answer| answer.text())
+    pub fn metrics_text(&self, timeout: Duration) -> io::Result<String> {
+        get(self.metrics, "/metrics", timeout).map(|answer| answer.text())
     }
 
     /// Waits for a log line that contains a text, and returns it.
@@ -168,8 +168,8 @@
     /// # Errors
     ///
     /// `TimedOut` if there is no such line in time.
-    pub fn wait_line(&self, text: &str, patience: Duration) -> io::Result<String> {
-        let until = Instant::now() + patience;
+    pub fn wait_line(&self, text: &str, timeout: Duration) -> io::Result<String> {
+        let until = Instant::now() + timeout;
         let mut lines = self.lines.lines.lock();
         loop {
             if let Some(line) = lines.iter().find(|line| line.contains(text)) {
