--- a/crates/standins/tests/batch_order.rs
+++ b/crates/standins/tests/batch_order.rs
@@ -53,9 +53,9 @@
     let engine = support::engine_with(options, &["m"]);
     let mut events = engine.stream("r", "m", 1_000_000);
     events.next().unwrap();
-    let later = engine.stream_aside("later", "m", 1, 5);
+    let later = engine.stream_in_background("later", "m", 1, 5);
     support::wait_until(|| engine.request_state("later") == "running");
-    let sooner = engine.stream_aside("sooner", "m", 1_000_000, 1);
+    let sooner = engine.stream_in_background("sooner", "m", 1_000_000, 1);
     support::wait_until(|| engine.request_state("sooner") == "running");
     let report = engine.get("/load").body;
     assert_eq!(
--- a/crates/standins/tests/cut_answers.rs
+++ b/crates/standins/tests/cut_answers.rs
@@ -116,7 +116,7 @@
     let engine = engine(1);
     let mut events = engine.stream("r", "m", ENDLESS);
     events.next().unwrap();
-    let waiting = engine.stream_aside("s", "m", 1, 0);
+    let waiting = engine.stream_in_background("s", "m", 1, 0);
     support::wait_until(|| engine.request_state("s") == "running");
     engine.fault(&json!({"restart": true}));
     assert!(events.all(|data| data != "[DONE]"));
--- a/crates/standins/tests/engine_orders.rs
+++ b/crates/standins/tests/engine_orders.rs
@@ -123,7 +123,7 @@
     let engine = support::engine_with(options, &["m"]);
     let mut events = engine.stream("r", "m", 1_000_000);
     events.next().unwrap();
-    let order = engine.post_aside("/orders/unload", &unload("m", 1));
+    let order = engine.post_in_background("/orders/unload", &unload("m", 1));
     support::wait_until(|| residents(&engine)[0]["residency"] == "unloading");
     let refused = engine.post("/v1/completions", &support::completion("m", 1, false));
     assert_eq!(
--- a/crates/standins/tests/load_faults.rs
+++ b/crates/standins/tests/load_faults.rs
@@ -50,8 +50,8 @@
     let engine = engine();
     engine.fault(&json!({"load": "hang"}));
     let orders = [
-        engine.post_aside("/orders/load", &load("m", 1)),
-        engine.post_aside("/orders/load", &load("m", 1)),
+        engine.post_in_background("/orders/load", &load("m", 1)),
+        engine.post_in_background("/orders/load", &load("m", 1)),
     ];
     support::wait_until(|| engine.effects()["load_orders"] == 2);
     support::wait_until(|| residency(&engine) == "loading");
@@ -108,10 +108,10 @@
     let engine = engine();
     engine.post("/orders/load", &load("m", 5));
     engine.fault(&json!({"load": "hang"}));
-    let hanging = engine.post_aside("/orders/load", &load("n", 5));
+    let hanging = engine.post_in_background("/orders/load", &load("n", 5));
     support::wait_until(|| engine.get("/status").body["residents"][1] != json!(null));
     engine.fault(&json!({"hold_orders": true}));
-    let held = engine.post_aside("/orders/unload", &unload("m", 5));
+    let held = engine.post_in_background("/orders/unload", &unload("m", 5));
     support::wait_until(|| engine.effects()["unload_orders"] == 1);
     engine.fault(&json!({"restart": true, "hold_orders": false}));
     assert_eq!(
--- a/crates/standins/tests/log_faults.rs
+++ b/crates/standins/tests/log_faults.rs
@@ -65,7 +65,7 @@
 fn a_slow_append_takes_effect_late() {
     let log = support::start(LogStandin::new(Options::default()));
     log.fault(&json!({"mode": "slow", "delay_ms": 3_600_000}));
-    let append = log.post_aside(RECORDS, &json!(1));
+    let append = log.post_in_background(RECORDS, &json!(1));
     support::wait_until(|| log.effects()["held"] == 1);
     assert_eq!(log.effects()["appends"], 0);
     log.fault(&json!({"mode": "up"}));
--- a/crates/standins/tests/plain_service.rs
+++ b/crates/standins/tests/plain_service.rs
@@ -7,16 +7,18 @@
 
 use apricotdale_standins::service::ServiceStandin;
 
-const KEYED: &[(&str, &str)] = &[("Idempotency-Key", "k"), ("X-Request-Id", "r")];
+const KEY_AND_REQUEST: &[(&str, &str)] = &[("Idempotency-Key", "k"), ("X-Request-Id", "r")];
 
 #[test]
 fn calls_are_counted_by_path_key_and_request() {
     let service = support::start(ServiceStandin::new());
     let first = service
-        .try_post_with("/orders?x=1", &json!({}), KEYED)
+        .try_post_with("/orders?x=1", &json!({}), KEY_AND_REQUEST)
         .unwrap();
     assert_eq!(first.body, json!({"call": "POST /orders", "count": 1}));
-    let second = service.try_post_with("/orders", &json!({}), KEYED).unwrap();
+    let second = service
+        .try_post_with("/orders", &json!({}), KEY_AND_REQUEST)
+        .unwrap();
     assert_eq!(second.body["count"], 2);
     service.get("/stock");
     let effects = service.effects();
@@ -44,7 +46,7 @@
 ) {
     let service = support::start(ServiceStandin::new());
     service.fault(&json!({"mode": mode, "count": 1, "delay_ms": 1}));
-    let answer = service.try_post_with("/book", &json!({}), KEYED);
+    let answer = service.try_post_with("/book", &json!({}), KEY_AND_REQUEST);
     assert_eq!(answer.map(|answer| answer.status), status);
     assert_eq!(service.effects()["keys"]["k"].as_u64().unwrap_or(0), effect);
     assert_eq!(
@@ -63,7 +65,7 @@
 fn a_held_call_goes_on_later(#[case] mode: &str, #[case] effect_while_held: u64) {
     let service = support::start(ServiceStandin::new());
     service.fault(&json!({"mode": mode, "delay_ms": 3_600_000}));
-    let call = service.post_aside("/book", &json!({}));
+    let call = service.post_in_background("/book", &json!({}));
     support::wait_until(|| service.effects()["held"] == 1);
     let effect = service.effects()["calls"]["POST /book"]
         .as_u64()
--- a/crates/standins/tests/stale_fence.rs
+++ b/crates/standins/tests/stale_fence.rs
@@ -79,7 +79,7 @@
 ) {
     let engine = engine(checks_fence);
     engine.fault(&json!({"hold_orders": true}));
-    let held = engine.post_aside("/orders/load", &load("a", 3));
+    let held = engine.post_in_background("/orders/load", &load("a", 3));
     support::wait_until(|| engine.effects()["load_orders"] == 1);
     let raised = engine.post("/orders/fence", &json!({"fence": 4}));
     assert_eq!(
@@ -106,9 +106,9 @@
 fn a_held_order_of_a_row_meets_the_fence_of_the_one_before() {
     let engine = engine(true);
     engine.fault(&json!({"hold_orders": true}));
-    let load = engine.post_aside("/orders/load", &load("a", 2));
+    let load = engine.post_in_background("/orders/load", &load("a", 2));
     support::wait_until(|| engine.effects()["load_orders"] == 1);
-    let unload = engine.post_aside("/orders/unload", &unload("a", 1));
+    let unload = engine.post_in_background("/orders/unload", &unload("a", 1));
     support::wait_until(|| engine.effects()["unload_orders"] == 1);
     engine.fault(&json!({"hold_orders": false}));
     assert_eq!(load.join().unwrap().unwrap().status, 200);
--- a/crates/standins/tests/store_set_back.rs
+++ b/crates/standins/tests/store_set_back.rs
@@ -10,10 +10,10 @@
 use apricotdale_standins::platform::PlatformStore;
 use apricotdale_standins::platform::StoreFault;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn get(store: SocketAddr, target: &str) -> Answer {
-    let mut caller = Caller::connect(store, PATIENCE).expect("the store listens");
+    let mut caller = Caller::connect(store, TIMEOUT).expect("the store listens");
     let call = format!("GET {target} HTTP/1.1\r\nHost: store\r\n\r\n");
     caller.send(call.as_bytes()).expect("the connection stands");
     caller.answer().expect("an answer")
--- a/crates/standins/tests/support/mod.rs
+++ b/crates/standins/tests/support/mod.rs
@@ -29,7 +29,7 @@
 use apricotdale_standins::http::Server;
 
 /// A test that waits this long has failed. It only keeps a failed test from hanging.
-const GIVE_UP: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// `Standin` is a running stand-in.
 pub struct Standin {
@@ -81,7 +81,7 @@
     let begun = Instant::now();
     while !holds() {
         assert!(
-            begun.elapsed() < GIVE_UP,
+            begun.elapsed() < TEST_TIMEOUT,
             "the condition never came to hold"
         );
         thread::yield_now();
@@ -97,7 +97,7 @@
     /// Sends a GET.
     pub fn get(&self, path: &str) -> Answer {
         let answer = agent().get(self.url(path)).call();
-        whole(answer).expect("an answer")
+        read_answer(answer).expect("an answer")
     }
 
     /// Sends a POST whose answer must come.
@@ -130,14 +130,14 @@
         body: &Value,
         headers: &[(&str, &str)],
     ) -> Option<Answer> {
-        whole(self.send(path, body, headers))
+        read_answer(self.send(path, body, headers))
     }
 
     /// Sends a POST from a thread of its own.
-    pub fn post_aside(&self, path: &str, body: &Value) -> JoinHandle<Option<Answer>> {
+    pub fn post_in_background(&self, path: &str, body: &Value) -> JoinHandle<Option<Answer>> {
         let url = self.url(path);
         let body = body.clone();
-        thread::spawn(move || whole(agent().post(url).send_json(body)))
+        thread::spawn(move || read_answer(agent().post(url).send_json(body)))
     }
 
     /// Arms a fault.
@@ -165,7 +165,7 @@
     }
 
     /// Begins a stream from a thread of its own and returns its events as they come.
-    pub fn stream_aside(
+    pub fn stream_in_background(
         &self,
         id: &str,
         model: &str,
@@ -252,12 +252,12 @@
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .proxy(None)
-        .timeout_global(Some(GIVE_UP));
+        .timeout_global(Some(TEST_TIMEOUT));
     config.build().into()
 }
 
 /// Reads a whole answer, or returns none if the connection closed before that.
-fn whole(answer: Result<Response<Body>, ureq::Error>) -> Option<Answer> {
+fn read_answer(answer: Result<Response<Body>, ureq::Error>) -> Option<Answer> {
     if let Err(ureq::Error::Timeout(_)) = answer {
         panic!("neither an answer nor an end of the connection came");
     }
--- a/crates/standins/tests/vm_list.rs
+++ b/crates/standins/tests/vm_list.rs
@@ -9,7 +9,7 @@
 use apricotdale_standins::vm_list::Options;
 use apricotdale_standins::vm_list::VmListStandin;
 
-const AN_HOUR_MS: u64 = 3_600_000;
+const HOUR_MS: u64 = 3_600_000;
 
 fn entry(name: &str, state: &str) -> Value {
     json!({
@@ -39,7 +39,7 @@
 /// Cause: the list lags, so it still shows what was.
 #[rstest]
 #[case::at_once(0, 1)]
-#[case::late(AN_HOUR_MS, 0)]
+#[case::late(HOUR_MS, 0)]
 fn changes_show_after_the_lag(#[case] lag_ms: u64, #[case] shown: usize) {
     let list = support::start(VmListStandin::new(Options { lag_ms }));
     list.post("/standin/vms", &json!([entry("a", "live")]));
--- a/crates/standins/tests/weight_store.rs
+++ b/crates/standins/tests/weight_store.rs
@@ -78,8 +78,8 @@
     let store = store(10, 1);
     let body = json!({"model": "org/m"});
     let loads = [
-        store.post_aside("/loads", &body),
-        store.post_aside("/loads", &body),
+        store.post_in_background("/loads", &body),
+        store.post_in_background("/loads", &body),
     ];
     support::wait_until(|| store.get("/status").body["active_loads"] == 2);
     store.fault(&json!({"mode": "down"}));
