--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -15,9 +15,9 @@
 mod options;
 mod orders;
 mod prefix_cache;
+mod requests;
 mod sequence;
 mod server;
-mod serving;
 
 pub use batch::Admission;
 pub use batch::Batch;
--- a/crates/standins/src/platform/calling.rs
+++ b/crates/standins/src/platform/caller.rs
@@ -16,10 +16,10 @@
 use socket2::Socket;
 use socket2::Type;
 
-use crate::platform::serving::ID;
-use crate::platform::serving::SIGNATURE;
-use crate::platform::serving::VERSION;
-use crate::platform::serving::contains;
+use crate::platform::answers::ID;
+use crate::platform::answers::SIGNATURE;
+use crate::platform::answers::VERSION;
+use crate::platform::answers::contains;
 
 /// Host that callers name and that the routes of [`crate::platform::Site`] have.
 pub const HOST: &str = "site.example";
--- a/crates/standins/src/platform/engine.rs
+++ b/crates/standins/src/platform/engine.rs
@@ -17,13 +17,13 @@
 use crate::http::Reply;
 use crate::http::Request;
 use crate::http::Stopper;
+use crate::platform::answers::AnswerFault;
+use crate::platform::answers::Answers;
+use crate::platform::answers::RunSeen;
+use crate::platform::answers::contains;
 use crate::platform::orders::Holdings;
 use crate::platform::orders::OrderFault;
 use crate::platform::orders::WireOrder;
-use crate::platform::serving::AnswerFault;
-use crate::platform::serving::Answers;
-use crate::platform::serving::RunSeen;
-use crate::platform::serving::contains;
 use crate::platform::store::PlatformStore;
 
 /// Start of the first incarnation of each engine, in Unix milliseconds.
--- a/crates/standins/src/platform/organisations.rs
+++ b/crates/standins/src/platform/organisations.rs
@@ -3,8 +3,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::platform::calling::Ask;
-use crate::platform::serving::RunSeen;
+use crate::platform::answers::RunSeen;
+use crate::platform::caller::Ask;
 
 /// Header with a caller's API key.
 const KEY: &str = "Authorization";
--- a/crates/standins/src/platform/service.rs
+++ b/crates/standins/src/platform/service.rs
@@ -16,10 +16,10 @@
 use crate::http::Reply;
 use crate::http::Request;
 use crate::http::Stopper;
-use crate::platform::serving::AnswerFault;
-use crate::platform::serving::Answers;
-use crate::platform::serving::RunSeen;
-use crate::platform::serving::contains;
+use crate::platform::answers::AnswerFault;
+use crate::platform::answers::Answers;
+use crate::platform::answers::RunSeen;
+use crate::platform::answers::contains;
 use crate::platform::store::PlatformStore;
 
 /// One instance of a plain service.
--- a/crates/standins/src/platform/stream_faults.rs
+++ b/crates/standins/src/platform/stream_faults.rs
@@ -1,11 +1,11 @@
 //! Streams with faults in their contents, as opposed to the end of their connection.
 
 use crate::http::Raw;
-use crate::platform::serving::ID;
-use crate::platform::serving::NOT_RUN;
-use crate::platform::serving::SIGNATURE;
-use crate::platform::serving::VERSION;
-use crate::platform::serving::event_text;
+use crate::platform::answers::ID;
+use crate::platform::answers::NOT_RUN;
+use crate::platform::answers::SIGNATURE;
+use crate::platform::answers::VERSION;
+use crate::platform::answers::event_text;
 
 /// Version of the weights that [`StreamFault::OtherVersion`] names.
 const OTHER_VERSION: u64 = 2;
--- a/crates/standins/src/platform/vm.rs
+++ b/crates/standins/src/platform/vm.rs
@@ -24,8 +24,8 @@
 use serde_json::Value;
 use tempfile::NamedTempFile;
 
-use crate::platform::calling::get;
-use crate::platform::calling::is_ready;
+use crate::platform::caller::get;
+use crate::platform::caller::is_ready;
 
 /// Maximum time from the start of a process until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
