--- a/crates/launcher/src/entry_demo.rs
+++ b/crates/launcher/src/entry_demo.rs
@@ -9,11 +9,11 @@
 
 use apricotdale_standins::platform::Answer;
 use apricotdale_standins::platform::AnswerFault;
-use apricotdale_standins::platform::Ask;
 use apricotdale_standins::platform::Caller;
 use apricotdale_standins::platform::EngineOptions;
 use apricotdale_standins::platform::Site;
 use apricotdale_standins::platform::SiteOptions;
+use apricotdale_standins::platform::SiteRequest;
 use apricotdale_standins::platform::StoreFault;
 use apricotdale_standins::platform::VmOptions;
 use apricotdale_standins::platform::VmProcess;
@@ -69,13 +69,13 @@
         };
         let site = Site::start(SiteOptions {
             engines: vec![engine(0, "m0"), engine(1, "m0"), engine(2, "m1")],
-            doors: VMS,
+            store_endpoints: VMS,
             timeout_ms: 10_000,
             ..SiteOptions::default()
         })?;
         let mut vms = Vec::new();
-        for (index, door) in site.door_addresses.iter().enumerate() {
-            let options = VmOptions::new(&program, &format!("vm{index}"), *door);
+        for (index, endpoint) in site.store_addresses.iter().enumerate() {
+            let options = VmOptions::new(&program, &format!("vm{index}"), *endpoint);
             vms.push(Some(VmProcess::start(&options)?));
         }
         Ok(Self {
@@ -119,7 +119,7 @@
     fn streams(&mut self) -> Result<()> {
         self.checks.step("A streamed answer through each VM")?;
         for index in 0..VMS {
-            let answer = self.ask(index, |id| Ask::quick(id, "m0"))?;
+            let answer = self.ask(index, |id| SiteRequest::quick(id, "m0"))?;
             let text = format!("through vm{index}: {}", shown(&answer));
             self.checks.check(text, is_whole_stream(&answer))?;
         }
@@ -131,7 +131,7 @@
             .step("All VMs are asked at once for a model that no engine holds")?;
         let mut waiting = Vec::new();
         for index in 0..VMS {
-            let request = Ask::patient(&self.next_id(), "m2");
+            let request = SiteRequest::patient(&self.next_id(), "m2");
             let mut caller = Caller::connect(self.vm(index)?.callers, PATIENCE)?;
             waiting.push(thread::spawn(move || caller.ask(&request)));
         }
@@ -158,7 +158,7 @@
         self.checks
             .step("An instance of the service runs calls and loses their answers")?;
         self.lose_next_answers();
-        let booked = self.ask(0, Ask::book)?;
+        let booked = self.ask(0, SiteRequest::book)?;
         let runs = self.runs_of_last();
         self.checks.check(
             format!("a booking: {}, ran {runs} times", shown(&booked)),
@@ -166,7 +166,7 @@
         )?;
         self.take_lost_answers();
         self.lose_next_answer();
-        let looked = self.ask(0, Ask::look)?;
+        let looked = self.ask(0, SiteRequest::look)?;
         let runs = self.runs_of_last();
         self.checks.check(
             format!("a lookup: {}, ran {runs} times", shown(&looked)),
@@ -180,7 +180,7 @@
         let giver = self.giver()?;
         self.vms[giver] = None;
         let other = (giver + 1) % VMS;
-        let answer = self.ask(other, |id| Ask::patient(id, "m1/a1"))?;
+        let answer = self.ask(other, |id| SiteRequest::patient(id, "m1/a1"))?;
         self.checks.check(
             format!("vm{giver} killed; through vm{other}: {}", shown(&answer)),
             is_whole_stream(&answer),
@@ -192,8 +192,8 @@
             .step("The store goes away; loaded models and services are served")?;
         self.fault_doors(StoreFault::Reset);
         let index = self.running()?;
-        let stream = self.ask(index, |id| Ask::quick(id, "m0"))?;
-        let call = self.ask(index, Ask::look)?;
+        let stream = self.ask(index, |id| SiteRequest::quick(id, "m0"))?;
+        let call = self.ask(index, SiteRequest::look)?;
         self.fault_doors(StoreFault::None);
         self.checks.check(
             format!("a stream: {}; a call: {}", shown(&stream), shown(&call)),
@@ -205,7 +205,7 @@
         self.checks
             .step("A VM stops as planned, with a stream under way")?;
         let index = self.running()?;
-        let request = Ask::quick(&self.next_id(), "m0");
+        let request = SiteRequest::quick(&self.next_id(), "m0");
         let mut caller = Caller::connect(self.vm(index)?.callers, PATIENCE)?;
         caller.send(&request.bytes())?;
         let id = request.id.clone();
@@ -255,7 +255,7 @@
         )
     }
 
-    fn ask(&mut self, vm: usize, request: impl FnOnce(&str) -> Ask) -> Result<Answer> {
+    fn ask(&mut self, vm: usize, request: impl FnOnce(&str) -> SiteRequest) -> Result<Answer> {
         let request = request(&self.next_id());
         let mut caller = Caller::connect(self.vm(vm)?.callers, PATIENCE)?;
         Ok(caller.ask(&request)?)
@@ -324,8 +324,8 @@
     }
 
     fn fault_doors(&self, fault: StoreFault) {
-        for door in &self.site.doors {
-            door.set_fault(fault);
+        for endpoint in &self.site.store_endpoints {
+            endpoint.set_fault(fault);
         }
     }
 }
@@ -340,7 +340,7 @@
 
 fn shown(answer: &Answer) -> String {
     let events = answer.event_ids().len();
-    match (answer.status(), answer.whole) {
+    match (answer.status(), answer.complete) {
         (0, _) => "no answer".to_owned(),
         (status, true) if events > 0 => format!("{status}, {events} events, whole"),
         (status, true) => format!("{status}, whole"),
--- a/crates/launcher/src/entry_up.rs
+++ b/crates/launcher/src/entry_up.rs
@@ -91,7 +91,7 @@
             tenants: Some(SiteOrganisation::list(&organisations)),
             ..SiteOptions::default()
         })?;
-        let vm = VmProcess::start(&VmOptions::new(&program, "vm0", site.door_addresses[0]))?;
+        let vm = VmProcess::start(&VmOptions::new(&program, "vm0", site.store_addresses[0]))?;
         poll_until("the VM takes callers", POLL_LIMIT, || {
             Ok(vm.is_ready(PATIENCE).then_some(()))
         })?;
--- a/crates/soak/src/asking.rs
+++ b/crates/soak/src/asking.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use apricotdale_standins::platform::Answer;
-use apricotdale_standins::platform::Ask;
 use apricotdale_standins::platform::Caller;
 use apricotdale_standins::platform::LARGE_BYTES;
+use apricotdale_standins::platform::SiteRequest;
 use parking_lot::Mutex;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -72,7 +72,7 @@
     pub keys: Arc<Keys>,
     pub attempts: Mutex<Vec<Attempt>>,
     /// What was sent under each identity.
-    pub sent: Mutex<HashMap<String, Ask>>,
+    pub sent: Mutex<HashMap<String, SiteRequest>>,
     /// Identities of requests that end engines, with their bodies.
     pub crasher_ids: Mutex<Vec<(String, String)>>,
     pub stopped: AtomicBool,
@@ -102,7 +102,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut key_random = ChaCha8Rng::seed_from_u64(seed ^ KEYS_SEED);
         let mut kept: Option<(usize, SocketAddr, Caller)> = None;
-        let mut rest: Option<Ask> = None;
+        let mut rest: Option<SiteRequest> = None;
         while !self.stopped.load(Ordering::Acquire) {
             if random.random_ratio(1, MOVES_ONE_IN) {
                 kept = None;
@@ -139,12 +139,12 @@
             let number = self.next_id.fetch_add(1, Ordering::Relaxed);
             let id = format!("e-{number}");
             let (kind, ask) = match crasher.resumable {
-                true => (Kind::Quick, Ask::quick(&id, crasher.model)),
-                false => (Kind::Patient, Ask::patient(&id, crasher.model)),
+                true => (Kind::Quick, SiteRequest::quick(&id, crasher.model)),
+                false => (Kind::Patient, SiteRequest::patient(&id, crasher.model)),
             };
             let request = ask
                 .with_body(crasher.body.as_bytes())
-                .waiting_ms(PATIENCE_MS);
+                .with_timeout_ms(PATIENCE_MS);
             self.sent.lock().insert(id.clone(), request.clone());
             self.crasher_ids.lock().push((id, crasher.body.clone()));
             let vm = random.random_range(0..self.vms.len());
@@ -186,7 +186,7 @@
         &self,
         vm: usize,
         kind: Kind,
-        (request, presented): &(Ask, Presented),
+        (request, presented): &(SiteRequest, Presented),
         kept: Option<(SocketAddr, Caller)>,
         leaves_after_ms: Option<u64>,
     ) -> (Attempt, Option<(SocketAddr, Caller)>) {
@@ -230,31 +230,31 @@
         vm: usize,
         kept: Option<(SocketAddr, Caller)>,
     ) -> Option<(SocketAddr, Caller)> {
-        if let Some((address, caller)) = kept.filter(|(_, caller)| !caller.has_ended()) {
+        if let Some((address, caller)) = kept.filter(|(_, caller)| !caller.is_closed()) {
             return Some((address, caller));
         }
         let address = self.vms.callers(vm)?;
         let caller = Caller::connect(address, CONNECT_PATIENCE).ok()?;
         caller
-            .set_patience(Duration::from_millis(PATIENCE_MS + OVERTIME_MS))
+            .set_read_timeout(Duration::from_millis(PATIENCE_MS + OVERTIME_MS))
             .ok()?;
         Some((address, caller))
     }
 
     /// Returns a request of its own identity, by which its answer can be told from any other.
-    pub fn request(&self, kind: Kind, random: &mut ChaCha8Rng) -> Ask {
+    pub fn request(&self, kind: Kind, random: &mut ChaCha8Rng) -> SiteRequest {
         let id = format!("a-{}", self.next_id.fetch_add(1, Ordering::Relaxed));
         let model = MODELS[random.random_range(0..MODELS.len())];
         let request = match kind {
-            Kind::Look => Ask::new("GET", &format!("/look/shelf?r={id}"), &id),
-            Kind::Book => Ask::new("POST", &format!("/book/slot?r={id}"), &id)
+            Kind::Look => SiteRequest::new("GET", &format!("/look/shelf?r={id}"), &id),
+            Kind::Book => SiteRequest::new("POST", &format!("/book/slot?r={id}"), &id)
                 .with_body(format!("{{\"booking\":\"{id}\"}}").as_bytes()),
             Kind::Quick if random.random_ratio(1, 4) => {
                 let adapter = random.random_range(1..4);
-                Ask::quick(&id, &format!("m0/a{adapter}"))
+                SiteRequest::quick(&id, &format!("m0/a{adapter}"))
             }
-            Kind::Quick => Ask::quick(&id, "m0"),
-            Kind::Patient => Ask::patient(&id, model),
+            Kind::Quick => SiteRequest::quick(&id, "m0"),
+            Kind::Patient => SiteRequest::patient(&id, model),
         };
         // Most streams are requests of their own; some are the same from many callers.
         let is_own = kind.is_stream() && !random.random_ratio(1, SHARED_ONE_IN);
@@ -262,13 +262,18 @@
             true => request.with_body(format!("prompt of {id}").as_bytes()),
             false => request,
         };
-        let request = request.waiting_ms(PATIENCE_MS);
+        let request = request.with_timeout_ms(PATIENCE_MS);
         self.sent.lock().insert(id, request.clone());
         request
     }
 
     /// Returns the request for the rest of a stream that broke off, if its caller resumes it.
-    fn rest(&self, attempt: &Attempt, request: &Ask, random: &mut ChaCha8Rng) -> Option<Ask> {
+    fn rest(
+        &self,
+        attempt: &Attempt,
+        request: &SiteRequest,
+        random: &mut ChaCha8Rng,
+    ) -> Option<SiteRequest> {
         let last = match &attempt.ending {
             Ending::Answered {
                 status: 200,
@@ -282,7 +287,7 @@
             return None;
         }
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let mut rest = Ask {
+        let mut rest = SiteRequest {
             id: format!("r-{number}"),
             ..request.clone()
         };
@@ -292,7 +297,7 @@
         Some(rest)
     }
 
-    fn ending(&self, kind: Kind, request: &Ask, answer: &Answer) -> Ending {
+    fn ending(&self, kind: Kind, request: &SiteRequest, answer: &Answer) -> Ending {
         let body = match kind.is_stream() {
             true => BodySeen::Stream(StreamSeen::read(
                 &answer.text(),
@@ -304,7 +309,7 @@
                 let expected = format!("{} {}", request.method, request.target);
                 let is_large = answer.body.len() <= LARGE_BYTES
                     && answer.body.iter().all(|byte| *byte == b'x');
-                let own = match answer.whole {
+                let own = match answer.complete {
                     true => answer.text() == expected,
                     false => expected.starts_with(&answer.text()) || is_large,
                 };
@@ -313,7 +318,7 @@
         };
         Ending::Answered {
             status: answer.status(),
-            whole: answer.whole,
+            whole: answer.complete,
             id: answer.id(),
             signed: answer.is_signed(),
             body,
@@ -322,7 +327,7 @@
 }
 
 /// Returns the last event that the caller of a request has; 0 if none.
-fn after_event(request: &Ask) -> u64 {
+fn after_event(request: &SiteRequest) -> u64 {
     let mut headers = request.headers.iter();
     let named = headers.find(|(name, _)| name == LAST_EVENT);
     last_event(named.map(|(_, value)| value.as_str()))
--- a/crates/soak/src/draws.rs
+++ b/crates/soak/src/draws.rs
@@ -161,7 +161,8 @@
         .map(|_| {
             let at_ms = random.random_range(LEAD_MS..calm_from_ms.max(LEAD_MS + 1));
             let events = random.random_range(1..4);
-            let rest = StreamFault::RESTS[random.random_range(0..StreamFault::RESTS.len())];
+            let rest = StreamFault::CONTINUATION_FAULTS
+                [random.random_range(0..StreamFault::CONTINUATION_FAULTS.len())];
             let stream = SPOILED_STREAMS[random.random_range(0..SPOILED_STREAMS.len())];
             let other = AFTER_CUT[random.random_range(0..AFTER_CUT.len())];
             let engine = random.random_range(0..engines.max(1));
--- a/crates/soak/src/keys.rs
+++ b/crates/soak/src/keys.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use apricotdale_standins::platform::Ask;
 use apricotdale_standins::platform::SiteLimit;
 use apricotdale_standins::platform::SiteOrganisation;
+use apricotdale_standins::platform::SiteRequest;
 use parking_lot::Mutex;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -157,7 +157,7 @@
     }
 
     /// Returns a request with a key of the organisation that keeps its keys.
-    pub fn steady(&self, ask: &Ask) -> (Ask, Presented) {
+    pub fn steady(&self, ask: &SiteRequest) -> (SiteRequest, Presented) {
         let held = self.held.lock();
         let key = held.of(ORGANISATIONS[STEADY]).next().unwrap_or_default();
         (
@@ -169,10 +169,10 @@
     /// Returns a request as a caller of an organisation sends it, with or without a good key.
     pub fn present(
         &self,
-        ask: &Ask,
+        ask: &SiteRequest,
         organisation: usize,
         random: &mut ChaCha8Rng,
-    ) -> (Ask, Presented) {
+    ) -> (SiteRequest, Presented) {
         let held = self.held.lock();
         let name = ORGANISATIONS[organisation];
         let kept: Vec<usize> = held.of(name).collect();
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use apricotdale_standins::platform::AnswerFault;
-use apricotdale_standins::platform::Ask;
 use apricotdale_standins::platform::Caller;
 use apricotdale_standins::platform::EngineOptions;
 use apricotdale_standins::platform::OrderFault;
 use apricotdale_standins::platform::Site;
 use apricotdale_standins::platform::SiteOptions;
 use apricotdale_standins::platform::SiteOrganisation;
+use apricotdale_standins::platform::SiteRequest;
 use apricotdale_standins::platform::StoreFault;
 use nix::sys::signal::Signal;
 use parking_lot::Mutex;
@@ -99,7 +99,7 @@
             instances: INSTANCES,
             work_ms: WORK_MS,
             models: MODELS.iter().map(ToString::to_string).collect(),
-            doors: vms,
+            store_endpoints: vms,
             service_crash: None,
             timeout_ms: 2 * PATIENCE_MS,
             announces: false,
@@ -117,8 +117,8 @@
             services.push(proxy);
         }
         let mut stores = Vec::new();
-        for door in &site.door_addresses {
-            stores.push(Proxy::start(*door)?);
+        for endpoint in &site.store_addresses {
+            stores.push(Proxy::start(*endpoint)?);
         }
         let addresses: Vec<SocketAddr> = stores.iter().map(Proxy::address).collect();
         let vms = Arc::new(Vms::start(program, addresses)?);
@@ -186,7 +186,7 @@
                 lost_ms,
                 away_ms,
                 again_ms,
-            } => self.set_back(*lost_ms, *away_ms, *again_ms),
+            } => self.roll_back(*lost_ms, *away_ms, *again_ms),
             Trouble::StoreLink { vm, fault, for_ms } => {
                 self.stores[*vm].set_fault(*fault);
                 pause(*for_ms);
@@ -247,7 +247,7 @@
     }
 
     /// Returns what the upstreams ran.
-    pub fn runs(&self, sent: impl Fn(&str) -> Option<Ask>) -> Vec<Run> {
+    pub fn runs(&self, sent: impl Fn(&str) -> Option<SiteRequest>) -> Vec<Run> {
         let site = self.site.lock();
         let engines = site.engines.iter().map(|it| (it.name(), it.runs()));
         let services = site.services.iter().map(|it| (it.name(), it.runs()));
@@ -325,26 +325,26 @@
 
     fn fault_doors(&self, vm: Option<usize>, fault: StoreFault) {
         let site = self.site.lock();
-        for (index, door) in site.doors.iter().enumerate() {
+        for (index, endpoint) in site.store_endpoints.iter().enumerate() {
             if vm.is_none_or(|vm| vm == index) {
-                door.set_fault(fault);
+                endpoint.set_fault(fault);
             }
         }
     }
 
     fn forget(&self) {
-        self.site.lock().forget_history();
+        self.site.lock().trim_history();
     }
 
-    fn set_back(&self, lost_ms: u64, away_ms: u64, again_ms: u64) {
-        let copy = self.site.lock().doors[0].copy();
+    fn roll_back(&self, lost_ms: u64, away_ms: u64, again_ms: u64) {
+        let copy = self.site.lock().store_endpoints[0].snapshot();
         pause(lost_ms);
         self.fault_doors(None, StoreFault::Busy);
         pause(away_ms);
-        self.site.lock().doors[0].set_back(copy);
+        self.site.lock().store_endpoints[0].roll_back(copy);
         self.fault_doors(None, StoreFault::None);
         pause(again_ms);
-        self.site.lock().write_again();
+        self.site.lock().rewrite_entries();
     }
 
     fn with_proxy(&self, upstream: usize, act: impl Fn(&Proxy)) {
@@ -410,7 +410,7 @@
                 let sent_ms = self.clock.now_ms();
                 let id = format!("c-{route}-{vm}-{of}");
                 let target = format!("{}x", Site::extra_prefix(of));
-                let request = Ask::new("GET", &target, &id).waiting_ms(PATIENCE_MS);
+                let request = SiteRequest::new("GET", &target, &id).with_timeout_ms(PATIENCE_MS);
                 let (request, _) = self.keys.steady(&request);
                 let status = self.ask_once(vm, &request);
                 let mut events = self.events.lock();
@@ -439,7 +439,7 @@
         });
     }
 
-    fn ask_once(&self, vm: usize, request: &Ask) -> u16 {
+    fn ask_once(&self, vm: usize, request: &SiteRequest) -> u16 {
         let patience = Duration::from_millis(PATIENCE_MS);
         self.vms
             .callers(vm)
--- a/crates/standins/src/platform/answers.rs
+++ b/crates/standins/src/platform/answers.rs
@@ -102,7 +102,7 @@
 
 /// Request that ran, as the upstream received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunSeen {
+pub struct RecordedRun {
     /// Identity of the request.
     pub id: String,
     /// HTTP method.
@@ -119,7 +119,7 @@
     pub fault: Option<AnswerFault>,
 }
 
-impl RunSeen {
+impl RecordedRun {
     /// Returns the value of a header, or none without one.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
@@ -135,7 +135,7 @@
     instance: String,
     faults: Mutex<VecDeque<AnswerFault>>,
     /// Requests that ran, in order.
-    pub runs: Mutex<Vec<RunSeen>>,
+    pub runs: Mutex<Vec<RecordedRun>>,
     /// Requests whose client disconnected while they ran.
     pub left: Arc<Mutex<Vec<String>>>,
     /// Requests whose streams were sent completely.
@@ -183,7 +183,7 @@
         let fault = self.faults.lock().pop_front();
         let rejections = [AnswerFault::TurnedAway, AnswerFault::TurnedAwayStalled];
         if fault.is_none_or(|fault| !rejections.contains(&fault)) {
-            self.runs.lock().push(RunSeen {
+            self.runs.lock().push(RecordedRun {
                 id: id_of(request).to_owned(),
                 method: request.method.clone(),
                 target: request.target(),
--- a/crates/standins/src/platform/caller.rs
+++ b/crates/standins/src/platform/caller.rs
@@ -29,7 +29,7 @@
 
 /// Request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct SiteRequest {
     /// HTTP method.
     pub method: &'static str,
     /// Path with the query.
@@ -42,7 +42,7 @@
     pub body: Vec<u8>,
 }
 
-impl Ask {
+impl SiteRequest {
     /// Returns a request without further headers and without a body.
     pub fn new(method: &'static str, target: &str, id: &str) -> Self {
         Self {
@@ -89,7 +89,7 @@
     }
 
     /// Returns the request with its caller's timeout.
-    pub fn waiting_ms(self, timeout_ms: u64) -> Self {
+    pub fn with_timeout_ms(self, timeout_ms: u64) -> Self {
         self.with("Apricotdale-Request-Deadline", &timeout_ms.to_string())
     }
 
@@ -126,7 +126,7 @@
     /// Body as far as it was received.
     pub body: Vec<u8>,
     /// Whether the answer is as long as its head announced.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Answer {
@@ -137,7 +137,7 @@
 
     /// Returns whether the answer is complete and a success.
     pub fn is_success(&self) -> bool {
-        self.whole && (200..300).contains(&self.status())
+        self.complete && (200..300).contains(&self.status())
     }
 
     /// Returns the value of a header, or none without one.
@@ -167,7 +167,7 @@
     pub fn closes(&self) -> bool {
         self.head
             .as_ref()
-            .is_none_or(|head| !self.whole || head.headers.has_token("Connection", "close"))
+            .is_none_or(|head| !self.complete || head.headers.has_token("Connection", "close"))
     }
 
     /// Returns the body as text, with replacements for invalid UTF-8.
@@ -250,7 +250,7 @@
     /// # Errors
     ///
     /// Errors of the socket.
-    pub fn set_patience(&self, timeout: Duration) -> io::Result<()> {
+    pub fn set_read_timeout(&self, timeout: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(timeout))
     }
 
@@ -268,7 +268,7 @@
     /// # Errors
     ///
     /// Errors of writing, and those of [`Caller::answer`].
-    pub fn ask(&mut self, request: &Ask) -> io::Result<Answer> {
+    pub fn ask(&mut self, request: &SiteRequest) -> io::Result<Answer> {
         self.send(&request.bytes())?;
         self.answer()
     }
@@ -297,7 +297,7 @@
                     .map_err(no_answer)?;
                 self.pending.drain(..progress.consumed);
                 if decoder.is_whole() {
-                    answer.whole = true;
+                    answer.complete = true;
                     return Ok(answer);
                 }
             }
@@ -352,12 +352,12 @@
     }
 
     /// Reads once, and returns whether the connection ends or fails before more bytes arrive.
-    pub fn is_ended(&mut self) -> bool {
+    pub fn ends_without_data(&mut self) -> bool {
         !matches!(self.stream.read(&mut [0_u8; 64]), Ok(1..))
     }
 
     /// Returns whether the VM has closed the connection, without waiting.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         if self.stream.set_nonblocking(true).is_err() {
             return true;
         }
--- a/crates/standins/src/platform/engine.rs
+++ b/crates/standins/src/platform/engine.rs
@@ -19,7 +19,7 @@
 use crate::http::Stopper;
 use crate::platform::answers::AnswerFault;
 use crate::platform::answers::Answers;
-use crate::platform::answers::RunSeen;
+use crate::platform::answers::RecordedRun;
 use crate::platform::answers::contains;
 use crate::platform::orders::Holdings;
 use crate::platform::orders::OrderFault;
@@ -57,9 +57,9 @@
     /// Models whose weights are on the engine's disk at the start.
     pub on_disk: Vec<String>,
     /// Number of models that fit at once.
-    pub model_places: usize,
+    pub model_slots: usize,
     /// Number of adapters that fit at once.
-    pub adapter_places: usize,
+    pub adapter_slots: usize,
     /// Duration of a load from the weight store.
     pub store_load_ms: u64,
     /// Duration of a load from the disk.
@@ -84,8 +84,8 @@
             zone: "zone-a".to_owned(),
             models: Vec::new(),
             on_disk: Vec::new(),
-            model_places: 3,
-            adapter_places: 4,
+            model_slots: 3,
+            adapter_slots: 4,
             store_load_ms: 400,
             disk_load_ms: 60,
             unload_ms: 20,
@@ -244,7 +244,7 @@
     }
 
     /// Stops or resumes sending on all connections, as if the engine had lost its power.
-    pub fn set_dark(&self, unresponsive: bool) {
+    pub fn set_unresponsive(&self, unresponsive: bool) {
         self.answers
             .unresponsive
             .store(unresponsive, Ordering::Relaxed);
@@ -268,7 +268,7 @@
         self.announce(None);
     }
 
-    /// Removes the engine's entry until [`PlatformEngine::come_back`].
+    /// Removes the engine's entry until [`PlatformEngine::restore_entry`].
     pub fn withdraw(&self) {
         self.entry.lock().gone = true;
         self.store.put("keyed.servers", &self.options.instance, b"");
@@ -285,7 +285,7 @@
 
     /// Writes the engine's entry again after its removal, as a running engine does whose entry
     /// expired.
-    pub fn come_back(&self) {
+    pub fn restore_entry(&self) {
         self.entry.lock().gone = false;
         self.announce(None);
     }
@@ -306,7 +306,7 @@
     }
 
     /// Returns the requests that ran, in order.
-    pub fn runs(&self) -> Vec<RunSeen> {
+    pub fn runs(&self) -> Vec<RecordedRun> {
         self.answers.runs.lock().clone()
     }
 
--- a/crates/standins/src/platform/orders.rs
+++ b/crates/standins/src/platform/orders.rs
@@ -145,7 +145,7 @@
         if self.models.contains_key(model) {
             return 200;
         }
-        if self.models.len() >= self.options.model_places {
+        if self.models.len() >= self.options.model_slots {
             self.overcommitted += 1;
         }
         let took_ms = match self.on_disk.contains(model) {
@@ -181,7 +181,7 @@
         if !adapters.insert(adapter.to_owned()) {
             return 200;
         }
-        if held >= self.options.adapter_places {
+        if held >= self.options.adapter_slots {
             self.overcommitted += 1;
         }
         202
--- a/crates/standins/src/platform/organisations.rs
+++ b/crates/standins/src/platform/organisations.rs
@@ -3,8 +3,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::platform::answers::RunSeen;
-use crate::platform::caller::Ask;
+use crate::platform::answers::RecordedRun;
+use crate::platform::caller::SiteRequest;
 
 /// Header with a caller's API key.
 const KEY: &str = "Authorization";
@@ -72,7 +72,7 @@
     }
 }
 
-impl Ask {
+impl SiteRequest {
     /// Returns the request with one more API key.
     pub fn with_key(self, key: &str) -> Self {
         self.with(KEY, &format!("Token {key}"))
@@ -91,7 +91,7 @@
     }
 }
 
-impl RunSeen {
+impl RecordedRun {
     /// Returns the organisations that the upstream was sent in headers.
     pub fn organisations(&self) -> Vec<String> {
         let told = self.headers.iter();
--- a/crates/standins/src/platform/service.rs
+++ b/crates/standins/src/platform/service.rs
@@ -18,7 +18,7 @@
 use crate::http::Stopper;
 use crate::platform::answers::AnswerFault;
 use crate::platform::answers::Answers;
-use crate::platform::answers::RunSeen;
+use crate::platform::answers::RecordedRun;
 use crate::platform::answers::contains;
 use crate::platform::store::PlatformStore;
 
@@ -108,7 +108,7 @@
     }
 
     /// Returns the requests that ran, in order.
-    pub fn runs(&self) -> Vec<RunSeen> {
+    pub fn runs(&self) -> Vec<RecordedRun> {
         self.answers.runs.lock().clone()
     }
 
--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -31,7 +31,7 @@
     /// Names of the models that the engines may load.
     pub models: Vec<String>,
     /// Number of endpoints of the store, at least one; each has its own address and fault.
-    pub doors: usize,
+    pub store_endpoints: usize,
     /// Marker in the bodies of requests that make an instance of the plain service crash.
     pub service_crash: Option<Vec<u8>>,
     /// Timeout of every route.
@@ -55,7 +55,7 @@
             instances: 2,
             work_ms: 0,
             models: (0..4).map(|index| format!("m{index}")).collect(),
-            doors: 1,
+            store_endpoints: 1,
             service_crash: None,
             timeout_ms: 3_000,
             tenants: None,
@@ -67,9 +67,9 @@
 /// Deployment that runs in the process that starts it, until [`Site::stop`].
 pub struct Site {
     /// Endpoints of the store.
-    pub doors: Vec<PlatformStore>,
+    pub store_endpoints: Vec<PlatformStore>,
     /// Addresses of the store's endpoints, in the same order.
-    pub door_addresses: Vec<SocketAddr>,
+    pub store_addresses: Vec<SocketAddr>,
     /// Engines, including those that were stopped.
     pub engines: Vec<Arc<PlatformEngine>>,
     /// Addresses that the engines listen on, in the same order.
@@ -95,8 +95,8 @@
     /// Errors of listening on loopback.
     pub fn start(options: SiteOptions) -> io::Result<Self> {
         let mut site = Self {
-            doors: Vec::new(),
-            door_addresses: Vec::new(),
+            store_endpoints: Vec::new(),
+            store_addresses: Vec::new(),
             engines: Vec::new(),
             engine_addresses: Vec::new(),
             services: Vec::new(),
@@ -107,11 +107,11 @@
             servers: Vec::new(),
             engine_servers: Vec::new(),
         };
-        for _ in 0..options.doors.max(1) {
-            let door = site.store.door();
-            let server = Server::start(LOOPBACK, Arc::new(door.clone()))?;
-            site.door_addresses.push(server.address());
-            site.doors.push(door);
+        for _ in 0..options.store_endpoints.max(1) {
+            let endpoint = site.store.endpoint();
+            let server = Server::start(LOOPBACK, Arc::new(endpoint.clone()))?;
+            site.store_addresses.push(server.address());
+            site.store_endpoints.push(endpoint);
             site.servers.push(server);
         }
         for engine in &options.engines {
@@ -214,14 +214,14 @@
 
     /// Deletes the history of the topics that operators, upstreams and VMs write. The newest record
     /// of each key stays.
-    pub fn forget_history(&self) {
+    pub fn trim_history(&self) {
         for topic in [
             "keyed.op",
             "keyed.servers",
             "keyed.entry-vms",
             "order-lease",
         ] {
-            self.store.forget(topic);
+            self.store.trim_topic(topic);
         }
     }
 
@@ -284,7 +284,7 @@
 
     /// Writes the configuration and the entries of all upstreams again, after a rollback of the
     /// store.
-    pub fn write_again(&self) {
+    pub fn rewrite_entries(&self) {
         self.store
             .put("keyed.op", "config", &self.configuration.lock());
         self.engines
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -65,11 +65,11 @@
 
 /// Contents of a store at one time.
 #[derive(Clone, Default)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     topics: Topics,
 }
 
-impl StoreCopy {
+impl StoreSnapshot {
     /// Returns the newest value of a key, or none without one.
     pub fn newest(&self, topic: &str, key: &str) -> Option<Vec<u8>> {
         let partition = self.topics.get(&(topic.to_owned(), 0))?;
@@ -103,7 +103,7 @@
 
 impl PlatformStore {
     /// Returns another endpoint of the same store.
-    pub fn door(&self) -> Self {
+    pub fn endpoint(&self) -> Self {
         Self {
             shared: self.shared.clone(),
             ..Self::default()
@@ -116,7 +116,7 @@
     }
 
     /// Makes the next read of a topic at this endpoint get no answer. No other call is affected.
-    pub fn swallow_read(&self, topic: &str) {
+    pub fn ignore_next_read(&self, topic: &str) {
         self.unanswered_reads.lock().insert(topic.to_owned());
     }
 
@@ -135,15 +135,15 @@
     }
 
     /// Returns the present contents of all topics.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot {
             topics: self.shared.topics.lock().clone(),
         }
     }
 
     /// Rolls the store back to older contents: later records are lost, their offsets are used
     /// again, and a new era begins.
-    pub fn set_back(&self, copy: StoreCopy) {
+    pub fn roll_back(&self, copy: StoreSnapshot) {
         let mut topics = self.shared.topics.lock();
         *topics = copy.topics;
         self.shared.era.fetch_add(1, Ordering::Relaxed);
@@ -192,7 +192,7 @@
     }
 
     /// Deletes every record of a topic except for the newest of each key.
-    pub fn forget(&self, topic: &str) {
+    pub fn trim_topic(&self, topic: &str) {
         let mut topics = self.shared.topics.lock();
         if let Some(partition) = topics.get_mut(&(topic.to_owned(), 0)) {
             let end = partition.end();
--- a/crates/standins/src/platform/stream_faults.rs
+++ b/crates/standins/src/platform/stream_faults.rs
@@ -60,7 +60,7 @@
 
 impl StreamFault {
     /// Faults of an answer that is to continue another engine's events.
-    pub const RESTS: [Self; 16] = [
+    pub const CONTINUATION_FAULTS: [Self; 16] = [
         Self::Skips,
         Self::Repeats,
         Self::BeginsAnew,
--- a/crates/standins/tests/store_rollback.rs
+++ b/crates/standins/tests/store_rollback.rs
@@ -30,13 +30,13 @@
 #[test]
 fn offsets_are_given_again() {
     let store = PlatformStore::default();
-    let running = support::start(store.door());
+    let running = support::start(store.endpoint());
     store.put("keyed.op", "a", b"kept");
-    let copy = store.copy();
+    let copy = store.snapshot();
     store.put("keyed.op", "a", b"lost");
     store.put("keyed.op", "b", b"lost");
     assert_eq!(era(&read(running.address(), 0)).as_deref(), Some("0"));
-    store.set_back(copy);
+    store.roll_back(copy);
     assert_eq!(store.newest("keyed.op", "a"), Some(b"kept".to_vec()));
     assert_eq!(store.newest("keyed.op", "b"), None);
     // A place behind the end is gone; the end itself is there, and is given out again.
@@ -49,16 +49,16 @@
 #[test]
 fn every_answer_tells_the_era() {
     let store = PlatformStore::default();
-    let door = store.door();
-    let running = support::start(door.clone());
-    store.set_back(store.copy());
-    store.set_back(store.copy());
+    let endpoint = store.endpoint();
+    let running = support::start(endpoint.clone());
+    store.roll_back(store.snapshot());
+    store.roll_back(store.snapshot());
     let targets = ["/api/log-newest?topic=keyed.op", "/api/log-owners", "/none"];
     for target in targets {
         assert_eq!(era(&get(running.address(), target)).as_deref(), Some("2"));
     }
     assert_eq!(era(&read(running.address(), 7)).as_deref(), Some("2"));
-    door.set_fault(StoreFault::Busy);
+    endpoint.set_fault(StoreFault::Busy);
     let busy = read(running.address(), 0);
     assert_eq!((busy.status(), era(&busy).as_deref()), (503, Some("2")));
 }
