--- a/crates/standins/tests/batch_order.rs
+++ b/crates/standins/tests/batch_order.rs
@@ -1,4 +1,4 @@
-//! Which sequences generate and which wait.
+//! Order in which waiting sequences get a slot.
 
 mod support;
 
@@ -21,7 +21,7 @@
 #[case::by_arrival(&[0, 0, 0], &[0, 1, 2])]
 #[case::by_priority(&[2, 0, 1], &[1, 2, 0])]
 #[case::priority_before_arrival(&[1, 0, 1], &[1, 0, 2])]
-fn waiting_sequences_follow_by_priority(#[case] priorities: &[u32], #[case] order: &[usize]) {
+fn priority_order(#[case] priorities: &[u32], #[case] order: &[usize]) {
     let mut batch = Batch::new(1, 9);
     let mut running = id(batch.enter(9));
     let waiting: Vec<SequenceId> = priorities.iter().map(|it| id(batch.enter(*it))).collect();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_sequence_that_leaves_the_queue_gives_no_slot_away() {
+fn leaving_queued_sequence() {
     let mut batch = Batch::new(1, 1);
     batch.enter(0);
     let waiting = id(batch.enter(0));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_engine_serves_waiting_requests_by_priority_and_refuses_more() {
+fn full_queue_refuses() {
     let options = Options {
         slots: 1,
         queue: 2,
@@ -69,7 +69,7 @@
     assert_eq!(
         engine.request_state("later"),
         "running",
-        "it has not had its turn"
+        "a later priority still waits"
     );
     engine.post("/v1/cancel/sooner", &json!({}));
     assert_eq!(later.iter().last().unwrap(), "[DONE]");
