--- a/crates/standins/tests/cut_answers.rs
+++ b/crates/standins/tests/cut_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that end before they are whole, or are another request's.
+//! Answers that end before they are complete, or belong to another request.
 
 mod support;
 
@@ -20,14 +20,13 @@
     support::engine_with(options, &["m"])
 }
 
-/// Symptom: a caller gets half an answer.
-/// Sequence: a stream begins, its connection breaks after some events.
-/// Cause: the engine's end of the connection died. The body has no end and `[DONE]` is missing.
+/// Guards against half an answer that looks complete: the engine's connection breaks after some
+/// events, so the body has no end and `[DONE]` is missing.
 #[rstest]
 #[case::after_the_head(0, 0)]
 #[case::midway(2, 2)]
 #[case::before_done(4, 4)]
-fn a_stream_is_cut_after_so_many_events(#[case] after: u64, #[case] events: usize) {
+fn stream_cut(#[case] after: u64, #[case] events: usize) {
     let engine = engine(1);
     engine.fault(&json!({"cut_stream_after": after}));
     let mut cut = engine.stream("r", "m", 4);
@@ -41,11 +40,10 @@
     );
 }
 
-/// Symptom: a caller gets another's answer.
-/// Sequence: a request ends, the answer to the next one carries the first one's identity.
-/// Cause: the engine crossed its answers. The identity and the tokens show it.
+/// Guards against an answer that reaches another caller: the engine gives the answer to a request
+/// the identity and the tokens of the previous one, by which a reader can detect it.
 #[test]
-fn a_crossed_answer_carries_another_identity() {
+fn crossed_answer() {
     let engine = engine(1);
     engine.stream("r", "m", 1).last().unwrap();
     engine.fault(&json!({"crossed": true}));
@@ -59,7 +57,7 @@
 }
 
 #[test]
-fn a_cancelled_stream_ends_short_and_frees_its_slot() {
+fn cancelled_stream() {
     let engine = engine(1);
     let mut events = engine.stream("r", "m", ENDLESS);
     events.next().unwrap();
@@ -67,14 +65,14 @@
     assert!(events.all(|data| data != "[DONE]"));
     assert!(
         !events.broken,
-        "only the missing end shows that it is short"
+        "only the missing [DONE] shows that the answer is cut"
     );
     assert_eq!(engine.request_state("r"), "cancelled");
     assert_eq!(engine.stream("s", "m", 1).last().unwrap(), "[DONE]");
 }
 
 #[test]
-fn a_cancelled_request_without_a_stream_gets_no_answer() {
+fn cancelled_unstreamed_request() {
     let engine = engine(1);
     let headers = [("X-Request-Id", "r")];
     let body = completion("m", ENDLESS, false);
@@ -87,14 +85,13 @@
     assert_eq!(engine.request_state("r"), "cancelled");
 }
 
-/// Symptom: an engine works for callers that are no longer there.
-/// Sequence: a request generates or waits for a slot, its caller closes the connection.
-/// Cause: nothing is written to such a connection for long, so no write fails. The engine has to
-/// look.
+/// Guards against an engine that works for disconnected callers: a request generates or waits for a
+/// slot while its caller closes the connection. Nothing is written to it for a long time, so that
+/// no write fails, and the engine has to check the connection.
 #[rstest]
 #[case::generates(2)]
 #[case::waits(1)]
-fn a_caller_that_goes_away_ends_its_request(#[case] slots: usize) {
+fn disconnected_caller(#[case] slots: usize) {
     let engine = engine(slots);
     let mut events = engine.stream("other", "m", ENDLESS);
     events.next().unwrap();
@@ -108,11 +105,10 @@
     assert_eq!(engine.stream("s", "m", 1).last().unwrap(), "[DONE]");
 }
 
-/// Symptom: all answers in progress break at once.
-/// Sequence: one request generates, another waits for its slot, the engine restarts.
-/// Cause: the process died.
+/// The engine process ends while one request generates and another waits for its slot. Both answers
+/// break.
 #[test]
-fn a_restart_cuts_the_requests_in_progress() {
+fn restart_cuts_requests() {
     let engine = engine(1);
     let mut events = engine.stream("r", "m", ENDLESS);
     events.next().unwrap();
