--- a/crates/standins/tests/engine_answers.rs
+++ b/crates/standins/tests/engine_answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers of an engine.
+//! Complete answers of an engine.
 
 mod support;
 
@@ -25,7 +25,7 @@
 #[rstest]
 #[case::text("/v1/completions", "/choices/0/text", "cmpl-r")]
 #[case::chat("/v1/chat/completions", "/choices/0/message/content", "chatcmpl-r")]
-fn an_answer_names_its_request(#[case] path: &str, #[case] text: &str, #[case] id: &str) {
+fn answer_names_request(#[case] path: &str, #[case] text: &str, #[case] id: &str) {
     let engine = engine();
     let body = json!({
         "model": "m", "prompt": "a b c", "max_tokens": 2,
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_stream_carries_a_token_an_event_and_ends_in_done() {
+fn stream_events() {
     let engine = engine();
     let events: Vec<String> = engine.stream("r", "m", 3).collect();
     assert_eq!(events.len(), 4);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_token_comes_out_before_the_next_one_is_made() {
+fn tokens_sent_immediately() {
     let options = Options {
         tokens_per_s: 1,
         ..Options::default()
@@ -73,7 +73,7 @@
 #[rstest]
 #[case::not_loaded(json!({"model": "x", "prompt": "a"}), 404, "model_not_loaded")]
 #[case::no_model(json!({"prompt": "a"}), 400, "bad_request")]
-fn a_refused_request_does_not_run(#[case] body: Value, #[case] status: u16, #[case] code: &str) {
+fn refused_request(#[case] body: Value, #[case] status: u16, #[case] code: &str) {
     let engine = engine();
     let refused = engine.try_post_with("/v1/completions", &body, &[("X-Request-Id", "r")]);
     let refused = refused.unwrap();
