--- a/crates/standins/tests/engine_caches.rs
+++ b/crates/standins/tests/engine_caches.rs
@@ -14,7 +14,7 @@
 use apricotdale_standins::engine::prefix_hash;
 
 #[test]
-fn each_tier_drops_the_checkpoint_used_longest_ago() {
+fn least_recently_used_evicted() {
     let [a, b, c] = ["a", "b", "c"].map(ModelName::from);
     let mut cache = HostCache::new(10, 20);
     cache.touch(&a, 10);
@@ -44,11 +44,7 @@
 #[case::late(0, 110, &[1])]
 #[case::all(0, 999, &[1, 2, 4, 5])]
 #[case::after(4, 999, &[5])]
-fn cache_events_come_late_and_with_gaps(
-    #[case] after: u64,
-    #[case] now_ms: u64,
-    #[case] sequences: &[u64],
-) {
+fn late_cache_events(#[case] after: u64, #[case] now_ms: u64, #[case] sequences: &[u64]) {
     let model = ModelName::new("m");
     let mut cache = PrefixCache::new(2, 100, 3);
     assert!(!cache.touch(10, &model, 7));
@@ -66,7 +62,7 @@
 }
 
 #[test]
-fn an_engine_tells_of_the_prefix_of_a_prompt() {
+fn prompt_prefix_event() {
     let engine = support::engine_with(Options::default(), &["m"]);
     let prompt = "x".repeat(PREFIX_BYTES);
     for end in ["a", "b"] {
