--- a/crates/standins/tests/engine_orders.rs
+++ b/crates/standins/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine.
+//! Orders to an engine and their effects.
 
 mod support;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_load_takes_memory_and_an_unload_frees_it() {
+fn load_and_unload() {
     let engine = small_engine(true);
     let loaded = engine.post("/orders/load", &load("m", 3));
     let resident = json!({"model": "m", "residency": "loaded", "bytes": 10, "fence": 3});
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn repeated_orders_have_one_effect() {
+fn duplicate_orders() {
     let engine = small_engine(true);
     for _ in 0..2 {
         assert_eq!(engine.post("/orders/load", &load("m", 3)).status, 200);
@@ -66,18 +66,13 @@
     assert_eq!(engine.effects()["unload_orders"], 2);
 }
 
-/// Symptom: an order is refused, and the engine must not have changed.
-/// Sequence: two models fill the memory, one more order comes.
-/// Cause: what the order needs is not there.
+/// Two models take up the memory, and an order arrives whose requirements are not met. The engine
+/// must refuse it without a change.
 #[rstest]
 #[case::memory_full("load", load("c", 1), "no_memory")]
 #[case::base_not_there("load", adapter("a", "x"), "base_missing")]
 #[case::base_of_an_adapter("unload", unload("m", 1), "unknown")]
-fn an_impossible_order_has_no_effect(
-    #[case] kind: &str,
-    #[case] order: Value,
-    #[case] reason: &str,
-) {
+fn impossible_order(#[case] kind: &str, #[case] order: Value, #[case] reason: &str) {
     let engine = small_engine(true);
     engine.post("/orders/load", &load("m", 1));
     assert_eq!(
@@ -98,11 +93,10 @@
     );
 }
 
-/// Symptom: the accelerator memory is overcommitted.
-/// Sequence: three loads of ten bytes reach an engine of 25 bytes that obeys every order.
-/// Cause: such an engine leaves the check to those who order, and only counts that it failed.
+/// Three loads of ten bytes reach an engine with 25 bytes that carries out every order. Such an
+/// engine leaves the check to the sender and only counts the overcommitment.
 #[test]
-fn an_engine_that_obeys_every_order_counts_overcommitment() {
+fn overcommitment_counted() {
     let engine = small_engine(false);
     for model in ["a", "b", "c"] {
         assert_eq!(engine.post("/orders/load", &load(model, 1)).status, 200);
@@ -115,7 +109,7 @@
 }
 
 #[test]
-fn an_unload_waits_for_the_requests_in_progress() {
+fn unload_waits() {
     let options = Options {
         tokens_per_s: 1,
         ..Options::default()
