--- a/crates/standins/tests/lagged_values.rs
+++ b/crates/standins/tests/lagged_values.rs
@@ -10,7 +10,7 @@
 #[case::between(149, 'b')]
 #[case::second(150, 'c')]
 #[case::long_after(9_000, 'c')]
-fn a_change_shows_after_the_lag(#[case] now_ms: u64, #[case] published: char) {
+fn published_after_lag(#[case] now_ms: u64, #[case] published: char) {
     let mut value = Lagged::new(100, 'a');
     value.record(10, 'b');
     value.record(50, 'c');
