--- a/crates/standins/tests/load_faults.rs
+++ b/crates/standins/tests/load_faults.rs
@@ -1,4 +1,4 @@
-//! Loads that go wrong.
+//! Faults of loads and of orders.
 
 mod support;
 
@@ -27,11 +27,10 @@
     engine.get("/status").body["residents"][0]["residency"].clone()
 }
 
-/// Symptom: a load is refused after its memory was taken for a while.
-/// Sequence: the load begins, fails midway, and is ordered once more.
-/// Cause: the engine could not load the weights. The memory is free again and the next load works.
+/// Guards against memory that stays reserved: a load fails after it has begun, because the engine
+/// could not load the weights. Its memory must be free again, so that the next load succeeds.
 #[test]
-fn a_load_that_fails_midway_frees_its_memory() {
+fn failed_load_frees_memory() {
     let engine = engine();
     engine.fault(&json!({"load": "die"}));
     let failed = engine.post("/orders/load", &load("m", 1));
@@ -46,7 +45,7 @@
 }
 
 #[test]
-fn orders_for_a_model_wait_while_its_load_hangs() {
+fn hanging_load() {
     let engine = engine();
     engine.fault(&json!({"load": "hang"}));
     let orders = [
@@ -63,11 +62,10 @@
     assert_eq!(engine.effects()["loads"], json!({"m": 1}));
 }
 
-/// Symptom: the proposer of a load dies, and the model is loaded all the same.
-/// Sequence: a load begins, the connection that ordered it closes, the load ends.
-/// Cause: the engine does not look at the connection while it loads.
+/// The sender of a load order disconnects while the load is in progress. The engine does not check
+/// the connection while it loads, so that the model is loaded nevertheless.
 #[test]
-fn a_load_goes_on_without_its_caller() {
+fn load_without_caller() {
     let engine = engine();
     engine.fault(&json!({"load": "hang"}));
     let caller = engine.send_only("/orders/load", "r", &load("m", 1));
@@ -77,13 +75,12 @@
     support::wait_until(|| residency(&engine) == "loaded");
 }
 
-/// Symptom: an order's outcome is unknown to the one who gave it.
-/// Sequence: the order takes effect, the connection closes without an answer.
-/// Cause: the answer was lost. The same order once more finds the work done.
+/// An order takes effect, but its answer is lost, so that its sender does not know the outcome. A
+/// retry finds the order already carried out.
 #[rstest]
 #[case::load("load", 1)]
 #[case::unload("unload", 0)]
-fn an_order_whose_answer_is_lost_took_effect(#[case] kind: &str, #[case] residents: usize) {
+fn lost_answer(#[case] kind: &str, #[case] residents: usize) {
     let engine = engine();
     let order = match kind {
         "load" => load("m", 1),
@@ -100,11 +97,10 @@
     assert_eq!(engine.post(&path, &order).status, 200);
 }
 
-/// Symptom: an engine forgets what was loaded on it, and orders on their way to it vanish.
-/// Sequence: one model is loaded, one load hangs, one order is held up, the engine restarts.
-/// Cause: the process died. Connections break, and the boot number shows the new process.
+/// The engine process restarts while one model is loaded, one load hangs and one order is delayed.
+/// Models and orders are lost, connections break, and the boot number shows the new process.
 #[test]
-fn a_restart_forgets_models_and_breaks_orders() {
+fn engine_restart() {
     let engine = engine();
     engine.post("/orders/load", &load("m", 5));
     engine.fault(&json!({"load": "hang"}));
@@ -128,14 +124,13 @@
     assert_eq!(engine.effects()["loads"], json!({"m": 1, "n": 1}));
 }
 
-/// Symptom: a load fails although the engine is well.
-/// Sequence: the weight store does not give the weights, a load is ordered.
-/// Cause: the store is down, above its rate, unreachable, or does not hold the model.
+/// A load fails on a healthy engine, because the weight store is down, above its rate, or does not
+/// hold the model.
 #[rstest]
 #[case::down(10, "down", "m", "weights_failed")]
 #[case::above_the_rate(0, "up", "m", "weights_failed")]
 #[case::not_held(10, "up", "x", "unknown")]
-fn a_load_without_weights_is_refused(
+fn weights_unavailable(
     #[case] loads_per_s: u32,
     #[case] mode: &str,
     #[case] model: &str,
@@ -161,7 +156,7 @@
 }
 
 #[test]
-fn a_checkpoint_on_the_host_is_not_fetched_again() {
+fn cached_checkpoint() {
     let store = support::start(WeightsStandin::new(weights::Options::default()).unwrap());
     let engine = support::start(EngineStandin::new(Options {
         weights: Some(store.address()),
