--- a/crates/standins/tests/log_append.rs
+++ b/crates/standins/tests/log_append.rs
@@ -29,7 +29,7 @@
 #[case::middle("from=1&max=2", &[1, 2])]
 #[case::at_the_end("from=4&max=100", &[])]
 #[case::past_the_end("from=9&max=100", &[])]
-fn reads_give_the_records_asked_for(#[case] query: &str, #[case] offsets: &[u64]) {
+fn requested_records(#[case] query: &str, #[case] offsets: &[u64]) {
     let log = log_with(4);
     let answer = log.get(&format!("/streams/control/records?{query}"));
     assert_eq!(answer.status, 200);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn streams_are_apart_and_an_unknown_one_is_empty() {
+fn separate_streams() {
     let log = log_with(1);
     assert_eq!(
         log.post("/streams/claims%2F0/records", &json!(1)).body,
