--- a/crates/standins/tests/log_faults.rs
+++ b/crates/standins/tests/log_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the log.
+//! Faults of the log and its limit on appends.
 
 mod support;
 
@@ -11,19 +11,14 @@
 
 const RECORDS: &str = "/streams/control/records";
 
-/// Symptom: a writer can't tell whether its record is on the stream.
-/// Sequence: the log is faulty, a record is appended, the log works again, the record is looked for.
-/// Cause: an answer of 503 says that it is not there; a connection closed without an answer says
-/// nothing, and here the record is there.
+/// A writer appends a record during a fault and reads the stream after it. Status 503 means that
+/// the record was not appended. A connection that is closed without an answer leaves that open, and
+/// here the record was appended.
 #[rstest]
 #[case::up("up", Some(201), 1)]
 #[case::down("down", Some(503), 0)]
 #[case::lost_answer("lost_answer", None, 1)]
-fn each_fault_leaves_what_it_says(
-    #[case] mode: &str,
-    #[case] status: Option<u16>,
-    #[case] appended: u64,
-) {
+fn fault_outcomes(#[case] mode: &str, #[case] status: Option<u16>, #[case] appended: u64) {
     let log = support::start(LogStandin::new(Options::default()));
     log.fault(&json!({"mode": mode}));
     let answer = log.try_post(RECORDS, &json!(1));
@@ -36,7 +31,7 @@
 #[rstest]
 #[case::down("down")]
 #[case::lost_answer("lost_answer")]
-fn a_fault_with_a_count_ends_by_itself(#[case] mode: &str) {
+fn counted_fault_ends(#[case] mode: &str) {
     let log = support::start(LogStandin::new(Options::default()));
     log.fault(&json!({"mode": mode, "count": 2}));
     let answered = |answer: Option<support::Answer>| answer.is_some_and(|it| it.status == 201);
@@ -47,22 +42,21 @@
 }
 
 #[test]
-fn reads_go_on_while_appends_lose_their_answers() {
+fn reads_during_lost_answers() {
     let log = support::start(LogStandin::new(Options::default()));
     log.fault(&json!({"mode": "lost_answer", "count": 1}));
     assert_eq!(log.get(&format!("{RECORDS}?from=0")).status, 200);
     assert_eq!(
         log.try_post(RECORDS, &json!(1)),
         None,
-        "the read has not used up the fault"
+        "the read does not count against the fault"
     );
 }
 
-/// Symptom: a record appears on the stream after its writer has given up.
-/// Sequence: the log is slow, a record is sent, the writer closes its connection, time passes.
-/// Cause: the record was received and is appended later; only its answer has nowhere to go.
+/// A slow log appends a record that it has received only after a delay, so that the record can
+/// appear on the stream after its writer has timed out.
 #[test]
-fn a_slow_append_takes_effect_late() {
+fn slow_append() {
     let log = support::start(LogStandin::new(Options::default()));
     log.fault(&json!({"mode": "slow", "delay_ms": 3_600_000}));
     let append = log.post_in_background(RECORDS, &json!(1));
@@ -74,7 +68,7 @@
 }
 
 #[test]
-fn an_append_above_the_rate_is_refused_without_effect() {
+fn rate_limited_append() {
     let options = Options {
         appends_per_s: 0,
         ..Options::default()
@@ -85,7 +79,7 @@
 }
 
 #[test]
-fn the_rate_holds_within_any_second() {
+fn sliding_rate_window() {
     let mut limit = RateLimit::new(2);
     let allowed: Vec<bool> = [0, 600, 900, 999, 1_000, 1_100, 1_600]
         .into_iter()
