--- a/crates/standins/tests/log_retention.rs
+++ b/crates/standins/tests/log_retention.rs
@@ -1,4 +1,4 @@
-//! Records that are no longer kept.
+//! Records that have expired.
 
 mod support;
 
@@ -10,11 +10,11 @@
 use apricotdale_standins::log::Retention;
 use apricotdale_standins::log::StreamRecords;
 
-/// Symptom: a reader that was away too long would miss records without noticing.
-/// Sequence: records are appended, the older ones expire, a read asks for an expired offset.
-/// Cause: the log keeps records for a limited time. It must say so and not skip them.
+/// Guards against a reader that misses records without notice: it asks for an offset that has
+/// expired since its last read. The log must answer that the offset is gone instead of skipping
+/// records.
 #[test]
-fn an_expired_offset_is_said_to_be_gone() {
+fn expired_offset() {
     let log = support::start(LogStandin::new(Options::default()));
     for number in 0..5 {
         log.post("/streams/control/records", &json!(number));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_stream_keeps_as_many_records_as_it_may() {
+fn record_limit() {
     let options = Options {
         retention_records: Some(2),
         ..Options::default()
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn records_expire_by_age_and_offsets_go_on() {
+fn record_age() {
     let retention = Retention {
         age_ms: Some(100),
         records: None,
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_time_of_records_never_goes_back() {
+fn monotonic_times() {
     let mut records = StreamRecords::default();
     for now_ms in [10, 5, 20] {
         records.append(now_ms, Vec::new());
