--- a/crates/standins/tests/long_poll.rs
+++ b/crates/standins/tests/long_poll.rs
@@ -13,7 +13,7 @@
 use support::Answer;
 use support::Standin;
 
-/// Starts a read that waits for an hour, and returns once it waits.
+/// Starts a read with a timeout of one hour, and returns once the log holds it.
 fn wait_for_record(log: &'static Standin) -> JoinHandle<Answer> {
     let path = "/streams/control/records?from=0&max=9&wait_ms=3600000";
     let reader = thread::spawn(|| log.get(path));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_append_wakes_a_waiting_reader() {
+fn append_ends_wait() {
     let log = leaked_log();
     let reader = wait_for_record(log);
     log.post("/streams/other/records", &json!(1));
@@ -37,11 +37,10 @@
     assert_eq!(answer.body["records"].as_array().unwrap().len(), 1);
 }
 
-/// Symptom: a reader would believe for the length of its wait that nothing is appended.
-/// Sequence: a reader waits, the log goes down.
-/// Cause: the outage begins during the wait and ends it.
+/// Guards against a reader that takes an outage for a stream without new records: the log goes down
+/// while the reader waits, which must end the wait with status 503.
 #[test]
-fn an_outage_ends_a_wait() {
+fn outage_ends_wait() {
     let log = leaked_log();
     let reader = wait_for_record(log);
     log.fault(&json!({"mode": "down"}));
