--- a/crates/standins/tests/plain_service.rs
+++ b/crates/standins/tests/plain_service.rs
@@ -10,7 +10,7 @@
 const KEY_AND_REQUEST: &[(&str, &str)] = &[("Idempotency-Key", "k"), ("X-Request-Id", "r")];
 
 #[test]
-fn calls_are_counted_by_path_key_and_request() {
+fn counted_calls() {
     let service = support::start(ServiceStandin::new());
     let first = service
         .try_post_with("/orders?x=1", &json!({}), KEY_AND_REQUEST)
@@ -32,18 +32,13 @@
     );
 }
 
-/// Symptom: a caller can't tell whether its booking was made.
-/// Sequence: the service is faulty for one call, the call is made, its effect is looked for.
-/// Cause: a refused call has no effect; one whose answer was lost has.
+/// A call is made during a fault, and its effect is read after it. A refused call has no effect,
+/// while a call whose answer was lost has.
 #[rstest]
 #[case::refuse("refuse", Some(503), 0)]
 #[case::lost_answer("lost_answer", None, 1)]
 #[case::slow("slow", Some(200), 1)]
-fn each_fault_leaves_what_it_says(
-    #[case] mode: &str,
-    #[case] status: Option<u16>,
-    #[case] effect: u64,
-) {
+fn fault_outcomes(#[case] mode: &str, #[case] status: Option<u16>, #[case] effect: u64) {
     let service = support::start(ServiceStandin::new());
     service.fault(&json!({"mode": mode, "count": 1, "delay_ms": 1}));
     let answer = service.try_post_with("/book", &json!({}), KEY_AND_REQUEST);
@@ -56,13 +51,12 @@
     );
 }
 
-/// Symptom: a call's effect shows up although its caller has long gone away.
-/// Sequence: the service holds the call, the caller waits, the service works again.
-/// Cause: a slow service takes effect after the delay, a hanging one before it answers.
+/// The service holds a call until its fault ends, so that the effect can come after the caller's
+/// timeout: a slow service carries the call out after the delay, a hanging one before it answers.
 #[rstest]
 #[case::slow("slow", 0)]
 #[case::hang("hang", 1)]
-fn a_held_call_goes_on_later(#[case] mode: &str, #[case] effect_while_held: u64) {
+fn held_call(#[case] mode: &str, #[case] effect_while_held: u64) {
     let service = support::start(ServiceStandin::new());
     service.fault(&json!({"mode": mode, "delay_ms": 3_600_000}));
     let call = service.post_in_background("/book", &json!({}));
