--- a/crates/standins/tests/programs.rs
+++ b/crates/standins/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The five programs.
+//! Start of the five programs.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -13,7 +13,7 @@
 #[case::service(env!("CARGO_BIN_EXE_standin-service"), "/standin/effects")]
 #[case::weights(env!("CARGO_BIN_EXE_standin-weights"), "/status")]
 #[case::vm_list(env!("CARGO_BIN_EXE_standin-vmlist"), "/vms")]
-fn a_program_says_where_it_listens_and_answers_there(#[case] program: &str, #[case] path: &str) {
+fn printed_address(#[case] program: &str, #[case] path: &str) {
     let mut child = Command::new(program)
         .args(["--listen", "127.0.0.1:0"])
         .stdout(Stdio::piped())
@@ -40,7 +40,7 @@
 #[rstest]
 #[case::no_file("missing")]
 #[case::no_models("Cargo.toml")]
-fn a_weight_store_without_a_readable_list_of_models_does_not_start(#[case] file: &str) {
+fn unreadable_model_list(#[case] file: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_standin-weights"))
         .args(["--models", file])
         .output()
