--- a/crates/standins/tests/shared_bandwidth.rs
+++ b/crates/standins/tests/shared_bandwidth.rs
@@ -1,4 +1,4 @@
-//! How loads share the weight store's bandwidth.
+//! Bandwidth of the weight store, shared by loads.
 
 use rstest::rstest;
 
@@ -12,7 +12,7 @@
 #[case::as_many_as_at_full_speed(4, 1.0, 1_000.0)]
 #[case::twice_as_many(8, 1.0, 2_000.0)]
 #[case::slowed(4, 3.0, 3_000.0)]
-fn loads_above_the_limit_share_it(#[case] loads: u32, #[case] factor: f64, #[case] left_ms: f64) {
+fn shared_speed(#[case] loads: u32, #[case] factor: f64, #[case] left_ms: f64) {
     let mut bandwidth = Bandwidth::new(FULL_SPEED_LOADS, BYTES_PER_S);
     bandwidth.slow_by(0.0, factor);
     let ids: Vec<_> = (0..loads).map(|_| bandwidth.start(0.0, 1_000)).collect();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_load_speeds_up_when_others_end() {
+fn speed_up() {
     let mut bandwidth = Bandwidth::new(1, BYTES_PER_S);
     let first = bandwidth.start(0.0, 1_000);
     let second = bandwidth.start(0.0, 1_000);
