--- a/crates/standins/tests/stale_fence.rs
+++ b/crates/standins/tests/stale_fence.rs
@@ -1,4 +1,4 @@
-//! Fencing numbers.
+//! Fencing tokens of orders.
 
 mod support;
 
@@ -21,16 +21,15 @@
     }))
 }
 
-/// Symptom: an order that was decided long ago undoes a later decision.
-/// Sequence: an order with number 5 is obeyed, then one with another number arrives.
-/// Cause: the older order was held up on its way. The number shows it, and the engine refuses.
+/// Guards against a delayed order that undoes a later decision: an order with token 5 is carried
+/// out, then one with another token arrives. A lower token shows that the order is older.
 #[rstest]
 #[case::lower_load("/orders/load", load("b", 4), 409)]
 #[case::lower_unload("/orders/unload", unload("a", 4), 409)]
 #[case::lower_fence("/orders/fence", json!({"fence": 4}), 409)]
 #[case::equal("/orders/load", load("b", 5), 200)]
 #[case::higher("/orders/load", load("b", 6), 200)]
-fn only_lower_numbers_are_refused(#[case] path: &str, #[case] order: Value, #[case] status: u16) {
+fn lower_token_refused(#[case] path: &str, #[case] order: Value, #[case] status: u16) {
     let engine = engine(true);
     engine.post("/orders/load", &load("a", 5));
     let before = engine.get("/status").body;
@@ -44,7 +43,7 @@
 }
 
 #[test]
-fn a_raised_fence_refuses_older_orders() {
+fn raised_token() {
     let engine = engine(true);
     let raised = engine.post("/orders/fence", &json!({"fence": 9}));
     assert_eq!(
@@ -55,7 +54,7 @@
 }
 
 #[test]
-fn an_engine_that_does_not_check_obeys_every_order() {
+fn unchecked_tokens() {
     let engine = engine(false);
     engine.post("/orders/load", &load("a", 5));
     assert_eq!(
@@ -66,17 +65,13 @@
     assert_eq!(engine.get("/status").body["checks_fence"], false);
 }
 
-/// Symptom: a load takes effect that its proposer believed lost, and that another VM has replaced.
-/// Sequence: a load with number 3 is received and held up, another VM raises the fence to 4, the
-/// load goes on.
-/// Cause: the order was on its way all the time. The raised fence is what keeps it from acting.
+/// Guards against a delayed load that takes effect after another VM has replaced it: a load with
+/// token 3 is received and delayed, another VM raises the token to 4, and the load proceeds. An
+/// engine that checks tokens refuses it.
 #[rstest]
 #[case::checks(true, Some(409))]
 #[case::does_not_check(false, Some(200))]
-fn a_held_order_meets_the_fence_raised_meanwhile(
-    #[case] checks_fence: bool,
-    #[case] status: Option<u16>,
-) {
+fn token_raised_meanwhile(#[case] checks_fence: bool, #[case] status: Option<u16>) {
     let engine = engine(checks_fence);
     engine.fault(&json!({"hold_orders": true}));
     let held = engine.post_in_background("/orders/load", &load("a", 3));
@@ -91,7 +86,7 @@
 }
 
 #[test]
-fn held_orders_act_in_the_sequence_of_their_arrival() {
+fn arrival_order() {
     let mut gate = OrderGate::default();
     gate.set_closed(true);
     let [first, second] = [gate.enqueue(), gate.enqueue()];
@@ -103,7 +98,7 @@
 }
 
 #[test]
-fn a_held_order_of_a_row_meets_the_fence_of_the_one_before() {
+fn queued_order_refused() {
     let engine = engine(true);
     engine.fault(&json!({"hold_orders": true}));
     let load = engine.post_in_background("/orders/load", &load("a", 2));
@@ -115,6 +110,6 @@
     assert_eq!(
         unload.join().unwrap().unwrap().status,
         409,
-        "the load had raised the fence"
+        "the load has raised the token"
     );
 }
