--- a/crates/standins/tests/store_groups.rs
+++ b/crates/standins/tests/store_groups.rs
@@ -1,4 +1,4 @@
-//! Groups of the platform's store.
+//! Consumer groups of the platform's store.
 
 mod support;
 
@@ -42,16 +42,16 @@
 }
 
 #[test]
-fn first_member_has_all() {
+fn first_member() {
     let store = support::start(PlatformStore::default());
     let (generation, parts) = join(&store, "a", 0, TTL_MS);
     assert_eq!((generation, parts), (1, vec![0, 1, 2, 3]));
     assert_eq!(owners(&store).len(), 4);
 }
 
-/// A partition goes to another member only once the one that holds it has seen that it is to go.
+/// A partition gets another owner only once its present owner has seen the new generation.
 #[test]
-fn partition_is_handed_over() {
+fn partition_reassigned() {
     let store = support::start(PlatformStore::default());
     join(&store, "a", 0, TTL_MS);
     let (generation, parts) = join(&store, "b", 0, TTL_MS);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn offset_is_kept() {
+fn committed_offset() {
     let store = support::start(PlatformStore::default());
     join(&store, "a", 0, TTL_MS);
     assert_eq!(commit(&store, "a", 1, 2), 200);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn member_that_leaves_gives_all() {
+fn leaving_member() {
     let store = support::start(PlatformStore::default());
     join(&store, "a", 0, TTL_MS);
     join(&store, "b", 0, TTL_MS);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn silent_member_lapses() {
+fn expired_member() {
     let store = support::start(PlatformStore::default());
     join(&store, "a", 0, 0);
     assert_eq!(join(&store, "b", 0, TTL_MS).1, vec![0, 1, 2, 3]);
