--- a/crates/standins/tests/store_rollback.rs
+++ b/crates/standins/tests/store_rollback.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy.
+//! Rollbacks of the platform's store to older contents.
 
 mod support;
 
@@ -15,7 +15,9 @@
 fn get(store: SocketAddr, target: &str) -> Answer {
     let mut caller = Caller::connect(store, TIMEOUT).expect("the store listens");
     let call = format!("GET {target} HTTP/1.1\r\nHost: store\r\n\r\n");
-    caller.send(call.as_bytes()).expect("the connection stands");
+    caller
+        .send(call.as_bytes())
+        .expect("the connection is open");
     caller.answer().expect("an answer")
 }
 
@@ -28,7 +30,7 @@
 }
 
 #[test]
-fn offsets_are_given_again() {
+fn offsets_reused() {
     let store = PlatformStore::default();
     let running = support::start(store.endpoint());
     store.put("keyed.op", "a", b"kept");
@@ -39,7 +41,7 @@
     store.roll_back(copy);
     assert_eq!(store.newest("keyed.op", "a"), Some(b"kept".to_vec()));
     assert_eq!(store.newest("keyed.op", "b"), None);
-    // A place behind the end is gone; the end itself is there, and is given out again.
+    // An offset after the end is gone. The end itself is valid, and the next append gets it.
     assert_eq!(read(running.address(), 2).status(), 410);
     assert_eq!(read(running.address(), 1).status(), 200);
     store.put("keyed.op", "c", b"new");
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn every_answer_tells_the_era() {
+fn era_in_answers() {
     let store = PlatformStore::default();
     let endpoint = store.endpoint();
     let running = support::start(endpoint.clone());
