--- a/crates/standins/tests/support/mod.rs
+++ b/crates/standins/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starts stand-ins within the test's process and talks to them.
+//! Stand-ins that run in the test's process, and calls to them.
 
 // Each test file uses only a part of this module.
 #![allow(dead_code)]
@@ -28,22 +28,22 @@
 use apricotdale_standins::http::Handler;
 use apricotdale_standins::http::Server;
 
-/// A test that waits this long has failed. It only keeps a failed test from hanging.
+/// Time after which a wait fails its test instead of hanging.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// `Standin` is a running stand-in.
+/// Stand-in that runs until it is dropped with its test.
 pub struct Standin {
     server: Server,
 }
 
-/// `Answer` is a whole answer.
+/// Complete answer.
 #[derive(Debug, PartialEq)]
 pub struct Answer {
     pub status: u16,
     pub body: Value,
 }
 
-/// `Events` reads the events of a stream. Dropping it closes the connection.
+/// Reader of the events of a stream. Dropping it closes the connection.
 pub struct Events {
     lines: BufReader<ureq::BodyReader<'static>>,
     /// Whether the connection broke before the end of the body.
@@ -82,36 +82,36 @@
     while !holds() {
         assert!(
             begun.elapsed() < TEST_TIMEOUT,
-            "the condition never came to hold"
+            "timed out before the condition held"
         );
         thread::yield_now();
     }
 }
 
 impl Standin {
-    /// Returns where the stand-in listens.
+    /// Returns the address that the stand-in listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sends a GET.
+    /// Sends a GET request and returns its answer.
     pub fn get(&self, path: &str) -> Answer {
         let answer = agent().get(self.url(path)).call();
         read_answer(answer).expect("an answer")
     }
 
-    /// Sends a POST whose answer must come.
+    /// Sends a POST request and returns its answer.
     pub fn post(&self, path: &str, body: &Value) -> Answer {
         self.try_post(path, body).expect("an answer")
     }
 
-    /// Sends a POST and returns its answer, or none if it was lost.
+    /// Sends a POST request and returns its answer, or none if it was lost.
     pub fn try_post(&self, path: &str, body: &Value) -> Option<Answer> {
         self.try_post_with(path, body, &[])
     }
 
-    /// Sends a POST on a connection and leaves its answer unread. Dropping the connection closes
-    /// it.
+    /// Sends a POST request without reading its answer. Dropping the connection that is returned
+    /// closes it.
     pub fn send_only(&self, path: &str, id: &str, body: &Value) -> TcpStream {
         let body = body.to_string();
         let length = body.len();
@@ -123,7 +123,7 @@
         connection
     }
 
-    /// Sends a POST with headers.
+    /// Sends a POST request with headers and returns its answer, or none if it was lost.
     pub fn try_post_with(
         &self,
         path: &str,
@@ -133,19 +133,19 @@
         read_answer(self.send(path, body, headers))
     }
 
-    /// Sends a POST from a thread of its own.
+    /// Sends a POST request from another thread.
     pub fn post_in_background(&self, path: &str, body: &Value) -> JoinHandle<Option<Answer>> {
         let url = self.url(path);
         let body = body.clone();
         thread::spawn(move || read_answer(agent().post(url).send_json(body)))
     }
 
-    /// Arms a fault.
+    /// Sets a fault of the stand-in.
     pub fn fault(&self, fault: &Value) {
         assert_eq!(self.post("/standin/fault", fault).status, 200);
     }
 
-    /// Returns the effects.
+    /// Returns the stand-in's record of what took effect.
     pub fn effects(&self) -> Value {
         self.get("/standin/effects").body
     }
@@ -155,7 +155,7 @@
         self.effects()["requests"][id]["state"].clone()
     }
 
-    /// Begins a stream of an engine and returns its events.
+    /// Starts a streaming request to an engine and returns its events.
     pub fn stream(&self, id: &str, model: &str, tokens: u32) -> Events {
         let body = completion(model, tokens, true);
         let answer = self.send("/v1/completions", &body, &[("X-Request-Id", id)]);
@@ -164,7 +164,7 @@
         Events::new(answer)
     }
 
-    /// Begins a stream from a thread of its own and returns its events as they come.
+    /// Starts a streaming request from another thread and returns its events as they arrive.
     pub fn stream_in_background(
         &self,
         id: &str,
@@ -180,7 +180,7 @@
             let request = request.header("X-Priority", priority.to_string());
             let events = request.send_json(body).map(Events::new);
             for data in events.into_iter().flatten() {
-                // A test that is over does not listen any more.
+                // The receiver is gone once the test has ended.
                 let _ = sender.send(data);
             }
         });
@@ -205,7 +205,7 @@
     }
 }
 
-/// Returns the body of a request for a completion.
+/// Returns the body of a completion request.
 pub fn completion(model: &str, tokens: u32, stream: bool) -> Value {
     json!({"model": model, "prompt": "a b c", "max_tokens": tokens, "stream": stream})
 }
@@ -223,14 +223,14 @@
 impl Iterator for Events {
     type Item = String;
 
-    /// Returns the data of the next event, or none at the end of the stream, broken or not.
+    /// Returns the data of the next event, or none at the end of the stream or of its connection.
     fn next(&mut self) -> Option<String> {
         let mut line = String::new();
         loop {
             line.clear();
             let read = self.lines.read_line(&mut line);
             let late = read.as_ref().is_err_and(is_timeout);
-            assert!(!late, "neither an event nor an end of the stream came");
+            assert!(!late, "timed out before an event or the end of the stream");
             self.broken = read.is_err();
             if read.unwrap_or(0) == 0 {
                 return None;
@@ -242,7 +242,7 @@
     }
 }
 
-/// Returns whether reading a body ended because the test has waited long enough.
+/// Returns whether reading a body ended with the test's timeout.
 fn is_timeout(error: &io::Error) -> bool {
     let cause = error.get_ref().and_then(|cause| cause.downcast_ref());
     matches!(cause, Some(ureq::Error::Timeout(_)))
@@ -256,10 +256,10 @@
     config.build().into()
 }
 
-/// Reads a whole answer, or returns none if the connection closed before that.
+/// Reads a complete answer, or returns none if the connection closed before that.
 fn read_answer(answer: Result<Response<Body>, ureq::Error>) -> Option<Answer> {
     if let Err(ureq::Error::Timeout(_)) = answer {
-        panic!("neither an answer nor an end of the connection came");
+        panic!("timed out before an answer or the end of the connection");
     }
     let mut answer = answer.ok()?;
     Some(Answer {
