--- a/crates/standins/tests/vm_list.rs
+++ b/crates/standins/tests/vm_list.rs
@@ -1,4 +1,4 @@
-//! The list of VMs.
+//! List of VMs that is published with a lag.
 
 mod support;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn entries_are_replaced_and_change_their_state() {
+fn changed_entries() {
     let list = support::start(VmListStandin::new(Options::default()));
     assert_eq!(list.get("/vms").body["entries"], json!([]));
     list.post(
@@ -34,13 +34,12 @@
     assert_eq!(list.post("/standin/state", &unknown).status, 404);
 }
 
-/// Symptom: new work goes to a VM that is already gone.
-/// Sequence: a VM is listed as live, it goes, the list is read.
-/// Cause: the list lags, so it still shows what was.
+/// The list is published with a lag, so that a reader does not see a change at once and may send
+/// work to a VM that has already left.
 #[rstest]
 #[case::at_once(0, 1)]
 #[case::late(HOUR_MS, 0)]
-fn changes_show_after_the_lag(#[case] lag_ms: u64, #[case] shown: usize) {
+fn published_after_lag(#[case] lag_ms: u64, #[case] shown: usize) {
     let list = support::start(VmListStandin::new(Options { lag_ms }));
     list.post("/standin/vms", &json!([entry("a", "live")]));
     let listing = list.get("/vms").body;
@@ -48,7 +47,7 @@
 }
 
 #[test]
-fn a_list_that_is_down_answers_503() {
+fn list_outage() {
     let list = support::start(VmListStandin::new(Options::default()));
     list.fault(&json!({"mode": "down"}));
     assert_eq!(list.get("/vms").status, 503);
@@ -56,11 +55,10 @@
     assert_eq!(list.get("/vms").status, 200);
 }
 
-/// Symptom: every VM reads the whole list every second, though it hardly ever changes.
-/// Sequence: the list is read, read again unchanged, and read once more after a change.
-/// Cause: the list can't be asked whether it has changed.
+/// Guards against sending the complete list to every VM each second although it rarely changes: a
+/// reader that names the version it has gets status 304 until the list changes.
 #[test]
-fn unchanged_lists_are_not_sent_again() {
+fn unchanged_list() {
     let list = support::start(VmListStandin::new(Options::default()));
     list.post("/standin/vms", &json!([entry("a", "live")]));
     let read = |tag: &str| {
