--- a/crates/standins/tests/weight_store.rs
+++ b/crates/standins/tests/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store.
+//! Weight store: sizes, loads, and its limit on loads.
 
 mod support;
 
@@ -26,7 +26,7 @@
 #[case::held("/models/org%2Fm", 200)]
 #[case::held_unencoded("/models/org/m", 200)]
 #[case::unknown("/models/x", 404)]
-fn sizes_are_told_of_models_held(#[case] path: &str, #[case] status: u16) {
+fn model_sizes(#[case] path: &str, #[case] status: u16) {
     let answer = store(10, 1_000).get(path);
     assert_eq!(answer.status, status);
     assert!(status != 200 || answer.body == json!({"bytes": 1_000}));
@@ -36,7 +36,7 @@
 #[case::held(10, "org/m", 200, 1, 0)]
 #[case::unknown(10, "x", 404, 0, 0)]
 #[case::above_the_rate(0, "org/m", 429, 0, 1)]
-fn loads_are_fetched_or_refused(
+fn loads_and_refusals(
     #[case] loads_per_s: u32,
     #[case] model: &str,
     #[case] status: u16,
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_store_without_a_list_takes_the_size_from_the_load() {
+fn size_from_load() {
     let store = support::start(WeightsStandin::new(Options::default()).unwrap());
     assert_eq!(store.get("/models/m").status, 404);
     assert_eq!(
@@ -70,11 +70,9 @@
     assert_eq!(store.get("/models/m").body, json!({"bytes": 7}));
 }
 
-/// Symptom: loads that were under way fail all at once.
-/// Sequence: two loads are in progress, the store goes down.
-/// Cause: the outage breaks off the loads in progress and refuses new ones.
+/// The store goes down while two loads are in progress. The outage ends them and refuses new ones.
 #[test]
-fn an_outage_ends_the_loads_in_progress() {
+fn outage_ends_loads() {
     let store = store(10, 1);
     let body = json!({"model": "org/m"});
     let loads = [
