--- a/crates/standins/tests/support/mod.rs
+++ b/crates/standins/tests/support/mod.rs
@@ -31,7 +31,7 @@
 /// Time after which a wait fails its test instead of hanging.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Stand-in that runs until it is dropped with its test.
+/// Stand-in that runs in the test's process.
 pub struct Standin {
     server: Server,
 }
