--- a/crates/standins/src/platform/engine.rs
+++ b/crates/standins/src/platform/engine.rs
@@ -39,7 +39,7 @@
     pub marker: Vec<u8>,
     /// Number of events that are sent before the crash.
     pub after_events: u64,
-    /// Time from the start of the request to its first event, or to the crash if none is sent.
+    /// Milliseconds from the start of the request to its first event, or to the crash without one.
     pub after_ms: u64,
 }
 
@@ -60,15 +60,15 @@
     pub model_slots: usize,
     /// Number of adapters that fit at once.
     pub adapter_slots: usize,
-    /// Duration of a load from the weight store.
+    /// Duration of a load from the weight store, in milliseconds.
     pub store_load_ms: u64,
-    /// Duration of a load from the disk.
+    /// Duration of a load from the disk, in milliseconds.
     pub disk_load_ms: u64,
-    /// Duration of an unload.
+    /// Duration of an unload, in milliseconds.
     pub unload_ms: u64,
     /// Number of events of a complete stream.
     pub events: u64,
-    /// Time between two events.
+    /// Time between two events, in milliseconds.
     pub gap_ms: u64,
     /// Number of bytes that are added to each event.
     pub filler_bytes: usize,
