--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -26,15 +26,16 @@
     pub engines: Vec<EngineOptions>,
     /// Number of instances of the plain service.
     pub instances: usize,
-    /// Time that the plain service works on a request.
+    /// Time that the plain service works on a request, in milliseconds.
     pub work_ms: u64,
     /// Names of the models that the engines may load.
     pub models: Vec<String>,
     /// Number of endpoints of the store, at least one; each has its own address and fault.
     pub store_endpoints: usize,
-    /// Marker in the bodies of requests that make an instance of the plain service crash.
+    /// Marker in the bodies of requests that make an instance of the plain service crash; absent if
+    /// none does.
     pub service_crash: Option<Vec<u8>>,
-    /// Timeout of every route.
+    /// Timeout of every route, in milliseconds.
     pub timeout_ms: u64,
     /// Organisations in the form of the configuration; absent if requests carry no API keys.
     pub tenants: Option<Value>,
