--- a/crates/standins/src/platform/vm.rs
+++ b/crates/standins/src/platform/vm.rs
@@ -43,12 +43,12 @@
     pub store: SocketAddr,
     /// Address on which callers connect; with port 0 the system chooses one.
     pub callers: SocketAddr,
-    /// Maximum duration of a planned stop.
+    /// Maximum duration of a planned stop, in milliseconds.
     pub stop_ms: u64,
-    /// Pause before the first order of a new lease holder, for engines that don't check fencing
-    /// tokens.
+    /// Pause in milliseconds before the first order of a new lease holder, for engines that don't
+    /// check fencing tokens.
     pub order_pause_ms: u64,
-    /// Rate at which the store sends reads, as the VM's settings state it.
+    /// Rate in megabytes a second at which the store sends reads, as the VM's settings state it.
     pub read_mb_per_s: f64,
     /// Further lines of the settings file.
     pub more_settings: String,
