--- a/crates/standins/src/engine/serving.rs
+++ b/crates/standins/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the engine stand-in.
+//! Completion requests to the engine stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 use crate::clock::after_ms;
-use crate::engine::batch::Entry;
+use crate::engine::batch::Admission;
 use crate::engine::batch::SequenceId;
 use crate::engine::completion::Answer;
 use crate::engine::completion::CompletionBody;
@@ -18,8 +18,8 @@
 use crate::engine::completion::prefix_hash;
 use crate::engine::effects::RequestState;
 use crate::engine::sequence::Signal;
+use crate::engine::server::ActiveSequence;
 use crate::engine::server::EngineStandin;
-use crate::engine::server::Listed;
 use crate::http::Caller;
 use crate::http::EventWriter;
 use crate::http::Reply;
@@ -29,8 +29,8 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// `Sequence` is one request that was accepted. Dropping it frees its slot, and a sequence that
-/// was dropped without an end counts as cancelled.
+/// Request that was accepted. Dropping it frees its slot, and a sequence that is dropped before its
+/// end counts as cancelled.
 struct Sequence {
     engine: Arc<EngineStandin>,
     id: SequenceId,
@@ -41,7 +41,7 @@
     cut_after: Option<u64>,
 }
 
-/// `Pace` says when the tokens of a sequence are due.
+/// Schedule of a sequence's tokens.
 struct Pace {
     due: Instant,
 }
@@ -58,7 +58,7 @@
         };
         let mut pace = match sequence.start(&request.caller) {
             Ok(pace) => pace,
-            Err(state) => return sequence.lose(state),
+            Err(state) => return sequence.end_unanswered(state),
         };
         let answer = sequence.answer(format);
         let id = answer.id.clone();
@@ -68,17 +68,17 @@
                 produce: Box::new(move |writer| sequence.stream(writer, &answer, pace)),
             })
         } else {
-            sequence.whole(&request.caller, &answer, &mut pace)
+            sequence.unstreamed_answer(&request.caller, &answer, &mut pace)
         };
         reply.with_header("X-Request-Id", id.as_str())
     }
 
-    /// Ends the sequences of a request.
+    /// Cancels the sequences of a request.
     pub(crate) fn cancel(&self, request: &RequestId) -> Reply {
         let state = self.state.lock();
         let sequences = state.sequences.values();
-        for listed in sequences.filter(|listed| listed.request == *request) {
-            listed.signal.end(RequestState::Cancelled);
+        for active in sequences.filter(|active| active.request == *request) {
+            active.signal.end(RequestState::Cancelled);
         }
         Reply::ok()
     }
@@ -95,9 +95,9 @@
             return Err(refused(404, "model_not_loaded"));
         }
         let (id, running) = match state.batch.enter(priority) {
-            Entry::Running(id) => (id, true),
-            Entry::Waiting(id) => (id, false),
-            Entry::Full => {
+            Admission::Running(id) => (id, true),
+            Admission::Waiting(id) => (id, false),
+            Admission::Full => {
                 state.models.end_request(&body.model);
                 return Err(refused(503, "queue_full"));
             }
@@ -107,17 +107,17 @@
             None => RequestId::new(format!("{}-{id}", self.options.name)),
         };
         let signal = Arc::new(Signal::new(running));
-        let listed = Listed {
+        let active = ActiveSequence {
             request: request.clone(),
             signal: signal.clone(),
         };
-        state.sequences.insert(id, listed);
-        state.effects.accepted(&request, &body.model);
+        state.sequences.insert(id, active);
+        state.effects.record_accepted(&request, &body.model);
         let mut cut_after = None;
         if body.stream {
             cut_after = state.faults.cut_stream_after.take();
         }
-        self.note_load(&mut state);
+        self.record_load(&mut state);
         Ok(Sequence {
             engine: self.clone(),
             id,
@@ -129,22 +129,22 @@
         })
     }
 
-    /// Gives a sequence's slot to the next one.
+    /// Frees a sequence's slot and gives it to the next one that waits.
     fn release(&self, sequence: &Sequence) {
         let mut state = self.state.lock();
         state
             .effects
-            .ended(&sequence.request, RequestState::Cancelled);
+            .record_end(&sequence.request, RequestState::Cancelled);
         if state.models.boot() != sequence.boot {
             return;
         }
         state.sequences.remove(&sequence.id);
         state.models.end_request(&sequence.body.model);
         let next = state.batch.leave(sequence.id);
-        if let Some(listed) = next.and_then(|next| state.sequences.get(&next)) {
-            listed.signal.run();
+        if let Some(active) = next.and_then(|next| state.sequences.get(&next)) {
+            active.signal.grant_slot();
         }
-        self.note_load(&mut state);
+        self.record_load(&mut state);
         self.orders_changed.notify_all();
     }
 }
@@ -172,7 +172,7 @@
         Ok(pace)
     }
 
-    /// Returns the writer of the answer, with the identity that the answer carries.
+    /// Returns the writer of the answer. With an armed fault it carries another request's identity.
     fn answer(&self, format: Format) -> Answer {
         let mut state = self.engine.state.lock();
         let crossed = std::mem::take(&mut state.faults.crossed);
@@ -190,15 +190,18 @@
         }
     }
 
-    fn whole(&self, caller: &Caller, answer: &Answer, pace: &mut Pace) -> Reply {
+    fn unstreamed_answer(&self, caller: &Caller, answer: &Answer, pace: &mut Pace) -> Reply {
         let tokens = self.body.max_tokens();
         for _ in 0..tokens {
             if let Err(state) = self.wait_for_token(caller, pace) {
-                return self.lose(state);
+                return self.end_unanswered(state);
             }
         }
         self.end(RequestState::Whole);
-        Reply::json(200, &answer.whole(tokens, self.body.usage(tokens)))
+        Reply::json(
+            200,
+            &answer.unstreamed_answer(tokens, self.body.usage(tokens)),
+        )
     }
 
     fn stream(self, writer: &mut EventWriter, answer: &Answer, mut pace: Pace) -> StreamEnd {
@@ -238,7 +241,7 @@
         if self.body.includes_usage() {
             send(writer, &answer.usage_event(self.body.usage(tokens)))?;
         }
-        // The end is noted before it is sent, so that a reader of the whole answer finds it noted.
+        // Recorded before it is sent, so that a reader of the complete answer finds it recorded.
         self.end(RequestState::Whole);
         send(writer, "[DONE]")
     }
@@ -254,14 +257,18 @@
         Ok(())
     }
 
-    /// Ends a request whose answer has not begun by closing its connection.
-    fn lose(&self, state: RequestState) -> Reply {
+    /// Ends a request whose answer has not begun, by closing its connection.
+    fn end_unanswered(&self, state: RequestState) -> Reply {
         self.end(state);
         Reply::Lost
     }
 
     fn end(&self, state: RequestState) {
-        self.engine.state.lock().effects.ended(&self.request, state);
+        self.engine
+            .state
+            .lock()
+            .effects
+            .record_end(&self.request, state);
     }
 }
 
--- a/crates/standins/src/platform/serving.rs
+++ b/crates/standins/src/platform/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to requests, good and bad.
+//! Answers of the platform's upstreams to requests, with and without faults.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -24,103 +24,103 @@
 pub(crate) const SIGNATURE: &str = "Apricotdale-Response-Signature";
 pub(crate) const NOT_RUN: &str = "Apricotdale-Not-Executed";
 const INSTANCE: &str = "Apricotdale-Instance-Id";
-const MEANT: &str = "Apricotdale-Expect-Instance";
+const EXPECTED_INSTANCE: &str = "Apricotdale-Expect-Instance";
 const LOAD: &str = "Apricotdale-Server-Load";
 pub(crate) const VERSION: &str = "Apricotdale-Weight-Versions";
 
-/// The time between two looks of a stream at a dark upstream whether its client has left.
-const DARK_LOOK_MS: u64 = 5;
+/// Interval at which a stream of an unresponsive upstream checks whether its client is connected.
+const CLIENT_POLL_INTERVAL_MS: u64 = 5;
 
-/// The bytes of a large body: more than an entry VM holds back.
+/// Size of a large body, which is more than an entry VM buffers.
 pub const LARGE_BYTES: usize = 1_500_000;
 
-/// The fewest events of a rest that is spoiled. In a shorter one, some faults would leave events that
-/// follow the ones before, and no reader could tell.
-const SPOILED_EVENTS: u64 = 3;
+/// Minimum number of events of a remainder that gets a fault. In a shorter one, some faults would
+/// leave only events that continue the ones before, and no reader could detect the fault.
+const MIN_FAULTY_EVENTS: u64 = 3;
 
-/// Interim answers of [`AnswerFault::ManyInterim`].
+/// Number of interim answers of [`AnswerFault::ManyInterim`].
 const INTERIM_ANSWERS: usize = 100_000;
 
-/// What sends the events of a stream.
+/// Function that sends the events of a stream.
 type Produce = Box<dyn FnOnce(&mut EventWriter) -> StreamEnd + Send>;
 
-/// `AnswerFault` is how an answer is spoiled.
+/// Fault of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AnswerFault {
-    /// The request is turned away, not run.
+    /// The request is rejected before it runs.
     TurnedAway,
     /// The request runs and fails.
     Failed,
-    /// The request runs, its answer is lost.
+    /// The request runs, and its answer is lost.
     LostAnswer,
-    /// The request runs, nothing is ever answered.
+    /// The request runs, and no answer is ever sent.
     Mute,
-    /// The stream breaks after some events, in the middle of the next.
+    /// The stream breaks after some events, in the middle of the next one.
     CutAfter {
-        /// Whole events before the break.
+        /// Number of complete events before the break.
         events: u64,
     },
-    /// The stream is spoiled by what it holds.
+    /// The stream has a fault in its contents.
     Stream(StreamFault),
-    /// A request for all events is cut after some, one for three or more of the rest gets a spoiled
-    /// stream.
+    /// A request for all events is cut after some. A request for a remainder of three or more
+    /// events gets a stream with a fault.
     CutThen {
-        /// Whole events before the break.
+        /// Number of complete events before the break.
         events: u64,
-        /// The stream of the rest.
+        /// Fault of the remainder's stream.
         then: StreamFault,
     },
-    /// The body has [`LARGE_BYTES`].
+    /// The body has [`LARGE_BYTES`] bytes.
     Large,
-    /// The body is cut after [`LARGE_BYTES`].
+    /// The body is cut after [`LARGE_BYTES`] bytes.
     LargeCut,
-    /// Nothing follows [`LARGE_BYTES`] of the body, and the connection stays open.
+    /// Nothing follows [`LARGE_BYTES`] bytes of the body, and the connection stays open.
     LargeStalled,
     /// The body never ends.
     Endless,
     /// The answer lacks its signature.
     Unsigned,
-    /// The stream lacks its signature, and goes on.
+    /// The stream lacks its signature but is otherwise sent as usual.
     UnsignedStream,
-    /// The request is turned away, not run, and the body of the answer never comes.
+    /// The request is rejected before it runs, and the body of the answer is never sent.
     TurnedAwayStalled,
-    /// Interim answers without number come first.
+    /// A large number of interim answers precede the answer.
     ManyInterim,
-    /// Another request's answer comes first.
+    /// Another request's answer precedes the answer.
     CrossedFirst,
-    /// Another answer follows the whole one.
+    /// Another answer follows the complete one.
     ExtraAfter,
     /// The answer has no length and ends with its connection.
     Unframed,
-    /// The answer has no length, and its connection is reset before its end.
+    /// The answer names a length, and its connection is closed before that.
     UnframedCut,
-    /// The bytes are no answer.
+    /// The bytes are not a valid HTTP answer.
     Garbage,
-    /// The body is encoded.
+    /// The body has a content encoding.
     Encoded,
 }
 
-/// `RunSeen` is a request as the upstream got it.
+/// Request that ran, as the upstream received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunSeen {
-    /// The request's identity.
+pub struct RecordedRun {
+    /// Identity of the request.
     pub id: String,
-    /// The method.
+    /// HTTP method.
     pub method: String,
-    /// The path with the query.
+    /// Path with the query.
     pub target: String,
-    /// The headers.
+    /// Headers in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// When it came.
+    /// Time at which the request arrived.
     pub at: Instant,
-    /// How its answer was spoiled.
+    /// Fault of its answer; absent without one.
     pub fault: Option<AnswerFault>,
 }
 
-impl RunSeen {
-    /// Returns the value of a header.
+impl RecordedRun {
+    /// Returns the value of a header, or none without one.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -129,19 +129,19 @@
     }
 }
 
-/// `Answers` gives the answers of one upstream and remembers what ran.
+/// Answers of one upstream, and the record of the requests that ran.
 #[derive(Debug)]
 pub(crate) struct Answers {
     instance: String,
     faults: Mutex<VecDeque<AnswerFault>>,
     /// Requests that ran, in order.
-    pub runs: Mutex<Vec<RunSeen>>,
-    /// Requests whose client left while they ran.
+    pub runs: Mutex<Vec<RecordedRun>>,
+    /// Requests whose client disconnected while they ran.
     pub left: Arc<Mutex<Vec<String>>>,
-    /// Requests whose streams were sent to their ends.
+    /// Requests whose streams were sent completely.
     pub streamed: Arc<Mutex<Vec<String>>>,
     /// Whether nothing is sent, as if the upstream had lost its power.
-    pub dark: Arc<AtomicBool>,
+    pub unresponsive: Arc<AtomicBool>,
 }
 
 impl Answers {
@@ -152,7 +152,7 @@
             runs: Mutex::default(),
             left: Arc::default(),
             streamed: Arc::default(),
-            dark: Arc::default(),
+            unresponsive: Arc::default(),
         }
     }
 
@@ -164,13 +164,13 @@
         self.faults.lock().clear();
     }
 
-    /// Returns the answer that refuses a request which is not for this upstream.
+    /// Returns the answer that refuses a request meant for another upstream, or none.
     pub fn misdirected(&self, request: &Request) -> Option<Reply> {
-        let meant = request.header(MEANT)?;
-        (meant != self.instance).then(|| self.not_run(request, 421))
+        let expected = request.header(EXPECTED_INSTANCE)?;
+        (expected != self.instance).then(|| self.not_run(request, 421))
     }
 
-    /// Returns an answer that says the request was not run.
+    /// Returns an answer which says that the request was not run.
     pub fn not_run(&self, request: &Request, status: u16) -> Reply {
         Reply::json(status, &json!({}))
             .with_header(ID, id_of(request))
@@ -178,12 +178,12 @@
             .with_header(INSTANCE, &self.instance)
     }
 
-    /// Returns the next fault, and notes the run unless the fault is that there is none.
+    /// Takes the next fault, and records the request as run unless the fault rejects it.
     pub fn begin(&self, request: &Request) -> Option<AnswerFault> {
         let fault = self.faults.lock().pop_front();
-        let turned_away = [AnswerFault::TurnedAway, AnswerFault::TurnedAwayStalled];
-        if fault.is_none_or(|fault| !turned_away.contains(&fault)) {
-            self.runs.lock().push(RunSeen {
+        let rejections = [AnswerFault::TurnedAway, AnswerFault::TurnedAwayStalled];
+        if fault.is_none_or(|fault| !rejections.contains(&fault)) {
+            self.runs.lock().push(RecordedRun {
                 id: id_of(request).to_owned(),
                 method: request.method.clone(),
                 target: request.target(),
@@ -196,8 +196,13 @@
         fault
     }
 
-    /// Returns the answer to a plain request.
-    pub fn whole(&self, request: &Request, fault: Option<AnswerFault>, body: &str) -> Reply {
+    /// Returns the answer to a request that is not streamed.
+    pub fn unstreamed_answer(
+        &self,
+        request: &Request,
+        fault: Option<AnswerFault>,
+        body: &str,
+    ) -> Reply {
         let id = id_of(request);
         let head = |status: u16, fields: &str| {
             format!(
@@ -216,10 +221,10 @@
         let other = format!(
             "HTTP/1.1 200 OK\r\n{ID}: other-{id}\r\n{SIGNATURE}: s\r\nContent-Length: 5\r\n\r\nother"
         );
-        let raw = |text: String, keeps| {
+        let raw = |text: String, keep_alive| {
             Reply::Raw(Raw {
                 bytes: text.into_bytes(),
-                keeps,
+                keep_alive,
             })
         };
         match fault {
@@ -259,7 +264,7 @@
             Some(AnswerFault::Failed) => raw(framed(500, ""), true),
             Some(AnswerFault::LostAnswer) => Reply::Lost,
             Some(AnswerFault::Mute) => {
-                request.caller.wait_gone();
+                request.caller.wait_until_disconnected();
                 self.left.lock().push(id.to_owned());
                 Reply::Lost
             }
@@ -286,8 +291,8 @@
         }
     }
 
-    /// Returns the answer to a streaming request: events from one after the last that the client
-    /// has, up to a count.
+    /// Returns the answer to a streaming request: the events after the last one that the client
+    /// has, up to the event with number `count`.
     pub fn events(
         &self,
         request: &Request,
@@ -297,12 +302,12 @@
         gap_ms: u64,
     ) -> Reply {
         let first = first_event(request);
-        let goes_on = first > 1;
+        let continues = first > 1;
         let cut_after = match fault {
             None | Some(AnswerFault::UnsignedStream) => None,
             Some(AnswerFault::CutAfter { events }) => Some(events),
-            Some(AnswerFault::CutThen { events, .. }) if !goes_on => Some(events),
-            Some(AnswerFault::CutThen { .. }) if first + SPOILED_EVENTS > count + 1 => None,
+            Some(AnswerFault::CutThen { events, .. }) if !continues => Some(events),
+            Some(AnswerFault::CutThen { .. }) if first + MIN_FAULTY_EVENTS > count + 1 => None,
             Some(AnswerFault::Stream(_)) if first > count => None,
             Some(AnswerFault::Stream(fault) | AnswerFault::CutThen { then: fault, .. }) => {
                 let id = id_of(request);
@@ -310,10 +315,10 @@
             }
             Some(fault) => {
                 let body: String = (first..=count).map(event_text).collect();
-                return self.whole(request, Some(fault), &body);
+                return self.unstreamed_answer(request, Some(fault), &body);
             }
         };
-        let dark = self.dark.clone();
+        let unresponsive = self.unresponsive.clone();
         let (left, streamed) = (self.left.clone(), self.streamed.clone());
         let id = id_of(request).to_owned();
         let produce = move |writer: &mut EventWriter| {
@@ -322,15 +327,16 @@
                     let _ = writer.send_bytes(format!("id: {event}\nda").as_bytes());
                     return StreamEnd::Broken;
                 }
-                while dark.load(Ordering::Relaxed) {
-                    if writer.caller().is_gone() {
+                while unresponsive.load(Ordering::Relaxed) {
+                    if writer.caller().is_disconnected() {
                         left.lock().push(id);
                         return StreamEnd::Broken;
                     }
-                    thread::sleep(Duration::from_millis(DARK_LOOK_MS));
+                    thread::sleep(Duration::from_millis(CLIENT_POLL_INTERVAL_MS));
                 }
                 let text = filled_event_text(event, filler_bytes);
-                if writer.send_bytes(text.as_bytes()).is_err() || writer.caller().is_gone() {
+                if writer.send_bytes(text.as_bytes()).is_err() || writer.caller().is_disconnected()
+                {
                     left.lock().push(id);
                     return StreamEnd::Broken;
                 }
@@ -345,8 +351,8 @@
         }
     }
 
-    /// Returns the answer to a streaming request that stops after some events, and then does
-    /// something.
+    /// Returns the answer to a streaming request that sends `count` events, then calls a function
+    /// and breaks.
     pub fn events_until(
         &self,
         request: &Request,
@@ -393,19 +399,19 @@
     }
 }
 
-/// Returns whether a body holds a marker.
-pub(crate) fn holds(body: &[u8], marker: &[u8]) -> bool {
+/// Returns whether a body contains a marker.
+pub(crate) fn contains(body: &[u8], marker: &[u8]) -> bool {
     let mut windows = body.windows(marker.len().max(1));
     windows.any(|window| window == marker)
 }
 
-/// Returns the first event that the client does not have.
+/// Returns the number of the first event that the client does not have.
 fn first_event(request: &Request) -> u64 {
     let last = request.header("Last-Event-Id");
     last.and_then(|id| id.parse().ok()).unwrap_or(0) + 1
 }
 
-/// Returns an event as a sound engine sends it.
+/// Returns the text of an event without faults.
 pub(crate) fn event_text(event: u64) -> String {
     format!("id: {event}\ndata: piece {event}\n\n")
 }
--- a/crates/standins/src/platform/groups.rs
+++ b/crates/standins/src/platform/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of the store: members that share the partitions of topics among themselves.
+//! Consumer groups of the store, whose members share the partitions of topics.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,29 +6,29 @@
 
 use serde::Deserialize;
 
-/// Partitions of each topic that a group shares.
+/// Number of partitions of each topic that a group shares.
 const PARTITIONS: u64 = 4;
 
-/// `Join` is a call by which a member joins a group or stays in it.
+/// Call by which a member joins a group or stays in it.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Join {
     pub group: String,
     pub member: String,
     pub topics: Vec<String>,
     pub ttl_ms: u64,
-    /// The last generation that the member was told; 0 at first.
+    /// Last generation that the member was sent; 0 at first.
     #[serde(default)]
     pub generation: u64,
 }
 
-/// `Leave` is a call by which a member leaves a group.
+/// Call by which a member leaves a group.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Leave {
     pub group: String,
     pub member: String,
 }
 
-/// `Commit` is a call by which a member notes how far it has read a partition.
+/// Call by which a member records how far it has read a partition.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Commit {
     pub group: String,
@@ -39,9 +39,9 @@
     pub offset: u64,
 }
 
-/// `Owned` is a partition with its owner and how far it has been read.
+/// Partition with its owner and its committed offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Owned {
+pub(crate) struct OwnedPartition {
     pub topic: String,
     pub part: u64,
     pub member: String,
@@ -50,26 +50,26 @@
 
 #[derive(Debug, Default)]
 struct Partition {
-    /// Who holds it, and since which generation.
-    held: Option<(String, u64)>,
-    /// Who is to have it next.
+    /// Owner, and the generation since which it holds the partition.
+    owner: Option<(String, u64)>,
+    /// Member that is to own the partition next; empty for none.
     target: String,
     offset: u64,
 }
 
-/// `Group` is one group.
+/// Consumer group of the store.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
     generation: u64,
-    /// Until when each member counts as there.
+    /// Members with the times at which they expire.
     members: BTreeMap<String, Instant>,
     partitions: BTreeMap<(String, u64), Partition>,
 }
 
 impl Group {
-    /// Has a member join or stay, and returns the generation and the partitions that it holds.
-    pub fn join(&mut self, now: Instant, join: &Join) -> (u64, Vec<Owned>) {
-        self.drop_lapsed(now);
+    /// Adds or renews a member, and returns the generation and the partitions that it owns.
+    pub fn join(&mut self, now: Instant, join: &Join) -> (u64, Vec<OwnedPartition>) {
+        self.drop_expired(now);
         let until = now + Duration::from_millis(join.ttl_ms);
         let is_new = self.members.insert(join.member.clone(), until).is_none();
         for topic in &join.topics {
@@ -78,53 +78,53 @@
             }
         }
         if is_new {
-            self.share_out();
+            self.reassign();
         }
         if join.generation >= self.generation {
             self.release(&join.member);
         }
-        self.hand_over();
-        let own = self.owners().into_iter();
+        self.assign_unowned();
+        let owners = self.owners().into_iter();
         (
             self.generation,
-            own.filter(|owned| owned.member == join.member).collect(),
+            owners.filter(|owned| owned.member == join.member).collect(),
         )
     }
 
-    /// Has a member leave.
+    /// Removes a member and reassigns its partitions.
     pub fn leave(&mut self, member: &str) {
         if self.members.remove(member).is_some() {
-            self.free(member);
-            self.share_out();
+            self.release_all(member);
+            self.reassign();
         }
-        self.hand_over();
+        self.assign_unowned();
     }
 
-    /// Notes an offset. Returns whether the member holds the partition, and did so in the generation
-    /// that it names.
+    /// Records an offset. Returns whether the member owns the partition and did so in the
+    /// generation that it names.
     pub fn commit(&mut self, now: Instant, commit: &Commit) -> bool {
-        self.drop_lapsed(now);
-        let place = (commit.topic.clone(), commit.part);
-        let Some(partition) = self.partitions.get_mut(&place) else {
+        self.drop_expired(now);
+        let key = (commit.topic.clone(), commit.part);
+        let Some(partition) = self.partitions.get_mut(&key) else {
             return false;
         };
-        let holds = partition
-            .held
+        let is_owner = partition
+            .owner
             .as_ref()
             .is_some_and(|(member, since)| *member == commit.member && commit.generation >= *since);
-        if holds {
+        if is_owner {
             partition.offset = commit.offset;
         }
-        holds
+        is_owner
     }
 
-    /// Returns the partitions that are held.
-    pub fn owners(&self) -> Vec<Owned> {
+    /// Returns the partitions that have owners.
+    pub fn owners(&self) -> Vec<OwnedPartition> {
         self.partitions
             .iter()
             .filter_map(|((topic, part), partition)| {
-                let (member, _) = partition.held.as_ref()?;
-                Some(Owned {
+                let (member, _) = partition.owner.as_ref()?;
+                Some(OwnedPartition {
                     topic: topic.clone(),
                     part: *part,
                     member: member.clone(),
@@ -134,20 +134,20 @@
             .collect()
     }
 
-    fn drop_lapsed(&mut self, now: Instant) {
-        let lapsed: Vec<String> = self
+    fn drop_expired(&mut self, now: Instant) {
+        let expired: Vec<String> = self
             .members
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(member, _)| member.clone())
             .collect();
-        for member in lapsed {
+        for member in expired {
             self.leave(&member);
         }
     }
 
-    /// Decides anew who is to have which partition.
-    fn share_out(&mut self) {
+    /// Decides again which member is to own which partition.
+    fn reassign(&mut self) {
         self.generation += 1;
         let members: Vec<&String> = self.members.keys().collect();
         for (index, partition) in self.partitions.values_mut().enumerate() {
@@ -158,29 +158,30 @@
         }
     }
 
-    /// Takes from a member, which has seen the newest generation, what others are to have.
+    /// Releases the partitions of a member that others are to own. The member has seen the newest
+    /// generation.
     fn release(&mut self, member: &str) {
         for partition in self.partitions.values_mut() {
             let target = &partition.target;
             partition
-                .held
+                .owner
                 .take_if(|(holder, _)| holder == member && target != member);
         }
     }
 
-    /// Takes everything from a member that is gone.
-    fn free(&mut self, member: &str) {
+    /// Releases all partitions of a member that has left.
+    fn release_all(&mut self, member: &str) {
         for partition in self.partitions.values_mut() {
-            partition.held.take_if(|(holder, _)| holder == member);
+            partition.owner.take_if(|(holder, _)| holder == member);
         }
     }
 
-    /// Gives what nobody holds to those who are to have it.
-    fn hand_over(&mut self) {
+    /// Assigns the partitions without owners to their targets.
+    fn assign_unowned(&mut self) {
         let generation = self.generation;
         for partition in self.partitions.values_mut() {
-            if partition.held.is_none() && !partition.target.is_empty() {
-                partition.held = Some((partition.target.clone(), generation));
+            if partition.owner.is_none() && !partition.target.is_empty() {
+                partition.owner = Some((partition.target.clone(), generation));
             }
         }
     }
--- a/crates/standins/src/platform/orders.rs
+++ b/crates/standins/src/platform/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, and what it holds.
+//! Orders to an engine, and the models that it holds.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -11,51 +11,51 @@
 
 use crate::platform::engine::EngineOptions;
 
-/// `OrderFault` is how the next order goes.
+/// Fault of the next order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
-    /// It is carried out, its answer is lost.
+    /// The order is carried out, and its answer is lost.
     LostAnswer,
-    /// It is carried out after a time, with no answer.
+    /// The order is carried out after a delay, without an answer.
     Late {
-        /// The time.
+        /// Delay in milliseconds.
         after_ms: u64,
     },
 }
 
-/// `WireOrder` is an order as it comes.
+/// Order in the platform's wire format.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct WireOrder {
     pub operation: String,
     pub model: String,
     pub adapter: Option<String>,
-    /// The number of orders that must have been taken.
+    /// Number of orders that must have been accepted; absent if it does not matter.
     pub precondition: Option<u64>,
     pub holder: String,
     pub fencing_token: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct OrderInProgress {
     load: bool,
     model: String,
     until: Instant,
 }
 
-/// `Holdings` is what an engine holds and has been told.
+/// Models that an engine holds, and the orders that it received.
 #[derive(Debug)]
 pub(crate) struct Holdings {
     options: EngineOptions,
-    /// Models that can run, with their adapters.
+    /// Models that can serve, with their adapters.
     pub models: HashMap<String, HashSet<String>>,
     on_disk: HashSet<String>,
-    running: Option<Running>,
-    taken: u64,
+    in_progress: Option<OrderInProgress>,
+    accepted: u64,
     highest_fence: u64,
     pub refused: u64,
     pub overcommitted: u64,
     pub loads: u64,
-    /// Fence and holder of each order that was taken, in order.
+    /// Fencing token and lease holder of each order that was accepted, in order.
     pub holders: Vec<(u64, String)>,
 }
 
@@ -74,8 +74,8 @@
                 .cloned()
                 .collect(),
             options,
-            running: None,
-            taken: 0,
+            in_progress: None,
+            accepted: 0,
             highest_fence: 0,
             refused: 0,
             overcommitted: 0,
@@ -84,19 +84,19 @@
         }
     }
 
-    /// Forgets what a restart forgets: what was loaded, the orders, their count and the fences.
+    /// Drops what a restart loses: loaded models, orders, their count and the fencing token.
     pub fn restart(&mut self) {
         self.models.clear();
-        self.running = None;
-        self.taken = 0;
+        self.in_progress = None;
+        self.accepted = 0;
         self.highest_fence = 0;
     }
 
-    /// Finishes an order whose time is over. Returns whether something changed.
+    /// Completes the order in progress once its time has passed. Returns whether it did so.
     pub fn advance(&mut self) -> bool {
         let Some(done) = self
-            .running
-            .take_if(|running| running.until <= Instant::now())
+            .in_progress
+            .take_if(|in_progress| in_progress.until <= Instant::now())
         else {
             return false;
         };
@@ -110,15 +110,19 @@
         true
     }
 
-    /// Takes an order and returns the status of its answer.
-    pub fn take(&mut self, order: &WireOrder) -> u16 {
+    /// Accepts or refuses an order and returns the status of its answer.
+    pub fn handle_order(&mut self, order: &WireOrder) -> u16 {
         self.advance();
         if order.fencing_token < self.highest_fence {
             self.refused += 1;
             return 412;
         }
         self.highest_fence = order.fencing_token;
-        if self.running.is_some() || order.precondition.is_some_and(|count| count != self.taken) {
+        if self.in_progress.is_some()
+            || order
+                .precondition
+                .is_some_and(|count| count != self.accepted)
+        {
             self.refused += 1;
             return 409;
         }
@@ -130,7 +134,7 @@
             _ => 400,
         };
         if status == 202 || (status == 200 && order.operation == "unload") {
-            self.taken += 1;
+            self.accepted += 1;
             self.holders
                 .push((order.fencing_token, order.holder.clone()));
         }
@@ -141,7 +145,7 @@
         if self.models.contains_key(model) {
             return 200;
         }
-        if self.models.len() >= self.options.model_places {
+        if self.models.len() >= self.options.model_slots {
             self.overcommitted += 1;
         }
         let took_ms = match self.on_disk.contains(model) {
@@ -162,7 +166,7 @@
 
     fn run(&mut self, load: bool, model: &str, took_ms: u64) {
         let until = Instant::now() + Duration::from_millis(took_ms);
-        self.running = Some(Running {
+        self.in_progress = Some(OrderInProgress {
             load,
             model: model.to_owned(),
             until,
@@ -177,7 +181,7 @@
         if !adapters.insert(adapter.to_owned()) {
             return 200;
         }
-        if held >= self.options.adapter_places {
+        if held >= self.options.adapter_slots {
             self.overcommitted += 1;
         }
         202
@@ -190,7 +194,7 @@
         200
     }
 
-    /// Returns whether a request for a model, or for an adapter after a slash, can run.
+    /// Returns whether a model, or an adapter after a slash, can serve.
     pub fn serves(&self, wanted: &str) -> bool {
         match wanted.split_once('/') {
             Some((model, adapter)) => self
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Returns the report, or the part of a list entry that tells what is held.
+    /// Returns the report, which is also the part of an entry that says what the engine holds.
     pub fn describe(&self) -> Value {
         let models: Vec<Value> = self
             .models
@@ -211,8 +215,8 @@
         json!({
             "stage": "both",
             "models": models,
-            "busy": self.running.is_some(),
-            "sequence": self.taken,
+            "busy": self.in_progress.is_some(),
+            "sequence": self.accepted,
             "waiting": 0,
             "running": 0,
             "kv_used": 0,
--- a/crates/standins/src/platform/service.rs
+++ b/crates/standins/src/platform/service.rs
@@ -1,4 +1,4 @@
-//! One instance of a plain service.
+//! Plain service of the platform.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 use crate::http::Reply;
 use crate::http::Request;
 use crate::http::Stopper;
-use crate::platform::serving::AnswerFault;
-use crate::platform::serving::Answers;
-use crate::platform::serving::RunSeen;
-use crate::platform::serving::holds;
+use crate::platform::answers::AnswerFault;
+use crate::platform::answers::Answers;
+use crate::platform::answers::RecordedRun;
+use crate::platform::answers::contains;
 use crate::platform::store::PlatformStore;
 
-/// `PlatformService` is one run of a plain service's instance.
+/// One instance of a plain service.
 pub struct PlatformService {
     instance: String,
     service: String,
@@ -31,13 +31,13 @@
     revision: AtomicU64,
     address: Mutex<Option<SocketAddr>>,
     store: PlatformStore,
-    /// How the instance ends by itself under a request whose body holds these bytes.
+    /// Marker in the bodies of requests that make the instance crash, and the handle for it.
     crash: Mutex<Option<(Vec<u8>, Stopper)>>,
     has_crashed: AtomicBool,
 }
 
 impl PlatformService {
-    /// Returns an instance that works on each request for a time and writes its entry into a store.
+    /// Returns an instance that works `work_ms` on each request and writes its entry to a store.
     pub fn new(instance: &str, service: &str, work_ms: u64, store: PlatformStore) -> Self {
         Self {
             instance: instance.to_owned(),
@@ -57,25 +57,25 @@
         &self.instance
     }
 
-    /// Has the instance end under each request whose body holds a marker.
+    /// Makes the instance crash at each request whose body contains a marker.
     pub(crate) fn crash_on(&self, marker: &[u8], stopper: Stopper) {
         *self.crash.lock() = Some((marker.to_vec(), stopper));
     }
 
-    /// Returns whether the instance ended under a request.
+    /// Returns whether a request made the instance crash.
     pub fn has_crashed(&self) -> bool {
         self.has_crashed.load(Ordering::Relaxed)
     }
 
-    /// Writes the instance's entry again, unless it was never written or has been removed.
-    pub fn announce_again(&self) {
+    /// Writes the instance's entry again, unless it was never written or was removed.
+    pub fn rewrite_entry(&self) {
         let address = *self.address.lock();
         if let Some(address) = address {
             self.announce(address);
         }
     }
 
-    /// Writes the instance's entry.
+    /// Writes the instance's entry with its address.
     pub fn announce(&self, address: SocketAddr) {
         *self.address.lock() = Some(address);
         let revision = self.revision.fetch_add(1, Ordering::Relaxed) + 1;
@@ -97,18 +97,18 @@
         self.store.put("keyed.servers", &self.instance, b"");
     }
 
-    /// Spoils the next answer.
+    /// Adds a fault to the queue of faults, each of which applies to one answer.
     pub fn push_fault(&self, fault: AnswerFault) {
         self.answers.push_fault(fault);
     }
 
-    /// Takes back the faults that are still to come.
+    /// Removes the faults that have not been applied yet.
     pub fn clear_faults(&self) {
         self.answers.clear_faults();
     }
 
     /// Returns the requests that ran, in order.
-    pub fn runs(&self) -> Vec<RunSeen> {
+    pub fn runs(&self) -> Vec<RecordedRun> {
         self.answers.runs.lock().clone()
     }
 
@@ -117,7 +117,7 @@
         self.answers.run_counts()
     }
 
-    /// Returns the requests whose client left while they ran without an answer.
+    /// Returns the requests whose client disconnected while they ran without an answer.
     pub fn left(&self) -> Vec<String> {
         self.answers.left.lock().clone()
     }
@@ -131,14 +131,14 @@
         let fault = self.answers.begin(request);
         thread::sleep(Duration::from_millis(self.work_ms));
         if let Some((marker, stopper)) = &*self.crash.lock()
-            && holds(&request.body, marker)
-            && !request.caller.is_gone()
+            && contains(&request.body, marker)
+            && !request.caller.is_disconnected()
         {
             self.has_crashed.store(true, Ordering::Relaxed);
             stopper.stop();
             return Reply::Lost;
         }
         let body = format!("{} {}", request.method, request.target());
-        self.answers.whole(request, fault, &body)
+        self.answers.unstreamed_answer(request, fault, &body)
     }
 }
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! Store of the platform.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -27,50 +27,50 @@
 use crate::platform::topics::Condition;
 use crate::platform::topics::Partition;
 
-/// The field that tells the store's era.
+/// Header with the store's era.
 const ERA_HEADER: &str = "Store-Era";
 
-/// Items of one page of newest records.
+/// Maximum number of items in a page of newest records.
 const PAGE_ITEMS: usize = 500;
 
-/// `StoreFault` is how the store treats the calls that come through one door.
+/// Fault of the calls to one endpoint of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It serves them.
+    /// Calls are served.
     #[default]
     None,
-    /// It answers 503.
+    /// Calls get status 503.
     Busy,
-    /// It answers 429.
+    /// Calls get status 429.
     Limited,
-    /// It closes the connection without an answer and does nothing.
+    /// The connection is closed without an answer, and the call has no effect.
     Reset,
-    /// It does not answer and does nothing.
+    /// Calls get no answer and have no effect; the connection stays open.
     Silent,
-    /// It does what is asked and closes the connection without an answer.
+    /// Calls are carried out, and the connection is closed without an answer.
     LostAnswer,
-    /// Appends are done after a time, with no answer.
+    /// Calls with POST are carried out after a delay, without an answer; others are served.
     Late {
-        /// The time.
+        /// Delay in milliseconds.
         after_ms: u64,
     },
-    /// It answers after a time.
+    /// Calls are served after a delay.
     Slow {
-        /// The time.
+        /// Delay in milliseconds.
         by_ms: u64,
     },
 }
 
 type Topics = HashMap<(String, u64), Partition>;
 
-/// `StoreCopy` is what a store held at a moment.
+/// Contents of a store at one time.
 #[derive(Clone, Default)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     topics: Topics,
 }
 
-impl StoreCopy {
-    /// Returns the newest value of a key.
+impl StoreSnapshot {
+    /// Returns the newest value of a key, or none without one.
     pub fn newest(&self, topic: &str, key: &str) -> Option<Vec<u8>> {
         let partition = self.topics.get(&(topic.to_owned(), 0))?;
         let mut newest = partition.newest(None);
@@ -82,45 +82,45 @@
 #[derive(Default)]
 struct Shared {
     topics: Mutex<Topics>,
-    /// How often the store has come back from a copy.
+    /// Number of rollbacks of the store.
     era: AtomicU64,
     changed: Condvar,
     groups: Mutex<HashMap<String, Group>>,
-    /// Topics to which nothing can be appended now.
+    /// Topics to which appends are refused.
     full: Mutex<HashSet<String>>,
 }
 
-/// `PlatformStore` is one door to a store. Doors share the topics, and each has a fault of its own,
-/// so that the store can turn one VM away and serve another.
+/// Endpoint of a store. Endpoints of one store share its topics and have separate faults, so that
+/// the store can refuse one VM and serve another.
 #[derive(Clone, Default)]
 pub struct PlatformStore {
     shared: Arc<Shared>,
     fault: Arc<Mutex<StoreFault>>,
-    /// Topics of which the next read gets no answer.
-    swallowed: Arc<Mutex<HashSet<String>>>,
+    /// Topics whose next read gets no answer.
+    unanswered_reads: Arc<Mutex<HashSet<String>>>,
     calls: Arc<Mutex<HashMap<String, u64>>>,
 }
 
 impl PlatformStore {
-    /// Returns another door to the same topics.
-    pub fn door(&self) -> Self {
+    /// Returns another endpoint of the same store.
+    pub fn endpoint(&self) -> Self {
         Self {
             shared: self.shared.clone(),
             ..Self::default()
         }
     }
 
-    /// Sets the fault of this door.
+    /// Sets the fault of this endpoint.
     pub fn set_fault(&self, fault: StoreFault) {
         *self.fault.lock() = fault;
     }
 
-    /// Leaves the next read of a topic through this door without an answer, and no other call.
-    pub fn swallow_read(&self, topic: &str) {
-        self.swallowed.lock().insert(topic.to_owned());
+    /// Makes the next read of a topic at this endpoint get no answer. No other call is affected.
+    pub fn ignore_next_read(&self, topic: &str) {
+        self.unanswered_reads.lock().insert(topic.to_owned());
     }
 
-    /// Refuses appends to a topic, or takes them again.
+    /// Refuses appends to a topic, or accepts them again.
     pub fn set_full(&self, topic: &str, is_full: bool) {
         let mut full = self.shared.full.lock();
         match is_full {
@@ -129,21 +129,21 @@
         };
     }
 
-    /// Returns how many calls to a path came through this door.
+    /// Returns the number of calls to a path at this endpoint.
     pub fn calls(&self, path: &str) -> u64 {
         self.calls.lock().get(path).copied().unwrap_or_default()
     }
 
-    /// Returns a copy of all topics as they are now.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy {
+    /// Returns the present contents of all topics.
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot {
             topics: self.shared.topics.lock().clone(),
         }
     }
 
-    /// Comes back from a copy: what was written since is gone, its offsets are given out again, and
-    /// a new era begins.
-    pub fn set_back(&self, copy: StoreCopy) {
+    /// Rolls the store back to older contents: later records are lost, their offsets are used
+    /// again, and a new era begins.
+    pub fn roll_back(&self, copy: StoreSnapshot) {
         let mut topics = self.shared.topics.lock();
         *topics = copy.topics;
         self.shared.era.fetch_add(1, Ordering::Relaxed);
@@ -154,13 +154,13 @@
         self.shared.era.load(Ordering::Relaxed)
     }
 
-    /// Returns an answer that tells the present era. An answer from the topics is made while they
-    /// are held, or it would tell the era after that of which it speaks.
-    fn of_this_era(&self, reply: Reply) -> Reply {
+    /// Returns an answer with the present era. An answer from the topics must be built while they
+    /// are locked, or it could name the era after the one that its contents belong to.
+    fn with_era(&self, reply: Reply) -> Reply {
         reply.with_header(ERA_HEADER, &self.era().to_string())
     }
 
-    /// Writes a record with a key, as an operator or an engine does. An empty value drops the key.
+    /// Appends a record with a key, as operators and engines do. An empty value removes the key.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
         let mut record = vec![key.len() as u8];
         record.extend_from_slice(key.as_bytes());
@@ -171,7 +171,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// Returns the newest value of a key.
+    /// Returns the newest value of a key, or none without one.
     pub fn newest(&self, topic: &str, key: &str) -> Option<Vec<u8>> {
         let topics = self.shared.topics.lock();
         let partition = topics.get(&(topic.to_owned(), 0))?;
@@ -181,7 +181,7 @@
             .map(|(_, (_, value))| value.clone())
     }
 
-    /// Returns the records of a topic that are kept.
+    /// Returns the records of a topic that are kept, oldest first.
     pub fn records(&self, topic: &str) -> Vec<Vec<u8>> {
         let topics = self.shared.topics.lock();
         topics
@@ -191,8 +191,8 @@
             .unwrap_or_default()
     }
 
-    /// Deletes every record of a topic. The newest of each key is kept.
-    pub fn forget(&self, topic: &str) {
+    /// Deletes every record of a topic except for the newest of each key.
+    pub fn trim_topic(&self, topic: &str) {
         let mut topics = self.shared.topics.lock();
         if let Some(partition) = topics.get_mut(&(topic.to_owned(), 0)) {
             let end = partition.end();
@@ -206,34 +206,34 @@
             ("POST", "/api/log-append") => self.serve_append(request),
             ("GET", "/api/log-read") => self.serve_read(request),
             ("GET", "/api/log-newest") => self.serve_newest(request),
-            ("POST", "/api/log-trim") => self.of_this_era(self.serve_trim(request)),
-            ("POST", "/api/log-join") => self.of_this_era(self.serve_join(request)),
-            ("POST", "/api/log-leave") => self.of_this_era(self.serve_leave(request)),
-            ("POST", "/api/log-commit") => self.of_this_era(self.serve_commit(request)),
-            ("GET", "/api/log-owners") => self.of_this_era(self.serve_owners(request)),
-            _ => self.of_this_era(Reply::not_found()),
+            ("POST", "/api/log-trim") => self.with_era(self.serve_trim(request)),
+            ("POST", "/api/log-join") => self.with_era(self.serve_join(request)),
+            ("POST", "/api/log-leave") => self.with_era(self.serve_leave(request)),
+            ("POST", "/api/log-commit") => self.with_era(self.serve_commit(request)),
+            ("GET", "/api/log-owners") => self.with_era(self.serve_owners(request)),
+            _ => self.with_era(Reply::not_found()),
         }
     }
 
     fn serve_append(&self, request: &Request) -> Reply {
-        let (topic, part) = place(request);
+        let (topic, part) = topic_and_part(request);
         if ["keyed.op", "keyed.servers"].contains(&topic.as_str()) {
-            return self.of_this_era(Reply::json(403, &json!({})));
+            return self.with_era(Reply::json(403, &json!({})));
         }
         if self.shared.full.lock().contains(&topic) {
-            return self.of_this_era(Reply::json(503, &json!({})));
+            return self.with_era(Reply::json(503, &json!({})));
         }
         let Some(records) = split_records(&request.body) else {
-            return self.of_this_era(Reply::json(400, &json!({})));
+            return self.with_era(Reply::json(400, &json!({})));
         };
         let mut topics = self.shared.topics.lock();
         let partition = topics.entry((topic.clone(), part)).or_default();
         let appended = partition.append(&topic, &records, &condition(request));
         let end = partition.end();
         self.shared.changed.notify_all();
-        self.of_this_era(match appended {
+        self.with_era(match appended {
             Appended::Done { offset } => Reply::json(200, &json!({"offset": offset, "end": end})),
-            Appended::EndedElsewhere => Reply::json(412, &json!({"end": end})),
+            Appended::EndMismatch => Reply::json(412, &json!({"end": end})),
             Appended::Fenced => Reply::json(409, &json!({"why": "fenced"})),
             Appended::WrongSequence { expected } => {
                 Reply::json(409, &json!({"why": "seq", "sequence": expected}))
@@ -242,9 +242,9 @@
     }
 
     fn serve_read(&self, request: &Request) -> Reply {
-        let (topic, part) = place(request);
-        if self.swallowed.lock().remove(&topic) {
-            request.caller.wait_gone();
+        let (topic, part) = topic_and_part(request);
+        if self.unanswered_reads.lock().remove(&topic) {
+            request.caller.wait_until_disconnected();
             return Reply::Lost;
         }
         let from = request.query_number("from").unwrap_or_default();
@@ -255,7 +255,7 @@
             let partition = topics.entry((topic.clone(), part)).or_default();
             let Some(records) = partition.read(from) else {
                 let gone = Reply::json(410, &json!({"first": partition.first()}));
-                return self.of_this_era(gone);
+                return self.with_era(gone);
             };
             if !records.is_empty() || Instant::now() >= until {
                 return read_reply(self.era(), partition, records);
@@ -265,12 +265,12 @@
     }
 
     fn serve_newest(&self, request: &Request) -> Reply {
-        let (topic, part) = place(request);
+        let (topic, part) = topic_and_part(request);
         let after = request.query_text("after");
         let topics = self.shared.topics.lock();
         let Some(partition) = topics.get(&(topic, part)) else {
             let nothing = json!({"items": [], "more": false, "end": 0});
-            return self.of_this_era(Reply::json(200, &nothing));
+            return self.with_era(Reply::json(200, &nothing));
         };
         let found: Vec<_> = partition.newest(after.as_deref()).collect();
         let items: Vec<_> = found
@@ -282,11 +282,11 @@
             .collect();
         let more = found.len() > PAGE_ITEMS;
         let page = json!({"items": items, "more": more, "end": partition.end()});
-        self.of_this_era(Reply::json(200, &page))
+        self.with_era(Reply::json(200, &page))
     }
 
     fn serve_trim(&self, request: &Request) -> Reply {
-        let (topic, part) = place(request);
+        let (topic, part) = topic_and_part(request);
         let before = request.query_number("before").unwrap_or_default();
         self.shared
             .topics
@@ -360,11 +360,11 @@
         let fault = *self.fault.lock();
         match fault {
             StoreFault::None => self.serve(request),
-            StoreFault::Busy => self.of_this_era(Reply::json(503, &json!({}))),
-            StoreFault::Limited => self.of_this_era(Reply::json(429, &json!({}))),
+            StoreFault::Busy => self.with_era(Reply::json(503, &json!({}))),
+            StoreFault::Limited => self.with_era(Reply::json(429, &json!({}))),
             StoreFault::Reset => Reply::Lost,
             StoreFault::Silent => {
-                request.caller.wait_gone();
+                request.caller.wait_until_disconnected();
                 Reply::Lost
             }
             StoreFault::LostAnswer => {
@@ -385,7 +385,7 @@
     }
 }
 
-fn place(request: &Request) -> (String, u64) {
+fn topic_and_part(request: &Request) -> (String, u64) {
     let topic = request.query_text("topic").unwrap_or_default().into_owned();
     (topic, request.query_number("part").unwrap_or_default())
 }
@@ -400,7 +400,7 @@
         )
     });
     Condition {
-        at: request.query_number("at"),
+        expected_end: request.query_number("at"),
         producer,
     }
 }
@@ -431,5 +431,8 @@
     )
     .into_bytes();
     bytes.extend_from_slice(&body);
-    Reply::Raw(Raw { bytes, keeps: true })
+    Reply::Raw(Raw {
+        bytes,
+        keep_alive: true,
+    })
 }
--- a/crates/standins/tests/batch_order.rs
+++ b/crates/standins/tests/batch_order.rs
@@ -1,19 +1,19 @@
-//! Which sequences generate and which wait.
+//! Order in which waiting sequences get a slot.
 
 mod support;
 
 use rstest::rstest;
 use serde_json::json;
 
+use apricotdale_standins::engine::Admission;
 use apricotdale_standins::engine::Batch;
-use apricotdale_standins::engine::Entry;
 use apricotdale_standins::engine::Options;
 use apricotdale_standins::engine::SequenceId;
 
-fn id(entry: Entry) -> SequenceId {
+fn id(entry: Admission) -> SequenceId {
     match entry {
-        Entry::Running(id) | Entry::Waiting(id) => id,
-        Entry::Full => panic!("the batch is full"),
+        Admission::Running(id) | Admission::Waiting(id) => id,
+        Admission::Full => panic!("the batch is full"),
     }
 }
 
@@ -21,7 +21,7 @@
 #[case::by_arrival(&[0, 0, 0], &[0, 1, 2])]
 #[case::by_priority(&[2, 0, 1], &[1, 2, 0])]
 #[case::priority_before_arrival(&[1, 0, 1], &[1, 0, 2])]
-fn waiting_sequences_follow_by_priority(#[case] priorities: &[u32], #[case] order: &[usize]) {
+fn priority_order(#[case] priorities: &[u32], #[case] order: &[usize]) {
     let mut batch = Batch::new(1, 9);
     let mut running = id(batch.enter(9));
     let waiting: Vec<SequenceId> = priorities.iter().map(|it| id(batch.enter(*it))).collect();
@@ -34,17 +34,17 @@
 }
 
 #[test]
-fn a_sequence_that_leaves_the_queue_gives_no_slot_away() {
+fn leaving_queued_sequence() {
     let mut batch = Batch::new(1, 1);
     batch.enter(0);
     let waiting = id(batch.enter(0));
-    assert_eq!(batch.enter(0), Entry::Full);
+    assert_eq!(batch.enter(0), Admission::Full);
     assert_eq!(batch.leave(waiting), None);
     assert_eq!((batch.running(), batch.waiting()), (1, 0));
 }
 
 #[test]
-fn an_engine_serves_waiting_requests_by_priority_and_refuses_more() {
+fn full_queue_refuses() {
     let options = Options {
         slots: 1,
         queue: 2,
@@ -53,9 +53,9 @@
     let engine = support::engine_with(options, &["m"]);
     let mut events = engine.stream("r", "m", 1_000_000);
     events.next().unwrap();
-    let later = engine.stream_aside("later", "m", 1, 5);
+    let later = engine.stream_in_background("later", "m", 1, 5);
     support::wait_until(|| engine.request_state("later") == "running");
-    let sooner = engine.stream_aside("sooner", "m", 1_000_000, 1);
+    let sooner = engine.stream_in_background("sooner", "m", 1_000_000, 1);
     support::wait_until(|| engine.request_state("sooner") == "running");
     let report = engine.get("/load").body;
     assert_eq!(
@@ -69,7 +69,7 @@
     assert_eq!(
         engine.request_state("later"),
         "running",
-        "it has not had its turn"
+        "a later priority still waits"
     );
     engine.post("/v1/cancel/sooner", &json!({}));
     assert_eq!(later.iter().last().unwrap(), "[DONE]");
--- a/crates/standins/tests/store_set_back.rs
+++ b/crates/standins/tests/store_rollback.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy.
+//! Rollbacks of the platform's store to older contents.
 
 mod support;
 
@@ -10,12 +10,14 @@
 use apricotdale_standins::platform::PlatformStore;
 use apricotdale_standins::platform::StoreFault;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn get(store: SocketAddr, target: &str) -> Answer {
-    let mut caller = Caller::connect(store, PATIENCE).expect("the store listens");
+    let mut caller = Caller::connect(store, TIMEOUT).expect("the store listens");
     let call = format!("GET {target} HTTP/1.1\r\nHost: store\r\n\r\n");
-    caller.send(call.as_bytes()).expect("the connection stands");
+    caller
+        .send(call.as_bytes())
+        .expect("the connection is open");
     caller.answer().expect("an answer")
 }
 
@@ -28,18 +30,18 @@
 }
 
 #[test]
-fn offsets_are_given_again() {
+fn offsets_reused() {
     let store = PlatformStore::default();
-    let running = support::start(store.door());
+    let running = support::start(store.endpoint());
     store.put("keyed.op", "a", b"kept");
-    let copy = store.copy();
+    let copy = store.snapshot();
     store.put("keyed.op", "a", b"lost");
     store.put("keyed.op", "b", b"lost");
     assert_eq!(era(&read(running.address(), 0)).as_deref(), Some("0"));
-    store.set_back(copy);
+    store.roll_back(copy);
     assert_eq!(store.newest("keyed.op", "a"), Some(b"kept".to_vec()));
     assert_eq!(store.newest("keyed.op", "b"), None);
-    // A place behind the end is gone; the end itself is there, and is given out again.
+    // An offset after the end is gone. The end itself is valid, and the next append gets it.
     assert_eq!(read(running.address(), 2).status(), 410);
     assert_eq!(read(running.address(), 1).status(), 200);
     store.put("keyed.op", "c", b"new");
@@ -47,18 +49,18 @@
 }
 
 #[test]
-fn every_answer_tells_the_era() {
+fn era_in_answers() {
     let store = PlatformStore::default();
-    let door = store.door();
-    let running = support::start(door.clone());
-    store.set_back(store.copy());
-    store.set_back(store.copy());
+    let endpoint = store.endpoint();
+    let running = support::start(endpoint.clone());
+    store.roll_back(store.snapshot());
+    store.roll_back(store.snapshot());
     let targets = ["/api/log-newest?topic=keyed.op", "/api/log-owners", "/none"];
     for target in targets {
         assert_eq!(era(&get(running.address(), target)).as_deref(), Some("2"));
     }
     assert_eq!(era(&read(running.address(), 7)).as_deref(), Some("2"));
-    door.set_fault(StoreFault::Busy);
+    endpoint.set_fault(StoreFault::Busy);
     let busy = read(running.address(), 0);
     assert_eq!((busy.status(), era(&busy).as_deref()), (503, Some("2")));
 }
