--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! Waiting for admission, and the place of an admitted request.
+//! Waits for the admission policy's decision, and releases the slot of an admitted request.
 
 use std::sync::Arc;
 
@@ -15,17 +15,18 @@
 use crate::shared::Shared;
 use crate::trace::Step;
 
-/// `Queue` is what a request queues for.
+/// Target that a request asks admission for.
 pub(crate) struct Queue {
-    /// The name under which capacity is counted.
+    /// Name under which capacity is counted: the model, or the service by `service_target`.
     pub(crate) target: ModelName,
-    /// Whether models are loaded for the demand; a service's instances are there or not.
+    /// Whether the target is a model, for which replicas are loaded on demand. Instances of a
+    /// service are never started by the gateway's demand.
     pub(crate) is_model: bool,
-    /// Upstreams that could take the request now.
+    /// Number of upstreams that could serve the request when it was queued; 0 for a cold start.
     pub(crate) upstreams: usize,
 }
 
-/// `Admitted` is the place of a started request. It is given back when dropped.
+/// Capacity slot of a started request. Dropping it releases the slot.
 pub(crate) struct Admitted {
     place: Place,
     started_ms: u64,
@@ -33,7 +34,7 @@
 }
 
 impl Admitted {
-    /// Notes that the request was answered, so that its run time counts.
+    /// Marks the request as answered, so that its run time enters the mean of its target.
     pub(crate) fn answered(&mut self) {
         self.answered = true;
     }
@@ -50,7 +51,7 @@
     }
 }
 
-/// `Place` tells the demand sink of a request's end, when dropped.
+/// Reports the end of a request to the demand sink when it is dropped.
 struct Place {
     shared: Arc<Shared>,
     ticket: Ticket,
@@ -74,7 +75,11 @@
     }
 }
 
-/// Waits until a request is started, or returns why it is not.
+/// Blocks until admission starts the request.
+///
+/// # Errors
+///
+/// The refusal, if admission refuses the request, its caller hangs up or its deadline passes.
 pub(crate) fn admit(
     shared: &Arc<Shared>,
     context: &Context,
@@ -93,7 +98,7 @@
         upstreams: queue.upstreams,
     };
     context.trace.note(queued_ms, step);
-    // The demand goes first: a model that is loaded for it may be ready before the policy answers.
+    // The demand is reported before the policy is asked: a model loaded for it may be ready sooner.
     place.note(DemandEvent::Arrived {
         ticket,
         model: queue.target.clone(),
@@ -135,8 +140,8 @@
     Err(refusal)
 }
 
-/// Gives back the place of a request that was started while it was being withdrawn. The decision
-/// is in the inbox already, because it was sent under the lock that the withdrawal took.
+/// Releases the slot of a request that was started while it was being withdrawn. The decision is
+/// already in the inbox, because it was sent under the lock that `withdraw` takes.
 fn give_back(shared: &Shared, context: &Context, ticket: Ticket) {
     let decisions = context.inbox.receiver.try_iter();
     if decisions
@@ -155,7 +160,7 @@
     }
 }
 
-/// Returns the refusal of a request whose caller has gone.
+/// Returns the refusal of a request whose caller has hung up.
 pub(crate) fn caller_gone() -> Refusal {
     Refusal::not_run(
         RefusalReason::CallerGone,
@@ -163,7 +168,7 @@
     )
 }
 
-/// Returns the refusal of a request whose time is up.
+/// Returns the refusal of a request whose deadline has passed.
 pub(crate) fn deadline_passed(detail: &str) -> Refusal {
     Refusal::not_run(RefusalReason::DeadlinePassed, detail)
 }
