--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to one caller.
+//! Sends the answer to one caller: a complete response, an event stream or a refusal.
 
 use std::mem;
 
@@ -12,7 +12,7 @@
 
 use crate::problem;
 
-/// `CallerLost` says that the caller can't be written to any more.
+/// The caller's connection can't be written to any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallerLost;
 
@@ -22,7 +22,7 @@
     Ended,
 }
 
-/// `Answer` sends one answer: a whole one, a stream, or a refusal.
+/// Sender of the one answer to a request.
 pub(crate) struct Answer<'a> {
     id: RequestId,
     correlation: Option<String>,
@@ -42,12 +42,16 @@
         }
     }
 
-    /// Returns whether part of the answer has gone to the caller.
+    /// Returns whether part of the answer has been sent to the caller.
     pub(crate) fn has_begun(&self) -> bool {
         !matches!(self.sending, Sending::Nothing(_))
     }
 
-    /// Sends a whole answer.
+    /// Sends a complete answer.
+    ///
+    /// # Panics
+    ///
+    /// If an answer has already begun.
     pub(crate) fn send(&mut self, mut response: Response) -> Result<(), CallerLost> {
         let Sending::Nothing(responder) = mem::replace(&mut self.sending, Sending::Ended) else {
             panic!("a request is answered once");
@@ -56,7 +60,7 @@
         responder.send(response).map_err(|_| CallerLost)
     }
 
-    /// Sends one event of a stream, after the stream's head if it is the first.
+    /// Sends one event of a stream. The first event is preceded by the response head.
     pub(crate) fn send_event(
         &mut self,
         content_type: &str,
@@ -78,7 +82,7 @@
         Ok(())
     }
 
-    /// Ends a stream as whole.
+    /// Ends the stream with its last chunk, which marks it as complete.
     pub(crate) fn finish(&mut self) -> Result<(), CallerLost> {
         match mem::replace(&mut self.sending, Sending::Ended) {
             Sending::Stream(stream) => stream.finish().map_err(|_| CallerLost),
@@ -86,8 +90,9 @@
         }
     }
 
-    /// Sends a refusal, at once. Within a stream it goes out as an event, and the stream is then
-    /// cut, so that the caller can't take what it has for a whole answer.
+    /// Sends a refusal. In a stream it is sent as an event, and the connection is then closed
+    /// without the last chunk, so that the caller can't mistake the part that it has for a complete
+    /// answer.
     pub(crate) fn refuse(&mut self, refusal: &Refusal, allow: Option<&str>) {
         let sending = mem::replace(&mut self.sending, Sending::Ended);
         let is_gone = refusal.reason == RefusalReason::CallerGone;
