--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Whether a request has been sent, agreed between the thread that sends and the one that answers.
+//! Agreement on whether a request was sent, between its sending and its answering thread.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,12 +7,12 @@
 use parking_lot::Condvar;
 use parking_lot::Mutex;
 
-/// `Attempt` is shared by the thread that answers the caller and the thread that sends to an
-/// upstream.
+/// State of one request that the thread answering the caller shares with the thread sending to
+/// the upstream.
 ///
-/// A request given up at the very moment at which it is sent could be answered "not run" and run
-/// all the same. So both sides settle it under one lock: once given up, nothing is sent any more;
-/// once sent, the request is no longer reported as not run.
+/// A request that is given up while it is being sent could be reported as not run and still run.
+/// Both threads therefore decide under one lock: a request that was given up is not sent, and a
+/// request that was sent is no longer reported as not run.
 pub(crate) struct Attempt {
     state: Mutex<State>,
     given_up: Condvar,
@@ -20,9 +20,9 @@
 
 struct State {
     given_up: bool,
-    /// The worst outcome of all earlier tries.
+    /// Combined outcome of all attempts before the current one.
     earlier: Ran,
-    /// The outcome of the present try.
+    /// Outcome of the current attempt.
     current: Ran,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns whether the request may be sent now. From then on it counts as possibly run.
+    /// Returns whether the request may be sent now. If so, its outcome is unknown from then on.
     pub(crate) fn begin_send(&self) -> bool {
         let mut state = self.state.lock();
         if state.given_up {
@@ -49,18 +49,18 @@
         true
     }
 
-    /// Notes how the present try turned out.
+    /// Records the outcome of the current attempt.
     pub(crate) fn settle(&self, ran: Ran) {
         self.state.lock().current = ran;
     }
 
-    /// Returns whether the request ran, over all tries so far.
+    /// Returns whether the request ran, over all attempts so far.
     pub(crate) fn ran(&self) -> Ran {
         let state = self.state.lock();
         worse(state.earlier, state.current)
     }
 
-    /// Gives the request up and returns whether it ran.
+    /// Gives the request up, so that it is not sent again, and returns whether it ran.
     pub(crate) fn give_up(&self) -> Ran {
         let mut state = self.state.lock();
         state.given_up = true;
@@ -68,7 +68,7 @@
         worse(state.earlier, state.current)
     }
 
-    /// Waits, and returns whether the request may go on.
+    /// Waits for a duration, or until the request is given up. Returns false if it was given up.
     pub(crate) fn pause(&self, time: Duration) -> bool {
         let deadline = Instant::now() + time;
         let mut state = self.state.lock();
@@ -81,7 +81,8 @@
     }
 }
 
-/// Returns the outcome of two tries taken together.
+/// Combines the outcomes of two attempts: one that ran outweighs an unknown one, and an unknown
+/// one outweighs one that did not run.
 fn worse(left: Ran, right: Ran) -> Ran {
     match (left, right) {
         (Ran::Ran, _) | (_, Ran::Ran) => Ran::Ran,
