--- a/crates/gateway/src/call_body.rs
+++ b/crates/gateway/src/call_body.rs
@@ -1,4 +1,5 @@
-//! What the gateway reads of the body of a call to a model. The engine gets the body as it came.
+//! Fields that the gateway reads from the body of a model call. The engine receives the body
+//! unchanged.
 
 use apricotdale_core::names::ModelName;
 use apricotdale_core::refusal::Refusal;
@@ -17,19 +18,23 @@
     messages: Option<&'a RawValue>,
 }
 
-/// `CallBody` is what a call to a model names.
+/// Fields of the body of a model call that the gateway acts on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CallBody {
-    /// The model or adapter.
+    /// Model or adapter that is called.
     pub(crate) model: ModelName,
-    /// Whether the answer is a stream of events.
+    /// Whether the caller asks for an event stream. False if the body does not say.
     pub(crate) stream: bool,
-    /// The hash of the prompt's prefix.
+    /// Hash of the first bytes of `messages`, or else of `prompt`. None if the body has neither.
     pub(crate) prefix_hash: Option<u64>,
 }
 
 impl CallBody {
-    /// Returns what a body names.
+    /// Parses a body and hashes at most `prefix_bytes` of its prompt.
+    ///
+    /// # Errors
+    ///
+    /// A `BadRequest` refusal, if the body is not JSON or names no model.
     pub(crate) fn parse(body: &[u8], prefix_bytes: usize) -> Result<Self, Refusal> {
         let fields: Fields<'_> = serde_json::from_slice(body).map_err(|error| {
             let detail = format!("the body is not a call to a model: {error}");
