--- a/crates/gateway/src/cancels.rs
+++ b/crates/gateway/src/cancels.rs
@@ -1,4 +1,4 @@
-//! Telling engines to end requests that nobody waits for any more.
+//! Cancellation of requests at engines once no caller waits for them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 
 use crate::workers::Workers;
 
-/// `Cancels` sends cancellations, each on a thread of its own, so that the request that is given
-/// up never waits for an engine that does not answer.
+/// Sends cancellations to engines, each on a worker thread, so that the cancelled request never
+/// waits for an engine that does not answer.
 pub(crate) struct Cancels {
     serving: Arc<dyn EngineServing>,
     workers: Arc<Workers>,
@@ -33,11 +33,12 @@
         }
     }
 
-    /// Tells an engine to end a request. Returns at once.
+    /// Asks an engine to cancel a request, without blocking. Beyond the limit of concurrent
+    /// cancellations, none is sent.
     pub(crate) fn send(&self, engine: SocketAddr, id: &RequestId) {
         let place = Place::take(&self.at_once);
         if place.before >= self.max_at_once {
-            log::warn!(request_id = id.as_str(); "not cancelled: too many are on their way");
+            log::warn!(request_id = id.as_str(); "cancellation not sent: too many are in flight");
             return;
         }
         let serving = self.serving.clone();
@@ -45,16 +46,16 @@
         let started = self.workers.run(move || {
             let _place = place;
             if let Err(error) = serving.cancel(engine, &cancelled) {
-                log::info!(request_id = cancelled.as_str(); "the engine took no cancellation: {error}");
+                log::info!(request_id = cancelled.as_str(); "cancellation failed: {error}");
             }
         });
         if let Err(error) = started {
-            log::warn!(request_id = id.as_str(); "not cancelled: {error}");
+            log::warn!(request_id = id.as_str(); "cancellation not sent: {error}");
         }
     }
 }
 
-/// `Place` counts one cancellation on its way.
+/// Counts one cancellation in flight until it is dropped.
 struct Place {
     at_once: Arc<AtomicUsize>,
     before: usize,
