--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What is known of one request while it is handled.
+//! State of one classified request while it is handled.
 
 use std::sync::Arc;
 
@@ -11,18 +11,18 @@
 
 use crate::trace::TraceLog;
 
-/// `Control` is what a request's thread is told by others.
+/// Message that other threads send to the thread handling a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Control {
-    /// Admission started the request.
+    /// Admission has started the request.
     Admitted,
-    /// Admission or placement refused it.
+    /// Admission or placement has refused the request.
     Refused(Refusal),
-    /// The caller closed its connection.
+    /// The caller has closed its connection.
     CallerGone,
 }
 
-/// `Inbox` is a request's control channel.
+/// Channel of [`Control`] messages to the thread handling a request.
 pub(crate) struct Inbox {
     pub(crate) sender: Sender<Control>,
     pub(crate) receiver: Receiver<Control>,
@@ -35,20 +35,20 @@
     }
 }
 
-/// `Context` is what is known of one request once it has been classified.
+/// Properties of one request, fixed once it is classified.
 pub(crate) struct Context {
-    /// The request's identity.
+    /// Identity that the gateway has given to the request.
     pub(crate) id: RequestId,
-    /// The class and its target.
+    /// Class of the request, with the target of its answer time.
     pub(crate) class: ClassTarget,
-    /// The caller.
+    /// Name under which the caller's share is counted.
     pub(crate) caller: CallerName,
-    /// When it arrived.
+    /// Arrival time on the gateway's monotonic clock.
     pub(crate) arrived_ms: u64,
-    /// When its answer must have begun.
+    /// Time on the monotonic clock by which the answer must have begun.
     pub(crate) deadline_ms: u64,
-    /// Its trace.
+    /// Trace that `Gateway::explain` returns.
     pub(crate) trace: Arc<TraceLog>,
-    /// Its control channel.
+    /// Receives admission's decision and the caller's hang-up.
     pub(crate) inbox: Inbox,
 }
