--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,6 +1,7 @@
-//! Requests under which upstreams crash again and again.
+//! Detection of requests that crash upstreams.
 //!
-//! Each VM judges by its own requests only, so it takes more crashes than with the word of all VMs.
+//! Each VM counts only the crashes under its own requests, so it needs more of them than a
+//! quarantine that combines the reports of all VMs.
 
 use apricotdale_core::names::CallerName;
 use apricotdale_core::names::UpstreamName;
@@ -15,10 +16,10 @@
 use apricotdale_quarantine::Role;
 use parking_lot::Mutex;
 
-/// Stands for this process, the only one that reports here.
+/// Incarnation of the only reporter to this watch, which is the local process.
 const OWN_RUN: u64 = 1;
 
-/// `Identity` tells whether a request is the same as another, and whose it is.
+/// Fingerprint by which equal requests are recognized, and the hash of their caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Identity {
     fingerprint: Fingerprint,
@@ -35,7 +36,7 @@
     }
 }
 
-/// `CrashGuard` refuses requests under which upstreams crash.
+/// Refuses requests under which upstreams crash.
 pub(crate) struct CrashGuard {
     watch: Mutex<CrashWatch>,
 }
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Returns the refusal of a request under which upstreams crash, or none if it may be sent.
+    /// Returns the refusal of a blocked request, or none if the request may be sent.
     pub(crate) fn refusal(&self, now_ms: u64, identity: &Identity) -> Option<Refusal> {
         let mut watch = self.watch.lock();
         if watch.is_due(now_ms) {
@@ -64,12 +65,13 @@
         Some(refusal.retry_after(left_ms))
     }
 
-    /// Returns whether a request may be sent again after a failed try.
+    /// Returns whether a request may be retried after an attempt that may have run.
     pub(crate) fn may_resend(&self, identity: &Identity) -> bool {
         !self.watch.lock().knows(&identity.fingerprint)
     }
 
-    /// Notes how a try ended.
+    /// Records how an attempt ended. With `is_cut`, the connection was lost while the request was
+    /// in progress, so the upstream may have crashed under it.
     pub(crate) fn note_try(
         &self,
         now_ms: u64,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Takes in that an upstream is gone.
+    /// Records that an upstream has left the upstream list.
     pub(crate) fn note_gone(&self, now_ms: u64, upstream: &UpstreamName) {
         self.watch.lock().note_ended(now_ms, upstream);
     }
