--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -1,4 +1,4 @@
-//! The admission desk: the policy, the requests that wait for it, and its clock.
+//! Runs the admission policy: its waiting requests and its ticks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 
 use crate::context::Control;
 
-/// The least time between two ticks. A policy whose next tick is always due would otherwise keep a
+/// Minimum time between two ticks. Without it, a policy whose next tick is always due would keep a
 /// core busy.
 const MIN_TICK: Duration = Duration::from_millis(1);
 
-/// `Desk` runs the admission policy and tells each waiting request what was decided.
+/// Runs the admission policy and sends its decisions to the waiting requests.
 pub(crate) struct Desk {
     state: Mutex<State>,
     tick_changed: Condvar,
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Returns a ticket for a request.
+    /// Returns a ticket that no other request of this process has.
     pub(crate) fn next_ticket(&self) -> Ticket {
         Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Lets a request wait. What is decided goes to its control channel.
+    /// Adds a waiting request. The decision on it is sent to its control channel.
     pub(crate) fn arrive(&self, arrival: Arrival, control: Sender<Control>) {
         let mut state = self.state.lock();
         let waiting = Waiting {
@@ -74,7 +74,7 @@
         self.handle(state, AdmissionEvent::Arrived(arrival));
     }
 
-    /// Takes a waiting request back. Returns false if its decision is already on its way.
+    /// Withdraws a waiting request. Returns false if its decision has already been sent.
     pub(crate) fn withdraw(&self, ticket: Ticket) -> bool {
         let mut state = self.state.lock();
         if state.waiting.remove(&ticket).is_none() {
@@ -84,12 +84,13 @@
         true
     }
 
-    /// Notes that a started request ended.
+    /// Reports the end of a started request to the policy.
     pub(crate) fn ended(&self, ticket: Ticket, ran_ms: u64) {
         self.handle(self.state.lock(), AdmissionEvent::Ended { ticket, ran_ms });
     }
 
-    /// Notes a target's capacity.
+    /// Reports a target's capacity to the policy. `ready_at_ms` is when the first slot is expected,
+    /// if there is none yet.
     pub(crate) fn capacity(&self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
         let event = AdmissionEvent::Capacity {
             target,
@@ -99,7 +100,7 @@
         self.handle(self.state.lock(), event);
     }
 
-    /// Refuses all requests that wait for a target, and returns how many.
+    /// Refuses all requests that wait for a target, and returns their number.
     pub(crate) fn refuse_target(&self, target: &ModelName, refusal: &Refusal) -> usize {
         let mut refused = 0;
         let tickets: Vec<Ticket> = {
@@ -122,7 +123,7 @@
         refused
     }
 
-    /// Runs the policy's clock until the desk is stopped.
+    /// Ticks the policy whenever it asks for it, until [`stop`](Self::stop) is called.
     pub(crate) fn run_ticks(&self) {
         let mut state = self.state.lock();
         while !state.stopped {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Ends the policy's clock.
+    /// Ends [`run_ticks`](Self::run_ticks).
     pub(crate) fn stop(&self) {
         self.state.lock().stopped = true;
         self.tick_changed.notify_all();
@@ -175,10 +176,13 @@
         match action {
             AdmissionAction::Start(ticket) => match self.waiting.remove(&ticket) {
                 Some(waiting) => waiting.send(Control::Admitted),
-                // The request is no longer there. Its place must be given back, or the target
-                // would lose it for good.
+                // The request no longer waits. The policy must be told of its end, or the target
+                // would lose the slot for good.
                 None => {
-                    log::error!("admission started ticket {} which does not wait", ticket.0);
+                    log::error!(
+                        "admission started ticket {}, which is not waiting",
+                        ticket.0
+                    );
                     let ended = AdmissionEvent::Ended { ticket, ran_ms: 0 };
                     return self.policy.handle(now_ms, ended);
                 }
@@ -195,7 +199,7 @@
 
 impl Waiting {
     fn send(self, control: Control) {
-        // A request that is gone takes itself back; nothing is lost with its message.
+        // A request whose receiver is gone withdraws by itself, so a failed send loses nothing.
         let _ = self.control.send(control);
     }
 }
