--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The paths that are served.
+//! Paths that the gateway serves.
 
 use apricotdale_core::names::GroupName;
 use apricotdale_core::names::ModelName;
@@ -9,30 +9,34 @@
 const READ_METHODS: &str = "GET, HEAD";
 const CALL_METHODS: &str = "POST";
 
-/// `Endpoint` is what a request's path names.
+/// What a request's path addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Endpoint {
-    /// The list of models.
+    /// List of all models.
     Models,
-    /// One model.
+    /// Description of one model.
     Model(ModelName),
-    /// A call to a model, with the engine's path.
+    /// Call to a model, with the path at the engine.
     ModelCall(&'static str),
-    /// A call to a plain service.
+    /// Call to a plain service.
     Service {
-        /// The service.
+        /// Name of the service.
         service: GroupName,
-        /// The path below the service, still percent-encoded, without its query.
+        /// Path below the service, percent-encoded and without the query.
         path: String,
     },
-    /// Whether the process lives.
+    /// Liveness probe: whether the process runs.
     Live,
-    /// Whether the VM takes requests.
+    /// Readiness probe: whether the VM accepts requests.
     Ready,
 }
 
 impl Endpoint {
-    /// Returns what a request names.
+    /// Parses the path and checks that it allows the method.
+    ///
+    /// # Errors
+    ///
+    /// A `MethodNotAllowed` or `UnknownPath` refusal.
     pub(crate) fn parse(method: &str, path: &str) -> Result<Self, Refusal> {
         let endpoint = Self::parse_path(path)?;
         match endpoint.methods() {
@@ -44,7 +48,8 @@
         }
     }
 
-    /// Returns the methods by which a path is served, if it is not served by all.
+    /// Returns the value of the `Allow` header for a path, or none if the path is unknown or allows
+    /// all methods.
     pub(crate) fn allowed(path: &str) -> Option<&'static str> {
         Self::parse_path(path).ok()?.methods()
     }
