--- a/crates/gateway/src/errors.rs
+++ b/crates/gateway/src/errors.rs
@@ -2,14 +2,13 @@
 
 use thiserror::Error;
 
-/// `Result` is the result of this crate's calls.
+/// Result of starting a gateway.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what starting a gateway can fail with. What becomes of a request is no error but a
-/// refusal.
+/// Error of starting a gateway. A request never fails with an error: it is answered or refused.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The watch on callers' connections could not be started.
+    /// The watcher of callers' connections could not be started.
     #[error(transparent)]
     Http(#[from] apricotdale_http::Error),
     /// A thread could not be started.
