--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,4 +1,4 @@
-//! Whose event it is: the identity check on each event of a stream and on whole answers.
+//! Check that events of a stream and complete answers belong to the request they are relayed for.
 
 use apricotdale_core::names::RequestId;
 use serde::Deserialize;
@@ -6,20 +6,20 @@
 
 const DONE: &str = "[DONE]";
 
-/// `EventKind` is what an engine's event is.
+/// Kind of an engine's event, as seen from one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
-    /// A part of the request's own answer.
+    /// Part of this request's answer.
     Part,
-    /// The end of the answer.
+    /// The `[DONE]` marker at the end of the answer.
     Done,
-    /// No event but a comment, sent to keep the connection open.
+    /// Comment without data, sent to keep the connection open.
     Comment,
-    /// Part of another request's answer, or of none.
+    /// Part of another request's answer, or an event without a request identity.
     Foreign,
-    /// The engine tells of a fault.
+    /// Error reported by the engine.
     Fault,
-    /// Not of the announced format.
+    /// Event that is not UTF-8 or whose data is not a JSON object.
     Malformed,
 }
 
@@ -29,10 +29,10 @@
     error: Option<IgnoredAny>,
 }
 
-/// Returns what an event of a stream is.
+/// Classifies an event of a stream.
 ///
-/// An engine that mixes up its batch sends a piece of one caller's answer to another. The event's
-/// `id` shows it, and the check keeps the foreign text from the caller.
+/// An engine that mixes up its batch sends a piece of one caller's answer to another. The `id` in
+/// the event reveals this, and the foreign text is not relayed.
 pub(crate) fn classify(event: &[u8], id: &RequestId) -> EventKind {
     let Ok(text) = std::str::from_utf8(event) else {
         return EventKind::Malformed;
@@ -59,8 +59,8 @@
     }
 }
 
-/// Returns whether the body of a whole answer names another request. A body without an identity
-/// is vouched for by the answer's head.
+/// Returns whether the body of a complete answer names another request. A body without an `id` is
+/// accepted, because the answer's head has already been checked.
 pub(crate) fn is_foreign_body(body: &[u8], id: &RequestId) -> bool {
     match serde_json::from_slice::<Identified>(body) {
         Ok(Identified {
