--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: what the HTTP server and the node see.
+//! The gateway as the HTTP server and the node use it.
 
 use std::panic;
 use std::panic::AssertUnwindSafe;
@@ -45,15 +45,15 @@
 
 const HEALTH_PREFIX: &str = "/health/";
 
-/// When a caller that found no free connection should come back.
+/// `Retry-After` of a caller refused because all connections are in use.
 const RETRY_CONNECTION_MS: u64 = 1_000;
 
-/// `Gateway` serves callers. It is the handler and the error renderer of the HTTP server.
+/// Serves callers, as handler and error renderer of the HTTP server.
 pub struct Gateway {
     shared: Arc<Shared>,
 }
 
-/// `Arrived` is what is known of a request before it is classified.
+/// Properties of a request that are known before it is classified.
 struct Arrived {
     id: RequestId,
     correlation: Option<String>,
@@ -61,19 +61,19 @@
     trace: Arc<TraceLog>,
 }
 
-/// `Known` is what is known of a request by the time it is refused.
+/// Properties of a request that were found before it was refused.
 #[derive(Default)]
 struct Known {
     class: Option<ClassTarget>,
 }
 
 impl Gateway {
-    /// Returns a gateway, and starts its threads: admission's clock and the watch on callers'
-    /// connections.
+    /// Creates a gateway and starts its threads: the admission policy's ticks and the watcher of
+    /// callers' connections.
     ///
     /// # Errors
     ///
-    /// If the system refuses a thread or a descriptor.
+    /// If the system can't provide a thread or a file descriptor.
     pub fn new(options: Options, parts: Parts) -> Result<Self> {
         let shared = Arc::new(Shared::new(options, parts)?);
         let ticking = shared.clone();
@@ -83,40 +83,40 @@
         Ok(Self { shared })
     }
 
-    /// Takes in how many requests this VM may have in progress at a target, and when the first
-    /// place is expected if there is none. The target is a model, or a service by way of
+    /// Sets how many requests this VM may have in progress at a target. If there is no slot yet,
+    /// `ready_at_ms` is when the first is expected. The target is a model, or a service named by
     /// [`service_target`](crate::service_target).
     pub fn capacity(&self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
         self.shared.desk.capacity(target, slots, ready_at_ms);
     }
 
-    /// Refuses all requests that wait for a model, at once, and returns how many.
+    /// Refuses all requests that wait for a model, and returns their number.
     pub fn hopeless(&self, model: &ModelName, refusal: &Refusal) -> usize {
         self.shared.desk.refuse_target(model, refusal)
     }
 
-    /// Lets routing learn what the node reads of upstreams.
+    /// Passes an event about an upstream, as observed by the node, to the routing policy.
     pub fn learn_routing(&self, event: RoutingEvent) {
         self.shared.learn_routing(event);
     }
 
-    /// Returns how many requests are in progress, those included whose outcome is still awaited
-    /// though their caller has gone.
+    /// Returns the number of requests in progress. A request whose caller has gone still counts
+    /// until its outcome is known.
     pub fn in_progress(&self) -> usize {
         self.shared.in_progress.count()
     }
 
-    /// Refuses all new requests from now on. Those in progress, and those that wait, go on.
+    /// Refuses all new requests from now on. Requests in progress or waiting are still served.
     pub fn drain(&self) {
         self.shared.draining.store(true, Ordering::Release);
     }
 
-    /// Waits until no request is in progress, and returns whether that came within the time.
+    /// Waits until no request is in progress. Returns false if the timeout passes first.
     pub fn wait_idle(&self, timeout: Duration) -> bool {
         self.shared.in_progress.wait_idle(timeout)
     }
 
-    /// Returns what became of a request, if it is one of the last.
+    /// Returns the trace of a request, if it is among the last `trace_requests`.
     pub fn explain(&self, id: &RequestId) -> Option<Trace> {
         self.shared.traces.find(id)
     }
@@ -205,7 +205,7 @@
         match watched {
             Ok(guard) => Some(guard),
             Err(error) => {
-                log::warn!(request_id = context.id.as_str(); "the caller is not watched: {error}");
+                log::warn!(request_id = context.id.as_str(); "hang-up is not watched: {error}");
                 None
             }
         }
@@ -217,7 +217,7 @@
         let arrived_ms = shared.now_ms();
         let correlation = identity::correlation(request);
         let trace = shared.traces.open(&id, arrived_ms, shared.clock.unix_ms());
-        // Probes come every second and would crowd out the requests.
+        // Probes come every second and would displace the traces of requests.
         if !request.path().starts_with(HEALTH_PREFIX) {
             shared.traces.remember(&id, &trace);
         }
@@ -243,7 +243,7 @@
         let allow = Endpoint::allowed(request.path());
         let mut known = Known::default();
         let mut answer = Answer::new(arrived.id.clone(), arrived.correlation.clone(), responder);
-        // A panic is a broken invariant. It ends this request, counted and answered, and no other.
+        // A panic is a broken invariant. Only this request ends, with a refusal that is counted.
         let served = panic::catch_unwind(AssertUnwindSafe(|| {
             self.serve(&arrived, &mut known, request, &mut answer)
         }));
