--- a/crates/gateway/src/identity.rs
+++ b/crates/gateway/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who asks, for what class of work, and until when.
+//! Identity, caller, class and timeout of a request, from its headers.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -21,8 +21,8 @@
 const ANONYMOUS: &str = "anonymous";
 const TOKEN_HASH_BYTES: usize = 8;
 
-/// `RequestIds` makes request identities. All have the same length, so that none is the end of
-/// another, by which answers are told apart.
+/// Generator of request identities. All have the same length, so that none is a suffix of another:
+/// answers are matched to requests by that suffix.
 pub(crate) struct RequestIds {
     process_id: u64,
     next: AtomicU64,
@@ -36,21 +36,21 @@
         }
     }
 
-    /// Returns a new identity.
+    /// Returns an identity that was not returned before.
     pub(crate) fn next(&self) -> RequestId {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         RequestId::new(format!("req-{:016x}-{number:012x}", self.process_id))
     }
 }
 
-/// Returns the identity that the caller gave, if it can be logged and answered as it is.
+/// Returns the caller's `X-Request-Id`, if it is safe to log and to echo.
 pub(crate) fn correlation(request: &Request) -> Option<String> {
     let text = request.header("x-request-id")?;
     is_plain(text, MAX_CORRELATION_CHARS).then(|| text.to_owned())
 }
 
-/// Returns the name under which the caller's share is counted. A bearer token goes before a name
-/// that the caller gives itself, and only its hash is kept.
+/// Returns the name under which the caller's share is counted. A bearer token takes precedence over
+/// the caller's own `X-Caller`, and only a hash of the token is kept.
 pub(crate) fn caller(request: &Request) -> CallerName {
     let bearer = request
         .header("authorization")
@@ -81,7 +81,12 @@
     !text.is_empty() && text.len() <= max_chars && text.bytes().all(plain)
 }
 
-/// Returns the request's class.
+/// Returns the class that the request names, or else the configured default, or else the class
+/// with the shortest answer time.
+///
+/// # Errors
+///
+/// An `UnknownClass` refusal, if that class is not configured.
 pub(crate) fn class(
     request: &Request,
     directory: &dyn Directory,
@@ -105,7 +110,12 @@
         .ok_or_else(|| Refusal::not_run(RefusalReason::UnknownClass, "no class is configured"))
 }
 
-/// Returns the time that the request has until its answer must have begun.
+/// Returns the time from arrival until the answer must have begun: `X-Request-Timeout-Ms`, capped
+/// at `max_timeout_ms`, or else the answer time of the class.
+///
+/// # Errors
+///
+/// A `BadRequest` refusal, if the header is not a positive number.
 pub(crate) fn timeout_ms(
     request: &Request,
     class: &ClassTarget,
