--- a/crates/gateway/src/in_progress.rs
+++ b/crates/gateway/src/in_progress.rs
@@ -1,4 +1,4 @@
-//! Counting the requests in progress.
+//! Count of the requests in progress.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use parking_lot::Condvar;
 use parking_lot::Mutex;
 
-/// `InProgress` counts the requests in progress and lets a stop wait for their end.
+/// Number of requests in progress, with a wait for its return to 0.
 #[derive(Default)]
 pub(crate) struct InProgress {
     count: Mutex<usize>,
@@ -15,18 +15,18 @@
 }
 
 impl InProgress {
-    /// Counts one more request until the guard is dropped.
+    /// Counts one more request until the returned guard is dropped.
     pub(crate) fn enter(self: &Arc<Self>) -> InProgressGuard {
         *self.count.lock() += 1;
         InProgressGuard(self.clone())
     }
 
-    /// Returns the count.
+    /// Returns the number of requests in progress.
     pub(crate) fn count(&self) -> usize {
         *self.count.lock()
     }
 
-    /// Waits until nothing is in progress, and returns whether that came within the time.
+    /// Waits until no request is in progress. Returns false if the timeout passes first.
     pub(crate) fn wait_idle(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let mut count = self.count.lock();
@@ -39,7 +39,7 @@
     }
 }
 
-/// `InProgressGuard` stands for one request in progress.
+/// Counts one request in progress until it is dropped.
 pub(crate) struct InProgressGuard(Arc<InProgress>);
 
 impl Drop for InProgressGuard {
