--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,13 @@
-//! The callers' interface: OpenAI-compatible serving, plain services, refusals.
+//! Interface to callers: OpenAI-compatible model calls, plain service calls, refusals.
 //!
 //! A [`Gateway`] handles the requests of one VM's HTTP server. It knows models, services and
-//! upstreams only through the traits of `apricotdale_core::serving`, and decides nothing itself:
-//! admission, routing and retries are policies that it is given.
+//! upstreams only through the traits of `apricotdale_core::serving`. Admission, routing and retries
+//! are decided by policies that it is given.
 //!
-//! Each request is handled on its connection's thread, which never blocks on anything but its
-//! inbox and the caller's socket. Whatever waits for an upstream or for the platform's log runs on
-//! a thread of its own, so that a deadline or a caller's hang-up ends the request at once, however
-//! long the other side stays silent.
+//! Each request is handled on its connection's thread, which blocks only on the request's inbox and
+//! the caller's socket. Whatever waits for an upstream or for the log runs on a worker thread, so
+//! that a deadline or a caller's hang-up ends the request at once even if the upstream does not
+//! answer.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
