--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -1,4 +1,4 @@
-//! The lists of models that callers may read.
+//! Responses that list or describe models, and responses to health probes.
 
 use apricotdale_core::config::ModelSpec;
 use apricotdale_http::Response;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the answer that lists models.
+/// Returns the response that lists models.
 pub(crate) fn models(specs: &[ModelSpec]) -> Response {
     json(&ModelList {
         object: "list",
@@ -42,12 +42,12 @@
     })
 }
 
-/// Returns the answer that describes one model.
+/// Returns the response that describes one model.
 pub(crate) fn model(spec: &ModelSpec) -> Response {
     json(&ModelObject::from(spec))
 }
 
-/// Returns the answer to a health check.
+/// Returns the response to a health probe. `not_ready` is the reason for a 503, if any.
 pub(crate) fn health(not_ready: Option<&str>) -> Response {
     let (status, body) = match not_ready {
         None => (200, serde_json::json!({"ready": true})),
