--- a/crates/gateway/src/model_flow.rs
+++ b/crates/gateway/src/model_flow.rs
@@ -1,4 +1,4 @@
-//! A call to a model, from its body to its answer: admission, tries, retries, waits for a load.
+//! A call to a model from body to answer: admission, attempts, retries and waits for a load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,38 +27,38 @@
 use crate::shared::Shared;
 use crate::trace::Step;
 
-/// The longest pause before a request whose model was gone asks for admission again.
+/// Maximum pause before a request asks for admission again because no engine held its model.
 const MAX_RELOAD_PAUSE: Duration = Duration::from_secs(2);
 
-/// `ModelCall` is a call to a model.
+/// A parsed call to a configured model.
 pub(crate) struct ModelCall {
-    /// The engine's path.
+    /// Path at the engine.
     pub(crate) path: &'static str,
-    /// What the body names.
+    /// Fields of the body that the gateway acts on.
     pub(crate) parsed: CallBody,
-    /// The model.
+    /// Configuration of the model that the body names.
     pub(crate) spec: ModelSpec,
-    /// The body as it came.
+    /// Body as received from the caller.
     pub(crate) body: Vec<u8>,
 }
 
-/// `TryFailure` is why a try failed.
+/// Failure of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct TryFailure {
-    /// The reason, for the refusal that it may become.
+    /// Reason of the refusal, if the failure is not retried.
     pub(crate) reason: RefusalReason,
-    /// Whether the try ran.
+    /// Whether the attempt ran.
     pub(crate) ran: Ran,
-    /// What routing learns of the upstream.
+    /// Outcome reported to the routing policy.
     pub(crate) outcome: UpstreamOutcome,
-    /// Whether the model is not there.
+    /// Whether the engine does not hold the model, so that the request waits for a load.
     pub(crate) missing: bool,
-    /// What happened.
+    /// Description for the refusal and the trace.
     pub(crate) detail: String,
 }
 
 impl TryFailure {
-    /// Returns the failure of a request for which no engine could be chosen.
+    /// Returns the failure of an attempt for which routing chose no engine.
     fn no_engine(candidates: &[Candidate]) -> Self {
         Self {
             reason: RefusalReason::UpstreamUnavailable,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns whether the connection was lost with the request in progress.
+    /// Returns whether the connection was lost while the request was in progress.
     fn is_cut(&self) -> bool {
         let lost = [
             RefusalReason::UpstreamLost,
@@ -85,15 +85,15 @@
     }
 }
 
-/// `Pass` is how one pass through admission ended.
+/// How one pass through admission ended.
 enum Pass {
-    /// The caller has its whole answer.
+    /// The caller has its complete answer.
     Answered,
-    /// No engine holds the model any more; the request waits for a load again.
+    /// No engine holds the model any more, so the request waits for a load again.
     WaitForLoad,
 }
 
-/// `ModelFlow` carries one call to a model.
+/// State of one call to a model.
 struct ModelFlow<'a, 'b> {
     shared: &'a Arc<Shared>,
     context: &'a Context,
@@ -101,13 +101,16 @@
     answer: &'a mut Answer<'b>,
     attempt: Arc<Attempt>,
     identity: Identity,
-    /// Tries within the present pass.
+    /// Attempts within the current pass.
     tries: u32,
     first_try_noted: bool,
 }
 
-/// Serves a call to a model. A refusal that comes back says of all tries together whether the call
-/// ran.
+/// Serves a call to a model.
+///
+/// # Errors
+///
+/// The refusal. Its `ran` covers all attempts, not only the last.
 pub(crate) fn serve(
     shared: &Arc<Shared>,
     context: &Context,
@@ -153,7 +156,8 @@
                 }
                 Pass::WaitForLoad => {}
             }
-            // The directory lags behind the engine and may send the request there again at once.
+            // The directory may still list the engine and would send the request there again at
+            // once.
             drop(admitted);
             self.pause(pause)?;
             pause = pause.saturating_mul(2).min(MAX_RELOAD_PAUSE);
@@ -211,7 +215,7 @@
             .choose(&request, candidates, &self.context.trace)
     }
 
-    /// Tries an engine, and returns why that failed if it did.
+    /// Makes one attempt at an engine. Returns the failure, if it may be retried.
     fn try_at(&mut self, candidate: &Candidate) -> Result<Option<TryFailure>, Refusal> {
         if !self.first_try_noted {
             self.first_try_noted = true;
@@ -262,8 +266,8 @@
         }
     }
 
-    /// Asks for a retry. Generation has no side effect, so a call to a model may run twice as long
-    /// as the caller has seen nothing of the first run.
+    /// Returns the pause before a retry, or none. A model call has no side effect, so it may run a
+    /// second time as long as the caller has received nothing of the first run.
     fn decide_retry(&self, failure: &TryFailure) -> Option<Duration> {
         if failure.ran != Ran::NotRun && !self.shared.crashes.may_resend(&self.identity) {
             return None;
@@ -280,12 +284,13 @@
         let pause = self
             .shared
             .decide_retry(&request, failure.ran, &self.context.trace);
-        // Events have no numbers, so nothing shows whether another run continues this one.
+        // Events carry no IDs here, so another run can't be matched to what the caller has
+        // received.
         pause.filter(|_| !self.answer.has_begun())
     }
 
-    /// Ends a run that nobody waits for any more. Before a retry it is not done: the retry has the
-    /// same identity, and a late cancellation could hit it.
+    /// Cancels a run that no caller waits for any more. No cancellation is sent before a retry: the
+    /// retry has the same request identity, so a late cancellation could end the retry.
     fn cancel(&self, chosen: &Option<Candidate>, failure: &TryFailure) {
         match chosen {
             Some(candidate) if failure.ran != Ran::NotRun => {
