--- a/crates/gateway/src/model_try.rs
+++ b/crates/gateway/src/model_try.rs
@@ -1,4 +1,4 @@
-//! One try at one engine: a thread that reads the engine, and the relay to the caller.
+//! One attempt at one engine: the thread that reads the engine's answer, and its relay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,33 +27,33 @@
 use crate::relay::Relayed;
 use crate::shared::Shared;
 
-/// How much later than the gateway the adapter gives up. The gateway's own clock ends a request at
-/// its deadline; the adapter's only frees the thread.
+/// Time by which the adapter's timeouts exceed the gateway's. The gateway ends a request at its
+/// deadline; the adapter's timeout only frees the thread.
 const ADAPTER_MARGIN_MS: u64 = 500;
 
-/// `TryEnd` is how a try ended.
+/// How an attempt ended.
 pub(crate) enum TryEnd {
-    /// The caller has its whole answer.
+    /// The caller has its complete answer.
     Answered,
-    /// The try failed and may be retried.
+    /// The attempt failed, and the request may be retried.
     Failed(TryFailure),
-    /// The request ends here.
+    /// The request ends without a retry.
     Stopped(Refusal),
 }
 
-/// `UpstreamEvent` is what the reading thread tells.
+/// Message from the thread that reads the engine's answer.
 pub(crate) enum UpstreamEvent {
-    /// The answer began.
+    /// Head of the answer.
     Begun(ServeHead),
-    /// A piece came.
+    /// One event of a stream, or a complete body.
     Piece(Vec<u8>),
-    /// The answer is whole.
+    /// End of the answer.
     Whole,
-    /// The answer failed.
+    /// Failure of the call, before or within the answer.
     Failed(Error),
 }
 
-/// Tries an engine once.
+/// Makes one attempt at an engine and relays its answer.
 pub(crate) fn run(
     shared: &Arc<Shared>,
     context: &Context,
@@ -103,8 +103,7 @@
     }
 }
 
-/// Relays what the engine sends until the answer is whole, the try fails, or the request is
-/// stopped.
+/// Relays the engine's answer until it is complete, the attempt fails, or the request is stopped.
 fn follow(
     shared: &Shared,
     context: &Context,
@@ -147,7 +146,7 @@
     }
 }
 
-/// Starts the thread that sends the request and reads its answer.
+/// Starts the thread that sends the request and reads the answer.
 fn start_reading(
     shared: &Arc<Shared>,
     context: &Context,
@@ -178,8 +177,8 @@
     Ok(receiver)
 }
 
-/// `Reading` is the engine's side of a try. It ends when the answer ends or when nobody listens
-/// any more; its connection to the engine closes then.
+/// Thread that sends the request and reads the engine's answer. It ends with the answer or once
+/// the receiver is dropped, and closes its connection to the engine then.
 struct Reading {
     shared: Arc<Shared>,
     engine: std::net::SocketAddr,
