--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -1,38 +1,38 @@
-//! The gateway's tunables.
+//! Options of the gateway.
 
 use apricotdale_core::names::ClassName;
 
-/// `Options` holds the gateway's tunables.
+/// Options of the gateway.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The class of requests that name none. None stands for the class with the tightest target.
+    /// Class of requests that name none. If unset, the class with the shortest answer time.
     pub default_class: Option<ClassName>,
-    /// The longest time that a caller may ask for in `X-Request-Timeout-Ms`.
+    /// Cap on the timeout that a caller may ask for in `X-Request-Timeout-Ms`.
     pub max_timeout_ms: u64,
-    /// The longest time between two events of a stream.
+    /// Maximum time between two events of a stream before the stream is cut.
     pub stream_idle_timeout_ms: u64,
-    /// How long an answer is expected to take before one has been seen.
+    /// Expected run time of a request at a target that has not answered any yet.
     pub expected_run_ms: u64,
-    /// The first pause before a request whose model was gone asks for admission again. Each further
-    /// pause is twice as long.
+    /// First pause before a request asks for admission again because no engine held its model. The
+    /// pause doubles each time.
     pub reload_pause_ms: u64,
-    /// The largest answer that is kept for repeated calls under one key.
+    /// Size of the largest answer that is kept for duplicates of a call under an idempotency key.
     pub max_kept_answer_bytes: usize,
-    /// How much of a prompt is hashed for routing by prefix.
+    /// Number of leading bytes of a prompt that are hashed for prefix affinity.
     pub prefix_bytes: usize,
-    /// How many requests are remembered for `explain`.
+    /// Number of the latest requests whose traces are kept for `Gateway::explain`.
     pub trace_requests: usize,
-    /// How many steps of one request are remembered.
+    /// Number of steps that are kept in the trace of one request.
     pub trace_steps: usize,
-    /// How many pieces of an answer may wait for a slow caller before the upstream is no longer
-    /// read.
+    /// Number of pieces of an answer that may queue for a slow caller before the upstream is no
+    /// longer read.
     pub piece_queue: usize,
-    /// When a caller that came while the VM is stopping should come back.
+    /// `Retry-After` of requests refused because the VM is draining.
     pub draining_retry_ms: u64,
-    /// How many cancellations may be on their way to engines at once. One more is left out; the
-    /// engine then notices the closed connection.
+    /// Maximum number of concurrent cancellations. Further ones are not sent; the engine then
+    /// learns of the end from the closed connection.
     pub max_cancels: usize,
-    /// The stack of each upstream thread, in bytes.
+    /// Stack size of each upstream thread.
     pub thread_stack_bytes: usize,
 }
 
