--- a/crates/gateway/src/parts.rs
+++ b/crates/gateway/src/parts.rs
@@ -1,4 +1,4 @@
-//! What a gateway is built from.
+//! Dependencies of a gateway.
 
 use std::sync::Arc;
 
@@ -13,28 +13,28 @@
 use apricotdale_core::serving::Directory;
 use apricotdale_core::serving::ServingObserver;
 
-/// `Parts` holds the interfaces and policies that a gateway works with.
+/// Interfaces and policies that a gateway depends on.
 pub struct Parts {
-    /// The process, chosen at random at its start. It makes request identities unique.
+    /// Random number drawn at process start, which makes request identities unique.
     pub process_id: u64,
-    /// What this VM knows of classes, models, services and upstreams.
+    /// Source of the classes, models, services and upstreams known to this VM.
     pub directory: Arc<dyn Directory>,
-    /// Takes in the demand for models.
+    /// Receives the demand for models.
     pub demand: Arc<dyn DemandSink>,
-    /// Makes sure that calls under a key run at most once.
+    /// Makes calls under an idempotency key run at most once.
     pub claims: Arc<dyn ClaimKeeper>,
-    /// Counts and measures.
+    /// Receives the events that metrics are made from.
     pub observer: Arc<dyn ServingObserver>,
-    /// The clock of all deadlines.
+    /// Clock of all deadlines.
     pub clock: Arc<dyn Clock>,
-    /// The model engines.
+    /// Client of the model engines.
     pub serving: Arc<dyn EngineServing>,
-    /// The plain services.
+    /// Client of the plain services.
     pub service: Arc<dyn PlainService>,
-    /// Chooses upstreams, both engines and service instances.
+    /// Chooses an engine or service instance for each attempt.
     pub routing: Box<dyn RoutingPolicy>,
     /// Decides which requests start, wait or are refused.
     pub admission: Box<dyn AdmissionPolicy>,
-    /// Decides on retries.
+    /// Decides whether and when a failed attempt is retried.
     pub retry: Box<dyn RetryPolicy>,
 }
