--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -1,4 +1,4 @@
-//! How refusals are written for callers.
+//! Encoding of refusals for callers.
 
 use apricotdale_core::names::RequestId;
 use apricotdale_core::refusal::Refusal;
@@ -9,8 +9,8 @@
 const TYPE_PREFIX: &str = "urn:apricotdale:refusal:";
 const ERROR_TYPE: &str = "apricotdale_refusal";
 
-/// `Problem` is a problem document as RFC 9457 has it, with members of our own. The `error` member
-/// has OpenAI's form, so that OpenAI's clients show the message.
+/// Problem document of RFC 9457 with additional members. The `error` member has OpenAI's form, so
+/// that OpenAI clients show the message.
 #[derive(Debug, Serialize)]
 struct Problem<'a> {
     #[serde(rename = "type")]
@@ -35,7 +35,7 @@
     code: &'static str,
 }
 
-/// Returns the problem document of a refusal.
+/// Returns the problem document of a refusal as JSON.
 fn document(id: &RequestId, refusal: &Refusal) -> Vec<u8> {
     let reason = refusal.reason.as_str();
     let problem = Problem {
@@ -57,9 +57,9 @@
     serde_json::to_vec(&problem).expect("problem documents hold only strings and numbers")
 }
 
-/// Returns the answer that a refusal is sent as.
+/// Returns the HTTP response of a refusal.
 pub(crate) fn response(id: &RequestId, refusal: &Refusal) -> Response {
-    // OpenAI's clients repeat calls after most errors of their own accord, unless they are told.
+    // OpenAI clients retry most errors by default unless `X-Should-Retry` forbids it.
     let should_retry = refusal.retry_after_ms.is_some().to_string();
     let response = Response::new(refusal.reason.http_status())
         .header("Content-Type", PROBLEM_JSON)
@@ -72,7 +72,7 @@
     }
 }
 
-/// Returns the event by which a refusal is told within a stream that has begun.
+/// Returns the event that reports a refusal within a stream that has begun.
 pub(crate) fn event(id: &RequestId, refusal: &Refusal) -> Vec<u8> {
     let mut event = b"event: error\ndata: ".to_vec();
     event.extend_from_slice(&document(id, refusal));
