--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying an engine's answer to the caller, piece by piece, each checked before it goes out.
+//! Relay of an engine's answer to the caller. Each piece is checked before it is sent on.
 
 use std::time::Instant;
 
@@ -26,28 +26,28 @@
 
 const MODEL_NOT_LOADED: &str = "model_not_loaded";
 
-/// `Relayed` is what follows from an event of the engine.
+/// Result of handling one event of the engine.
 pub(crate) enum Relayed {
-    /// More is to come.
+    /// The answer continues, and its idle timeout starts anew.
     More,
-    /// More is to come, and what came does not count as a sign of life.
+    /// The answer continues, and its idle timeout does not start anew.
     Nothing,
-    /// The try ended.
+    /// The attempt has ended.
     End(TryEnd),
 }
 
-/// `Shape` is how the engine's answer is taken.
+/// How an engine's answer is handled, by its status and content type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shape {
-    /// Event by event.
+    /// Relayed event by event.
     Stream,
-    /// As one body, passed on.
+    /// Relayed as one body.
     Whole,
-    /// As one body that tells why the engine did not run the request.
+    /// Read for the reason why the engine did not run the request.
     NotRun,
 }
 
-/// `Relay` passes the answer of one try on to the caller.
+/// Relays the answer of one attempt to the caller.
 pub(crate) struct Relay<'a, 'b> {
     shared: &'a Shared,
     context: &'a Context,
@@ -75,17 +75,17 @@
         }
     }
 
-    /// Returns whether part of the answer has gone to the caller.
+    /// Returns whether part of the answer has been sent to the caller.
     pub(crate) fn has_begun(&self) -> bool {
         self.answer.has_begun()
     }
 
-    /// Returns when the engine's answer began.
+    /// Returns when the head of the engine's answer arrived, on the gateway's clock.
     pub(crate) fn first_byte_ms(&self) -> Option<u64> {
         self.first_byte_ms
     }
 
-    /// Gives up a request that is stopped now, and returns whether it ran.
+    /// Gives up a request that is being stopped, and returns whether it ran.
     pub(crate) fn give_up(&self, attempt: &Attempt) -> Ran {
         match self.has_begun() {
             true => Ran::Ran,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes in an event of the engine.
+    /// Handles an event of the engine.
     pub(crate) fn take(&mut self, event: UpstreamEvent) -> Relayed {
         match event {
             UpstreamEvent::Begun(head) => self.begin(head),
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Ends a try whose answer belongs to another request. Nothing of it has gone to the caller.
+    /// Ends an attempt whose answer belongs to another request. Nothing of that answer was relayed.
     fn crossed(&mut self) -> Relayed {
         let detail = "the engine's answer belongs to another request".to_owned();
         self.fail(RefusalReason::UpstreamBadAnswer, Ran::Unknown, detail)
@@ -252,7 +252,7 @@
     }
 
     fn fail(&mut self, reason: RefusalReason, ran: Ran, detail: String) -> Relayed {
-        // What the caller has seen a part of has run, in part at least.
+        // An answer that has partly reached the caller was run at least in part.
         let ran = match self.has_begun() {
             true => Ran::Ran,
             false => ran,
