--- a/crates/gateway/src/run_times.rs
+++ b/crates/gateway/src/run_times.rs
@@ -1,14 +1,14 @@
-//! How long answers of each target take.
+//! Mean run time of the requests of each target.
 
 use std::collections::HashMap;
 
 use apricotdale_core::names::ModelName;
 use parking_lot::Mutex;
 
-/// One new run moves the mean by this part of its distance.
+/// Each new run time moves the mean by this fraction of its distance from the mean.
 const WEIGHT_DIVISOR: i64 = 8;
 
-/// `RunTimes` keeps a moving mean of the run times of each target.
+/// Exponential moving mean of the run times of each target.
 pub(crate) struct RunTimes {
     first_guess_ms: u64,
     means_ms: Mutex<HashMap<ModelName, i64>>,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes in the run time of an answered request.
+    /// Records the run time of an answered request.
     pub(crate) fn note(&self, target: &ModelName, ran_ms: u64) {
         let ran_ms = i64::try_from(ran_ms).unwrap_or(i64::MAX / WEIGHT_DIVISOR);
         let mut means_ms = self.means_ms.lock();
@@ -30,7 +30,7 @@
         *mean_ms += (ran_ms - *mean_ms) / WEIGHT_DIVISOR;
     }
 
-    /// Returns how long an answer of the target is expected to take.
+    /// Returns the mean run time of the target, or the initial value if none was recorded.
     pub(crate) fn expected_ms(&self, target: &ModelName) -> u64 {
         self.means_ms
             .lock()
