--- a/crates/gateway/src/service_flow.rs
+++ b/crates/gateway/src/service_flow.rs
@@ -1,4 +1,4 @@
-//! A call to a plain service, as the caller's thread sees it.
+//! A call to a plain service, as handled on the caller's thread.
 
 use std::sync::Arc;
 
@@ -29,13 +29,17 @@
 const MAX_KEY_CHARS: usize = 255;
 const RETRY_WITHOUT_INSTANCE_MS: u64 = 1_000;
 
-/// Returns the name under which a service's capacity is counted, which no model can have by
-/// accident.
+/// Returns the name under which a service's capacity is counted. The prefix keeps it distinct from
+/// the names of models.
 pub fn service_target(service: &GroupName) -> ModelName {
     ModelName::from(format!("{TARGET_PREFIX}{service}"))
 }
 
 /// Serves a call to a plain service.
+///
+/// # Errors
+///
+/// The refusal of the call.
 pub(crate) fn serve(
     shared: &Arc<Shared>,
     context: &Context,
@@ -145,7 +149,11 @@
     }
 }
 
-/// Returns how often a call may be sent.
+/// Returns whether a call may run repeatedly, from its method, path and idempotency key.
+///
+/// # Errors
+///
+/// A `BadRequest` refusal, if the key is empty or too long.
 fn repetition(
     context: &Context,
     spec: &ServiceSpec,
@@ -172,8 +180,8 @@
     }
 }
 
-/// Returns the key within its service and caller. Two callers that choose the same key must not
-/// get each other's kept answers.
+/// Returns the key qualified by its service and caller, so that two callers that choose the same
+/// key don't get each other's kept answers.
 fn scoped_key(context: &Context, spec: &ServiceSpec, key: &str) -> IdempotencyKey {
     IdempotencyKey::from(format!("{}/{}/{key}", spec.service, context.caller))
 }
