--- a/crates/gateway/src/service_job.rs
+++ b/crates/gateway/src/service_job.rs
@@ -1,7 +1,7 @@
-//! A call to a plain service, as the thread sees it that claims, sends and settles it.
+//! A call to a plain service, as run on a worker thread: claim, attempts, record of the outcome.
 //!
-//! The job outlives a caller that goes away or runs out of time: once a call under a key has been
-//! sent, its outcome must still be put on record, so that the caller finds it under the same key.
+//! The job outlives a caller that hangs up or times out. Once a call under an idempotency key has
+//! been sent, its outcome must still be recorded, so that the caller finds it under the same key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,41 +34,41 @@
 use crate::trace::Step;
 use crate::trace::TraceLog;
 
-/// How much later than the gateway the adapter gives up.
+/// Time by which the adapter's timeout exceeds the gateway's.
 const ADAPTER_MARGIN_MS: u64 = 500;
 
-/// `Repetition` says how often a call may run.
+/// Whether a call may run repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Repetition {
-    /// It may run again.
+    /// The call may run any number of times.
     Repeatable,
-    /// It runs at most once over all VMs and repeats under its key.
+    /// The call runs at most once over all VMs and all its duplicates under the key.
     Keyed {
-        /// The key, scoped by service and caller.
+        /// Key, qualified by service and caller.
         key: IdempotencyKey,
-        /// The hash of the call.
+        /// Hash of the call, by which a key reused for another call is detected.
         call_hash: u64,
     },
-    /// It is sent at most once.
+    /// The call is not sent again after an attempt that may have run.
     Once,
 }
 
-/// `JobEnd` is how a job ended.
+/// How a job ended.
 pub(crate) enum JobEnd {
     /// The service answered.
     Answered(ServiceAnswer),
-    /// The service had answered an earlier call under the key.
+    /// The kept answer to an earlier call under the same key.
     Replayed(ServiceAnswer),
-    /// The call is refused.
+    /// The call was refused.
     Refused(Refusal),
 }
 
-/// `ServiceJob` claims, sends and settles one call.
+/// Claims one call, sends it and records its outcome.
 pub(crate) struct ServiceJob {
     pub(crate) shared: Arc<Shared>,
     pub(crate) call: ServiceCall,
     pub(crate) spec: ServiceSpec,
-    /// Tells whether another call is the same one.
+    /// Fingerprint by which a crashing call is recognized.
     pub(crate) identity: Identity,
     pub(crate) repetition: Repetition,
     pub(crate) deadline_ms: u64,
@@ -79,18 +79,18 @@
     pub(crate) end: Sender<JobEnd>,
 }
 
-/// `CallFailure` is why a try failed.
+/// Failure of one attempt.
 struct CallFailure {
     reason: RefusalReason,
     ran: Ran,
     outcome: UpstreamOutcome,
     detail: String,
-    /// The service's own answer, if it gave one.
+    /// Answer of the service, if it gave one. It is delivered if the call is not retried.
     answer: Option<ServiceAnswer>,
 }
 
 impl ServiceJob {
-    /// Runs the job to its end.
+    /// Runs the job and sends its end to the caller's thread.
     pub(crate) fn run(mut self) {
         let end = match self.repetition.clone() {
             Repetition::Keyed { key, call_hash } => self.run_claimed(key, call_hash),
@@ -105,7 +105,8 @@
             end: sender,
             ..
         } = self;
-        // The place is free before the caller hears of the end: its next request may need it.
+        // The slot is released before the caller gets its answer: its next request may need the
+        // slot.
         drop(admitted);
         let _ = sender.send(end);
         drop(in_progress);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Makes the call once.
+    /// Makes one attempt at a service instance.
     fn try_at(&mut self, candidate: &Candidate) -> Result<ServiceAnswer, CallFailure> {
         let sent_ms = self.shared.now_ms();
         self.shared.learn_routing(RoutingEvent::Sent {
@@ -212,9 +213,9 @@
         result
     }
 
-    /// Takes an answer that tells of an instance in trouble for a failure, where the call may be
-    /// repeated at another. For every other call the answer is the answer: nobody can tell from
-    /// the status alone that the call had no effect.
+    /// Treats a gateway error (502 to 504) of an instance as a failure, if the call may run again
+    /// at another instance. Any other call keeps that answer, because the status alone doesn't show
+    /// that the call had no effect.
     fn check_answer(&self, answer: ServiceAnswer) -> Result<ServiceAnswer, CallFailure> {
         match (&self.repetition, answer.status) {
             (Repetition::Repeatable, 502..=504) => Err(CallFailure {
@@ -244,8 +245,8 @@
         self.shared.decide_retry(&request, failure.ran, &self.trace)
     }
 
-    /// Lets the crashes of instances be held against the call. Whoever repeats it under a key is
-    /// kept to one run anyway.
+    /// Records the attempt with the crash guard. Duplicates under an idempotency key are limited to
+    /// one run in any case.
     fn note_try(&self, candidate: &Candidate, result: &Result<ServiceAnswer, CallFailure>) {
         let (outcome, is_cut) = match result {
             Ok(_) => (UpstreamOutcome::Answered, false),
@@ -282,8 +283,8 @@
         JobEnd::Refused(refusal)
     }
 
-    /// Returns the end of a call that was given up. Nobody listens any more; the caller's thread
-    /// has refused it.
+    /// Returns the end of a call that was given up. The caller's thread has already refused the
+    /// call and does not read this end.
     fn given_up(&self) -> JobEnd {
         JobEnd::Refused(admission::caller_gone())
     }
