--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests share, and the decisions that are asked for on their way.
+//! State shared by all requests, and the calls to policies.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -44,7 +44,7 @@
 use crate::trace::Traces;
 use crate::workers::Workers;
 
-/// `Shared` is what all requests share.
+/// State shared by all requests of a gateway.
 pub(crate) struct Shared {
     pub(crate) options: Options,
     pub(crate) directory: Arc<dyn Directory>,
@@ -68,7 +68,7 @@
     retry: Mutex<Box<dyn RetryPolicy>>,
 }
 
-/// `RefusedRequest` is what is told of a refused request besides its refusal.
+/// Properties of a refused request that are logged with the refusal.
 pub(crate) struct RefusedRequest<'a> {
     pub(crate) id: &'a RequestId,
     pub(crate) correlation: Option<&'a str>,
@@ -103,17 +103,17 @@
         })
     }
 
-    /// Returns the present time on the clock of all deadlines.
+    /// Returns the time on the monotonic clock, which all deadlines refer to.
     pub(crate) fn now_ms(&self) -> u64 {
         self.clock.monotonic_ms()
     }
 
-    /// Returns the time left until a deadline.
+    /// Returns the time left until a deadline, zero if it has passed.
     pub(crate) fn left(&self, deadline_ms: u64) -> Duration {
         Duration::from_millis(deadline_ms.saturating_sub(self.now_ms()))
     }
 
-    /// Returns why no new request is taken now, if so.
+    /// Returns the refusal of every new request, if the VM accepts none now.
     pub(crate) fn closed(&self) -> Option<Refusal> {
         if self.draining.load(Ordering::Acquire) {
             let refusal = Refusal::not_run(RefusalReason::Draining, "this VM is stopping");
@@ -122,7 +122,7 @@
         self.directory.closed()
     }
 
-    /// Counts, logs and traces a refusal. Every refusal passes here, once.
+    /// Counts, logs and traces a refusal. Each refusal passes through here exactly once.
     pub(crate) fn note_refusal(&self, request: &RefusedRequest<'_>, refusal: &Refusal) {
         let class = request.class.as_ref().map_or("", ClassName::as_str);
         log::warn!(
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Counts and traces a whole answer.
+    /// Counts and traces a complete answer. `first_ms` is when its first piece was sent.
     pub(crate) fn note_answered(&self, context: &Context, first_ms: u64, status: u16) {
         let now_ms = self.now_ms();
         let first_answer_ms = first_ms.saturating_sub(context.arrived_ms);
@@ -161,7 +161,7 @@
         context.trace.note(now_ms, Step::Answered { status });
     }
 
-    /// Chooses an upstream.
+    /// Asks the routing policy for an upstream and traces the choice.
     pub(crate) fn choose(
         &self,
         request: &RouteRequest,
@@ -185,7 +185,7 @@
         Some(chosen)
     }
 
-    /// Lets routing learn.
+    /// Passes an event to the routing policy.
     pub(crate) fn learn_routing(&self, event: RoutingEvent) {
         let now_ms = self.now_ms();
         if let RoutingEvent::Removed { upstream } = &event {
@@ -194,13 +194,13 @@
         self.routing.lock().learn(now_ms, event);
     }
 
-    /// Notes a first try, which earns budget for retries.
+    /// Reports a first attempt to the retry policy, which earns retry budget from it.
     pub(crate) fn note_first_try(&self, group: &GroupName) {
         let now_ms = self.now_ms();
         self.retry.lock().first_try(now_ms, group);
     }
 
-    /// Returns the pause before a retry, or none to give up.
+    /// Returns the pause before a retry, or none if the request is not retried.
     pub(crate) fn decide_retry(
         &self,
         request: &RetryRequest,
