--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -1,4 +1,4 @@
-//! What became of the last requests, step by step.
+//! Traces of the latest requests, step by step.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,109 +7,109 @@
 use parking_lot::Mutex;
 use serde::Serialize;
 
-/// `Step` is one step of a request.
+/// One step of a request's handling.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "step")]
 pub enum Step {
     /// The request arrived.
     Arrived {
-        /// The method.
+        /// HTTP method.
         method: String,
-        /// The path.
+        /// Path without the query.
         path: String,
-        /// The identity that the caller gave, if any.
+        /// The caller's own `X-Request-Id`, if it was accepted.
         correlation: Option<String>,
     },
-    /// Its class, caller and deadline were settled.
+    /// Class, caller and timeout of the request were determined.
     Classified {
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// The caller.
+        /// Name under which the caller's share is counted.
         caller: String,
-        /// The time left until the answer must have begun.
+        /// Time from arrival until the answer must have begun.
         timeout_ms: u64,
     },
-    /// It asked for admission.
+    /// The request asked for admission.
     Queued {
-        /// The model or service.
+        /// Model, or service with its prefix.
         target: String,
-        /// Upstreams that could take it at that moment; none means a cold start.
+        /// Upstreams that could serve it at that moment; 0 means a cold start.
         upstreams: usize,
     },
-    /// It was admitted.
+    /// Admission started the request.
     Admitted {
-        /// How long it waited.
+        /// Time that the request waited for admission.
         wait_ms: u64,
     },
-    /// An upstream was chosen.
+    /// Routing chose an upstream.
     Chosen {
-        /// The upstream.
+        /// Name of the chosen upstream.
         upstream: String,
-        /// All that it was chosen from.
+        /// All upstreams that routing could choose from.
         candidates: Vec<String>,
-        /// Those that had been tried before.
+        /// Upstreams of earlier attempts.
         tried: Vec<String>,
-        /// The hash of the prompt's prefix, by which routing finds a warm cache.
+        /// Hash of the prompt's prefix, which prefix affinity is based on.
         prefix_hash: Option<u64>,
     },
-    /// A try failed.
+    /// An attempt failed.
     TryFailed {
-        /// The upstream, if one had been chosen.
+        /// Upstream of the attempt, if routing had chosen one.
         upstream: Option<String>,
-        /// The reason.
+        /// Reason that a refusal for this failure would have.
         reason: String,
-        /// Whether the try ran.
+        /// Whether the attempt ran: `ran`, `not_run` or `unknown`.
         ran: String,
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
-    /// A retry was decided on.
+    /// The retry policy decided on a retry.
     Retry {
-        /// The decision.
+        /// Decision, in the `Debug` form of `RetryDecision`.
         decision: String,
     },
-    /// The answer began.
+    /// The first event of a stream was sent to the caller.
     AnswerBegun,
-    /// The request was answered in whole.
+    /// The complete answer was sent to the caller.
     Answered {
-        /// The HTTP status.
+        /// HTTP status of the answer.
         status: u16,
     },
     /// The request was refused.
     Refused {
-        /// The reason.
+        /// Reason of the refusal.
         reason: String,
-        /// Whether it ran.
+        /// Whether the request ran: `ran`, `not_run` or `unknown`.
         ran: String,
-        /// What happened.
+        /// Description sent to the caller.
         detail: String,
     },
 }
 
-/// `TracedStep` is a step and its time.
+/// A step and when it happened.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TracedStep {
     /// Milliseconds since the request's arrival.
     pub after_ms: u64,
-    /// The step.
+    /// Step that happened.
     #[serde(flatten)]
     pub step: Step,
 }
 
-/// `Trace` is what became of one request so far.
+/// Trace of one request so far.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Trace {
-    /// The request.
+    /// Identity of the request.
     pub request_id: RequestId,
-    /// When it arrived, in milliseconds of Unix time.
+    /// Arrival time in milliseconds since the Unix epoch.
     pub arrived_unix_ms: u64,
-    /// Its steps, in order.
+    /// Steps, oldest first.
     pub steps: Vec<TracedStep>,
-    /// How many steps were left out at the end for want of room.
+    /// Number of later steps that were dropped because the trace was full.
     pub left_out: usize,
 }
 
-/// `TraceLog` writes the trace of one request.
+/// Writer of the trace of one request.
 pub(crate) struct TraceLog {
     arrived_ms: u64,
     max_steps: usize,
@@ -117,7 +117,7 @@
 }
 
 impl TraceLog {
-    /// Notes a step.
+    /// Records a step, or only counts it if the trace is full.
     pub(crate) fn note(&self, now_ms: u64, step: Step) {
         let after_ms = now_ms.saturating_sub(self.arrived_ms);
         let mut trace = self.trace.lock();
@@ -129,7 +129,7 @@
     }
 }
 
-/// `Traces` holds the traces of the last requests.
+/// Ring buffer of the traces of the latest requests.
 pub(crate) struct Traces {
     max_requests: usize,
     max_steps: usize,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Opens the trace of a request that has just arrived.
+    /// Creates the trace of a request that has just arrived. It is not kept yet.
     pub(crate) fn open(&self, id: &RequestId, now_ms: u64, unix_ms: u64) -> Arc<TraceLog> {
         Arc::new(TraceLog {
             arrived_ms: now_ms,
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Remembers a trace, and forgets the oldest if there are too many.
+    /// Keeps a trace, and drops the oldest if the ring is full.
     pub(crate) fn remember(&self, id: &RequestId, log: &Arc<TraceLog>) {
         let mut ring = self.ring.lock();
         if ring.len() >= self.max_requests {
@@ -168,7 +168,7 @@
         ring.push_back((id.clone(), log.clone()));
     }
 
-    /// Returns the trace of a request that is still remembered.
+    /// Returns the trace of a request that is still kept.
     pub(crate) fn find(&self, id: &RequestId) -> Option<Trace> {
         let ring = self.ring.lock();
         let (_, log) = ring.iter().rev().find(|(known, _)| known == id)?;
