--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -1,4 +1,4 @@
-//! Threads for what may block on an upstream, kept for a while for the next request.
+//! Threads for work that may block on an upstream, reused for a while after each job.
 
 use std::io;
 use std::thread;
@@ -8,15 +8,14 @@
 use crossbeam_channel::Sender;
 use crossbeam_channel::TrySendError;
 
-/// How long a thread waits for its next job.
+/// How long an idle thread waits for a job before it ends.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// `Workers` runs jobs at once, each on a thread of its own: on one that waits, or else on a new
-/// one. There is no limit and no queue, because a job that waited behind silent upstreams would be
-/// late through no fault of its own. A thread started anew for each job is slower to run on a busy
-/// machine, see `docs/design/callers-interface.md`.
+/// Runs each job at once on a thread of its own: an idle one, or else a new one. There is no limit
+/// and no queue, because a job queued behind unresponsive upstreams would be late through no fault
+/// of its own. Threads are reused because starting one for each job is slower on a busy machine.
 pub(crate) struct Workers {
     stack_bytes: usize,
     jobs: Sender<Job>,
@@ -25,7 +24,7 @@
 
 impl Workers {
     pub(crate) fn new(stack_bytes: usize) -> Self {
-        // Without room in the channel, a job is taken only by a thread that waits for it now.
+        // With a capacity of 0, a job is accepted only by a thread that is waiting for one now.
         let (jobs, waiting) = crossbeam_channel::bounded(0);
         Self {
             stack_bytes,
@@ -34,7 +33,11 @@
         }
     }
 
-    /// Runs a job. Returns at once.
+    /// Runs a job, without waiting for its end.
+    ///
+    /// # Errors
+    ///
+    /// If a new thread is needed and can't be started.
     pub(crate) fn run(&self, job: impl FnOnce() + Send + 'static) -> io::Result<()> {
         match self.jobs.try_send(Box::new(job)) {
             Ok(()) => Ok(()),
