--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -91,7 +91,7 @@
 
     /// Reports a target's capacity to the policy. `ready_at_ms` is when the first slot is expected,
     /// if there is none yet.
-    pub(crate) fn capacity(&self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
+    pub(crate) fn set_capacity(&self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
         let event = AdmissionEvent::Capacity {
             target,
             slots,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -86,12 +86,12 @@
     /// Sets how many requests this VM may have in progress at a target. If there is no slot yet,
     /// `ready_at_ms` is when the first is expected. The target is a model, or a service named by
     /// [`service_target`](crate::service_target).
-    pub fn capacity(&self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
-        self.shared.desk.capacity(target, slots, ready_at_ms);
+    pub fn set_capacity(&self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
+        self.shared.desk.set_capacity(target, slots, ready_at_ms);
     }
 
     /// Refuses all requests that wait for a model, and returns their number.
-    pub fn hopeless(&self, model: &ModelName, refusal: &Refusal) -> usize {
+    pub fn refuse_waiting(&self, model: &ModelName, refusal: &Refusal) -> usize {
         self.shared.desk.refuse_target(model, refusal)
     }
 
--- a/crates/gateway/tests/cold_start.rs
+++ b/crates/gateway/tests/cold_start.rs
@@ -52,7 +52,7 @@
     let refusal = Refusal::not_run(RefusalReason::LoadFailed, "the weights are gone");
     let mut refused = 0;
     while refused < 3 {
-        refused += bench.gateway.hopeless(&MODEL.into(), &refusal);
+        refused += bench.gateway.refuse_waiting(&MODEL.into(), &refusal);
     }
     for caller in &mut callers {
         let told = caller.answer().refusal();
--- a/crates/gateway/tests/engine_retries.rs
+++ b/crates/gateway/tests/engine_retries.rs
@@ -61,7 +61,7 @@
 #[test]
 fn a_request_waits_for_a_load_when_no_engine_holds_its_model() {
     let bench = Bench::warm();
-    bench.gateway.capacity(support::MODEL.into(), 1, None);
+    bench.gateway.set_capacity(support::MODEL.into(), 1, None);
     bench.engine.script(vec![
         Act::Hold,
         not_loaded()[0].clone(),
@@ -71,7 +71,7 @@
     caller.send_completion(&[]);
     bench.engine.wait_held();
     bench.directory.replicas.lock().clear();
-    bench.gateway.capacity(support::MODEL.into(), 0, None);
+    bench.gateway.set_capacity(support::MODEL.into(), 0, None);
     bench.engine.release.0.send(()).expect("the engine holds");
     let missing = |event: &DemandEvent| matches!(event, DemandEvent::Missing { .. });
     let DemandEvent::Missing { upstream, .. } = bench.demand.0.wait_for(missing) else {
--- a/crates/gateway/tests/freed_places.rs
+++ b/crates/gateway/tests/freed_places.rs
@@ -58,7 +58,7 @@
     let bench = Bench::warm();
     bench
         .gateway
-        .capacity(service_target(&GroupName::new(SERVICE)), 1, None);
+        .set_capacity(service_target(&GroupName::new(SERVICE)), 1, None);
     *bench.service.holds.lock() = true;
     let mut first = bench.caller();
     first.send(
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -202,7 +202,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let server = Server::start(listener, http, gateway.clone(), gateway.clone());
         directory.instances.lock().push(candidate("booking-1", 9));
-        gateway.capacity(service_target(&GroupName::new(SERVICE)), 100, None);
+        gateway.set_capacity(service_target(&GroupName::new(SERVICE)), 100, None);
         Self {
             gateway,
             server: server.expect("a server"),
@@ -223,7 +223,8 @@
     /// Shows the model as loaded on one more engine, with as many places in all.
     pub fn load_with(&self, engine: &str, port: u16, slots: u32) {
         self.directory.replicas.lock().push(candidate(engine, port));
-        self.gateway.capacity(ModelName::new(MODEL), slots, None);
+        self.gateway
+            .set_capacity(ModelName::new(MODEL), slots, None);
     }
 
     pub fn caller(&self) -> Caller {
--- a/crates/node/src/placing/capacity.rs
+++ b/crates/node/src/placing/capacity.rs
@@ -132,7 +132,8 @@
         if self.told.get(&target) == Some(&capacity) {
             return;
         }
-        self.gateway.capacity(target.clone(), slots, ready_at_ms);
+        self.gateway
+            .set_capacity(target.clone(), slots, ready_at_ms);
         self.told.insert(target, capacity);
     }
 }
--- a/crates/node/src/placing/placement_loop.rs
+++ b/crates/node/src/placing/placement_loop.rs
@@ -137,7 +137,7 @@
             self.carry_out(action);
         }
         for (model, refusal) in self.failures.given_up(now_ms) {
-            self.parts.gateway.hopeless(&model, &refusal);
+            self.parts.gateway.refuse_waiting(&model, &refusal);
         }
         self.unload_strays();
         self.refuse_undecidable();
@@ -188,7 +188,7 @@
                 if refusal.reason == RefusalReason::DeadlineTooShort
                     && !self.parts.loads.has_evidence() => {}
             PlacementAction::Hopeless { model, refusal } => {
-                self.parts.gateway.hopeless(&model, &refusal);
+                self.parts.gateway.refuse_waiting(&model, &refusal);
             }
         }
     }
@@ -230,7 +230,7 @@
                 let detail = "an earlier order for the model may yet take effect";
                 let refusal = Refusal::not_run(RefusalReason::NoCapacity, detail);
                 let refusal = refusal.retry_after(BLOCKED_RETRY_MS);
-                self.parts.gateway.hopeless(model, &refusal);
+                self.parts.gateway.refuse_waiting(model, &refusal);
             }
         }
     }
@@ -370,7 +370,7 @@
             let refusal = Refusal::not_run(RefusalReason::LogUnavailable, detail);
             self.parts
                 .gateway
-                .hopeless(&model, &refusal.retry_after(LOG_RETRY_MS));
+                .refuse_waiting(&model, &refusal.retry_after(LOG_RETRY_MS));
         }
     }
 
