--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -16,7 +16,7 @@
 use crate::trace::Step;
 
 /// Target that a request asks admission for.
-pub(crate) struct Queue {
+pub(crate) struct AdmissionRequest {
     /// Name under which capacity is counted: the model, or the service by `service_target`.
     pub(crate) target: ModelName,
     /// Whether the target is a model, for which replicas are loaded on demand. Instances of a
@@ -28,7 +28,7 @@
 
 /// Capacity slot of a started request. Dropping it releases the slot.
 pub(crate) struct Admitted {
-    place: Place,
+    demand_guard: DemandGuard,
     started_ms: u64,
     answered: bool,
 }
@@ -42,34 +42,36 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        let shared = &self.place.shared;
+        let shared = &self.demand_guard.shared;
         let ran_ms = shared.now_ms().saturating_sub(self.started_ms);
         if self.answered {
-            shared.run_times.note(&self.place.target, ran_ms);
+            shared.run_times.record(&self.demand_guard.target, ran_ms);
         }
-        shared.desk.ended(self.place.ticket, ran_ms);
+        shared
+            .admission_queue
+            .record_end(self.demand_guard.ticket, ran_ms);
     }
 }
 
 /// Reports the end of a request to the demand sink when it is dropped.
-struct Place {
+struct DemandGuard {
     shared: Arc<Shared>,
     ticket: Ticket,
     target: ModelName,
     is_model: bool,
 }
 
-impl Place {
-    fn note(&self, event: DemandEvent) {
+impl DemandGuard {
+    fn report(&self, event: DemandEvent) {
         if self.is_model {
             self.shared.demand.note(self.shared.now_ms(), event);
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for DemandGuard {
     fn drop(&mut self) {
-        self.note(DemandEvent::Ended {
+        self.report(DemandEvent::Ended {
             ticket: self.ticket,
         });
     }
@@ -83,78 +85,86 @@
 pub(crate) fn admit(
     shared: &Arc<Shared>,
     context: &Context,
-    queue: &Queue,
+    admission_request: &AdmissionRequest,
 ) -> Result<Admitted, Refusal> {
-    let ticket = shared.desk.next_ticket();
+    let ticket = shared.admission_queue.next_ticket();
     let queued_ms = shared.now_ms();
-    let place = Place {
+    let demand_guard = DemandGuard {
         shared: shared.clone(),
         ticket,
-        target: queue.target.clone(),
-        is_model: queue.is_model,
+        target: admission_request.target.clone(),
+        is_model: admission_request.is_model,
     };
     let step = Step::Queued {
-        target: queue.target.to_string(),
-        upstreams: queue.upstreams,
+        target: admission_request.target.to_string(),
+        upstreams: admission_request.upstreams,
     };
-    context.trace.note(queued_ms, step);
+    context.trace.record(queued_ms, step);
     // The demand is reported before the policy is asked: a model loaded for it may be ready sooner.
-    place.note(DemandEvent::Arrived {
+    demand_guard.report(DemandEvent::Arrived {
         ticket,
-        model: queue.target.clone(),
+        model: admission_request.target.clone(),
         deadline_ms: context.deadline_ms,
     });
     let arrival = Arrival {
         ticket,
-        target: queue.target.clone(),
+        target: admission_request.target.clone(),
         class: context.class.class.clone(),
         caller: context.caller.clone(),
         deadline_ms: context.deadline_ms,
-        expected_run_ms: shared.run_times.expected_ms(&queue.target),
+        expected_run_ms: shared.run_times.expected_ms(&admission_request.target),
     };
-    shared.desk.arrive(arrival, context.inbox.sender.clone());
-    wait(shared, context, ticket)?;
+    shared
+        .admission_queue
+        .enqueue(arrival, context.inbox.sender.clone());
+    wait_for_decision(shared, context, ticket)?;
     let started_ms = shared.now_ms();
     let wait_ms = started_ms.saturating_sub(queued_ms);
-    place.note(DemandEvent::Started { ticket });
-    context.trace.note(started_ms, Step::Admitted { wait_ms });
-    shared.observer.observe(&waited(context, queue, wait_ms));
+    demand_guard.report(DemandEvent::Started { ticket });
+    context.trace.record(started_ms, Step::Admitted { wait_ms });
+    shared
+        .observer
+        .observe(&wait_event(context, admission_request, wait_ms));
     Ok(Admitted {
-        place,
+        demand_guard,
         started_ms,
         answered: false,
     })
 }
 
-fn wait(shared: &Shared, context: &Context, ticket: Ticket) -> Result<(), Refusal> {
-    let left = shared.left(context.deadline_ms);
+fn wait_for_decision(shared: &Shared, context: &Context, ticket: Ticket) -> Result<(), Refusal> {
+    let left = shared.time_left(context.deadline_ms);
     let refusal = match context.inbox.receiver.recv_timeout(left) {
         Ok(Control::Admitted) => return Ok(()),
         Ok(Control::Refused(refusal)) => return Err(refusal),
         Ok(Control::CallerGone) => caller_gone(),
         Err(_) => deadline_passed("the request was not started in time"),
     };
-    if !shared.desk.withdraw(ticket) {
-        give_back(shared, context, ticket);
+    if !shared.admission_queue.withdraw(ticket) {
+        release_if_started(shared, context, ticket);
     }
     Err(refusal)
 }
 
 /// Releases the slot of a request that was started while it was being withdrawn. The decision is
 /// already in the inbox, because it was sent under the lock that `withdraw` takes.
-fn give_back(shared: &Shared, context: &Context, ticket: Ticket) {
+fn release_if_started(shared: &Shared, context: &Context, ticket: Ticket) {
     let decisions = context.inbox.receiver.try_iter();
     if decisions
         .into_iter()
         .any(|control| control == Control::Admitted)
     {
-        shared.desk.ended(ticket, 0);
+        shared.admission_queue.record_end(ticket, 0);
     }
 }
 
-fn waited(context: &Context, queue: &Queue, wait_ms: u64) -> ServingEvent {
+fn wait_event(
+    context: &Context,
+    admission_request: &AdmissionRequest,
+    wait_ms: u64,
+) -> ServingEvent {
     let class = context.class.class.clone();
-    match queue.is_model && queue.upstreams == 0 {
+    match admission_request.is_model && admission_request.upstreams == 0 {
         true => ServingEvent::ColdStart { class, wait_ms },
         false => ServingEvent::QueueWait { class, wait_ms },
     }
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/admission_queue.rs
@@ -26,7 +26,7 @@
 const MIN_TICK: Duration = Duration::from_millis(1);
 
 /// Runs the admission policy and sends its decisions to the waiting requests.
-pub(crate) struct Desk {
+pub(crate) struct AdmissionQueue {
     state: Mutex<State>,
     tick_changed: Condvar,
     next_ticket: AtomicU64,
@@ -44,7 +44,7 @@
     control: Sender<Control>,
 }
 
-impl Desk {
+impl AdmissionQueue {
     pub(crate) fn new(policy: Box<dyn AdmissionPolicy>, clock: Arc<dyn Clock>) -> Self {
         Self {
             state: Mutex::new(State {
@@ -64,7 +64,7 @@
     }
 
     /// Adds a waiting request. The decision on it is sent to its control channel.
-    pub(crate) fn arrive(&self, arrival: Arrival, control: Sender<Control>) {
+    pub(crate) fn enqueue(&self, arrival: Arrival, control: Sender<Control>) {
         let mut state = self.state.lock();
         let waiting = Waiting {
             target: arrival.target.clone(),
@@ -85,7 +85,7 @@
     }
 
     /// Reports the end of a started request to the policy.
-    pub(crate) fn ended(&self, ticket: Ticket, ran_ms: u64) {
+    pub(crate) fn record_end(&self, ticket: Ticket, ran_ms: u64) {
         self.handle(self.state.lock(), AdmissionEvent::Ended { ticket, ran_ms });
     }
 
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -16,8 +16,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallerLost;
 
-enum Sending<'a> {
-    Nothing(Responder<'a>),
+enum SendState<'a> {
+    NotBegun(Responder<'a>),
     Stream(ResponseStream<'a>),
     Ended,
 }
@@ -26,7 +26,7 @@
 pub(crate) struct Answer<'a> {
     id: RequestId,
     correlation: Option<String>,
-    sending: Sending<'a>,
+    state: SendState<'a>,
 }
 
 impl<'a> Answer<'a> {
@@ -38,13 +38,13 @@
         Self {
             id,
             correlation,
-            sending: Sending::Nothing(responder),
+            state: SendState::NotBegun(responder),
         }
     }
 
     /// Returns whether part of the answer has been sent to the caller.
     pub(crate) fn has_begun(&self) -> bool {
-        !matches!(self.sending, Sending::Nothing(_))
+        !matches!(self.state, SendState::NotBegun(_))
     }
 
     /// Sends a complete answer.
@@ -53,7 +53,7 @@
     ///
     /// If an answer has already begun.
     pub(crate) fn send(&mut self, mut response: Response) -> Result<(), CallerLost> {
-        let Sending::Nothing(responder) = mem::replace(&mut self.sending, Sending::Ended) else {
+        let SendState::NotBegun(responder) = mem::replace(&mut self.state, SendState::Ended) else {
             panic!("a request is answered once");
         };
         response.head = self.identify(response.head);
@@ -66,27 +66,27 @@
         content_type: &str,
         event: &[u8],
     ) -> Result<(), CallerLost> {
-        let mut stream = match mem::replace(&mut self.sending, Sending::Ended) {
-            Sending::Stream(stream) => stream,
-            Sending::Nothing(responder) => {
+        let mut stream = match mem::replace(&mut self.state, SendState::Ended) {
+            SendState::Stream(stream) => stream,
+            SendState::NotBegun(responder) => {
                 let head = ResponseHead::new(200)
                     .header("Content-Type", content_type)
                     .header("Cache-Control", "no-cache");
                 let head = self.identify(head);
                 responder.start(head).map_err(|_| CallerLost)?
             }
-            Sending::Ended => return Err(CallerLost),
+            SendState::Ended => return Err(CallerLost),
         };
         stream.send_piece(event).map_err(|_| CallerLost)?;
-        self.sending = Sending::Stream(stream);
+        self.state = SendState::Stream(stream);
         Ok(())
     }
 
     /// Ends the stream with its last chunk, which marks it as complete.
     pub(crate) fn finish(&mut self) -> Result<(), CallerLost> {
-        match mem::replace(&mut self.sending, Sending::Ended) {
-            Sending::Stream(stream) => stream.finish().map_err(|_| CallerLost),
-            Sending::Nothing(_) | Sending::Ended => Err(CallerLost),
+        match mem::replace(&mut self.state, SendState::Ended) {
+            SendState::Stream(stream) => stream.finish().map_err(|_| CallerLost),
+            SendState::NotBegun(_) | SendState::Ended => Err(CallerLost),
         }
     }
 
@@ -94,17 +94,17 @@
     /// without the last chunk, so that the caller can't mistake the part that it has for a complete
     /// answer.
     pub(crate) fn refuse(&mut self, refusal: &Refusal, allow: Option<&str>) {
-        let sending = mem::replace(&mut self.sending, Sending::Ended);
+        let state = mem::replace(&mut self.state, SendState::Ended);
         let is_gone = refusal.reason == RefusalReason::CallerGone;
-        let sent = match sending {
-            Sending::Ended => Ok(()),
-            Sending::Stream(_) if is_gone => Ok(()),
-            Sending::Nothing(responder) if is_gone => {
+        let sent = match state {
+            SendState::Ended => Ok(()),
+            SendState::Stream(_) if is_gone => Ok(()),
+            SendState::NotBegun(responder) if is_gone => {
                 responder.close();
                 Ok(())
             }
-            Sending::Stream(mut stream) => stream.send_piece(&problem::event(&self.id, refusal)),
-            Sending::Nothing(responder) => {
+            SendState::Stream(mut stream) => stream.send_piece(&problem::event(&self.id, refusal)),
+            SendState::NotBegun(responder) => {
                 let mut response = problem::response(&self.id, refusal);
                 response.head = self.identify(response.head);
                 responder.send(match allow {
--- a/crates/gateway/src/cancels.rs
+++ b/crates/gateway/src/cancel_sender.rs
@@ -12,39 +12,39 @@
 
 /// Sends cancellations to engines, each on a worker thread, so that the cancelled request never
 /// waits for an engine that does not answer.
-pub(crate) struct Cancels {
+pub(crate) struct CancelSender {
     serving: Arc<dyn EngineServing>,
     workers: Arc<Workers>,
-    max_at_once: usize,
-    at_once: Arc<AtomicUsize>,
+    max_in_flight: usize,
+    in_flight: Arc<AtomicUsize>,
 }
 
-impl Cancels {
+impl CancelSender {
     pub(crate) fn new(
         serving: Arc<dyn EngineServing>,
         workers: Arc<Workers>,
-        max_at_once: usize,
+        max_in_flight: usize,
     ) -> Self {
         Self {
             serving,
             workers,
-            max_at_once,
-            at_once: Arc::new(AtomicUsize::new(0)),
+            max_in_flight,
+            in_flight: Arc::new(AtomicUsize::new(0)),
         }
     }
 
     /// Asks an engine to cancel a request, without blocking. Beyond the limit of concurrent
     /// cancellations, none is sent.
     pub(crate) fn send(&self, engine: SocketAddr, id: &RequestId) {
-        let place = Place::take(&self.at_once);
-        if place.before >= self.max_at_once {
+        let guard = InFlightGuard::acquire(&self.in_flight);
+        if guard.count_before >= self.max_in_flight {
             log::warn!(request_id = id.as_str(); "cancellation not sent: too many are in flight");
             return;
         }
         let serving = self.serving.clone();
         let cancelled = id.clone();
         let started = self.workers.run(move || {
-            let _place = place;
+            let _guard = guard;
             if let Err(error) = serving.cancel(engine, &cancelled) {
                 log::info!(request_id = cancelled.as_str(); "cancellation failed: {error}");
             }
@@ -56,22 +56,22 @@
 }
 
 /// Counts one cancellation in flight until it is dropped.
-struct Place {
-    at_once: Arc<AtomicUsize>,
-    before: usize,
+struct InFlightGuard {
+    in_flight: Arc<AtomicUsize>,
+    count_before: usize,
 }
 
-impl Place {
-    fn take(at_once: &Arc<AtomicUsize>) -> Self {
+impl InFlightGuard {
+    fn acquire(in_flight: &Arc<AtomicUsize>) -> Self {
         Self {
-            before: at_once.fetch_add(1, Ordering::Relaxed),
-            at_once: at_once.clone(),
+            count_before: in_flight.fetch_add(1, Ordering::Relaxed),
+            in_flight: in_flight.clone(),
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.at_once.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -17,16 +17,16 @@
 use parking_lot::Mutex;
 
 /// Incarnation of the only reporter to this watch, which is the local process.
-const OWN_RUN: u64 = 1;
+const LOCAL_INCARNATION: u64 = 1;
 
 /// Fingerprint by which equal requests are recognized, and the hash of their caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Identity {
+pub(crate) struct CrashKey {
     fingerprint: Fingerprint,
     caller: CallerHash,
 }
 
-impl Identity {
+impl CrashKey {
     pub(crate) fn of(caller: &CallerName, method: &str, target: &[&str], body: &[u8]) -> Self {
         let caller = CallerHash::of(caller.as_str().as_bytes());
         Self {
@@ -44,12 +44,12 @@
 impl CrashGuard {
     pub(crate) fn new() -> Self {
         Self {
-            watch: Mutex::new(CrashWatch::new(OWN_RUN, Options::default())),
+            watch: Mutex::new(CrashWatch::new(LOCAL_INCARNATION, Options::default())),
         }
     }
 
     /// Returns the refusal of a blocked request, or none if the request may be sent.
-    pub(crate) fn refusal(&self, now_ms: u64, identity: &Identity) -> Option<Refusal> {
+    pub(crate) fn refusal(&self, now_ms: u64, crash_key: &CrashKey) -> Option<Refusal> {
         let mut watch = self.watch.lock();
         if watch.is_due(now_ms) {
             for row in watch.due(now_ms, Role::default()).begun {
@@ -59,38 +59,38 @@
                 );
             }
         }
-        let left_ms = watch.blocked_ms(now_ms, &identity.fingerprint)?;
-        let detail = format!("upstreams crashed under request {}", identity.fingerprint);
+        let left_ms = watch.blocked_ms(now_ms, &crash_key.fingerprint)?;
+        let detail = format!("upstreams crashed under request {}", crash_key.fingerprint);
         let refusal = Refusal::not_run(RefusalReason::CrashesUpstreams, detail);
         Some(refusal.retry_after(left_ms))
     }
 
     /// Returns whether a request may be retried after an attempt that may have run.
-    pub(crate) fn may_resend(&self, identity: &Identity) -> bool {
-        !self.watch.lock().knows(&identity.fingerprint)
+    pub(crate) fn may_retry(&self, crash_key: &CrashKey) -> bool {
+        !self.watch.lock().knows(&crash_key.fingerprint)
     }
 
-    /// Records how an attempt ended. With `is_cut`, the connection was lost while the request was
-    /// in progress, so the upstream may have crashed under it.
-    pub(crate) fn note_try(
+    /// Records how an attempt ended. With `connection_lost`, the request was in progress when the
+    /// connection was lost, so the upstream may have crashed under it.
+    pub(crate) fn record_attempt(
         &self,
         now_ms: u64,
         upstream: &UpstreamName,
-        identity: &Identity,
+        crash_key: &CrashKey,
         outcome: UpstreamOutcome,
-        is_cut: bool,
+        connection_lost: bool,
     ) {
         let mut watch = self.watch.lock();
-        let fingerprint = identity.fingerprint;
+        let fingerprint = crash_key.fingerprint;
         match outcome {
             UpstreamOutcome::Answered => {
                 watch.note_alive(upstream);
                 watch.note_answered(now_ms, fingerprint);
             }
-            UpstreamOutcome::Lost if is_cut => {
+            UpstreamOutcome::Lost if connection_lost => {
                 let lost = LostRequest {
                     fingerprint,
-                    caller: identity.caller,
+                    caller: crash_key.caller,
                     is_trial: false,
                 };
                 watch.note_lost(now_ms, upstream, true, lost);
@@ -103,7 +103,7 @@
     }
 
     /// Records that an upstream has left the upstream list.
-    pub(crate) fn note_gone(&self, now_ms: u64, upstream: &UpstreamName) {
+    pub(crate) fn record_upstream_gone(&self, now_ms: u64, upstream: &UpstreamName) {
         self.watch.lock().note_ended(now_ms, upstream);
     }
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Deserialize)]
-struct Identified {
+struct EventBody {
     id: Option<String>,
     error: Option<IgnoredAny>,
 }
@@ -46,7 +46,7 @@
     if data.trim() == DONE {
         return EventKind::Done;
     }
-    let Ok(identified) = serde_json::from_str::<Identified>(&data) else {
+    let Ok(identified) = serde_json::from_str::<EventBody>(&data) else {
         return EventKind::Malformed;
     };
     let ids = [identified.id.as_deref(), event_id];
@@ -62,8 +62,8 @@
 /// Returns whether the body of a complete answer names another request. A body without an `id` is
 /// accepted, because the answer's head has already been checked.
 pub(crate) fn is_foreign_body(body: &[u8], id: &RequestId) -> bool {
-    match serde_json::from_slice::<Identified>(body) {
-        Ok(Identified {
+    match serde_json::from_slice::<EventBody>(body) {
+        Ok(EventBody {
             id: Some(named), ..
         }) => !named.ends_with(id.as_str()),
         _ => false,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -46,7 +46,7 @@
 const HEALTH_PREFIX: &str = "/health/";
 
 /// `Retry-After` of a caller refused because all connections are in use.
-const RETRY_CONNECTION_MS: u64 = 1_000;
+const TOO_MANY_CONNECTIONS_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Serves callers, as handler and error renderer of the HTTP server.
 pub struct Gateway {
@@ -63,7 +63,7 @@
 
 /// Properties of a request that were found before it was refused.
 #[derive(Default)]
-struct Known {
+struct RefusalContext {
     class: Option<ClassTarget>,
 }
 
@@ -79,7 +79,7 @@
         let ticking = shared.clone();
         thread::Builder::new()
             .name("gateway-admission".to_owned())
-            .spawn(move || ticking.desk.run_ticks())?;
+            .spawn(move || ticking.admission_queue.run_ticks())?;
         Ok(Self { shared })
     }
 
@@ -87,12 +87,14 @@
     /// `ready_at_ms` is when the first is expected. The target is a model, or a service named by
     /// [`service_target`](crate::service_target).
     pub fn set_capacity(&self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
-        self.shared.desk.set_capacity(target, slots, ready_at_ms);
+        self.shared
+            .admission_queue
+            .set_capacity(target, slots, ready_at_ms);
     }
 
     /// Refuses all requests that wait for a model, and returns their number.
     pub fn refuse_waiting(&self, model: &ModelName, refusal: &Refusal) -> usize {
-        self.shared.desk.refuse_target(model, refusal)
+        self.shared.admission_queue.refuse_target(model, refusal)
     }
 
     /// Passes an event about an upstream, as observed by the node, to the routing policy.
@@ -116,7 +118,7 @@
         self.shared.in_progress.wait_idle(timeout)
     }
 
-    /// Returns the trace of a request, if it is among the last `trace_requests`.
+    /// Returns the trace of a request, if it is among the last `max_traces`.
     pub fn explain(&self, id: &RequestId) -> Option<Trace> {
         self.shared.traces.find(id)
     }
@@ -124,7 +126,7 @@
     fn serve(
         &self,
         arrived: &Arrived,
-        known: &mut Known,
+        refusal_context: &mut RefusalContext,
         mut request: Request,
         answer: &mut Answer<'_>,
     ) -> std::result::Result<(), Refusal> {
@@ -142,7 +144,7 @@
                 None => Err(unknown_model(&model)),
             },
             Endpoint::ModelCall(path) => {
-                let context = self.classify(arrived, known, &request)?;
+                let context = self.classify(arrived, refusal_context, &request)?;
                 let parsed = CallBody::parse(request.body(), shared.options.prefix_bytes)?;
                 let spec = shared.directory.model(&parsed.model);
                 let call = ModelCall {
@@ -151,16 +153,16 @@
                     parsed,
                     body: request.take_body(),
                 };
-                let _watch = self.watch(&context, &request);
+                let _watch = self.watch_hangup(&context, &request);
                 model_flow::serve(shared, &context, &call, answer)
             }
             Endpoint::Service { service, path } => {
-                let context = self.classify(arrived, known, &request)?;
+                let context = self.classify(arrived, refusal_context, &request)?;
                 let spec = shared.directory.service(&service).ok_or_else(|| {
                     let detail = format!("no service {service} is configured");
                     Refusal::not_run(RefusalReason::UnknownService, detail)
                 })?;
-                let _watch = self.watch(&context, &request);
+                let _watch = self.watch_hangup(&context, &request);
                 service_flow::serve(shared, &context, spec, &path, &mut request, answer)
             }
         }
@@ -169,7 +171,7 @@
     fn classify(
         &self,
         arrived: &Arrived,
-        known: &mut Known,
+        refusal_context: &mut RefusalContext,
         request: &Request,
     ) -> std::result::Result<Context, Refusal> {
         let shared = &self.shared;
@@ -177,7 +179,7 @@
             return Err(refusal);
         }
         let class = identity::class(request, &*shared.directory, &shared.options)?;
-        known.class = Some(class.clone());
+        refusal_context.class = Some(class.clone());
         let timeout_ms = identity::timeout_ms(request, &class, &shared.options)?;
         let caller = identity::caller(request);
         let step = Step::Classified {
@@ -185,7 +187,7 @@
             caller: caller.to_string(),
             timeout_ms,
         };
-        arrived.trace.note(shared.now_ms(), step);
+        arrived.trace.record(shared.now_ms(), step);
         Ok(Context {
             id: arrived.id.clone(),
             class,
@@ -197,7 +199,7 @@
         })
     }
 
-    fn watch(&self, context: &Context, request: &Request) -> Option<HangupGuard> {
+    fn watch_hangup(&self, context: &Context, request: &Request) -> Option<HangupGuard> {
         let control = context.inbox.sender.clone();
         let watched = self.shared.hangups.watch(request.socket(), move || {
             let _ = control.send(Control::CallerGone);
@@ -211,7 +213,7 @@
         }
     }
 
-    fn arrive(&self, request: &Request) -> Arrived {
+    fn register_arrival(&self, request: &Request) -> Arrived {
         let shared = &self.shared;
         let id = shared.ids.next();
         let arrived_ms = shared.now_ms();
@@ -219,14 +221,14 @@
         let trace = shared.traces.open(&id, arrived_ms, shared.clock.unix_ms());
         // Probes come every second and would displace the traces of requests.
         if !request.path().starts_with(HEALTH_PREFIX) {
-            shared.traces.remember(&id, &trace);
+            shared.traces.keep(&id, &trace);
         }
         let step = Step::Arrived {
             method: request.method().to_owned(),
             path: request.path().to_owned(),
             correlation: correlation.clone(),
         };
-        trace.note(arrived_ms, step);
+        trace.record(arrived_ms, step);
         Arrived {
             id,
             correlation,
@@ -239,13 +241,13 @@
 impl Handler for Gateway {
     fn handle(&self, request: Request, responder: Responder<'_>) {
         let _in_progress = self.shared.in_progress.enter();
-        let arrived = self.arrive(&request);
+        let arrived = self.register_arrival(&request);
         let allow = Endpoint::allowed(request.path());
-        let mut known = Known::default();
+        let mut refusal_context = RefusalContext::default();
         let mut answer = Answer::new(arrived.id.clone(), arrived.correlation.clone(), responder);
         // A panic is a broken invariant. Only this request ends, with a refusal that is counted.
         let served = panic::catch_unwind(AssertUnwindSafe(|| {
-            self.serve(&arrived, &mut known, request, &mut answer)
+            self.serve(&arrived, &mut refusal_context, request, &mut answer)
         }));
         let refusal = match served {
             Ok(Ok(())) => return,
@@ -255,10 +257,10 @@
         let request = RefusedRequest {
             id: &arrived.id,
             correlation: arrived.correlation.as_deref(),
-            class: known.class.map(|target| target.class),
+            class: refusal_context.class.map(|target| target.class),
             trace: Some(&arrived.trace),
         };
-        self.shared.note_refusal(&request, &refusal);
+        self.shared.record_refusal(&request, &refusal);
         let allow = allow.filter(|_| refusal.reason == RefusalReason::MethodNotAllowed);
         answer.refuse(&refusal, allow);
     }
@@ -274,14 +276,14 @@
             class: None,
             trace: None,
         };
-        self.shared.note_refusal(&request, &refusal);
+        self.shared.record_refusal(&request, &refusal);
         problem::response(&id, &refusal).header("X-Request-Id", id.as_str())
     }
 }
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        self.shared.desk.stop();
+        self.shared.admission_queue.stop();
     }
 }
 
@@ -314,7 +316,9 @@
     };
     let refusal = Refusal::not_run(reason, error.to_string());
     match error {
-        ProtocolError::TooManyConnections => refusal.retry_after(RETRY_CONNECTION_MS),
+        ProtocolError::TooManyConnections => {
+            refusal.retry_after(TOO_MANY_CONNECTIONS_RETRY_AFTER_MS)
+        }
         ProtocolError::HandlerFailed => Refusal::unknown(reason, error.to_string()),
         _ => refusal,
     }
--- a/crates/gateway/src/identity.rs
+++ b/crates/gateway/src/identity.rs
@@ -46,7 +46,7 @@
 /// Returns the caller's `X-Request-Id`, if it is safe to log and to echo.
 pub(crate) fn correlation(request: &Request) -> Option<String> {
     let text = request.header("x-request-id")?;
-    is_plain(text, MAX_CORRELATION_CHARS).then(|| text.to_owned())
+    is_loggable(text, MAX_CORRELATION_CHARS).then(|| text.to_owned())
 }
 
 /// Returns the name under which the caller's share is counted. A bearer token takes precedence over
@@ -59,7 +59,7 @@
         .map(|(_, token)| token.trim());
     let named = request
         .header("x-caller")
-        .filter(|name| is_plain(name, MAX_CALLER_CHARS));
+        .filter(|name| is_loggable(name, MAX_CALLER_CHARS));
     match (bearer, named) {
         (Some(token), _) if !token.is_empty() => CallerName::from(hash_token(token)),
         (_, Some(name)) => CallerName::new(name),
@@ -76,7 +76,7 @@
     format!("bearer-{hex}")
 }
 
-fn is_plain(text: &str, max_chars: usize) -> bool {
+fn is_loggable(text: &str, max_chars: usize) -> bool {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-@/".contains(&byte);
     !text.is_empty() && text.len() <= max_chars && text.bytes().all(plain)
 }
@@ -95,7 +95,7 @@
     let named = request.header("x-request-class").map(ClassName::new);
     let class = match named.or_else(|| options.default_class.clone()) {
         Some(class) => class,
-        None => return tightest(directory),
+        None => return strictest_class(directory),
     };
     directory.class(&class).ok_or_else(|| {
         let detail = format!("no class {class} is configured");
@@ -103,7 +103,7 @@
     })
 }
 
-fn tightest(directory: &dyn Directory) -> Result<ClassTarget, Refusal> {
+fn strictest_class(directory: &dyn Directory) -> Result<ClassTarget, Refusal> {
     let classes = directory.classes().into_iter();
     classes
         .min_by_key(|target| (target.answer_within_ms, target.class.clone()))
@@ -121,12 +121,15 @@
     class: &ClassTarget,
     options: &Options,
 ) -> Result<u64, Refusal> {
-    let asked_ms = match request.header("x-request-timeout-ms") {
+    let requested_ms = match request.header("x-request-timeout-ms") {
         None => return Ok(class.answer_within_ms),
-        Some(text) => text.parse::<u64>().ok().filter(|asked_ms| *asked_ms > 0),
+        Some(text) => text
+            .parse::<u64>()
+            .ok()
+            .filter(|requested_ms| *requested_ms > 0),
     };
-    match asked_ms {
-        Some(asked_ms) => Ok(asked_ms.min(options.max_timeout_ms)),
+    match requested_ms {
+        Some(requested_ms) => Ok(requested_ms.min(options.max_timeout_ms)),
         None => {
             let detail = "X-Request-Timeout-Ms is not a positive number of milliseconds";
             Err(Refusal::not_run(RefusalReason::BadRequest, detail))
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,13 +13,12 @@
 #![warn(missing_docs)]
 
 mod admission;
+mod admission_queue;
 mod answer;
-mod attempt;
 mod call_body;
-mod cancels;
+mod cancel_sender;
 mod context;
 mod crashes;
-mod desk;
 mod endpoint;
 mod errors;
 mod events;
@@ -27,13 +26,14 @@
 mod identity;
 mod in_progress;
 mod listing;
+mod model_attempt;
 mod model_flow;
-mod model_try;
 mod options;
 mod parts;
 mod problem;
 mod relay;
 mod run_times;
+mod send_gate;
 mod service_flow;
 mod service_job;
 mod shared;
--- a/crates/gateway/src/model_try.rs
+++ b/crates/gateway/src/model_attempt.rs
@@ -19,24 +19,24 @@
 
 use crate::admission;
 use crate::answer::Answer;
-use crate::attempt::Attempt;
 use crate::context::Context;
+use crate::model_flow::FailedAttempt;
 use crate::model_flow::ModelCall;
-use crate::model_flow::TryFailure;
 use crate::relay::Relay;
-use crate::relay::Relayed;
+use crate::relay::RelayProgress;
+use crate::send_gate::SendGate;
 use crate::shared::Shared;
 
 /// Time by which the adapter's timeouts exceed the gateway's. The gateway ends a request at its
 /// deadline; the adapter's timeout only frees the thread.
-const ADAPTER_MARGIN_MS: u64 = 500;
+const ADAPTER_TIMEOUT_MARGIN_MS: u64 = 500;
 
 /// How an attempt ended.
-pub(crate) enum TryEnd {
+pub(crate) enum AttemptEnd {
     /// The caller has its complete answer.
     Answered,
     /// The attempt failed, and the request may be retried.
-    Failed(TryFailure),
+    Failed(FailedAttempt),
     /// The request ends without a retry.
     Stopped(Refusal),
 }
@@ -48,7 +48,7 @@
     /// One event of a stream, or a complete body.
     Piece(Vec<u8>),
     /// End of the answer.
-    Whole,
+    Complete,
     /// Failure of the call, before or within the answer.
     Failed(Error),
 }
@@ -59,15 +59,15 @@
     context: &Context,
     call: &ModelCall,
     candidate: &Candidate,
-    attempt: &Arc<Attempt>,
+    send_gate: &Arc<SendGate>,
     answer: &mut Answer<'_>,
-) -> TryEnd {
+) -> AttemptEnd {
     let sent_ms = shared.now_ms();
-    let events = match start_reading(shared, context, call, candidate, attempt) {
+    let events = match start_reading(shared, context, call, candidate, send_gate) {
         Ok(events) => events,
         Err(error) => {
             let detail = format!("no thread for the request: {error}");
-            return TryEnd::Stopped(Refusal::not_run(RefusalReason::Internal, detail));
+            return AttemptEnd::Stopped(Refusal::not_run(RefusalReason::Internal, detail));
         }
     };
     shared.learn_routing(RoutingEvent::Sent {
@@ -75,19 +75,19 @@
         prefix_hash: call.parsed.prefix_hash,
     });
     let mut relay = Relay::new(shared, context, answer);
-    let end = follow(shared, context, &events, &mut relay);
+    let end = relay_answer(shared, context, &events, &mut relay);
     let first_byte_ms = relay
         .first_byte_ms()
         .map(|first| first.saturating_sub(sent_ms));
     let (ran, outcome) = match &end {
-        TryEnd::Answered => (Ran::Ran, UpstreamOutcome::Answered),
-        TryEnd::Failed(failure) => (failure.ran, failure.outcome),
-        TryEnd::Stopped(refusal) => (relay.give_up(attempt), stopped_outcome(refusal)),
+        AttemptEnd::Answered => (Ran::Ran, UpstreamOutcome::Answered),
+        AttemptEnd::Failed(failure) => (failure.ran, failure.outcome),
+        AttemptEnd::Stopped(refusal) => (relay.give_up(send_gate), stopped_outcome(refusal)),
     };
-    if matches!(end, TryEnd::Stopped(_)) && ran != Ran::NotRun {
-        shared.cancels.send(candidate.address, &context.id);
+    if matches!(end, AttemptEnd::Stopped(_)) && ran != Ran::NotRun {
+        shared.cancel_sender.send(candidate.address, &context.id);
     }
-    attempt.settle(ran);
+    send_gate.record_outcome(ran);
     shared.learn_routing(RoutingEvent::Ended {
         upstream: candidate.upstream.clone(),
         outcome,
@@ -104,39 +104,39 @@
 }
 
 /// Relays the engine's answer until it is complete, the attempt fails, or the request is stopped.
-fn follow(
+fn relay_answer(
     shared: &Shared,
     context: &Context,
     events: &Receiver<UpstreamEvent>,
     relay: &mut Relay<'_, '_>,
-) -> TryEnd {
+) -> AttemptEnd {
     let idle = Duration::from_millis(shared.options.stream_idle_timeout_ms);
     let mut idle_deadline = Instant::now() + idle;
     loop {
         let wait = match relay.has_begun() {
             true => idle_deadline.saturating_duration_since(Instant::now()),
-            false => shared.left(context.deadline_ms),
+            false => shared.time_left(context.deadline_ms),
         };
         select! {
             recv(events) -> event => {
-                let event = event.unwrap_or_else(|_| UpstreamEvent::Failed(thread_ended()));
-                match relay.take(event) {
-                    Relayed::More => idle_deadline = Instant::now() + idle,
-                    Relayed::Nothing => {}
-                    Relayed::End(end) => return end,
+                let event = event.unwrap_or_else(|_| UpstreamEvent::Failed(reader_ended()));
+                match relay.handle_event(event) {
+                    RelayProgress::Progress => idle_deadline = Instant::now() + idle,
+                    RelayProgress::KeepAlive => {}
+                    RelayProgress::End(end) => return end,
                 }
             }
-            recv(context.inbox.receiver) -> _ => return TryEnd::Stopped(admission::caller_gone()),
-            default(wait) => return TryEnd::Stopped(out_of_time(relay.has_begun())),
+            recv(context.inbox.receiver) -> _ => return AttemptEnd::Stopped(admission::caller_gone()),
+            default(wait) => return AttemptEnd::Stopped(timeout_refusal(relay.has_begun())),
         }
     }
 }
 
-fn thread_ended() -> Error {
+fn reader_ended() -> Error {
     Error::unknown("the thread that read the answer ended")
 }
 
-fn out_of_time(has_begun: bool) -> Refusal {
+fn timeout_refusal(has_begun: bool) -> Refusal {
     match has_begun {
         true => Refusal::ran(
             RefusalReason::UpstreamTimeout,
@@ -152,44 +152,44 @@
     context: &Context,
     call: &ModelCall,
     candidate: &Candidate,
-    attempt: &Arc<Attempt>,
+    send_gate: &Arc<SendGate>,
 ) -> std::io::Result<Receiver<UpstreamEvent>> {
-    let left = shared.left(context.deadline_ms);
+    let left = shared.time_left(context.deadline_ms);
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     let request = ServeRequest {
         id: context.id.clone(),
         path: call.path.to_owned(),
         body: call.body.clone(),
         stream: call.parsed.stream,
-        first_byte_timeout_ms: left_ms.saturating_add(ADAPTER_MARGIN_MS),
-        idle_timeout_ms: shared.options.stream_idle_timeout_ms + ADAPTER_MARGIN_MS,
+        first_byte_timeout_ms: left_ms.saturating_add(ADAPTER_TIMEOUT_MARGIN_MS),
+        idle_timeout_ms: shared.options.stream_idle_timeout_ms + ADAPTER_TIMEOUT_MARGIN_MS,
         priority: u32::try_from(context.class.answer_within_ms).unwrap_or(u32::MAX),
     };
-    let (sender, receiver) = crossbeam_channel::bounded(shared.options.piece_queue);
-    let reading = Reading {
+    let (sender, receiver) = crossbeam_channel::bounded(shared.options.max_queued_pieces);
+    let reader = AnswerReader {
         shared: shared.clone(),
         engine: candidate.address,
         request,
-        attempt: attempt.clone(),
+        send_gate: send_gate.clone(),
         events: sender,
     };
-    shared.workers.run(move || reading.run())?;
+    shared.workers.run(move || reader.run())?;
     Ok(receiver)
 }
 
 /// Thread that sends the request and reads the engine's answer. It ends with the answer or once
 /// the receiver is dropped, and closes its connection to the engine then.
-struct Reading {
+struct AnswerReader {
     shared: Arc<Shared>,
     engine: std::net::SocketAddr,
     request: ServeRequest,
-    attempt: Arc<Attempt>,
+    send_gate: Arc<SendGate>,
     events: Sender<UpstreamEvent>,
 }
 
-impl Reading {
+impl AnswerReader {
     fn run(self) {
-        if !self.attempt.begin_send() {
+        if !self.send_gate.begin_send() {
             return;
         }
         let mut answer = match self.shared.serving.serve(self.engine, &self.request) {
@@ -203,10 +203,10 @@
         while self.events.send(event).is_ok() {
             event = match answer.next_piece() {
                 Ok(Some(piece)) => UpstreamEvent::Piece(piece),
-                Ok(None) => UpstreamEvent::Whole,
+                Ok(None) => UpstreamEvent::Complete,
                 Err(error) => UpstreamEvent::Failed(error),
             };
-            if let UpstreamEvent::Whole | UpstreamEvent::Failed(_) = event {
+            if let UpstreamEvent::Complete | UpstreamEvent::Failed(_) = event {
                 let _ = self.events.send(event);
                 return;
             }
--- a/crates/gateway/src/model_flow.rs
+++ b/crates/gateway/src/model_flow.rs
@@ -15,15 +15,15 @@
 use apricotdale_core::serving::DemandEvent;
 
 use crate::admission;
-use crate::admission::Queue;
+use crate::admission::AdmissionRequest;
 use crate::answer::Answer;
-use crate::attempt::Attempt;
 use crate::call_body::CallBody;
 use crate::context::Context;
 use crate::context::Control;
-use crate::crashes::Identity;
-use crate::model_try;
-use crate::model_try::TryEnd;
+use crate::crashes::CrashKey;
+use crate::model_attempt;
+use crate::model_attempt::AttemptEnd;
+use crate::send_gate::SendGate;
 use crate::shared::Shared;
 use crate::trace::Step;
 
@@ -44,7 +44,7 @@
 
 /// Failure of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct TryFailure {
+pub(crate) struct FailedAttempt {
     /// Reason of the refusal, if the failure is not retried.
     pub(crate) reason: RefusalReason,
     /// Whether the attempt ran.
@@ -52,25 +52,25 @@
     /// Outcome reported to the routing policy.
     pub(crate) outcome: UpstreamOutcome,
     /// Whether the engine does not hold the model, so that the request waits for a load.
-    pub(crate) missing: bool,
+    pub(crate) not_loaded: bool,
     /// Description for the refusal and the trace.
     pub(crate) detail: String,
 }
 
-impl TryFailure {
+impl FailedAttempt {
     /// Returns the failure of an attempt for which routing chose no engine.
     fn no_engine(candidates: &[Candidate]) -> Self {
         Self {
             reason: RefusalReason::UpstreamUnavailable,
             ran: Ran::NotRun,
             outcome: UpstreamOutcome::Unreachable,
-            missing: candidates.is_empty(),
+            not_loaded: candidates.is_empty(),
             detail: "no engine that holds the model can be used now".to_owned(),
         }
     }
 
     /// Returns whether the connection was lost while the request was in progress.
-    fn is_cut(&self) -> bool {
+    fn connection_lost(&self) -> bool {
         let lost = [
             RefusalReason::UpstreamLost,
             RefusalReason::UpstreamBadAnswer,
@@ -86,7 +86,7 @@
 }
 
 /// How one pass through admission ended.
-enum Pass {
+enum PassEnd {
     /// The caller has its complete answer.
     Answered,
     /// No engine holds the model any more, so the request waits for a load again.
@@ -99,11 +99,11 @@
     context: &'a Context,
     call: &'a ModelCall,
     answer: &'a mut Answer<'b>,
-    attempt: Arc<Attempt>,
-    identity: Identity,
+    send_gate: Arc<SendGate>,
+    crash_key: CrashKey,
     /// Attempts within the current pass.
     tries: u32,
-    first_try_noted: bool,
+    first_attempt_recorded: bool,
 }
 
 /// Serves a call to a model.
@@ -117,23 +117,23 @@
     call: &ModelCall,
     answer: &mut Answer<'_>,
 ) -> Result<(), Refusal> {
-    let identity = Identity::of(&context.caller, "POST", &[call.path], &call.body);
-    if let Some(refusal) = shared.crashes.refusal(shared.now_ms(), &identity) {
+    let crash_key = CrashKey::of(&context.caller, "POST", &[call.path], &call.body);
+    if let Some(refusal) = shared.crashes.refusal(shared.now_ms(), &crash_key) {
         return Err(refusal);
     }
-    let attempt = Arc::new(Attempt::new());
+    let send_gate = Arc::new(SendGate::new());
     let mut flow = ModelFlow {
         shared,
         context,
         call,
         answer,
-        attempt: attempt.clone(),
-        identity,
+        send_gate: send_gate.clone(),
+        crash_key,
         tries: 0,
-        first_try_noted: false,
+        first_attempt_recorded: false,
     };
     flow.run().map_err(|mut refusal| {
-        refusal.ran = attempt.give_up();
+        refusal.ran = send_gate.give_up();
         refusal
     })
 }
@@ -143,18 +143,18 @@
         let mut pause = Duration::from_millis(self.shared.options.reload_pause_ms);
         loop {
             let model = &self.call.spec.model;
-            let queue = Queue {
+            let admission_request = AdmissionRequest {
                 target: model.clone(),
                 is_model: true,
                 upstreams: self.shared.directory.replicas(model).len(),
             };
-            let mut admitted = admission::admit(self.shared, self.context, &queue)?;
-            match self.pass()? {
-                Pass::Answered => {
+            let mut admitted = admission::admit(self.shared, self.context, &admission_request)?;
+            match self.run_pass()? {
+                PassEnd::Answered => {
                     admitted.answered();
                     return Ok(());
                 }
-                Pass::WaitForLoad => {}
+                PassEnd::WaitForLoad => {}
             }
             // The directory may still list the engine and would send the request there again at
             // once.
@@ -164,32 +164,32 @@
         }
     }
 
-    fn pass(&mut self) -> Result<Pass, Refusal> {
-        let mut missing: Vec<UpstreamName> = Vec::new();
+    fn run_pass(&mut self) -> Result<PassEnd, Refusal> {
+        let mut not_loaded: Vec<UpstreamName> = Vec::new();
         let mut tried: Vec<UpstreamName> = Vec::new();
         self.tries = 0;
         loop {
-            let candidates = self.candidates(&missing);
+            let candidates = self.candidates(&not_loaded);
             let chosen = self.choose(&candidates, &tried);
             self.tries += 1;
             let failure = match &chosen {
-                None => TryFailure::no_engine(&candidates),
-                Some(candidate) => match self.try_at(candidate)? {
-                    None => return Ok(Pass::Answered),
+                None => FailedAttempt::no_engine(&candidates),
+                Some(candidate) => match self.attempt_at(candidate)? {
+                    None => return Ok(PassEnd::Answered),
                     Some(failure) => failure,
                 },
             };
-            self.note_failure(&chosen, &failure);
+            self.record_failure(&chosen, &failure);
             if let Some(candidate) = &chosen {
                 tried.push(candidate.upstream.clone());
-                missing.extend(failure.missing.then(|| candidate.upstream.clone()));
+                not_loaded.extend(failure.not_loaded.then(|| candidate.upstream.clone()));
             }
-            if failure.missing && self.candidates(&missing).is_empty() {
-                return Ok(Pass::WaitForLoad);
+            if failure.not_loaded && self.candidates(&not_loaded).is_empty() {
+                return Ok(PassEnd::WaitForLoad);
             }
             match self.decide_retry(&failure) {
                 Some(pause) => self.pause(pause)?,
-                None if failure.missing => return Ok(Pass::WaitForLoad),
+                None if failure.not_loaded => return Ok(PassEnd::WaitForLoad),
                 None => {
                     self.cancel(&chosen, &failure);
                     return Err(failure.refusal());
@@ -198,11 +198,11 @@
         }
     }
 
-    fn candidates(&self, missing: &[UpstreamName]) -> Vec<Candidate> {
+    fn candidates(&self, not_loaded: &[UpstreamName]) -> Vec<Candidate> {
         let replicas = self.shared.directory.replicas(&self.call.spec.model);
         replicas
             .into_iter()
-            .filter(|candidate| !missing.contains(&candidate.upstream))
+            .filter(|candidate| !not_loaded.contains(&candidate.upstream))
             .collect()
     }
 
@@ -216,39 +216,39 @@
     }
 
     /// Makes one attempt at an engine. Returns the failure, if it may be retried.
-    fn try_at(&mut self, candidate: &Candidate) -> Result<Option<TryFailure>, Refusal> {
-        if !self.first_try_noted {
-            self.first_try_noted = true;
-            self.shared.note_first_try(&self.call.spec.group);
+    fn attempt_at(&mut self, candidate: &Candidate) -> Result<Option<FailedAttempt>, Refusal> {
+        if !self.first_attempt_recorded {
+            self.first_attempt_recorded = true;
+            self.shared.record_first_attempt(&self.call.spec.group);
         }
-        let end = model_try::run(
+        let end = model_attempt::run(
             self.shared,
             self.context,
             self.call,
             candidate,
-            &self.attempt,
+            &self.send_gate,
             self.answer,
         );
-        let (outcome, is_cut) = match &end {
-            TryEnd::Answered => (UpstreamOutcome::Answered, false),
-            TryEnd::Failed(failure) => (failure.outcome, failure.is_cut()),
-            TryEnd::Stopped(_) => (UpstreamOutcome::Cancelled, false),
+        let (outcome, connection_lost) = match &end {
+            AttemptEnd::Answered => (UpstreamOutcome::Answered, false),
+            AttemptEnd::Failed(failure) => (failure.outcome, failure.connection_lost()),
+            AttemptEnd::Stopped(_) => (UpstreamOutcome::Cancelled, false),
         };
-        self.shared.crashes.note_try(
+        self.shared.crashes.record_attempt(
             self.shared.now_ms(),
             &candidate.upstream,
-            &self.identity,
+            &self.crash_key,
             outcome,
-            is_cut,
+            connection_lost,
         );
         match end {
-            TryEnd::Answered => Ok(None),
-            TryEnd::Failed(failure) => Ok(Some(failure)),
-            TryEnd::Stopped(refusal) => Err(refusal),
+            AttemptEnd::Answered => Ok(None),
+            AttemptEnd::Failed(failure) => Ok(Some(failure)),
+            AttemptEnd::Stopped(refusal) => Err(refusal),
         }
     }
 
-    fn note_failure(&self, chosen: &Option<Candidate>, failure: &TryFailure) {
+    fn record_failure(&self, chosen: &Option<Candidate>, failure: &FailedAttempt) {
         let now_ms = self.shared.now_ms();
         let step = Step::TryFailed {
             upstream: chosen.as_ref().map(|known| known.upstream.to_string()),
@@ -256,8 +256,8 @@
             ran: failure.ran.as_str().to_owned(),
             detail: failure.detail.clone(),
         };
-        self.context.trace.note(now_ms, step);
-        if let (Some(candidate), true) = (chosen, failure.missing) {
+        self.context.trace.record(now_ms, step);
+        if let (Some(candidate), true) = (chosen, failure.not_loaded) {
             let event = DemandEvent::Missing {
                 model: self.call.spec.model.clone(),
                 upstream: candidate.upstream.clone(),
@@ -268,11 +268,11 @@
 
     /// Returns the pause before a retry, or none. A model call has no side effect, so it may run a
     /// second time as long as the caller has received nothing of the first run.
-    fn decide_retry(&self, failure: &TryFailure) -> Option<Duration> {
-        if failure.ran != Ran::NotRun && !self.shared.crashes.may_resend(&self.identity) {
+    fn decide_retry(&self, failure: &FailedAttempt) -> Option<Duration> {
+        if failure.ran != Ran::NotRun && !self.shared.crashes.may_retry(&self.crash_key) {
             return None;
         }
-        let left = self.shared.left(self.context.deadline_ms);
+        let left = self.shared.time_left(self.context.deadline_ms);
         let request = RetryRequest {
             group: self.call.spec.group.clone(),
             idempotent: true,
@@ -291,11 +291,11 @@
 
     /// Cancels a run that no caller waits for any more. No cancellation is sent before a retry: the
     /// retry has the same request identity, so a late cancellation could end the retry.
-    fn cancel(&self, chosen: &Option<Candidate>, failure: &TryFailure) {
+    fn cancel(&self, chosen: &Option<Candidate>, failure: &FailedAttempt) {
         match chosen {
             Some(candidate) if failure.ran != Ran::NotRun => {
                 self.shared
-                    .cancels
+                    .cancel_sender
                     .send(candidate.address, &self.context.id);
             }
             _ => {}
@@ -303,7 +303,7 @@
     }
 
     fn pause(&self, pause: Duration) -> Result<(), Refusal> {
-        let left = self.shared.left(self.context.deadline_ms);
+        let left = self.shared.time_left(self.context.deadline_ms);
         match self.context.inbox.receiver.recv_timeout(pause.min(left)) {
             Ok(Control::CallerGone) => Err(admission::caller_gone()),
             Ok(Control::Refused(refusal)) => Err(refusal),
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -21,17 +21,17 @@
     /// Number of leading bytes of a prompt that are hashed for prefix affinity.
     pub prefix_bytes: usize,
     /// Number of the latest requests whose traces are kept for `Gateway::explain`.
-    pub trace_requests: usize,
+    pub max_traces: usize,
     /// Number of steps that are kept in the trace of one request.
-    pub trace_steps: usize,
+    pub max_trace_steps: usize,
     /// Number of pieces of an answer that may queue for a slow caller before the upstream is no
     /// longer read.
-    pub piece_queue: usize,
+    pub max_queued_pieces: usize,
     /// `Retry-After` of requests refused because the VM is draining.
-    pub draining_retry_ms: u64,
+    pub draining_retry_after_ms: u64,
     /// Maximum number of concurrent cancellations. Further ones are not sent; the engine then
     /// learns of the end from the closed connection.
-    pub max_cancels: usize,
+    pub max_concurrent_cancels: usize,
     /// Stack size of each upstream thread.
     pub thread_stack_bytes: usize,
 }
@@ -46,11 +46,11 @@
             reload_pause_ms: 50,
             max_kept_answer_bytes: 16 * 1024,
             prefix_bytes: 256,
-            trace_requests: 1_024,
-            trace_steps: 64,
-            piece_queue: 16,
-            draining_retry_ms: 1_000,
-            max_cancels: 64,
+            max_traces: 1_024,
+            max_trace_steps: 64,
+            max_queued_pieces: 16,
+            draining_retry_after_ms: 1_000,
+            max_concurrent_cancels: 64,
             thread_stack_bytes: 512 * 1024,
         }
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,35 +14,35 @@
 use crate::admission;
 use crate::answer::Answer;
 use crate::answer::CallerLost;
-use crate::attempt::Attempt;
 use crate::context::Context;
 use crate::events;
 use crate::events::EventKind;
-use crate::model_flow::TryFailure;
-use crate::model_try::TryEnd;
-use crate::model_try::UpstreamEvent;
+use crate::model_attempt::AttemptEnd;
+use crate::model_attempt::UpstreamEvent;
+use crate::model_flow::FailedAttempt;
+use crate::send_gate::SendGate;
 use crate::shared::Shared;
 use crate::trace::Step;
 
 const MODEL_NOT_LOADED: &str = "model_not_loaded";
 
 /// Result of handling one event of the engine.
-pub(crate) enum Relayed {
+pub(crate) enum RelayProgress {
     /// The answer continues, and its idle timeout starts anew.
-    More,
+    Progress,
     /// The answer continues, and its idle timeout does not start anew.
-    Nothing,
+    KeepAlive,
     /// The attempt has ended.
-    End(TryEnd),
+    End(AttemptEnd),
 }
 
 /// How an engine's answer is handled, by its status and content type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Shape {
+enum AnswerKind {
     /// Relayed event by event.
     Stream,
     /// Relayed as one body.
-    Whole,
+    Complete,
     /// Read for the reason why the engine did not run the request.
     NotRun,
 }
@@ -52,7 +52,7 @@
     shared: &'a Shared,
     context: &'a Context,
     answer: &'a mut Answer<'b>,
-    head: Option<(ServeHead, Shape)>,
+    head: Option<(ServeHead, AnswerKind)>,
     first_byte_ms: Option<u64>,
     first_event_ms: Option<u64>,
     last_event: Option<Instant>,
@@ -86,32 +86,32 @@
     }
 
     /// Gives up a request that is being stopped, and returns whether it ran.
-    pub(crate) fn give_up(&self, attempt: &Attempt) -> Ran {
+    pub(crate) fn give_up(&self, send_gate: &SendGate) -> Ran {
         match self.has_begun() {
             true => Ran::Ran,
-            false => attempt.give_up(),
+            false => send_gate.give_up(),
         }
     }
 
     /// Handles an event of the engine.
-    pub(crate) fn take(&mut self, event: UpstreamEvent) -> Relayed {
+    pub(crate) fn handle_event(&mut self, event: UpstreamEvent) -> RelayProgress {
         match event {
-            UpstreamEvent::Begun(head) => self.begin(head),
-            UpstreamEvent::Piece(piece) => self.piece(&piece),
-            UpstreamEvent::Whole => self.cut("the answer ended before it was whole"),
-            UpstreamEvent::Failed(error) => self.failed(&error),
+            UpstreamEvent::Begun(head) => self.handle_head(head),
+            UpstreamEvent::Piece(piece) => self.relay_piece(&piece),
+            UpstreamEvent::Complete => self.fail_cut("the answer ended before it was whole"),
+            UpstreamEvent::Failed(error) => self.handle_failure(&error),
         }
     }
 
-    fn begin(&mut self, head: ServeHead) -> Relayed {
+    fn handle_head(&mut self, head: ServeHead) -> RelayProgress {
         self.first_byte_ms = Some(self.shared.now_ms());
         let is_stream = head.is_event_stream();
-        let shape = match head.status {
-            200 if is_stream => Shape::Stream,
-            200 => Shape::Whole,
-            503 => Shape::NotRun,
-            404 if !is_stream => Shape::NotRun,
-            400..=499 if !is_stream && !matches!(head.status, 408 | 429) => Shape::Whole,
+        let kind = match head.status {
+            200 if is_stream => AnswerKind::Stream,
+            200 => AnswerKind::Complete,
+            503 => AnswerKind::NotRun,
+            404 if !is_stream => AnswerKind::NotRun,
+            400..=499 if !is_stream && !matches!(head.status, 408 | 429) => AnswerKind::Complete,
             _ => {
                 let detail = format!("the engine answered {}", head.status);
                 return self.fail(RefusalReason::UpstreamBadAnswer, Ran::Unknown, detail);
@@ -119,83 +119,83 @@
         };
         let is_own = match &head.id {
             Some(id) => *id == self.context.id,
-            None => shape == Shape::NotRun,
+            None => kind == AnswerKind::NotRun,
         };
         if !is_own {
-            return self.crossed();
+            return self.fail_crossed();
         }
-        self.head = Some((head, shape));
-        Relayed::More
+        self.head = Some((head, kind));
+        RelayProgress::Progress
     }
 
-    fn piece(&mut self, piece: &[u8]) -> Relayed {
-        let Some((head, shape)) = self.head.clone() else {
-            return self.cut("the answer has no beginning");
+    fn relay_piece(&mut self, piece: &[u8]) -> RelayProgress {
+        let Some((head, kind)) = self.head.clone() else {
+            return self.fail_cut("the answer has no beginning");
         };
-        match shape {
-            Shape::Stream => self.event(&head, piece),
-            Shape::Whole => self.whole(&head, piece),
-            Shape::NotRun => self.not_run(&head, piece),
+        match kind {
+            AnswerKind::Stream => self.relay_event(&head, piece),
+            AnswerKind::Complete => self.relay_body(&head, piece),
+            AnswerKind::NotRun => self.handle_not_run(&head, piece),
         }
     }
 
-    fn event(&mut self, head: &ServeHead, event: &[u8]) -> Relayed {
+    fn relay_event(&mut self, head: &ServeHead, event: &[u8]) -> RelayProgress {
         let sent = match events::classify(event, &self.context.id) {
-            EventKind::Comment => return Relayed::Nothing,
-            EventKind::Foreign => return self.crossed(),
-            EventKind::Fault => return self.cut("the engine told of a fault in its answer"),
-            EventKind::Malformed => return self.cut("an event of the answer is malformed"),
+            EventKind::Comment => return RelayProgress::KeepAlive,
+            EventKind::Foreign => return self.fail_crossed(),
+            EventKind::Fault => return self.fail_cut("the engine told of a fault in its answer"),
+            EventKind::Malformed => return self.fail_cut("an event of the answer is malformed"),
             EventKind::Part => {
                 let sent = self.answer.send_event(&head.content_type, event);
-                self.note_event();
-                sent.map(|()| Relayed::More)
+                self.record_event();
+                sent.map(|()| RelayProgress::Progress)
             }
             EventKind::Done => self
                 .answer
                 .send_event(&head.content_type, event)
                 .and_then(|()| self.answer.finish())
-                .map(|()| self.answered(head.status)),
+                .map(|()| self.end_answered(head.status)),
         };
         sent.unwrap_or_else(|lost| self.caller_lost(lost))
     }
 
-    fn whole(&mut self, head: &ServeHead, body: &[u8]) -> Relayed {
+    fn relay_body(&mut self, head: &ServeHead, body: &[u8]) -> RelayProgress {
         if events::is_foreign_body(body, &self.context.id) {
-            return self.crossed();
+            return self.fail_crossed();
         }
         let response = Response::new(head.status)
             .header("Content-Type", head.content_type.as_str())
             .body(body);
         match self.answer.send(response) {
-            Ok(()) => self.answered(head.status),
+            Ok(()) => self.end_answered(head.status),
             Err(lost) => self.caller_lost(lost),
         }
     }
 
-    fn not_run(&mut self, head: &ServeHead, body: &[u8]) -> Relayed {
-        let missing = head.status == 404 && says_not_loaded(body);
-        let detail = match (head.status, missing) {
-            (404, false) if head.id.is_none() => return self.crossed(),
-            (404, false) => return self.whole(head, body),
+    fn handle_not_run(&mut self, head: &ServeHead, body: &[u8]) -> RelayProgress {
+        let not_loaded = head.status == 404 && says_not_loaded(body);
+        let detail = match (head.status, not_loaded) {
+            (404, false) if head.id.is_none() => return self.fail_crossed(),
+            (404, false) => return self.relay_body(head, body),
             (_, true) => "the engine does not hold the model",
             (_, false) => "the engine takes no request now",
         };
-        Relayed::End(TryEnd::Failed(TryFailure {
+        RelayProgress::End(AttemptEnd::Failed(FailedAttempt {
             reason: RefusalReason::UpstreamRefused,
             ran: Ran::NotRun,
             outcome: UpstreamOutcome::Refused,
-            missing,
+            not_loaded,
             detail: detail.to_owned(),
         }))
     }
 
-    fn answered(&mut self, status: u16) -> Relayed {
+    fn end_answered(&mut self, status: u16) -> RelayProgress {
         let first_ms = self.first_event_ms.unwrap_or_else(|| self.shared.now_ms());
-        self.shared.note_answered(self.context, first_ms, status);
-        Relayed::End(TryEnd::Answered)
+        self.shared.record_answer(self.context, first_ms, status);
+        RelayProgress::End(AttemptEnd::Answered)
     }
 
-    fn note_event(&mut self) {
+    fn record_event(&mut self) {
         let now = Instant::now();
         if let Some(last) = self.last_event.replace(now) {
             let gap_us = u64::try_from((now - last).as_micros()).unwrap_or(u64::MAX);
@@ -206,27 +206,27 @@
         }
         let now_ms = self.shared.now_ms();
         self.first_event_ms = Some(now_ms);
-        self.context.trace.note(now_ms, Step::AnswerBegun);
+        self.context.trace.record(now_ms, Step::AnswerBegun);
     }
 
-    fn failed(&mut self, error: &Error) -> Relayed {
+    fn handle_failure(&mut self, error: &Error) -> RelayProgress {
         let detail = error.to_string();
         match error {
             Error::Unavailable(_) | Error::Expired { .. } => {
-                Relayed::End(TryEnd::Failed(TryFailure {
+                RelayProgress::End(AttemptEnd::Failed(FailedAttempt {
                     reason: RefusalReason::UpstreamUnavailable,
                     ran: Ran::NotRun,
                     outcome: UpstreamOutcome::Unreachable,
-                    missing: false,
+                    not_loaded: false,
                     detail,
                 }))
             }
             Error::Rejected(_) | Error::StaleFence { .. } => {
-                Relayed::End(TryEnd::Failed(TryFailure {
+                RelayProgress::End(AttemptEnd::Failed(FailedAttempt {
                     reason: RefusalReason::UpstreamRefused,
                     ran: Ran::NotRun,
                     outcome: UpstreamOutcome::Refused,
-                    missing: false,
+                    not_loaded: false,
                     detail,
                 }))
             }
@@ -238,12 +238,12 @@
     }
 
     /// Ends an attempt whose answer belongs to another request. Nothing of that answer was relayed.
-    fn crossed(&mut self) -> Relayed {
+    fn fail_crossed(&mut self) -> RelayProgress {
         let detail = "the engine's answer belongs to another request".to_owned();
         self.fail(RefusalReason::UpstreamBadAnswer, Ran::Unknown, detail)
     }
 
-    fn cut(&mut self, detail: &str) -> Relayed {
+    fn fail_cut(&mut self, detail: &str) -> RelayProgress {
         self.fail(
             RefusalReason::UpstreamBadAnswer,
             Ran::Unknown,
@@ -251,23 +251,23 @@
         )
     }
 
-    fn fail(&mut self, reason: RefusalReason, ran: Ran, detail: String) -> Relayed {
+    fn fail(&mut self, reason: RefusalReason, ran: Ran, detail: String) -> RelayProgress {
         // An answer that has partly reached the caller was run at least in part.
         let ran = match self.has_begun() {
             true => Ran::Ran,
             false => ran,
         };
-        Relayed::End(TryEnd::Failed(TryFailure {
+        RelayProgress::End(AttemptEnd::Failed(FailedAttempt {
             reason,
             ran,
             outcome: UpstreamOutcome::Lost,
-            missing: false,
+            not_loaded: false,
             detail,
         }))
     }
 
-    fn caller_lost(&mut self, _lost: CallerLost) -> Relayed {
-        Relayed::End(TryEnd::Stopped(admission::caller_gone()))
+    fn caller_lost(&mut self, _lost: CallerLost) -> RelayProgress {
+        RelayProgress::End(AttemptEnd::Stopped(admission::caller_gone()))
     }
 }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/send_gate.rs
@@ -13,7 +13,7 @@
 /// A request that is given up while it is being sent could be reported as not run and still run.
 /// Both threads therefore decide under one lock: a request that was given up is not sent, and a
 /// request that was sent is no longer reported as not run.
-pub(crate) struct Attempt {
+pub(crate) struct SendGate {
     state: Mutex<State>,
     given_up: Condvar,
 }
@@ -26,7 +26,7 @@
     current: Ran,
 }
 
-impl Attempt {
+impl SendGate {
     pub(crate) fn new() -> Self {
         Self {
             state: Mutex::new(State {
@@ -44,20 +44,20 @@
         if state.given_up {
             return false;
         }
-        state.earlier = worse(state.earlier, state.current);
+        state.earlier = combine_outcomes(state.earlier, state.current);
         state.current = Ran::Unknown;
         true
     }
 
     /// Records the outcome of the current attempt.
-    pub(crate) fn settle(&self, ran: Ran) {
+    pub(crate) fn record_outcome(&self, ran: Ran) {
         self.state.lock().current = ran;
     }
 
     /// Returns whether the request ran, over all attempts so far.
     pub(crate) fn ran(&self) -> Ran {
         let state = self.state.lock();
-        worse(state.earlier, state.current)
+        combine_outcomes(state.earlier, state.current)
     }
 
     /// Gives the request up, so that it is not sent again, and returns whether it ran.
@@ -65,11 +65,11 @@
         let mut state = self.state.lock();
         state.given_up = true;
         self.given_up.notify_all();
-        worse(state.earlier, state.current)
+        combine_outcomes(state.earlier, state.current)
     }
 
     /// Waits for a duration, or until the request is given up. Returns false if it was given up.
-    pub(crate) fn pause(&self, time: Duration) -> bool {
+    pub(crate) fn wait_unless_given_up(&self, time: Duration) -> bool {
         let deadline = Instant::now() + time;
         let mut state = self.state.lock();
         while !state.given_up {
@@ -83,7 +83,7 @@
 
 /// Combines the outcomes of two attempts: one that ran outweighs an unknown one, and an unknown
 /// one outweighs one that did not run.
-fn worse(left: Ran, right: Ran) -> Ran {
+fn combine_outcomes(left: Ran, right: Ran) -> Ran {
     match (left, right) {
         (Ran::Ran, _) | (_, Ran::Ran) => Ran::Ran,
         (Ran::Unknown, _) | (_, Ran::Unknown) => Ran::Unknown,
--- a/crates/gateway/src/service_flow.rs
+++ b/crates/gateway/src/service_flow.rs
@@ -15,19 +15,19 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::admission;
-use crate::admission::Queue;
+use crate::admission::AdmissionRequest;
 use crate::answer::Answer;
-use crate::attempt::Attempt;
 use crate::context::Context;
-use crate::crashes::Identity;
+use crate::crashes::CrashKey;
+use crate::send_gate::SendGate;
+use crate::service_job::Idempotency;
 use crate::service_job::JobEnd;
-use crate::service_job::Repetition;
 use crate::service_job::ServiceJob;
 use crate::shared::Shared;
 
 const TARGET_PREFIX: &str = "service:";
 const MAX_KEY_CHARS: usize = 255;
-const RETRY_WITHOUT_INSTANCE_MS: u64 = 1_000;
+const NO_INSTANCE_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Returns the name under which a service's capacity is counted. The prefix keeps it distinct from
 /// the names of models.
@@ -48,34 +48,34 @@
     request: &mut Request,
     answer: &mut Answer<'_>,
 ) -> Result<(), Refusal> {
-    let repetition = repetition(context, &spec, path, request)?;
-    let queue = Queue {
+    let idempotency = idempotency(context, &spec, path, request)?;
+    let admission_request = AdmissionRequest {
         target: service_target(&spec.service),
         is_model: false,
         upstreams: shared.directory.instances(&spec.service).len(),
     };
-    if queue.upstreams == 0 {
+    if admission_request.upstreams == 0 {
         let detail = format!("no instance of {} is there", spec.service);
         let refusal = Refusal::not_run(RefusalReason::UpstreamUnavailable, detail);
-        return Err(refusal.retry_after(RETRY_WITHOUT_INSTANCE_MS));
+        return Err(refusal.retry_after(NO_INSTANCE_RETRY_AFTER_MS));
     }
     let call = service_call(context, path, request);
     let target = [spec.service.as_str(), path];
-    let identity = Identity::of(&context.caller, &call.method, &target, &call.body);
-    if let Some(refusal) = shared.crashes.refusal(shared.now_ms(), &identity) {
+    let crash_key = CrashKey::of(&context.caller, &call.method, &target, &call.body);
+    if let Some(refusal) = shared.crashes.refusal(shared.now_ms(), &crash_key) {
         return Err(refusal);
     }
-    let admitted = admission::admit(shared, context, &queue)?;
-    let attempt = Arc::new(Attempt::new());
+    let admitted = admission::admit(shared, context, &admission_request)?;
+    let send_gate = Arc::new(SendGate::new());
     let (sender, receiver) = crossbeam_channel::bounded(1);
     let job = ServiceJob {
         shared: shared.clone(),
         call,
-        identity,
+        crash_key,
         spec,
-        repetition,
+        idempotency,
         deadline_ms: context.deadline_ms,
-        attempt: attempt.clone(),
+        send_gate: send_gate.clone(),
         trace: context.trace.clone(),
         admitted,
         in_progress: shared.in_progress.enter(),
@@ -91,11 +91,11 @@
             Err(_) => Refusal::not_run(RefusalReason::Internal, "the call's thread ended"),
         },
         recv(context.inbox.receiver) -> _ => admission::caller_gone(),
-        default(shared.left(context.deadline_ms)) => {
+        default(shared.time_left(context.deadline_ms)) => {
             admission::deadline_passed("the answer did not come in time")
         }
     };
-    stopped.ran = attempt.give_up();
+    stopped.ran = send_gate.give_up();
     Err(stopped)
 }
 
@@ -120,7 +120,7 @@
     }
     match answer.send(response) {
         Ok(()) => {
-            shared.note_answered(context, shared.now_ms(), status);
+            shared.record_answer(context, shared.now_ms(), status);
             Ok(())
         }
         Err(_) => Err(Refusal::ran(
@@ -154,26 +154,26 @@
 /// # Errors
 ///
 /// A `BadRequest` refusal, if the key is empty or too long.
-fn repetition(
+fn idempotency(
     context: &Context,
     spec: &ServiceSpec,
     path: &str,
     request: &Request,
-) -> Result<Repetition, Refusal> {
-    let is_listed = spec
+) -> Result<Idempotency, Refusal> {
+    let is_idempotent_path = spec
         .idempotent_paths
         .iter()
         .any(|known| known.trim_start_matches('/') == path.trim_start_matches('/'));
     let key = request.header("idempotency-key");
     match (request.method(), key) {
-        ("GET" | "HEAD", _) => Ok(Repetition::Repeatable),
-        _ if is_listed => Ok(Repetition::Repeatable),
-        (_, None) => Ok(Repetition::Once),
+        ("GET" | "HEAD", _) => Ok(Idempotency::Idempotent),
+        _ if is_idempotent_path => Ok(Idempotency::Idempotent),
+        (_, None) => Ok(Idempotency::NotIdempotent),
         (_, Some(key)) if key.is_empty() || key.len() > MAX_KEY_CHARS => {
             let detail = format!("Idempotency-Key has no characters or above {MAX_KEY_CHARS}");
             Err(Refusal::not_run(RefusalReason::BadRequest, detail))
         }
-        (_, Some(key)) => Ok(Repetition::Keyed {
+        (_, Some(key)) => Ok(Idempotency::Keyed {
             key: scoped_key(context, spec, key),
             call_hash: call_hash(path, request),
         }),
--- a/crates/gateway/src/service_job.rs
+++ b/crates/gateway/src/service_job.rs
@@ -27,21 +27,21 @@
 
 use crate::admission;
 use crate::admission::Admitted;
-use crate::attempt::Attempt;
-use crate::crashes::Identity;
+use crate::crashes::CrashKey;
 use crate::in_progress::InProgressGuard;
+use crate::send_gate::SendGate;
 use crate::shared::Shared;
 use crate::trace::Step;
 use crate::trace::TraceLog;
 
 /// Time by which the adapter's timeout exceeds the gateway's.
-const ADAPTER_MARGIN_MS: u64 = 500;
+const ADAPTER_TIMEOUT_MARGIN_MS: u64 = 500;
 
 /// Whether a call may run repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Repetition {
+pub(crate) enum Idempotency {
     /// The call may run any number of times.
-    Repeatable,
+    Idempotent,
     /// The call runs at most once over all VMs and all its duplicates under the key.
     Keyed {
         /// Key, qualified by service and caller.
@@ -50,7 +50,7 @@
         call_hash: u64,
     },
     /// The call is not sent again after an attempt that may have run.
-    Once,
+    NotIdempotent,
 }
 
 /// How a job ended.
@@ -69,10 +69,10 @@
     pub(crate) call: ServiceCall,
     pub(crate) spec: ServiceSpec,
     /// Fingerprint by which a crashing call is recognized.
-    pub(crate) identity: Identity,
-    pub(crate) repetition: Repetition,
+    pub(crate) crash_key: CrashKey,
+    pub(crate) idempotency: Idempotency,
     pub(crate) deadline_ms: u64,
-    pub(crate) attempt: Arc<Attempt>,
+    pub(crate) send_gate: Arc<SendGate>,
     pub(crate) trace: Arc<TraceLog>,
     pub(crate) admitted: Admitted,
     pub(crate) in_progress: InProgressGuard,
@@ -92,9 +92,9 @@
 impl ServiceJob {
     /// Runs the job and sends its end to the caller's thread.
     pub(crate) fn run(mut self) {
-        let end = match self.repetition.clone() {
-            Repetition::Keyed { key, call_hash } => self.run_claimed(key, call_hash),
-            Repetition::Repeatable | Repetition::Once => self.run_tries(),
+        let end = match self.idempotency.clone() {
+            Idempotency::Keyed { key, call_hash } => self.run_claimed(key, call_hash),
+            Idempotency::Idempotent | Idempotency::NotIdempotent => self.run_attempts(),
         };
         if matches!(end, JobEnd::Answered(_)) {
             self.admitted.answered();
@@ -113,13 +113,13 @@
     }
 
     fn run_claimed(&mut self, key: IdempotencyKey, call_hash: u64) -> JobEnd {
-        let ask = ClaimAsk {
+        let claim_request = ClaimAsk {
             key: key.clone(),
             call_hash,
             request: self.call.id.clone(),
             deadline_ms: self.deadline_ms,
         };
-        match self.shared.claims.claim(&ask) {
+        match self.shared.claims.claim(&claim_request) {
             ClaimDecision::Run => {}
             ClaimDecision::Answer(kept) => {
                 return JobEnd::Replayed(ServiceAnswer {
@@ -130,17 +130,17 @@
             }
             ClaimDecision::Refuse(refusal) => return JobEnd::Refused(refusal),
         }
-        let end = self.run_tries();
+        let end = self.run_attempts();
         let kept = match &end {
-            JobEnd::Answered(answer) => self.kept(answer),
+            JobEnd::Answered(answer) => self.kept_answer(answer),
             JobEnd::Replayed(_) | JobEnd::Refused(_) => None,
         };
-        let ran = self.attempt.ran();
+        let ran = self.send_gate.ran();
         self.shared.claims.finish(&key, &self.call.id, ran, kept);
         end
     }
 
-    fn kept(&self, answer: &ServiceAnswer) -> Option<KeptAnswer> {
+    fn kept_answer(&self, answer: &ServiceAnswer) -> Option<KeptAnswer> {
         let fits = answer.body.len() <= self.shared.options.max_kept_answer_bytes;
         fits.then(|| KeptAnswer {
             status: answer.status,
@@ -149,7 +149,7 @@
         })
     }
 
-    fn run_tries(&mut self) -> JobEnd {
+    fn run_attempts(&mut self) -> JobEnd {
         let mut tried: Vec<UpstreamName> = Vec::new();
         let mut tries = 0;
         loop {
@@ -161,37 +161,37 @@
             let chosen = self.shared.choose(&request, &candidates, &self.trace);
             tries += 1;
             if tries == 1 {
-                self.shared.note_first_try(&self.spec.service);
+                self.shared.record_first_attempt(&self.spec.service);
             }
             let failure = match &chosen {
                 None => CallFailure::no_instance(),
-                Some(_) if !self.attempt.begin_send() => return self.given_up(),
-                Some(candidate) => match self.try_at(candidate) {
+                Some(_) if !self.send_gate.begin_send() => return self.given_up_end(),
+                Some(candidate) => match self.attempt_at(candidate) {
                     Ok(answer) => return JobEnd::Answered(answer),
                     Err(failure) => failure,
                 },
             };
-            self.note_failure(&chosen, &failure);
+            self.record_failure(&chosen, &failure);
             let Some(pause) = self.decide_retry(tries, &failure) else {
-                return self.final_failure(failure);
+                return self.failure_end(failure);
             };
-            if !self.attempt.pause(pause) {
-                return self.given_up();
+            if !self.send_gate.wait_unless_given_up(pause) {
+                return self.given_up_end();
             }
             tried.extend(chosen.map(|candidate| candidate.upstream));
         }
     }
 
     /// Makes one attempt at a service instance.
-    fn try_at(&mut self, candidate: &Candidate) -> Result<ServiceAnswer, CallFailure> {
+    fn attempt_at(&mut self, candidate: &Candidate) -> Result<ServiceAnswer, CallFailure> {
         let sent_ms = self.shared.now_ms();
         self.shared.learn_routing(RoutingEvent::Sent {
             upstream: candidate.upstream.clone(),
             prefix_hash: None,
         });
-        let left = self.shared.left(self.deadline_ms);
+        let left = self.shared.time_left(self.deadline_ms);
         let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-        self.call.timeout_ms = left_ms.saturating_add(ADAPTER_MARGIN_MS);
+        self.call.timeout_ms = left_ms.saturating_add(ADAPTER_TIMEOUT_MARGIN_MS);
         let result = self
             .shared
             .service
@@ -202,8 +202,8 @@
             Ok(_) => (Ran::Ran, UpstreamOutcome::Answered),
             Err(failure) => (failure.ran, failure.outcome),
         };
-        self.note_try(candidate, &result);
-        self.attempt.settle(ran);
+        self.record_attempt(candidate, &result);
+        self.send_gate.record_outcome(ran);
         let took_ms = self.shared.now_ms().saturating_sub(sent_ms);
         self.shared.learn_routing(RoutingEvent::Ended {
             upstream: candidate.upstream.clone(),
@@ -217,8 +217,8 @@
     /// at another instance. Any other call keeps that answer, because the status alone doesn't show
     /// that the call had no effect.
     fn check_answer(&self, answer: ServiceAnswer) -> Result<ServiceAnswer, CallFailure> {
-        match (&self.repetition, answer.status) {
-            (Repetition::Repeatable, 502..=504) => Err(CallFailure {
+        match (&self.idempotency, answer.status) {
+            (Idempotency::Idempotent, 502..=504) => Err(CallFailure {
                 reason: RefusalReason::UpstreamBadAnswer,
                 ran: Ran::Unknown,
                 outcome: UpstreamOutcome::Refused,
@@ -230,13 +230,13 @@
     }
 
     fn decide_retry(&self, tries: u32, failure: &CallFailure) -> Option<Duration> {
-        if failure.ran != Ran::NotRun && !self.shared.crashes.may_resend(&self.identity) {
+        if failure.ran != Ran::NotRun && !self.shared.crashes.may_retry(&self.crash_key) {
             return None;
         }
-        let left = self.shared.left(self.deadline_ms);
+        let left = self.shared.time_left(self.deadline_ms);
         let request = RetryRequest {
             group: self.spec.service.clone(),
-            idempotent: self.repetition == Repetition::Repeatable,
+            idempotent: self.idempotency == Idempotency::Idempotent,
             certainly_not_run: failure.ran == Ran::NotRun,
             answer_begun: false,
             tries,
@@ -247,45 +247,45 @@
 
     /// Records the attempt with the crash guard. Duplicates under an idempotency key are limited to
     /// one run in any case.
-    fn note_try(&self, candidate: &Candidate, result: &Result<ServiceAnswer, CallFailure>) {
-        let (outcome, is_cut) = match result {
+    fn record_attempt(&self, candidate: &Candidate, result: &Result<ServiceAnswer, CallFailure>) {
+        let (outcome, connection_lost) = match result {
             Ok(_) => (UpstreamOutcome::Answered, false),
             Err(failure) => {
-                let is_cut = failure.reason == RefusalReason::UpstreamLost;
-                (failure.outcome, is_cut)
+                let connection_lost = failure.reason == RefusalReason::UpstreamLost;
+                (failure.outcome, connection_lost)
             }
         };
-        self.shared.crashes.note_try(
+        self.shared.crashes.record_attempt(
             self.shared.now_ms(),
             &candidate.upstream,
-            &self.identity,
+            &self.crash_key,
             outcome,
-            is_cut,
+            connection_lost,
         );
     }
 
-    fn note_failure(&self, chosen: &Option<Candidate>, failure: &CallFailure) {
+    fn record_failure(&self, chosen: &Option<Candidate>, failure: &CallFailure) {
         let step = Step::TryFailed {
             upstream: chosen.as_ref().map(|known| known.upstream.to_string()),
             reason: failure.reason.as_str().to_owned(),
             ran: failure.ran.as_str().to_owned(),
             detail: failure.detail.clone(),
         };
-        self.trace.note(self.shared.now_ms(), step);
+        self.trace.record(self.shared.now_ms(), step);
     }
 
-    fn final_failure(&self, failure: CallFailure) -> JobEnd {
+    fn failure_end(&self, failure: CallFailure) -> JobEnd {
         if let Some(answer) = failure.answer {
             return JobEnd::Answered(answer);
         }
         let mut refusal = Refusal::not_run(failure.reason, failure.detail);
-        refusal.ran = self.attempt.ran();
+        refusal.ran = self.send_gate.ran();
         JobEnd::Refused(refusal)
     }
 
     /// Returns the end of a call that was given up. The caller's thread has already refused the
     /// call and does not read this end.
-    fn given_up(&self) -> JobEnd {
+    fn given_up_end(&self) -> JobEnd {
         JobEnd::Refused(admission::caller_gone())
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -29,10 +29,10 @@
 use apricotdale_http::HangupWatcher;
 use parking_lot::Mutex;
 
-use crate::cancels::Cancels;
+use crate::admission_queue::AdmissionQueue;
+use crate::cancel_sender::CancelSender;
 use crate::context::Context;
 use crate::crashes::CrashGuard;
-use crate::desk::Desk;
 use crate::errors::Result;
 use crate::identity::RequestIds;
 use crate::in_progress::InProgress;
@@ -54,9 +54,9 @@
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) serving: Arc<dyn EngineServing>,
     pub(crate) service: Arc<dyn PlainService>,
-    pub(crate) desk: Desk,
+    pub(crate) admission_queue: AdmissionQueue,
     pub(crate) workers: Arc<Workers>,
-    pub(crate) cancels: Cancels,
+    pub(crate) cancel_sender: CancelSender,
     pub(crate) hangups: HangupWatcher,
     pub(crate) ids: RequestIds,
     pub(crate) in_progress: Arc<InProgress>,
@@ -80,14 +80,18 @@
     pub(crate) fn new(options: Options, parts: Parts) -> Result<Self> {
         let workers = Arc::new(Workers::new(options.thread_stack_bytes));
         Ok(Self {
-            desk: Desk::new(parts.admission, parts.clock.clone()),
-            cancels: Cancels::new(parts.serving.clone(), workers.clone(), options.max_cancels),
+            admission_queue: AdmissionQueue::new(parts.admission, parts.clock.clone()),
+            cancel_sender: CancelSender::new(
+                parts.serving.clone(),
+                workers.clone(),
+                options.max_concurrent_cancels,
+            ),
             workers,
             hangups: HangupWatcher::start()?,
             ids: RequestIds::new(parts.process_id),
             in_progress: Arc::new(InProgress::default()),
             run_times: RunTimes::new(options.expected_run_ms),
-            traces: Traces::new(options.trace_requests, options.trace_steps),
+            traces: Traces::new(options.max_traces, options.max_trace_steps),
             crashes: CrashGuard::new(),
             draining: AtomicBool::new(false),
             routing: Mutex::new(parts.routing),
@@ -109,7 +113,7 @@
     }
 
     /// Returns the time left until a deadline, zero if it has passed.
-    pub(crate) fn left(&self, deadline_ms: u64) -> Duration {
+    pub(crate) fn time_left(&self, deadline_ms: u64) -> Duration {
         Duration::from_millis(deadline_ms.saturating_sub(self.now_ms()))
     }
 
@@ -117,13 +121,13 @@
     pub(crate) fn closed(&self) -> Option<Refusal> {
         if self.draining.load(Ordering::Acquire) {
             let refusal = Refusal::not_run(RefusalReason::Draining, "this VM is stopping");
-            return Some(refusal.retry_after(self.options.draining_retry_ms));
+            return Some(refusal.retry_after(self.options.draining_retry_after_ms));
         }
         self.directory.closed()
     }
 
     /// Counts, logs and traces a refusal. Each refusal passes through here exactly once.
-    pub(crate) fn note_refusal(&self, request: &RefusedRequest<'_>, refusal: &Refusal) {
+    pub(crate) fn record_refusal(&self, request: &RefusedRequest<'_>, refusal: &Refusal) {
         let class = request.class.as_ref().map_or("", ClassName::as_str);
         log::warn!(
             request_id = request.id.as_str(),
@@ -144,12 +148,12 @@
                 ran: refusal.ran.as_str().to_owned(),
                 detail: refusal.detail.clone(),
             };
-            trace.note(self.now_ms(), step);
+            trace.record(self.now_ms(), step);
         }
     }
 
     /// Counts and traces a complete answer. `first_ms` is when its first piece was sent.
-    pub(crate) fn note_answered(&self, context: &Context, first_ms: u64, status: u16) {
+    pub(crate) fn record_answer(&self, context: &Context, first_ms: u64, status: u16) {
         let now_ms = self.now_ms();
         let first_answer_ms = first_ms.saturating_sub(context.arrived_ms);
         self.observer.observe(&ServingEvent::Answered {
@@ -158,7 +162,7 @@
             total_ms: now_ms.saturating_sub(context.arrived_ms),
             met: first_answer_ms <= context.class.answer_within_ms,
         });
-        context.trace.note(now_ms, Step::Answered { status });
+        context.trace.record(now_ms, Step::Answered { status });
     }
 
     /// Asks the routing policy for an upstream and traces the choice.
@@ -181,7 +185,7 @@
             tried: request.tried.iter().map(ToString::to_string).collect(),
             prefix_hash: request.prefix_hash,
         };
-        trace.note(now_ms, step);
+        trace.record(now_ms, step);
         Some(chosen)
     }
 
@@ -189,13 +193,13 @@
     pub(crate) fn learn_routing(&self, event: RoutingEvent) {
         let now_ms = self.now_ms();
         if let RoutingEvent::Removed { upstream } = &event {
-            self.crashes.note_gone(now_ms, upstream);
+            self.crashes.record_upstream_gone(now_ms, upstream);
         }
         self.routing.lock().learn(now_ms, event);
     }
 
     /// Reports a first attempt to the retry policy, which earns retry budget from it.
-    pub(crate) fn note_first_try(&self, group: &GroupName) {
+    pub(crate) fn record_first_attempt(&self, group: &GroupName) {
         let now_ms = self.now_ms();
         self.retry.lock().first_try(now_ms, group);
     }
@@ -217,7 +221,7 @@
         let step = Step::Retry {
             decision: format!("{decision:?}"),
         };
-        trace.note(now_ms, step);
+        trace.record(now_ms, step);
         match decision {
             RetryDecision::RetryAfterMs(pause_ms) => Some(Duration::from_millis(pause_ms)),
             _ => None,
--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -118,7 +118,7 @@
 
 impl TraceLog {
     /// Records a step, or only counts it if the trace is full.
-    pub(crate) fn note(&self, now_ms: u64, step: Step) {
+    pub(crate) fn record(&self, now_ms: u64, step: Step) {
         let after_ms = now_ms.saturating_sub(self.arrived_ms);
         let mut trace = self.trace.lock();
         if trace.steps.len() >= self.max_steps {
@@ -160,7 +160,7 @@
     }
 
     /// Keeps a trace, and drops the oldest if the ring is full.
-    pub(crate) fn remember(&self, id: &RequestId, log: &Arc<TraceLog>) {
+    pub(crate) fn keep(&self, id: &RequestId, log: &Arc<TraceLog>) {
         let mut ring = self.ring.lock();
         if ring.len() >= self.max_requests {
             ring.pop_front();
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -18,18 +18,18 @@
 /// of its own. Threads are reused because starting one for each job is slower on a busy machine.
 pub(crate) struct Workers {
     stack_bytes: usize,
-    jobs: Sender<Job>,
-    waiting: Receiver<Job>,
+    job_sender: Sender<Job>,
+    job_receiver: Receiver<Job>,
 }
 
 impl Workers {
     pub(crate) fn new(stack_bytes: usize) -> Self {
         // With a capacity of 0, a job is accepted only by a thread that is waiting for one now.
-        let (jobs, waiting) = crossbeam_channel::bounded(0);
+        let (job_sender, job_receiver) = crossbeam_channel::bounded(0);
         Self {
             stack_bytes,
-            jobs,
-            waiting,
+            job_sender,
+            job_receiver,
         }
     }
 
@@ -39,20 +39,20 @@
     ///
     /// If a new thread is needed and can't be started.
     pub(crate) fn run(&self, job: impl FnOnce() + Send + 'static) -> io::Result<()> {
-        match self.jobs.try_send(Box::new(job)) {
+        match self.job_sender.try_send(Box::new(job)) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => self.start(job),
         }
     }
 
     fn start(&self, first: Job) -> io::Result<()> {
-        let waiting = self.waiting.clone();
+        let job_receiver = self.job_receiver.clone();
         thread::Builder::new()
             .name("gateway-upstream".to_owned())
             .stack_size(self.stack_bytes)
             .spawn(move || {
                 first();
-                while let Ok(job) = waiting.recv_timeout(IDLE_TIMEOUT) {
+                while let Ok(job) = job_receiver.recv_timeout(IDLE_TIMEOUT) {
                     job();
                 }
             })?;
--- a/crates/gateway/tests/explained_requests.rs
+++ b/crates/gateway/tests/explained_requests.rs
@@ -50,8 +50,8 @@
 #[test]
 fn only_the_last_requests_are_remembered() {
     let options = Options {
-        trace_requests: 2,
-        trace_steps: 3,
+        max_traces: 2,
+        max_trace_steps: 3,
         ..Options::default()
     };
     let bench = Bench::with(options, apricotdale_http::Options::default());
