--- a/crates/gateway/tests/admission_clock.rs
+++ b/crates/gateway/tests/admission_clock.rs
@@ -1,4 +1,4 @@
-//! Admission gets its ticks, and is told of what it started in vain.
+//! Ticks of the admission policy, and starts of requests that were already withdrawn.
 
 mod support;
 
@@ -16,7 +16,7 @@
 use support::Bench;
 use support::PATIENCE;
 
-/// `RefuseAtTick` refuses each request at the first tick after its arrival.
+/// Policy that refuses each request at the first tick after its arrival.
 #[derive(Default)]
 struct RefuseAtTick {
     waiting: HashSet<Ticket>,
@@ -46,9 +46,8 @@
     }
 }
 
-/// Symptom: requests wait out their time although admission has given them up. Sequence: nothing
-/// happens between an arrival and the tick that the policy asked for. Cause: a policy that is only
-/// asked when something else happens.
+/// Guards against a policy that is ticked only along with other events: here no event happens
+/// between a request's arrival and the tick that the policy asked for.
 #[test]
 fn a_tick_comes_though_nothing_else_happens() {
     let admission = Box::<RefuseAtTick>::default();
@@ -61,7 +60,7 @@
     }
 }
 
-/// `StartWithdrawn` starts requests only once they are withdrawn.
+/// Policy that starts requests only after their withdrawal.
 struct StartWithdrawn(Sender<Ticket>);
 
 impl AdmissionPolicy for StartWithdrawn {
@@ -81,8 +80,8 @@
     }
 }
 
-/// Symptom: a target loses a place for good. Sequence: a policy starts a request that has just been
-/// withdrawn. Cause: a start without a request, of whose end the policy is never told.
+/// Guards against a target that loses a slot for good: the policy starts a request that has just
+/// been withdrawn, and must still be told of its end.
 #[test]
 fn a_start_in_vain_is_given_back() {
     let (ended, has_ended) = mpsc::channel();
