--- a/crates/gateway/tests/caller_hangup.rs
+++ b/crates/gateway/tests/caller_hangup.rs
@@ -1,4 +1,4 @@
-//! A caller that hangs up ends its request at once, wherever it stands.
+//! A caller's hang-up ends its request at once, in every state of the request.
 
 mod support;
 
@@ -38,9 +38,8 @@
     );
 }
 
-/// Symptom: engines work for callers that are gone, and their places stay taken. Sequence: the
-/// caller closes while the engine has not answered; the engine goes on to say nothing. Cause: a
-/// hang-up that is noticed only at the next write.
+/// Guards against a hang-up that is noticed only at the next write: the caller closes its
+/// connection while the engine has not answered, and the engine must not go on working for it.
 #[test]
 fn a_request_at_a_silent_engine_is_cancelled_and_ends() {
     let bench = Bench::warm();
@@ -76,8 +75,8 @@
     assert_eq!(bench.observer.refusals(), [gone]);
 }
 
-/// Symptom: an engine's place is held by a caller that keeps its connection and reads nothing.
-/// Sequence: the buffers between fill up. Cause: a relay that waits for the caller without limit.
+/// Guards against a relay that waits for the caller without limit: the caller keeps its connection
+/// open and reads nothing, so the buffers fill up and the engine's slot stays occupied.
 #[test]
 fn a_caller_that_does_not_read_is_given_up() {
     let limits = apricotdale_http::Options {
