--- a/crates/gateway/tests/cold_start.rs
+++ b/crates/gateway/tests/cold_start.rs
@@ -39,8 +39,8 @@
     bench.observer.0.wait_for(cold);
 }
 
-/// Symptom: callers wait out their whole time for a model that can't be loaded. Sequence: the
-/// load fails while requests wait. Cause: requests that learn of it only at their deadline.
+/// Guards against callers that wait until their deadline although the load of their model has
+/// already failed.
 #[test]
 fn all_requests_that_wait_for_a_hopeless_model_are_refused() {
     let bench = Bench::cold();
