--- a/crates/gateway/tests/crashing_calls.rs
+++ b/crates/gateway/tests/crashing_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to models under which engines crash one after the other.
+//! Model calls under which one engine after the other crashes.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use support::PATIENCE;
 use support::engine::Act;
 
-/// Tries of one call.
+/// Attempts per call, as allowed by the fixture's retry policy.
 const TRIES: usize = 3;
 
-/// Crashes after which one VM alone is sure.
+/// Minimum number of crashes before one VM blocks a request by itself.
 const CRASHES: usize = 5;
 
-/// Has an engine of its own crash under a call, and returns the answer's reason.
+/// Makes a new engine crash under a call, and returns the reason of the refusal.
 fn crash(bench: &Bench, number: usize, headers: &[(&str, &str)]) -> String {
     let engine = format!("engine-{number}");
     bench.directory.replicas.lock().clear();
