--- a/crates/gateway/tests/crossed_answers.rs
+++ b/crates/gateway/tests/crossed_answers.rs
@@ -1,4 +1,4 @@
-//! A caller gets the answer to its own request and nothing of another's.
+//! A caller receives the answer to its own request and nothing of another caller's.
 
 mod support;
 
@@ -22,8 +22,8 @@
     Act::Piece(format!(r#"{{"id":"cmpl-req-0000","text":"{FOREIGN}"}}"#))
 }
 
-/// Symptom: a franchisee reads another's answer. Sequence: the engine mixes up two answers. Cause:
-/// a relay that trusts the connection an answer came on.
+/// Guards against a relay that trusts the connection on which an answer came: the engine mixes up
+/// two answers, and one caller would read another's.
 #[rstest]
 #[case::head(vec![Act::Head(200, "application/json", Some("req-0000")), foreign_json()])]
 #[case::head_of_refusal(vec![Act::Head(404, "application/json", Some("req-0000")), foreign_json()])]
