--- a/crates/gateway/tests/drain_gateway.rs
+++ b/crates/gateway/tests/drain_gateway.rs
@@ -1,4 +1,4 @@
-//! A VM that stops takes no new work and ends what it has.
+//! A draining VM refuses new requests and finishes those that it has.
 
 mod support;
 
@@ -12,9 +12,8 @@
 use support::engine::event;
 use support::engine::stream_head;
 
-/// Symptom: a planned restart cuts answers off or loses waiting requests. Sequence: one stream is
-/// in its middle and one request waits for a load when the stop begins. Cause: a stop that ends
-/// what it should only keep from beginning.
+/// Guards against a drain that cuts streams off or drops waiting requests: one stream is in
+/// progress and one request waits for a load when the drain begins.
 #[test]
 fn requests_in_progress_end_and_new_ones_are_refused() {
     let bench = Bench::cold();
