--- a/crates/gateway/tests/engine_retries.rs
+++ b/crates/gateway/tests/engine_retries.rs
@@ -1,4 +1,4 @@
-//! Calls to models run again elsewhere only while the caller has seen nothing.
+//! A model call is retried only as long as its caller has received nothing.
 
 mod support;
 
@@ -41,8 +41,8 @@
     );
 }
 
-/// Symptom: a caller's own mistake is run three times. Sequence: the engine answers that the
-/// request is wrong. Cause: a retry on every status but 200.
+/// Guards against a retry on every status but 200: the engine answers that the request itself is
+/// wrong, and it would be wrong at every other engine too.
 #[rstest]
 #[case::wrong(400)]
 #[case::unknown_option(422)]
@@ -55,9 +55,8 @@
     assert_eq!(bench.engine.served_count(), 1);
 }
 
-/// Symptom: a request is refused though its model is about to be loaded. Sequence: the only engine
-/// has unloaded the model, which the directory does not know yet. Cause: a retry that looks only
-/// at other engines.
+/// Guards against a retry that only considers other engines: the only engine has unloaded the
+/// model, which the directory does not show yet, and the request must wait for a load.
 #[test]
 fn a_request_waits_for_a_load_when_no_engine_holds_its_model() {
     let bench = Bench::warm();
@@ -85,9 +84,8 @@
     assert_eq!(bench.engine.served.lock()[1].0.port(), 2);
 }
 
-/// Symptom: requests are refused because an engine has unloaded their model a moment ago.
-/// Sequence: the directory lags and sends each of them to that engine again and again. Cause: a
-/// wait for a load that is counted against the tries.
+/// Guards against waits for a load that count as attempts: the directory is stale and sends the
+/// request again and again to an engine that has unloaded the model.
 #[rstest]
 #[case::loaded_again(5, 200)]
 #[case::never_loaded(1_000, 504)]
