--- a/crates/gateway/tests/explained_requests.rs
+++ b/crates/gateway/tests/explained_requests.rs
@@ -1,4 +1,4 @@
-//! What became of a request can be read afterwards.
+//! Traces of past requests.
 
 mod support;
 
