--- a/crates/gateway/tests/freed_places.rs
+++ b/crates/gateway/tests/freed_places.rs
@@ -1,4 +1,4 @@
-//! However a request ends, its place is free for the next.
+//! The slot of a request is released however the request ends.
 
 mod support;
 
@@ -13,8 +13,8 @@
 use support::engine::not_loaded;
 use support::engine::stream_head;
 
-/// Symptom: a model that serves less and less until it serves nobody. Sequence: requests end in
-/// one of these ways, each at the only place. Cause: a way out that does not give the place back.
+/// Guards against an end of a request that does not release its slot: a model would serve fewer and
+/// fewer requests. Each case ends the request in the only slot.
 #[rstest]
 #[case::answered(vec![Act::Head(200, "text/plain", Some("{id}")), Act::Piece("x".to_owned())], 200)]
 #[case::failed(vec![Act::Fail(Error::rejected("no"))], 200)]
