--- a/crates/gateway/tests/half_answers.rs
+++ b/crates/gateway/tests/half_answers.rs
@@ -1,4 +1,4 @@
-//! What a caller gets of engines' answers that are no whole ones of their own.
+//! Engines' answers that are incomplete or no answers to the request.
 
 mod support;
 
@@ -22,7 +22,7 @@
     Act::Head(status, content_type, Some("{id}"))
 }
 
-/// Guards against part of an answer, or another kind of answer, that the caller gets as the whole.
+/// Guards against a caller that receives part of an answer, or another kind of answer, as complete.
 #[rstest]
 #[case::empty_stream(vec![stream_head()])]
 #[case::comments_only(vec![stream_head(), Act::Piece(": still there\n\n".to_owned())])]
@@ -57,7 +57,7 @@
     assert_eq!(bench.engine.served_count(), 2);
 }
 
-/// Guards against a stream that is taken for a body, of which the caller gets one event as all.
+/// Guards against a stream that is relayed as a body, so that the caller receives only one event.
 #[rstest]
 #[case::capitals("Text/Event-Stream")]
 #[case::parameters("text/event-stream; charset=utf-8")]
@@ -73,7 +73,8 @@
     assert_eq!((pieces.len(), end), (3, Piece::End), "{pieces:?}");
 }
 
-/// Guards against an event that is dropped for its line ends, from a stream that then looks whole.
+/// Guards against an event that is dropped because of its line ends, from a stream that then looks
+/// complete.
 #[rstest]
 #[case::line_feed("\n")]
 #[case::both("\r\n")]
@@ -103,8 +104,8 @@
     assert!(pieces[0].contains("\"a\"") && pieces[1].contains("\"b\""));
 }
 
-/// Guards against a second engine's answer behind part of the first one's, whatever the policy for
-/// retries says.
+/// Guards against a second engine's answer after part of the first one's. The retry policy of this
+/// test allows every retry.
 #[rstest]
 #[case::stream(vec![stream_head(), event("second"), done()])]
 #[case::end_only(vec![stream_head(), done()])]
@@ -132,8 +133,8 @@
     assert_eq!(bench.engine.served_count(), 1);
 }
 
-/// Guards against a stream that ends as whole because its time is up: once it has begun, its
-/// deadline ends it no more, and it ends as its engine ends it.
+/// Guards against a deadline that ends a stream as if it were complete. Once a stream has begun,
+/// its deadline no longer applies, and the stream ends as the engine ends it.
 #[rstest]
 #[case::whole(vec![done()], Piece::End)]
 #[case::cut(vec![Act::Cut], Piece::Cut)]
@@ -160,7 +161,7 @@
     assert_eq!(end, expected, "{pieces:?}");
 }
 
-/// Guards against a stream that looks whole to a caller that was too slow for it.
+/// Guards against a stream that looks complete to a caller that was too slow for it.
 #[test]
 fn slow_caller_sees_no_end() {
     let limits = apricotdale_http::Options {
@@ -185,8 +186,8 @@
     assert!(!text.contains("[DONE]"));
 }
 
-/// Guards against a stream that is given up because its caller seems gone, and looks whole to a
-/// caller that has only ended its own side.
+/// Guards against a stream that looks complete to a caller that has only closed its sending side:
+/// the stream is given up because the caller counts as gone.
 #[test]
 fn half_closed_caller_sees_no_end() {
     let bench = Bench::warm();
