--- a/crates/gateway/tests/refusal_answers.rs
+++ b/crates/gateway/tests/refusal_answers.rs
@@ -1,4 +1,4 @@
-//! What callers are told when they are refused.
+//! Responses to refused requests.
 
 mod support;
 
@@ -91,9 +91,8 @@
     assert_eq!(answer.header("x-should-retry"), Some("false"));
 }
 
-/// Symptom: a caller repeats a call that was answered "not run", and it runs twice. Sequence: the
-/// first try is lost after it was sent, the second is certainly not received. Cause: a refusal
-/// that speaks of the last try alone.
+/// Guards against a refusal that reports only the last attempt: the first attempt is lost after it
+/// was sent, the second is certainly not received. A caller that reads "not run" would call again.
 #[test]
 fn a_refusal_speaks_of_all_tries() {
     let bench = Bench::warm();
@@ -135,9 +134,8 @@
     check(&bench, &answer, 503, "not_ready", "not_run");
 }
 
-/// Symptom: a request is answered long after its time, or never. Sequence: the model is not
-/// loaded, or the engine stays silent, beyond the deadline. Cause: a thread that waits on the
-/// upstream and not on its deadline.
+/// Guards against a thread that waits for the upstream instead of the deadline: the model is not
+/// loaded, or the engine does not answer, until the deadline has passed.
 #[rstest]
 #[case::waiting(false, "not_run")]
 #[case::sent(true, "unknown")]
