--- a/crates/gateway/tests/refusal_log.rs
+++ b/crates/gateway/tests/refusal_log.rs
@@ -1,4 +1,4 @@
-//! Each refusal is one line of the log, with its reason and whether the request ran.
+//! Each refusal is one log line, with its reason and whether the request ran.
 
 mod support;
 
@@ -19,7 +19,7 @@
 
 static LINES: Mutex<Vec<Fields>> = Mutex::new(Vec::new());
 
-/// `Lines` keeps the fields of each line that says "refused".
+/// Logger that keeps the fields of each line with the message "refused".
 struct Lines;
 
 struct Visitor(Fields);
