--- a/crates/gateway/tests/request_identity.rs
+++ b/crates/gateway/tests/request_identity.rs
@@ -1,4 +1,4 @@
-//! Who asks, for which class, until when, and what the engine gets of it.
+//! Class, caller, timeout and identity of a request, and what of it reaches the engine.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::MODEL;
 use support::caller::Answer;
 
-/// Returns class, caller and time left of an answered request.
+/// Returns the class, the caller and the timeout that an answered request was classified with.
 fn classified(bench: &Bench, answer: &Answer) -> (String, String, u64) {
     let id = answer.header("x-request-id").expect("an identity");
     let trace = bench.gateway.explain(&id.into()).expect("a trace");
