--- a/crates/gateway/tests/service_once.rs
+++ b/crates/gateway/tests/service_once.rs
@@ -1,4 +1,4 @@
-//! A call to a plain service that may not be repeated runs at most once.
+//! A call to a plain service runs at most once unless it is idempotent.
 
 mod support;
 
@@ -17,8 +17,8 @@
 const STOCK: &str = "/services/booking-app/stock";
 const KEY: &[(&str, &str)] = &[("Idempotency-Key", "k-1"), ("X-Caller", "fyn")];
 
-/// Symptom: a booking is made twice. Sequence: the connection is lost after the call was sent.
-/// Cause: a retry of a call whose outcome is not known.
+/// Guards against a retry of a call whose outcome is unknown: the connection is lost after the call
+/// was sent, and a retry would make the booking twice.
 #[rstest]
 #[case::without_a_key(&[])]
 #[case::with_a_key(KEY)]
@@ -70,9 +70,8 @@
     assert_eq!(Some(call.id.as_str()), told.header("x-request-id"));
 }
 
-/// Symptom: a booking that failed can't be made again, or one that ran is made again. Sequence: a
-/// call under a key ends, and the claim is told a wrong outcome. Cause: an outcome taken from the
-/// refusal's reason in place of what was sent.
+/// Guards against an outcome that is derived from the refusal's reason instead of what was sent: a
+/// failed booking could not be made again, or one that ran would be made again.
 #[rstest]
 #[case::answered(answer(201, "ok"), Ran::Ran, Some("ok"))]
 #[case::answered_with_a_fault(answer(503, "later"), Ran::Ran, Some("later"))]
@@ -157,9 +156,9 @@
     );
 }
 
-/// Symptom: a caller that lost its connection finds its key in progress for ever. Sequence: the
-/// caller hangs up, or its time passes, while the call under its key runs. Cause: a call that is
-/// given up together with its caller, so that its outcome is never put on record.
+/// Guards against a call that is given up together with its caller: its outcome would never be
+/// recorded, and the caller would find its key in progress for ever. The caller hangs up or times
+/// out while the call under its key runs.
 #[rstest]
 #[case::hung_up(true)]
 #[case::out_of_time(false)]
@@ -205,9 +204,9 @@
     assert_eq!(told.header("retry-after"), Some("1"));
 }
 
-/// Symptom: a booking answered "not run" is made all the same, and the caller books again.
-/// Sequence: the claim takes so long that the request's time passes; then the claim is won. Cause:
-/// a sender that does not ask whether its request has been given up.
+/// Guards against a sender that does not check whether its request was given up: the claim takes
+/// longer than the request's timeout and is then won. The booking would be made although the caller
+/// was answered "not run".
 #[rstest]
 #[case::out_of_time(false)]
 #[case::hung_up(true)]
