--- a/crates/gateway/tests/stream_relay.rs
+++ b/crates/gateway/tests/stream_relay.rs
@@ -1,4 +1,4 @@
-//! Streams are relayed event by event, and a broken one is never passed off as whole.
+//! Streams are relayed event by event, and a broken stream never looks complete.
 
 mod support;
 
@@ -15,9 +15,8 @@
 
 const LONG_MS: u64 = 30_000;
 
-/// Symptom: a caller sees its answer in bursts, or only at its end. Sequence: the engine sends
-/// each event only after the caller has read the one before. Cause: a relay that holds an event
-/// back; the engine then waits for ever, and this test never ends.
+/// Guards against a relay that holds events back: the engine sends each event only after the caller
+/// has read the one before. Such a relay would keep this test from ending.
 #[test]
 fn each_event_reaches_the_caller_before_the_next_is_made() {
     let bench = Bench::warm();
@@ -66,8 +65,8 @@
     assert_eq!(events.iter().filter(is_gap).count(), 1, "{events:?}");
 }
 
-/// Symptom: a caller takes half an answer for the whole. Sequence: a stream breaks after its first
-/// event. Cause: a relay that ends the caller's stream as if the engine had ended it.
+/// Guards against a relay that ends the caller's stream as if the engine had ended it: the stream
+/// breaks after its first event, and the caller would take half an answer for a complete one.
 #[rstest]
 #[case::connection_lost(vec![Act::Cut], "upstream_lost", LONG_MS)]
 #[case::no_end_mark(vec![], "upstream_bad_answer", LONG_MS)]
