--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that reads an answer as it comes.
+//! HTTP client that reads an answer piece by piece.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -17,7 +17,7 @@
     reader: BufReader<TcpStream>,
 }
 
-/// `Answer` is a whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -38,7 +38,7 @@
         serde_json::from_str(&self.body).expect("a JSON body")
     }
 
-    /// Returns status, reason and `ran` of a refusal.
+    /// Returns the status, the reason and `ran` of a refusal.
     pub fn refusal(&self) -> (u16, String, String) {
         let problem = self.json();
         let text = |member: &str| problem[member].as_str().unwrap_or("-").to_owned();
@@ -46,7 +46,7 @@
     }
 }
 
-/// `Piece` is what came next of a chunked answer.
+/// Next part of a chunked answer, or its end.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Piece {
     Data(String),
@@ -99,7 +99,7 @@
         self.send("POST", "/v1/completions", headers, &body);
     }
 
-    /// Sends a call to the model and returns its whole answer.
+    /// Sends a call to the model and returns its complete answer.
     pub fn complete(&mut self, headers: &[(&str, &str)]) -> Answer {
         self.send_completion(headers);
         self.answer()
@@ -135,7 +135,7 @@
         answer
     }
 
-    /// Ends the caller's side of the connection, so that it only reads from now on.
+    /// Closes the sending side of the connection. The caller can still read.
     pub fn close_sending(&mut self) {
         let stream = self.reader.get_mut();
         stream
@@ -146,12 +146,12 @@
     /// Returns all bytes up to the end of the connection.
     pub fn rest(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
-        // A connection that is reset has ended, too.
+        // A connection that was reset has ended, too.
         let _ = self.reader.read_to_end(&mut bytes);
         bytes
     }
 
-    /// Returns the pieces up to the end of the answer, and how it ended.
+    /// Returns the pieces up to the end of the answer, and how the answer ended.
     pub fn pieces(&mut self) -> (Vec<String>, Piece) {
         let mut pieces = Vec::new();
         loop {
