--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that does what each test's script says.
+//! Engine whose answers are scripted by each test.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,18 +16,18 @@
 
 use super::PATIENCE;
 
-/// `Act` is one step of an engine's answer. `{id}` stands for the request's identity.
+/// Step of an engine's answer. `{id}` stands for the request's identity.
 #[derive(Clone, Debug)]
 pub enum Act {
     /// Fails before the answer begins.
     Fail(Error),
-    /// Begins the answer: status, content type, identity.
+    /// Begins the answer, with status, content type and identity.
     Head(u16, &'static str, Option<&'static str>),
     /// Sends one piece.
     Piece(String),
-    /// Waits until the test lets it go on, or the request is cancelled.
+    /// Waits until the test releases it.
     Hold,
-    /// Breaks the answer off.
+    /// Breaks off the answer.
     Cut,
     /// Panics.
     Panic,
@@ -66,11 +66,11 @@
     scripts: Mutex<VecDeque<Vec<Act>>>,
     pub served: Mutex<Vec<(SocketAddr, ServeRequest)>>,
     pub cancelled: (Sender<RequestId>, Receiver<RequestId>),
-    /// A message lets one [`Act::Hold`] go on.
+    /// Each message releases one [`Act::Hold`].
     pub release: (Sender<()>, Receiver<()>),
-    /// Tells of each [`Act::Hold`] that is reached.
+    /// Receives the identity of each request that reaches an [`Act::Hold`].
     pub holding: (Sender<RequestId>, Receiver<RequestId>),
-    /// Tells of each answer that the gateway has let go.
+    /// Receives the identity of each answer that the gateway has dropped.
     pub dropped: (Sender<RequestId>, Receiver<RequestId>),
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl FakeEngine {
-    /// Adds the script of one more request; requests take scripts in order of their arrival.
+    /// Adds the script of one more request. Requests take scripts in the order of their arrival.
     pub fn script(&self, acts: Vec<Act>) {
         self.scripts.lock().push_back(acts);
     }
@@ -97,7 +97,7 @@
         self.served.lock().len()
     }
 
-    /// Waits until a request reaches its hold.
+    /// Waits until a request reaches an [`Act::Hold`].
     pub fn wait_held(&self) -> RequestId {
         self.holding
             .1
