--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes at the gateway's borders, and a caller.
+//! A gateway with fakes for all its dependencies, and a client.
 
 #![allow(dead_code)]
 
@@ -48,7 +48,7 @@
 use recorders::Observer;
 use service::FakeService;
 
-/// A bound on waits that end a broken test; no assertion depends on its length.
+/// Bounds the waits of a failing test. No assertion depends on its length.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 pub const MODEL: &str = "slot-lm";
@@ -135,7 +135,7 @@
     }
 }
 
-/// `Bench` is a gateway behind a real HTTP server, with a fake at each of its borders.
+/// Gateway behind a real HTTP server, with fakes for all its dependencies.
 pub struct Bench {
     pub gateway: Arc<Gateway>,
     pub server: Server,
@@ -148,14 +148,14 @@
 }
 
 impl Bench {
-    /// Returns a bench with one engine, one service instance, and room at both.
+    /// Returns a gateway with one engine, one service instance, and free slots at both.
     pub fn warm() -> Self {
         let bench = Self::cold();
         bench.load("engine-1", 1);
         bench
     }
 
-    /// Returns a bench whose model is not loaded.
+    /// Returns a gateway whose model is not loaded.
     pub fn cold() -> Self {
         Self::with(Options::default(), apricotdale_http::Options::default())
     }
@@ -215,12 +215,12 @@
         }
     }
 
-    /// Shows the model as loaded on one more engine.
+    /// Lists one more engine that holds the model, with 100 slots for the model in total.
     pub fn load(&self, engine: &str, port: u16) {
         self.load_with(engine, port, 100);
     }
 
-    /// Shows the model as loaded on one more engine, with as many places in all.
+    /// Lists one more engine that holds the model, and sets the model's total number of slots.
     pub fn load_with(&self, engine: &str, port: u16, slots: u32) {
         self.directory.replicas.lock().push(candidate(engine, port));
         self.gateway
