--- a/crates/gateway/tests/support/policies.rs
+++ b/crates/gateway/tests/support/policies.rs
@@ -1,4 +1,4 @@
-//! The simplest policies that let the gateway's own behaviour be seen.
+//! Minimal policies, under which the gateway's own behaviour shows.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -20,10 +20,10 @@
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
 
-/// The caller that [`CapacityAdmission`] refuses.
+/// Caller that [`CapacityAdmission`] refuses.
 pub const GREEDY: &str = "greedy";
 
-/// `FirstUntried` chooses the first candidate that was not tried, or else the first.
+/// Chooses the first candidate that was not tried, or else the first.
 pub struct FirstUntried;
 
 impl RoutingPolicy for FirstUntried {
@@ -41,7 +41,7 @@
     }
 }
 
-/// `CountedRetries` retries at once, a number of times, what may run again.
+/// Retries at once, up to a number of attempts, whatever may be retried.
 pub struct CountedRetries {
     pub max_tries: u32,
 }
@@ -60,7 +60,7 @@
     }
 }
 
-/// `BlindRetries` retries everything, also what a caller has seen a part of.
+/// Retries everything, even an answer that the caller has received in part.
 pub struct BlindRetries;
 
 impl RetryPolicy for BlindRetries {
@@ -71,7 +71,7 @@
     }
 }
 
-/// `CapacityAdmission` starts requests in order as long as there is room, and refuses one caller.
+/// Starts requests in order of arrival while slots are free, and refuses one caller.
 #[derive(Default)]
 pub struct CapacityAdmission {
     slots: HashMap<ModelName, u32>,
