--- a/crates/gateway/tests/support/recorders.rs
+++ b/crates/gateway/tests/support/recorders.rs
@@ -1,4 +1,4 @@
-//! Fakes that record what the gateway tells them.
+//! Fakes that record the gateway's calls.
 
 use apricotdale_core::claims::KeptAnswer;
 use apricotdale_core::names::IdempotencyKey;
@@ -16,7 +16,7 @@
 
 use super::PATIENCE;
 
-/// `Recorder` records events and lets a test wait for one.
+/// Records events and lets a test wait for one.
 pub struct Recorder<T> {
     events: Mutex<Vec<T>>,
     grown: Condvar,
@@ -41,12 +41,12 @@
         self.events.lock().clone()
     }
 
-    /// Waits until an event is there and returns it.
+    /// Waits until a matching event was recorded, and returns it.
     pub fn wait_for(&self, matches: impl Fn(&T) -> bool) -> T {
         self.wait_for_nth(1, matches)
     }
 
-    /// Waits until as many such events are there and returns the last.
+    /// Waits until `count` matching events were recorded, and returns the last of them.
     pub fn wait_for_nth(&self, count: usize, matches: impl Fn(&T) -> bool) -> T {
         let mut events = self.events.lock();
         loop {
@@ -92,12 +92,12 @@
     }
 }
 
-/// `Claims` lets a call run unless the test has decided otherwise.
+/// Lets every call run unless the test sets another decision.
 #[derive(Default)]
 pub struct Claims {
     pub decision: Mutex<Option<ClaimDecision>>,
     pub asked: Recorder<ClaimAsk>,
-    /// A claim waits until this is free.
+    /// Lock that each claim takes, so that a test that holds it delays claims.
     pub hold: Mutex<()>,
     pub finished: Recorder<(IdempotencyKey, Ran, Option<KeptAnswer>)>,
 }
