--- a/crates/gateway/tests/support/service.rs
+++ b/crates/gateway/tests/support/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that does what each test's script says.
+//! Plain service whose answers are scripted by each test.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
