--- a/crates/gateway/tests/admission_clock.rs
+++ b/crates/gateway/tests/admission_ticks.rs
@@ -13,8 +13,8 @@
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
 use apricotdale_gateway::Options;
-use support::Bench;
-use support::PATIENCE;
+use support::Fixture;
+use support::TEST_TIMEOUT;
 
 /// Policy that refuses each request at the first tick after its arrival.
 #[derive(Default)]
@@ -49,14 +49,14 @@
 /// Guards against a policy that is ticked only along with other events: here no event happens
 /// between a request's arrival and the tick that the policy asked for.
 #[test]
-fn a_tick_comes_though_nothing_else_happens() {
+fn tick_without_events() {
     let admission = Box::<RefuseAtTick>::default();
     let http = apricotdale_http::Options::default();
-    let bench = Bench::with_admission(Options::default(), http, admission);
+    let fixture = Fixture::with_admission(Options::default(), http, admission);
     for _ in 0..3 {
-        let told = bench.caller().complete(&[]).refusal();
+        let received = fixture.caller().complete(&[]).refusal();
         let expected = (503, "deadline_too_short".to_owned(), "not_run".to_owned());
-        assert_eq!(told, expected);
+        assert_eq!(received, expected);
     }
 }
 
@@ -83,13 +83,13 @@
 /// Guards against a target that loses a slot for good: the policy starts a request that has just
 /// been withdrawn, and must still be told of its end.
 #[test]
-fn a_start_in_vain_is_given_back() {
+fn withdrawn_start_ended() {
     let (ended, has_ended) = mpsc::channel();
     let admission = Box::new(StartWithdrawn(ended));
     let http = apricotdale_http::Options::default();
-    let bench = Bench::with_admission(Options::default(), http, admission);
-    let told = bench.caller().complete(&[("X-Request-Timeout-Ms", "50")]);
-    assert_eq!(told.status, 504);
-    assert_eq!(has_ended.recv_timeout(PATIENCE), Ok(Ticket(1)));
-    assert_eq!(bench.engine.served_count(), 0);
+    let fixture = Fixture::with_admission(Options::default(), http, admission);
+    let received = fixture.caller().complete(&[("X-Request-Timeout-Ms", "50")]);
+    assert_eq!(received.status, 504);
+    assert_eq!(has_ended.recv_timeout(TEST_TIMEOUT), Ok(Ticket(1)));
+    assert_eq!(fixture.engine.served_count(), 0);
 }
--- a/crates/gateway/tests/cold_start.rs
+++ b/crates/gateway/tests/cold_start.rs
@@ -6,7 +6,7 @@
 use apricotdale_core::refusal::RefusalReason;
 use apricotdale_core::serving::DemandEvent;
 use apricotdale_core::serving::ServingEvent;
-use support::Bench;
+use support::Fixture;
 use support::MODEL;
 
 fn is_arrival(event: &DemandEvent) -> bool {
@@ -14,15 +14,15 @@
 }
 
 #[test]
-fn a_request_waits_for_its_model_and_tells_the_demand() {
-    let bench = Bench::cold();
-    let mut caller = bench.caller();
+fn cold_start_demand() {
+    let fixture = Fixture::cold();
+    let mut caller = fixture.caller();
     caller.send_completion(&[]);
-    bench.demand.0.wait_for(is_arrival);
-    bench.load("engine-1", 1);
+    fixture.demand.0.wait_for(is_arrival);
+    fixture.load("engine-1", 1);
     assert_eq!(caller.answer().status, 200);
-    bench.settle();
-    let kinds: Vec<&str> = bench
+    fixture.wait_idle();
+    let kinds: Vec<&str> = fixture
         .demand
         .0
         .all()
@@ -36,29 +36,32 @@
         .collect();
     assert_eq!(kinds, ["arrived", "started", "ended"]);
     let cold = |event: &ServingEvent| matches!(event, ServingEvent::ColdStart { .. });
-    bench.observer.0.wait_for(cold);
+    fixture.observer.0.wait_for(cold);
 }
 
 /// Guards against callers that wait until their deadline although the load of their model has
 /// already failed.
 #[test]
-fn all_requests_that_wait_for_a_hopeless_model_are_refused() {
-    let bench = Bench::cold();
-    let mut callers: Vec<_> = (0..3).map(|_| bench.caller()).collect();
+fn failed_load_refuses() {
+    let fixture = Fixture::cold();
+    let mut callers: Vec<_> = (0..3).map(|_| fixture.caller()).collect();
     for caller in &mut callers {
         caller.send_completion(&[]);
     }
-    bench.demand.0.wait_for_nth(3, is_arrival);
+    fixture.demand.0.wait_for_nth(3, is_arrival);
     let refusal = Refusal::not_run(RefusalReason::LoadFailed, "the weights are gone");
     let mut refused = 0;
     while refused < 3 {
-        refused += bench.gateway.refuse_waiting(&MODEL.into(), &refusal);
+        refused += fixture.gateway.refuse_waiting(&MODEL.into(), &refusal);
     }
     for caller in &mut callers {
-        let told = caller.answer().refusal();
-        assert_eq!(told, (503, "load_failed".to_owned(), "not_run".to_owned()));
+        let received = caller.answer().refusal();
+        assert_eq!(
+            received,
+            (503, "load_failed".to_owned(), "not_run".to_owned())
+        );
     }
-    bench.settle();
-    bench.load("engine-1", 1);
-    assert_eq!(bench.caller().complete(&[]).status, 200);
+    fixture.wait_idle();
+    fixture.load("engine-1", 1);
+    assert_eq!(fixture.caller().complete(&[]).status, 200);
 }
--- a/crates/gateway/tests/refusal_answers.rs
+++ b/crates/gateway/tests/refusal_answers.rs
@@ -7,11 +7,11 @@
 use rstest::rstest;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use support::Bench;
+use support::Fixture;
 use support::MODEL;
 use support::caller::Answer;
-use support::engine::Act;
-use support::policies::GREEDY;
+use support::engine::ScriptStep;
+use support::policies::REFUSED_CALLER;
 
 const COMPLETIONS: &str = "/v1/completions";
 
@@ -20,9 +20,9 @@
 }
 
 /// Checks that a refusal is complete, consistent, and counted once.
-fn check(bench: &Bench, answer: &Answer, status: u16, reason: &str, ran: &str) {
-    let told = (status, reason.to_owned(), ran.to_owned());
-    assert_eq!(answer.refusal(), told, "{answer:?}");
+fn check(fixture: &Fixture, answer: &Answer, status: u16, reason: &str, ran: &str) {
+    let received = (status, reason.to_owned(), ran.to_owned());
+    assert_eq!(answer.refusal(), received, "{answer:?}");
     assert_eq!(
         answer.header("content-type"),
         Some("application/problem+json")
@@ -36,7 +36,7 @@
     );
     assert_eq!(problem["error"]["code"], reason);
     assert_eq!(problem["error"]["message"], problem["detail"]);
-    let counted = bench.observer.refusals();
+    let counted = fixture.observer.refusals();
     assert_eq!(counted.len(), 1, "{counted:?}");
     assert_eq!(counted[0].0, reason);
     assert_eq!(counted[0].1.as_str(), ran);
@@ -53,9 +53,9 @@
 #[case::unknown_service("GET", "/services/nobody/x", &[], "", 404, "unknown_service")]
 #[case::unknown_path("GET", "/v2/models", &[], "", 404, "unknown_path")]
 #[case::wrong_method("GET", COMPLETIONS, &[], "", 405, "method_not_allowed")]
-#[case::over_share("POST", COMPLETIONS, &[("X-Caller", GREEDY)], &call_body(), 429, "caller_over_share")]
+#[case::over_share("POST", COMPLETIONS, &[("X-Caller", REFUSED_CALLER)], &call_body(), 429, "caller_over_share")]
 #[case::empty_key("POST", "/services/booking-app/book", &[("Idempotency-Key", "")], "", 400, "bad_request")]
-fn a_request_that_never_ran_says_so(
+fn refusal_not_run(
     #[case] method: &str,
     #[case] path: &str,
     #[case] headers: &[(&str, &str)],
@@ -63,10 +63,13 @@
     #[case] status: u16,
     #[case] reason: &str,
 ) {
-    let bench = Bench::warm();
-    let answer = bench.caller().call(method, path, headers, body);
-    check(&bench, &answer, status, reason, "not_run");
-    assert_eq!(bench.engine.served_count() + bench.service.call_count(), 0);
+    let fixture = Fixture::warm();
+    let answer = fixture.caller().call(method, path, headers, body);
+    check(&fixture, &answer, status, reason, "not_run");
+    assert_eq!(
+        fixture.engine.served_count() + fixture.service.call_count(),
+        0
+    );
     let methods = (status == 405).then_some("POST");
     assert_eq!(answer.header("allow"), methods);
 }
@@ -76,62 +79,62 @@
 #[case::rejected(Error::rejected("no"), 502, "upstream_refused", "not_run")]
 #[case::lost(Error::unknown("reset"), 502, "upstream_lost", "unknown")]
 #[case::malformed(Error::malformed("what"), 502, "upstream_bad_answer", "unknown")]
-fn a_failed_engine_call_tells_whether_it_ran(
+fn failed_call_ran(
     #[case] error: Error,
     #[case] status: u16,
     #[case] reason: &str,
     #[case] ran: &str,
 ) {
-    let bench = Bench::warm();
+    let fixture = Fixture::warm();
     for _ in 0..3 {
-        bench.engine.script(vec![Act::Fail(error.clone())]);
+        fixture.engine.script(vec![ScriptStep::Fail(error.clone())]);
     }
-    let answer = bench.caller().complete(&[]);
-    check(&bench, &answer, status, reason, ran);
+    let answer = fixture.caller().complete(&[]);
+    check(&fixture, &answer, status, reason, ran);
     assert_eq!(answer.header("x-should-retry"), Some("false"));
 }
 
 /// Guards against a refusal that reports only the last attempt: the first attempt is lost after it
 /// was sent, the second is certainly not received. A caller that reads "not run" would call again.
 #[test]
-fn a_refusal_speaks_of_all_tries() {
-    let bench = Bench::warm();
-    bench
+fn ran_of_all_attempts() {
+    let fixture = Fixture::warm();
+    fixture
         .engine
-        .script(vec![Act::Fail(Error::unknown("reset"))]);
+        .script(vec![ScriptStep::Fail(Error::unknown("reset"))]);
     for _ in 0..2 {
-        bench
+        fixture
             .engine
-            .script(vec![Act::Fail(Error::unavailable("refused"))]);
+            .script(vec![ScriptStep::Fail(Error::unavailable("refused"))]);
     }
-    let answer = bench.caller().complete(&[]);
-    check(&bench, &answer, 502, "upstream_unavailable", "unknown");
+    let answer = fixture.caller().complete(&[]);
+    check(&fixture, &answer, 502, "upstream_unavailable", "unknown");
 }
 
 #[test]
-fn a_time_to_come_back_is_rounded_up() {
-    let bench = Bench::warm();
-    let answer = bench.caller().complete(&[("X-Caller", GREEDY)]);
+fn retry_after_rounded() {
+    let fixture = Fixture::warm();
+    let answer = fixture.caller().complete(&[("X-Caller", REFUSED_CALLER)]);
     assert_eq!(answer.header("retry-after"), Some("3"));
     assert_eq!(answer.header("x-should-retry"), Some("true"));
     assert_eq!(answer.json()["retry_after_ms"], 2_300);
 }
 
 #[test]
-fn a_vm_that_is_not_ready_refuses_and_shows_it_to_the_balancer() {
-    let bench = Bench::warm();
-    bench.directory.is_closed.store(true, Ordering::Release);
-    let ready = bench.caller().call("GET", "/health/ready", &[], "");
+fn not_ready_refuses() {
+    let fixture = Fixture::warm();
+    fixture.directory.is_closed.store(true, Ordering::Release);
+    let ready = fixture.caller().call("GET", "/health/ready", &[], "");
     assert_eq!(
         (ready.status, ready.json()["reason"].as_str()),
         (503, Some("not_ready"))
     );
     assert_eq!(
-        bench.caller().call("GET", "/health/live", &[], "").status,
+        fixture.caller().call("GET", "/health/live", &[], "").status,
         200
     );
-    let answer = bench.caller().complete(&[]);
-    check(&bench, &answer, 503, "not_ready", "not_run");
+    let answer = fixture.caller().complete(&[]);
+    check(&fixture, &answer, 503, "not_ready", "not_run");
 }
 
 /// Guards against a thread that waits for the upstream instead of the deadline: the model is not
@@ -139,33 +142,35 @@
 #[rstest]
 #[case::waiting(false, "not_run")]
 #[case::sent(true, "unknown")]
-fn a_request_without_an_answer_is_refused_at_its_deadline(#[case] loaded: bool, #[case] ran: &str) {
-    let bench = Bench::cold();
+fn deadline_refuses(#[case] loaded: bool, #[case] ran: &str) {
+    let fixture = Fixture::cold();
     if loaded {
-        bench.load("engine-1", 1);
-        bench.engine.script(vec![
-            Act::Hold,
-            Act::Head(200, "application/json", Some("{id}")),
+        fixture.load("engine-1", 1);
+        fixture.engine.script(vec![
+            ScriptStep::Hold,
+            ScriptStep::Head(200, "application/json", Some("{id}")),
         ]);
     }
-    let answer = bench.caller().complete(&[("X-Request-Timeout-Ms", "500")]);
-    check(&bench, &answer, 504, "deadline_passed", ran);
+    let answer = fixture
+        .caller()
+        .complete(&[("X-Request-Timeout-Ms", "500")]);
+    check(&fixture, &answer, 504, "deadline_passed", ran);
     if loaded {
-        let id = bench.engine.wait_cancelled();
+        let id = fixture.engine.wait_cancelled();
         assert_eq!(Some(id.as_str()), answer.header("x-request-id"));
     }
-    bench.settle();
-    assert_eq!(bench.observer.refusals().len(), 1);
+    fixture.wait_idle();
+    assert_eq!(fixture.observer.refusals().len(), 1);
 }
 
 #[test]
-fn a_panic_is_answered_and_counted() {
-    let bench = Bench::warm();
+fn panic_refused() {
+    let fixture = Fixture::warm();
     for _ in 0..3 {
-        bench.engine.script(vec![Act::Panic]);
+        fixture.engine.script(vec![ScriptStep::Panic]);
     }
-    let answer = bench.caller().complete(&[]);
-    check(&bench, &answer, 502, "upstream_lost", "unknown");
+    let answer = fixture.caller().complete(&[]);
+    check(&fixture, &answer, 502, "upstream_lost", "unknown");
 }
 
 #[rstest]
@@ -177,35 +182,31 @@
     "body_too_large"
 )]
 #[case::slow("GET / HTTP/1.1\r\nHost: ", 408, "request_timeout")]
-fn protocol_errors_are_refusals_too(
-    #[case] bytes: &str,
-    #[case] status: u16,
-    #[case] reason: &str,
-) {
+fn protocol_errors_refused(#[case] bytes: &str, #[case] status: u16, #[case] reason: &str) {
     let limits = apricotdale_http::Options {
         max_head_bytes: 512,
         max_body_bytes: 100,
         head_timeout: Duration::from_millis(50),
         ..apricotdale_http::Options::default()
     };
-    let bench = Bench::with(apricotdale_gateway::Options::default(), limits);
-    let mut caller = bench.caller();
+    let fixture = Fixture::with(apricotdale_gateway::Options::default(), limits);
+    let mut caller = fixture.caller();
     caller.send_raw(bytes);
-    check(&bench, &caller.answer(), status, reason, "not_run");
+    check(&fixture, &caller.answer(), status, reason, "not_run");
 }
 
 #[test]
-fn a_connection_above_the_limit_is_refused() {
+fn connection_limit() {
     let limits = apricotdale_http::Options {
         max_connections: 1,
         ..apricotdale_http::Options::default()
     };
-    let bench = Bench::with(apricotdale_gateway::Options::default(), limits);
-    let mut holder = bench.caller();
+    let fixture = Fixture::with(apricotdale_gateway::Options::default(), limits);
+    let mut holder = fixture.caller();
     assert_eq!(holder.call("GET", "/health/live", &[], "").status, 200);
-    let answer = bench.caller().answer();
+    let answer = fixture.caller().answer();
     check(
-        &bench,
+        &fixture,
         &answer,
         503,
         "too_many_connections",
--- a/crates/gateway/tests/refusal_log.rs
+++ b/crates/gateway/tests/refusal_log.rs
@@ -13,14 +13,14 @@
 use log::kv::Key;
 use log::kv::Value;
 use log::kv::VisitSource;
-use support::Bench;
+use support::Fixture;
 
 type Fields = HashMap<String, String>;
 
 static LINES: Mutex<Vec<Fields>> = Mutex::new(Vec::new());
 
 /// Logger that keeps the fields of each line with the message "refused".
-struct Lines;
+struct RefusalLines;
 
 struct Visitor(Fields);
 
@@ -31,7 +31,7 @@
     }
 }
 
-impl Log for Lines {
+impl Log for RefusalLines {
     fn enabled(&self, _metadata: &Metadata<'_>) -> bool {
         true
     }
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn a_refusal_is_one_line_with_its_fields() {
-    log::set_logger(&Lines).expect("the only logger");
+fn refusal_log_line() {
+    log::set_logger(&RefusalLines).expect("the only logger");
     log::set_max_level(LevelFilter::Info);
-    let bench = Bench::warm();
+    let fixture = Fixture::warm();
     let body = r#"{"model":"nobody"}"#;
     let headers = [("X-Request-Id", "order-77")];
-    let answer = bench
+    let answer = fixture
         .caller()
         .call("POST", "/v1/completions", &headers, body);
     let lines = LINES.lock().expect("no panic").clone();
--- a/crates/gateway/tests/request_identity.rs
+++ b/crates/gateway/tests/request_identity.rs
@@ -5,14 +5,14 @@
 use apricotdale_gateway::Options;
 use apricotdale_gateway::Step;
 use rstest::rstest;
-use support::Bench;
+use support::Fixture;
 use support::MODEL;
 use support::caller::Answer;
 
 /// Returns the class, the caller and the timeout that an answered request was classified with.
-fn classified(bench: &Bench, answer: &Answer) -> (String, String, u64) {
+fn classified(fixture: &Fixture, answer: &Answer) -> (String, String, u64) {
     let id = answer.header("x-request-id").expect("an identity");
-    let trace = bench.gateway.explain(&id.into()).expect("a trace");
+    let trace = fixture.gateway.explain(&id.into()).expect("a trace");
     let steps = trace.steps.into_iter();
     let mut found = steps.filter_map(|traced| match traced.step {
         Step::Classified {
@@ -32,14 +32,14 @@
 #[case::more_time(&[("X-Request-Timeout-Ms", "30000")], "quick", "anonymous", 30_000)]
 #[case::too_much_time(&[("X-Request-Timeout-Ms", "99000000")], "quick", "anonymous", 90_000)]
 #[case::named_caller(&[("X-Caller", "fyn")], "quick", "fyn", 20_000)]
-#[case::insane_caller(&[("X-Caller", "fyn reason=ok")], "quick", "anonymous", 20_000)]
+#[case::invalid_caller(&[("X-Caller", "fyn reason=ok")], "quick", "anonymous", 20_000)]
 #[case::token(
     &[("Authorization", "Bearer secret"), ("X-Caller", "fyn")],
     "quick",
     "bearer-2bb80d537b1da3e3",
     20_000
 )]
-fn a_request_is_classified(
+fn request_classified(
     #[case] headers: &[(&str, &str)],
     #[case] class: &str,
     #[case] caller: &str,
@@ -49,36 +49,36 @@
         max_timeout_ms: 90_000,
         ..Options::default()
     };
-    let bench = Bench::with(options, apricotdale_http::Options::default());
-    bench.load("engine-1", 1);
-    let answer = bench.caller().complete(headers);
+    let fixture = Fixture::with(options, apricotdale_http::Options::default());
+    fixture.load("engine-1", 1);
+    let answer = fixture.caller().complete(headers);
     let expected = (class.to_owned(), caller.to_owned(), timeout_ms);
-    assert_eq!(classified(&bench, &answer), expected);
+    assert_eq!(classified(&fixture, &answer), expected);
 }
 
 #[rstest]
-#[case::sane("order-77", Some("order-77"))]
-#[case::insane("order 77; drop", None)]
-fn the_callers_own_identity_only_correlates(#[case] given: &str, #[case] answered: Option<&str>) {
-    let bench = Bench::warm();
-    let mut caller = bench.caller();
-    let first = caller.complete(&[("X-Request-Id", given)]);
-    let second = caller.complete(&[("X-Request-Id", given)]);
-    assert_eq!(first.header("x-correlation-id"), answered);
+#[case::valid("order-77", Some("order-77"))]
+#[case::invalid("order 77; drop", None)]
+fn caller_request_id(#[case] request_id: &str, #[case] correlation_id: Option<&str>) {
+    let fixture = Fixture::warm();
+    let mut caller = fixture.caller();
+    let first = caller.complete(&[("X-Request-Id", request_id)]);
+    let second = caller.complete(&[("X-Request-Id", request_id)]);
+    assert_eq!(first.header("x-correlation-id"), correlation_id);
     assert_ne!(first.header("x-request-id"), second.header("x-request-id"));
-    assert_ne!(first.header("x-request-id"), Some(given));
+    assert_ne!(first.header("x-request-id"), Some(request_id));
 }
 
 #[test]
-fn the_body_reaches_the_engine_unchanged() {
-    let bench = Bench::warm();
+fn body_unchanged() {
+    let fixture = Fixture::warm();
     let body = format!("{{ \"model\" : \"{MODEL}\",\n\t\"odd\": [1.50, 1e3], \"stream\": null }}");
     let headers = [("X-Request-Class", "review")];
-    let answer = bench
+    let answer = fixture
         .caller()
         .call("POST", "/v1/chat/completions", &headers, &body);
     assert_eq!(answer.status, 200);
-    let (_, request) = bench.engine.served.lock()[0].clone();
+    let (_, request) = fixture.engine.served.lock()[0].clone();
     assert_eq!(request.body, body.as_bytes());
     assert_eq!(
         (request.path.as_str(), request.stream),
@@ -91,12 +91,12 @@
 }
 
 #[test]
-fn models_are_listed() {
-    let bench = Bench::warm();
-    let list = bench.caller().call("GET", "/v1/models", &[], "").json();
+fn models_listed() {
+    let fixture = Fixture::warm();
+    let list = fixture.caller().call("GET", "/v1/models", &[], "").json();
     assert_eq!(list["data"][0]["id"], MODEL);
     let path = format!("/v1/models/{MODEL}");
-    let one = bench.caller().call("GET", &path, &[], "").json();
+    let one = fixture.caller().call("GET", &path, &[], "").json();
     assert_eq!(
         (one["id"].as_str(), one["object"].as_str()),
         (Some(MODEL), Some("model"))
--- a/crates/gateway/tests/stream_relay.rs
+++ b/crates/gateway/tests/stream_relay.rs
@@ -6,9 +6,9 @@
 use apricotdale_core::serving::ServingEvent;
 use apricotdale_gateway::Options;
 use rstest::rstest;
-use support::Bench;
+use support::Fixture;
 use support::caller::Piece;
-use support::engine::Act;
+use support::engine::ScriptStep;
 use support::engine::done;
 use support::engine::event;
 use support::engine::stream_head;
@@ -18,15 +18,15 @@
 /// Guards against a relay that holds events back: the engine sends each event only after the caller
 /// has read the one before. Such a relay would keep this test from ending.
 #[test]
-fn each_event_reaches_the_caller_before_the_next_is_made() {
-    let bench = Bench::warm();
-    let mut acts = vec![stream_head()];
+fn events_relayed_immediately() {
+    let fixture = Fixture::warm();
+    let mut steps = vec![stream_head()];
     for number in 0..5 {
-        acts.extend([event(&format!("part {number}")), Act::Hold]);
+        steps.extend([event(&format!("part {number}")), ScriptStep::Hold]);
     }
-    acts.push(done());
-    bench.engine.script(acts);
-    let mut caller = bench.caller();
+    steps.push(done());
+    fixture.engine.script(steps);
+    let mut caller = fixture.caller();
     caller.stream(&[]);
     let (status, head) = caller.head();
     assert_eq!(status, 200);
@@ -36,20 +36,20 @@
             panic!("the stream ended early");
         };
         assert!(text.contains(&format!("part {number}")), "{text}");
-        bench.engine.release.0.send(()).expect("the engine holds");
+        fixture.engine.release.0.send(()).expect("the engine holds");
     }
     assert_eq!(caller.piece(), Piece::Data("data: [DONE]\n\n".to_owned()));
     assert_eq!(caller.piece(), Piece::End);
 }
 
 #[test]
-fn comments_are_dropped_and_a_whole_stream_counts_as_answered() {
-    let bench = Bench::warm();
-    let comment = Act::Piece(": still there\n\n".to_owned());
-    bench
+fn comments_dropped() {
+    let fixture = Fixture::warm();
+    let comment = ScriptStep::Piece(": still there\n\n".to_owned());
+    fixture
         .engine
         .script(vec![stream_head(), comment, event("a"), event("b"), done()]);
-    let mut caller = bench.caller();
+    let mut caller = fixture.caller();
     caller.stream(&[("X-Request-Class", "review")]);
     caller.head();
     let mut pieces = Vec::new();
@@ -57,8 +57,8 @@
         pieces.push(text);
     }
     assert_eq!(pieces.len(), 3, "{pieces:?}");
-    bench.settle();
-    let events = bench.observer.0.all();
+    fixture.wait_idle();
+    let events = fixture.observer.0.all();
     let answered = |event: &&ServingEvent| matches!(event, ServingEvent::Answered { class, met: true, .. } if class.as_str() == "review");
     assert_eq!(events.iter().filter(answered).count(), 1, "{events:?}");
     let is_gap = |event: &&ServingEvent| matches!(event, ServingEvent::InterToken { .. });
@@ -68,14 +68,14 @@
 /// Guards against a relay that ends the caller's stream as if the engine had ended it: the stream
 /// breaks after its first event, and the caller would take half an answer for a complete one.
 #[rstest]
-#[case::connection_lost(vec![Act::Cut], "upstream_lost", LONG_MS)]
+#[case::connection_lost(vec![ScriptStep::Cut], "upstream_lost", LONG_MS)]
 #[case::no_end_mark(vec![], "upstream_bad_answer", LONG_MS)]
-#[case::told_fault(vec![Act::Piece("data: {\"error\":{}}\n\n".to_owned())], "upstream_bad_answer", LONG_MS)]
-#[case::malformed(vec![Act::Piece("data: half a\n\n".to_owned())], "upstream_bad_answer", LONG_MS)]
-#[case::silent(vec![Act::Hold], "upstream_timeout", 50)]
-#[case::panic(vec![Act::Panic], "upstream_lost", LONG_MS)]
-fn a_cut_stream_ends_with_an_error_and_no_last_chunk(
-    #[case] rest: Vec<Act>,
+#[case::reported_fault(vec![ScriptStep::Piece("data: {\"error\":{}}\n\n".to_owned())], "upstream_bad_answer", LONG_MS)]
+#[case::malformed(vec![ScriptStep::Piece("data: half a\n\n".to_owned())], "upstream_bad_answer", LONG_MS)]
+#[case::silent(vec![ScriptStep::Hold], "upstream_timeout", 50)]
+#[case::panic(vec![ScriptStep::Panic], "upstream_lost", LONG_MS)]
+fn cut_stream_error(
+    #[case] rest: Vec<ScriptStep>,
     #[case] reason: &str,
     #[case] stream_idle_timeout_ms: u64,
 ) {
@@ -83,12 +83,12 @@
         stream_idle_timeout_ms,
         ..Options::default()
     };
-    let bench = Bench::with(options, apricotdale_http::Options::default());
-    bench.load("engine-1", 1);
-    let mut acts = vec![stream_head(), event("half")];
-    acts.extend(rest);
-    bench.engine.script(acts);
-    let mut caller = bench.caller();
+    let fixture = Fixture::with(options, apricotdale_http::Options::default());
+    fixture.load("engine-1", 1);
+    let mut steps = vec![stream_head(), event("half")];
+    steps.extend(rest);
+    fixture.engine.script(steps);
+    let mut caller = fixture.caller();
     caller.stream(&[]);
     caller.head();
     assert!(matches!(caller.piece(), Piece::Data(text) if text.contains("half")));
@@ -103,10 +103,10 @@
     assert!(error.contains("\"ran\":\"ran\""), "{error}");
     assert!(error.contains("\"error\":{\"message\""), "{error}");
     assert_eq!(caller.piece(), Piece::Cut);
-    bench.settle();
-    assert_eq!(bench.observer.refusals(), [(reason.to_owned(), Ran::Ran)]);
+    fixture.wait_idle();
+    assert_eq!(fixture.observer.refusals(), [(reason.to_owned(), Ran::Ran)]);
     assert_eq!(
-        bench.engine.served_count(),
+        fixture.engine.served_count(),
         1,
         "a second run after a begun answer"
     );
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 use super::MODEL;
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 pub struct Caller {
     reader: BufReader<TcpStream>,
@@ -57,7 +57,9 @@
 impl Caller {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a timeout");
         Self {
             reader: BufReader::new(stream),
         }
--- a/crates/gateway/tests/support/engine.rs
+++ b/crates/gateway/tests/support/engine.rs
@@ -14,11 +14,11 @@
 use crossbeam_channel::Sender;
 use parking_lot::Mutex;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 /// Step of an engine's answer. `{id}` stands for the request's identity.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum ScriptStep {
     /// Fails before the answer begins.
     Fail(Error),
     /// Begins the answer, with status, content type and identity.
@@ -33,42 +33,42 @@
     Panic,
 }
 
-pub fn event(text: &str) -> Act {
-    Act::Piece(format!(
+pub fn event(text: &str) -> ScriptStep {
+    ScriptStep::Piece(format!(
         "data: {{\"id\":\"cmpl-{{id}}\",\"text\":\"{text}\"}}\n\n"
     ))
 }
 
-pub fn done() -> Act {
-    Act::Piece("data: [DONE]\n\n".to_owned())
+pub fn done() -> ScriptStep {
+    ScriptStep::Piece("data: [DONE]\n\n".to_owned())
 }
 
-pub fn stream_head() -> Act {
-    Act::Head(200, "text/event-stream", Some("{id}"))
+pub fn stream_head() -> ScriptStep {
+    ScriptStep::Head(200, "text/event-stream", Some("{id}"))
 }
 
-pub fn json_answer() -> Vec<Act> {
+pub fn json_answer() -> Vec<ScriptStep> {
     vec![
-        Act::Head(200, "application/json", Some("{id}")),
-        Act::Piece(r#"{"id":"cmpl-{id}","choices":[]}"#.to_owned()),
+        ScriptStep::Head(200, "application/json", Some("{id}")),
+        ScriptStep::Piece(r#"{"id":"cmpl-{id}","choices":[]}"#.to_owned()),
     ]
 }
 
-pub fn not_loaded() -> Vec<Act> {
+pub fn not_loaded() -> Vec<ScriptStep> {
     let body = r#"{"error":{"code":"model_not_loaded"}}"#.to_owned();
     vec![
-        Act::Head(404, "application/json", Some("{id}")),
-        Act::Piece(body),
+        ScriptStep::Head(404, "application/json", Some("{id}")),
+        ScriptStep::Piece(body),
     ]
 }
 
 pub struct FakeEngine {
-    scripts: Mutex<VecDeque<Vec<Act>>>,
+    scripts: Mutex<VecDeque<Vec<ScriptStep>>>,
     pub served: Mutex<Vec<(SocketAddr, ServeRequest)>>,
     pub cancelled: (Sender<RequestId>, Receiver<RequestId>),
-    /// Each message releases one [`Act::Hold`].
+    /// Each message releases one [`ScriptStep::Hold`].
     pub release: (Sender<()>, Receiver<()>),
-    /// Receives the identity of each request that reaches an [`Act::Hold`].
+    /// Receives the identity of each request that reaches an [`ScriptStep::Hold`].
     pub holding: (Sender<RequestId>, Receiver<RequestId>),
     /// Receives the identity of each answer that the gateway has dropped.
     pub dropped: (Sender<RequestId>, Receiver<RequestId>),
@@ -89,39 +89,39 @@
 
 impl FakeEngine {
     /// Adds the script of one more request. Requests take scripts in the order of their arrival.
-    pub fn script(&self, acts: Vec<Act>) {
-        self.scripts.lock().push_back(acts);
+    pub fn script(&self, steps: Vec<ScriptStep>) {
+        self.scripts.lock().push_back(steps);
     }
 
     pub fn served_count(&self) -> usize {
         self.served.lock().len()
     }
 
-    /// Waits until a request reaches an [`Act::Hold`].
+    /// Waits until a request reaches an [`ScriptStep::Hold`].
     pub fn wait_held(&self) -> RequestId {
         self.holding
             .1
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a held request")
     }
 
     pub fn wait_cancelled(&self) -> RequestId {
         self.cancelled
             .1
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a cancelled request")
     }
 
     fn hold(&self, id: &RequestId) {
         self.holding.0.send(id.clone()).expect("the test listens");
-        let _ = self.release.1.recv_timeout(PATIENCE);
+        let _ = self.release.1.recv_timeout(TEST_TIMEOUT);
     }
 }
 
 struct FakeAnswer {
     id: RequestId,
     head: ServeHead,
-    acts: VecDeque<Act>,
+    steps: VecDeque<ScriptStep>,
     release: Receiver<()>,
     holding: Sender<RequestId>,
     dropped: Sender<RequestId>,
@@ -134,21 +134,21 @@
 
     fn next_piece(&mut self) -> Result<Option<Vec<u8>>> {
         loop {
-            match self.acts.pop_front() {
+            match self.steps.pop_front() {
                 None => return Ok(None),
-                Some(Act::Piece(text)) => {
+                Some(ScriptStep::Piece(text)) => {
                     return Ok(Some(text.replace("{id}", self.id.as_str()).into_bytes()));
                 }
-                Some(Act::Hold) => {
+                Some(ScriptStep::Hold) => {
                     self.holding
                         .send(self.id.clone())
                         .expect("the test listens");
-                    let _ = self.release.recv_timeout(PATIENCE);
+                    let _ = self.release.recv_timeout(TEST_TIMEOUT);
                 }
-                Some(Act::Cut) => return Err(Error::unknown("cut")),
-                Some(Act::Fail(error)) => return Err(error),
-                Some(Act::Panic) => panic!("a scripted panic"),
-                Some(Act::Head(..)) => panic!("an answer has one head"),
+                Some(ScriptStep::Cut) => return Err(Error::unknown("cut")),
+                Some(ScriptStep::Fail(error)) => return Err(error),
+                Some(ScriptStep::Panic) => panic!("a scripted panic"),
+                Some(ScriptStep::Head(..)) => panic!("an answer has one head"),
             }
         }
     }
@@ -164,14 +164,14 @@
     fn serve(&self, engine: SocketAddr, request: &ServeRequest) -> Result<Box<dyn ServeAnswer>> {
         self.served.lock().push((engine, request.clone()));
         let script = self.scripts.lock().pop_front();
-        let mut acts = VecDeque::from(script.unwrap_or_else(json_answer));
+        let mut steps = VecDeque::from(script.unwrap_or_else(json_answer));
         loop {
-            match acts.pop_front().expect("a script has a head or a failure") {
-                Act::Fail(error) => return Err(error),
-                Act::Hold => self.hold(&request.id),
-                Act::Panic => panic!("a scripted panic"),
-                Act::Cut | Act::Piece(_) => panic!("a script begins with a head"),
-                Act::Head(status, content_type, id) => {
+            match steps.pop_front().expect("a script has a head or a failure") {
+                ScriptStep::Fail(error) => return Err(error),
+                ScriptStep::Hold => self.hold(&request.id),
+                ScriptStep::Panic => panic!("a scripted panic"),
+                ScriptStep::Cut | ScriptStep::Piece(_) => panic!("a script begins with a head"),
+                ScriptStep::Head(status, content_type, id) => {
                     let id = id.map(|text| text.replace("{id}", request.id.as_str()));
                     return Ok(Box::new(FakeAnswer {
                         id: request.id.clone(),
@@ -180,7 +180,7 @@
                             content_type: content_type.to_owned(),
                             id: id.map(RequestId::from),
                         },
-                        acts,
+                        steps,
                         release: self.release.1.clone(),
                         holding: self.holding.0.clone(),
                         dropped: self.dropped.0.clone(),
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -41,15 +41,15 @@
 use caller::Caller;
 use engine::FakeEngine;
 use policies::CapacityAdmission;
-use policies::CountedRetries;
 use policies::FirstUntried;
+use policies::LimitedRetries;
 use recorders::Claims;
 use recorders::Demand;
 use recorders::Observer;
 use service::FakeService;
 
 /// Bounds the waits of a failing test. No assertion depends on its length.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const MODEL: &str = "slot-lm";
 pub const SERVICE: &str = "booking-app";
@@ -136,7 +136,7 @@
 }
 
 /// Gateway behind a real HTTP server, with fakes for all its dependencies.
-pub struct Bench {
+pub struct Fixture {
     pub gateway: Arc<Gateway>,
     pub server: Server,
     pub directory: Arc<FakeDirectory>,
@@ -147,12 +147,12 @@
     pub observer: Arc<Observer>,
 }
 
-impl Bench {
+impl Fixture {
     /// Returns a gateway with one engine, one service instance, and free slots at both.
     pub fn warm() -> Self {
-        let bench = Self::cold();
-        bench.load("engine-1", 1);
-        bench
+        let fixture = Self::cold();
+        fixture.load("engine-1", 1);
+        fixture
     }
 
     /// Returns a gateway whose model is not loaded.
@@ -169,7 +169,7 @@
         http: apricotdale_http::Options,
         admission: Box<dyn AdmissionPolicy>,
     ) -> Self {
-        let retry = Box::new(CountedRetries { max_tries: 3 });
+        let retry = Box::new(LimitedRetries { max_attempts: 3 });
         Self::with_policies(options, http, admission, retry)
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Waits until no request is in progress.
-    pub fn settle(&self) {
-        assert!(self.gateway.wait_idle(PATIENCE), "a request is stuck");
+    pub fn wait_idle(&self) {
+        assert!(self.gateway.wait_idle(TEST_TIMEOUT), "a request is stuck");
     }
 }
--- a/crates/gateway/tests/support/policies.rs
+++ b/crates/gateway/tests/support/policies.rs
@@ -21,7 +21,7 @@
 use apricotdale_core::refusal::RefusalReason;
 
 /// Caller that [`CapacityAdmission`] refuses.
-pub const GREEDY: &str = "greedy";
+pub const REFUSED_CALLER: &str = "greedy";
 
 /// Chooses the first candidate that was not tried, or else the first.
 pub struct FirstUntried;
@@ -42,18 +42,18 @@
 }
 
 /// Retries at once, up to a number of attempts, whatever may be retried.
-pub struct CountedRetries {
-    pub max_tries: u32,
+pub struct LimitedRetries {
+    pub max_attempts: u32,
 }
 
-impl RetryPolicy for CountedRetries {
+impl RetryPolicy for LimitedRetries {
     fn first_try(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, request: &RetryRequest) -> RetryDecision {
         match request {
             _ if request.answer_begun => RetryDecision::AnswerBegun,
             _ if !request.idempotent && !request.certainly_not_run => RetryDecision::MayHaveRun,
-            _ if request.tries >= self.max_tries => RetryDecision::TooManyTries,
+            _ if request.tries >= self.max_attempts => RetryDecision::TooManyTries,
             _ if request.left_ms == 0 => RetryDecision::NoTimeLeft,
             _ => RetryDecision::RetryAfterMs(0),
         }
@@ -61,9 +61,9 @@
 }
 
 /// Retries everything, even an answer that the caller has received in part.
-pub struct BlindRetries;
+pub struct AlwaysRetry;
 
-impl RetryPolicy for BlindRetries {
+impl RetryPolicy for AlwaysRetry {
     fn first_try(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, _request: &RetryRequest) -> RetryDecision {
@@ -102,7 +102,7 @@
 impl AdmissionPolicy for CapacityAdmission {
     fn handle(&mut self, _now_ms: u64, event: AdmissionEvent) -> Vec<AdmissionAction> {
         match event {
-            AdmissionEvent::Arrived(arrival) if arrival.caller.as_str() == GREEDY => {
+            AdmissionEvent::Arrived(arrival) if arrival.caller.as_str() == REFUSED_CALLER => {
                 let refusal = Refusal::not_run(RefusalReason::CallerOverShare, "others wait");
                 let refusal = refusal.retry_after(2_300);
                 return vec![AdmissionAction::Refuse(arrival.ticket, refusal)];
--- a/crates/gateway/tests/support/recorders.rs
+++ b/crates/gateway/tests/support/recorders.rs
@@ -14,7 +14,7 @@
 use parking_lot::Condvar;
 use parking_lot::Mutex;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 /// Records events and lets a test wait for one.
 pub struct Recorder<T> {
@@ -53,7 +53,7 @@
             if let Some(event) = events.iter().filter(|event| matches(event)).nth(count - 1) {
                 return event.clone();
             }
-            let waited = self.grown.wait_for(&mut events, PATIENCE);
+            let waited = self.grown.wait_for(&mut events, TEST_TIMEOUT);
             assert!(!waited.timed_out(), "the event never came");
         }
     }
--- a/crates/gateway/tests/support/service.rs
+++ b/crates/gateway/tests/support/service.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::Sender;
 use parking_lot::Mutex;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 pub struct FakeService {
     script: Mutex<VecDeque<Result<ServiceAnswer>>>,
@@ -52,7 +52,10 @@
     }
 
     pub fn wait_held(&self) {
-        self.holding.1.recv_timeout(PATIENCE).expect("a held call");
+        self.holding
+            .1
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a held call");
     }
 }
 
@@ -61,7 +64,7 @@
         self.calls.lock().push(call.clone());
         if *self.holds.lock() {
             self.holding.0.send(()).expect("the test listens");
-            let _ = self.release.1.recv_timeout(PATIENCE);
+            let _ = self.release.1.recv_timeout(TEST_TIMEOUT);
         }
         let scripted = self.script.lock().pop_front();
         scripted.unwrap_or_else(|| answer(200, r#"{"booked":true}"#))
