--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepts connections and rejects those above the limit.
 
 use std::collections::VecDeque;
 use std::io;
@@ -20,28 +20,28 @@
 use crate::protocol::ProtocolError;
 use crate::server::Shared;
 
-/// The most connections that were turned away and still linger.
+/// Maximum number of rejected connections that linger at the same time.
 const MAX_LINGERING: usize = 128;
 
-/// The pause after a failed accept, such as for want of descriptors. Without it the thread would
-/// spin, since the listener stays readable.
+/// Pause after a failed accept, such as for lack of file descriptors. The listener stays readable
+/// then, and without a pause the thread would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 const DISCARD_BYTES: usize = 64 * 1024;
 
-/// `Readiness` is what a wait ended with.
+/// Result of waiting for a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readiness {
     /// The socket can be read or accepted from.
     Ready,
-    /// The server stops, and the socket has nothing.
+    /// The server stops, and the socket is not readable.
     Stopping,
-    /// The time passed.
+    /// The timeout passed.
     TimedOut,
 }
 
-/// Waits until a socket is readable, the server stops, or the time has passed. A socket that is
-/// ready goes before a stop, so that a request that has arrived is served.
+/// Waits until a socket is readable, the server stops, or the timeout passes. A readable socket
+/// takes precedence over a stop, so that a request that has arrived is served.
 pub(crate) fn wait_readable(
     socket: &impl std::os::fd::AsFd,
     shared: &Shared,
@@ -113,11 +113,12 @@
     }
 }
 
-/// `TurnedAway` holds connections above the limit that have got their error answer.
+/// Connections above the limit that were sent an error response and linger until they are closed.
 ///
-/// A connection closed while bytes of the client are unread is reset, and the reset can overtake
-/// the answer, so that the client sees a broken connection in place of a reason. So it stays open
-/// for a moment, without a thread, and what the client sent is discarded before the close.
+/// If bytes of the client are unread when a connection is closed, it is reset, and the reset can
+/// overtake the response: the client then sees a broken connection instead of the reason. Such a
+/// connection therefore stays open for a moment, without a thread, and the client's bytes are
+/// discarded before the close.
 #[derive(Default)]
 struct TurnedAway {
     sockets: VecDeque<(TcpStream, Instant)>,
@@ -132,7 +133,7 @@
         ];
         let mut bytes = response.head.encode(&framing);
         bytes.extend_from_slice(&response.body);
-        // A fresh connection's send buffer takes the answer at once; the accepting thread must
+        // The send buffer of a new connection has room for the response. The accepting thread must
         // not wait for a client.
         let written = socket
             .set_nonblocking(true)
@@ -148,7 +149,8 @@
         self.sockets.push_back((socket, expires));
     }
 
-    /// Returns how long the accepting thread may wait.
+    /// Returns how long the accepting thread may wait before a lingering connection is due to
+    /// close.
     fn wait(&self) -> Duration {
         match self.sockets.front() {
             Some((_, expires)) => expires.saturating_duration_since(Instant::now()),
