--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Request bodies.
+//! Reading of request bodies.
 
 use std::io::Read;
 use std::time::Instant;
@@ -12,16 +12,16 @@
 use crate::reader::ReadFailure;
 use crate::reader::SourceFailure;
 
-/// The framing bytes that a chunked body may have beyond twice its limit. A body in chunks of a
-/// few bytes each costs more and is rejected as too large.
+/// Number of raw bytes that a chunked body may have beyond twice its size limit. A body in chunks
+/// of a few bytes each exceeds it and is rejected as too large.
 const FRAMING_BYTES: usize = 64 * 1024;
 
-/// `BodyFailure` is why a body could not be read.
+/// Reason why a body could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum BodyFailure {
-    /// The client is gone; nobody is left to be answered.
+    /// The client has closed its connection, so no error can be sent.
     Closed,
-    /// The client gets an error.
+    /// The client is sent this error.
     Protocol(ProtocolError),
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Reads a whole body.
+/// Reads a complete body.
 pub(crate) fn read_body(
     reader: &mut ConnectionReader,
     framing: Framing,
