--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its requests, one after the other.
+//! One connection and its requests, served in order.
 
 use std::net::Shutdown;
 use std::net::SocketAddr;
@@ -31,14 +31,14 @@
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The most bytes that are read and discarded after an early error answer.
+/// Maximum number of bytes that are read and discarded after an early error response.
 const LINGER_BYTES: usize = 1024 * 1024;
 
-/// `Ending` is why a connection takes no further request.
+/// Reason why a connection serves no further request.
 enum Ending {
-    /// It is closed without a word.
+    /// The connection is closed without a response.
     Close,
-    /// The client gets an error first.
+    /// The client is sent an error first.
     Error(ProtocolError),
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// `Connection` is one client's connection.
+/// Connection of one client.
 pub(crate) struct Connection {
     place: Place,
     socket: Arc<TcpStream>,
@@ -215,9 +215,9 @@
         }
     }
 
-    /// Answers an error and closes. The client may still be sending, and a close with bytes unread
-    /// would reset the connection before the client has read the answer; so what it sends is read
-    /// and discarded for a moment.
+    /// Sends an error response and closes the connection. If bytes of the client were left unread,
+    /// the close would reset the connection before the client has read the response, so they are
+    /// read and discarded until `linger_timeout`.
     fn reject(&mut self, error: &ProtocolError) {
         let response = self.shared().errors.render(error);
         let mut exchange = Exchange {
