--- a/crates/http/src/exchange.rs
+++ b/crates/http/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Answering one request.
+//! Response to one request.
 
 use std::io;
 use std::io::Write;
@@ -18,18 +18,18 @@
 
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// `AnswerState` is how far the answer to a request is.
+/// Progress of the response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerState {
-    /// Nothing has gone out.
+    /// Nothing was sent.
     Nothing,
-    /// Part of the answer has gone out.
+    /// Part of the response was sent, or the connection is to be closed without one.
     Begun,
-    /// All of the answer has gone out.
+    /// The complete response was sent.
     Whole,
 }
 
-/// `Exchange` is the answering side of one request.
+/// Sending side of one request and its response.
 pub(crate) struct Exchange {
     pub(crate) socket: Arc<TcpStream>,
     pub(crate) write_timeout: Duration,
@@ -42,7 +42,7 @@
 impl Exchange {
     pub(crate) fn send(&mut self, response: &Response) -> Result<()> {
         let mut framing = vec![("Connection", self.connection_word())];
-        // A handler that has no body for a HEAD request doesn't know the length of the answer to GET.
+        // A handler that returns no body for a HEAD request doesn't know the length for GET.
         let is_length_known = !self.is_head || !response.body.is_empty();
         if is_length_known && !response.head.is_bodiless() {
             framing.push(("Content-Length", response.body.len().to_string()));
@@ -91,10 +91,10 @@
         Ok(())
     }
 
-    /// Closes the connection of an answer that must not pass for whole.
+    /// Closes the connection of a response that must not look complete.
     ///
-    /// The missing last chunk tells an HTTP/1.1 client that the answer was cut. An HTTP/1.0
-    /// client takes an orderly close for the end of the answer, so it gets a reset.
+    /// An HTTP/1.1 client notices the missing last chunk. An HTTP/1.0 client would take an orderly
+    /// close for the end of the response, so its connection is reset.
     pub(crate) fn abort(&mut self) {
         if self.is_http_10 {
             let _ = SockRef::from(&*self.socket).set_linger(Some(Duration::ZERO));
@@ -120,8 +120,8 @@
     }
 }
 
-/// Writes all bytes by the deadline. The deadline is in total: a client that takes a byte now and
-/// then can't hold the thread longer.
+/// Writes all bytes before the deadline. The deadline covers all writes together, so a client that
+/// accepts a byte now and then can't hold the thread longer.
 pub(crate) fn write_by(socket: &TcpStream, mut bytes: &[u8], deadline: Instant) -> Result<()> {
     while !bytes.is_empty() {
         let left = deadline.saturating_duration_since(Instant::now());
@@ -141,10 +141,10 @@
     Ok(())
 }
 
-/// `Responder` answers one request, once.
+/// Sender of the one response to a request.
 ///
-/// It borrows from the connection, so the answer ends before the handler returns. A handler that
-/// drops it unused makes the server answer with
+/// It borrows from the connection, so the response ends before the handler returns. If a handler
+/// drops it unused, the server responds with
 /// [`ProtocolError::HandlerFailed`](crate::ProtocolError::HandlerFailed).
 pub struct Responder<'a> {
     exchange: &'a mut Exchange,
@@ -155,22 +155,22 @@
         Self { exchange }
     }
 
-    /// Sends one whole answer.
+    /// Sends a complete response.
     ///
     /// # Errors
     ///
-    /// [`Error::ClientGone`] or [`Error::WriteTimeout`]; the connection is closed then.
+    /// [`Error::ClientGone`] or [`Error::WriteTimeout`]. The connection is closed then.
     pub fn send(self, response: Response) -> Result<()> {
         self.exchange.send(&response)
     }
 
-    /// Closes the connection without an answer, for a client that is gone.
+    /// Closes the connection without a response, for a client that is gone.
     pub fn close(self) {
         self.exchange.keeps_alive = false;
         self.exchange.state = AnswerState::Begun;
     }
 
-    /// Sends the head of a stream, whose pieces follow.
+    /// Sends the head of a streamed response.
     ///
     /// # Errors
     ///
@@ -183,17 +183,17 @@
     }
 }
 
-/// `ResponseStream` sends the pieces of a stream. Dropped before [`ResponseStream::finish`], it
-/// closes the connection in a way that shows the client that the answer is not whole.
+/// Sender of the pieces of a streamed response. If it is dropped before [`ResponseStream::finish`],
+/// the connection is closed in a way that shows the client that the response is incomplete.
 ///
-/// `chunked_transfer`'s encoder ends the body when it is dropped, which would pass a cut answer
-/// off as whole; the chunks are written here instead.
+/// Chunks are written here and not by the encoder of `chunked_transfer`: that one ends the body
+/// when it is dropped, which would make a cut response look complete.
 pub struct ResponseStream<'a> {
     exchange: &'a mut Exchange,
 }
 
 impl ResponseStream<'_> {
-    /// Sends a piece, which leaves at once.
+    /// Sends a piece without buffering it.
     ///
     /// # Errors
     ///
@@ -202,7 +202,7 @@
         self.exchange.send_piece(piece)
     }
 
-    /// Ends the stream as whole.
+    /// Ends the stream and marks it as complete.
     ///
     /// # Errors
     ///
