--- a/crates/http/src/hangup.rs
+++ b/crates/http/src/hangup.rs
@@ -1,4 +1,4 @@
-//! Noticing that a client has closed its connection while its request is in progress.
+//! Detection of clients that close their connection while their request is in progress.
 
 use std::collections::HashMap;
 use std::io;
@@ -39,12 +39,12 @@
     }
 }
 
-/// `HangupWatcher` watches clients' connections on one thread and calls back, once each, when a
-/// client closes.
+/// Watches clients' connections on one thread and calls back once per connection when its client
+/// closes it.
 ///
-/// It asks the kernel for the client's close itself (`EPOLLRDHUP`) and doesn't peek for an end of
-/// input: behind a further request that a client has sent ahead, an end of input can't be seen by
-/// peeking. A client that only closes its sending side counts as gone.
+/// The kernel reports the close itself (`EPOLLRDHUP`). Peeking for an end of input would not do: if
+/// the client has already sent a further request, the end of input behind it is not visible. A
+/// client that only closes its sending side counts as gone.
 pub struct HangupWatcher {
     shared: Arc<Shared>,
 }
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::System`] if the system refuses a descriptor or the thread.
+    /// [`Error::System`] if the system can't provide a file descriptor or the thread.
     pub fn start() -> Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)
             .map_err(|error| Error::system("create the hang-up poll", error))?;
@@ -77,11 +77,11 @@
         Ok(Self { shared })
     }
 
-    /// Watches a connection until the guard is dropped. The callback must return at once.
+    /// Watches a connection until the guard is dropped. The callback must not block.
     ///
     /// # Errors
     ///
-    /// [`Error::System`] if the connection can't be watched, or is watched already.
+    /// [`Error::System`] if the connection can't be watched, or is already watched.
     pub fn watch(
         &self,
         socket: &ClientSocket,
@@ -111,7 +111,7 @@
     }
 }
 
-/// `HangupGuard` keeps a connection watched. Once it is dropped, no callback begins any more.
+/// Keeps a connection watched. Once it is dropped, no callback is started any more.
 pub struct HangupGuard {
     shared: Arc<Shared>,
     socket: Arc<TcpStream>,
@@ -138,7 +138,7 @@
             Ok(_) => {}
             Err(error) if io::Error::from(error).kind() == io::ErrorKind::Interrupted => continue,
             Err(error) => {
-                log::error!("hang-ups are no longer noticed: {error}");
+                log::error!("hang-ups are no longer detected: {error}");
                 return;
             }
         }
