--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,18 +1,18 @@
-//! Request heads: finding their end, parsing them, and what they say of the framing.
+//! Request heads: search for their end, parsing, framing of the body.
 
 use crate::options::Options;
 use crate::protocol::ProtocolError;
 
-/// `Framing` is how a request's body is delimited.
+/// How a request's body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// The body has as many bytes.
+    /// The body has this number of bytes.
     Length(usize),
-    /// The body comes in chunks.
+    /// The body is sent in chunks.
     Chunked,
 }
 
-/// `Head` is a parsed request head.
+/// A parsed request head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Head {
     pub(crate) method: String,
@@ -21,20 +21,20 @@
     pub(crate) headers: Vec<(String, String)>,
 }
 
-/// `EndFinder` finds the end of a head in a buffer that grows. It looks at each byte once, so a
-/// head that comes byte by byte costs no more than one that comes at once.
+/// Finds the end of a head in a growing buffer. Each byte is scanned only once, so a head that
+/// arrives byte by byte costs no more than one that arrives at once.
 #[derive(Default)]
 pub(crate) struct EndFinder {
     scanned: usize,
 }
 
 impl EndFinder {
-    /// Returns whether nothing of the head has been seen.
+    /// Returns whether nothing was scanned yet.
     pub(crate) fn is_fresh(&self) -> bool {
         self.scanned == 0
     }
 
-    /// Returns the length of the head, closing empty line included, if the buffer holds all of it.
+    /// Returns the length of the head including the empty line, if the buffer contains all of it.
     pub(crate) fn find(&mut self, buffer: &[u8]) -> Option<usize> {
         while let Some(found) = buffer[self.scanned..]
             .iter()
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns the number of line ends before the request line, which clients may send.
+/// Returns the number of bytes of line ends before the request line, which clients may send.
 pub(crate) fn leading_line_ends(buffer: &[u8]) -> usize {
     buffer
         .iter()
@@ -65,7 +65,7 @@
 }
 
 impl Head {
-    /// Returns the head of a whole head's bytes.
+    /// Parses the bytes of a complete head.
     pub(crate) fn parse(bytes: &[u8], options: &Options) -> Result<Self, ProtocolError> {
         let mut lines = vec![httparse::EMPTY_HEADER; options.max_header_count];
         let mut parsed = httparse::Request::new(&mut lines);
@@ -93,7 +93,7 @@
         Ok(head)
     }
 
-    /// Returns every value of a header.
+    /// Returns every value of a header. The name is compared without regard to case.
     pub(crate) fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.headers
             .iter()
@@ -103,9 +103,9 @@
 
     /// Returns how the body is delimited.
     ///
-    /// A head with both a length and a coding, or with two lengths, may be read otherwise by a
-    /// balancer in front, and the rest of its body would then pass as another caller's request.
-    /// Such heads are rejected.
+    /// A load balancer may interpret a head with both a length and a coding, or with two lengths,
+    /// in another way. The rest of the body would then be taken for another caller's request. Such
+    /// heads are rejected.
     pub(crate) fn framing(&self) -> Result<Framing, ProtocolError> {
         let lengths: Vec<&str> = self.values("content-length").collect();
         let codings: Vec<&str> = self.values("transfer-encoding").collect();
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Returns whether the client lets the connection be used again.
+    /// Returns whether the client allows the connection to be reused.
     pub(crate) fn keeps_alive(&self) -> bool {
         let says = |word: &str| {
             self.values("connection")
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Returns whether the client waits for a go-ahead before it sends the body.
+    /// Returns whether the client waits for `100 Continue` before it sends the body.
     pub(crate) fn expects_continue(&self) -> Result<bool, ProtocolError> {
         match self.values("expect").next() {
             None => Ok(false),
