--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,17 +1,17 @@
-//! A small synchronous HTTP/1.1 server with limits on everything a caller can send.
+//! A small synchronous HTTP/1.1 server with limits on everything that a client can send.
 //!
-//! The server takes one thread a connection, hands each whole request to a [`Handler`], and lets
-//! the handler answer through a [`Responder`]: either with one whole answer or with a stream of
-//! which every piece leaves at once. Heads are parsed by `httparse`, chunked request bodies are
+//! The server runs one thread per connection. It passes each complete request to a [`Handler`],
+//! which responds through a [`Responder`]: with one complete response, or with a stream whose
+//! pieces are sent without buffering. Heads are parsed by `httparse`, chunked request bodies are
 //! decoded by `chunked_transfer`.
 //!
-//! `rouille` and its `tiny_http` do not fit the callers' interface. They hold the pieces of a
-//! streamed body back until about 8 KB have gathered (measured: five events written 100 ms apart
-//! all arrived together after 500 ms), and they limit neither the time a client may take for a
-//! head nor the number of connections. Stand-ins and the operators' interface, which stream
-//! nothing, use `rouille`.
+//! `rouille` and its `tiny_http` are not used for callers. They buffer the pieces of a streamed
+//! body until about 8 KB are collected (measured: five events written 100 ms apart all arrived
+//! together after 500 ms), and they limit neither the time that a client may take for a head nor
+//! the number of connections. Stand-ins and the operators' interface stream nothing and use
+//! `rouille`.
 //!
-//! The crate knows nothing of refusals: the embedding program renders [`ProtocolError`]s through
+//! The crate does not depend on refusals: the embedding program renders [`ProtocolError`]s through
 //! its own [`ErrorRenderer`].
 
 #![forbid(unsafe_code)]
