--- a/crates/http/src/options.rs
+++ b/crates/http/src/options.rs
@@ -1,31 +1,31 @@
-//! The server's limits.
+//! Limits of the server.
 
 use std::time::Duration;
 
-/// `Options` holds the limits on what a client can send and how long it may take.
+/// Limits on what a client can send and on the time that it may take.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The largest request head, in bytes.
+    /// Maximum size of a request head.
     pub max_head_bytes: usize,
-    /// The most header lines of a request.
+    /// Maximum number of header lines of a request.
     pub max_header_count: usize,
-    /// The largest request body, in bytes after decoding.
+    /// Maximum size of a request body after decoding.
     pub max_body_bytes: usize,
-    /// The longest time from the first byte of a head to its last. It counts in total, so a
-    /// client that sends one byte now and then can't stretch it.
+    /// Maximum time from the first byte of a head to its last. It covers all reads together, so a
+    /// client that sends one byte now and then can't extend it.
     pub head_timeout: Duration,
-    /// The longest time in total for a request's body.
+    /// Maximum time for a request body, over all reads together.
     pub body_timeout: Duration,
-    /// The longest time that a connection may wait for its next request.
+    /// Maximum time that a connection may be idle before its next request.
     pub idle_timeout: Duration,
-    /// The longest time in total for a client to take one piece of an answer.
+    /// Maximum time for a client to accept one piece of a response.
     pub write_timeout: Duration,
-    /// The longest time for which a connection is read on after an early error answer, so that
-    /// the client gets to read that answer.
+    /// Maximum time for which a connection is still read after an early error response, so that the
+    /// client can read that response.
     pub linger_timeout: Duration,
-    /// The most connections at once. One more is answered with an error and closed.
+    /// Maximum number of open connections. Further ones are sent an error and closed.
     pub max_connections: usize,
-    /// The stack of each connection's thread, in bytes.
+    /// Stack size of each connection's thread.
     pub thread_stack_bytes: usize,
 }
 
