--- a/crates/http/src/protocol.rs
+++ b/crates/http/src/protocol.rs
@@ -1,10 +1,10 @@
-//! Errors of the protocol and how they are rendered.
+//! Errors that the server itself responds with, and their rendering.
 
 use thiserror::Error;
 
 use crate::response::Response;
 
-/// `ProtocolError` is a reason for which the server itself answers a client.
+/// Reason for which the server itself responds to a client.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
     /// The head or the body's framing is not valid HTTP/1.1.
@@ -13,40 +13,40 @@
     /// The head is larger than the limit.
     #[error("the request's head is above {limit_bytes} bytes")]
     HeadTooLarge {
-        /// The limit.
+        /// Maximum size of a head.
         limit_bytes: usize,
     },
-    /// The head has more lines than the limit.
+    /// The head has more header lines than the limit.
     #[error("the request has more than {limit} headers")]
     TooManyHeaders {
-        /// The limit.
+        /// Maximum number of header lines.
         limit: usize,
     },
     /// The body is larger than the limit.
     #[error("the request's body is above {limit_bytes} bytes")]
     BodyTooLarge {
-        /// The limit.
+        /// Maximum size of a body after decoding.
         limit_bytes: usize,
     },
-    /// The head did not arrive in time.
+    /// The head did not arrive before its timeout.
     #[error("the request's head did not arrive in time")]
     HeadTimeout,
-    /// The body did not arrive in time.
+    /// The body did not arrive before its timeout.
     #[error("the request's body did not arrive in time")]
     BodyTimeout,
-    /// The client expects something that the server does not offer.
+    /// The `Expect` header asks for something that the server does not support.
     #[error("the expectation can't be met: {0}")]
     ExpectationFailed(String),
-    /// The server holds as many connections as it may.
+    /// All connections that the server may have open are in use.
     #[error("the server holds as many connections as it may")]
     TooManyConnections,
-    /// The handler ended without an answer.
+    /// The handler panicked or returned without a response.
     #[error("the request ended without an answer")]
     HandlerFailed,
 }
 
 impl ProtocolError {
-    /// Returns the HTTP status that fits the error.
+    /// Returns the HTTP status of the error.
     pub fn status(&self) -> u16 {
         match self {
             Self::BadRequest(_) => 400,
@@ -60,14 +60,14 @@
     }
 }
 
-/// `ErrorRenderer` renders protocol errors in the form that the embedding program answers with.
+/// Renders protocol errors in the form of the embedding program's responses.
 pub trait ErrorRenderer: Send + Sync {
-    /// Returns the answer to a client. It must return at once, since the accepting thread calls
-    /// it too.
+    /// Returns the response for an error. It must not block, since the accepting thread calls it
+    /// too.
     fn render(&self, error: &ProtocolError) -> Response;
 }
 
-/// `PlainErrors` renders protocol errors as plain text.
+/// Renders protocol errors as plain text.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainErrors;
 
