--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading from a connection by a deadline.
+//! Reads from a connection with a deadline.
 
 use std::io;
 use std::io::Read;
@@ -8,16 +8,16 @@
 
 const READ_BYTES: usize = 16 * 1024;
 
-/// `ReadFailure` is why no more bytes came.
+/// Reason why a read returned no bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadFailure {
     /// The deadline passed.
     TimedOut,
-    /// The client closed its side or the connection broke.
+    /// The client closed its side, or the connection broke.
     Closed,
 }
 
-/// `ConnectionReader` reads a connection and holds what was read beyond the current request.
+/// Reader of a connection that buffers the bytes read beyond the current request.
 pub(crate) struct ConnectionReader {
     socket: Arc<TcpStream>,
     buffer: Vec<u8>,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Returns the bytes that were read and not yet consumed.
+    /// Returns the bytes that were read and not consumed yet.
     pub(crate) fn buffered(&self) -> &[u8] {
         &self.buffer[self.consumed..]
     }
 
-    /// Marks bytes of the buffer as consumed.
+    /// Marks the first `count` bytes of the buffer as consumed.
     pub(crate) fn consume(&mut self, count: usize) {
         self.consumed += count;
         if self.consumed == self.buffer.len() {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Reads more bytes into the buffer.
+    /// Reads at least one more byte into the buffer.
     pub(crate) fn fill(&mut self, deadline: Instant) -> std::result::Result<(), ReadFailure> {
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
@@ -58,7 +58,7 @@
         outcome.map(|_| ())
     }
 
-    /// Copies bytes, buffered or new, of which there is at least one.
+    /// Copies at least one byte into `target`, from the buffer or else from the connection.
     fn read_some(
         &mut self,
         target: &mut [u8],
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reads at least one byte by the deadline.
+/// Reads at least one byte before the deadline.
 pub(crate) fn read_by(
     socket: &TcpStream,
     target: &mut [u8],
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns whether a socket's own timeout ended an operation.
+/// Returns whether the socket's own timeout ended an operation.
 pub(crate) fn is_timeout(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -105,13 +105,13 @@
     )
 }
 
-/// `BodySource` is the reader below the chunk decoder. It counts raw bytes against a limit and
-/// keeps the reason of its failure.
+/// Byte source of the chunk decoder. It limits the number of raw bytes and keeps the reason of its
+/// failure.
 ///
-/// The decoder takes an end of input in the middle of a chunk for the end of the body, so a body
-/// that was cut would pass as whole; here an end of input is an error instead. The decoder also
-/// turns some of its source's errors into its own, which is why the reason is kept here. And it
-/// gathers a chunk's size line without a limit, which the raw limit bounds.
+/// The decoder mistakes an end of input within a chunk for the end of the body, so a body that was
+/// cut would count as complete. This source returns an error at an end of input instead. The
+/// decoder replaces some errors of its source by its own, so the reason is kept here. It also
+/// collects the size line of a chunk without a limit, which the raw limit bounds.
 pub(crate) struct BodySource<'a> {
     reader: &'a mut ConnectionReader,
     deadline: Instant,
@@ -119,7 +119,7 @@
     failure: Option<SourceFailure>,
 }
 
-/// `SourceFailure` is why a [`BodySource`] ended.
+/// Reason why a [`BodySource`] failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SourceFailure {
     Read(ReadFailure),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Returns why the source failed, if it did.
+    /// Returns the reason of the failure, if the source has failed.
     pub(crate) fn failure(&self) -> Option<SourceFailure> {
         self.failure
     }
