--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,15 +1,14 @@
-//! Requests as handlers get them.
+//! Requests as passed to handlers.
 
 use std::net::SocketAddr;
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// `ClientSocket` stands for the connection of a request. It is there to be watched for the
-/// client's close; nothing can be read from or written to it.
+/// Connection of a request, to be watched for the client's close. It can't be read or written.
 #[derive(Clone, Debug)]
 pub struct ClientSocket(pub(crate) Arc<TcpStream>);
 
-/// `Request` is one whole request.
+/// A complete request.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub(crate) method: String,
@@ -27,17 +26,17 @@
         &self.method
     }
 
-    /// Returns the path as it was sent, still percent-encoded, without its query.
+    /// Returns the path as it was sent, percent-encoded and without the query.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Returns the query as it was sent, without its question mark.
+    /// Returns the query as it was sent, without the question mark, or none if there is none.
     pub fn query(&self) -> Option<&str> {
         self.query.as_deref()
     }
 
-    /// Returns the first value of a header.
+    /// Returns the first value of a header. The name is compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -45,12 +44,12 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Returns the body.
+    /// Returns the decoded body.
     pub fn body(&self) -> &[u8] {
         &self.body
     }
 
-    /// Takes the body out of the request.
+    /// Moves the body out of the request, which has an empty body from then on.
     pub fn take_body(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.body)
     }
