--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,15 +1,15 @@
-//! Answers, and how their heads are written.
+//! Responses and the encoding of their heads.
 
 use std::time::SystemTime;
 
 use http::StatusCode;
 
-/// `ResponseHead` is the status and the headers of an answer.
+/// Status and headers of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The headers, without those of the framing.
+    /// Headers in sending order, without those that the server adds for the framing.
     pub headers: Vec<(String, String)>,
 }
 
@@ -28,12 +28,12 @@
         self
     }
 
-    /// Returns whether answers of this status have no body.
+    /// Returns whether responses with this status have no body.
     pub(crate) fn is_bodiless(&self) -> bool {
         matches!(self.status, 100..=199 | 204 | 304)
     }
 
-    /// Returns the head as it is sent, with the given framing headers.
+    /// Encodes the head with additional framing headers.
     pub(crate) fn encode(&self, framing: &[(&str, String)]) -> Vec<u8> {
         let phrase = StatusCode::from_u16(self.status)
             .ok()
@@ -56,11 +56,11 @@
     }
 }
 
-/// Adds a header line. A name or value with control characters could start a header or an answer
-/// of its own in the client's eyes, so such a header is left out.
+/// Appends a header line. A name or value with control characters could inject a header or a
+/// response, so such a header is dropped.
 fn push_header(text: &mut String, name: &str, value: &str) {
     if name.chars().chain(value.chars()).any(char::is_control) {
-        log::warn!("left out a header with control characters: {name:?}");
+        log::warn!("dropped a header with control characters: {name:?}");
         return;
     }
     text.push_str(name);
@@ -69,17 +69,17 @@
     text.push_str("\r\n");
 }
 
-/// `Response` is one whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status and the headers.
+    /// Status and headers.
     pub head: ResponseHead,
-    /// The body.
+    /// Body, empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// Returns an answer without headers and body.
+    /// Returns a response without headers and body.
     pub fn new(status: u16) -> Self {
         Self {
             head: ResponseHead::new(status),
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Returns the answer with one more header.
+    /// Returns the response with one more header.
     pub fn header(mut self, name: &str, value: impl Into<String>) -> Self {
         self.head = self.head.header(name, value);
         self
     }
 
-    /// Returns the answer with a body.
+    /// Returns the response with a body.
     pub fn body(mut self, body: impl Into<Vec<u8>>) -> Self {
         self.body = body.into();
         self
