--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: its handler border, its start, and its graceful stop.
+//! The server: handler interface, start and graceful stop.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -23,19 +23,19 @@
 use crate::protocol::ErrorRenderer;
 use crate::request::Request;
 
-/// `Handler` answers requests. It runs on the connection's thread.
+/// Answers requests, each on the thread of its connection.
 pub trait Handler: Send + Sync {
     /// Answers one request.
     fn handle(&self, request: Request, responder: Responder<'_>);
 }
 
-/// `Shared` is what the accepting thread, the connections and the server's owner share.
+/// State shared by the accepting thread, the connections and the owner of the server.
 pub(crate) struct Shared {
     pub(crate) options: Options,
     pub(crate) handler: Arc<dyn Handler>,
     pub(crate) errors: Arc<dyn ErrorRenderer>,
-    /// Becomes readable, for good, when the server stops. Waiting connections poll it together
-    /// with their socket, so a stop never races with a request that has just arrived.
+    /// Becomes readable when the server stops, and stays so. Idle connections poll it together with
+    /// their socket, so that a stop never races with a request that has just arrived.
     pub(crate) stop_event: OwnedFd,
     stopping: AtomicBool,
     connections: Mutex<usize>,
@@ -47,7 +47,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Takes a place for one more connection, unless all are taken.
+    /// Counts one more connection and returns its slot, or none if all slots are in use.
     pub(crate) fn take_place(self: &Arc<Self>) -> Option<Place> {
         let mut connections = self.lock_connections();
         if *connections >= self.options.max_connections {
@@ -66,8 +66,8 @@
     }
 }
 
-/// `Place` is one connection's place among the allowed ones. It is freed when dropped, also when
-/// the connection's thread panics.
+/// Slot of one open connection. It is released when dropped, even if the connection's thread
+/// panics.
 pub(crate) struct Place {
     pub(crate) shared: Arc<Shared>,
 }
@@ -82,7 +82,7 @@
     }
 }
 
-/// `Server` serves HTTP on one listening socket until it is stopped.
+/// HTTP server on one listening socket, until it is stopped.
 pub struct Server {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::System`] if the system refuses a descriptor or the accepting thread.
+    /// [`Error::System`] if the system can't provide a file descriptor or the accepting thread.
     pub fn start(
         listener: TcpListener,
         options: Options,
@@ -125,18 +125,18 @@
         Ok(Self { shared, address })
     }
 
-    /// Returns the address on which the server listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         *self.shared.lock_connections()
     }
 
-    /// Stops gracefully: no connection is accepted any more, idle ones are closed, and those with
-    /// a request in progress are closed after its answer. Returns at once.
+    /// Stops gracefully, without blocking: no further connection is accepted, idle connections are
+    /// closed, and those with a request in progress are closed after its answer.
     pub fn stop(&self) {
         self.shared.stopping.store(true, Ordering::Release);
         if let Err(error) = rustix::io::write(&self.shared.stop_event, &1_u64.to_ne_bytes()) {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Waits until no connection is open, and returns whether that came within the time.
+    /// Waits until no connection is open. Returns false if the timeout passes first.
     pub fn wait_idle(&self, timeout: Duration) -> bool {
         let connections = self.shared.lock_connections();
         let (connections, _) = self
