--- a/crates/http/tests/bad_requests.rs
+++ b/crates/http/tests/bad_requests.rs
@@ -1,4 +1,4 @@
-//! What the server answers to requests that are malformed or beyond its limits.
+//! Responses to requests that are malformed or exceed a limit.
 
 mod support;
 
@@ -8,9 +8,9 @@
 use support::exchange;
 use support::start;
 
-/// Symptom: one caller's body is served as another caller's request, or a thread is held for
-/// good. Sequence: a client sends a head that two readers frame differently, or that never ends.
-/// Cause: heads that are accepted although their framing is ambiguous or their size unbounded.
+/// Guards against heads that are accepted although their framing is ambiguous or their size
+/// unbounded: one caller's body could be served as another caller's request, or a thread could be
+/// occupied for ever.
 #[rstest]
 #[case::no_host("GET / HTTP/1.1\r\n\r\n", 400)]
 #[case::two_hosts("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400)]
