--- a/crates/http/tests/client_hangup.rs
+++ b/crates/http/tests/client_hangup.rs
@@ -1,4 +1,4 @@
-//! A client that closes while its request is in progress is noticed.
+//! Detection of a client that closes its connection while its request is in progress.
 
 mod support;
 
@@ -21,14 +21,14 @@
 use support::connect;
 use support::start;
 
-/// `Told` is what the handler tells the test.
+/// Message from the handler to the test.
 #[derive(Debug, PartialEq, Eq)]
 enum Told {
     Watching,
     HungUp,
 }
 
-/// Starts a server whose handler answers only once its client has gone.
+/// Starts a server whose handler responds only after its client has hung up.
 fn start_watching() -> (Server, Receiver<Told>) {
     let (told, tells): (Sender<Told>, Receiver<Told>) = mpsc::channel();
     let watcher = Arc::new(HangupWatcher::start().expect("a watcher"));
@@ -39,7 +39,7 @@
         });
         told.send(Told::Watching).expect("the test waits");
         has_hung_up.recv_timeout(PATIENCE).expect("a hang-up");
-        // The callback is gone after its one call, and with it the sender.
+        // The callback is dropped after its one call, and the sender with it.
         assert!(has_hung_up.recv().is_err());
         drop(guard);
         told.send(Told::HungUp).expect("the test waits");
@@ -48,9 +48,8 @@
     (start(Options::default(), Calls(handler)), tells)
 }
 
-/// Symptom: an engine works on for a caller that is gone. Sequence: the caller closes while the
-/// request is in progress, in one case after it has sent a further request ahead. Cause: a watch
-/// that peeks for the end of input can't see it behind unread bytes.
+/// Guards against a watch that peeks for the end of input, which is not visible behind unread
+/// bytes. In one case the client has sent a further request before it closes.
 #[rstest]
 #[case::plain("")]
 #[case::behind_a_request("GET /next HTTP/1.1\r\nHost: a\r\n\r\n")]
@@ -64,9 +63,8 @@
     assert_eq!(tells.recv_timeout(PATIENCE), Ok(Told::HungUp));
 }
 
-/// Symptom: only the first request of a connection is watched. Sequence: two requests on one
-/// connection, and the client closes during the second. Cause: a watch that is not taken back, so
-/// that the next one fails.
+/// Guards against a watch that is not removed after its request: the watch of the next request on
+/// the connection would fail.
 #[test]
 fn each_request_of_a_connection_is_watched_anew() {
     let (told, tells) = mpsc::channel();
@@ -79,7 +77,7 @@
                 hung_up.send(()).expect("the handler waits");
             });
             let _guard = watched.expect("a connection that is not watched");
-            // A second watch fails and leaves the first one be.
+            // A second watch fails and does not affect the first.
             assert!(watcher.watch(request.socket(), || {}).is_err());
             let _ = responder.send(Response::new(200).body("ok"));
             if request.path() == "/2" {
