--- a/crates/http/tests/cut_answers.rs
+++ b/crates/http/tests/cut_answers.rs
@@ -1,4 +1,4 @@
-//! An answer that is not whole never looks whole.
+//! An incomplete response never looks complete.
 
 mod support;
 
@@ -28,8 +28,8 @@
     panic!("a scripted panic in {}", request.path());
 }
 
-/// Symptom: a caller acts on half an answer. Sequence: the handler gives a stream up in the
-/// middle, or panics. Cause: an encoder that ends the body when it is dropped.
+/// Guards against an encoder that ends the body when it is dropped: the handler abandons a stream
+/// or panics within it, and the client would act on half a response.
 #[rstest]
 #[case::dropped(half_a_stream)]
 #[case::panic(half_then_panic)]
@@ -39,7 +39,8 @@
     assert!(answer.ends_with("4\r\nhalf\r\n"), "{answer}");
 }
 
-/// Symptom: as above, for a client to whom the connection's end is the answer's end.
+/// Guards against the same for an HTTP/1.0 client, which takes the end of the connection for the
+/// end of the response.
 #[test]
 fn a_given_up_stream_is_reset_for_an_old_client() {
     let server = start(Options::default(), Calls(half_a_stream));
