--- a/crates/http/tests/early_errors.rs
+++ b/crates/http/tests/early_errors.rs
@@ -1,4 +1,4 @@
-//! An error that is answered while the client still sends.
+//! Errors that are sent while the client is still sending.
 
 mod support;
 
@@ -13,14 +13,14 @@
 use support::read_until;
 use support::start;
 
-/// Sends in many small pieces, so that a reset by the server shows in a later one.
+/// Sends many small pieces, so that a reset by the server shows in a later one.
 fn send_on(client: &mut TcpStream) -> std::io::Result<()> {
     (0..256).try_for_each(|_| client.write_all(&[b'x'; 128]))
 }
 
-/// Symptom: a caller sees a broken connection in place of the reason. Sequence: the server answers
-/// an error to the head, the client goes on to send its body. Cause: a connection closed with
-/// bytes unread is reset, and over a network the reset can overtake the answer.
+/// Guards against a client that sees a broken connection instead of the reason: the server responds
+/// to the head with an error while the client sends its body. A connection that is closed with
+/// unread bytes is reset, and over a network the reset can overtake the response.
 #[test]
 fn a_client_may_send_on_after_an_early_error() {
     let options = Options {
@@ -37,7 +37,7 @@
     send_on(&mut client).expect("the server still reads");
 }
 
-/// Symptom and cause as above, for a connection that is turned away.
+/// Guards against the same for a connection above the limit.
 #[test]
 fn a_client_may_send_on_after_it_was_turned_away() {
     let options = Options {
@@ -54,7 +54,7 @@
     let mut client = connect(&server);
     let answer = read_to_close(&mut client);
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
-    // Once another connection is turned away, the accepting thread is done with the first.
+    // Once another connection is rejected, the accepting thread is done with the first.
     read_to_close(&mut connect(&server));
     send_on(&mut client).expect("the connection is still there");
 }
