--- a/crates/http/tests/event_order.rs
+++ b/crates/http/tests/event_order.rs
@@ -1,4 +1,4 @@
-//! Pieces of a stream leave one by one.
+//! Pieces of a stream are sent without buffering.
 
 mod support;
 
@@ -13,9 +13,9 @@
 use support::read_until;
 use support::start;
 
-/// Symptom: events of a stream arrive in bursts. Sequence: the handler sends an event and waits
-/// until the client has read it before it sends the next. Cause: a server that gathers pieces
-/// before it sends them never delivers the first, and this test never ends.
+/// Guards against a server that collects pieces before it sends them: the handler waits until the
+/// client has read each event before it sends the next. Such a server would keep this test from
+/// ending.
 #[test]
 fn each_piece_arrives_before_the_next_is_sent() {
     let (read, has_read) = mpsc::channel::<usize>();
