--- a/crates/http/tests/graceful_stop.rs
+++ b/crates/http/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A stop cuts off no request in progress.
+//! A stop of the server does not cut off requests in progress.
 
 mod support;
 
@@ -19,8 +19,8 @@
 use support::read_until;
 use support::start;
 
-/// Symptom: a planned stop cuts answers off. Sequence: a stream is in its middle when the server
-/// is stopped. Cause: a stop that closes connections without regard to their requests.
+/// Guards against a stop that closes connections with requests in progress: a stream has begun when
+/// the server is stopped.
 #[test]
 fn a_stream_in_progress_ends_whole() {
     let (go_on, may_go_on) = mpsc::channel::<()>();
@@ -58,6 +58,6 @@
     server.stop();
     assert_eq!(read_to_close(&mut idle), "");
     assert!(server.wait_idle(PATIENCE));
-    // The listener is closed by the accepting thread, a moment after the stop.
+    // The accepting thread closes the listener shortly after the stop.
     while TcpStream::connect(server.address()).is_ok() {}
 }
