--- a/crates/http/tests/request_forms.rs
+++ b/crates/http/tests/request_forms.rs
@@ -1,4 +1,4 @@
-//! The forms in which requests may come.
+//! Valid forms of requests, and bodies that are cut.
 
 mod support;
 
@@ -71,8 +71,8 @@
     assert!(read_until(&mut client, "POST / ok").starts_with("HTTP/1.1 200 "));
 }
 
-/// Symptom: a service gets half a body as if it were the whole. Sequence: the client breaks off
-/// within a chunk. Cause: the chunk decoder takes an end of input for the end of the body.
+/// Guards against half a body that is passed to the handler as complete: the client closes its side
+/// within a chunk, and the chunk decoder takes an end of input for the end of the body.
 #[rstest]
 #[case::chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nab")]
 #[case::between_chunks("Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")]
