--- a/crates/http/tests/slow_clients.rs
+++ b/crates/http/tests/slow_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that take their time, or too many places.
+//! Clients that are slow, or that open too many connections.
 
 mod support;
 
@@ -26,7 +26,7 @@
 const SHORT: Duration = Duration::from_millis(50);
 const TRICKLE: Duration = Duration::from_millis(5);
 
-/// Sends one byte after the other, with a short wait for an answer between them.
+/// Sends single bytes with a short wait for a response between them.
 fn trickle(client: &mut TcpStream, start: &str) -> String {
     client.write_all(start.as_bytes()).expect("sent");
     client.set_read_timeout(Some(TRICKLE)).expect("a timeout");
@@ -38,15 +38,14 @@
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => panic!("the connection broke: {error}"),
         }
-        // A write after the answer may fail; the answer is read all the same.
+        // A write after the response may fail. The response is read in any case.
         let _ = client.write_all(b"x");
     }
     panic!("the server waits for ever");
 }
 
-/// Symptom: all connections are taken and no caller gets in. Sequence: clients send a byte now
-/// and then, each before the server's patience with one read ends. Cause: a timeout that starts
-/// anew with each read.
+/// Guards against a timeout that starts anew with each read: clients that send a byte now and then
+/// would occupy all connections.
 #[rstest]
 #[case::head("GET / HTTP/1.1\r\nHost: a\r\nX-Slow: ")]
 #[case::body("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n")]
@@ -73,8 +72,8 @@
     assert_eq!(read_to_close(&mut connect(&server)), "");
 }
 
-/// Symptom: threads pile up behind clients that do not read. Sequence: a client asks for a stream
-/// and reads nothing; the buffers between fill up. Cause: a write without a limit.
+/// Guards against a write without a time limit: a client asks for a stream and reads nothing, the
+/// buffers fill up, and the thread would wait for ever.
 #[test]
 fn a_client_that_does_not_read_ends_its_stream() {
     let (ended, has_ended) = mpsc::channel();
@@ -103,8 +102,8 @@
     assert!(matches!(failure, Error::WriteTimeout), "{failure}");
 }
 
-/// Symptom: callers hang while all places are taken. Sequence: one client holds the only place,
-/// another connects. Cause: a server that lets it wait in place of an answer at once.
+/// Guards against clients that wait while all connections are in use: one client holds the only
+/// connection, and the next must be sent an error at once.
 #[test]
 fn a_connection_above_the_limit_is_answered_at_once() {
     let options = Options {
