--- a/crates/http/tests/support/mod.rs
+++ b/crates/http/tests/support/mod.rs
@@ -17,10 +17,10 @@
 use apricotdale_http::Response;
 use apricotdale_http::Server;
 
-/// A bound on waits that end a broken test; no assertion depends on its length.
+/// Bounds the waits of a failing test. No assertion depends on its length.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// `Echo` answers with the method, the target and the body.
+/// Handler that responds with the method, the path and the body of the request.
 pub struct Echo;
 
 impl Handler for Echo {
@@ -35,7 +35,7 @@
     }
 }
 
-/// `Calls` is a handler made of a function.
+/// Handler that calls a function.
 pub struct Calls<F>(pub F);
 
 impl<F> Handler for Calls<F>
@@ -60,7 +60,7 @@
     client
 }
 
-/// Sends bytes and returns all that comes until the server closes.
+/// Sends bytes and returns all that is received until the server closes the connection.
 pub fn exchange(server: &Server, bytes: &[u8]) -> String {
     let mut client = connect(server);
     client.write_all(bytes).expect("the request is sent");
@@ -75,7 +75,7 @@
     String::from_utf8(answer).expect("text")
 }
 
-/// Reads until what was read ends with the given text.
+/// Reads until the received text ends with `end`.
 pub fn read_until(client: &mut TcpStream, end: &str) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
