--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -21,13 +21,13 @@
 use crate::server::Shared;
 
 /// Maximum number of rejected connections that linger at the same time.
-const MAX_LINGERING: usize = 128;
+const MAX_LINGERING_CONNECTIONS: usize = 128;
 
 /// Pause after a failed accept, such as for lack of file descriptors. The listener stays readable
 /// then, and without a pause the thread would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-const DISCARD_BYTES: usize = 64 * 1024;
+const MAX_DISCARD_BYTES: usize = 64 * 1024;
 
 /// Result of waiting for a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,38 +76,38 @@
 
 /// Accepts connections until the server stops.
 pub(crate) fn run(shared: &Arc<Shared>, listener: TcpListener) {
-    let mut turned_away = TurnedAway::default();
+    let mut rejected = RejectedConnections::default();
     while !shared.is_stopping() {
-        if wait_readable(&listener, shared, turned_away.wait()) == Readiness::Stopping {
+        if wait_readable(&listener, shared, rejected.time_to_next_close()) == Readiness::Stopping {
             return;
         }
-        turned_away.close_expired();
+        rejected.close_expired();
         match listener.accept() {
-            Ok((socket, _)) => open(shared, socket, &mut turned_away),
+            Ok((socket, _)) => start_connection(shared, socket, &mut rejected),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(error) => {
                 log::warn!("could not accept a connection: {error}");
-                thread::sleep(ACCEPT_PAUSE);
+                thread::sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
 }
 
-fn open(shared: &Arc<Shared>, socket: TcpStream, turned_away: &mut TurnedAway) {
-    let Some(place) = shared.take_place() else {
-        turned_away.answer(shared, socket);
+fn start_connection(shared: &Arc<Shared>, socket: TcpStream, rejected: &mut RejectedConnections) {
+    let Some(slot) = shared.acquire_slot() else {
+        rejected.reject(shared, socket);
         return;
     };
     let spare = socket.try_clone();
     let spawned = thread::Builder::new()
         .name("http-connection".to_owned())
         .stack_size(shared.options.thread_stack_bytes)
-        .spawn(move || Connection::serve(place, socket));
+        .spawn(move || Connection::serve(slot, socket));
     match (spawned, spare) {
         (Ok(_), _) => {}
         (Err(error), Ok(socket)) => {
             log::warn!("could not start a connection's thread: {error}");
-            turned_away.answer(shared, socket);
+            rejected.reject(shared, socket);
         }
         (Err(error), Err(_)) => log::warn!("could not start a connection's thread: {error}"),
     }
@@ -120,12 +120,12 @@
 /// connection therefore stays open for a moment, without a thread, and the client's bytes are
 /// discarded before the close.
 #[derive(Default)]
-struct TurnedAway {
+struct RejectedConnections {
     sockets: VecDeque<(TcpStream, Instant)>,
 }
 
-impl TurnedAway {
-    fn answer(&mut self, shared: &Shared, mut socket: TcpStream) {
+impl RejectedConnections {
+    fn reject(&mut self, shared: &Shared, mut socket: TcpStream) {
         let response = shared.errors.render(&ProtocolError::TooManyConnections);
         let framing = [
             ("Connection", "close".to_owned()),
@@ -142,7 +142,7 @@
         if written.is_err() {
             return;
         }
-        if self.sockets.len() >= MAX_LINGERING {
+        if self.sockets.len() >= MAX_LINGERING_CONNECTIONS {
             self.sockets.pop_front();
         }
         let expires = Instant::now() + shared.options.linger_timeout;
@@ -151,7 +151,7 @@
 
     /// Returns how long the accepting thread may wait before a lingering connection is due to
     /// close.
-    fn wait(&self) -> Duration {
+    fn time_to_next_close(&self) -> Duration {
         match self.sockets.front() {
             Some((_, expires)) => expires.saturating_duration_since(Instant::now()),
             None => Duration::from_secs(3600),
@@ -162,7 +162,7 @@
         let now = Instant::now();
         while let Some((mut socket, _)) = self.sockets.pop_front_if(|(_, expires)| *expires <= now)
         {
-            let _ = socket.read(&mut [0; DISCARD_BYTES]);
+            let _ = socket.read(&mut [0; MAX_DISCARD_BYTES]);
         }
     }
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -14,7 +14,7 @@
 
 /// Number of raw bytes that a chunked body may have beyond twice its size limit. A body in chunks
 /// of a few bytes each exceeds it and is rejected as too large.
-const FRAMING_BYTES: usize = 64 * 1024;
+const MAX_FRAMING_BYTES: usize = 64 * 1024;
 
 /// Reason why a body could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     let read = source.by_ref().take(length as u64).read_to_end(&mut body);
     match (read, source.failure()) {
         (Ok(_), _) => Ok(body),
-        (Err(_), failure) => Err(explain(failure, limit_bytes)),
+        (Err(_), failure) => Err(body_failure(failure, limit_bytes)),
     }
 }
 
@@ -68,7 +68,9 @@
     limit_bytes: usize,
     deadline: Instant,
 ) -> Result<Vec<u8>, BodyFailure> {
-    let raw_limit = limit_bytes.saturating_mul(2).saturating_add(FRAMING_BYTES);
+    let raw_limit = limit_bytes
+        .saturating_mul(2)
+        .saturating_add(MAX_FRAMING_BYTES);
     let mut source = BodySource::new(reader, deadline, raw_limit);
     let mut body = Vec::new();
     let read = Decoder::new(&mut source)
@@ -79,11 +81,11 @@
             Err(ProtocolError::BodyTooLarge { limit_bytes }.into())
         }
         (Ok(_), _) => Ok(body),
-        (Err(_), failure) => Err(explain(failure, limit_bytes)),
+        (Err(_), failure) => Err(body_failure(failure, limit_bytes)),
     }
 }
 
-fn explain(failure: Option<SourceFailure>, limit_bytes: usize) -> BodyFailure {
+fn body_failure(failure: Option<SourceFailure>, limit_bytes: usize) -> BodyFailure {
     match failure {
         Some(SourceFailure::Read(ReadFailure::Closed)) => BodyFailure::Closed,
         Some(SourceFailure::Read(ReadFailure::TimedOut)) => ProtocolError::BodyTimeout.into(),
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -13,42 +13,42 @@
 use crate::body;
 use crate::body::BodyFailure;
 use crate::exchange;
-use crate::exchange::AnswerState;
 use crate::exchange::Exchange;
 use crate::exchange::Responder;
+use crate::exchange::ResponseState;
 use crate::head;
-use crate::head::EndFinder;
 use crate::head::Framing;
 use crate::head::Head;
+use crate::head::HeadEndFinder;
 use crate::protocol::ProtocolError;
 use crate::reader;
 use crate::reader::ConnectionReader;
 use crate::reader::ReadFailure;
 use crate::request::ClientSocket;
 use crate::request::Request;
-use crate::server::Place;
+use crate::server::ConnectionSlot;
 use crate::server::Shared;
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Maximum number of bytes that are read and discarded after an early error response.
-const LINGER_BYTES: usize = 1024 * 1024;
+const MAX_LINGER_BYTES: usize = 1024 * 1024;
 
 /// Reason why a connection serves no further request.
-enum Ending {
+enum ConnectionEnd {
     /// The connection is closed without a response.
     Close,
     /// The client is sent an error first.
     Error(ProtocolError),
 }
 
-impl From<ProtocolError> for Ending {
+impl From<ProtocolError> for ConnectionEnd {
     fn from(error: ProtocolError) -> Self {
         Self::Error(error)
     }
 }
 
-impl From<BodyFailure> for Ending {
+impl From<BodyFailure> for ConnectionEnd {
     fn from(failure: BodyFailure) -> Self {
         match failure {
             BodyFailure::Closed => Self::Close,
@@ -59,7 +59,7 @@
 
 /// Connection of one client.
 pub(crate) struct Connection {
-    place: Place,
+    slot: ConnectionSlot,
     socket: Arc<TcpStream>,
     peer: SocketAddr,
     reader: ConnectionReader,
@@ -67,7 +67,7 @@
 
 impl Connection {
     /// Serves a connection until it ends.
-    pub(crate) fn serve(place: Place, socket: TcpStream) {
+    pub(crate) fn serve(slot: ConnectionSlot, socket: TcpStream) {
         let Ok(peer) = socket.peer_addr() else {
             return;
         };
@@ -76,31 +76,31 @@
         }
         let socket = Arc::new(socket);
         let mut connection = Self {
-            place,
+            slot,
             peer,
             reader: ConnectionReader::new(socket.clone()),
             socket,
         };
-        let ending = connection.serve_requests();
-        if let Ending::Error(error) = ending {
-            connection.reject(&error);
+        let end = connection.serve_requests();
+        if let ConnectionEnd::Error(error) = end {
+            connection.send_error(&error);
         }
     }
 
     fn shared(&self) -> &Shared {
-        &self.place.shared
+        &self.slot.shared
     }
 
-    fn serve_requests(&mut self) -> Ending {
+    fn serve_requests(&mut self) -> ConnectionEnd {
         loop {
             match self.serve_request() {
                 Ok(()) => {}
-                Err(ending) => return ending,
+                Err(end) => return end,
             }
         }
     }
 
-    fn serve_request(&mut self) -> Result<(), Ending> {
+    fn serve_request(&mut self) -> Result<(), ConnectionEnd> {
         self.wait_for_request()?;
         let head = self.read_head()?;
         let body = self.read_body(&head)?;
@@ -110,32 +110,32 @@
             is_head: head.method == "HEAD",
             is_http_10: head.is_http_10,
             keeps_alive: head.keeps_alive() && !self.shared().is_stopping(),
-            state: AnswerState::Nothing,
+            state: ResponseState::NotBegun,
         };
-        let request = self.request(head, body);
-        self.answer(request, &mut exchange);
+        let request = self.build_request(head, body);
+        self.handle_request(request, &mut exchange);
         match exchange.keeps_alive {
             true => Ok(()),
-            false => Err(Ending::Close),
+            false => Err(ConnectionEnd::Close),
         }
     }
 
     /// Waits for the first byte of a request.
-    fn wait_for_request(&mut self) -> Result<(), Ending> {
+    fn wait_for_request(&mut self) -> Result<(), ConnectionEnd> {
         if !self.reader.buffered().is_empty() {
             return Ok(());
         }
         let shared = self.shared();
         match accept::wait_readable(&*self.socket, shared, shared.options.idle_timeout) {
             Readiness::Ready => Ok(()),
-            Readiness::Stopping | Readiness::TimedOut => Err(Ending::Close),
+            Readiness::Stopping | Readiness::TimedOut => Err(ConnectionEnd::Close),
         }
     }
 
-    fn read_head(&mut self) -> Result<Head, Ending> {
+    fn read_head(&mut self) -> Result<Head, ConnectionEnd> {
         let options = self.shared().options.clone();
         let deadline = Instant::now() + options.head_timeout;
-        let mut finder = EndFinder::default();
+        let mut finder = HeadEndFinder::default();
         loop {
             if finder.is_fresh() {
                 let line_ends = head::leading_line_ends(self.reader.buffered());
@@ -155,12 +155,12 @@
             match self.reader.fill(deadline) {
                 Ok(()) => {}
                 Err(ReadFailure::TimedOut) => return Err(ProtocolError::HeadTimeout.into()),
-                Err(ReadFailure::Closed) => return Err(Ending::Close),
+                Err(ReadFailure::Closed) => return Err(ConnectionEnd::Close),
             }
         }
     }
 
-    fn read_body(&mut self, head: &Head) -> Result<Vec<u8>, Ending> {
+    fn read_body(&mut self, head: &Head) -> Result<Vec<u8>, ConnectionEnd> {
         let limit_bytes = self.shared().options.max_body_bytes;
         let deadline = Instant::now() + self.shared().options.body_timeout;
         let framing = head.framing()?;
@@ -168,7 +168,8 @@
         let fits = !matches!(framing, Framing::Length(length) if length > limit_bytes);
         let waits = head.expects_continue()? && self.reader.buffered().is_empty();
         if has_body && fits && waits {
-            exchange::write_by(&self.socket, CONTINUE, deadline).map_err(|_| Ending::Close)?;
+            exchange::write_before(&self.socket, CONTINUE, deadline)
+                .map_err(|_| ConnectionEnd::Close)?;
         }
         Ok(body::read_body(
             &mut self.reader,
@@ -178,7 +179,7 @@
         )?)
     }
 
-    fn request(&self, head: Head, body: Vec<u8>) -> Request {
+    fn build_request(&self, head: Head, body: Vec<u8>) -> Request {
         let (path, query) = match head.target.split_once('?') {
             Some((path, query)) => (path.to_owned(), Some(query.to_owned())),
             None => (head.target, None),
@@ -194,7 +195,7 @@
         }
     }
 
-    fn answer(&self, request: Request, exchange: &mut Exchange) {
+    fn handle_request(&self, request: Request, exchange: &mut Exchange) {
         let handler = &self.shared().handler;
         let handled = panic::catch_unwind(AssertUnwindSafe(|| {
             handler.handle(request, Responder::new(exchange));
@@ -203,12 +204,12 @@
             log::error!("a handler panicked");
         }
         match exchange.state {
-            AnswerState::Whole => {}
-            AnswerState::Nothing => {
+            ResponseState::Complete => {}
+            ResponseState::NotBegun => {
                 let response = self.shared().errors.render(&ProtocolError::HandlerFailed);
                 let _ = exchange.send(&response);
             }
-            AnswerState::Begun => {
+            ResponseState::Begun => {
                 exchange.keeps_alive = false;
                 exchange.abort();
             }
@@ -218,7 +219,7 @@
     /// Sends an error response and closes the connection. If bytes of the client were left unread,
     /// the close would reset the connection before the client has read the response, so they are
     /// read and discarded until `linger_timeout`.
-    fn reject(&mut self, error: &ProtocolError) {
+    fn send_error(&mut self, error: &ProtocolError) {
         let response = self.shared().errors.render(error);
         let mut exchange = Exchange {
             socket: self.socket.clone(),
@@ -226,7 +227,7 @@
             is_head: false,
             is_http_10: false,
             keeps_alive: false,
-            state: AnswerState::Nothing,
+            state: ResponseState::NotBegun,
         };
         if exchange.send(&response).is_err() || self.socket.shutdown(Shutdown::Write).is_err() {
             return;
@@ -234,8 +235,8 @@
         let deadline = Instant::now() + self.shared().options.linger_timeout;
         let mut discarded = 0;
         let mut scratch = [0; 16 * 1024];
-        while discarded < LINGER_BYTES {
-            match reader::read_by(&self.socket, &mut scratch, deadline) {
+        while discarded < MAX_LINGER_BYTES {
+            match reader::read_before(&self.socket, &mut scratch, deadline) {
                 Ok(count) => discarded += count,
                 Err(_) => return,
             }
--- a/crates/http/src/exchange.rs
+++ b/crates/http/src/exchange.rs
@@ -20,13 +20,13 @@
 
 /// Progress of the response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerState {
+pub(crate) enum ResponseState {
     /// Nothing was sent.
-    Nothing,
+    NotBegun,
     /// Part of the response was sent, or the connection is to be closed without one.
     Begun,
     /// The complete response was sent.
-    Whole,
+    Complete,
 }
 
 /// Sending side of one request and its response.
@@ -36,12 +36,12 @@
     pub(crate) is_head: bool,
     pub(crate) is_http_10: bool,
     pub(crate) keeps_alive: bool,
-    pub(crate) state: AnswerState,
+    pub(crate) state: ResponseState,
 }
 
 impl Exchange {
     pub(crate) fn send(&mut self, response: &Response) -> Result<()> {
-        let mut framing = vec![("Connection", self.connection_word())];
+        let mut framing = vec![("Connection", self.connection_value())];
         // A handler that returns no body for a HEAD request doesn't know the length for GET.
         let is_length_known = !self.is_head || !response.body.is_empty();
         if is_length_known && !response.head.is_bodiless() {
@@ -52,14 +52,14 @@
             bytes.extend_from_slice(&response.body);
         }
         self.write(&bytes)?;
-        self.state = AnswerState::Whole;
+        self.state = ResponseState::Complete;
         Ok(())
     }
 
     fn start(&mut self, head: &ResponseHead) -> Result<()> {
         // A stream to an HTTP/1.0 client ends with its connection.
         self.keeps_alive &= !self.is_http_10;
-        let mut framing = vec![("Connection", self.connection_word())];
+        let mut framing = vec![("Connection", self.connection_value())];
         if !self.is_http_10 {
             framing.push(("Transfer-Encoding", "chunked".to_owned()));
         }
@@ -87,7 +87,7 @@
         if !self.is_head && !self.is_http_10 {
             self.write(LAST_CHUNK)?;
         }
-        self.state = AnswerState::Whole;
+        self.state = ResponseState::Complete;
         Ok(())
     }
 
@@ -104,15 +104,15 @@
     }
 
     fn write(&mut self, bytes: &[u8]) -> Result<()> {
-        self.state = AnswerState::Begun;
-        let outcome = write_by(&self.socket, bytes, Instant::now() + self.write_timeout);
+        self.state = ResponseState::Begun;
+        let outcome = write_before(&self.socket, bytes, Instant::now() + self.write_timeout);
         if outcome.is_err() {
             self.keeps_alive = false;
         }
         outcome
     }
 
-    fn connection_word(&self) -> String {
+    fn connection_value(&self) -> String {
         match self.keeps_alive {
             true => "keep-alive".to_owned(),
             false => "close".to_owned(),
@@ -122,7 +122,7 @@
 
 /// Writes all bytes before the deadline. The deadline covers all writes together, so a client that
 /// accepts a byte now and then can't hold the thread longer.
-pub(crate) fn write_by(socket: &TcpStream, mut bytes: &[u8], deadline: Instant) -> Result<()> {
+pub(crate) fn write_before(socket: &TcpStream, mut bytes: &[u8], deadline: Instant) -> Result<()> {
     while !bytes.is_empty() {
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -167,7 +167,7 @@
     /// Closes the connection without a response, for a client that is gone.
     pub fn close(self) {
         self.exchange.keeps_alive = false;
-        self.exchange.state = AnswerState::Begun;
+        self.exchange.state = ResponseState::Begun;
     }
 
     /// Sends the head of a streamed response.
--- a/crates/http/src/hangup.rs
+++ b/crates/http/src/hangup.rs
@@ -19,14 +19,14 @@
 use crate::errors::Result;
 use crate::request::ClientSocket;
 
-const WAKE_TOKEN: u64 = 0;
-const EVENTS_AT_ONCE: usize = 64;
+const STOP_TOKEN: u64 = 0;
+const MAX_EVENTS_PER_WAIT: usize = 64;
 
 type Callback = Box<dyn FnOnce() + Send>;
 
 struct Shared {
     epoll: OwnedFd,
-    wake: OwnedFd,
+    stop_event: OwnedFd,
     callbacks: Mutex<HashMap<u64, Callback>>,
     next_token: AtomicU64,
 }
@@ -58,21 +58,21 @@
     pub fn start() -> Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)
             .map_err(|error| Error::system("create the hang-up poll", error))?;
-        let wake = rustix::event::eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)
+        let stop_event = rustix::event::eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)
             .map_err(|error| Error::system("create the hang-up wake event", error))?;
-        let token = epoll::EventData::new_u64(WAKE_TOKEN);
-        epoll::add(&epoll, &wake, token, epoll::EventFlags::IN)
+        let token = epoll::EventData::new_u64(STOP_TOKEN);
+        epoll::add(&epoll, &stop_event, token, epoll::EventFlags::IN)
             .map_err(|error| Error::system("watch the hang-up wake event", error))?;
         let shared = Arc::new(Shared {
             epoll,
-            wake,
+            stop_event,
             callbacks: Mutex::new(HashMap::new()),
-            next_token: AtomicU64::new(WAKE_TOKEN + 1),
+            next_token: AtomicU64::new(STOP_TOKEN + 1),
         });
-        let watching = shared.clone();
+        let watch_state = shared.clone();
         thread::Builder::new()
             .name("http-hangup".to_owned())
-            .spawn(move || watch(&watching))
+            .spawn(move || watch(&watch_state))
             .map_err(|error| Error::system("start the hang-up thread", error))?;
         Ok(Self { shared })
     }
@@ -107,7 +107,7 @@
 
 impl Drop for HangupWatcher {
     fn drop(&mut self) {
-        let _ = rustix::io::write(&self.shared.wake, &1_u64.to_ne_bytes());
+        let _ = rustix::io::write(&self.shared.stop_event, &1_u64.to_ne_bytes());
     }
 }
 
@@ -126,7 +126,7 @@
 }
 
 fn watch(shared: &Shared) {
-    let mut events: Vec<epoll::Event> = Vec::with_capacity(EVENTS_AT_ONCE);
+    let mut events: Vec<epoll::Event> = Vec::with_capacity(MAX_EVENTS_PER_WAIT);
     loop {
         events.clear();
         let waited = epoll::wait(
@@ -144,7 +144,7 @@
         }
         for event in &events {
             let token = event.data.u64();
-            if token == WAKE_TOKEN {
+            if token == STOP_TOKEN {
                 return;
             }
             let callback = shared.lock_callbacks().remove(&token);
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -24,11 +24,11 @@
 /// Finds the end of a head in a growing buffer. Each byte is scanned only once, so a head that
 /// arrives byte by byte costs no more than one that arrives at once.
 #[derive(Default)]
-pub(crate) struct EndFinder {
+pub(crate) struct HeadEndFinder {
     scanned: usize,
 }
 
-impl EndFinder {
+impl HeadEndFinder {
     /// Returns whether nothing was scanned yet.
     pub(crate) fn is_fresh(&self) -> bool {
         self.scanned == 0
@@ -122,14 +122,14 @@
 
     /// Returns whether the client allows the connection to be reused.
     pub(crate) fn keeps_alive(&self) -> bool {
-        let says = |word: &str| {
+        let has_token = |word: &str| {
             self.values("connection")
                 .flat_map(|value| value.split(','))
                 .any(|token| token.trim().eq_ignore_ascii_case(word))
         };
         match self.is_http_10 {
-            true => says("keep-alive") && !says("close"),
-            false => !says("close"),
+            true => has_token("keep-alive") && !has_token("close"),
+            false => !has_token("close"),
         }
     }
 
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-const READ_BYTES: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Reason why a read returned no bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,10 +51,10 @@
     pub(crate) fn fill(&mut self, deadline: Instant) -> std::result::Result<(), ReadFailure> {
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
-        let held = self.buffer.len();
-        self.buffer.resize(held + READ_BYTES, 0);
-        let outcome = read_by(&self.socket, &mut self.buffer[held..], deadline);
-        self.buffer.truncate(held + outcome.unwrap_or(0));
+        let buffered = self.buffer.len();
+        self.buffer.resize(buffered + READ_CHUNK_BYTES, 0);
+        let outcome = read_before(&self.socket, &mut self.buffer[buffered..], deadline);
+        self.buffer.truncate(buffered + outcome.unwrap_or(0));
         outcome.map(|_| ())
     }
 
@@ -75,7 +75,7 @@
 }
 
 /// Reads at least one byte before the deadline.
-pub(crate) fn read_by(
+pub(crate) fn read_before(
     socket: &TcpStream,
     target: &mut [u8],
     deadline: Instant,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -39,7 +39,7 @@
     pub(crate) stop_event: OwnedFd,
     stopping: AtomicBool,
     connections: Mutex<usize>,
-    all_ended: Condvar,
+    all_closed: Condvar,
 }
 
 impl Shared {
@@ -48,13 +48,13 @@
     }
 
     /// Counts one more connection and returns its slot, or none if all slots are in use.
-    pub(crate) fn take_place(self: &Arc<Self>) -> Option<Place> {
+    pub(crate) fn acquire_slot(self: &Arc<Self>) -> Option<ConnectionSlot> {
         let mut connections = self.lock_connections();
         if *connections >= self.options.max_connections {
             return None;
         }
         *connections += 1;
-        Some(Place {
+        Some(ConnectionSlot {
             shared: self.clone(),
         })
     }
@@ -68,16 +68,16 @@
 
 /// Slot of one open connection. It is released when dropped, even if the connection's thread
 /// panics.
-pub(crate) struct Place {
+pub(crate) struct ConnectionSlot {
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         let mut connections = self.shared.lock_connections();
         *connections -= 1;
         if *connections == 0 {
-            self.shared.all_ended.notify_all();
+            self.shared.all_closed.notify_all();
         }
     }
 }
@@ -115,12 +115,12 @@
             stop_event,
             stopping: AtomicBool::new(false),
             connections: Mutex::new(0),
-            all_ended: Condvar::new(),
+            all_closed: Condvar::new(),
         });
-        let accepting = shared.clone();
+        let accept_state = shared.clone();
         thread::Builder::new()
             .name("http-accept".to_owned())
-            .spawn(move || accept::run(&accepting, listener))
+            .spawn(move || accept::run(&accept_state, listener))
             .map_err(|error| Error::system("start the accepting thread", error))?;
         Ok(Self { shared, address })
     }
@@ -149,7 +149,7 @@
         let connections = self.shared.lock_connections();
         let (connections, _) = self
             .shared
-            .all_ended
+            .all_closed
             .wait_timeout_while(connections, timeout, |open| *open > 0)
             .unwrap_or_else(PoisonError::into_inner);
         *connections == 0
--- a/crates/http/tests/client_hangup.rs
+++ b/crates/http/tests/client_hangup.rs
@@ -16,36 +16,44 @@
 use apricotdale_http::Response;
 use apricotdale_http::Server;
 use rstest::rstest;
-use support::Calls;
-use support::PATIENCE;
+use support::FunctionHandler;
+use support::TEST_TIMEOUT;
 use support::connect;
 use support::start;
 
 /// Message from the handler to the test.
 #[derive(Debug, PartialEq, Eq)]
-enum Told {
+enum HandlerEvent {
     Watching,
     HungUp,
 }
 
 /// Starts a server whose handler responds only after its client has hung up.
-fn start_watching() -> (Server, Receiver<Told>) {
-    let (told, tells): (Sender<Told>, Receiver<Told>) = mpsc::channel();
+fn start_watching() -> (Server, Receiver<HandlerEvent>) {
+    let (event_sender, event_receiver): (Sender<HandlerEvent>, Receiver<HandlerEvent>) =
+        mpsc::channel();
     let watcher = Arc::new(HangupWatcher::start().expect("a watcher"));
     let handler = move |request: Request, responder: Responder<'_>| {
         let (hung_up, has_hung_up) = mpsc::channel();
         let guard = watcher.watch(request.socket(), move || {
             hung_up.send(()).expect("the handler waits");
         });
-        told.send(Told::Watching).expect("the test waits");
-        has_hung_up.recv_timeout(PATIENCE).expect("a hang-up");
+        event_sender
+            .send(HandlerEvent::Watching)
+            .expect("the test waits");
+        has_hung_up.recv_timeout(TEST_TIMEOUT).expect("a hang-up");
         // The callback is dropped after its one call, and the sender with it.
         assert!(has_hung_up.recv().is_err());
         drop(guard);
-        told.send(Told::HungUp).expect("the test waits");
+        event_sender
+            .send(HandlerEvent::HungUp)
+            .expect("the test waits");
         let _ = responder.send(Response::new(200));
     };
-    (start(Options::default(), Calls(handler)), tells)
+    (
+        start(Options::default(), FunctionHandler(handler)),
+        event_receiver,
+    )
 }
 
 /// Guards against a watch that peeks for the end of input, which is not visible behind unread
@@ -53,25 +61,31 @@
 #[rstest]
 #[case::plain("")]
 #[case::behind_a_request("GET /next HTTP/1.1\r\nHost: a\r\n\r\n")]
-fn a_close_is_noticed(#[case] sent_ahead: &str) {
-    let (server, tells) = start_watching();
+fn hangup_detected(#[case] sent_ahead: &str) {
+    let (server, event_receiver) = start_watching();
     let mut client: TcpStream = connect(&server);
     let request = format!("GET / HTTP/1.1\r\nHost: a\r\n\r\n{sent_ahead}");
     client.write_all(request.as_bytes()).expect("sent");
-    assert_eq!(tells.recv_timeout(PATIENCE), Ok(Told::Watching));
+    assert_eq!(
+        event_receiver.recv_timeout(TEST_TIMEOUT),
+        Ok(HandlerEvent::Watching)
+    );
     drop(client);
-    assert_eq!(tells.recv_timeout(PATIENCE), Ok(Told::HungUp));
+    assert_eq!(
+        event_receiver.recv_timeout(TEST_TIMEOUT),
+        Ok(HandlerEvent::HungUp)
+    );
 }
 
 /// Guards against a watch that is not removed after its request: the watch of the next request on
 /// the connection would fail.
 #[test]
-fn each_request_of_a_connection_is_watched_anew() {
-    let (told, tells) = mpsc::channel();
+fn each_request_watched() {
+    let (event_sender, event_receiver) = mpsc::channel();
     let watcher = Arc::new(HangupWatcher::start().expect("a watcher"));
     let server = start(
         Options::default(),
-        Calls(move |request: Request, responder: Responder<'_>| {
+        FunctionHandler(move |request: Request, responder: Responder<'_>| {
             let (hung_up, has_hung_up) = mpsc::channel();
             let watched = watcher.watch(request.socket(), move || {
                 hung_up.send(()).expect("the handler waits");
@@ -81,7 +95,8 @@
             assert!(watcher.watch(request.socket(), || {}).is_err());
             let _ = responder.send(Response::new(200).body("ok"));
             if request.path() == "/2" {
-                told.send(has_hung_up.recv_timeout(PATIENCE))
+                event_sender
+                    .send(has_hung_up.recv_timeout(TEST_TIMEOUT))
                     .expect("the test waits");
             }
         }),
@@ -93,5 +108,5 @@
         support::read_until(&mut client, "ok");
     }
     drop(client);
-    assert_eq!(tells.recv_timeout(PATIENCE), Ok(Ok(())));
+    assert_eq!(event_receiver.recv_timeout(TEST_TIMEOUT), Ok(Ok(())));
 }
--- a/crates/http/tests/cut_answers.rs
+++ b/crates/http/tests/cut_responses.rs
@@ -12,17 +12,17 @@
 use apricotdale_http::Responder;
 use apricotdale_http::ResponseHead;
 use rstest::rstest;
-use support::Calls;
+use support::FunctionHandler;
 use support::connect;
 use support::exchange;
 use support::start;
 
-fn half_a_stream(_: Request, responder: Responder<'_>) {
+fn unfinished_stream(_: Request, responder: Responder<'_>) {
     let mut stream = responder.start(ResponseHead::new(200)).expect("a stream");
     stream.send_piece(b"half").expect("a piece");
 }
 
-fn half_then_panic(request: Request, responder: Responder<'_>) {
+fn panic_in_stream(request: Request, responder: Responder<'_>) {
     let mut stream = responder.start(ResponseHead::new(200)).expect("a stream");
     stream.send_piece(b"half").expect("a piece");
     panic!("a scripted panic in {}", request.path());
@@ -31,10 +31,10 @@
 /// Guards against an encoder that ends the body when it is dropped: the handler abandons a stream
 /// or panics within it, and the client would act on half a response.
 #[rstest]
-#[case::dropped(half_a_stream)]
-#[case::panic(half_then_panic)]
-fn a_stream_that_was_given_up_has_no_last_chunk(#[case] handler: fn(Request, Responder<'_>)) {
-    let server = start(Options::default(), Calls(handler));
+#[case::dropped(unfinished_stream)]
+#[case::panic(panic_in_stream)]
+fn abandoned_stream_unfinished(#[case] handler: fn(Request, Responder<'_>)) {
+    let server = start(Options::default(), FunctionHandler(handler));
     let answer = exchange(&server, b"GET / HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(answer.ends_with("4\r\nhalf\r\n"), "{answer}");
 }
@@ -42,8 +42,8 @@
 /// Guards against the same for an HTTP/1.0 client, which takes the end of the connection for the
 /// end of the response.
 #[test]
-fn a_given_up_stream_is_reset_for_an_old_client() {
-    let server = start(Options::default(), Calls(half_a_stream));
+fn http_10_stream_reset() {
+    let server = start(Options::default(), FunctionHandler(unfinished_stream));
     let mut client = connect(&server);
     client.write_all(b"GET / HTTP/1.0\r\n\r\n").expect("sent");
     let read = client.read_to_end(&mut Vec::new());
@@ -59,19 +59,19 @@
 #[rstest]
 #[case::unused(no_answer)]
 #[case::panic(panics)]
-fn a_request_without_an_answer_gets_an_error(#[case] handler: fn(Request, Responder<'_>)) {
-    let server = start(Options::default(), Calls(handler));
+fn missing_response(#[case] handler: fn(Request, Responder<'_>)) {
+    let server = start(Options::default(), FunctionHandler(handler));
     let request = b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
     let answer = exchange(&server, request);
     assert!(answer.starts_with("HTTP/1.1 500 "), "{answer}");
 }
 
 #[test]
-fn a_closed_responder_says_nothing() {
+fn closed_responder() {
     let called = AtomicBool::new(false);
     let server = start(
         Options::default(),
-        Calls(move |_, responder: Responder<'_>| {
+        FunctionHandler(move |_, responder: Responder<'_>| {
             called.store(true, Ordering::Relaxed);
             responder.close();
         }),
--- a/crates/http/tests/early_errors.rs
+++ b/crates/http/tests/early_errors.rs
@@ -7,14 +7,14 @@
 
 use apricotdale_http::Options;
 use support::Echo;
-use support::PATIENCE;
+use support::TEST_TIMEOUT;
 use support::connect;
 use support::read_to_close;
 use support::read_until;
 use support::start;
 
 /// Sends many small pieces, so that a reset by the server shows in a later one.
-fn send_on(client: &mut TcpStream) -> std::io::Result<()> {
+fn send_pieces(client: &mut TcpStream) -> std::io::Result<()> {
     (0..256).try_for_each(|_| client.write_all(&[b'x'; 128]))
 }
 
@@ -22,10 +22,10 @@
 /// to the head with an error while the client sends its body. A connection that is closed with
 /// unread bytes is reset, and over a network the reset can overtake the response.
 #[test]
-fn a_client_may_send_on_after_an_early_error() {
+fn send_after_error() {
     let options = Options {
         max_body_bytes: 100,
-        linger_timeout: PATIENCE,
+        linger_timeout: TEST_TIMEOUT,
         ..Options::default()
     };
     let server = start(options, Echo);
@@ -34,15 +34,15 @@
     client.write_all(head.as_bytes()).expect("sent");
     let answer = read_to_close(&mut client);
     assert!(answer.starts_with("HTTP/1.1 413 "), "{answer}");
-    send_on(&mut client).expect("the server still reads");
+    send_pieces(&mut client).expect("the server still reads");
 }
 
 /// Guards against the same for a connection above the limit.
 #[test]
-fn a_client_may_send_on_after_it_was_turned_away() {
+fn send_after_rejection() {
     let options = Options {
         max_connections: 1,
-        linger_timeout: PATIENCE,
+        linger_timeout: TEST_TIMEOUT,
         ..Options::default()
     };
     let server = start(options, Echo);
@@ -56,5 +56,5 @@
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     // Once another connection is rejected, the accepting thread is done with the first.
     read_to_close(&mut connect(&server));
-    send_on(&mut client).expect("the connection is still there");
+    send_pieces(&mut client).expect("the connection is still there");
 }
--- a/crates/http/tests/event_order.rs
+++ b/crates/http/tests/event_order.rs
@@ -8,7 +8,7 @@
 
 use apricotdale_http::Options;
 use apricotdale_http::ResponseHead;
-use support::Calls;
+use support::FunctionHandler;
 use support::connect;
 use support::read_until;
 use support::start;
@@ -17,12 +17,12 @@
 /// client has read each event before it sends the next. Such a server would keep this test from
 /// ending.
 #[test]
-fn each_piece_arrives_before_the_next_is_sent() {
+fn pieces_sent_immediately() {
     let (read, has_read) = mpsc::channel::<usize>();
     let has_read = Mutex::new(has_read);
     let server = start(
         Options::default(),
-        Calls(move |_, responder: apricotdale_http::Responder<'_>| {
+        FunctionHandler(move |_, responder: apricotdale_http::Responder<'_>| {
             let mut stream = responder.start(ResponseHead::new(200)).expect("a stream");
             for index in 0..5 {
                 let event = format!("data: {index}\n\n");
--- a/crates/http/tests/graceful_stop.rs
+++ b/crates/http/tests/graceful_stop.rs
@@ -11,9 +11,9 @@
 use apricotdale_http::Options;
 use apricotdale_http::Responder;
 use apricotdale_http::ResponseHead;
-use support::Calls;
 use support::Echo;
-use support::PATIENCE;
+use support::FunctionHandler;
+use support::TEST_TIMEOUT;
 use support::connect;
 use support::read_to_close;
 use support::read_until;
@@ -22,15 +22,18 @@
 /// Guards against a stop that closes connections with requests in progress: a stream has begun when
 /// the server is stopped.
 #[test]
-fn a_stream_in_progress_ends_whole() {
+fn stream_completes() {
     let (go_on, may_go_on) = mpsc::channel::<()>();
     let may_go_on = Mutex::new(may_go_on);
     let server = start(
         Options::default(),
-        Calls(move |_, responder: Responder<'_>| {
+        FunctionHandler(move |_, responder: Responder<'_>| {
             let mut stream = responder.start(ResponseHead::new(200)).expect("a stream");
             stream.send_piece(b"first").expect("a piece");
-            let _ = may_go_on.lock().expect("no panic").recv_timeout(PATIENCE);
+            let _ = may_go_on
+                .lock()
+                .expect("no panic")
+                .recv_timeout(TEST_TIMEOUT);
             stream.send_piece(b"second").expect("a piece");
             stream.finish().expect("an end");
         }),
@@ -44,12 +47,12 @@
     assert!(!server.wait_idle(Duration::ZERO), "the request is over");
     go_on.send(()).expect("the handler waits");
     assert_eq!(read_to_close(&mut client), "6\r\nsecond\r\n0\r\n\r\n");
-    assert!(server.wait_idle(PATIENCE));
+    assert!(server.wait_idle(TEST_TIMEOUT));
     assert_eq!(server.connections(), 0);
 }
 
 #[test]
-fn idle_connections_are_closed_and_new_ones_refused() {
+fn idle_connections_closed() {
     let server = start(Options::default(), Echo);
     let mut idle = connect(&server);
     idle.write_all(b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -57,7 +60,7 @@
     read_until(&mut idle, "GET /1 ");
     server.stop();
     assert_eq!(read_to_close(&mut idle), "");
-    assert!(server.wait_idle(PATIENCE));
+    assert!(server.wait_idle(TEST_TIMEOUT));
     // The accepting thread closes the listener shortly after the stop.
     while TcpStream::connect(server.address()).is_ok() {}
 }
--- a/crates/http/tests/bad_requests.rs
+++ b/crates/http/tests/invalid_requests.rs
@@ -43,7 +43,7 @@
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: tea\r\n\r\n",
     417
 )]
-fn bad_input_gets_a_clear_error(#[case] request: &str, #[case] status: u16) {
+fn invalid_request_status(#[case] request: &str, #[case] status: u16) {
     let options = Options {
         max_head_bytes: 512,
         max_header_count: 16,
--- a/crates/http/tests/request_forms.rs
+++ b/crates/http/tests/request_forms.rs
@@ -26,7 +26,7 @@
 #[case::leading_line_ends("\r\n\r\nGET /b HTTP/1.1\r\nHost: a\r\n\r\n", "GET /b ")]
 #[case::bare_line_ends("GET /c HTTP/1.1\nHost: a\n\n", "GET /c ")]
 #[case::http_10("GET /d HTTP/1.0\r\n\r\n", "GET /d ")]
-fn a_request_is_read_whole(#[case] request: &str, #[case] echo: &str) {
+fn request_read_completely(#[case] request: &str, #[case] echo: &str) {
     let server = start(Options::default(), Echo);
     let mut client = connect(&server);
     client.write_all(request.as_bytes()).expect("sent");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn requests_sent_ahead_are_answered_in_order_on_one_connection() {
+fn pipelined_requests() {
     let server = start(Options::default(), Echo);
     let first = "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
     let second = "GET /2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_answer_to_head_has_a_length_and_no_body() {
+fn head_response() {
     let server = start(Options::default(), Echo);
     let request = b"HEAD /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
     let answer = exchange(&server, request);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_client_that_waits_for_the_go_ahead_gets_it() {
+fn expect_continue() {
     let server = start(Options::default(), Echo);
     let mut client = connect(&server);
     let head = "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
@@ -77,7 +77,7 @@
 #[case::chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nab")]
 #[case::between_chunks("Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")]
 #[case::length("Content-Length: 5\r\n\r\nab")]
-fn a_body_that_was_cut_reaches_no_handler(#[case] rest: &str) {
+fn cut_body(#[case] rest: &str) {
     let server = start(Options::default(), Echo);
     let mut client = connect(&server);
     let request = format!("POST / HTTP/1.1\r\nHost: a\r\n{rest}");
--- a/crates/http/tests/slow_clients.rs
+++ b/crates/http/tests/slow_clients.rs
@@ -15,24 +15,26 @@
 use apricotdale_http::Responder;
 use apricotdale_http::ResponseHead;
 use rstest::rstest;
-use support::Calls;
 use support::Echo;
-use support::PATIENCE;
+use support::FunctionHandler;
+use support::TEST_TIMEOUT;
 use support::connect;
 use support::exchange;
 use support::read_to_close;
 use support::start;
 
-const SHORT: Duration = Duration::from_millis(50);
-const TRICKLE: Duration = Duration::from_millis(5);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Sends single bytes with a short wait for a response between them.
 fn trickle(client: &mut TcpStream, start: &str) -> String {
     client.write_all(start.as_bytes()).expect("sent");
-    client.set_read_timeout(Some(TRICKLE)).expect("a timeout");
+    client
+        .set_read_timeout(Some(TRICKLE_INTERVAL))
+        .expect("a timeout");
     let began = Instant::now();
     let mut answer = Vec::new();
-    while began.elapsed() < PATIENCE {
+    while began.elapsed() < TEST_TIMEOUT {
         match client.read_to_end(&mut answer) {
             Ok(_) => return String::from_utf8(answer).expect("text"),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
@@ -50,10 +52,10 @@
 #[case::head("GET / HTTP/1.1\r\nHost: a\r\nX-Slow: ")]
 #[case::body("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n")]
 #[case::chunk("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n")]
-fn a_trickling_client_is_answered_408(#[case] request: &str) {
+fn trickling_client(#[case] request: &str) {
     let options = Options {
-        head_timeout: SHORT,
-        body_timeout: SHORT,
+        head_timeout: SHORT_TIMEOUT,
+        body_timeout: SHORT_TIMEOUT,
         max_head_bytes: 1_000_000,
         ..Options::default()
     };
@@ -63,9 +65,9 @@
 }
 
 #[test]
-fn a_silent_connection_is_closed_without_a_word() {
+fn idle_connection_closed() {
     let options = Options {
-        idle_timeout: SHORT,
+        idle_timeout: SHORT_TIMEOUT,
         ..Options::default()
     };
     let server = start(options, Echo);
@@ -75,15 +77,15 @@
 /// Guards against a write without a time limit: a client asks for a stream and reads nothing, the
 /// buffers fill up, and the thread would wait for ever.
 #[test]
-fn a_client_that_does_not_read_ends_its_stream() {
+fn unread_stream() {
     let (ended, has_ended) = mpsc::channel();
     let options = Options {
-        write_timeout: SHORT,
+        write_timeout: SHORT_TIMEOUT,
         ..Options::default()
     };
     let server = start(
         options,
-        Calls(move |_, responder: Responder<'_>| {
+        FunctionHandler(move |_, responder: Responder<'_>| {
             let mut stream = responder.start(ResponseHead::new(200)).expect("a stream");
             let piece = vec![b'x'; 1 << 20];
             let failure = loop {
@@ -98,14 +100,14 @@
     client
         .write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         .expect("sent");
-    let failure = has_ended.recv_timeout(PATIENCE).expect("an end");
+    let failure = has_ended.recv_timeout(TEST_TIMEOUT).expect("an end");
     assert!(matches!(failure, Error::WriteTimeout), "{failure}");
 }
 
 /// Guards against clients that wait while all connections are in use: one client holds the only
 /// connection, and the next must be sent an error at once.
 #[test]
-fn a_connection_above_the_limit_is_answered_at_once() {
+fn connection_limit() {
     let options = Options {
         max_connections: 1,
         ..Options::default()
--- a/crates/http/tests/support/mod.rs
+++ b/crates/http/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use apricotdale_http::Server;
 
 /// Bounds the waits of a failing test. No assertion depends on its length.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Handler that responds with the method, the path and the body of the request.
 pub struct Echo;
@@ -36,9 +36,9 @@
 }
 
 /// Handler that calls a function.
-pub struct Calls<F>(pub F);
+pub struct FunctionHandler<F>(pub F);
 
-impl<F> Handler for Calls<F>
+impl<F> Handler for FunctionHandler<F>
 where
     F: Fn(Request, Responder<'_>) + Send + Sync,
 {
@@ -55,7 +55,7 @@
 pub fn connect(server: &Server) -> TcpStream {
     let client = TcpStream::connect(server.address()).expect("a connection");
     client
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a read timeout");
     client
 }
