--- a/crates/adapters/src/answer.rs
+++ b/crates/adapters/src/answer.rs
@@ -1,4 +1,4 @@
-//! Whole bodies, and how one that was cut shows.
+//! Complete bodies of answers, and the detection of those that were cut.
 
 use std::io;
 use std::io::Read;
@@ -18,7 +18,7 @@
 
 const CHUNKED: &str = "chunked";
 
-/// Returns a header's text, or an empty text if it is absent or not plain ASCII.
+/// Returns the value of a header, or an empty text if it is absent or not plain ASCII.
 pub(crate) fn header(headers: &HeaderMap, name: HeaderName) -> &str {
     headers
         .get(name)
@@ -26,21 +26,21 @@
         .unwrap_or_default()
 }
 
-/// Returns the content type of an answer.
+/// Returns the content type of an answer, or an empty text if there is none.
 pub(crate) fn content_type(response: &Response<Body>) -> String {
     header(response.headers(), CONTENT_TYPE).to_owned()
 }
 
-/// Returns the whole body of an answer that may have one.
+/// Reads the complete body of an answer.
 ///
-/// A body that ends when the connection closes may have been cut there, and nothing would show it:
-/// half of a slot list would pass for the whole. So a body counts as whole only if its length was
-/// announced or its last chunk came.
+/// If a body ends with its connection, nothing shows whether it was cut: half of a slot list would
+/// count as complete. A body is therefore accepted only if its length was announced or its last
+/// chunk arrived.
 ///
 /// # Errors
 ///
-/// `Error::Unknown` if the body was cut or late, `Error::Malformed` if it is above the limit or not
-/// framed as announced.
+/// `Error::Unknown` if the body was cut or late, `Error::Malformed` if it exceeds the limit or does
+/// not have the announced framing.
 pub(crate) fn read_whole(response: Response<Body>, limit_bytes: usize) -> Result<Vec<u8>> {
     let announced = header(response.headers(), CONTENT_LENGTH)
         .parse::<u64>()
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns whether the body comes in chunks. HTTP/1.0 has none, and its bodies end with their
+/// Returns whether the body is chunked. HTTP/1.0 has no chunks: its bodies end with their
 /// connection whatever is announced.
 fn is_chunked(response: &Response<Body>) -> bool {
     let codings = header(response.headers(), TRANSFER_ENCODING);
@@ -75,7 +75,7 @@
     matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
 }
 
-/// Returns the error of a body that could not be read on.
+/// Converts the error of reading a body.
 pub(crate) fn read_failed(error: io::Error) -> Error {
     let inner = error
         .get_ref()
