--- a/crates/adapters/src/clock.rs
+++ b/crates/adapters/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the daemons.
+//! Clock of the daemons.
 
 use std::time::Instant;
 use std::time::SystemTime;
@@ -6,7 +6,7 @@
 
 use apricotdale_core::serving::Clock;
 
-/// `SystemClock` is the machine's clock. Its monotonic time starts at zero when it is created.
+/// Clock of the machine. Its monotonic time is zero when the value is created.
 #[derive(Clone, Debug)]
 pub struct SystemClock {
     start: Instant,
@@ -33,8 +33,8 @@
     }
 
     fn unix_ms(&self) -> u64 {
-        // A machine whose clock stands before 1970 reads as the epoch itself; that shows in every
-        // log line and disturbs no deadline, since deadlines are on the monotonic clock.
+        // A machine clock before 1970 reads as the epoch. That shows in every log line and affects
+        // no deadline, since deadlines use the monotonic clock.
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
