--- a/crates/adapters/src/connection.rs
+++ b/crates/adapters/src/connection.rs
@@ -1,4 +1,4 @@
-//! The one connection of an exchange, and what is known of it.
+//! The single connection of an exchange, with its state and deadline.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use ureq::unversioned::transport::Transport;
 use ureq::unversioned::transport::time::Duration;
 
-/// `Watch` is what an exchange knows of its connection. The exchange and the connection share it.
+/// State of a connection, shared by the exchange and the connection.
 #[derive(Debug)]
 pub(crate) struct Watch {
     taken: AtomicBool,
@@ -32,7 +32,7 @@
 }
 
 impl Watch {
-    /// Returns the watch of a connection that is not yet there.
+    /// Returns the state of a connection that is not established yet.
     pub(crate) fn new(deadline: Instant) -> Arc<Self> {
         Arc::new(Self {
             taken: AtomicBool::new(false),
@@ -41,22 +41,26 @@
         })
     }
 
-    /// Returns whether the connection was ever established. Until then nothing was sent.
+    /// Returns whether the connection was ever established. Before that, nothing was sent.
     pub(crate) fn connected(&self) -> bool {
         self.connected.load(Ordering::SeqCst)
     }
 
-    /// Returns the moment at which a pending read or write fails.
+    /// Returns when a pending read or write fails.
     pub(crate) fn deadline(&self) -> Instant {
         *self.deadline.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Moves the moment at which a pending read or write fails.
+    /// Sets when a pending read or write fails.
     pub(crate) fn set_deadline(&self, deadline: Instant) {
         *self.deadline.lock().unwrap_or_else(PoisonError::into_inner) = deadline;
     }
 
-    /// Returns the timeout shortened to the deadline, or the error of a deadline that has passed.
+    /// Returns the timeout, shortened to the deadline.
+    ///
+    /// # Errors
+    ///
+    /// `Error::Timeout` if the deadline has passed.
     fn clamp(&self, timeout: NextTimeout, reason: Timeout) -> Result<NextTimeout, Error> {
         let left = self.deadline().saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -74,11 +78,11 @@
     }
 }
 
-/// `SingleConnector` establishes one connection and no second one.
+/// Connector that establishes one connection and refuses to establish a second.
 ///
-/// An HTTP client that reconnects and sends again turns a lost answer into a second run. One would
-/// notice by a doubled booking or an order obeyed twice. With this connector a second attempt fails
-/// instead, whatever the library does.
+/// An HTTP client that reconnects and sends again turns a lost answer into a second run, such as a
+/// doubled booking or an order executed twice. With this connector a second attempt fails, whatever
+/// the library does.
 #[derive(Debug)]
 pub(crate) struct SingleConnector {
     watch: Arc<Watch>,
@@ -86,7 +90,7 @@
 }
 
 impl SingleConnector {
-    /// Returns a connector whose only connection is watched.
+    /// Returns a connector whose connection updates the given state.
     pub(crate) fn new(watch: Arc<Watch>) -> Self {
         Self {
             watch,
@@ -118,9 +122,8 @@
     }
 }
 
-/// `WatchedTransport` is a connection whose reads and writes end at the watch's deadline. The
-/// library fixes its own timeouts when a call begins; the deadline of a stream moves with each
-/// event.
+/// Connection whose reads and writes end at a deadline that can be moved. The library fixes its own
+/// timeouts when a call begins, but the deadline of a stream moves with each event.
 #[derive(Debug)]
 pub(crate) struct WatchedTransport {
     inner: Box<dyn Transport>,
@@ -147,8 +150,8 @@
     }
 }
 
-/// `AddressResolver` takes the address from the URL as it is. The library's own resolver starts a
-/// thread for every call that has a timeout.
+/// Resolver that parses the address in the URL. The library's own resolver starts a thread for
+/// every call that has a timeout.
 #[derive(Clone, Copy)]
 pub(crate) struct AddressResolver;
 
