--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP: orders and reports. Serving is in module `serving`.
+//! Orders to engines and engine reports over HTTP. Requests to engines are in module `serving`.
 
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
 const UNPROCESSABLE: u16 = 422;
 const STALE_FENCE: &str = "stale_fence";
 
-/// `HttpEngine` gives orders and requests to engines over HTTP and reads their reports.
+/// Client of engines over HTTP: sends orders and requests, reads reports.
 #[derive(Clone, Debug)]
 pub struct HttpEngine {
     pub(crate) http: HttpOptions,
@@ -52,7 +52,7 @@
 }
 
 impl HttpEngine {
-    /// Returns an adapter for engines.
+    /// Returns a client with the given options. Each call names its engine.
     pub fn new(http: &HttpOptions, options: &EngineOptions) -> Self {
         Self {
             http: http.clone(),
@@ -126,8 +126,8 @@
     }
 }
 
-/// Returns the outcome of an order. Only a refusal that can be understood says that the order had
-/// no effect; every other answer than a status leaves that open.
+/// Returns the outcome of an order. Only a refusal that can be parsed shows that the order had no
+/// effect. After any answer that is neither a refusal nor a status, the outcome is unknown.
 fn order_outcome(status: u16, body: &[u8]) -> Result<EngineStatus> {
     match status {
         OK => parse(body).map_err(outcome_unknown),
