--- a/crates/adapters/src/events.rs
+++ b/crates/adapters/src/events.rs
@@ -1,4 +1,4 @@
-//! Splitting a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
@@ -7,18 +7,18 @@
 const DATA_FIELD: &[u8] = b"data:";
 const COMMENT: u8 = b':';
 
-/// `Event` is one whole event with its closing blank line.
+/// A complete event with its closing blank line.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Event {
-    /// The bytes as they came.
+    /// Bytes as received.
     pub(crate) bytes: Vec<u8>,
-    /// Whether this event says that the stream is whole.
+    /// Whether the event is the `[DONE]` marker, which completes the stream.
     pub(crate) done: bool,
-    /// Whether the event only holds comments, which engines send to keep a connection open.
+    /// Whether the event has only comments, which engines send to keep a connection open.
     pub(crate) comment: bool,
 }
 
-/// `EventSplitter` cuts a stream at the blank lines between events.
+/// Splits a byte stream at the blank lines between events.
 #[derive(Debug)]
 pub(crate) struct EventSplitter {
     buffer: Vec<u8>,
@@ -31,7 +31,7 @@
 }
 
 impl EventSplitter {
-    /// Returns a splitter for events up to the given size.
+    /// Returns a splitter for events of at most `limit_bytes`.
     pub(crate) fn new(limit_bytes: usize) -> Self {
         Self {
             buffer: Vec::new(),
@@ -44,16 +44,16 @@
         }
     }
 
-    /// Takes in bytes of the stream.
+    /// Appends bytes of the stream.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event, or none if more bytes are needed.
+    /// Returns the next complete event, or none if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// `Error::Malformed` if an event is above the limit.
+    /// `Error::Malformed` if an event exceeds the limit.
     pub(crate) fn next_event(&mut self) -> Result<Option<Event>> {
         while let Some(line_end) = self.find_line_end() {
             let blank = self.scanned == self.line_start;
@@ -75,8 +75,8 @@
     }
 
     /// Moves `scanned` to the end of the current line's text and returns where the next line
-    /// starts. A carriage return at the end of the bytes may be the first half of a line end, so it
-    /// waits for the next byte.
+    /// starts. A carriage return at the end of the buffer may be half of a line end, so the next
+    /// byte is awaited.
     fn find_line_end(&mut self) -> Option<usize> {
         let found = self.buffer[self.scanned..]
             .iter()
