--- a/crates/adapters/src/exchange.rs
+++ b/crates/adapters/src/exchange.rs
@@ -1,10 +1,10 @@
-//! Calls whose effect counts: each is sent at most once.
+//! Calls with an effect, each sent at most once.
 //!
-//! An exchange has a connection of its own. A kept connection may have been closed by the other
-//! side, which shows only after the request was written; whether the request was read is then not
-//! known, and an HTTP client that sends it again on a new connection may run it twice. A new
-//! connection for each call costs one round trip and makes the outcome plain: until the connection
-//! stands, nothing was sent (`Error::Unavailable`); from then on it may have been received
+//! Each exchange has its own connection. A kept connection may have been closed by the upstream,
+//! which shows only after the request was written. It is then unknown whether the request was read,
+//! and an HTTP client that sends it again on a new connection may run it twice. A new connection
+//! per call costs one round trip and makes the outcome clear: before the connection is established,
+//! nothing was sent (`Error::Unavailable`); after that the call may have been received
 //! (`Error::Unknown`).
 
 use std::net::SocketAddr;
@@ -28,49 +28,49 @@
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
 
-/// How the adapters name themselves.
+/// User agent of the adapters.
 pub(crate) const USER_AGENT: &str = "apricotdale";
 
-/// The content type of what the adapters themselves send.
+/// Content type of the bodies that the adapters write themselves.
 pub(crate) const JSON: &str = "application/json";
 
-/// `Outgoing` is one call that is to be sent at most once.
+/// Call that is to be sent at most once.
 pub(crate) struct Outgoing<'a> {
-    /// Where to.
+    /// Address of the upstream.
     pub(crate) address: SocketAddr,
-    /// The HTTP method.
+    /// HTTP method.
     pub(crate) method: Method,
-    /// The path, with its query.
+    /// Path with its query, beginning with a slash.
     pub(crate) path: &'a str,
-    /// The content type of the body.
+    /// Content type of the body. If empty, no such header is sent.
     pub(crate) content_type: &'a str,
     /// Further headers.
     pub(crate) headers: Vec<(&'static str, String)>,
-    /// The body, or none for a call without one.
+    /// Body, or none for a call without one.
     pub(crate) body: Option<&'a [u8]>,
-    /// When the answer's head must have come.
+    /// When the head of the answer must have arrived.
     pub(crate) deadline: Instant,
 }
 
-/// `Incoming` is an answer whose head has come.
+/// Answer whose head has arrived.
 pub(crate) struct Incoming {
-    /// The head and the body still to be read.
+    /// Head, and the body that is still to be read.
     pub(crate) response: Response<Body>,
-    /// The watch of the connection, whose deadline covers the body as well until it is moved.
+    /// State of the connection. Its deadline covers the body too, until it is moved.
     pub(crate) watch: Arc<Watch>,
 }
 
-/// Returns the deadline that many milliseconds from now.
+/// Returns the deadline `timeout_ms` milliseconds from now.
 pub(crate) fn deadline_in(timeout_ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(timeout_ms)
 }
 
-/// Sends a call and returns when the head of its answer has come.
+/// Sends a call and returns once the head of its answer has arrived.
 ///
 /// # Errors
 ///
-/// `Error::Rejected` for a call that can't be written as HTTP, `Error::Unavailable` if no
-/// connection was established, `Error::Unknown` for everything that fails later.
+/// `Error::Rejected` if the call can't be written as HTTP, `Error::Unavailable` if no connection
+/// was established, `Error::Unknown` for every later failure.
 pub(crate) fn send(options: &HttpOptions, outgoing: Outgoing<'_>) -> Result<Incoming> {
     let watch = Watch::new(outgoing.deadline);
     let connector = SingleConnector::new(watch.clone());
@@ -88,7 +88,7 @@
 }
 
 fn request(outgoing: &Outgoing<'_>) -> Result<Builder> {
-    // Without its slash, a path could change the address before it.
+    // A path without a leading slash could change the host of the URL.
     if !outgoing.path.starts_with('/') {
         return Err(Error::rejected("the call's path has no leading slash"));
     }
