--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -1,11 +1,11 @@
-//! Adapters that meet the outside interfaces over HTTP.
+//! HTTP adapters for the interfaces to the platform and the upstreams.
 //!
 //! Each adapter implements traits of `apricotdale-core`. The rest of the system holds them as trait
-//! objects in [`Adapters`], so another protocol means another adapter and no other change.
+//! objects in [`Adapters`], so another protocol needs another adapter and no other change.
 //!
-//! What matters most here is to tell a call that certainly had no effect (`Error::Unavailable`)
-//! from one that may have had (`Error::Unknown`). Module `exchange` draws that line: a call whose
-//! effect counts gets one connection of its own and is sent on it at most once.
+//! The adapters distinguish a call that certainly had no effect (`Error::Unavailable`) from one
+//! that may have had one (`Error::Unknown`). Module `exchange` ensures this: a call with an effect
+//! has its own connection and is sent on it at most once.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
