--- a/crates/adapters/src/log.rs
+++ b/crates/adapters/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log over HTTP.
+//! Client of the append-only log over HTTP.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -31,7 +31,7 @@
 const RECORD_TYPE: &str = "application/octet-stream";
 const APPEND_ANSWER_LIMIT_BYTES: usize = 64 * 1024;
 
-/// `HttpLog` is the platform's log over HTTP.
+/// Client of the platform's log over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpLog {
     http: HttpOptions,
@@ -64,7 +64,7 @@
 }
 
 impl HttpLog {
-    /// Returns an adapter for the log at the address in the options.
+    /// Returns a client of the log at the address in the options.
     pub fn new(http: &HttpOptions, options: &LogOptions) -> Self {
         Self {
             http: http.clone(),
@@ -109,8 +109,8 @@
     }
 }
 
-/// Returns the outcome of an append. Only the two refusals say that the record is not there; any
-/// other answer than an offset leaves that open.
+/// Returns the outcome of an append. Only statuses 429 and 503 show that the record was not
+/// appended. After any answer that is neither of these nor an offset, the outcome is unknown.
 fn read_append(incoming: Incoming) -> Result<Offset> {
     match incoming.response.status().as_u16() {
         TOO_MANY => Err(Error::unavailable("the log takes no more appends now")),
@@ -127,8 +127,8 @@
     }
 }
 
-/// Returns the error of an expired offset. An answer by which the offset asked for is still kept
-/// contradicts itself; taken at its word, the reader would start over for ever.
+/// Returns the error of an expired offset. An answer that reports the requested offset as kept
+/// contradicts itself. It is malformed, since a reader that accepted it would restart for ever.
 fn expired(answer: ExpiredAnswer, from: Offset) -> Error {
     match answer.first {
         first if first > from => Error::Expired { first },
@@ -136,11 +136,14 @@
     }
 }
 
-/// Returns a read answer as a batch.
+/// Converts a read answer to a batch.
 ///
-/// Replay counts on records that follow each other without a gap. A record that is missing or
-/// stands twice would make this VM's state differ from that of the others, so an answer in which
-/// the offsets do not grow by one from the one asked for is refused.
+/// Replay needs records without gaps. A missing or duplicate record would make this VM's state
+/// differ from that of the others, so offsets must increase by one from the requested one.
+///
+/// # Errors
+///
+/// `Error::Malformed` if the offsets, the end or a payload are invalid.
 fn batch(answer: ReadAnswer, from: Offset) -> Result<LogBatch> {
     let mut records = Vec::with_capacity(answer.records.len());
     let mut expected = from;
