--- a/crates/adapters/src/options.rs
+++ b/crates/adapters/src/options.rs
@@ -1,19 +1,19 @@
-//! Tunables of the adapters: addresses, timeouts and size limits.
+//! Options of the adapters: addresses, timeouts and size limits.
 
 use std::net::SocketAddr;
 
-/// `HttpOptions` are the tunables that every HTTP adapter shares.
+/// Options that all HTTP adapters share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpOptions {
-    /// The longest time to establish a connection.
+    /// Timeout of establishing a connection.
     pub connect_timeout_ms: u64,
-    /// The largest answer head that is read.
+    /// Maximum size of an answer's head.
     pub head_limit_bytes: usize,
-    /// The size of each of a connection's two buffers. It must hold the largest head.
+    /// Size of each of a connection's two buffers, at least `head_limit_bytes`.
     pub buffer_bytes: usize,
-    /// How many idle connections are kept for reads. Calls that have an effect keep none.
+    /// Maximum number of idle connections kept for reads. Calls with an effect keep none.
     pub idle_connections: usize,
-    /// How long an idle connection is kept for reads.
+    /// Maximum time that an idle connection is kept for reads.
     pub idle_connection_ms: u64,
 }
 
@@ -29,21 +29,21 @@
     }
 }
 
-/// `LogOptions` are the tunables of [`HttpLog`](crate::HttpLog).
+/// Options of [`HttpLog`](crate::HttpLog).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogOptions {
-    /// Where the log service answers.
+    /// Address of the log service.
     pub address: SocketAddr,
-    /// The longest time until an append is answered.
+    /// Timeout of an append.
     pub append_timeout_ms: u64,
-    /// The longest time until a read is answered, beyond the time for which the read itself waits.
+    /// Timeout of a read, in addition to the time for which the read waits for records.
     pub read_timeout_ms: u64,
-    /// The largest answer to a read.
+    /// Maximum size of the answer to a read.
     pub answer_limit_bytes: usize,
 }
 
 impl LogOptions {
-    /// Returns the default tunables for a log service at the given address.
+    /// Returns the default options for a log service at an address.
     pub fn at(address: SocketAddr) -> Self {
         Self {
             address,
@@ -54,18 +54,18 @@
     }
 }
 
-/// `EngineOptions` are the tunables of [`HttpEngine`](crate::HttpEngine).
+/// Options of [`HttpEngine`](crate::HttpEngine).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOptions {
-    /// The longest time until an engine has raised its fence.
+    /// Timeout of raising an engine's fence.
     pub fence_timeout_ms: u64,
-    /// The longest time until a status, a load report or cache events are read.
+    /// Timeout of reading a status, a load report or cache events.
     pub report_timeout_ms: u64,
-    /// The longest time until a cancellation is answered.
+    /// Timeout of a cancellation.
     pub cancel_timeout_ms: u64,
-    /// The largest status, load report or list of cache events.
+    /// Maximum size of a status, a load report or a list of cache events.
     pub report_limit_bytes: usize,
-    /// The largest piece of an answer: one event of a stream, or the whole of any other answer.
+    /// Maximum size of a piece of an answer: one event of a stream, or the complete body otherwise.
     pub piece_limit_bytes: usize,
 }
 
@@ -81,10 +81,10 @@
     }
 }
 
-/// `ServiceOptions` are the tunables of [`HttpService`](crate::HttpService).
+/// Options of [`HttpService`](crate::HttpService).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceOptions {
-    /// The largest body of an answer.
+    /// Maximum size of an answer's body.
     pub answer_limit_bytes: usize,
 }
 
@@ -96,19 +96,19 @@
     }
 }
 
-/// `WeightsOptions` are the tunables of [`HttpWeights`](crate::HttpWeights).
+/// Options of [`HttpWeights`](crate::HttpWeights).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsOptions {
-    /// Where the weight store answers.
+    /// Address of the weight store.
     pub address: SocketAddr,
-    /// The longest time until a question is answered.
+    /// Timeout of a query.
     pub timeout_ms: u64,
-    /// The largest answer.
+    /// Maximum size of an answer.
     pub answer_limit_bytes: usize,
 }
 
 impl WeightsOptions {
-    /// Returns the default tunables for a weight store at the given address.
+    /// Returns the default options for a weight store at an address.
     pub fn at(address: SocketAddr) -> Self {
         Self {
             address,
@@ -118,19 +118,19 @@
     }
 }
 
-/// `VmListOptions` are the tunables of [`HttpVmList`](crate::HttpVmList).
+/// Options of [`HttpVmList`](crate::HttpVmList).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmListOptions {
-    /// Where the platform serves the list.
+    /// Address at which the platform serves the VM list.
     pub address: SocketAddr,
-    /// The longest time until the list is read.
+    /// Timeout of reading the VM list.
     pub timeout_ms: u64,
-    /// The largest list.
+    /// Maximum size of the VM list.
     pub answer_limit_bytes: usize,
 }
 
 impl VmListOptions {
-    /// Returns the default tunables for a list at the given address.
+    /// Returns the default options for a VM list at an address.
     pub fn at(address: SocketAddr) -> Self {
         Self {
             address,
@@ -140,25 +140,25 @@
     }
 }
 
-/// `Options` are the tunables of all HTTP adapters.
+/// Options of all HTTP adapters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// What all adapters share.
+    /// Options that all adapters share.
     pub http: HttpOptions,
-    /// The log service.
+    /// Options of the client of the log service.
     pub log: LogOptions,
-    /// The engines.
+    /// Options of the client of engines.
     pub engine: EngineOptions,
-    /// The plain services.
+    /// Options of the client of plain services.
     pub service: ServiceOptions,
-    /// The weight store.
+    /// Options of the client of the weight store.
     pub weights: WeightsOptions,
-    /// The list of VMs.
+    /// Options of the client of the VM list.
     pub vm_list: VmListOptions,
 }
 
 impl Options {
-    /// Returns the default tunables for a platform at the given addresses.
+    /// Returns the default options for a platform at the given addresses.
     pub fn at(log: SocketAddr, weights: SocketAddr, vm_list: SocketAddr) -> Self {
         Self {
             http: HttpOptions::default(),
