--- a/crates/adapters/src/paths.rs
+++ b/crates/adapters/src/paths.rs
@@ -1,18 +1,18 @@
-//! Paths with names in them.
+//! Encoding of names in URL paths.
 
 use percent_encoding::AsciiSet;
 use percent_encoding::NON_ALPHANUMERIC;
 use percent_encoding::utf8_percent_encode;
 
-/// What stands for itself in one segment of a path.
+/// Characters that are percent-encoded in a path segment: all but the unreserved ones.
 const ESCAPED: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
     .remove(b'_')
     .remove(b'~');
 
-/// Returns the name as one segment of a path. A name may hold slashes or question marks; written
-/// as they are, these would make a path that means something else.
+/// Encodes a name as one path segment. A slash or question mark in the name would otherwise change
+/// the meaning of the path.
 pub(crate) fn segment(name: &str) -> String {
     utf8_percent_encode(name, ESCAPED).to_string()
 }
