--- a/crates/adapters/src/reading.rs
+++ b/crates/adapters/src/reading.rs
@@ -1,4 +1,4 @@
-//! Reads without an effect. They may share kept connections.
+//! Reads, which have no effect and may therefore share kept connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,41 +17,40 @@
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
 
-/// The status of an answer with what was asked for.
+/// Status of an answer with the requested content.
 pub(crate) const OK: u16 = 200;
 
-/// The status of an answer without a body: what the reader holds is still right.
+/// Status of an answer without a body: the content has not changed since the given entity tag.
 pub(crate) const NOT_MODIFIED: u16 = 304;
 
-/// `Reader` reads JSON from one side of the platform or from upstreams.
+/// HTTP client for reads, with a limit on the size of an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Reader {
     agent: Agent,
     limit_bytes: usize,
 }
 
-/// `Page` is what was read.
+/// Answer to a read.
 pub(crate) struct Page {
-    /// The HTTP status.
+    /// HTTP status.
     pub(crate) status: u16,
-    /// The headers.
+    /// Headers of the answer.
     pub(crate) headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub(crate) body: Vec<u8>,
 }
 
 impl Page {
-    /// Returns the value of a header.
+    /// Returns the value of a header, or none if it is absent or not plain ASCII.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the body as the JSON form of a type.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// `Error::Unavailable` for any other status than 200, `Error::Malformed` for a body of
-    /// another form.
+    /// `Error::Unavailable` for any status but 200, `Error::Malformed` if the body does not parse.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T> {
         match self.status {
             OK => parse(&self.body),
@@ -60,17 +59,17 @@
     }
 }
 
-/// Returns a body as the JSON form of a type.
+/// Parses a body as JSON.
 ///
 /// # Errors
 ///
-/// `Error::Malformed` for a body of another form.
+/// `Error::Malformed` if the body does not parse.
 pub(crate) fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(|error| Error::malformed(error.to_string()))
 }
 
 impl Reader {
-    /// Returns a reader whose answers have at most the given size.
+    /// Returns a client whose answers have at most `limit_bytes`.
     pub(crate) fn new(options: &HttpOptions, limit_bytes: usize) -> Self {
         let config = Config::builder()
             .http_status_as_error(false)
@@ -93,17 +92,19 @@
         }
     }
 
-    /// Returns what is at a path.
+    /// Reads the content at a path.
     ///
     /// # Errors
     ///
-    /// `Error::Unavailable` if it could not be read in time, whatever the cause: a read has no
-    /// effect that could be unknown. `Error::Malformed` if the answer is no HTTP or too large.
+    /// `Error::Unavailable` if it could not be read before the timeout, whatever the cause: a read
+    /// has no effect that could be unknown. `Error::Malformed` if the answer is not HTTP or too
+    /// large.
     pub(crate) fn get(&self, address: SocketAddr, path: &str, timeout_ms: u64) -> Result<Page> {
         self.get_unless(address, path, None, timeout_ms)
     }
 
-    /// Returns what is at a path, or a page with [`NOT_MODIFIED`] if it still has the given tag.
+    /// Reads the content at a path, or returns status [`NOT_MODIFIED`] if its entity tag is still
+    /// `tag`.
     ///
     /// # Errors
     ///
