--- a/crates/adapters/src/registry.rs
+++ b/crates/adapters/src/registry.rs
@@ -1,4 +1,4 @@
-//! The adapters that a daemon runs with, as trait objects.
+//! Set of adapters that a daemon runs with.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,25 +19,25 @@
 use apricotdale_core::vm_list::VmList;
 use apricotdale_core::weights::WeightStore;
 
-/// `Adapters` is one adapter for each outside interface. Another protocol takes the place of one
+/// One adapter for each external interface, as trait objects. To use another protocol, replace one
 /// of them.
 #[derive(Clone)]
 pub struct Adapters {
-    /// The platform's log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// Orders to engines.
+    /// Sends orders to engines.
     pub orders: Arc<dyn EngineOrders>,
-    /// What engines report.
+    /// Reads reports from engines.
     pub reports: Arc<dyn EngineReports>,
-    /// Requests to engines.
+    /// Sends requests to engines.
     pub serving: Arc<dyn EngineServing>,
-    /// Calls to plain services.
+    /// Calls plain services.
     pub service: Arc<dyn PlainService>,
-    /// The weight store.
+    /// Queries the weight store.
     pub weights: Arc<dyn WeightStore>,
-    /// The list of VMs.
+    /// Reads the platform's VM list.
     pub vm_list: Arc<dyn VmList>,
-    /// The clock.
+    /// Clock of the machine.
     pub clock: Arc<dyn Clock>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns adapters that speak HTTP to everything outside, and the machine's clock.
+/// Returns HTTP adapters for all external interfaces, and the machine's clock.
 pub fn http_adapters(options: &Options) -> Adapters {
     let engine = Arc::new(HttpEngine::new(&options.http, &options.engine));
     Adapters {
