--- a/crates/adapters/src/service.rs
+++ b/crates/adapters/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services over HTTP.
+//! Client of plain services over HTTP.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 const REQUEST_ID: &str = "X-Request-Id";
 const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
 
-/// `HttpService` calls plain services over HTTP.
+/// Client of plain services over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpService {
     http: HttpOptions,
@@ -27,7 +27,7 @@
 }
 
 impl HttpService {
-    /// Returns an adapter for plain services.
+    /// Returns a client with the given options. Each call names its instance.
     pub fn new(http: &HttpOptions, options: &ServiceOptions) -> Self {
         Self {
             http: http.clone(),
@@ -70,8 +70,8 @@
     }
 }
 
-/// Returns whether a call is sent with a body. Methods that usually carry one send it even if it is
-/// empty, so that its length is announced.
+/// Returns whether a call is sent with a body. `POST`, `PUT` and `PATCH` send even an empty one, so
+/// that its length is announced.
 fn sends_body(method: &Method, body: &[u8]) -> bool {
     let usual = matches!(*method, Method::POST | Method::PUT | Method::PATCH);
     usual || !body.is_empty()
