--- a/crates/adapters/src/serving.rs
+++ b/crates/adapters/src/serving.rs
@@ -1,4 +1,4 @@
-//! Requests to engines and their answers, streamed event by event.
+//! Requests to engines, and their answers as complete bodies or event streams.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -97,18 +97,18 @@
     }
 }
 
-/// `Rest` is what is left of an answer.
+/// Remainder of an answer.
 enum Rest<T> {
-    /// More may come.
+    /// More may follow.
     Open(T),
-    /// The answer was whole.
+    /// The answer is complete.
     Ended,
-    /// The answer was cut or malformed. The error stays: if the next call returned none, a caller
-    /// that ignored the error would take half an answer for the whole.
+    /// The answer was cut or malformed. The error is kept: if the next call returned none, a caller
+    /// that ignored the error would take half an answer for a complete one.
     Failed(Error),
 }
 
-/// `WholeAnswer` is an answer that comes as one piece.
+/// Answer that is returned as one piece.
 struct WholeAnswer {
     head: ServeHead,
     rest: Rest<Incoming>,
@@ -153,7 +153,7 @@
     }
 }
 
-/// `StreamAnswer` is an answer that comes event by event.
+/// Answer that is returned event by event.
 struct StreamAnswer {
     head: ServeHead,
     rest: Rest<BodyReader<'static>>,
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Returns the next event, reading until it is whole. The first event must come by the deadline
-    /// of the answer's beginning, so the deadline moves only once an event is there.
+    /// Reads the next complete event. The deadline moves only after an event, because the first
+    /// event must arrive before the deadline for the beginning of the answer.
     fn next_event(&mut self, reader: &mut BodyReader<'static>) -> Result<Event> {
         let mut bytes = [0; READ_BYTES];
         loop {
@@ -200,8 +200,8 @@
     }
 
     fn next_piece(&mut self) -> Result<Option<Vec<u8>>> {
-        // The reader is dropped after the last event and after an error: its connection is closed
-        // at once, so the engine notices that nobody reads on.
+        // The reader is dropped after the last event and after an error. That closes its connection
+        // at once, so the engine notices that the answer is no longer read.
         let mut reader = match std::mem::replace(&mut self.rest, Rest::Ended) {
             Rest::Open(reader) => reader,
             Rest::Ended => return Ok(None),
