--- a/crates/adapters/src/vm_list.rs
+++ b/crates/adapters/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs over HTTP.
+//! Client of the platform's VM list over HTTP.
 
 use std::sync::Arc;
 
@@ -14,14 +14,14 @@
 use apricotdale_core::vm_list::VmList;
 use apricotdale_core::vm_list::VmListing;
 
-/// The header with the time of which the list speaks.
+/// Header with the time that the VM list refers to.
 const AS_OF_HEADER: &str = "X-As-Of-Ms";
 
-/// `HttpVmList` reads the list of VMs over HTTP.
+/// Client of the platform's VM list over HTTP.
 ///
-/// It keeps the last list with its entity tag and reads it again only if it has changed. A list of
-/// a thousand entries is some 200 KB, and one reading a second of that is fifty times what a VM may
-/// spend on all its control traffic.
+/// It caches the last VM list with its entity tag and reads the body again only if the list has
+/// changed. A list of a thousand entries has some 200 KB: reading that every second would be fifty
+/// times what a VM may spend on all its control traffic.
 #[derive(Clone, Debug)]
 pub struct HttpVmList {
     options: VmListOptions,
@@ -36,7 +36,7 @@
 }
 
 impl HttpVmList {
-    /// Returns an adapter for the list at the address in the options.
+    /// Returns a client of the VM list at the address in the options.
     pub fn new(http: &HttpOptions, options: &VmListOptions) -> Self {
         Self {
             options: options.clone(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the known list as of the time that an answer without a body tells.
+    /// Returns the cached VM list with the time in the headers of an answer without a body.
     fn still(&self, page: &Page) -> Result<VmListing> {
         let as_of_ms = page.header(AS_OF_HEADER).and_then(|text| text.parse().ok());
         let known = self.known.lock();
