--- a/crates/adapters/src/weights.rs
+++ b/crates/adapters/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP.
+//! Client of the weight store over HTTP.
 
 use serde::Deserialize;
 
@@ -14,7 +14,7 @@
 
 const NOT_FOUND: u16 = 404;
 
-/// `HttpWeights` asks the weight store over HTTP.
+/// Client of the weight store over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpWeights {
     options: WeightsOptions,
@@ -27,7 +27,7 @@
 }
 
 impl HttpWeights {
-    /// Returns an adapter for the store at the address in the options.
+    /// Returns a client of the store at the address in the options.
     pub fn new(http: &HttpOptions, options: &WeightsOptions) -> Self {
         Self {
             options: options.clone(),
