--- a/crates/adapters/tests/early_closes.rs
+++ b/crates/adapters/tests/early_closes.rs
@@ -1,4 +1,4 @@
-//! Answers of engines whose connection ends in order before the answer is whole.
+//! Answers of engines whose connection is closed in order before the answer is complete.
 
 mod support;
 
@@ -26,14 +26,14 @@
 const STREAM: &str = "Content-Type: text/event-stream\r\nX-Request-Id: r-1";
 const WHOLE: &str = "Content-Type: application/json\r\nX-Request-Id: r-1";
 
-/// `Got` is what an adapter made of an answer.
+/// Pieces that an adapter returned, and how the answer ended.
 struct Got {
     pieces: Vec<String>,
     end: Result<()>,
 }
 
-/// Returns a server that sends these bytes and then ends its side in order, and the news that it
-/// has done so.
+/// Starts a server that sends these bytes and then closes its sending side in order. The receiver
+/// is notified once the client has closed its side too.
 fn closing(bytes: String) -> (Server, Receiver<()>) {
     let (played, is_played) = mpsc::channel();
     let server = serve(move |stream| {
@@ -97,8 +97,8 @@
     service.call(server.address, &call)
 }
 
-/// Guards against a stream that counts as whole though its end mark has not come, whatever the
-/// framing of its body says.
+/// Guards against a stream that counts as complete although its end marker has not arrived,
+/// whatever the framing of its body says.
 #[rstest]
 #[case::until_close_between_events("", "data: a\n\n", 1)]
 #[case::until_close_in_an_event("", "data: a\n\ndata: b", 1)]
@@ -128,7 +128,7 @@
     assert!(got.end.is_err(), "whole");
 }
 
-/// Guards against the beginning of a body that counts as all of it.
+/// Guards against the beginning of a body that counts as the complete body.
 #[rstest]
 #[case::no_length("", "{\"text\":\"half")]
 #[case::no_length_and_no_body("", "")]
@@ -153,8 +153,8 @@
     assert!(matches!(outcome, Err(Error::Unknown(_))), "{outcome:?}");
 }
 
-/// Guards against chunks that are announced in a version of the protocol that has none, so that the
-/// body ends with its connection.
+/// Guards against chunks that are announced in HTTP/1.0, which has none: the body ends with its
+/// connection.
 #[test]
 fn old_protocol_has_no_chunks() {
     let framing = "Transfer-Encoding: chunked";
