--- a/crates/adapters/tests/stream_answers.rs
+++ b/crates/adapters/tests/stream_answers.rs
@@ -77,9 +77,9 @@
     assert_eq!(error, None);
 }
 
-/// Symptom: a long review reaches its caller without its last paragraphs and looks whole.
-/// Sequence: the engine dies in the middle of the stream, between two events or within one.
-/// Cause: the end of the connection is taken for the end of the answer.
+/// Guards against an end of the connection that is taken for the end of the answer: the engine
+/// crashes in the middle of the stream, between two events or within one, and the answer would look
+/// complete.
 #[rstest]
 #[case::at_once("", 0)]
 #[case::between_events("data: a\n\n", 1)]
@@ -113,8 +113,7 @@
     assert!(matches!(error, Some(Error::Malformed(_))), "{error:?}");
 }
 
-/// Symptom: the first word comes only when the whole answer is there.
-/// Sequence: the engine sends one event and waits before the next. Cause: events are gathered.
+/// Guards against events that are buffered: the engine sends one event and waits before the next.
 #[test]
 fn each_event_is_handed_on_before_the_next_is_sent() {
     let (got, hears) = mpsc::channel::<()>();
@@ -140,9 +139,8 @@
     assert!(request.contains("x-priority: 3\r\n"), "{request}");
 }
 
-/// Symptom: a slot request waits past its class's target for an engine that hangs.
-/// Sequence: the engine sends its head, or some events, or only comments, and then nothing more.
-/// Cause: the timeout covers only the head, or starts anew with every byte.
+/// Guards against a timeout that covers only the head, or that starts anew with every byte: the
+/// engine sends its head, some events or only comments, and then nothing more.
 #[rstest]
 #[case::before_the_first_event("", SHORT_MS, LONG_MS, 0)]
 #[case::between_events("data: a\n\n", LONG_MS, SHORT_MS, 1)]
@@ -157,7 +155,7 @@
     let server = serve(move |stream| {
         stream.write_all(HEAD.as_bytes()).ok();
         stream.write_all(body.as_bytes()).ok();
-        // A client that waits on gets more events at last and fails the test by them.
+        // A client without a timeout receives more events in the end, and they fail the test.
         waits.recv_timeout(MUCH_LATER).ok();
         stream.write_all(b"\n\ndata: late\n\n").ok();
     });
@@ -187,9 +185,8 @@
     assert!(matches!(error, Error::Unknown(_)), "{error}");
 }
 
-/// Symptom: an engine goes on generating for a caller that left.
-/// Sequence: the caller closes its connection, the gateway drops the answer.
-/// Cause: the connection to the engine stays open.
+/// Guards against a connection that stays open after its answer was dropped: the engine would go on
+/// generating for a caller that has gone.
 #[rstest]
 #[case::while_more_may_come("data: a\n\n")]
 #[case::after_the_end("data: [DONE]\n\n")]
