--- a/crates/adapters/tests/log_append.rs
+++ b/crates/adapters/tests/log_append.rs
@@ -1,4 +1,4 @@
-//! Appends to the log: which outcomes are certain.
+//! Appends to the log, and which of their outcomes are certain.
 
 mod support;
 
@@ -31,9 +31,8 @@
     assert!(matches!(outcome, Err(Error::Unavailable(_))), "{outcome:?}");
 }
 
-/// Symptom: a claim is appended twice, and a booking waits for a claim that nobody answers for.
-/// Sequence: the log takes the record, then its answer is lost, cut or not understood.
-/// Cause: the client takes a failed answer for a failed append and appends again.
+/// Guards against a failed answer that is taken for a failed append: the log has appended the
+/// record, and its answer is lost, cut or malformed. A second append would duplicate a claim.
 #[rstest]
 #[case::too_many("429 Too Many Requests", "", Ran::NotRun)]
 #[case::down("503 Service Unavailable", "", Ran::NotRun)]
