--- a/crates/adapters/tests/whole_answers.rs
+++ b/crates/adapters/tests/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come as one piece: JSON of engines, plain services, and the platform's lists.
+//! Answers that are returned as one piece: of engines, plain services and the platform.
 
 mod support;
 
@@ -104,9 +104,8 @@
     }
 }
 
-/// Symptom: an engine's "not loaded" reaches nobody, and the request is tried nowhere else.
-/// Sequence: the engine refuses with a status and a body. Cause: the status is turned into an
-/// error, which hides the body.
+/// Guards against a status that is turned into an error and hides the body: the engine refuses with
+/// "not loaded", and the request should be retried elsewhere.
 #[test]
 fn refusal_of_an_engine_is_an_answer() {
     let body = r#"{"error":{"code":"model_not_loaded"}}"#;
