--- a/crates/adapters/tests/log_read.rs
+++ b/crates/adapters/tests/log_read.rs
@@ -59,9 +59,9 @@
     assert_eq!(kind(&read_at_7(status, body)), expected);
 }
 
-/// Symptom: one VM's state differs from that of all others, and it decides on its own.
-/// Sequence: a read answer leaves out a record, repeats one or begins elsewhere, or a restarted log
-/// contradicts itself. Cause: the reader replays what came without looking at the offsets.
+/// Guards against a reader that replays records without checking their offsets: an answer leaves
+/// out a record, repeats one or begins elsewhere, and this VM's state would differ from that of all
+/// others.
 #[rstest]
 #[case::gap(
     r#"[{"offset":7,"appended_ms":1,"payload":""},{"offset":9,"appended_ms":1,"payload":""}]"#
@@ -76,9 +76,8 @@
     assert_eq!(kind(&read_at_7("200 OK", &body)), "malformed");
 }
 
-/// Symptom: a VM never becomes ready and reads the log in a loop.
-/// Sequence: the log says that an offset has expired and, in the same answer, that it is kept; or
-/// that it ends before a record that it hands out. Cause: the answer is believed.
+/// Guards against a reader that accepts contradictory answers and would read the log in a loop: an
+/// offset is reported as expired and as kept, or the end precedes a returned record.
 #[rstest]
 #[case::expired_but_kept("410 Gone", r#"{"first":7}"#)]
 #[case::ends_too_early(
