--- a/crates/adapters/tests/vm_list.rs
+++ b/crates/adapters/tests/vm_list.rs
@@ -1,4 +1,4 @@
-//! Readings of the list of VMs.
+//! Reads of the VM list.
 
 mod support;
 
@@ -26,9 +26,8 @@
     )
 }
 
-/// Symptom: a VM reads a list of a thousand entries every second, though it hardly ever changes.
-/// Sequence: the list is read twice and is the same.
-/// Cause: the second reading does not say what is known already.
+/// Guards against a VM that reads the complete VM list every second although it hardly ever
+/// changes: the second read must send the entity tag of the first.
 #[test]
 fn unchanged_list_is_kept_with_its_new_time() {
     let mut answers = vec![unchanged("X-As-Of-Ms: 9000\r\n"), whole(5_000)];
@@ -52,9 +51,8 @@
     assert_eq!(second.entries[0].state, VmState::Live);
 }
 
-/// Symptom: a VM takes an old list for new, and ends processes that began after it.
-/// Sequence: the list is unchanged, but the answer does not tell its time.
-/// Cause: a list without a time of its own is given one.
+/// Guards against a VM that takes an old VM list for a new one, and ends processes that started
+/// after it: the list is unchanged, but the answer does not contain its time.
 #[test]
 fn unchanged_list_without_time_is_malformed() {
     let mut answers = vec![unchanged(""), whole(5_000)];
