--- a/crates/adapters/tests/engine_orders.rs
+++ b/crates/adapters/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and what engines report.
+//! Orders to engines, and reports from engines.
 
 mod support;
 
@@ -63,9 +63,8 @@
     assert_eq!(outcome, Err(expected));
 }
 
-/// Symptom: a second replica is loaded beside the first, and memory is overcommitted.
-/// Sequence: the engine loads the model, but something between answers in its place or the answer
-/// can't be understood. Cause: the order is taken for refused, and another engine is ordered.
+/// Guards against an order that is taken for refused after an answer that can't be parsed: the
+/// engine may have loaded the model, and a second replica would be loaded beside the first.
 #[rstest]
 #[case::status_not_json("200 OK", "loaded")]
 #[case::status_incomplete("200 OK", r#"{"boot":4}"#)]
@@ -110,8 +109,8 @@
     assert!(matches!(outcome, Err(Error::Unavailable(_))), "{outcome:?}");
 }
 
-/// Symptom: a daemon grows until its VM kills it. Sequence: an upstream that is broken answers
-/// without end. Cause: answers are read without a limit.
+/// Guards against answers that are read without a size limit: a faulty upstream answers without
+/// end, and the daemon would run out of memory.
 #[test]
 fn answers_above_the_limit_are_refused() {
     let endless = support::serve(|stream| {
