--- a/crates/adapters/tests/single_send.rs
+++ b/crates/adapters/tests/single_send.rs
@@ -1,4 +1,4 @@
-//! Calls with an effect are sent at most once, and the outcome of a failure is told truly.
+//! Calls with an effect are sent at most once, and a failure reports correctly whether they ran.
 
 mod support;
 
@@ -32,7 +32,7 @@
 use support::read_request;
 use support::serve;
 
-/// `Effect` is one kind of call that must not be sent twice.
+/// Kind of call that must not be sent twice.
 #[derive(Clone, Copy)]
 enum Effect {
     Append,
@@ -117,9 +117,9 @@
     }
 }
 
-/// Symptom: a request is refused as "may have run" although it never left this VM, so nobody may
-/// try it again. Sequence: the upstream's queue of new connections is full, and the connection
-/// times out. Cause: a timeout while connecting is taken for a timeout of the answer.
+/// Guards against a timeout of the connection that is taken for a timeout of the answer: the
+/// upstream's queue of new connections is full, so the request was certainly not sent and may be
+/// retried.
 #[test]
 fn timeout_while_connecting_is_certainly_not_run() {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -134,11 +134,9 @@
     }
 }
 
-/// Symptom: a depot books an extra crew for a slot that was confirmed twice.
-/// Sequence: the request is sent, the connection breaks before, while or after the upstream reads
-/// it, or its answer is cut or never comes.
-/// Cause: a lost answer is taken for a request that did not run, or the HTTP library sends the
-/// request again on a new connection.
+/// Guards against a lost answer that is taken for a request that did not run, and against an HTTP
+/// library that sends the request again on a new connection. The connection breaks before, while or
+/// after the upstream reads the request, or the answer is cut or never arrives.
 #[rstest]
 #[case::closed_before_reading(false, b"", false)]
 #[case::closed_after_reading(true, b"", false)]
@@ -177,8 +175,8 @@
     }
 }
 
-/// Symptom: an order is obeyed twice, once by an engine nobody chose.
-/// Sequence: the engine's old address answers with a redirect. Cause: the client follows it.
+/// Guards against a client that follows redirects: an order would be executed by an engine that
+/// nobody chose.
 #[rstest]
 #[case("302 Found")]
 #[case("303 See Other")]
@@ -198,9 +196,8 @@
     assert_eq!(server.requests.try_iter().count(), ALL.len());
 }
 
-/// Symptom: now and then an append's outcome is unknown though the log is well.
-/// Sequence: the log closes an idle connection just as the next append is written to it.
-/// Cause: a connection was kept after the append before.
+/// Guards against a connection that is kept after a call: the log closes an idle connection just as
+/// the next append is written to it, and the outcome of that append would be unknown.
 #[test]
 fn each_call_gets_a_connection_of_its_own() {
     let body = r#"{"offset":1}"#;
