--- a/crates/adapters/tests/support/mod.rs
+++ b/crates/adapters/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Tiny TCP servers that answer by script, for the tests of the adapters.
+//! Small TCP servers with scripted answers for the tests of the adapters.
 
 #![allow(dead_code)]
 
@@ -21,22 +21,22 @@
 use apricotdale_adapters::Options;
 use apricotdale_adapters::http_adapters;
 
-/// A timeout that no passing test waits for.
+/// Timeout that no passing test waits for.
 pub const LONG_MS: u64 = 30_000;
 
-/// A bound on waits that end a broken test; no assertion depends on its length.
+/// Bounds the waits of a failing test. No assertion depends on its length.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// A timeout for tests whose server never answers.
+/// Timeout for tests whose server never answers.
 pub const SHORT_MS: u64 = 50;
 
-/// Returns a listener on a port from the OS.
+/// Returns a listener on a free port.
 pub fn listener() -> TcpListener {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a loopback port")
 }
 
-/// Returns an address on which nothing listens. Its port stays bound until the process ends, or a
-/// server of another test could be given it meanwhile.
+/// Returns an address that nothing listens on. Its port stays bound until the process ends, because
+/// a server of another test could otherwise get it.
 pub fn closed_port() -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -46,12 +46,12 @@
     address.as_socket().expect("an IP address")
 }
 
-/// Returns all adapters, each of them for the same address, with long timeouts.
+/// Returns all adapters with one address and long timeouts.
 pub fn adapters_at(address: SocketAddr) -> Adapters {
     http_adapters(&options_at(address, LONG_MS))
 }
 
-/// Returns options with the given timeouts.
+/// Returns options with one address and one timeout for all adapters.
 pub fn options_at(address: SocketAddr, timeout_ms: u64) -> Options {
     let mut options = Options::at(address, address, address);
     options.http.connect_timeout_ms = timeout_ms;
@@ -65,15 +65,15 @@
     options
 }
 
-/// `Server` answers each connection with one script and hands the requests it read to the test.
+/// Server that runs a script on each connection and passes the requests to the test.
 pub struct Server {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// The requests, as text, in order of arrival.
+    /// Requests as text, in order of arrival.
     pub requests: Receiver<String>,
 }
 
-/// Starts a server that runs the script on every connection after reading one request.
+/// Starts a server that reads one request on every connection and then runs the script.
 pub fn serve(mut script: impl FnMut(&mut TcpStream) + Send + 'static) -> Server {
     let listener = listener();
     let address = listener.local_addr().expect("a bound listener");
@@ -99,19 +99,19 @@
     })
 }
 
-/// Returns a whole answer with its length announced.
+/// Returns a complete answer with its length.
 pub fn answer(status: &str, content_type: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let head = format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Type: {content_type}");
     format!("{head}\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// Returns a whole JSON answer.
+/// Returns a complete JSON answer with its length.
 pub fn json(status: &str, body: &str) -> Vec<u8> {
     answer(status, "application/json", body)
 }
 
-/// Reads one request with its body, or what comes of it.
+/// Reads one request with its body, or as much of it as arrives.
 pub fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut byte = [0; 1];
@@ -133,7 +133,7 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Waits until the other side has closed the connection and returns whether it did.
+/// Waits until the client has closed the connection. Returns false if it sends a byte instead.
 pub fn closed_by_client(stream: &mut TcpStream) -> bool {
     let mut byte = [0; 1];
     matches!(stream.read(&mut byte), Ok(0) | Err(_))
