--- a/crates/adapters/src/answer.rs
+++ b/crates/adapters/src/answer.rs
@@ -41,14 +41,14 @@
 ///
 /// `Error::Unknown` if the body was cut or late, `Error::Malformed` if it exceeds the limit or does
 /// not have the announced framing.
-pub(crate) fn read_whole(response: Response<Body>, limit_bytes: usize) -> Result<Vec<u8>> {
-    let announced = header(response.headers(), CONTENT_LENGTH)
+pub(crate) fn read_complete(response: Response<Body>, limit_bytes: usize) -> Result<Vec<u8>> {
+    let content_length = header(response.headers(), CONTENT_LENGTH)
         .parse::<u64>()
         .ok();
-    if announced.is_some_and(|length| length > limit_bytes as u64) {
+    if content_length.is_some_and(|length| length > limit_bytes as u64) {
         return Err(too_large(limit_bytes));
     }
-    if announced.is_none() && !is_chunked(&response) && !is_bodyless(response.status()) {
+    if content_length.is_none() && !is_chunked(&response) && !is_bodyless(response.status()) {
         return Err(Error::unknown("the answer does not tell where it ends"));
     }
     let mut reader = response
@@ -56,7 +56,7 @@
         .into_reader()
         .take(limit_bytes as u64 + 1);
     let mut body = Vec::new();
-    reader.read_to_end(&mut body).map_err(read_failed)?;
+    reader.read_to_end(&mut body).map_err(body_error)?;
     match body.len() {
         length if length > limit_bytes => Err(too_large(limit_bytes)),
         _ => Ok(body),
@@ -76,7 +76,7 @@
 }
 
 /// Converts the error of reading a body.
-pub(crate) fn read_failed(error: io::Error) -> Error {
+pub(crate) fn body_error(error: io::Error) -> Error {
     let inner = error
         .get_ref()
         .and_then(|inner| inner.downcast_ref::<ureq::Error>());
--- a/crates/adapters/src/connection.rs
+++ b/crates/adapters/src/connection.rs
@@ -25,17 +25,17 @@
 
 /// State of a connection, shared by the exchange and the connection.
 #[derive(Debug)]
-pub(crate) struct Watch {
-    taken: AtomicBool,
+pub(crate) struct ConnectionState {
+    connect_attempted: AtomicBool,
     connected: AtomicBool,
     deadline: Mutex<Instant>,
 }
 
-impl Watch {
+impl ConnectionState {
     /// Returns the state of a connection that is not established yet.
     pub(crate) fn new(deadline: Instant) -> Arc<Self> {
         Arc::new(Self {
-            taken: AtomicBool::new(false),
+            connect_attempted: AtomicBool::new(false),
             connected: AtomicBool::new(false),
             deadline: Mutex::new(deadline),
         })
@@ -61,13 +61,17 @@
     /// # Errors
     ///
     /// `Error::Timeout` if the deadline has passed.
-    fn clamp(&self, timeout: NextTimeout, reason: Timeout) -> Result<NextTimeout, Error> {
+    fn limit_to_deadline(
+        &self,
+        timeout: NextTimeout,
+        reason: Timeout,
+    ) -> Result<NextTimeout, Error> {
         let left = self.deadline().saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(Error::Timeout(reason));
         }
-        let shorter = timeout.after.is_not_happening() || left < *timeout.after;
-        match shorter {
+        let is_deadline_sooner = timeout.after.is_not_happening() || left < *timeout.after;
+        match is_deadline_sooner {
             true => Ok(NextTimeout {
                 after: Duration::Exact(left),
                 reason,
@@ -85,39 +89,45 @@
 /// the library does.
 #[derive(Debug)]
 pub(crate) struct SingleConnector {
-    watch: Arc<Watch>,
+    connection_state: Arc<ConnectionState>,
     tcp: TcpConnector,
 }
 
 impl SingleConnector {
     /// Returns a connector whose connection updates the given state.
-    pub(crate) fn new(watch: Arc<Watch>) -> Self {
+    pub(crate) fn new(connection_state: Arc<ConnectionState>) -> Self {
         Self {
-            watch,
+            connection_state,
             tcp: TcpConnector::default(),
         }
     }
 }
 
 impl Connector for SingleConnector {
-    type Out = WatchedTransport;
+    type Out = DeadlineTransport;
 
     fn connect(
         &self,
         details: &ConnectionDetails,
         _chained: Option<()>,
     ) -> Result<Option<Self::Out>, Error> {
-        if self.watch.taken.swap(true, Ordering::SeqCst) {
+        if self
+            .connection_state
+            .connect_attempted
+            .swap(true, Ordering::SeqCst)
+        {
             return Err(Error::ConnectionFailed);
         }
         let transport = self.tcp.connect(details, None::<()>)?;
         let Some(transport) = transport else {
             return Ok(None);
         };
-        self.watch.connected.store(true, Ordering::SeqCst);
-        Ok(Some(WatchedTransport {
+        self.connection_state
+            .connected
+            .store(true, Ordering::SeqCst);
+        Ok(Some(DeadlineTransport {
             inner: Box::new(transport),
-            watch: self.watch.clone(),
+            connection_state: self.connection_state.clone(),
         }))
     }
 }
@@ -125,23 +135,27 @@
 /// Connection whose reads and writes end at a deadline that can be moved. The library fixes its own
 /// timeouts when a call begins, but the deadline of a stream moves with each event.
 #[derive(Debug)]
-pub(crate) struct WatchedTransport {
+pub(crate) struct DeadlineTransport {
     inner: Box<dyn Transport>,
-    watch: Arc<Watch>,
+    connection_state: Arc<ConnectionState>,
 }
 
-impl Transport for WatchedTransport {
+impl Transport for DeadlineTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.inner.buffers()
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        let timeout = self.watch.clamp(timeout, Timeout::SendRequest)?;
+        let timeout = self
+            .connection_state
+            .limit_to_deadline(timeout, Timeout::SendRequest)?;
         self.inner.transmit_output(amount, timeout)
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
-        let timeout = self.watch.clamp(timeout, Timeout::RecvResponse)?;
+        let timeout = self
+            .connection_state
+            .limit_to_deadline(timeout, Timeout::RecvResponse)?;
         self.inner.await_input(timeout)
     }
 
--- a/crates/adapters/src/engine.rs
+++ b/crates/adapters/src/engine.rs
@@ -13,9 +13,9 @@
 use crate::exchange::deadline_in;
 use crate::options::EngineOptions;
 use crate::options::HttpOptions;
-use crate::reading::OK;
-use crate::reading::Reader;
-use crate::reading::parse;
+use crate::reader::OK;
+use crate::reader::Reader;
+use crate::reader::parse;
 use apricotdale_core::engine::CacheEvent;
 use apricotdale_core::engine::EngineOrders;
 use apricotdale_core::engine::EngineReports;
@@ -61,7 +61,7 @@
         }
     }
 
-    fn order(
+    fn send_order(
         &self,
         engine: SocketAddr,
         path: &str,
@@ -81,15 +81,15 @@
         };
         let incoming = exchange::send(&self.http, outgoing)?;
         let status = incoming.response.status().as_u16();
-        let body = answer::read_whole(incoming.response, self.options.report_limit_bytes)
-            .map_err(outcome_unknown)?;
+        let body = answer::read_complete(incoming.response, self.options.report_limit_bytes)
+            .map_err(unknown_outcome)?;
         order_outcome(status, &body)
     }
 }
 
 impl EngineOrders for HttpEngine {
     fn load(&self, engine: SocketAddr, order: &LoadOrder, timeout_ms: u64) -> Result<EngineStatus> {
-        self.order(engine, "/orders/load", order, timeout_ms)
+        self.send_order(engine, "/orders/load", order, timeout_ms)
     }
 
     fn unload(
@@ -98,13 +98,13 @@
         order: &UnloadOrder,
         timeout_ms: u64,
     ) -> Result<EngineStatus> {
-        self.order(engine, "/orders/unload", order, timeout_ms)
+        self.send_order(engine, "/orders/unload", order, timeout_ms)
     }
 
     fn raise_fence(&self, engine: SocketAddr, fence: FencingNumber) -> Result<EngineStatus> {
         let order = FenceOrder { fence };
         let timeout_ms = self.options.fence_timeout_ms;
-        self.order(engine, "/orders/fence", &order, timeout_ms)
+        self.send_order(engine, "/orders/fence", &order, timeout_ms)
     }
 }
 
@@ -130,16 +130,16 @@
 /// effect. After any answer that is neither a refusal nor a status, the outcome is unknown.
 fn order_outcome(status: u16, body: &[u8]) -> Result<EngineStatus> {
     match status {
-        OK => parse(body).map_err(outcome_unknown),
+        OK => parse(body).map_err(unknown_outcome),
         CONFLICT | UNPROCESSABLE => {
-            let refusal: OrderRefusal = parse(body).map_err(outcome_unknown)?;
-            Err(refused(status, refusal))
+            let refusal: OrderRefusal = parse(body).map_err(unknown_outcome)?;
+            Err(refusal_error(status, refusal))
         }
         status => Err(Error::unknown(format!("the engine answered {status}"))),
     }
 }
 
-fn refused(status: u16, refusal: OrderRefusal) -> Error {
+fn refusal_error(status: u16, refusal: OrderRefusal) -> Error {
     match refusal.reason {
         reason if status == CONFLICT && reason == STALE_FENCE => Error::StaleFence {
             highest: refusal.highest,
@@ -148,6 +148,6 @@
     }
 }
 
-fn outcome_unknown(error: Error) -> Error {
+fn unknown_outcome(error: Error) -> Error {
     Error::unknown(format!("order's answer: {error}"))
 }
--- a/crates/adapters/src/events.rs
+++ b/crates/adapters/src/events.rs
@@ -13,9 +13,9 @@
     /// Bytes as received.
     pub(crate) bytes: Vec<u8>,
     /// Whether the event is the `[DONE]` marker, which completes the stream.
-    pub(crate) done: bool,
+    pub(crate) is_last: bool,
     /// Whether the event has only comments, which engines send to keep a connection open.
-    pub(crate) comment: bool,
+    pub(crate) is_comment: bool,
 }
 
 /// Splits a byte stream at the blank lines between events.
@@ -27,7 +27,7 @@
     limit_bytes: usize,
     has_field: bool,
     has_comment: bool,
-    done: bool,
+    is_last: bool,
 }
 
 impl EventSplitter {
@@ -40,7 +40,7 @@
             limit_bytes,
             has_field: false,
             has_comment: false,
-            done: false,
+            is_last: false,
         }
     }
 
@@ -60,10 +60,10 @@
             let next_line = line_end;
             match blank {
                 true if self.has_field || self.has_comment => {
-                    return self.cut(next_line).map(Some);
+                    return self.take_event(next_line).map(Some);
                 }
                 true => {}
-                false => self.note_line(),
+                false => self.scan_line(),
             }
             self.line_start = next_line;
             self.scanned = next_line;
@@ -94,27 +94,27 @@
         }
     }
 
-    fn note_line(&mut self) {
+    fn scan_line(&mut self) {
         let line = &self.buffer[self.line_start..self.scanned];
         match line.strip_prefix(DATA_FIELD) {
             Some(data) => {
                 self.has_field = true;
-                self.done |= data.trim_ascii() == DONE;
+                self.is_last |= data.trim_ascii() == DONE;
             }
             None if line[0] == COMMENT => self.has_comment = true,
             None => self.has_field = true,
         }
     }
 
-    fn cut(&mut self, end: usize) -> Result<Event> {
+    fn take_event(&mut self, end: usize) -> Result<Event> {
         if end > self.limit_bytes {
             return Err(self.too_large());
         }
-        let rest = self.buffer.split_off(end);
+        let following = self.buffer.split_off(end);
         let event = Event {
-            bytes: std::mem::replace(&mut self.buffer, rest),
-            done: self.done,
-            comment: !self.has_field,
+            bytes: std::mem::replace(&mut self.buffer, following),
+            is_last: self.is_last,
+            is_comment: !self.has_field,
         };
         *self = Self {
             buffer: std::mem::take(&mut self.buffer),
--- a/crates/adapters/src/exchange.rs
+++ b/crates/adapters/src/exchange.rs
@@ -22,8 +22,8 @@
 use ureq::http::request::Builder;
 
 use crate::connection::AddressResolver;
+use crate::connection::ConnectionState;
 use crate::connection::SingleConnector;
-use crate::connection::Watch;
 use crate::options::HttpOptions;
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
@@ -57,7 +57,7 @@
     /// Head, and the body that is still to be read.
     pub(crate) response: Response<Body>,
     /// State of the connection. Its deadline covers the body too, until it is moved.
-    pub(crate) watch: Arc<Watch>,
+    pub(crate) connection_state: Arc<ConnectionState>,
 }
 
 /// Returns the deadline `timeout_ms` milliseconds from now.
@@ -72,8 +72,8 @@
 /// `Error::Rejected` if the call can't be written as HTTP, `Error::Unavailable` if no connection
 /// was established, `Error::Unknown` for every later failure.
 pub(crate) fn send(options: &HttpOptions, outgoing: Outgoing<'_>) -> Result<Incoming> {
-    let watch = Watch::new(outgoing.deadline);
-    let connector = SingleConnector::new(watch.clone());
+    let connection_state = ConnectionState::new(outgoing.deadline);
+    let connector = SingleConnector::new(connection_state.clone());
     let config = config(options, outgoing.deadline);
     let agent = Agent::with_parts(config, connector, AddressResolver);
     let sent = match outgoing.body {
@@ -81,8 +81,11 @@
         None => agent.run(request(&outgoing)?.body(()).map_err(unwritable)?),
     };
     match sent {
-        Ok(response) => Ok(Incoming { response, watch }),
-        Err(error) if watch.connected() => Err(Error::unknown(error.to_string())),
+        Ok(response) => Ok(Incoming {
+            response,
+            connection_state,
+        }),
+        Err(error) if connection_state.connected() => Err(Error::unknown(error.to_string())),
         Err(error) => Err(Error::unavailable(error.to_string())),
     }
 }
--- a/crates/adapters/src/lib.rs
+++ b/crates/adapters/src/lib.rs
@@ -19,7 +19,7 @@
 mod log;
 mod options;
 mod paths;
-mod reading;
+mod reader;
 mod registry;
 mod service;
 mod serving;
--- a/crates/adapters/src/log.rs
+++ b/crates/adapters/src/log.rs
@@ -13,9 +13,9 @@
 use crate::options::HttpOptions;
 use crate::options::LogOptions;
 use crate::paths::segment;
-use crate::reading::OK;
-use crate::reading::Reader;
-use crate::reading::parse;
+use crate::reader::OK;
+use crate::reader::Reader;
+use crate::reader::parse;
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
 use apricotdale_core::log::LogBatch;
@@ -24,12 +24,12 @@
 use apricotdale_core::names::StreamName;
 use apricotdale_core::numbers::Offset;
 
-const APPENDED: u16 = 201;
-const EXPIRED: u16 = 410;
-const TOO_MANY: u16 = 429;
-const DOWN: u16 = 503;
-const RECORD_TYPE: &str = "application/octet-stream";
-const APPEND_ANSWER_LIMIT_BYTES: usize = 64 * 1024;
+const CREATED: u16 = 201;
+const GONE: u16 = 410;
+const TOO_MANY_REQUESTS: u16 = 429;
+const SERVICE_UNAVAILABLE: u16 = 503;
+const RECORD_CONTENT_TYPE: &str = "application/octet-stream";
+const MAX_APPEND_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Client of the platform's log over HTTP.
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
             address: self.options.address,
             method: Method::POST,
             path: &format!("/streams/{}/records", segment(stream.as_str())),
-            content_type: RECORD_TYPE,
+            content_type: RECORD_CONTENT_TYPE,
             headers: Vec::new(),
             body: Some(payload),
             deadline: deadline_in(self.options.append_timeout_ms),
@@ -100,10 +100,10 @@
         let path =
             format!("/streams/{stream}/records?from={from}&max={max_records}&wait_ms={wait_ms}");
         let timeout_ms = self.options.read_timeout_ms.saturating_add(wait_ms);
-        let page = self.reader.get(self.options.address, &path, timeout_ms)?;
-        match page.status {
-            OK => batch(parse(&page.body)?, from),
-            EXPIRED => Err(expired(parse(&page.body)?, from)),
+        let fetched = self.reader.get(self.options.address, &path, timeout_ms)?;
+        match fetched.status {
+            OK => batch(parse(&fetched.body)?, from),
+            GONE => Err(expired_error(parse(&fetched.body)?, from)),
             status => Err(Error::unavailable(format!("the log answered {status}"))),
         }
     }
@@ -113,10 +113,10 @@
 /// appended. After any answer that is neither of these nor an offset, the outcome is unknown.
 fn read_append(incoming: Incoming) -> Result<Offset> {
     match incoming.response.status().as_u16() {
-        TOO_MANY => Err(Error::unavailable("the log takes no more appends now")),
-        DOWN => Err(Error::unavailable("the log is down")),
-        APPENDED => {
-            let answer = answer::read_whole(incoming.response, APPEND_ANSWER_LIMIT_BYTES)
+        TOO_MANY_REQUESTS => Err(Error::unavailable("the log takes no more appends now")),
+        SERVICE_UNAVAILABLE => Err(Error::unavailable("the log is down")),
+        CREATED => {
+            let answer = answer::read_complete(incoming.response, MAX_APPEND_ANSWER_BYTES)
                 .and_then(|body| parse::<AppendAnswer>(&body));
             match answer {
                 Ok(answer) => Ok(answer.offset),
@@ -129,7 +129,7 @@
 
 /// Returns the error of an expired offset. An answer that reports the requested offset as kept
 /// contradicts itself. It is malformed, since a reader that accepted it would restart for ever.
-fn expired(answer: ExpiredAnswer, from: Offset) -> Error {
+fn expired_error(answer: ExpiredAnswer, from: Offset) -> Error {
     match answer.first {
         first if first > from => Error::Expired { first },
         first => Error::malformed(format!("{from} has expired, but {first} is kept")),
--- a/crates/adapters/src/reading.rs
+++ b/crates/adapters/src/reader.rs
@@ -31,7 +31,7 @@
 }
 
 /// Answer to a read.
-pub(crate) struct Page {
+pub(crate) struct FetchedAnswer {
     /// HTTP status.
     pub(crate) status: u16,
     /// Headers of the answer.
@@ -40,7 +40,7 @@
     pub(crate) body: Vec<u8>,
 }
 
-impl Page {
+impl FetchedAnswer {
     /// Returns the value of a header, or none if it is absent or not plain ASCII.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -99,8 +99,13 @@
     /// `Error::Unavailable` if it could not be read before the timeout, whatever the cause: a read
     /// has no effect that could be unknown. `Error::Malformed` if the answer is not HTTP or too
     /// large.
-    pub(crate) fn get(&self, address: SocketAddr, path: &str, timeout_ms: u64) -> Result<Page> {
-        self.get_unless(address, path, None, timeout_ms)
+    pub(crate) fn get(
+        &self,
+        address: SocketAddr,
+        path: &str,
+        timeout_ms: u64,
+    ) -> Result<FetchedAnswer> {
+        self.get_if_changed(address, path, None, timeout_ms)
     }
 
     /// Reads the content at a path, or returns status [`NOT_MODIFIED`] if its entity tag is still
@@ -109,13 +114,13 @@
     /// # Errors
     ///
     /// As for [`get`](Self::get).
-    pub(crate) fn get_unless(
+    pub(crate) fn get_if_changed(
         &self,
         address: SocketAddr,
         path: &str,
         tag: Option<&str>,
         timeout_ms: u64,
-    ) -> Result<Page> {
+    ) -> Result<FetchedAnswer> {
         let mut request = self.agent.get(format!("http://{address}{path}"));
         if let Some(tag) = tag {
             request = request.header(IF_NONE_MATCH, tag);
@@ -125,11 +130,12 @@
             .timeout_global(Some(Duration::from_millis(timeout_ms)))
             .build()
             .call()
-            .map_err(unread)?;
+            .map_err(request_error)?;
         let status = response.status().as_u16();
         let headers = response.headers().clone();
-        let body = answer::read_whole(response, self.limit_bytes).map_err(without_effect)?;
-        Ok(Page {
+        let body =
+            answer::read_complete(response, self.limit_bytes).map_err(unknown_to_unavailable)?;
+        Ok(FetchedAnswer {
             status,
             headers,
             body,
@@ -137,14 +143,14 @@
     }
 }
 
-fn unread(error: ureq::Error) -> Error {
+fn request_error(error: ureq::Error) -> Error {
     match error {
         ureq::Error::Protocol(error) => Error::malformed(error.to_string()),
         error => Error::unavailable(error.to_string()),
     }
 }
 
-fn without_effect(error: Error) -> Error {
+fn unknown_to_unavailable(error: Error) -> Error {
     match error {
         Error::Unknown(detail) => Error::Unavailable(detail),
         error => error,
--- a/crates/adapters/src/service.rs
+++ b/crates/adapters/src/service.rs
@@ -60,7 +60,7 @@
         let content_type = answer::content_type(&incoming.response);
         let body = match bodyless {
             true => Vec::new(),
-            false => answer::read_whole(incoming.response, self.options.answer_limit_bytes)?,
+            false => answer::read_complete(incoming.response, self.options.answer_limit_bytes)?,
         };
         Ok(ServiceAnswer {
             status,
@@ -73,6 +73,6 @@
 /// Returns whether a call is sent with a body. `POST`, `PUT` and `PATCH` send even an empty one, so
 /// that its length is announced.
 fn sends_body(method: &Method, body: &[u8]) -> bool {
-    let usual = matches!(*method, Method::POST | Method::PUT | Method::PATCH);
-    usual || !body.is_empty()
+    let expects_body = matches!(*method, Method::POST | Method::PUT | Method::PATCH);
+    expects_body || !body.is_empty()
 }
--- a/crates/adapters/src/serving.rs
+++ b/crates/adapters/src/serving.rs
@@ -10,7 +10,7 @@
 use ureq::http::Response;
 
 use crate::answer;
-use crate::connection::Watch;
+use crate::connection::ConnectionState;
 use crate::engine::HttpEngine;
 use crate::events::Event;
 use crate::events::EventSplitter;
@@ -20,7 +20,7 @@
 use crate::exchange::Outgoing;
 use crate::exchange::deadline_in;
 use crate::paths::segment;
-use crate::reading::OK;
+use crate::reader::OK;
 use apricotdale_core::engine::EngineServing;
 use apricotdale_core::engine::ServeAnswer;
 use apricotdale_core::engine::ServeHead;
@@ -31,7 +31,7 @@
 
 const REQUEST_ID: &str = "X-Request-Id";
 const PRIORITY: &str = "X-Priority";
-const READ_BYTES: usize = 8 * 1024;
+const READ_CHUNK_BYTES: usize = 8 * 1024;
 
 impl EngineServing for HttpEngine {
     fn serve(&self, engine: SocketAddr, request: &ServeRequest) -> Result<Box<dyn ServeAnswer>> {
@@ -57,7 +57,7 @@
                 request.idle_timeout_ms,
                 limit_bytes,
             ))),
-            false => Ok(Box::new(WholeAnswer::new(
+            false => Ok(Box::new(CompleteAnswer::new(
                 head,
                 incoming,
                 request.idle_timeout_ms,
@@ -98,7 +98,7 @@
 }
 
 /// Remainder of an answer.
-enum Rest<T> {
+enum AnswerRemainder<T> {
     /// More may follow.
     Open(T),
     /// The answer is complete.
@@ -109,44 +109,44 @@
 }
 
 /// Answer that is returned as one piece.
-struct WholeAnswer {
+struct CompleteAnswer {
     head: ServeHead,
-    rest: Rest<Incoming>,
+    remainder: AnswerRemainder<Incoming>,
     idle_timeout_ms: u64,
     limit_bytes: usize,
 }
 
-impl WholeAnswer {
+impl CompleteAnswer {
     fn new(head: ServeHead, incoming: Incoming, idle_timeout_ms: u64, limit_bytes: usize) -> Self {
         Self {
             head,
-            rest: Rest::Open(incoming),
+            remainder: AnswerRemainder::Open(incoming),
             idle_timeout_ms,
             limit_bytes,
         }
     }
 
     fn fail<T>(&mut self, error: Error) -> Result<T> {
-        self.rest = Rest::Failed(error.clone());
+        self.remainder = AnswerRemainder::Failed(error.clone());
         Err(error)
     }
 }
 
-impl ServeAnswer for WholeAnswer {
+impl ServeAnswer for CompleteAnswer {
     fn head(&self) -> &ServeHead {
         &self.head
     }
 
     fn next_piece(&mut self) -> Result<Option<Vec<u8>>> {
-        let incoming = match std::mem::replace(&mut self.rest, Rest::Ended) {
-            Rest::Open(incoming) => incoming,
-            Rest::Ended => return Ok(None),
-            Rest::Failed(error) => return self.fail(error),
+        let incoming = match std::mem::replace(&mut self.remainder, AnswerRemainder::Ended) {
+            AnswerRemainder::Open(incoming) => incoming,
+            AnswerRemainder::Ended => return Ok(None),
+            AnswerRemainder::Failed(error) => return self.fail(error),
         };
         incoming
-            .watch
+            .connection_state
             .set_deadline(deadline_in(self.idle_timeout_ms));
-        match answer::read_whole(incoming.response, self.limit_bytes) {
+        match answer::read_complete(incoming.response, self.limit_bytes) {
             Ok(body) => Ok(Some(body)),
             Err(error) => self.fail(error),
         }
@@ -156,8 +156,8 @@
 /// Answer that is returned event by event.
 struct StreamAnswer {
     head: ServeHead,
-    rest: Rest<BodyReader<'static>>,
-    watch: Arc<Watch>,
+    remainder: AnswerRemainder<BodyReader<'static>>,
+    connection_state: Arc<ConnectionState>,
     splitter: EventSplitter,
     idle_timeout_ms: u64,
 }
@@ -166,8 +166,8 @@
     fn new(head: ServeHead, incoming: Incoming, idle_timeout_ms: u64, limit_bytes: usize) -> Self {
         Self {
             head,
-            rest: Rest::Open(incoming.response.into_body().into_reader()),
-            watch: incoming.watch,
+            remainder: AnswerRemainder::Open(incoming.response.into_body().into_reader()),
+            connection_state: incoming.connection_state,
             splitter: EventSplitter::new(limit_bytes),
             idle_timeout_ms,
         }
@@ -176,12 +176,12 @@
     /// Reads the next complete event. The deadline moves only after an event, because the first
     /// event must arrive before the deadline for the beginning of the answer.
     fn next_event(&mut self, reader: &mut BodyReader<'static>) -> Result<Event> {
-        let mut bytes = [0; READ_BYTES];
+        let mut bytes = [0; READ_CHUNK_BYTES];
         loop {
             if let Some(event) = self.splitter.next_event()? {
                 return Ok(event);
             }
-            match reader.read(&mut bytes).map_err(answer::read_failed)? {
+            match reader.read(&mut bytes).map_err(answer::body_error)? {
                 0 => return Err(Error::unknown("stream cut before its end")),
                 count => self.splitter.push(&bytes[..count]),
             }
@@ -189,7 +189,7 @@
     }
 
     fn fail<T>(&mut self, error: Error) -> Result<T> {
-        self.rest = Rest::Failed(error.clone());
+        self.remainder = AnswerRemainder::Failed(error.clone());
         Err(error)
     }
 }
@@ -202,20 +202,21 @@
     fn next_piece(&mut self) -> Result<Option<Vec<u8>>> {
         // The reader is dropped after the last event and after an error. That closes its connection
         // at once, so the engine notices that the answer is no longer read.
-        let mut reader = match std::mem::replace(&mut self.rest, Rest::Ended) {
-            Rest::Open(reader) => reader,
-            Rest::Ended => return Ok(None),
-            Rest::Failed(error) => return self.fail(error),
+        let mut reader = match std::mem::replace(&mut self.remainder, AnswerRemainder::Ended) {
+            AnswerRemainder::Open(reader) => reader,
+            AnswerRemainder::Ended => return Ok(None),
+            AnswerRemainder::Failed(error) => return self.fail(error),
         };
         let event = match self.next_event(&mut reader) {
             Ok(event) => event,
             Err(error) => return self.fail(error),
         };
-        if !event.done {
-            self.rest = Rest::Open(reader);
+        if !event.is_last {
+            self.remainder = AnswerRemainder::Open(reader);
         }
-        if !event.comment {
-            self.watch.set_deadline(deadline_in(self.idle_timeout_ms));
+        if !event.is_comment {
+            self.connection_state
+                .set_deadline(deadline_in(self.idle_timeout_ms));
         }
         Ok(Some(event.bytes))
     }
--- a/crates/adapters/src/vm_list.rs
+++ b/crates/adapters/src/vm_list.rs
@@ -6,9 +6,9 @@
 
 use crate::options::HttpOptions;
 use crate::options::VmListOptions;
-use crate::reading::NOT_MODIFIED;
-use crate::reading::Page;
-use crate::reading::Reader;
+use crate::reader::FetchedAnswer;
+use crate::reader::NOT_MODIFIED;
+use crate::reader::Reader;
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
 use apricotdale_core::vm_list::VmList;
@@ -26,11 +26,11 @@
 pub struct HttpVmList {
     options: VmListOptions,
     reader: Reader,
-    known: Arc<Mutex<Option<Known>>>,
+    cached: Arc<Mutex<Option<CachedListing>>>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct CachedListing {
     tag: String,
     listing: VmListing,
 }
@@ -41,27 +41,29 @@
         Self {
             options: options.clone(),
             reader: Reader::new(http, options.answer_limit_bytes),
-            known: Arc::default(),
+            cached: Arc::default(),
         }
     }
 
     /// Returns the cached VM list with the time in the headers of an answer without a body.
-    fn still(&self, page: &Page) -> Result<VmListing> {
-        let as_of_ms = page.header(AS_OF_HEADER).and_then(|text| text.parse().ok());
-        let known = self.known.lock();
-        match (&*known, as_of_ms) {
-            (Some(known), Some(as_of_ms)) => Ok(VmListing {
+    fn cached_listing(&self, fetched: &FetchedAnswer) -> Result<VmListing> {
+        let as_of_ms = fetched
+            .header(AS_OF_HEADER)
+            .and_then(|text| text.parse().ok());
+        let cached = self.cached.lock();
+        match (&*cached, as_of_ms) {
+            (Some(cached), Some(as_of_ms)) => Ok(VmListing {
                 as_of_ms,
-                ..known.listing.clone()
+                ..cached.listing.clone()
             }),
             _ => Err(Error::malformed("an unchanged list without its time")),
         }
     }
 
-    fn changed(&self, page: &Page) -> Result<VmListing> {
-        let listing: VmListing = page.json()?;
-        let tag = page.header("ETag").map(str::to_owned);
-        *self.known.lock() = tag.map(|tag| Known {
+    fn store_listing(&self, fetched: &FetchedAnswer) -> Result<VmListing> {
+        let listing: VmListing = fetched.json()?;
+        let tag = fetched.header("ETag").map(str::to_owned);
+        *self.cached.lock() = tag.map(|tag| CachedListing {
             tag,
             listing: listing.clone(),
         });
@@ -72,13 +74,16 @@
 impl VmList for HttpVmList {
     fn list(&self) -> Result<VmListing> {
         let options = &self.options;
-        let tag = self.known.lock().as_ref().map(|known| known.tag.clone());
-        let page =
-            self.reader
-                .get_unless(options.address, "/vms", tag.as_deref(), options.timeout_ms)?;
-        match page.status {
-            NOT_MODIFIED => self.still(&page),
-            _ => self.changed(&page),
+        let tag = self.cached.lock().as_ref().map(|cached| cached.tag.clone());
+        let fetched = self.reader.get_if_changed(
+            options.address,
+            "/vms",
+            tag.as_deref(),
+            options.timeout_ms,
+        )?;
+        match fetched.status {
+            NOT_MODIFIED => self.cached_listing(&fetched),
+            _ => self.store_listing(&fetched),
         }
     }
 }
--- a/crates/adapters/src/weights.rs
+++ b/crates/adapters/src/weights.rs
@@ -5,7 +5,7 @@
 use crate::options::HttpOptions;
 use crate::options::WeightsOptions;
 use crate::paths::segment;
-use crate::reading::Reader;
+use crate::reader::Reader;
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
 use apricotdale_core::names::ModelName;
@@ -22,7 +22,7 @@
 }
 
 #[derive(Deserialize)]
-struct Size {
+struct SizeAnswer {
     bytes: u64,
 }
 
@@ -47,12 +47,12 @@
     fn size_bytes(&self, model: &ModelName) -> Result<u64> {
         let path = format!("/models/{}", segment(model.as_str()));
         let options = &self.options;
-        let page = self
+        let fetched = self
             .reader
             .get(options.address, &path, options.timeout_ms)?;
-        match page.status {
+        match fetched.status {
             NOT_FOUND => Err(Error::rejected(format!("no weights of {model}"))),
-            _ => page.json::<Size>().map(|size| size.bytes),
+            _ => fetched.json::<SizeAnswer>().map(|size| size.bytes),
         }
     }
 }
--- a/crates/adapters/tests/whole_answers.rs
+++ b/crates/adapters/tests/complete_answers.rs
@@ -41,7 +41,7 @@
 #[case("DELETE", "slot 7")]
 #[case("OPTIONS", "")]
 #[case("PURGE", "slot 7")]
-fn every_method_is_passed_on(#[case] method: &str, #[case] body: &str) {
+fn methods_forwarded(#[case] method: &str, #[case] body: &str) {
     let server = answering(answer("418 Teapot", "text/x", "done"));
     let service = adapters_at(server.address).service;
     let answer = service
@@ -63,7 +63,7 @@
 #[case::head_without_length("HEAD", "200 OK")]
 #[case::no_content("POST", "204 No Content")]
 #[case::not_modified("GET", "304 Not Modified")]
-fn answers_without_a_body_are_whole(#[case] method: &str, #[case] status: &str) {
+fn bodyless_answers(#[case] method: &str, #[case] status: &str) {
     let server = answering(format!("HTTP/1.1 {status}\r\n\r\n"));
     let service = adapters_at(server.address).service;
     let answer = service.call(server.address, &call(method, ""));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn chunked_answer_is_whole_with_its_last_chunk() {
+fn chunked_answer() {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let server = answering(format!("{head}2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"));
     let service = adapters_at(server.address).service;
@@ -80,9 +80,9 @@
 }
 
 #[test]
-fn interim_answer_is_not_the_answer() {
-    let whole = String::from_utf8(json("200 OK", "{}")).expect("text");
-    let server = answering(format!("HTTP/1.1 100 Continue\r\n\r\n{whole}"));
+fn interim_answer() {
+    let complete = String::from_utf8(json("200 OK", "{}")).expect("text");
+    let server = answering(format!("HTTP/1.1 100 Continue\r\n\r\n{complete}"));
     let service = adapters_at(server.address).service;
     let answer = service.call(server.address, &call("POST", "slot 7"));
     assert_eq!(answer.map(|answer| answer.status), Ok(200));
@@ -92,7 +92,7 @@
 #[case::head(format!("X-Padding: {}\r\nContent-Length: 0", "x".repeat(64 * 1024)), "unknown")]
 #[case::body(format!("Content-Length: {}", u64::MAX / 2), "malformed")]
 #[case::length("Content-Length: many".to_owned(), "unknown")]
-fn oversized_answers_are_refused(#[case] headers: String, #[case] expected: &str) {
+fn oversized_answers(#[case] headers: String, #[case] expected: &str) {
     let server = answering(format!("HTTP/1.1 200 OK\r\n{headers}\r\n\r\n"));
     let service = adapters_at(server.address).service;
     let error = service
@@ -107,7 +107,7 @@
 /// Guards against a status that is turned into an error and hides the body: the engine refuses with
 /// "not loaded", and the request should be retried elsewhere.
 #[test]
-fn refusal_of_an_engine_is_an_answer() {
+fn engine_refusal_body() {
     let body = r#"{"error":{"code":"model_not_loaded"}}"#;
     let server = answering(json("404 Not Found", body));
     let serving = adapters_at(server.address).serving;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn cancellation_names_the_request() {
+fn cancellation_path() {
     let server = answering(json("200 OK", ""));
     let serving = adapters_at(server.address).serving;
     let outcome = serving.cancel(server.address, &RequestId::new("r/1"));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn weight_store_is_read() {
+fn weight_store_reads() {
     let server = answering(json("200 OK", r#"{"bytes":9}"#));
     let weights = adapters_at(server.address).weights;
     assert_eq!(weights.size_bytes(&ModelName::new("org/m?")), Ok(9));
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn list_of_vms_is_read() {
+fn vm_list_reads() {
     let body = r#"{"as_of_ms":5,"entries":[{"name":"vm-1","role":"entry","group":"g",
         "zone":"hall-a","address":"127.0.0.1:80","state":"leaving"}]}"#;
     let server = answering(json("200 OK", body));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn clock_never_goes_back() {
+fn monotonic_clock() {
     let clock = adapters_at(closed_port()).clock;
     let mut last = clock.monotonic_ms();
     for _ in 0..1_000 {
--- a/crates/adapters/tests/early_closes.rs
+++ b/crates/adapters/tests/early_closes.rs
@@ -17,25 +17,25 @@
 use apricotdale_core::service::ServiceAnswer;
 use apricotdale_core::service::ServiceCall;
 use support::LONG_MS;
-use support::PATIENCE;
 use support::Server;
+use support::TEST_TIMEOUT;
 use support::closed_by_client;
 use support::options_at;
 use support::serve;
 
-const STREAM: &str = "Content-Type: text/event-stream\r\nX-Request-Id: r-1";
-const WHOLE: &str = "Content-Type: application/json\r\nX-Request-Id: r-1";
+const STREAM_HEADERS: &str = "Content-Type: text/event-stream\r\nX-Request-Id: r-1";
+const JSON_HEADERS: &str = "Content-Type: application/json\r\nX-Request-Id: r-1";
 
 /// Pieces that an adapter returned, and how the answer ended.
-struct Got {
+struct ReadAnswer {
     pieces: Vec<String>,
     end: Result<()>,
 }
 
 /// Starts a server that sends these bytes and then closes its sending side in order. The receiver
 /// is notified once the client has closed its side too.
-fn closing(bytes: String) -> (Server, Receiver<()>) {
-    let (played, is_played) = mpsc::channel();
+fn closing_server(bytes: String) -> (Server, Receiver<()>) {
+    let (closed_sender, closed) = mpsc::channel();
     let server = serve(move |stream| {
         stream
             .write_all(bytes.as_bytes())
@@ -44,12 +44,12 @@
             .shutdown(Shutdown::Write)
             .expect("an open connection");
         closed_by_client(stream);
-        played.send(()).ok();
+        closed_sender.send(()).ok();
     });
-    (server, is_played)
+    (server, closed)
 }
 
-fn ask(server: &Server) -> Got {
+fn read_engine(server: &Server) -> ReadAnswer {
     let request = ServeRequest {
         id: RequestId::new("r-1"),
         path: "/v1/completions".to_owned(),
@@ -60,30 +60,32 @@
         priority: 3,
     };
     let serving = http_adapters(&options_at(server.address, LONG_MS)).serving;
-    let mut got = Got {
+    let mut read_answer = ReadAnswer {
         pieces: Vec::new(),
         end: Ok(()),
     };
     let mut answer = match serving.serve(server.address, &request) {
         Ok(answer) => answer,
         Err(error) => {
-            got.end = Err(error);
-            return got;
+            read_answer.end = Err(error);
+            return read_answer;
         }
     };
     loop {
         match answer.next_piece() {
-            Ok(Some(piece)) => got.pieces.push(String::from_utf8(piece).expect("text")),
-            Ok(None) => return got,
+            Ok(Some(piece)) => read_answer
+                .pieces
+                .push(String::from_utf8(piece).expect("text")),
+            Ok(None) => return read_answer,
             Err(error) => {
-                got.end = Err(error);
-                return got;
+                read_answer.end = Err(error);
+                return read_answer;
             }
         }
     }
 }
 
-fn ask_service(server: &Server) -> Result<ServiceAnswer> {
+fn read_service(server: &Server) -> Result<ServiceAnswer> {
     let call = ServiceCall {
         id: RequestId::new("r-1"),
         method: "POST".to_owned(),
@@ -102,7 +104,7 @@
 #[rstest]
 #[case::until_close_between_events("", "data: a\n\n", 1)]
 #[case::until_close_in_an_event("", "data: a\n\ndata: b", 1)]
-#[case::until_close_in_the_end_mark("", "data: a\n\ndata: [DONE]\n", 1)]
+#[case::until_close_in_end_marker("", "data: a\n\ndata: [DONE]\n", 1)]
 #[case::until_close_empty("", "", 0)]
 #[case::last_chunk_between_events(
     "\r\nTransfer-Encoding: chunked",
@@ -116,16 +118,21 @@
 #[case::length_in_an_event("\r\nContent-Length: 7", "data: a", 0)]
 #[case::length_not_reached("\r\nContent-Length: 99", "data: a\n\n", 1)]
 #[case::length_zero("\r\nContent-Length: 0", "", 0)]
-fn stream_without_its_end_mark(
-    #[case] framing: &str,
-    #[case] body: &str,
-    #[case] whole_events: usize,
-) {
-    let (server, is_played) = closing(format!("HTTP/1.1 200 X\r\n{STREAM}{framing}\r\n\r\n{body}"));
-    let got = ask(&server);
-    is_played.recv_timeout(PATIENCE).expect("it is played");
-    assert_eq!(got.pieces.len(), whole_events, "{:?}", got.pieces);
-    assert!(got.end.is_err(), "whole");
+fn missing_end_marker(#[case] framing: &str, #[case] body: &str, #[case] complete_events: usize) {
+    let (server, closed) = closing_server(format!(
+        "HTTP/1.1 200 X\r\n{STREAM_HEADERS}{framing}\r\n\r\n{body}"
+    ));
+    let read_answer = read_engine(&server);
+    closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the server has closed");
+    assert_eq!(
+        read_answer.pieces.len(),
+        complete_events,
+        "{:?}",
+        read_answer.pieces
+    );
+    assert!(read_answer.end.is_err(), "the stream counts as complete");
 }
 
 /// Guards against the beginning of a body that counts as the complete body.
@@ -139,32 +146,46 @@
 #[case::two_codings("\r\nTransfer-Encoding: gzip, chunked", "4\r\nhalf\r\n")]
 #[case::identity("\r\nTransfer-Encoding: identity", "half")]
 #[case::no_number("\r\nContent-Length: many", "half")]
-fn body_that_may_be_cut(#[case] framing: &str, #[case] body: &str) {
-    let answer = format!("HTTP/1.1 200 X\r\n{WHOLE}{framing}\r\n\r\n{body}");
-    let (server, is_played) = closing(answer.clone());
-    let got = ask(&server);
-    is_played.recv_timeout(PATIENCE).expect("it is played");
-    assert!(got.pieces.is_empty(), "{:?}", got.pieces);
-    assert!(matches!(got.end, Err(Error::Unknown(_))), "{:?}", got.end);
+fn possibly_cut_body(#[case] framing: &str, #[case] body: &str) {
+    let answer = format!("HTTP/1.1 200 X\r\n{JSON_HEADERS}{framing}\r\n\r\n{body}");
+    let (server, closed) = closing_server(answer.clone());
+    let read_answer = read_engine(&server);
+    closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the server has closed");
+    assert!(read_answer.pieces.is_empty(), "{:?}", read_answer.pieces);
+    assert!(
+        matches!(read_answer.end, Err(Error::Unknown(_))),
+        "{:?}",
+        read_answer.end
+    );
 
-    let (server, is_played) = closing(answer);
-    let outcome = ask_service(&server);
-    is_played.recv_timeout(PATIENCE).expect("it is played");
+    let (server, closed) = closing_server(answer);
+    let outcome = read_service(&server);
+    closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the server has closed");
     assert!(matches!(outcome, Err(Error::Unknown(_))), "{outcome:?}");
 }
 
 /// Guards against chunks that are announced in HTTP/1.0, which has none: the body ends with its
 /// connection.
 #[test]
-fn old_protocol_has_no_chunks() {
+fn http_10_chunks() {
     let framing = "Transfer-Encoding: chunked";
-    let (server, is_played) = closing(format!(
-        "HTTP/1.0 200 X\r\n{WHOLE}\r\n{framing}\r\n\r\nhalf"
+    let (server, closed) = closing_server(format!(
+        "HTTP/1.0 200 X\r\n{JSON_HEADERS}\r\n{framing}\r\n\r\nhalf"
     ));
-    let got = ask(&server);
-    is_played.recv_timeout(PATIENCE).expect("it is played");
-    assert!(got.pieces.is_empty(), "{:?}", got.pieces);
-    assert!(matches!(got.end, Err(Error::Unknown(_))), "{:?}", got.end);
+    let read_answer = read_engine(&server);
+    closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the server has closed");
+    assert!(read_answer.pieces.is_empty(), "{:?}", read_answer.pieces);
+    assert!(
+        matches!(read_answer.end, Err(Error::Unknown(_))),
+        "{:?}",
+        read_answer.end
+    );
 }
 
 /// Guards against an interim answer that counts as the answer, or as its beginning.
@@ -173,10 +194,16 @@
 #[case::hints("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")]
 #[case::half_a_head("HTTP/1.1 200 OK\r\nContent-Type: text/ev")]
 #[case::nothing("")]
-fn answer_that_does_not_come(#[case] bytes: &str) {
-    let (server, is_played) = closing(bytes.to_owned());
-    let got = ask(&server);
-    is_played.recv_timeout(PATIENCE).expect("it is played");
-    assert!(got.pieces.is_empty(), "{:?}", got.pieces);
-    assert!(matches!(got.end, Err(Error::Unknown(_))), "{:?}", got.end);
+fn missing_answer(#[case] bytes: &str) {
+    let (server, closed) = closing_server(bytes.to_owned());
+    let read_answer = read_engine(&server);
+    closed
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the server has closed");
+    assert!(read_answer.pieces.is_empty(), "{:?}", read_answer.pieces);
+    assert!(
+        matches!(read_answer.end, Err(Error::Unknown(_))),
+        "{:?}",
+        read_answer.end
+    );
 }
--- a/crates/adapters/tests/engine_orders.rs
+++ b/crates/adapters/tests/engine_orders.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn load_returns_the_status() {
+fn load_status() {
     let server = answering(json("200 OK", STATUS));
     let orders = adapters_at(server.address).orders;
     let status = orders
@@ -56,7 +56,7 @@
     Error::rejected("base_missing")
 )]
 #[case::other_conflict("409 Conflict", r#"{"reason":"busy"}"#, Error::rejected("busy"))]
-fn refused_order_had_no_effect(#[case] status: &str, #[case] body: &str, #[case] expected: Error) {
+fn refused_order(#[case] status: &str, #[case] body: &str, #[case] expected: Error) {
     let server = answering(json(status, body));
     let orders = adapters_at(server.address).orders;
     let outcome = orders.load(server.address, &order(), LONG_MS);
@@ -73,7 +73,7 @@
 #[case::internal("500 Internal Server Error", r#"{"reason":"no_memory"}"#)]
 #[case::unavailable("503 Service Unavailable", "")]
 #[case::not_found("404 Not Found", "")]
-fn answer_that_is_not_understood_is_unknown(#[case] status: &str, #[case] body: &str) {
+fn malformed_order_answer(#[case] status: &str, #[case] body: &str) {
     let server = answering(json(status, body));
     let orders = adapters_at(server.address).orders;
     let outcome = orders.load(server.address, &order(), LONG_MS);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn reports_are_read() {
+fn report_reads() {
     let load = r#"{"as_of_ms":5,"running":1,"waiting":2,"slots":3,
         "checkpoints":[{"model":"m","tier":"disk"}]}"#;
     let server = answering(json("200 OK", load));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn unreachable_engine_has_no_reports() {
+fn unreachable_engine() {
     let address = closed_port();
     let outcome = adapters_at(address).reports.status(address);
     assert!(matches!(outcome, Err(Error::Unavailable(_))), "{outcome:?}");
@@ -112,7 +112,7 @@
 /// Guards against answers that are read without a size limit: a faulty upstream answers without
 /// end, and the daemon would run out of memory.
 #[test]
-fn answers_above_the_limit_are_refused() {
+fn endless_answer() {
     let endless = support::serve(|stream| {
         use std::io::Write;
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/crates/adapters/tests/log_append.rs
+++ b/crates/adapters/tests/log_append.rs
@@ -14,7 +14,7 @@
 use support::json;
 
 #[test]
-fn append_returns_the_offset() {
+fn append_offset() {
     let server = answering(json("201 Created", r#"{"offset":7}"#));
     let log = adapters_at(server.address).log;
     let offset = log.append(&StreamName::new("claims/3"), b"payload");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn refused_connection_means_not_appended() {
+fn refused_connection() {
     let log = adapters_at(closed_port()).log;
     let outcome = log.append(&StreamName::new("control"), b"payload");
     assert!(matches!(outcome, Err(Error::Unavailable(_))), "{outcome:?}");
@@ -43,7 +43,7 @@
 #[case::not_json("201 Created", "{", Ran::Unknown)]
 #[case::no_offset("201 Created", "{}", Ran::Unknown)]
 #[case::other_success("200 OK", r#"{"offset":7}"#, Ran::Unknown)]
-fn only_refusals_are_certain(#[case] status: &str, #[case] body: &str, #[case] ran: Ran) {
+fn append_certainty(#[case] status: &str, #[case] body: &str, #[case] ran: Ran) {
     let server = answering(json(status, body));
     let log = adapters_at(server.address).log;
     let outcome = log.append(&StreamName::new("control"), b"payload");
--- a/crates/adapters/tests/log_read.rs
+++ b/crates/adapters/tests/log_read.rs
@@ -14,7 +14,7 @@
 use support::json;
 
 #[test]
-fn records_are_decoded() {
+fn records_decoded() {
     let body = r#"{"first":2,"end":9,"records":[
         {"offset":7,"appended_ms":1790000000000,"payload":"cGF5bG9hZA=="},
         {"offset":8,"appended_ms":1790000000001,"payload":""}]}"#;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn unreachable_log_is_unavailable() {
+fn unreachable_log() {
     let log = adapters_at(closed_port()).log;
     let outcome = log.read(&StreamName::new("control"), Offset(0), 1, 0);
     assert!(matches!(outcome, Err(Error::Unavailable(_))), "{outcome:?}");
@@ -55,7 +55,7 @@
     "malformed"
 )]
 #[case::negative_offset("200 OK", r#"{"first":-1,"end":8,"records":[]}"#, "malformed")]
-fn failed_reads_say_why(#[case] status: &str, #[case] body: &str, #[case] expected: &str) {
+fn failed_read_errors(#[case] status: &str, #[case] body: &str, #[case] expected: &str) {
     assert_eq!(kind(&read_at_7(status, body)), expected);
 }
 
@@ -71,7 +71,7 @@
 )]
 #[case::begins_later(r#"[{"offset":8,"appended_ms":1,"payload":""}]"#)]
 #[case::begins_earlier(r#"[{"offset":6,"appended_ms":1,"payload":""}]"#)]
-fn records_out_of_order_are_refused(#[case] records: &str) {
+fn records_out_of_order(#[case] records: &str) {
     let body = format!(r#"{{"first":0,"end":20,"records":{records}}}"#);
     assert_eq!(kind(&read_at_7("200 OK", &body)), "malformed");
 }
@@ -84,7 +84,7 @@
     "200 OK",
     r#"{"first":0,"end":7,"records":[{"offset":7,"appended_ms":1,"payload":""}]}"#
 )]
-fn contradictions_are_refused(#[case] status: &str, #[case] body: &str) {
+fn contradictory_answers(#[case] status: &str, #[case] body: &str) {
     assert_eq!(kind(&read_at_7(status, body)), "malformed");
 }
 
--- a/crates/adapters/tests/single_send.rs
+++ b/crates/adapters/tests/single_send.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn refused_connection_is_certainly_not_run() {
+fn refused_not_run() {
     for effect in ALL {
         assert_eq!(ran(run(effect, closed_port(), LONG_MS)), Ran::NotRun);
     }
@@ -121,7 +121,7 @@
 /// upstream's queue of new connections is full, so the request was certainly not sent and may be
 /// retried.
 #[test]
-fn timeout_while_connecting_is_certainly_not_run() {
+fn connect_timeout_not_run() {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     socket.bind(&any_port.into()).expect("a port");
@@ -151,11 +151,7 @@
 #[case::not_http(true, b"\x00\xff\x13SSH-2.0-whatever\r\n\r\n", false)]
 #[case::no_answer(true, b"", true)]
 #[case::head_only(true, b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n", true)]
-fn lost_answer_is_unknown_and_never_sent_again(
-    #[case] reads: bool,
-    #[case] answer: &'static [u8],
-    #[case] stays_open: bool,
-) {
+fn lost_answer(#[case] reads: bool, #[case] answer: &'static [u8], #[case] stays_open: bool) {
     let timeout_ms = if stays_open { SHORT_MS } else { LONG_MS };
     for effect in ALL {
         let listener = listener();
@@ -181,7 +177,7 @@
 #[case("302 Found")]
 #[case("303 See Other")]
 #[case("307 Temporary Redirect")]
-fn redirects_are_not_followed(#[case] status: &str) {
+fn redirects_not_followed(#[case] status: &str) {
     let target = listener();
     let location = target.local_addr().expect("an address");
     target.set_nonblocking(true).expect("a listener");
@@ -199,7 +195,7 @@
 /// Guards against a connection that is kept after a call: the log closes an idle connection just as
 /// the next append is written to it, and the outcome of that append would be unknown.
 #[test]
-fn each_call_gets_a_connection_of_its_own() {
+fn connection_per_call() {
     let body = r#"{"offset":1}"#;
     let length = body.len();
     let kept = format!("HTTP/1.1 201 Created\r\nContent-Length: {length}\r\n\r\n{body}");
@@ -219,7 +215,7 @@
 #[case::other_host("@127.0.0.1:1/")]
 #[case::line_break("/a\r\nX-Evil: 1")]
 #[case::space("/a b")]
-fn path_that_cannot_be_sent_is_not_sent(#[case] path: &str) {
+fn invalid_paths(#[case] path: &str) {
     let address = closed_port();
     let adapters = http_adapters(&options_at(address, LONG_MS));
     let call = ServiceCall {
--- a/crates/adapters/tests/stream_answers.rs
+++ b/crates/adapters/tests/stream_answers.rs
@@ -71,7 +71,7 @@
 #[case::extra_blank("\n\ndata: a\n\n\ndata: [DONE]\n\n", &["\n\ndata: a\n\n", "\ndata: [DONE]\n\n"])]
 #[case::after_the_end("data: [DONE]\n\ndata: late\n\n", &["data: [DONE]\n\n"])]
 #[case::quoted_end("data: say [DONE]\n\ndata: [DONE]\n\n", &["data: say [DONE]\n\n", "data: [DONE]\n\n"])]
-fn events_come_whole_and_unchanged(#[case] body: &str, #[case] expected: &[&str]) {
+fn events_unchanged(#[case] body: &str, #[case] expected: &[&str]) {
     let (pieces, error) = stream_of(body);
     assert_eq!(pieces, expected);
     assert_eq!(error, None);
@@ -86,26 +86,26 @@
 #[case::within_an_event("data: a\n\ndata: b\n", 1)]
 #[case::within_the_end("data: a\n\ndata: [DONE]", 1)]
 #[case::end_as_comment(": [DONE]\n\n", 1)]
-fn cut_stream_is_never_whole(#[case] body: &str, #[case] whole_events: usize) {
+fn cut_stream(#[case] body: &str, #[case] complete_events: usize) {
     let server = answering(format!("{HEAD}{body}"));
     let mut answer = open(server.address, LONG_MS, LONG_MS);
     let (pieces, error) = pieces(answer.as_mut());
-    assert_eq!(pieces.len(), whole_events);
+    assert_eq!(pieces.len(), complete_events);
     assert!(matches!(error, Some(Error::Unknown(_))), "{error:?}");
-    assert!(answer.next_piece().is_err(), "whole at a second glance");
+    assert!(answer.next_piece().is_err(), "complete on the second call");
 }
 
 #[rstest]
 #[case::one_event(format!("data: {}\n\n", "x".repeat(PIECE_LIMIT_BYTES)))]
 #[case::no_line_end("x".repeat(10 * PIECE_LIMIT_BYTES))]
-fn event_above_the_limit_is_malformed(#[case] body: String) {
+fn oversized_event(#[case] body: String) {
     let (pieces, error) = stream_of(&body);
     assert_eq!(pieces.len(), 0);
     assert!(matches!(error, Some(Error::Malformed(_))), "{error:?}");
 }
 
 #[test]
-fn broken_chunks_are_malformed() {
+fn malformed_chunks() {
     let head = HEAD.replace("X-Request-Id: r-1", "Transfer-Encoding: chunked");
     let server = answering(format!("{head}9\r\ndata: a\n\n\r\nwhat\r\n"));
     let mut answer = open(server.address, LONG_MS, LONG_MS);
@@ -115,15 +115,15 @@
 
 /// Guards against events that are buffered: the engine sends one event and waits before the next.
 #[test]
-fn each_event_is_handed_on_before_the_next_is_sent() {
-    let (got, hears) = mpsc::channel::<()>();
+fn events_returned_immediately() {
+    let (event_read, event_was_read) = mpsc::channel::<()>();
     let server = serve(move |stream| {
         stream.write_all(HEAD.as_bytes()).expect("the client reads");
         for event in ["data: a\n\n", "data: b\n\n", "data: [DONE]\n\n"] {
             stream
                 .write_all(event.as_bytes())
                 .expect("the client reads");
-            hears.recv().expect("the client got the event");
+            event_was_read.recv().expect("the client got the event");
         }
     });
     let mut answer = open(server.address, LONG_MS, LONG_MS);
@@ -131,7 +131,7 @@
     assert_eq!(answer.head().id, Some(RequestId::new("r-1")));
     for _ in 0..3 {
         assert!(matches!(answer.next_piece(), Ok(Some(_))));
-        got.send(()).expect("the server waits");
+        event_read.send(()).expect("the server waits");
     }
     assert_eq!(answer.next_piece(), Ok(None));
     let request = server.requests.recv().expect("one request").to_lowercase();
@@ -145,7 +145,7 @@
 #[case::before_the_first_event("", SHORT_MS, LONG_MS, 0)]
 #[case::between_events("data: a\n\n", LONG_MS, SHORT_MS, 1)]
 #[case::within_an_event("data: a\n\ndata: b", LONG_MS, SHORT_MS, 1)]
-fn silent_engine_times_out(
+fn unresponsive_engine(
     #[case] body: &'static str,
     #[case] first_ms: u64,
     #[case] idle_ms: u64,
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn comments_do_not_keep_a_silent_stream_alive() {
+fn comments_without_events() {
     let server = serve(|stream| {
         let begun = Instant::now();
         let mut sent = stream.write_all(HEAD.as_bytes());
@@ -190,7 +190,7 @@
 #[rstest]
 #[case::while_more_may_come("data: a\n\n")]
 #[case::after_the_end("data: [DONE]\n\n")]
-fn dropped_answer_closes_the_connection(#[case] body: &'static str) {
+fn dropped_answer(#[case] body: &'static str) {
     let (closed, seen) = mpsc::channel();
     let server = serve(move |stream: &mut TcpStream| {
         stream.write_all(HEAD.as_bytes()).ok();
--- a/crates/adapters/tests/support/mod.rs
+++ b/crates/adapters/tests/support/mod.rs
@@ -25,7 +25,7 @@
 pub const LONG_MS: u64 = 30_000;
 
 /// Bounds the waits of a failing test. No assertion depends on its length.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Timeout for tests whose server never answers.
 pub const SHORT_MS: u64 = 50;
--- a/crates/adapters/tests/vm_list.rs
+++ b/crates/adapters/tests/vm_list.rs
@@ -12,7 +12,7 @@
 const ENTRY: &str = r#"{"name":"e1","role":"engine","group":"planner-lm","zone":"hall-a",
     "address":"127.0.0.1:9","state":"live"}"#;
 
-fn whole(as_of_ms: u64) -> String {
+fn complete(as_of_ms: u64) -> String {
     let body = format!(r#"{{"as_of_ms":{as_of_ms},"entries":[{ENTRY}]}}"#);
     let length = body.len();
     format!(
@@ -29,8 +29,8 @@
 /// Guards against a VM that reads the complete VM list every second although it hardly ever
 /// changes: the second read must send the entity tag of the first.
 #[test]
-fn unchanged_list_is_kept_with_its_new_time() {
-    let mut answers = vec![unchanged("X-As-Of-Ms: 9000\r\n"), whole(5_000)];
+fn unchanged_list() {
+    let mut answers = vec![unchanged("X-As-Of-Ms: 9000\r\n"), complete(5_000)];
     let server = serve(move |stream| {
         let answer = answers.pop().expect("two readings");
         let _ = stream.write_all(answer.as_bytes());
@@ -38,14 +38,9 @@
     let list = adapters_at(server.address).vm_list;
     let first = list.list().expect("a list");
     let second = list.list().expect("the same list");
-    let asks_for_change = |request: String| request.to_ascii_lowercase().contains("if-none-match");
-    let asked: Vec<bool> = server
-        .requests
-        .iter()
-        .take(2)
-        .map(asks_for_change)
-        .collect();
-    assert_eq!(asked, [false, true]);
+    let sends_tag = |request: String| request.to_ascii_lowercase().contains("if-none-match");
+    let sent_tags: Vec<bool> = server.requests.iter().take(2).map(sends_tag).collect();
+    assert_eq!(sent_tags, [false, true]);
     assert_eq!((first.as_of_ms, second.as_of_ms), (5_000, 9_000));
     assert_eq!(first.entries, second.entries);
     assert_eq!(second.entries[0].state, VmState::Live);
@@ -54,8 +49,8 @@
 /// Guards against a VM that takes an old VM list for a new one, and ends processes that started
 /// after it: the list is unchanged, but the answer does not contain its time.
 #[test]
-fn unchanged_list_without_time_is_malformed() {
-    let mut answers = vec![unchanged(""), whole(5_000)];
+fn unchanged_without_time() {
+    let mut answers = vec![unchanged(""), complete(5_000)];
     let server = serve(move |stream| {
         let answer = answers.pop().expect("two readings");
         let _ = stream.write_all(answer.as_bytes());
