--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -35,7 +35,7 @@
 
 impl Admitted {
     /// Marks the request as answered, so that its run time enters the mean of its target.
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn mark_answered(&mut self) {
         self.answered = true;
     }
 }
--- a/crates/gateway/src/model_flow.rs
+++ b/crates/gateway/src/model_flow.rs
@@ -151,7 +151,7 @@
             let mut admitted = admission::admit(self.shared, self.context, &admission_request)?;
             match self.run_pass()? {
                 PassEnd::Answered => {
-                    admitted.answered();
+                    admitted.mark_answered();
                     return Ok(());
                 }
                 PassEnd::WaitForLoad => {}
--- a/crates/gateway/src/service_job.rs
+++ b/crates/gateway/src/service_job.rs
@@ -97,7 +97,7 @@
             Idempotency::Idempotent | Idempotency::NotIdempotent => self.run_attempts(),
         };
         if matches!(end, JobEnd::Answered(_)) {
-            self.admitted.answered();
+            self.admitted.mark_answered();
         }
         let Self {
             admitted,
--- a/crates/gateway/tests/foreign_answers.rs
+++ b/crates/gateway/tests/foreign_answers.rs
@@ -63,11 +63,11 @@
 #[case::identified(foreign_event())]
 #[case::unidentified(ScriptStep::Piece(format!("data: {{\"text\":\"{FOREIGN}\"}}\n\n")))]
 #[case::identified_by_field(ScriptStep::Piece(format!("id: req-0000\ndata: {{\"text\":\"{FOREIGN}\"}}\n\n")))]
-fn foreign_later_event(#[case] crossed: ScriptStep) {
+fn foreign_later_event(#[case] foreign_step: ScriptStep) {
     let fixture = Fixture::warm();
     fixture
         .engine
-        .script(vec![stream_head(), event("own"), crossed, done()]);
+        .script(vec![stream_head(), event("own"), foreign_step, done()]);
     let mut caller = fixture.caller();
     caller.stream(&[]);
     caller.head();
--- a/crates/gateway/tests/incomplete_answers.rs
+++ b/crates/gateway/tests/incomplete_answers.rs
@@ -136,7 +136,7 @@
 /// Guards against a deadline that ends a stream as if it were complete. Once a stream has begun,
 /// its deadline no longer applies, and the stream ends as the engine ends it.
 #[rstest]
-#[case::whole(vec![done()], Piece::End)]
+#[case::complete(vec![done()], Piece::End)]
 #[case::cut(vec![ScriptStep::Cut], Piece::Cut)]
 #[case::without_end(vec![], Piece::Cut)]
 fn deadline_within_stream(#[case] rest: Vec<ScriptStep>, #[case] expected: Piece) {
--- a/crates/gateway/tests/released_slots.rs
+++ b/crates/gateway/tests/released_slots.rs
@@ -18,7 +18,7 @@
 #[rstest]
 #[case::answered(vec![ScriptStep::Head(200, "text/plain", Some("{id}")), ScriptStep::Piece("x".to_owned())], 200)]
 #[case::failed(vec![ScriptStep::Fail(Error::rejected("no"))], 200)]
-#[case::gone(not_loaded(), 200)]
+#[case::not_loaded(not_loaded(), 200)]
 #[case::silent(vec![ScriptStep::Hold, ScriptStep::Cut], 504)]
 #[case::panicked(vec![ScriptStep::Panic], 200)]
 fn slot_released(#[case] steps: Vec<ScriptStep>, #[case] status: u16) {
@@ -84,7 +84,7 @@
     assert_eq!(
         fixture.service.call_count(),
         1,
-        "the only place was given twice"
+        "the only slot was assigned twice"
     );
     *fixture.service.holds.lock() = false;
     fixture
--- a/crates/gateway/tests/service_idempotency.rs
+++ b/crates/gateway/tests/service_idempotency.rs
@@ -236,7 +236,7 @@
     assert_eq!(
         fixture.service.call_count(),
         0,
-        "a call that was told not to have run"
+        "a call that was reported as not run"
     );
     let (_, ran, kept) = fixture.claims.finished.wait_for(|_| true);
     assert_eq!((ran, kept), (Ran::NotRun, None));
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -132,7 +132,7 @@
         };
         let length = answer.header("content-length").map(|text| text.parse());
         let mut body = vec![0; length.expect("a length").expect("a number")];
-        self.reader.read_exact(&mut body).expect("a whole body");
+        self.reader.read_exact(&mut body).expect("a complete body");
         answer.body = String::from_utf8(body).expect("text");
         answer
     }
@@ -172,7 +172,9 @@
         }
         let size = usize::from_str_radix(size.trim(), 16).expect("a chunk size");
         let mut chunk = vec![0; size + 2];
-        self.reader.read_exact(&mut chunk).expect("a whole chunk");
+        self.reader
+            .read_exact(&mut chunk)
+            .expect("a complete chunk");
         chunk.truncate(size);
         match size {
             0 => Piece::End,
