--- a/crates/http/tests/cut_responses.rs
+++ b/crates/http/tests/cut_responses.rs
@@ -47,7 +47,7 @@
     let mut client = connect(&server);
     client.write_all(b"GET / HTTP/1.0\r\n\r\n").expect("sent");
     let read = client.read_to_end(&mut Vec::new());
-    assert!(read.is_err(), "the answer looked whole: {read:?}");
+    assert!(read.is_err(), "the response looked complete: {read:?}");
 }
 
 fn no_answer(_: Request, _: Responder<'_>) {}
