--- a/crates/adapters/src/exchange.rs
+++ b/crates/adapters/src/exchange.rs
@@ -2,10 +2,10 @@
 //!
 //! Each exchange has its own connection. A kept connection may have been closed by the upstream,
 //! which shows only after the request was written. It is then unknown whether the request was read,
-//! and an HTTP client that sends it again on a new connection may run it twice. A new connection
-//! per call costs one round trip and makes the outcome clear: before the connection is established,
-//! nothing was sent (`Error::Unavailable`); after that the call may have been received
-//! (`Error::Unknown`).
+//! and an HTTP client that sends the request again on a new connection may cause a second run. A
+//! new connection per call costs one round trip and makes the outcome clear: before the connection
+//! is established, nothing was sent (`Error::Unavailable`); after that the call may have been
+//! received (`Error::Unknown`).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/adapters/src/log.rs
+++ b/crates/adapters/src/log.rs
@@ -109,8 +109,9 @@
     }
 }
 
-/// Returns the outcome of an append. Only statuses 429 and 503 show that the record was not
-/// appended. After any answer that is neither of these nor an offset, the outcome is unknown.
+/// Returns the outcome of an append from its answer. Only statuses 429 and 503 show that the record
+/// was not appended. After any answer that is neither of these nor an offset, the outcome is
+/// unknown.
 fn read_append(incoming: Incoming) -> Result<Offset> {
     match incoming.response.status().as_u16() {
         TOO_MANY_REQUESTS => Err(Error::unavailable("the log takes no more appends now")),
