--- a/crates/adapters/src/answer.rs
+++ b/crates/adapters/src/answer.rs
@@ -1,4 +1,4 @@
-//! Whole bodies, and how one that was cut shows.
+//! Complete bodies of answers, and the detection of those that were cut.
 
 use std::io;
 use std::io::Read;
@@ -18,7 +18,7 @@
 
 const CHUNKED: &str = "chunked";
 
-/// Returns a header's text, or an empty text if it is absent or not plain ASCII.
+/// Returns the value of a header, or an empty text if it is absent or not plain ASCII.
 pub(crate) fn header(headers: &HeaderMap, name: HeaderName) -> &str {
     headers
         .get(name)
@@ -26,29 +26,29 @@
         .unwrap_or_default()
 }
 
-/// Returns the content type of an answer.
+/// Returns the content type of an answer, or an empty text if there is none.
 pub(crate) fn content_type(response: &Response<Body>) -> String {
     header(response.headers(), CONTENT_TYPE).to_owned()
 }
 
-/// Returns the whole body of an answer that may have one.
+/// Reads the complete body of an answer.
 ///
-/// A body that ends when the connection closes may have been cut there, and nothing would show it:
-/// half of a slot list would pass for the whole. So a body counts as whole only if its length was
-/// announced or its last chunk came.
+/// If a body ends with its connection, nothing shows whether it was cut: half of a slot list would
+/// count as complete. A body is therefore accepted only if its length was announced or its last
+/// chunk arrived.
 ///
 /// # Errors
 ///
-/// `Error::Unknown` if the body was cut or late, `Error::Malformed` if it is above the limit or not
-/// framed as announced.
-pub(crate) fn read_whole(response: Response<Body>, limit_bytes: usize) -> Result<Vec<u8>> {
-    let announced = header(response.headers(), CONTENT_LENGTH)
+/// `Error::Unknown` if the body was cut or late, `Error::Malformed` if it exceeds the limit or does
+/// not have the announced framing.
+pub(crate) fn read_complete(response: Response<Body>, limit_bytes: usize) -> Result<Vec<u8>> {
+    let content_length = header(response.headers(), CONTENT_LENGTH)
         .parse::<u64>()
         .ok();
-    if announced.is_some_and(|length| length > limit_bytes as u64) {
+    if content_length.is_some_and(|length| length > limit_bytes as u64) {
         return Err(too_large(limit_bytes));
     }
-    if announced.is_none() && !is_chunked(&response) && !is_bodyless(response.status()) {
+    if content_length.is_none() && !is_chunked(&response) && !is_bodyless(response.status()) {
         return Err(Error::unknown("the answer does not tell where it ends"));
     }
     let mut reader = response
@@ -56,14 +56,14 @@
         .into_reader()
         .take(limit_bytes as u64 + 1);
     let mut body = Vec::new();
-    reader.read_to_end(&mut body).map_err(read_failed)?;
+    reader.read_to_end(&mut body).map_err(body_error)?;
     match body.len() {
         length if length > limit_bytes => Err(too_large(limit_bytes)),
         _ => Ok(body),
     }
 }
 
-/// Returns whether the body comes in chunks. HTTP/1.0 has none, and its bodies end with their
+/// Returns whether the body is chunked. HTTP/1.0 has no chunks: its bodies end with their
 /// connection whatever is announced.
 fn is_chunked(response: &Response<Body>) -> bool {
     let codings = header(response.headers(), TRANSFER_ENCODING);
@@ -75,8 +75,8 @@
     matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
 }
 
-/// Returns the error of a body that could not be read on.
-pub(crate) fn read_failed(error: io::Error) -> Error {
+/// Converts the error of reading a body.
+pub(crate) fn body_error(error: io::Error) -> Error {
     let inner = error
         .get_ref()
         .and_then(|inner| inner.downcast_ref::<ureq::Error>());
--- a/crates/adapters/src/connection.rs
+++ b/crates/adapters/src/connection.rs
@@ -1,4 +1,4 @@
-//! The one connection of an exchange, and what is known of it.
+//! The single connection of an exchange, with its state and deadline.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -23,47 +23,55 @@
 use ureq::unversioned::transport::Transport;
 use ureq::unversioned::transport::time::Duration;
 
-/// `Watch` is what an exchange knows of its connection. The exchange and the connection share it.
+/// State of a connection, shared by the exchange and the connection.
 #[derive(Debug)]
-pub(crate) struct Watch {
-    taken: AtomicBool,
+pub(crate) struct ConnectionState {
+    connect_attempted: AtomicBool,
     connected: AtomicBool,
     deadline: Mutex<Instant>,
 }
 
-impl Watch {
-    /// Returns the watch of a connection that is not yet there.
+impl ConnectionState {
+    /// Returns the state of a connection that is not established yet.
     pub(crate) fn new(deadline: Instant) -> Arc<Self> {
         Arc::new(Self {
-            taken: AtomicBool::new(false),
+            connect_attempted: AtomicBool::new(false),
             connected: AtomicBool::new(false),
             deadline: Mutex::new(deadline),
         })
     }
 
-    /// Returns whether the connection was ever established. Until then nothing was sent.
+    /// Returns whether the connection was ever established. Before that, nothing was sent.
     pub(crate) fn connected(&self) -> bool {
         self.connected.load(Ordering::SeqCst)
     }
 
-    /// Returns the moment at which a pending read or write fails.
+    /// Returns when a pending read or write fails.
     pub(crate) fn deadline(&self) -> Instant {
         *self.deadline.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Moves the moment at which a pending read or write fails.
+    /// Sets when a pending read or write fails.
     pub(crate) fn set_deadline(&self, deadline: Instant) {
         *self.deadline.lock().unwrap_or_else(PoisonError::into_inner) = deadline;
     }
 
-    /// Returns the timeout shortened to the deadline, or the error of a deadline that has passed.
-    fn clamp(&self, timeout: NextTimeout, reason: Timeout) -> Result<NextTimeout, Error> {
+    /// Returns the timeout, shortened to the deadline.
+    ///
+    /// # Errors
+    ///
+    /// `Error::Timeout` if the deadline has passed.
+    fn limit_to_deadline(
+        &self,
+        timeout: NextTimeout,
+        reason: Timeout,
+    ) -> Result<NextTimeout, Error> {
         let left = self.deadline().saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(Error::Timeout(reason));
         }
-        let shorter = timeout.after.is_not_happening() || left < *timeout.after;
-        match shorter {
+        let is_deadline_sooner = timeout.after.is_not_happening() || left < *timeout.after;
+        match is_deadline_sooner {
             true => Ok(NextTimeout {
                 after: Duration::Exact(left),
                 reason,
@@ -74,71 +82,80 @@
     }
 }
 
-/// `SingleConnector` establishes one connection and no second one.
+/// Connector that establishes one connection and refuses to establish a second.
 ///
-/// An HTTP client that reconnects and sends again turns a lost answer into a second run. One would
-/// notice by a doubled booking or an order obeyed twice. With this connector a second attempt fails
-/// instead, whatever the library does.
+/// An HTTP client that reconnects and sends again turns a lost answer into a second run, such as a
+/// doubled booking or an order executed twice. With this connector a second attempt fails, whatever
+/// the library does.
 #[derive(Debug)]
 pub(crate) struct SingleConnector {
-    watch: Arc<Watch>,
+    connection_state: Arc<ConnectionState>,
     tcp: TcpConnector,
 }
 
 impl SingleConnector {
-    /// Returns a connector whose only connection is watched.
-    pub(crate) fn new(watch: Arc<Watch>) -> Self {
+    /// Returns a connector whose connection updates the given state.
+    pub(crate) fn new(connection_state: Arc<ConnectionState>) -> Self {
         Self {
-            watch,
+            connection_state,
             tcp: TcpConnector::default(),
         }
     }
 }
 
 impl Connector for SingleConnector {
-    type Out = WatchedTransport;
+    type Out = DeadlineTransport;
 
     fn connect(
         &self,
         details: &ConnectionDetails,
         _chained: Option<()>,
     ) -> Result<Option<Self::Out>, Error> {
-        if self.watch.taken.swap(true, Ordering::SeqCst) {
+        if self
+            .connection_state
+            .connect_attempted
+            .swap(true, Ordering::SeqCst)
+        {
             return Err(Error::ConnectionFailed);
         }
         let transport = self.tcp.connect(details, None::<()>)?;
         let Some(transport) = transport else {
             return Ok(None);
         };
-        self.watch.connected.store(true, Ordering::SeqCst);
-        Ok(Some(WatchedTransport {
+        self.connection_state
+            .connected
+            .store(true, Ordering::SeqCst);
+        Ok(Some(DeadlineTransport {
             inner: Box::new(transport),
-            watch: self.watch.clone(),
+            connection_state: self.connection_state.clone(),
         }))
     }
 }
 
-/// `WatchedTransport` is a connection whose reads and writes end at the watch's deadline. The
-/// library fixes its own timeouts when a call begins; the deadline of a stream moves with each
-/// event.
+/// Connection whose reads and writes end at a deadline that can be moved. The library fixes its own
+/// timeouts when a call begins, but the deadline of a stream moves with each event.
 #[derive(Debug)]
-pub(crate) struct WatchedTransport {
+pub(crate) struct DeadlineTransport {
     inner: Box<dyn Transport>,
-    watch: Arc<Watch>,
+    connection_state: Arc<ConnectionState>,
 }
 
-impl Transport for WatchedTransport {
+impl Transport for DeadlineTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.inner.buffers()
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        let timeout = self.watch.clamp(timeout, Timeout::SendRequest)?;
+        let timeout = self
+            .connection_state
+            .limit_to_deadline(timeout, Timeout::SendRequest)?;
         self.inner.transmit_output(amount, timeout)
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
-        let timeout = self.watch.clamp(timeout, Timeout::RecvResponse)?;
+        let timeout = self
+            .connection_state
+            .limit_to_deadline(timeout, Timeout::RecvResponse)?;
         self.inner.await_input(timeout)
     }
 
@@ -147,8 +164,8 @@
     }
 }
 
-/// `AddressResolver` takes the address from the URL as it is. The library's own resolver starts a
-/// thread for every call that has a timeout.
+/// Resolver that parses the address in the URL. The library's own resolver starts a thread for
+/// every call that has a timeout.
 #[derive(Clone, Copy)]
 pub(crate) struct AddressResolver;
 
--- a/crates/adapters/src/weights.rs
+++ b/crates/adapters/src/weights.rs
@@ -1,11 +1,11 @@
-//! The weight store over HTTP.
+//! Client of the weight store over HTTP.
 
 use serde::Deserialize;
 
 use crate::options::HttpOptions;
 use crate::options::WeightsOptions;
 use crate::paths::segment;
-use crate::reading::Reader;
+use crate::reader::Reader;
 use apricotdale_core::errors::Error;
 use apricotdale_core::errors::Result;
 use apricotdale_core::names::ModelName;
@@ -14,7 +14,7 @@
 
 const NOT_FOUND: u16 = 404;
 
-/// `HttpWeights` asks the weight store over HTTP.
+/// Client of the weight store over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpWeights {
     options: WeightsOptions,
@@ -22,12 +22,12 @@
 }
 
 #[derive(Deserialize)]
-struct Size {
+struct SizeAnswer {
     bytes: u64,
 }
 
 impl HttpWeights {
-    /// Returns an adapter for the store at the address in the options.
+    /// Returns a client of the store at the address in the options.
     pub fn new(http: &HttpOptions, options: &WeightsOptions) -> Self {
         Self {
             options: options.clone(),
@@ -47,12 +47,12 @@
     fn size_bytes(&self, model: &ModelName) -> Result<u64> {
         let path = format!("/models/{}", segment(model.as_str()));
         let options = &self.options;
-        let page = self
+        let fetched = self
             .reader
             .get(options.address, &path, options.timeout_ms)?;
-        match page.status {
+        match fetched.status {
             NOT_FOUND => Err(Error::rejected(format!("no weights of {model}"))),
-            _ => page.json::<Size>().map(|size| size.bytes),
+            _ => fetched.json::<SizeAnswer>().map(|size| size.bytes),
         }
     }
 }
--- a/crates/adapters/tests/log_read.rs
+++ b/crates/adapters/tests/log_read.rs
@@ -14,7 +14,7 @@
 use support::json;
 
 #[test]
-fn records_are_decoded() {
+fn records_decoded() {
     let body = r#"{"first":2,"end":9,"records":[
         {"offset":7,"appended_ms":1790000000000,"payload":"cGF5bG9hZA=="},
         {"offset":8,"appended_ms":1790000000001,"payload":""}]}"#;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn unreachable_log_is_unavailable() {
+fn unreachable_log() {
     let log = adapters_at(closed_port()).log;
     let outcome = log.read(&StreamName::new("control"), Offset(0), 1, 0);
     assert!(matches!(outcome, Err(Error::Unavailable(_))), "{outcome:?}");
@@ -55,13 +55,13 @@
     "malformed"
 )]
 #[case::negative_offset("200 OK", r#"{"first":-1,"end":8,"records":[]}"#, "malformed")]
-fn failed_reads_say_why(#[case] status: &str, #[case] body: &str, #[case] expected: &str) {
+fn failed_read_errors(#[case] status: &str, #[case] body: &str, #[case] expected: &str) {
     assert_eq!(kind(&read_at_7(status, body)), expected);
 }
 
-/// Symptom: one VM's state differs from that of all others, and it decides on its own.
-/// Sequence: a read answer leaves out a record, repeats one or begins elsewhere, or a restarted log
-/// contradicts itself. Cause: the reader replays what came without looking at the offsets.
+/// Guards against a reader that replays records without checking their offsets: an answer leaves
+/// out a record, repeats one or begins elsewhere, and this VM's state would differ from that of all
+/// others.
 #[rstest]
 #[case::gap(
     r#"[{"offset":7,"appended_ms":1,"payload":""},{"offset":9,"appended_ms":1,"payload":""}]"#
@@ -71,21 +71,20 @@
 )]
 #[case::begins_later(r#"[{"offset":8,"appended_ms":1,"payload":""}]"#)]
 #[case::begins_earlier(r#"[{"offset":6,"appended_ms":1,"payload":""}]"#)]
-fn records_out_of_order_are_refused(#[case] records: &str) {
+fn records_out_of_order(#[case] records: &str) {
     let body = format!(r#"{{"first":0,"end":20,"records":{records}}}"#);
     assert_eq!(kind(&read_at_7("200 OK", &body)), "malformed");
 }
 
-/// Symptom: a VM never becomes ready and reads the log in a loop.
-/// Sequence: the log says that an offset has expired and, in the same answer, that it is kept; or
-/// that it ends before a record that it hands out. Cause: the answer is believed.
+/// Guards against a reader that accepts contradictory answers and would read the log in a loop: an
+/// offset is reported as expired and as kept, or the end precedes a returned record.
 #[rstest]
 #[case::expired_but_kept("410 Gone", r#"{"first":7}"#)]
 #[case::ends_too_early(
     "200 OK",
     r#"{"first":0,"end":7,"records":[{"offset":7,"appended_ms":1,"payload":""}]}"#
 )]
-fn contradictions_are_refused(#[case] status: &str, #[case] body: &str) {
+fn contradictory_answers(#[case] status: &str, #[case] body: &str) {
     assert_eq!(kind(&read_at_7(status, body)), "malformed");
 }
 
--- a/crates/adapters/tests/stream_answers.rs
+++ b/crates/adapters/tests/stream_answers.rs
@@ -71,41 +71,41 @@
 #[case::extra_blank("\n\ndata: a\n\n\ndata: [DONE]\n\n", &["\n\ndata: a\n\n", "\ndata: [DONE]\n\n"])]
 #[case::after_the_end("data: [DONE]\n\ndata: late\n\n", &["data: [DONE]\n\n"])]
 #[case::quoted_end("data: say [DONE]\n\ndata: [DONE]\n\n", &["data: say [DONE]\n\n", "data: [DONE]\n\n"])]
-fn events_come_whole_and_unchanged(#[case] body: &str, #[case] expected: &[&str]) {
+fn events_unchanged(#[case] body: &str, #[case] expected: &[&str]) {
     let (pieces, error) = stream_of(body);
     assert_eq!(pieces, expected);
     assert_eq!(error, None);
 }
 
-/// Symptom: a long review reaches its caller without its last paragraphs and looks whole.
-/// Sequence: the engine dies in the middle of the stream, between two events or within one.
-/// Cause: the end of the connection is taken for the end of the answer.
+/// Guards against an end of the connection that is taken for the end of the answer: the engine
+/// crashes in the middle of the stream, between two events or within one, and the answer would look
+/// complete.
 #[rstest]
 #[case::at_once("", 0)]
 #[case::between_events("data: a\n\n", 1)]
 #[case::within_an_event("data: a\n\ndata: b\n", 1)]
 #[case::within_the_end("data: a\n\ndata: [DONE]", 1)]
 #[case::end_as_comment(": [DONE]\n\n", 1)]
-fn cut_stream_is_never_whole(#[case] body: &str, #[case] whole_events: usize) {
+fn cut_stream(#[case] body: &str, #[case] complete_events: usize) {
     let server = answering(format!("{HEAD}{body}"));
     let mut answer = open(server.address, LONG_MS, LONG_MS);
     let (pieces, error) = pieces(answer.as_mut());
-    assert_eq!(pieces.len(), whole_events);
+    assert_eq!(pieces.len(), complete_events);
     assert!(matches!(error, Some(Error::Unknown(_))), "{error:?}");
-    assert!(answer.next_piece().is_err(), "whole at a second glance");
+    assert!(answer.next_piece().is_err(), "complete on the second call");
 }
 
 #[rstest]
 #[case::one_event(format!("data: {}\n\n", "x".repeat(PIECE_LIMIT_BYTES)))]
 #[case::no_line_end("x".repeat(10 * PIECE_LIMIT_BYTES))]
-fn event_above_the_limit_is_malformed(#[case] body: String) {
+fn oversized_event(#[case] body: String) {
     let (pieces, error) = stream_of(&body);
     assert_eq!(pieces.len(), 0);
     assert!(matches!(error, Some(Error::Malformed(_))), "{error:?}");
 }
 
 #[test]
-fn broken_chunks_are_malformed() {
+fn malformed_chunks() {
     let head = HEAD.replace("X-Request-Id: r-1", "Transfer-Encoding: chunked");
     let server = answering(format!("{head}9\r\ndata: a\n\n\r\nwhat\r\n"));
     let mut answer = open(server.address, LONG_MS, LONG_MS);
@@ -113,18 +113,17 @@
     assert!(matches!(error, Some(Error::Malformed(_))), "{error:?}");
 }
 
-/// Symptom: the first word comes only when the whole answer is there.
-/// Sequence: the engine sends one event and waits before the next. Cause: events are gathered.
+/// Guards against events that are buffered: the engine sends one event and waits before the next.
 #[test]
-fn each_event_is_handed_on_before_the_next_is_sent() {
-    let (got, hears) = mpsc::channel::<()>();
+fn events_returned_immediately() {
+    let (event_read, event_was_read) = mpsc::channel::<()>();
     let server = serve(move |stream| {
         stream.write_all(HEAD.as_bytes()).expect("the client reads");
         for event in ["data: a\n\n", "data: b\n\n", "data: [DONE]\n\n"] {
             stream
                 .write_all(event.as_bytes())
                 .expect("the client reads");
-            hears.recv().expect("the client got the event");
+            event_was_read.recv().expect("the client got the event");
         }
     });
     let mut answer = open(server.address, LONG_MS, LONG_MS);
@@ -132,7 +131,7 @@
     assert_eq!(answer.head().id, Some(RequestId::new("r-1")));
     for _ in 0..3 {
         assert!(matches!(answer.next_piece(), Ok(Some(_))));
-        got.send(()).expect("the server waits");
+        event_read.send(()).expect("the server waits");
     }
     assert_eq!(answer.next_piece(), Ok(None));
     let request = server.requests.recv().expect("one request").to_lowercase();
@@ -140,14 +139,13 @@
     assert!(request.contains("x-priority: 3\r\n"), "{request}");
 }
 
-/// Symptom: a slot request waits past its class's target for an engine that hangs.
-/// Sequence: the engine sends its head, or some events, or only comments, and then nothing more.
-/// Cause: the timeout covers only the head, or starts anew with every byte.
+/// Guards against a timeout that covers only the head, or that starts anew with every byte: the
+/// engine sends its head, some events or only comments, and then nothing more.
 #[rstest]
 #[case::before_the_first_event("", SHORT_MS, LONG_MS, 0)]
 #[case::between_events("data: a\n\n", LONG_MS, SHORT_MS, 1)]
 #[case::within_an_event("data: a\n\ndata: b", LONG_MS, SHORT_MS, 1)]
-fn silent_engine_times_out(
+fn unresponsive_engine(
     #[case] body: &'static str,
     #[case] first_ms: u64,
     #[case] idle_ms: u64,
@@ -157,7 +155,7 @@
     let server = serve(move |stream| {
         stream.write_all(HEAD.as_bytes()).ok();
         stream.write_all(body.as_bytes()).ok();
-        // A client that waits on gets more events at last and fails the test by them.
+        // A client without a timeout receives more events in the end, and they fail the test.
         waits.recv_timeout(MUCH_LATER).ok();
         stream.write_all(b"\n\ndata: late\n\n").ok();
     });
@@ -168,7 +166,7 @@
 }
 
 #[test]
-fn comments_do_not_keep_a_silent_stream_alive() {
+fn comments_without_events() {
     let server = serve(|stream| {
         let begun = Instant::now();
         let mut sent = stream.write_all(HEAD.as_bytes());
@@ -187,13 +185,12 @@
     assert!(matches!(error, Error::Unknown(_)), "{error}");
 }
 
-/// Symptom: an engine goes on generating for a caller that left.
-/// Sequence: the caller closes its connection, the gateway drops the answer.
-/// Cause: the connection to the engine stays open.
+/// Guards against a connection that stays open after its answer was dropped: the engine would go on
+/// generating for a caller that has gone.
 #[rstest]
 #[case::while_more_may_come("data: a\n\n")]
 #[case::after_the_end("data: [DONE]\n\n")]
-fn dropped_answer_closes_the_connection(#[case] body: &'static str) {
+fn dropped_answer(#[case] body: &'static str) {
     let (closed, seen) = mpsc::channel();
     let server = serve(move |stream: &mut TcpStream| {
         stream.write_all(HEAD.as_bytes()).ok();
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,6 +1,7 @@
-//! Requests under which upstreams crash again and again.
+//! Detection of requests that crash upstreams.
 //!
-//! Each VM judges by its own requests only, so it takes more crashes than with the word of all VMs.
+//! Each VM counts only the crashes under its own requests, so it needs more of them than a
+//! quarantine that combines the reports of all VMs.
 
 use apricotdale_core::names::CallerName;
 use apricotdale_core::names::UpstreamName;
@@ -15,17 +16,17 @@
 use apricotdale_quarantine::Role;
 use parking_lot::Mutex;
 
-/// Stands for this process, the only one that reports here.
-const OWN_RUN: u64 = 1;
+/// Incarnation of the only reporter to this watch, which is the local process.
+const LOCAL_INCARNATION: u64 = 1;
 
-/// `Identity` tells whether a request is the same as another, and whose it is.
+/// Fingerprint by which equal requests are recognized, and the hash of their caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Identity {
+pub(crate) struct CrashKey {
     fingerprint: Fingerprint,
     caller: CallerHash,
 }
 
-impl Identity {
+impl CrashKey {
     pub(crate) fn of(caller: &CallerName, method: &str, target: &[&str], body: &[u8]) -> Self {
         let caller = CallerHash::of(caller.as_str().as_bytes());
         Self {
@@ -35,7 +36,7 @@
     }
 }
 
-/// `CrashGuard` refuses requests under which upstreams crash.
+/// Refuses requests under which upstreams crash.
 pub(crate) struct CrashGuard {
     watch: Mutex<CrashWatch>,
 }
@@ -43,12 +44,12 @@
 impl CrashGuard {
     pub(crate) fn new() -> Self {
         Self {
-            watch: Mutex::new(CrashWatch::new(OWN_RUN, Options::default())),
+            watch: Mutex::new(CrashWatch::new(LOCAL_INCARNATION, Options::default())),
         }
     }
 
-    /// Returns the refusal of a request under which upstreams crash, or none if it may be sent.
-    pub(crate) fn refusal(&self, now_ms: u64, identity: &Identity) -> Option<Refusal> {
+    /// Returns the refusal of a blocked request, or none if the request may be sent.
+    pub(crate) fn refusal(&self, now_ms: u64, crash_key: &CrashKey) -> Option<Refusal> {
         let mut watch = self.watch.lock();
         if watch.is_due(now_ms) {
             for row in watch.due(now_ms, Role::default()).new_blocks {
@@ -58,37 +59,38 @@
                 );
             }
         }
-        let left_ms = watch.blocked_ms(now_ms, &identity.fingerprint)?;
-        let detail = format!("upstreams crashed under request {}", identity.fingerprint);
+        let left_ms = watch.blocked_ms(now_ms, &crash_key.fingerprint)?;
+        let detail = format!("upstreams crashed under request {}", crash_key.fingerprint);
         let refusal = Refusal::not_run(RefusalReason::CrashesUpstreams, detail);
         Some(refusal.retry_after(left_ms))
     }
 
-    /// Returns whether a request may be sent again after a failed try.
-    pub(crate) fn may_resend(&self, identity: &Identity) -> bool {
-        !self.watch.lock().knows(&identity.fingerprint)
+    /// Returns whether a request may be retried after an attempt that may have run.
+    pub(crate) fn may_retry(&self, crash_key: &CrashKey) -> bool {
+        !self.watch.lock().knows(&crash_key.fingerprint)
     }
 
-    /// Notes how a try ended.
-    pub(crate) fn note_try(
+    /// Records how an attempt ended. With `connection_lost`, the request was in progress when the
+    /// connection was lost, so the upstream may have crashed under it.
+    pub(crate) fn record_attempt(
         &self,
         now_ms: u64,
         upstream: &UpstreamName,
-        identity: &Identity,
+        crash_key: &CrashKey,
         outcome: UpstreamOutcome,
-        is_cut: bool,
+        connection_lost: bool,
     ) {
         let mut watch = self.watch.lock();
-        let fingerprint = identity.fingerprint;
+        let fingerprint = crash_key.fingerprint;
         match outcome {
             UpstreamOutcome::Answered => {
                 watch.record_alive(upstream);
                 watch.record_answered(now_ms, fingerprint);
             }
-            UpstreamOutcome::Lost if is_cut => {
+            UpstreamOutcome::Lost if connection_lost => {
                 let lost = LostRequest {
                     fingerprint,
-                    caller: identity.caller,
+                    caller: crash_key.caller,
                     is_trial: false,
                 };
                 watch.record_lost(now_ms, upstream, true, lost);
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Takes in that an upstream is gone.
-    pub(crate) fn note_gone(&self, now_ms: u64, upstream: &UpstreamName) {
+    /// Records that an upstream has left the upstream list.
+    pub(crate) fn record_upstream_gone(&self, now_ms: u64, upstream: &UpstreamName) {
         self.watch.lock().record_ended(now_ms, upstream);
     }
 }
--- a/crates/gateway/src/identity.rs
+++ b/crates/gateway/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who asks, for what class of work, and until when.
+//! Identity, caller, class and timeout of a request, from its headers.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -21,8 +21,8 @@
 const ANONYMOUS: &str = "anonymous";
 const TOKEN_HASH_BYTES: usize = 8;
 
-/// `RequestIds` makes request identities. All have the same length, so that none is the end of
-/// another, by which answers are told apart.
+/// Generator of request identities. All have the same length, so that none is a suffix of another:
+/// answers are matched to requests by that suffix.
 pub(crate) struct RequestIds {
     process_id: u64,
     next: AtomicU64,
@@ -36,21 +36,21 @@
         }
     }
 
-    /// Returns a new identity.
+    /// Returns an identity that was not returned before.
     pub(crate) fn next(&self) -> RequestId {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         RequestId::new(format!("req-{:016x}-{number:012x}", self.process_id))
     }
 }
 
-/// Returns the identity that the caller gave, if it can be logged and answered as it is.
+/// Returns the caller's `X-Request-Id`, if it is safe to log and to echo.
 pub(crate) fn correlation(request: &Request) -> Option<String> {
     let text = request.header("x-request-id")?;
-    is_plain(text, MAX_CORRELATION_CHARS).then(|| text.to_owned())
+    is_loggable(text, MAX_CORRELATION_CHARS).then(|| text.to_owned())
 }
 
-/// Returns the name under which the caller's share is counted. A bearer token goes before a name
-/// that the caller gives itself, and only its hash is kept.
+/// Returns the name under which the caller's share is counted. A bearer token takes precedence over
+/// the caller's own `X-Caller`, and only a hash of the token is kept.
 pub(crate) fn caller(request: &Request) -> CallerName {
     let bearer = request
         .header("authorization")
@@ -59,7 +59,7 @@
         .map(|(_, token)| token.trim());
     let named = request
         .header("x-caller")
-        .filter(|name| is_plain(name, MAX_CALLER_CHARS));
+        .filter(|name| is_loggable(name, MAX_CALLER_CHARS));
     match (bearer, named) {
         (Some(token), _) if !token.is_empty() => CallerName::from(hash_token(token)),
         (_, Some(name)) => CallerName::new(name),
@@ -76,12 +76,17 @@
     format!("bearer-{hex}")
 }
 
-fn is_plain(text: &str, max_chars: usize) -> bool {
+fn is_loggable(text: &str, max_chars: usize) -> bool {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-@/".contains(&byte);
     !text.is_empty() && text.len() <= max_chars && text.bytes().all(plain)
 }
 
-/// Returns the request's class.
+/// Returns the class that the request names, or else the configured default, or else the class
+/// with the shortest answer time.
+///
+/// # Errors
+///
+/// An `UnknownClass` refusal, if that class is not configured.
 pub(crate) fn class(
     request: &Request,
     directory: &dyn Directory,
@@ -90,7 +95,7 @@
     let named = request.header("x-request-class").map(ClassName::new);
     let class = match named.or_else(|| options.default_class.clone()) {
         Some(class) => class,
-        None => return tightest(directory),
+        None => return strictest_class(directory),
     };
     directory.class(&class).ok_or_else(|| {
         let detail = format!("no class {class} is configured");
@@ -98,25 +103,33 @@
     })
 }
 
-fn tightest(directory: &dyn Directory) -> Result<ClassTarget, Refusal> {
+fn strictest_class(directory: &dyn Directory) -> Result<ClassTarget, Refusal> {
     let classes = directory.classes().into_iter();
     classes
         .min_by_key(|target| (target.answer_within_ms, target.class.clone()))
         .ok_or_else(|| Refusal::not_run(RefusalReason::UnknownClass, "no class is configured"))
 }
 
-/// Returns the time that the request has until its answer must have begun.
+/// Returns the time from arrival until the answer must have begun: `X-Request-Timeout-Ms`, capped
+/// at `max_timeout_ms`, or else the answer time of the class.
+///
+/// # Errors
+///
+/// A `BadRequest` refusal, if the header is not a positive number.
 pub(crate) fn timeout_ms(
     request: &Request,
     class: &ClassTarget,
     options: &Options,
 ) -> Result<u64, Refusal> {
-    let asked_ms = match request.header("x-request-timeout-ms") {
+    let requested_ms = match request.header("x-request-timeout-ms") {
         None => return Ok(class.answer_within_ms),
-        Some(text) => text.parse::<u64>().ok().filter(|asked_ms| *asked_ms > 0),
+        Some(text) => text
+            .parse::<u64>()
+            .ok()
+            .filter(|requested_ms| *requested_ms > 0),
     };
-    match asked_ms {
-        Some(asked_ms) => Ok(asked_ms.min(options.max_timeout_ms)),
+    match requested_ms {
+        Some(requested_ms) => Ok(requested_ms.min(options.max_timeout_ms)),
         None => {
             let detail = "X-Request-Timeout-Ms is not a positive number of milliseconds";
             Err(Refusal::not_run(RefusalReason::BadRequest, detail))
--- a/crates/gateway/src/model_flow.rs
+++ b/crates/gateway/src/model_flow.rs
@@ -1,4 +1,4 @@
-//! A call to a model, from its body to its answer: admission, tries, retries, waits for a load.
+//! A call to a model from body to answer: admission, attempts, retries and waits for a load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,62 +15,62 @@
 use apricotdale_core::serving::DemandEvent;
 
 use crate::admission;
-use crate::admission::Queue;
+use crate::admission::AdmissionRequest;
 use crate::answer::Answer;
-use crate::attempt::Attempt;
 use crate::call_body::CallBody;
 use crate::context::Context;
 use crate::context::Control;
-use crate::crashes::Identity;
-use crate::model_try;
-use crate::model_try::TryEnd;
+use crate::crashes::CrashKey;
+use crate::model_attempt;
+use crate::model_attempt::AttemptEnd;
+use crate::send_gate::SendGate;
 use crate::shared::Shared;
 use crate::trace::Step;
 
-/// The longest pause before a request whose model was gone asks for admission again.
+/// Maximum pause before a request asks for admission again because no engine held its model.
 const MAX_RELOAD_PAUSE: Duration = Duration::from_secs(2);
 
-/// `ModelCall` is a call to a model.
+/// A parsed call to a configured model.
 pub(crate) struct ModelCall {
-    /// The engine's path.
+    /// Path at the engine.
     pub(crate) path: &'static str,
-    /// What the body names.
+    /// Fields of the body that the gateway acts on.
     pub(crate) parsed: CallBody,
-    /// The model.
+    /// Configuration of the model that the body names.
     pub(crate) spec: ModelSpec,
-    /// The body as it came.
+    /// Body as received from the caller.
     pub(crate) body: Vec<u8>,
 }
 
-/// `TryFailure` is why a try failed.
+/// Failure of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct TryFailure {
-    /// The reason, for the refusal that it may become.
+pub(crate) struct FailedAttempt {
+    /// Reason of the refusal, if the failure is not retried.
     pub(crate) reason: RefusalReason,
-    /// Whether the try ran.
+    /// Whether the attempt ran.
     pub(crate) ran: Ran,
-    /// What routing learns of the upstream.
+    /// Outcome reported to the routing policy.
     pub(crate) outcome: UpstreamOutcome,
-    /// Whether the model is not there.
-    pub(crate) missing: bool,
-    /// What happened.
+    /// Whether the engine does not hold the model, so that the request waits for a load.
+    pub(crate) not_loaded: bool,
+    /// Description for the refusal and the trace.
     pub(crate) detail: String,
 }
 
-impl TryFailure {
-    /// Returns the failure of a request for which no engine could be chosen.
+impl FailedAttempt {
+    /// Returns the failure of an attempt for which routing chose no engine.
     fn no_engine(candidates: &[Candidate]) -> Self {
         Self {
             reason: RefusalReason::UpstreamUnavailable,
             ran: Ran::NotRun,
             outcome: UpstreamOutcome::Unreachable,
-            missing: candidates.is_empty(),
+            not_loaded: candidates.is_empty(),
             detail: "no engine that holds the model can be used now".to_owned(),
         }
     }
 
-    /// Returns whether the connection was lost with the request in progress.
-    fn is_cut(&self) -> bool {
+    /// Returns whether the connection was lost while the request was in progress.
+    fn connection_lost(&self) -> bool {
         let lost = [
             RefusalReason::UpstreamLost,
             RefusalReason::UpstreamBadAnswer,
@@ -85,52 +85,55 @@
     }
 }
 
-/// `Pass` is how one pass through admission ended.
-enum Pass {
-    /// The caller has its whole answer.
+/// How one pass through admission ended.
+enum PassEnd {
+    /// The caller has its complete answer.
     Answered,
-    /// No engine holds the model any more; the request waits for a load again.
+    /// No engine holds the model any more, so the request waits for a load again.
     WaitForLoad,
 }
 
-/// `ModelFlow` carries one call to a model.
+/// State of one call to a model.
 struct ModelFlow<'a, 'b> {
     shared: &'a Arc<Shared>,
     context: &'a Context,
     call: &'a ModelCall,
     answer: &'a mut Answer<'b>,
-    attempt: Arc<Attempt>,
-    identity: Identity,
-    /// Tries within the present pass.
+    send_gate: Arc<SendGate>,
+    crash_key: CrashKey,
+    /// Attempts within the current pass.
     tries: u32,
-    first_try_noted: bool,
+    first_attempt_recorded: bool,
 }
 
-/// Serves a call to a model. A refusal that comes back says of all tries together whether the call
-/// ran.
+/// Serves a call to a model.
+///
+/// # Errors
+///
+/// The refusal. Its `ran` covers all attempts, not only the last.
 pub(crate) fn serve(
     shared: &Arc<Shared>,
     context: &Context,
     call: &ModelCall,
     answer: &mut Answer<'_>,
 ) -> Result<(), Refusal> {
-    let identity = Identity::of(&context.caller, "POST", &[call.path], &call.body);
-    if let Some(refusal) = shared.crashes.refusal(shared.now_ms(), &identity) {
+    let crash_key = CrashKey::of(&context.caller, "POST", &[call.path], &call.body);
+    if let Some(refusal) = shared.crashes.refusal(shared.now_ms(), &crash_key) {
         return Err(refusal);
     }
-    let attempt = Arc::new(Attempt::new());
+    let send_gate = Arc::new(SendGate::new());
     let mut flow = ModelFlow {
         shared,
         context,
         call,
         answer,
-        attempt: attempt.clone(),
-        identity,
+        send_gate: send_gate.clone(),
+        crash_key,
         tries: 0,
-        first_try_noted: false,
+        first_attempt_recorded: false,
     };
     flow.run().map_err(|mut refusal| {
-        refusal.ran = attempt.give_up();
+        refusal.ran = send_gate.give_up();
         refusal
     })
 }
@@ -140,52 +143,53 @@
         let mut pause = Duration::from_millis(self.shared.options.reload_pause_ms);
         loop {
             let model = &self.call.spec.model;
-            let queue = Queue {
+            let admission_request = AdmissionRequest {
                 target: model.clone(),
                 is_model: true,
                 upstreams: self.shared.directory.replicas(model).len(),
             };
-            let mut admitted = admission::admit(self.shared, self.context, &queue)?;
-            match self.pass()? {
-                Pass::Answered => {
-                    admitted.answered();
+            let mut admitted = admission::admit(self.shared, self.context, &admission_request)?;
+            match self.run_pass()? {
+                PassEnd::Answered => {
+                    admitted.mark_answered();
                     return Ok(());
                 }
-                Pass::WaitForLoad => {}
+                PassEnd::WaitForLoad => {}
             }
-            // The directory lags behind the engine and may send the request there again at once.
+            // The directory may still list the engine and would send the request there again at
+            // once.
             drop(admitted);
             self.pause(pause)?;
             pause = pause.saturating_mul(2).min(MAX_RELOAD_PAUSE);
         }
     }
 
-    fn pass(&mut self) -> Result<Pass, Refusal> {
-        let mut missing: Vec<UpstreamName> = Vec::new();
+    fn run_pass(&mut self) -> Result<PassEnd, Refusal> {
+        let mut not_loaded: Vec<UpstreamName> = Vec::new();
         let mut tried: Vec<UpstreamName> = Vec::new();
         self.tries = 0;
         loop {
-            let candidates = self.candidates(&missing);
+            let candidates = self.candidates(&not_loaded);
             let chosen = self.choose(&candidates, &tried);
             self.tries += 1;
             let failure = match &chosen {
-                None => TryFailure::no_engine(&candidates),
-                Some(candidate) => match self.try_at(candidate)? {
-                    None => return Ok(Pass::Answered),
+                None => FailedAttempt::no_engine(&candidates),
+                Some(candidate) => match self.attempt_at(candidate)? {
+                    None => return Ok(PassEnd::Answered),
                     Some(failure) => failure,
                 },
             };
-            self.note_failure(&chosen, &failure);
+            self.record_failure(&chosen, &failure);
             if let Some(candidate) = &chosen {
                 tried.push(candidate.upstream.clone());
-                missing.extend(failure.missing.then(|| candidate.upstream.clone()));
+                not_loaded.extend(failure.not_loaded.then(|| candidate.upstream.clone()));
             }
-            if failure.missing && self.candidates(&missing).is_empty() {
-                return Ok(Pass::WaitForLoad);
+            if failure.not_loaded && self.candidates(&not_loaded).is_empty() {
+                return Ok(PassEnd::WaitForLoad);
             }
             match self.decide_retry(&failure) {
                 Some(pause) => self.pause(pause)?,
-                None if failure.missing => return Ok(Pass::WaitForLoad),
+                None if failure.not_loaded => return Ok(PassEnd::WaitForLoad),
                 None => {
                     self.cancel(&chosen, &failure);
                     return Err(failure.refusal());
@@ -194,11 +198,11 @@
         }
     }
 
-    fn candidates(&self, missing: &[UpstreamName]) -> Vec<Candidate> {
+    fn candidates(&self, not_loaded: &[UpstreamName]) -> Vec<Candidate> {
         let replicas = self.shared.directory.replicas(&self.call.spec.model);
         replicas
             .into_iter()
-            .filter(|candidate| !missing.contains(&candidate.upstream))
+            .filter(|candidate| !not_loaded.contains(&candidate.upstream))
             .collect()
     }
 
@@ -211,40 +215,40 @@
             .choose(&request, candidates, &self.context.trace)
     }
 
-    /// Tries an engine, and returns why that failed if it did.
-    fn try_at(&mut self, candidate: &Candidate) -> Result<Option<TryFailure>, Refusal> {
-        if !self.first_try_noted {
-            self.first_try_noted = true;
-            self.shared.note_first_try(&self.call.spec.group);
+    /// Makes one attempt at an engine. Returns the failure, if it may be retried.
+    fn attempt_at(&mut self, candidate: &Candidate) -> Result<Option<FailedAttempt>, Refusal> {
+        if !self.first_attempt_recorded {
+            self.first_attempt_recorded = true;
+            self.shared.record_first_attempt(&self.call.spec.group);
         }
-        let end = model_try::run(
+        let end = model_attempt::run(
             self.shared,
             self.context,
             self.call,
             candidate,
-            &self.attempt,
+            &self.send_gate,
             self.answer,
         );
-        let (outcome, is_cut) = match &end {
-            TryEnd::Answered => (UpstreamOutcome::Answered, false),
-            TryEnd::Failed(failure) => (failure.outcome, failure.is_cut()),
-            TryEnd::Stopped(_) => (UpstreamOutcome::Cancelled, false),
+        let (outcome, connection_lost) = match &end {
+            AttemptEnd::Answered => (UpstreamOutcome::Answered, false),
+            AttemptEnd::Failed(failure) => (failure.outcome, failure.connection_lost()),
+            AttemptEnd::Stopped(_) => (UpstreamOutcome::Cancelled, false),
         };
-        self.shared.crashes.note_try(
+        self.shared.crashes.record_attempt(
             self.shared.now_ms(),
             &candidate.upstream,
-            &self.identity,
+            &self.crash_key,
             outcome,
-            is_cut,
+            connection_lost,
         );
         match end {
-            TryEnd::Answered => Ok(None),
-            TryEnd::Failed(failure) => Ok(Some(failure)),
-            TryEnd::Stopped(refusal) => Err(refusal),
+            AttemptEnd::Answered => Ok(None),
+            AttemptEnd::Failed(failure) => Ok(Some(failure)),
+            AttemptEnd::Stopped(refusal) => Err(refusal),
         }
     }
 
-    fn note_failure(&self, chosen: &Option<Candidate>, failure: &TryFailure) {
+    fn record_failure(&self, chosen: &Option<Candidate>, failure: &FailedAttempt) {
         let now_ms = self.shared.now_ms();
         let step = Step::TryFailed {
             upstream: chosen.as_ref().map(|known| known.upstream.to_string()),
@@ -252,8 +256,8 @@
             ran: failure.ran.as_str().to_owned(),
             detail: failure.detail.clone(),
         };
-        self.context.trace.note(now_ms, step);
-        if let (Some(candidate), true) = (chosen, failure.missing) {
+        self.context.trace.record(now_ms, step);
+        if let (Some(candidate), true) = (chosen, failure.not_loaded) {
             let event = DemandEvent::Missing {
                 model: self.call.spec.model.clone(),
                 upstream: candidate.upstream.clone(),
@@ -262,13 +266,13 @@
         }
     }
 
-    /// Asks for a retry. Generation has no side effect, so a call to a model may run twice as long
-    /// as the caller has seen nothing of the first run.
-    fn decide_retry(&self, failure: &TryFailure) -> Option<Duration> {
-        if failure.ran != Ran::NotRun && !self.shared.crashes.may_resend(&self.identity) {
+    /// Returns the pause before a retry, or none. A model call has no side effect, so it may run a
+    /// second time as long as the caller has received nothing of the first run.
+    fn decide_retry(&self, failure: &FailedAttempt) -> Option<Duration> {
+        if failure.ran != Ran::NotRun && !self.shared.crashes.may_retry(&self.crash_key) {
             return None;
         }
-        let left = self.shared.left(self.context.deadline_ms);
+        let left = self.shared.time_left(self.context.deadline_ms);
         let request = RetryRequest {
             group: self.call.spec.group.clone(),
             idempotent: true,
@@ -280,17 +284,18 @@
         let pause = self
             .shared
             .decide_retry(&request, failure.ran, &self.context.trace);
-        // Events have no numbers, so nothing shows whether another run continues this one.
+        // Events carry no IDs here, so another run can't be matched to what the caller has
+        // received.
         pause.filter(|_| !self.answer.has_begun())
     }
 
-    /// Ends a run that nobody waits for any more. Before a retry it is not done: the retry has the
-    /// same identity, and a late cancellation could hit it.
-    fn cancel(&self, chosen: &Option<Candidate>, failure: &TryFailure) {
+    /// Cancels a run that no caller waits for any more. No cancellation is sent before a retry: the
+    /// retry has the same request identity, so a late cancellation could end the retry.
+    fn cancel(&self, chosen: &Option<Candidate>, failure: &FailedAttempt) {
         match chosen {
             Some(candidate) if failure.ran != Ran::NotRun => {
                 self.shared
-                    .cancels
+                    .cancel_sender
                     .send(candidate.address, &self.context.id);
             }
             _ => {}
@@ -298,7 +303,7 @@
     }
 
     fn pause(&self, pause: Duration) -> Result<(), Refusal> {
-        let left = self.shared.left(self.context.deadline_ms);
+        let left = self.shared.time_left(self.context.deadline_ms);
         match self.context.inbox.receiver.recv_timeout(pause.min(left)) {
             Ok(Control::CallerGone) => Err(admission::caller_gone()),
             Ok(Control::Refused(refusal)) => Err(refusal),
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests share, and the decisions that are asked for on their way.
+//! State shared by all requests, and the calls to policies.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -29,10 +29,10 @@
 use apricotdale_http::HangupWatcher;
 use parking_lot::Mutex;
 
-use crate::cancels::Cancels;
+use crate::admission_queue::AdmissionQueue;
+use crate::cancel_sender::CancelSender;
 use crate::context::Context;
 use crate::crashes::CrashGuard;
-use crate::desk::Desk;
 use crate::errors::Result;
 use crate::identity::RequestIds;
 use crate::in_progress::InProgress;
@@ -44,7 +44,7 @@
 use crate::trace::Traces;
 use crate::workers::Workers;
 
-/// `Shared` is what all requests share.
+/// State shared by all requests of a gateway.
 pub(crate) struct Shared {
     pub(crate) options: Options,
     pub(crate) directory: Arc<dyn Directory>,
@@ -54,9 +54,9 @@
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) serving: Arc<dyn EngineServing>,
     pub(crate) service: Arc<dyn PlainService>,
-    pub(crate) desk: Desk,
+    pub(crate) admission_queue: AdmissionQueue,
     pub(crate) workers: Arc<Workers>,
-    pub(crate) cancels: Cancels,
+    pub(crate) cancel_sender: CancelSender,
     pub(crate) hangups: HangupWatcher,
     pub(crate) ids: RequestIds,
     pub(crate) in_progress: Arc<InProgress>,
@@ -68,7 +68,7 @@
     retry: Mutex<Box<dyn RetryPolicy>>,
 }
 
-/// `RefusedRequest` is what is told of a refused request besides its refusal.
+/// Properties of a refused request that are logged with the refusal.
 pub(crate) struct RefusedRequest<'a> {
     pub(crate) id: &'a RequestId,
     pub(crate) correlation: Option<&'a str>,
@@ -80,14 +80,18 @@
     pub(crate) fn new(options: Options, parts: Parts) -> Result<Self> {
         let workers = Arc::new(Workers::new(options.thread_stack_bytes));
         Ok(Self {
-            desk: Desk::new(parts.admission, parts.clock.clone()),
-            cancels: Cancels::new(parts.serving.clone(), workers.clone(), options.max_cancels),
+            admission_queue: AdmissionQueue::new(parts.admission, parts.clock.clone()),
+            cancel_sender: CancelSender::new(
+                parts.serving.clone(),
+                workers.clone(),
+                options.max_concurrent_cancels,
+            ),
             workers,
             hangups: HangupWatcher::start()?,
             ids: RequestIds::new(parts.process_id),
             in_progress: Arc::new(InProgress::default()),
             run_times: RunTimes::new(options.expected_run_ms),
-            traces: Traces::new(options.trace_requests, options.trace_steps),
+            traces: Traces::new(options.max_traces, options.max_trace_steps),
             crashes: CrashGuard::new(),
             draining: AtomicBool::new(false),
             routing: Mutex::new(parts.routing),
@@ -103,27 +107,27 @@
         })
     }
 
-    /// Returns the present time on the clock of all deadlines.
+    /// Returns the time on the monotonic clock, which all deadlines refer to.
     pub(crate) fn now_ms(&self) -> u64 {
         self.clock.monotonic_ms()
     }
 
-    /// Returns the time left until a deadline.
-    pub(crate) fn left(&self, deadline_ms: u64) -> Duration {
+    /// Returns the time left until a deadline, zero if it has passed.
+    pub(crate) fn time_left(&self, deadline_ms: u64) -> Duration {
         Duration::from_millis(deadline_ms.saturating_sub(self.now_ms()))
     }
 
-    /// Returns why no new request is taken now, if so.
+    /// Returns the refusal of every new request, if the VM accepts none now.
     pub(crate) fn closed(&self) -> Option<Refusal> {
         if self.draining.load(Ordering::Acquire) {
             let refusal = Refusal::not_run(RefusalReason::Draining, "this VM is stopping");
-            return Some(refusal.retry_after(self.options.draining_retry_ms));
+            return Some(refusal.retry_after(self.options.draining_retry_after_ms));
         }
         self.directory.closed()
     }
 
-    /// Counts, logs and traces a refusal. Every refusal passes here, once.
-    pub(crate) fn note_refusal(&self, request: &RefusedRequest<'_>, refusal: &Refusal) {
+    /// Counts, logs and traces a refusal. Each refusal passes through here exactly once.
+    pub(crate) fn record_refusal(&self, request: &RefusedRequest<'_>, refusal: &Refusal) {
         let class = request.class.as_ref().map_or("", ClassName::as_str);
         log::warn!(
             request_id = request.id.as_str(),
@@ -144,12 +148,12 @@
                 ran: refusal.ran.as_str().to_owned(),
                 detail: refusal.detail.clone(),
             };
-            trace.note(self.now_ms(), step);
+            trace.record(self.now_ms(), step);
         }
     }
 
-    /// Counts and traces a whole answer.
-    pub(crate) fn record_answered(&self, context: &Context, first_ms: u64, status: u16) {
+    /// Counts and traces a complete answer. `first_ms` is when its first piece was sent.
+    pub(crate) fn record_answer(&self, context: &Context, first_ms: u64, status: u16) {
         let now_ms = self.now_ms();
         let first_answer_ms = first_ms.saturating_sub(context.arrived_ms);
         self.observer.observe(&ServingEvent::Answered {
@@ -158,10 +162,10 @@
             total_ms: now_ms.saturating_sub(context.arrived_ms),
             met: first_answer_ms <= context.class.answer_within_ms,
         });
-        context.trace.note(now_ms, Step::Answered { status });
+        context.trace.record(now_ms, Step::Answered { status });
     }
 
-    /// Chooses an upstream.
+    /// Asks the routing policy for an upstream and traces the choice.
     pub(crate) fn choose(
         &self,
         request: &RouteRequest,
@@ -181,26 +185,26 @@
             tried: request.tried.iter().map(ToString::to_string).collect(),
             prefix_hash: request.prefix_hash,
         };
-        trace.note(now_ms, step);
+        trace.record(now_ms, step);
         Some(chosen)
     }
 
-    /// Lets routing learn.
+    /// Passes an event to the routing policy.
     pub(crate) fn learn_routing(&self, event: RoutingEvent) {
         let now_ms = self.now_ms();
         if let RoutingEvent::Removed { upstream } = &event {
-            self.crashes.note_gone(now_ms, upstream);
+            self.crashes.record_upstream_gone(now_ms, upstream);
         }
         self.routing.lock().learn(now_ms, event);
     }
 
-    /// Notes a first try, which earns budget for retries.
-    pub(crate) fn note_first_try(&self, group: &GroupName) {
+    /// Reports a first attempt to the retry policy, which earns retry budget from it.
+    pub(crate) fn record_first_attempt(&self, group: &GroupName) {
         let now_ms = self.now_ms();
         self.retry.lock().record_first_attempt(now_ms, group);
     }
 
-    /// Returns the pause before a retry, or none to give up.
+    /// Returns the pause before a retry, or none if the request is not retried.
     pub(crate) fn decide_retry(
         &self,
         request: &RetryRequest,
@@ -217,7 +221,7 @@
         let step = Step::Retry {
             decision: format!("{decision:?}"),
         };
-        trace.note(now_ms, step);
+        trace.record(now_ms, step);
         match decision {
             RetryDecision::RetryAfterMs(pause_ms) => Some(Duration::from_millis(pause_ms)),
             _ => None,
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -1,4 +1,4 @@
-//! Threads for what may block on an upstream, kept for a while for the next request.
+//! Threads for work that may block on an upstream, reused for a while after each job.
 
 use std::io;
 use std::thread;
@@ -8,48 +8,51 @@
 use crossbeam_channel::Sender;
 use crossbeam_channel::TrySendError;
 
-/// How long a thread waits for its next job.
+/// How long an idle thread waits for a job before it ends.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// `Workers` runs jobs at once, each on a thread of its own: on one that waits, or else on a new
-/// one. There is no limit and no queue, because a job that waited behind silent upstreams would be
-/// late through no fault of its own. A thread started anew for each job is slower to run on a busy
-/// machine, see `docs/design/callers-interface.md`.
+/// Runs each job at once on a thread of its own: an idle one, or else a new one. There is no limit
+/// and no queue, because a job queued behind unresponsive upstreams would be late through no fault
+/// of its own. Threads are reused because starting one for each job is slower on a busy machine.
 pub(crate) struct Workers {
     stack_bytes: usize,
-    jobs: Sender<Job>,
-    waiting: Receiver<Job>,
+    job_sender: Sender<Job>,
+    job_receiver: Receiver<Job>,
 }
 
 impl Workers {
     pub(crate) fn new(stack_bytes: usize) -> Self {
-        // Without room in the channel, a job is taken only by a thread that waits for it now.
-        let (jobs, waiting) = crossbeam_channel::bounded(0);
+        // With a capacity of 0, a job is accepted only by a thread that is waiting for one now.
+        let (job_sender, job_receiver) = crossbeam_channel::bounded(0);
         Self {
             stack_bytes,
-            jobs,
-            waiting,
+            job_sender,
+            job_receiver,
         }
     }
 
-    /// Runs a job. Returns at once.
+    /// Runs a job, without waiting for its end.
+    ///
+    /// # Errors
+    ///
+    /// If a new thread is needed and can't be started.
     pub(crate) fn run(&self, job: impl FnOnce() + Send + 'static) -> io::Result<()> {
-        match self.jobs.try_send(Box::new(job)) {
+        match self.job_sender.try_send(Box::new(job)) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => self.start(job),
         }
     }
 
     fn start(&self, first: Job) -> io::Result<()> {
-        let waiting = self.waiting.clone();
+        let job_receiver = self.job_receiver.clone();
         thread::Builder::new()
             .name("gateway-upstream".to_owned())
             .stack_size(self.stack_bytes)
             .spawn(move || {
                 first();
-                while let Ok(job) = waiting.recv_timeout(IDLE_TIMEOUT) {
+                while let Ok(job) = job_receiver.recv_timeout(IDLE_TIMEOUT) {
                     job();
                 }
             })?;
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes at the gateway's borders, and a caller.
+//! A gateway with fakes for all its dependencies, and a client.
 
 #![allow(dead_code)]
 
@@ -41,15 +41,15 @@
 use caller::Caller;
 use engine::FakeEngine;
 use policies::CapacityAdmission;
-use policies::CountedRetries;
 use policies::FirstUntried;
+use policies::LimitedRetries;
 use recorders::Claims;
 use recorders::Demand;
 use recorders::Observer;
 use service::FakeService;
 
-/// A bound on waits that end a broken test; no assertion depends on its length.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Bounds the waits of a failing test. No assertion depends on its length.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const MODEL: &str = "slot-lm";
 pub const SERVICE: &str = "booking-app";
@@ -135,8 +135,8 @@
     }
 }
 
-/// `Bench` is a gateway behind a real HTTP server, with a fake at each of its borders.
-pub struct Bench {
+/// Gateway behind a real HTTP server, with fakes for all its dependencies.
+pub struct Fixture {
     pub gateway: Arc<Gateway>,
     pub server: Server,
     pub directory: Arc<FakeDirectory>,
@@ -147,15 +147,15 @@
     pub observer: Arc<Observer>,
 }
 
-impl Bench {
-    /// Returns a bench with one engine, one service instance, and room at both.
+impl Fixture {
+    /// Returns a gateway with one engine, one service instance, and free slots at both.
     pub fn warm() -> Self {
-        let bench = Self::cold();
-        bench.load("engine-1", 1);
-        bench
+        let fixture = Self::cold();
+        fixture.load("engine-1", 1);
+        fixture
     }
 
-    /// Returns a bench whose model is not loaded.
+    /// Returns a gateway whose model is not loaded.
     pub fn cold() -> Self {
         Self::with(Options::default(), apricotdale_http::Options::default())
     }
@@ -169,7 +169,7 @@
         http: apricotdale_http::Options,
         admission: Box<dyn AdmissionPolicy>,
     ) -> Self {
-        let retry = Box::new(CountedRetries { max_tries: 3 });
+        let retry = Box::new(LimitedRetries { max_attempts: 3 });
         Self::with_policies(options, http, admission, retry)
     }
 
@@ -202,7 +202,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let server = Server::start(listener, http, gateway.clone(), gateway.clone());
         directory.instances.lock().push(candidate("booking-1", 9));
-        gateway.capacity(service_target(&GroupName::new(SERVICE)), 100, None);
+        gateway.set_capacity(service_target(&GroupName::new(SERVICE)), 100, None);
         Self {
             gateway,
             server: server.expect("a server"),
@@ -215,15 +215,16 @@
         }
     }
 
-    /// Shows the model as loaded on one more engine.
+    /// Lists one more engine that holds the model, with 100 slots for the model in total.
     pub fn load(&self, engine: &str, port: u16) {
         self.load_with(engine, port, 100);
     }
 
-    /// Shows the model as loaded on one more engine, with as many places in all.
+    /// Lists one more engine that holds the model, and sets the model's total number of slots.
     pub fn load_with(&self, engine: &str, port: u16, slots: u32) {
         self.directory.replicas.lock().push(candidate(engine, port));
-        self.gateway.capacity(ModelName::new(MODEL), slots, None);
+        self.gateway
+            .set_capacity(ModelName::new(MODEL), slots, None);
     }
 
     pub fn caller(&self) -> Caller {
@@ -231,7 +232,7 @@
     }
 
     /// Waits until no request is in progress.
-    pub fn settle(&self) {
-        assert!(self.gateway.wait_idle(PATIENCE), "a request is stuck");
+    pub fn wait_idle(&self) {
+        assert!(self.gateway.wait_idle(TEST_TIMEOUT), "a request is stuck");
     }
 }
--- a/crates/gateway/tests/support/policies.rs
+++ b/crates/gateway/tests/support/policies.rs
@@ -1,4 +1,4 @@
-//! The simplest policies that let the gateway's own behaviour be seen.
+//! Minimal policies, under which the gateway's own behaviour shows.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -20,10 +20,10 @@
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
 
-/// The caller that [`CapacityAdmission`] refuses.
-pub const GREEDY: &str = "greedy";
+/// Caller that [`CapacityAdmission`] refuses.
+pub const REFUSED_CALLER: &str = "greedy";
 
-/// `FirstUntried` chooses the first candidate that was not tried, or else the first.
+/// Chooses the first candidate that was not tried, or else the first.
 pub struct FirstUntried;
 
 impl RoutingPolicy for FirstUntried {
@@ -41,29 +41,29 @@
     }
 }
 
-/// `CountedRetries` retries at once, a number of times, what may run again.
-pub struct CountedRetries {
-    pub max_tries: u32,
+/// Retries at once, up to a number of attempts, whatever may be retried.
+pub struct LimitedRetries {
+    pub max_attempts: u32,
 }
 
-impl RetryPolicy for CountedRetries {
+impl RetryPolicy for LimitedRetries {
     fn record_first_attempt(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, request: &RetryRequest) -> RetryDecision {
         match request {
             _ if request.answer_begun => RetryDecision::AnswerBegun,
             _ if !request.idempotent && !request.certainly_not_run => RetryDecision::MayHaveRun,
-            _ if request.tries >= self.max_tries => RetryDecision::TooManyTries,
+            _ if request.tries >= self.max_attempts => RetryDecision::TooManyTries,
             _ if request.left_ms == 0 => RetryDecision::NoTimeLeft,
             _ => RetryDecision::RetryAfterMs(0),
         }
     }
 }
 
-/// `BlindRetries` retries everything, also what a caller has seen a part of.
-pub struct BlindRetries;
+/// Retries everything, even an answer that the caller has received in part.
+pub struct AlwaysRetry;
 
-impl RetryPolicy for BlindRetries {
+impl RetryPolicy for AlwaysRetry {
     fn record_first_attempt(&mut self, _now_ms: u64, _group: &GroupName) {}
 
     fn decide(&mut self, _now_ms: u64, _request: &RetryRequest) -> RetryDecision {
@@ -71,7 +71,7 @@
     }
 }
 
-/// `CapacityAdmission` starts requests in order as long as there is room, and refuses one caller.
+/// Starts requests in order of arrival while slots are free, and refuses one caller.
 #[derive(Default)]
 pub struct CapacityAdmission {
     slots: HashMap<ModelName, u32>,
@@ -102,7 +102,7 @@
 impl AdmissionPolicy for CapacityAdmission {
     fn handle(&mut self, _now_ms: u64, event: AdmissionEvent) -> Vec<AdmissionAction> {
         match event {
-            AdmissionEvent::Arrived(arrival) if arrival.caller.as_str() == GREEDY => {
+            AdmissionEvent::Arrived(arrival) if arrival.caller.as_str() == REFUSED_CALLER => {
                 let refusal = Refusal::not_run(RefusalReason::CallerOverShare, "others wait");
                 let refusal = refusal.retry_after(2_300);
                 return vec![AdmissionAction::Refuse(arrival.ticket, refusal)];
--- a/crates/gateway/tests/support/recorders.rs
+++ b/crates/gateway/tests/support/recorders.rs
@@ -1,4 +1,4 @@
-//! Fakes that record what the gateway tells them.
+//! Fakes that record the gateway's calls.
 
 use apricotdale_core::claims::KeptAnswer;
 use apricotdale_core::names::IdempotencyKey;
@@ -14,9 +14,9 @@
 use parking_lot::Condvar;
 use parking_lot::Mutex;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
-/// `Recorder` records events and lets a test wait for one.
+/// Records events and lets a test wait for one.
 pub struct Recorder<T> {
     events: Mutex<Vec<T>>,
     grown: Condvar,
@@ -41,19 +41,19 @@
         self.events.lock().clone()
     }
 
-    /// Waits until an event is there and returns it.
+    /// Waits until a matching event was recorded, and returns it.
     pub fn wait_for(&self, matches: impl Fn(&T) -> bool) -> T {
         self.wait_for_nth(1, matches)
     }
 
-    /// Waits until as many such events are there and returns the last.
+    /// Waits until `count` matching events were recorded, and returns the last of them.
     pub fn wait_for_nth(&self, count: usize, matches: impl Fn(&T) -> bool) -> T {
         let mut events = self.events.lock();
         loop {
             if let Some(event) = events.iter().filter(|event| matches(event)).nth(count - 1) {
                 return event.clone();
             }
-            let waited = self.grown.wait_for(&mut events, PATIENCE);
+            let waited = self.grown.wait_for(&mut events, TEST_TIMEOUT);
             assert!(!waited.timed_out(), "the event never came");
         }
     }
@@ -92,12 +92,12 @@
     }
 }
 
-/// `Claims` lets a call run unless the test has decided otherwise.
+/// Lets every call run unless the test sets another decision.
 #[derive(Default)]
 pub struct Claims {
     pub decision: Mutex<Option<ClaimDecision>>,
     pub asked: Recorder<ClaimRequest>,
-    /// A claim waits until this is free.
+    /// Lock that each claim takes, so that a test that holds it delays claims.
     pub hold: Mutex<()>,
     pub finished: Recorder<(IdempotencyKey, Ran, Option<KeptAnswer>)>,
 }
--- a/crates/http/src/hangup.rs
+++ b/crates/http/src/hangup.rs
@@ -1,4 +1,4 @@
-//! Noticing that a client has closed its connection while its request is in progress.
+//! Detection of clients that close their connection while their request is in progress.
 
 use std::collections::HashMap;
 use std::io;
@@ -19,14 +19,14 @@
 use crate::errors::Result;
 use crate::request::ClientSocket;
 
-const WAKE_TOKEN: u64 = 0;
-const EVENTS_AT_ONCE: usize = 64;
+const STOP_TOKEN: u64 = 0;
+const MAX_EVENTS_PER_WAIT: usize = 64;
 
 type Callback = Box<dyn FnOnce() + Send>;
 
 struct Shared {
     epoll: OwnedFd,
-    wake: OwnedFd,
+    stop_event: OwnedFd,
     callbacks: Mutex<HashMap<u64, Callback>>,
     next_token: AtomicU64,
 }
@@ -39,12 +39,12 @@
     }
 }
 
-/// `HangupWatcher` watches clients' connections on one thread and calls back, once each, when a
-/// client closes.
+/// Watches clients' connections on one thread and calls back once per connection when its client
+/// closes it.
 ///
-/// It asks the kernel for the client's close itself (`EPOLLRDHUP`) and doesn't peek for an end of
-/// input: behind a further request that a client has sent ahead, an end of input can't be seen by
-/// peeking. A client that only closes its sending side counts as gone.
+/// The kernel reports the close itself (`EPOLLRDHUP`). Peeking for an end of input would not do: if
+/// the client has already sent a further request, the end of input behind it is not visible. A
+/// client that only closes its sending side counts as gone.
 pub struct HangupWatcher {
     shared: Arc<Shared>,
 }
@@ -54,34 +54,34 @@
     ///
     /// # Errors
     ///
-    /// [`Error::System`] if the system refuses a descriptor or the thread.
+    /// [`Error::System`] if the system can't provide a file descriptor or the thread.
     pub fn start() -> Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)
             .map_err(|error| Error::system("create the hang-up poll", error))?;
-        let wake = rustix::event::eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)
+        let stop_event = rustix::event::eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)
             .map_err(|error| Error::system("create the hang-up wake event", error))?;
-        let token = epoll::EventData::new_u64(WAKE_TOKEN);
-        epoll::add(&epoll, &wake, token, epoll::EventFlags::IN)
+        let token = epoll::EventData::new_u64(STOP_TOKEN);
+        epoll::add(&epoll, &stop_event, token, epoll::EventFlags::IN)
             .map_err(|error| Error::system("watch the hang-up wake event", error))?;
         let shared = Arc::new(Shared {
             epoll,
-            wake,
+            stop_event,
             callbacks: Mutex::new(HashMap::new()),
-            next_token: AtomicU64::new(WAKE_TOKEN + 1),
+            next_token: AtomicU64::new(STOP_TOKEN + 1),
         });
-        let watching = shared.clone();
+        let watch_state = shared.clone();
         thread::Builder::new()
             .name("http-hangup".to_owned())
-            .spawn(move || watch(&watching))
+            .spawn(move || watch(&watch_state))
             .map_err(|error| Error::system("start the hang-up thread", error))?;
         Ok(Self { shared })
     }
 
-    /// Watches a connection until the guard is dropped. The callback must return at once.
+    /// Watches a connection until the guard is dropped. The callback must not block.
     ///
     /// # Errors
     ///
-    /// [`Error::System`] if the connection can't be watched, or is watched already.
+    /// [`Error::System`] if the connection can't be watched, or is already watched.
     pub fn watch(
         &self,
         socket: &ClientSocket,
@@ -107,11 +107,11 @@
 
 impl Drop for HangupWatcher {
     fn drop(&mut self) {
-        let _ = rustix::io::write(&self.shared.wake, &1_u64.to_ne_bytes());
+        let _ = rustix::io::write(&self.shared.stop_event, &1_u64.to_ne_bytes());
     }
 }
 
-/// `HangupGuard` keeps a connection watched. Once it is dropped, no callback begins any more.
+/// Keeps a connection watched. Once it is dropped, no callback is started any more.
 pub struct HangupGuard {
     shared: Arc<Shared>,
     socket: Arc<TcpStream>,
@@ -126,7 +126,7 @@
 }
 
 fn watch(shared: &Shared) {
-    let mut events: Vec<epoll::Event> = Vec::with_capacity(EVENTS_AT_ONCE);
+    let mut events: Vec<epoll::Event> = Vec::with_capacity(MAX_EVENTS_PER_WAIT);
     loop {
         events.clear();
         let waited = epoll::wait(
@@ -138,13 +138,13 @@
             Ok(_) => {}
             Err(error) if io::Error::from(error).kind() == io::ErrorKind::Interrupted => continue,
             Err(error) => {
-                log::error!("hang-ups are no longer noticed: {error}");
+                log::error!("hang-ups are no longer detected: {error}");
                 return;
             }
         }
         for event in &events {
             let token = event.data.u64();
-            if token == WAKE_TOKEN {
+            if token == STOP_TOKEN {
                 return;
             }
             let callback = shared.lock_callbacks().remove(&token);
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: its handler border, its start, and its graceful stop.
+//! The server: handler interface, start and graceful stop.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -23,23 +23,23 @@
 use crate::protocol::ErrorRenderer;
 use crate::request::Request;
 
-/// `Handler` answers requests. It runs on the connection's thread.
+/// Answers requests, each on the thread of its connection.
 pub trait Handler: Send + Sync {
     /// Answers one request.
     fn handle(&self, request: Request, responder: Responder<'_>);
 }
 
-/// `Shared` is what the accepting thread, the connections and the server's owner share.
+/// State shared by the accepting thread, the connections and the owner of the server.
 pub(crate) struct Shared {
     pub(crate) options: Options,
     pub(crate) handler: Arc<dyn Handler>,
     pub(crate) errors: Arc<dyn ErrorRenderer>,
-    /// Becomes readable, for good, when the server stops. Waiting connections poll it together
-    /// with their socket, so a stop never races with a request that has just arrived.
+    /// Becomes readable when the server stops, and stays so. Idle connections poll it together with
+    /// their socket, so that a stop never races with a request that has just arrived.
     pub(crate) stop_event: OwnedFd,
     stopping: AtomicBool,
     connections: Mutex<usize>,
-    all_ended: Condvar,
+    all_closed: Condvar,
 }
 
 impl Shared {
@@ -47,14 +47,14 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Takes a place for one more connection, unless all are taken.
-    pub(crate) fn take_place(self: &Arc<Self>) -> Option<Place> {
+    /// Counts one more connection and returns its slot, or none if all slots are in use.
+    pub(crate) fn acquire_slot(self: &Arc<Self>) -> Option<ConnectionSlot> {
         let mut connections = self.lock_connections();
         if *connections >= self.options.max_connections {
             return None;
         }
         *connections += 1;
-        Some(Place {
+        Some(ConnectionSlot {
             shared: self.clone(),
         })
     }
@@ -66,23 +66,23 @@
     }
 }
 
-/// `Place` is one connection's place among the allowed ones. It is freed when dropped, also when
-/// the connection's thread panics.
-pub(crate) struct Place {
+/// Slot of one open connection. It is released when dropped, even if the connection's thread
+/// panics.
+pub(crate) struct ConnectionSlot {
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         let mut connections = self.shared.lock_connections();
         *connections -= 1;
         if *connections == 0 {
-            self.shared.all_ended.notify_all();
+            self.shared.all_closed.notify_all();
         }
     }
 }
 
-/// `Server` serves HTTP on one listening socket until it is stopped.
+/// HTTP server on one listening socket, until it is stopped.
 pub struct Server {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::System`] if the system refuses a descriptor or the accepting thread.
+    /// [`Error::System`] if the system can't provide a file descriptor or the accepting thread.
     pub fn start(
         listener: TcpListener,
         options: Options,
@@ -115,28 +115,28 @@
             stop_event,
             stopping: AtomicBool::new(false),
             connections: Mutex::new(0),
-            all_ended: Condvar::new(),
+            all_closed: Condvar::new(),
         });
-        let accepting = shared.clone();
+        let accept_state = shared.clone();
         thread::Builder::new()
             .name("http-accept".to_owned())
-            .spawn(move || accept::run(&accepting, listener))
+            .spawn(move || accept::run(&accept_state, listener))
             .map_err(|error| Error::system("start the accepting thread", error))?;
         Ok(Self { shared, address })
     }
 
-    /// Returns the address on which the server listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         *self.shared.lock_connections()
     }
 
-    /// Stops gracefully: no connection is accepted any more, idle ones are closed, and those with
-    /// a request in progress are closed after its answer. Returns at once.
+    /// Stops gracefully, without blocking: no further connection is accepted, idle connections are
+    /// closed, and those with a request in progress are closed after its answer.
     pub fn stop(&self) {
         self.shared.stopping.store(true, Ordering::Release);
         if let Err(error) = rustix::io::write(&self.shared.stop_event, &1_u64.to_ne_bytes()) {
@@ -144,12 +144,12 @@
         }
     }
 
-    /// Waits until no connection is open, and returns whether that came within the time.
+    /// Waits until no connection is open. Returns false if the timeout passes first.
     pub fn wait_idle(&self, timeout: Duration) -> bool {
         let connections = self.shared.lock_connections();
         let (connections, _) = self
             .shared
-            .all_ended
+            .all_closed
             .wait_timeout_while(connections, timeout, |open| *open > 0)
             .unwrap_or_else(PoisonError::into_inner);
         *connections == 0
--- a/crates/http/tests/event_order.rs
+++ b/crates/http/tests/event_order.rs
@@ -1,4 +1,4 @@
-//! Pieces of a stream leave one by one.
+//! Pieces of a stream are sent without buffering.
 
 mod support;
 
@@ -8,21 +8,21 @@
 
 use apricotdale_http::Options;
 use apricotdale_http::ResponseHead;
-use support::Calls;
+use support::FunctionHandler;
 use support::connect;
 use support::read_until;
 use support::start;
 
-/// Symptom: events of a stream arrive in bursts. Sequence: the handler sends an event and waits
-/// until the client has read it before it sends the next. Cause: a server that gathers pieces
-/// before it sends them never delivers the first, and this test never ends.
+/// Guards against a server that collects pieces before it sends them: the handler waits until the
+/// client has read each event before it sends the next. Such a server would keep this test from
+/// ending.
 #[test]
-fn each_piece_arrives_before_the_next_is_sent() {
+fn pieces_sent_immediately() {
     let (read, has_read) = mpsc::channel::<usize>();
     let has_read = Mutex::new(has_read);
     let server = start(
         Options::default(),
-        Calls(move |_, responder: apricotdale_http::Responder<'_>| {
+        FunctionHandler(move |_, responder: apricotdale_http::Responder<'_>| {
             let mut stream = responder.start(ResponseHead::new(200)).expect("a stream");
             for index in 0..5 {
                 let event = format!("data: {index}\n\n");
--- a/crates/http/tests/bad_requests.rs
+++ b/crates/http/tests/invalid_requests.rs
@@ -1,4 +1,4 @@
-//! What the server answers to requests that are malformed or beyond its limits.
+//! Responses to requests that are malformed or exceed a limit.
 
 mod support;
 
@@ -8,9 +8,9 @@
 use support::exchange;
 use support::start;
 
-/// Symptom: one caller's body is served as another caller's request, or a thread is held for
-/// good. Sequence: a client sends a head that two readers frame differently, or that never ends.
-/// Cause: heads that are accepted although their framing is ambiguous or their size unbounded.
+/// Guards against heads that are accepted although their framing is ambiguous or their size
+/// unbounded: one caller's body could be served as another caller's request, or a thread could be
+/// occupied for ever.
 #[rstest]
 #[case::no_host("GET / HTTP/1.1\r\n\r\n", 400)]
 #[case::two_hosts("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400)]
@@ -43,7 +43,7 @@
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: tea\r\n\r\n",
     417
 )]
-fn bad_input_gets_a_clear_error(#[case] request: &str, #[case] status: u16) {
+fn invalid_request_status(#[case] request: &str, #[case] status: u16) {
     let options = Options {
         max_head_bytes: 512,
         max_header_count: 16,
--- a/crates/http/tests/slow_clients.rs
+++ b/crates/http/tests/slow_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that take their time, or too many places.
+//! Clients that are slow, or that open too many connections.
 
 mod support;
 
@@ -15,46 +15,47 @@
 use apricotdale_http::Responder;
 use apricotdale_http::ResponseHead;
 use rstest::rstest;
-use support::Calls;
 use support::Echo;
-use support::PATIENCE;
+use support::FunctionHandler;
+use support::TEST_TIMEOUT;
 use support::connect;
 use support::exchange;
 use support::read_to_close;
 use support::start;
 
-const SHORT: Duration = Duration::from_millis(50);
-const TRICKLE: Duration = Duration::from_millis(5);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Sends one byte after the other, with a short wait for an answer between them.
+/// Sends single bytes with a short wait for a response between them.
 fn trickle(client: &mut TcpStream, start: &str) -> String {
     client.write_all(start.as_bytes()).expect("sent");
-    client.set_read_timeout(Some(TRICKLE)).expect("a timeout");
+    client
+        .set_read_timeout(Some(TRICKLE_INTERVAL))
+        .expect("a timeout");
     let began = Instant::now();
     let mut answer = Vec::new();
-    while began.elapsed() < PATIENCE {
+    while began.elapsed() < TEST_TIMEOUT {
         match client.read_to_end(&mut answer) {
             Ok(_) => return String::from_utf8(answer).expect("text"),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => panic!("the connection broke: {error}"),
         }
-        // A write after the answer may fail; the answer is read all the same.
+        // A write after the response may fail. The response is read in any case.
         let _ = client.write_all(b"x");
     }
     panic!("the server waits for ever");
 }
 
-/// Symptom: all connections are taken and no caller gets in. Sequence: clients send a byte now
-/// and then, each before the server's patience with one read ends. Cause: a timeout that starts
-/// anew with each read.
+/// Guards against a timeout that starts anew with each read: clients that send a byte now and then
+/// would occupy all connections.
 #[rstest]
 #[case::head("GET / HTTP/1.1\r\nHost: a\r\nX-Slow: ")]
 #[case::body("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n")]
 #[case::chunk("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n")]
-fn a_trickling_client_is_answered_408(#[case] request: &str) {
+fn trickling_client(#[case] request: &str) {
     let options = Options {
-        head_timeout: SHORT,
-        body_timeout: SHORT,
+        head_timeout: SHORT_TIMEOUT,
+        body_timeout: SHORT_TIMEOUT,
         max_head_bytes: 1_000_000,
         ..Options::default()
     };
@@ -64,27 +65,27 @@
 }
 
 #[test]
-fn a_silent_connection_is_closed_without_a_word() {
+fn idle_connection_closed() {
     let options = Options {
-        idle_timeout: SHORT,
+        idle_timeout: SHORT_TIMEOUT,
         ..Options::default()
     };
     let server = start(options, Echo);
     assert_eq!(read_to_close(&mut connect(&server)), "");
 }
 
-/// Symptom: threads pile up behind clients that do not read. Sequence: a client asks for a stream
-/// and reads nothing; the buffers between fill up. Cause: a write without a limit.
+/// Guards against a write without a time limit: a client asks for a stream and reads nothing, the
+/// buffers fill up, and the thread would wait for ever.
 #[test]
-fn a_client_that_does_not_read_ends_its_stream() {
+fn unread_stream() {
     let (ended, has_ended) = mpsc::channel();
     let options = Options {
-        write_timeout: SHORT,
+        write_timeout: SHORT_TIMEOUT,
         ..Options::default()
     };
     let server = start(
         options,
-        Calls(move |_, responder: Responder<'_>| {
+        FunctionHandler(move |_, responder: Responder<'_>| {
             let mut stream = responder.start(ResponseHead::new(200)).expect("a stream");
             let piece = vec![b'x'; 1 << 20];
             let failure = loop {
@@ -99,14 +100,14 @@
     client
         .write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         .expect("sent");
-    let failure = has_ended.recv_timeout(PATIENCE).expect("an end");
+    let failure = has_ended.recv_timeout(TEST_TIMEOUT).expect("an end");
     assert!(matches!(failure, Error::WriteTimeout), "{failure}");
 }
 
-/// Symptom: callers hang while all places are taken. Sequence: one client holds the only place,
-/// another connects. Cause: a server that lets it wait in place of an answer at once.
+/// Guards against clients that wait while all connections are in use: one client holds the only
+/// connection, and the next must be sent an error at once.
 #[test]
-fn a_connection_above_the_limit_is_answered_at_once() {
+fn connection_limit() {
     let options = Options {
         max_connections: 1,
         ..Options::default()
--- a/crates/http/tests/support/mod.rs
+++ b/crates/http/tests/support/mod.rs
@@ -17,10 +17,10 @@
 use apricotdale_http::Response;
 use apricotdale_http::Server;
 
-/// A bound on waits that end a broken test; no assertion depends on its length.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Bounds the waits of a failing test. No assertion depends on its length.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// `Echo` answers with the method, the target and the body.
+/// Handler that responds with the method, the path and the body of the request.
 pub struct Echo;
 
 impl Handler for Echo {
@@ -35,10 +35,10 @@
     }
 }
 
-/// `Calls` is a handler made of a function.
-pub struct Calls<F>(pub F);
+/// Handler that calls a function.
+pub struct FunctionHandler<F>(pub F);
 
-impl<F> Handler for Calls<F>
+impl<F> Handler for FunctionHandler<F>
 where
     F: Fn(Request, Responder<'_>) + Send + Sync,
 {
@@ -55,12 +55,12 @@
 pub fn connect(server: &Server) -> TcpStream {
     let client = TcpStream::connect(server.address()).expect("a connection");
     client
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a read timeout");
     client
 }
 
-/// Sends bytes and returns all that comes until the server closes.
+/// Sends bytes and returns all that is received until the server closes the connection.
 pub fn exchange(server: &Server, bytes: &[u8]) -> String {
     let mut client = connect(server);
     client.write_all(bytes).expect("the request is sent");
@@ -75,7 +75,7 @@
     String::from_utf8(answer).expect("text")
 }
 
-/// Reads until what was read ends with the given text.
+/// Reads until the received text ends with `end`.
 pub fn read_until(client: &mut TcpStream, end: &str) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
