--- a/crates/node/src/assembly/common.rs
+++ b/crates/node/src/assembly/common.rs
@@ -1,4 +1,4 @@
-//! What nearly every part of a daemon works with.
+//! State and channels that most parts of a daemon share.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -33,67 +33,67 @@
 use crate::streams::Pace;
 use crate::streams::StreamState;
 
-/// The placement policy, which the gateway's arrivals and the placement loop both feed.
+/// Placement policy, which both the gateway's arrivals and the placement loop update.
 pub type SharedPlacement = Arc<Mutex<Box<dyn PlacementPolicy>>>;
 
-/// `Common` is what nearly every part of a daemon works with.
+/// State, clients and wake signals shared by the parts of one daemon.
 pub struct Common {
-    /// The settings.
+    /// Settings that the daemon was started with.
     pub settings: Settings,
-    /// The outside interfaces.
+    /// Clients of the platform, of the engines and of the clock.
     pub adapters: Adapters,
-    /// The metrics.
+    /// Metrics that all parts of the daemon update.
     pub metrics: Arc<Metrics>,
-    /// This process, chosen at random.
+    /// Random number that tells this process from earlier ones on the same VM.
     pub process_id: u64,
-    /// The seed of random choices.
+    /// Seed of the random choices of policies and membership.
     pub seed: u64,
-    /// The replayed control state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// How long loads took.
+    /// Durations of the loads that replay has shown.
     pub loads: Arc<LoadHistory>,
-    /// How often the control stream is read.
+    /// Read pacing of the control stream.
     pub control_pace: Pace,
-    /// The state of every stream, the control stream's first.
+    /// State of every stream, the control stream's first.
     pub states: Vec<Arc<dyn StreamState>>,
-    /// The claim streams.
+    /// Claim streams, in the order of the settings.
     pub claim_streams: Vec<Arc<ClaimStream>>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Makes heartbeats.
+    /// Builds this VM's heartbeats and keeps what peers sent in theirs.
     pub heartbeats: Arc<HeartbeatSource>,
-    /// Whether the log works.
+    /// Outcomes of recent appends and reads, from which the log counts as up or down.
     pub health: Arc<LogHealth>,
-    /// The demand.
+    /// Demand for each model, at this VM and reported by peers.
     pub demand: Arc<DemandTable>,
-    /// The last load reports.
+    /// Last load report of each engine.
     pub reports: Arc<ReportTable>,
-    /// What the gateway knows.
+    /// Directory from which the gateway resolves models and services.
     pub directory: Arc<NodeDirectory>,
-    /// The placement policy.
+    /// Placement policy, shared with the gateway's arrivals.
     pub placement: SharedPlacement,
-    /// The epoch of this process.
+    /// Epoch of this process; empty before it has joined.
     pub epoch: Arc<EpochCell>,
-    /// Set once the daemon is stopping.
+    /// Set once a planned stop has begun.
     pub draining: Arc<AtomicBool>,
-    /// Set once this process sends no further orders.
+    /// Set once this process must send no further orders to engines.
     pub retired: Arc<AtomicBool>,
-    /// Set when the daemon's threads are to end.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
-    /// Wakes placement.
+    /// Wakes the placement loop.
     pub placement_wake: Signal,
-    /// Wakes the reporting of demand.
+    /// Wakes the thread that reports demand to peers.
     pub report_wake: Signal,
-    /// Wakes the settling of intents.
+    /// Wakes the thread that settles intents.
     pub settle_wake: Signal,
 }
 
 impl Common {
-    /// Returns what the parts of one daemon share.
+    /// Creates the shared state from the settings.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownPolicy` for a placement policy that is not there.
+    /// `Error::UnknownPolicy` if the settings name an unknown placement policy.
     pub fn new(settings: Settings, adapters: Adapters, metrics: Arc<Metrics>) -> Result<Self> {
         let process_id = rand::random();
         let clock = Arc::clone(&adapters.clock);
@@ -172,28 +172,27 @@
         })
     }
 
-    /// Returns this VM's name.
     pub fn vm(&self) -> VmName {
         self.settings.vm.name.clone()
     }
 
-    /// Returns the clock.
     pub fn clock(&self) -> Arc<dyn Clock> {
         Arc::clone(&self.adapters.clock)
     }
 
-    /// Returns a function that begins a planned stop.
+    /// Returns a function that begins a planned stop of this daemon.
     pub fn drain(&self) -> Box<dyn Fn() + Send + Sync> {
         let draining = Arc::clone(&self.draining);
         Box::new(move || draining.store(true, Ordering::Release))
     }
 
-    /// Returns a function that ends this process because its state was given up. It decides
-    /// nothing from then on, and finishes the requests in progress.
+    /// Returns a function that ends this process because its replayed state is void. It clears the
+    /// epoch, so that the process decides nothing more, and starts a drain, which lets requests in
+    /// progress finish.
     pub fn give_up(&self) -> Arc<dyn Fn() + Send + Sync> {
         let (epoch, draining) = (Arc::clone(&self.epoch), Arc::clone(&self.draining));
         Arc::new(move || {
-            error!("the state of this process was given up; it ends and has to be started anew");
+            error!("the state of this process is void; it drains and has to be restarted");
             epoch.clear();
             draining.store(true, Ordering::Release);
         })
@@ -210,7 +209,7 @@
     SharedMembership::new(Membership::new(settings.vm.name.clone(), options), clock)
 }
 
-/// Returns a function that wakes two loops.
+/// Returns a function that wakes both signals.
 pub fn wake_both(one: &Signal, other: &Signal) -> Box<dyn Fn() + Send + Sync> {
     let (one, other) = (one.clone(), other.clone());
     Box::new(move || {
