--- a/crates/node/src/assembly/deciding.rs
+++ b/crates/node/src/assembly/deciding.rs
@@ -1,4 +1,4 @@
-//! The parts that replay, decide and carry out.
+//! Threads that replay streams, make proposals and send orders.
 
 use std::iter;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 use crate::streams::StreamState;
 use crate::streams::StreamTail;
 
-/// `Deciding` is the part of a daemon that replays, decides and carries out: one thread a role.
+/// Threads of a daemon that replay streams, make proposals and send orders, one for each role.
 pub struct Deciding<'a> {
     common: &'a Common,
     serving: &'a Serving,
@@ -52,12 +52,12 @@
 }
 
 impl<'a> Deciding<'a> {
-    /// Starts all roles. Returns their threads, which end once the stop flag is set, and the way to
-    /// append a last record before that.
+    /// Starts all threads. Returns their handles, which finish once the stop flag is set, and the
+    /// appender for a last record before that.
     ///
     /// # Errors
     ///
-    /// `Error::System` if the system refuses a thread.
+    /// `Error::System` if the system can't start a thread.
     pub fn start(
         common: &'a Common,
         serving: &'a Serving,
@@ -112,7 +112,7 @@
         let paces = iter::once(common.control_pace.clone()).chain(claims);
         for (state, pace) in common.states.iter().zip(paces) {
             let tail = self.tail(state, pace, &snapshots, &peers);
-            // Nobody waits for a tail to end: it may be in a read that waits for a record.
+            // A tail is not joined at the stop: it may be in a read that waits for a record.
             let _ = spawn_thread("stream-tail", move || tail.run())?;
         }
         let writer = SnapshotWriter {
