--- a/crates/node/src/assembly/mod.rs
+++ b/crates/node/src/assembly/mod.rs
@@ -1,4 +1,4 @@
-//! Builds the parts of a daemon from its settings.
+//! Construction of a daemon's parts from its settings.
 
 mod common;
 mod deciding;
