--- a/crates/node/src/assembly/serving.rs
+++ b/crates/node/src/assembly/serving.rs
@@ -1,4 +1,4 @@
-//! The parts that serve callers, peers and operators.
+//! Servers for callers, peers and operators.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -29,29 +29,30 @@
 use crate::policies;
 use crate::streams::SnapshotServer;
 
-/// `Serving` is the part of a daemon that answers others.
+/// Servers of a daemon for callers, peers and operators, and what they share.
 pub struct Serving {
-    /// The callers' interface.
+    /// Gateway that serves callers.
     pub gateway: Arc<Gateway>,
-    /// The way to peers.
+    /// Link over which peers are sent requests.
     pub link: Arc<dyn PeerLink>,
-    /// What was exchanged with peers.
+    /// Counts of messages exchanged with peers.
     pub peer_counters: Arc<PeerCounters>,
-    /// Answers peers.
+    /// Server that answers peers.
     pub peers: PeerServer,
-    /// Answers callers.
+    /// Server that answers callers.
     pub callers: Server,
-    /// Answers operators.
+    /// Server that answers operators.
     pub admin: AdminServer,
 }
 
 impl Serving {
-    /// Starts to answer callers, peers and operators.
+    /// Starts the servers for callers, peers and operators.
     ///
     /// # Errors
     ///
-    /// `Error::Listen` if an address is taken or not this VM's, `Error::UnknownPolicy` for a policy
-    /// that is not there, `Error::System` if the system refuses a thread or a descriptor.
+    /// `Error::Listen` if an address is in use or not local, `Error::UnknownPolicy` if the settings
+    /// name an unknown policy, `Error::System` if the cluster key is invalid or the system can't
+    /// start a thread.
     pub fn start(common: &Common) -> Result<Self> {
         let gateway = Arc::new(gateway(common)?);
         let peer_counters = Arc::new(PeerCounters::default());
