--- a/crates/node/src/placing/capacity.rs
+++ b/crates/node/src/placing/capacity.rs
@@ -1,4 +1,4 @@
-//! Tells the gateway how many requests this VM may have in progress at each target.
+//! Shares the slots of models and services among the VMs and passes this VM's share to the gateway.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,13 +21,13 @@
 use crate::engine_reports::KnownReport;
 use crate::engine_reports::ReportTable;
 
-/// The age up to which a load report tells which slots the other VMs leave unused.
+/// Age up to which a load report is used to find the slots that other VMs leave unused.
 const FRESH_MS: u64 = 5_000;
 
-/// Calls at once that one instance of a plain service is trusted with.
+/// Concurrent requests assumed to be served by one instance of a plain service.
 const SERVICE_SLOTS: u32 = 64;
 
-/// `CapacityFeed` tells the gateway of changes only.
+/// Passes changes of this VM's slots to the gateway.
 pub struct CapacityFeed {
     directory: Arc<NodeDirectory>,
     reports: Arc<ReportTable>,
@@ -37,7 +37,7 @@
 }
 
 impl CapacityFeed {
-    /// Returns a feed that has told nothing yet.
+    /// Returns a feed that has passed nothing to the gateway yet.
     pub fn new(
         directory: Arc<NodeDirectory>,
         reports: Arc<ReportTable>,
@@ -53,9 +53,8 @@
         }
     }
 
-    /// Tells the gateway what has changed of the models that are wanted or loaded, and of those told
-    /// of before. `ready_at_ms` gives the time at which a model without
-    /// replicas is expected to have one.
+    /// Passes changes of the slots of `wanted` models, of those passed before, and of all services.
+    /// `ready_at_ms` gives the time at which a model without replicas is expected to have one.
     pub fn update(
         &mut self,
         now_ms: u64,
@@ -137,14 +136,14 @@
     }
 }
 
-/// Returns how many requests this VM may have in progress at a target.
+/// Returns how many requests this VM may have in progress at a model or service.
 fn own_slots<K: Hash + ?Sized>(
     total_slots: u32,
     report: Option<SlotReport>,
     key: &K,
     view: &View,
 ) -> u32 {
-    // A VM that is stopping has no rank any more, and goes on with what it has.
+    // A VM that is stopping has no rank any more; it counts as the only one.
     let (vm_rank, vm_count) = view.share_rank(key).unwrap_or((0, 1));
     vm_slots(&SlotView {
         total_slots,
