--- a/crates/node/src/placing/demand_reporter.rs
+++ b/crates/node/src/placing/demand_reporter.rs
@@ -1,4 +1,4 @@
-//! Tells the demand at this VM to the VMs that decide on the models' replicas.
+//! Sends this VM's demand to the VMs that decide on the models' replicas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,35 +19,34 @@
 use crate::demand::DemandTable;
 use crate::membership_view::SharedMembership;
 
-/// How often demand is reported while there is some.
+/// Interval of the demand reports when no request arrives.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long after a request arrived its report leaves at the latest, so that a burst becomes one
-/// report.
+/// Delay between the first arrival and its report, so that a burst of arrivals becomes one report.
 const GATHER: Duration = Duration::from_millis(10);
 
-/// `DemandReporter` reports the demand here.
+/// Reports this VM's demand for each model to the VM preferred for that model.
 pub struct DemandReporter {
-    /// This VM.
+    /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// The demand.
+    /// Demand for each model, at this VM and reported by peers.
     pub demand: Arc<DemandTable>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// The way to peers.
+    /// Link over which peers are sent requests.
     pub link: Arc<dyn PeerLink>,
-    /// How long a peer may take to answer.
+    /// Timeout of one request to a peer, in milliseconds.
     pub timeout_ms: u64,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// Woken when a request arrives.
+    /// Signalled when a request arrives.
     pub wake: Receiver<()>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
 impl DemandReporter {
-    /// Reports until the daemon stops.
+    /// Sends reports until the daemon stops.
     pub fn run(self) {
         while !self.stop.load(Ordering::Relaxed) {
             if self.wake.recv_timeout(REPORT_INTERVAL).is_ok() {
@@ -74,7 +73,7 @@
                 vm: self.vm.clone(),
                 models,
             });
-            // A lost report costs a step of waiting: this VM then proposes by itself.
+            // A lost report delays a load by one step of the rank: this VM then proposes it itself.
             if self.link.ask(address, &request, self.timeout_ms).is_err() {
                 self.membership
                     .handle(MembershipEvent::HeartbeatMissed { vm });
