--- a/crates/node/src/placing/fleet.rs
+++ b/crates/node/src/placing/fleet.rs
@@ -1,4 +1,4 @@
-//! Builds placement's view of the fleet.
+//! Placement's view of the fleet.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,24 +30,24 @@
 use crate::membership_view::SharedMembership;
 use crate::replayed::Replayed;
 
-/// Loads at once at full speed that are assumed while the weight store is silent.
+/// Concurrent full-speed loads assumed while the weight store reports no status.
 const ASSUMED_FULL_SPEED_LOADS: u32 = 4;
 
-/// Places in an engine's batch that are assumed before its first report.
+/// Slots of an engine's batch assumed before its first load report.
 pub const ASSUMED_SLOTS: u32 = 8;
 
-/// `Basis` is the part of the state on which proposals from one plan are based.
+/// Versions and counts that the proposals of one plan are conditional on.
 ///
-/// It is read together with the fleet's view. Were it read when a proposal is made, a load that was
-/// decided in between would be counted in, and the proposal would ask for a second replica that no
-/// policy wanted. One would notice by two loads after one burst.
+/// They are read together with the fleet's view. If they were read when a proposal is made, a load
+/// decided in between would be included in the expected replica count, and replay would accept a
+/// second replica that the policy did not plan: one burst would cause two loads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Basis {
-    /// The replicas of each model in the fleet's view, in whatever stage.
+    /// Number of replicas in any stage, for each model in the fleet's view.
     pub replicas: BTreeMap<ModelName, u32>,
-    /// The last change of each of these models.
+    /// Configuration version of the last change of each of these models.
     pub versions: BTreeMap<ModelName, ConfigVersion>,
-    /// The run of each engine.
+    /// Boot of each engine.
     pub boots: BTreeMap<UpstreamName, BootId>,
 }
 
@@ -71,24 +71,24 @@
     }
 }
 
-/// `FleetSource` is what the fleet's view is built from.
+/// Sources that the fleet's view is built from.
 pub struct FleetSource {
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// The last load reports.
+    /// Last load report of each engine.
     pub reports: Arc<ReportTable>,
-    /// The demand.
+    /// Demand for each model, at this VM and reported by peers.
     pub demand: Arc<DemandTable>,
-    /// The last status of the weight store.
+    /// Last status of the weight store; absent before the first successful read.
     pub weights: Arc<Mutex<Option<WeightsStatus>>>,
     /// This VM's rank for each model.
     pub ranks: Mutex<RankCache>,
 }
 
 impl FleetSource {
-    /// Returns the fleet as this VM sees it, and what a proposal made from it is based on.
+    /// Returns the fleet as this VM sees it, and the basis of proposals made from it.
     pub fn fleet(&self, now_ms: u64, unix_ms: u64) -> (FleetView, Basis) {
         let view = self.membership.view();
         let totals = self.demand.totals(now_ms);
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// Returns where an engine's host holds a model's checkpoint, as last reported.
+    /// Returns the tier in which an engine's host caches a model's checkpoint, by its last report.
     pub fn tier(&self, engine: &UpstreamName, model: &ModelName) -> CacheTier {
         let known = self.reports.report(engine);
         let held = known.and_then(|known| {
@@ -150,7 +150,7 @@
     }
 }
 
-/// Returns the groups with a listed engine that replay does not know yet.
+/// Returns the groups with a listed engine that replay has not seen yet.
 fn growing_groups(state: &ControlState, view: &View) -> BTreeSet<GroupName> {
     let unknown = view.upstreams.values().filter(|upstream| {
         let name = UpstreamName::new(&upstream.entry.name);
@@ -170,8 +170,8 @@
 
 fn replicas(state: &ControlState, now_ms: u64, unix_ms: u64) -> Vec<ReplicaView> {
     let to_monotonic = |since_ms: u64| now_ms.saturating_sub(unix_ms.saturating_sub(since_ms));
-    // Nobody expects a revoked or lingering replica to come up. Shown as coming it would keep its
-    // model from ever being loaded elsewhere; its memory is not free in the engine's view anyway.
+    // A revoked or lingering replica is not expected to load. Shown as loading, it would keep its
+    // model from being loaded elsewhere; its memory counts as used in the engine's view anyway.
     let expected = state.replicas().filter(|one| !is_stuck(one.stage()));
     let decided = expected.map(|replica| ReplicaView {
         model: replica.model.clone(),
@@ -191,7 +191,7 @@
     now_ms: u64,
 ) -> Vec<ModelView> {
     let config = state.config();
-    // An adapter that is wanted needs its base, for which nobody asks by itself.
+    // The base of a wanted adapter is needed too, although no request names it.
     let bases: BTreeSet<&ModelName> = totals
         .keys()
         .filter_map(|model| config.model(model)?.base.as_ref())
