--- a/crates/node/src/placing/load_failures.rs
+++ b/crates/node/src/placing/load_failures.rs
@@ -1,4 +1,4 @@
-//! Models whose loads fail.
+//! Backoff for models whose loads fail.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 use apricotdale_core::refusal::Refusal;
 use apricotdale_core::refusal::RefusalReason;
 
-/// The pause after the first failed load of a model.
+/// Backoff after the first failed load of a model.
 const FIRST_PAUSE_MS: u64 = 500;
 
-/// The longest pause.
+/// Upper bound of the backoff.
 const PAUSE_MAX_MS: u64 = 30_000;
 
-/// The most times that the pause is doubled.
+/// Upper bound of the number of doublings, which keeps the shift from overflowing.
 const MOST_DOUBLINGS: u32 = 8;
 
-/// Loads of a model that failed in a row after which its waiting requests are refused.
+/// Consecutive failed loads of a model after which its waiting requests are refused.
 const REFUSED_AFTER: u32 = 2;
 
-/// `LoadFailures` holds back loads of models whose last ones failed.
+/// Delays loads of models whose last loads failed, with exponential backoff.
 ///
-/// An engine that refuses at once would otherwise be asked again at once: the proposals alone used
-/// up the log's appends (some 230 a second for one waiting request), everybody else's among them.
+/// Without it, an engine that refuses at once is sent the next order at once: for one waiting
+/// request this took some 230 proposals a second, which used up the log's appends for all VMs.
 #[derive(Debug, Default)]
 pub struct LoadFailures {
     models: BTreeMap<ModelName, Failure>,
@@ -34,7 +34,7 @@
 }
 
 impl LoadFailures {
-    /// Takes in a failed load.
+    /// Records a failed load and extends the model's backoff.
     pub fn failed(&mut self, now_ms: u64, model: &ModelName) {
         let count = self.models.get(model).map_or(0, |failure| failure.count) + 1;
         let doubled_ms = FIRST_PAUSE_MS << (count - 1).min(MOST_DOUBLINGS);
@@ -45,7 +45,7 @@
         self.models.insert(model.clone(), failure);
     }
 
-    /// Takes in a load that worked.
+    /// Records a successful load and clears the model's backoff.
     pub fn worked(&mut self, model: &ModelName) {
         self.models.remove(model);
     }
@@ -57,7 +57,7 @@
             .is_none_or(|failure| now_ms >= failure.until_ms)
     }
 
-    /// Returns the models whose waiting requests are refused now, and the refusal.
+    /// Returns the models whose waiting requests have to be refused now, each with its refusal.
     pub fn given_up(&self, now_ms: u64) -> Vec<(ModelName, Refusal)> {
         let held = self
             .models
