--- a/crates/node/src/placing/mod.rs
+++ b/crates/node/src/placing/mod.rs
@@ -1,4 +1,4 @@
-//! Placement: from demand to intents on the control stream, and from replicas to admission's slots.
+//! Placement: turns demand into proposed loads and unloads, and replicas into admission slots.
 
 mod capacity;
 mod demand_reporter;
