--- a/crates/node/src/placing/placement_loop.rs
+++ b/crates/node/src/placing/placement_loop.rs
@@ -1,4 +1,4 @@
-//! Asks the placement policy what to load and unload, and proposes it.
+//! Runs the placement policy and proposes the loads and unloads that it plans.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -37,62 +37,62 @@
 use crate::log_health::LogHealth;
 use crate::streams::Pace;
 
-/// How often placement plans when nothing happens.
+/// Interval of planning when no wake signal comes.
 const TICK: Duration = Duration::from_millis(250);
 
-/// How long a proposal of unknown outcome keeps its model from being proposed again.
+/// Time for which a proposal of unknown outcome blocks another one for its model.
 const UNKNOWN_HOLD_MS: u64 = 3_000;
 
-/// How long requests wait for a load under way while its end can't be read, so that a short outage
-/// refuses nobody.
+/// Time for which requests wait for a load under way while the log can't be read, so that a short
+/// outage does not cause refusals.
 const LOG_PATIENCE_MS: u64 = 5_000;
 
-/// When a caller should come back while the log is down.
+/// Retry-after time of refusals while the log is down.
 const LOG_RETRY_MS: u64 = 5_000;
 
-/// When a caller should come back while an order for its model may yet take effect.
+/// Retry-after time of refusals while an earlier order for the model may yet take effect.
 const BLOCKED_RETRY_MS: u64 = 5_000;
 
-/// `PlacementParts` is what the loop works with.
+/// State and clients that the placement loop uses.
 pub struct PlacementParts {
-    /// Builds the policy's view.
+    /// Source of the policy's view of the fleet.
     pub source: Arc<FleetSource>,
-    /// The policy, which the gateway's arrivals feed as well.
+    /// Placement policy; the gateway also passes it arrivals.
     pub policy: Arc<Mutex<Box<dyn PlacementPolicy>>>,
-    /// How long loads took.
+    /// Durations of the loads that replay has shown.
     pub loads: Arc<LoadHistory>,
-    /// Appends the proposals.
+    /// Appends the proposed control records.
     pub appender: Appender,
-    /// Whether the log works.
+    /// Outcomes of recent appends and reads, from which the log counts as up or down.
     pub health: Arc<LogHealth>,
-    /// Where waiting requests are refused.
+    /// Gateway whose waiting requests are refused.
     pub gateway: Arc<Gateway>,
-    /// Tells the gateway of slots.
+    /// Passes slots to the gateway.
     pub capacity: CapacityFeed,
-    /// How often the control stream is read.
+    /// Read pacing of the control stream.
     pub pace: Pace,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// Woken when demand or replicas change.
+    /// Signalled when demand or replicas change.
     pub wake: Receiver<()>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
-/// `Held` is why a model is not proposed again now.
+/// State of the last proposal for a model, which blocks another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Held {
-    /// The proposal waits for its append.
+    /// The proposal is queued for its append.
     Queued,
-    /// The proposal stands at this offset and waits for replay.
+    /// The record has this offset and has not been replayed.
     Appended(Offset),
-    /// The proposal may come onto the stream until this time.
+    /// The append's outcome is unknown; the record may appear until this time.
     Until(u64),
 }
 
 type HeldModels = Arc<Mutex<BTreeMap<ModelName, Held>>>;
 
-/// `PlacementLoop` carries out the placement policy.
+/// Loop that plans placement and proposes its actions.
 pub struct PlacementLoop {
     parts: PlacementParts,
     held: HeldModels,
@@ -116,7 +116,7 @@
     /// Runs until the daemon stops.
     pub fn run(mut self) {
         while !self.parts.stop.load(Ordering::Relaxed) {
-            // A disconnected sender means that the daemon is going down; the flag tells.
+            // Disconnection means that the daemon is stopping; the loop condition checks that.
             let _ = self.parts.wake.recv_timeout(TICK);
             self.step();
         }
@@ -148,7 +148,8 @@
             .update(now_ms, &view, &wanted, &self.ready_at_ms);
     }
 
-    /// Lets the policy learn what happened since the last plan.
+    /// Passes arrivals and finished loads since the last plan to the policy, and failed loads to
+    /// the backoff.
     fn feed(&mut self, now_ms: u64) {
         let arrivals = self.parts.source.demand.take_remote_arrivals();
         for model in self.parts.loads.take_failed() {
@@ -165,9 +166,9 @@
         }
     }
 
-    /// Carries out what the policy wants. While no decision can be had nothing is proposed: the
-    /// proposal would wait behind records that must not be lost, and be decided when the log is
-    /// back, whoever still waits for it then. The policy wants it anew.
+    /// Carries out one action of the policy. While the log is down, loads and unloads are not
+    /// proposed: the proposal would be queued behind records that must not be lost, and be decided
+    /// once the log is back, when the demand may have ended. The policy plans the action again.
     fn carry_out(&mut self, action: PlacementAction) {
         let is_down = self.parts.health.is_down(self.parts.clock.monotonic_ms());
         match action {
@@ -198,9 +199,10 @@
             .may_load(self.parts.clock.monotonic_ms(), model)
     }
 
-    /// Proposes a load on the engine that the policy chose, or on another one of its group where an
-    /// order for the model that may yet take effect stands in the way: replay rejects a second
-    /// replica of a model on one engine. Without another engine the waiting requests are refused.
+    /// Proposes a load on the engine that the policy chose. If an earlier order for the model may
+    /// yet take effect there, proposes the fitting engine of the group with the most free memory
+    /// instead, since replay rejects a second replica of a model on one engine. Without such an
+    /// engine the waiting requests are refused.
     fn propose_load_near(&self, model: &ModelName, chosen: UpstreamName) {
         let view = self.parts.source.membership.view();
         let engine = self.parts.source.replayed.read(|state| {
@@ -258,8 +260,9 @@
         });
     }
 
-    /// Proposes to unload what engines hold although no accepted load put it there: the late effect
-    /// of an order whose intent was settled long ago. It takes memory and nobody routes to it.
+    /// Proposes to unload models that engines hold without an accepted load: the late effect of an
+    /// order whose intent was settled before. Such a model uses memory, and no request is routed to
+    /// it.
     fn unload_strays(&self) {
         let view = self.parts.source.membership.view();
         let strays: Vec<(ModelName, UpstreamName, Offset)> =
@@ -275,7 +278,7 @@
                 strays.collect()
             });
         for (model, engine, load) in strays {
-            info!("{engine} holds {model}, which no decision put there");
+            info!("{engine} holds {model} without an accepted load");
             self.propose_unload_of(&model, &engine, load);
         }
     }
@@ -303,7 +306,7 @@
         });
     }
 
-    /// Proposes a record for a model, unless an earlier proposal is still on its way.
+    /// Proposes a record for a model, unless an earlier proposal for it is pending.
     fn propose(
         &self,
         model: &ModelName,
@@ -330,7 +333,7 @@
             });
     }
 
-    /// Lets models be proposed again whose proposals have been replayed.
+    /// Unblocks models whose proposals have been replayed, or can no longer appear.
     fn release(&self, now_ms: u64) {
         let next = self.parts.source.replayed.next_offset();
         self.held.lock().retain(|_, held| match held {
@@ -340,11 +343,12 @@
         });
     }
 
-    /// Refuses the requests that wait for a model without any replica while no decision can be had,
-    /// and those that wait for a load whose end could not be read for a while.
+    /// Refuses requests while no load can be decided: those for a model without a replica loaded or
+    /// loading, and, once the log has been unreadable for a while, those for a model that is
+    /// loading.
     ///
-    /// Holding them until the log comes back would let them pass their deadlines in silence; a
-    /// caller that is told at once can go elsewhere.
+    /// If they waited for the log to recover, they would pass their deadlines without an answer; a
+    /// caller that is refused at once can go elsewhere.
     fn refuse_undecidable(&self) {
         let now_ms = self.parts.clock.monotonic_ms();
         if !self.parts.health.is_down(now_ms) {
@@ -386,7 +390,7 @@
         waiting.map(|(model, _)| model).collect()
     }
 
-    /// Forgets when models were expected that have a replica, or have no load under way, now.
+    /// Drops the expected ready times of models without a pending proposal or load under way.
     fn forget_ready(&mut self) {
         let held = self.held.lock();
         self.ready_at_ms.retain(|model, _| {
@@ -399,7 +403,8 @@
     }
 }
 
-/// Returns whether nobody expects a replica to come up although its order may yet take effect.
+/// Returns whether a replica in this stage is not expected to load although its order may yet take
+/// effect.
 pub fn is_stuck(stage: Stage) -> bool {
     matches!(stage, Stage::Revoked | Stage::Lingering)
 }
