--- a/crates/node/src/placing/rank_cache.rs
+++ b/crates/node/src/placing/rank_cache.rs
@@ -1,4 +1,4 @@
-//! This VM's rank for each model, kept while the live VMs stay the same.
+//! Cache of this VM's rank for each model, valid while the set of live VMs stays the same.
 
 use std::collections::HashMap;
 
@@ -6,11 +6,11 @@
 use apricotdale_core::names::VmName;
 use apricotdale_membership::View;
 
-/// `RankCache` keeps this VM's rank for each model.
+/// Cache of this VM's rank for each model.
 ///
-/// A rank is found by hashing every live VM together with the model: 30 us with 410 VMs. The fleet's
-/// view asks for the rank of each model that has a replica several times a second, which without
-/// the cache would be more than a tenth of a core.
+/// Computing a rank hashes every live VM together with the model, which takes 30 us with 410 VMs.
+/// The fleet's view needs the rank of each model with a replica several times a second; without
+/// the cache that is more than a tenth of a core.
 #[derive(Debug, Default)]
 pub struct RankCache {
     live: Vec<VmName>,
@@ -18,7 +18,7 @@
 }
 
 impl RankCache {
-    /// Forgets all ranks if other VMs are live than before.
+    /// Clears the cache if the set of live VMs has changed.
     pub fn refresh(&mut self, view: &View) {
         if view.live_vms().eq(&self.live) {
             return;
