--- a/crates/node/src/settling/freshness.rs
+++ b/crates/node/src/settling/freshness.rs
@@ -1,4 +1,4 @@
-//! Whether this process may act on what it believes.
+//! Check that the replayed state is current before this process acts on it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,33 +13,33 @@
 use crate::membership_view::moment;
 use crate::replayed::Replayed;
 
-/// A gap between two looks at the clock from which on the process counts as frozen. It is above
-/// the longest tick of the daemon and below any time after which others take intents over.
+/// Gap between two clock readings from which on the process counts as paused. It is above the
+/// longest tick of the daemon and below the time after which other VMs take intents over.
 const FREEZE_LIMIT_MS: u64 = 1_500;
 
-/// How long to wait for the state to be replayed to an end that was just read.
+/// Timeout of replay reaching the end of the stream that was just read.
 const REPLAY_WAIT: Duration = Duration::from_secs(2);
 
-/// `Freshness` answers whether the replayed state is as new as the log.
+/// Check that the replayed state is as new as the log.
 ///
-/// A process that was frozen wakes with old beliefs. Before it sends an order it reads the end of
-/// the control stream and replays up to it, so that it sees a takeover of its intent. The gap
-/// between this check and the order can't be closed here: it is why replay keeps the memory of an
-/// intent reserved while its sender may still act.
+/// A process that was paused resumes with stale state. Before it sends an order it reads the end
+/// of the control stream and replays up to it, so that it sees a takeover of its intent. A pause
+/// between this check and the order can't be excluded here, which is why replay keeps the memory of
+/// an intent reserved while its sender may still act.
 pub struct Freshness {
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// The control stream.
+    /// Name of the control stream.
     pub stream: StreamName,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
     detector: Mutex<PauseDetector>,
 }
 
 impl Freshness {
-    /// Returns a check over the given parts.
+    /// Returns a check that has observed no tick yet.
     pub fn new(
         log: Arc<dyn LogClient>,
         stream: StreamName,
@@ -56,18 +56,18 @@
         }
     }
 
-    /// Takes in that the daemon's loop runs. Called at each tick.
+    /// Records that the daemon's loop runs. Must be called at each tick.
     pub fn tick(&self) {
         self.detector.lock().observe(moment(&*self.clock));
     }
 
-    /// Returns whether the process may act on its beliefs without reading the log first.
+    /// Returns whether the process may act on its state without reading the log first.
     pub fn may_act(&self) -> bool {
         self.detector.lock().may_act(moment(&*self.clock))
     }
 
-    /// Reads the end of the control stream and waits until the state has reached it. Returns
-    /// whether it has.
+    /// Reads the end of the control stream and waits until replay has reached it. Returns whether
+    /// it did in time and the process was not paused meanwhile.
     pub fn confirm(&self) -> bool {
         let began = moment(&*self.clock);
         let from = self.replayed.next_offset();
