--- a/crates/node/src/settling/mod.rs
+++ b/crates/node/src/settling/mod.rs
@@ -1,7 +1,7 @@
-//! Carrying out accepted intents and telling their outcome.
+//! Carrying out accepted intents and recording their outcomes.
 //!
 //! An order is sent only for an intent that replay accepted, only by the process that proposed it,
-//! and only once. Everything else that has to be known of an intent is read from the engine.
+//! and only once. Everything else about the outcome of an intent is read from the engine.
 
 mod freshness;
 mod outcome;
