--- a/crates/node/src/settling/outcome.rs
+++ b/crates/node/src/settling/outcome.rs
@@ -1,4 +1,4 @@
-//! What an engine's status says of an intent.
+//! Outcome of an intent as shown by an engine's status, and the records that report it.
 
 use apricotdale_core::control::ControlRecord;
 use apricotdale_core::control::Observation;
@@ -15,7 +15,7 @@
 use apricotdale_state::view::IntentKind;
 use apricotdale_state::view::IntentView;
 
-/// Returns how far the replica of a load is, by a status, or none if it is not there.
+/// Returns the residency of an intent's replica in a status, or none if the engine lacks it.
 pub fn residency(status: &EngineStatus, intent: &IntentView) -> Option<Residency> {
     let fence = FencingNumber::from(intent.load);
     let mut residents = status.residents.iter();
@@ -47,18 +47,18 @@
     }
 }
 
-/// `EnginePlace` is where an engine belongs, as the platform's list says.
+/// Group and availability zone of an engine, by the VM list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EnginePlace {
-    /// The engine.
+    /// Name of the engine.
     pub engine: UpstreamName,
-    /// Its group.
+    /// Group of engines that the engine belongs to.
     pub group: GroupName,
-    /// Its availability zone.
+    /// Availability zone of the engine.
     pub zone: ZoneName,
 }
 
-/// Returns the record that tells an engine's status.
+/// Returns the record that reports an engine's status.
 pub fn observation(
     place: EnginePlace,
     status: EngineStatus,
