--- a/crates/node/src/settling/runner.rs
+++ b/crates/node/src/settling/runner.rs
@@ -1,4 +1,4 @@
-//! Finds the intents on which this process has to act.
+//! Starts the work on intents that this process owns, and takes over those of other processes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -33,56 +33,56 @@
 use crate::placing::is_stuck;
 use crate::replayed::Replayed;
 
-/// How often the intents are looked at when nothing happens.
+/// Interval at which the intents are checked when no wake signal comes.
 const TICK: Duration = Duration::from_millis(200);
 
-/// How long after a takeover was proposed it is proposed again.
+/// Time after which a proposed takeover is proposed again.
 const REPROPOSE_MS: u64 = 3_000;
 
-/// Called with a load that this process has carried out, and how long it took.
+/// Called with a load that this process has carried out, and its duration in milliseconds.
 pub type Loaded = Box<dyn Fn(&IntentView, u64) + Send + Sync>;
 
-/// `RunnerParts` is what the runner and its workers work with.
+/// State and clients that the runner and its workers use.
 pub struct RunnerParts {
-    /// This VM.
+    /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// This process.
+    /// Random number that tells this process from earlier ones on the same VM.
     pub process_id: u64,
-    /// Ends this process because others have taken it for over.
+    /// Ends this process when replay no longer counts it as a member.
     pub give_up: Arc<dyn Fn() + Send + Sync>,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Orders to engines.
+    /// Client that sends load and unload orders to engines.
     pub orders: Arc<dyn EngineOrders>,
-    /// What engines report.
+    /// Client that reads the engines' status and load reports.
     pub reports: Arc<dyn EngineReports>,
-    /// Appends the outcomes.
+    /// Appends takeovers, observations and settlements.
     pub appender: Appender,
-    /// The epoch of this process.
+    /// Epoch of this process; empty before it has joined.
     pub epoch: Arc<EpochCell>,
-    /// Whether the process may act on what it believes.
+    /// Check that the replayed state is current.
     pub freshness: Freshness,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// The metrics.
+    /// Metrics of this daemon.
     pub metrics: Arc<Metrics>,
     /// Called after each load.
     pub loaded: Loaded,
-    /// How long an order may take until its outcome counts as unknown.
+    /// Timeout of an order, after which its outcome counts as unknown, in milliseconds.
     pub load_timeout_ms: u64,
-    /// Set once this process sends no further orders.
+    /// Set once this process must send no further orders to engines.
     pub retired: Arc<AtomicBool>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
 impl RunnerParts {
     /// Returns whether replay still counts this process as a member.
     ///
-    /// A process that stood still for long, or was wrongly listed as gone, finds that others have
-    /// noted its end: its intents are free to be settled, and its records and claims no longer
+    /// A process that was paused for long, or wrongly listed as gone, finds its departure recorded
+    /// by another VM: its intents may be settled by others, and its records and claims no longer
     /// count. It must send no order from then on.
     pub fn is_member(&self) -> bool {
         self.replayed
@@ -94,39 +94,37 @@
         self.retired.load(Ordering::Acquire)
     }
 
-    /// Returns whether the daemon stops.
     pub fn stopped(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 }
 
-/// `Standing` is how an intent stands.
+/// State of an intent as seen by processes that don't own it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Standing {
     /// Its owner is expected to settle it.
     Open,
-    /// Its owner can't settle it, or not as far as another could now.
+    /// The owner can't settle the intent, or knows less than a process that takes it over now.
     Abandoned,
-    /// It is settled as far as it can be for now.
+    /// Everything that can be settled for now is settled.
     Settled,
 }
 
-/// `IntentRunner` starts a worker for each intent on which this process has to act.
+/// Starts a worker for each intent that this process has to act on.
 pub struct IntentRunner {
     parts: Arc<RunnerParts>,
     wake: Receiver<()>,
-    /// Intents, with the record that made this process their owner, on which a worker was started.
-    /// An order is sent at most once because its intent is never taken out of here while it is
-    /// unsettled.
+    /// Intents for which a worker was started, each with the record that made this process their
+    /// owner. An entry stays until its intent is settled, so that an order is sent at most once.
     started: BTreeSet<(Offset, Offset)>,
-    /// When each intent was first seen with its present owner, by the intent and the record that
-    /// made the owner.
+    /// Time at which each intent was first seen with its present owner. The key is the intent and
+    /// the record that made the owner.
     first_seen_ms: BTreeMap<(Offset, Offset), u64>,
     proposed_ms: BTreeMap<Offset, u64>,
 }
 
 impl IntentRunner {
-    /// Returns a runner that is woken by the given receiver.
+    /// Returns a runner that checks the intents whenever `wake` receives a signal.
     pub fn new(parts: RunnerParts, wake: Receiver<()>) -> Self {
         Self {
             parts: Arc::new(parts),
@@ -140,7 +138,7 @@
     /// Runs until the daemon stops.
     pub fn run(mut self) {
         while !self.parts.stopped() {
-            // A disconnected sender means that the daemon is going down; the flag tells.
+            // Disconnection means that the daemon is stopping; the loop condition checks that.
             let _ = self.wake.recv_timeout(TICK);
             self.parts.freshness.tick();
             self.look();
@@ -187,19 +185,20 @@
             false => Box::new(move || IntentSettler { parts, intent }.run()),
         };
         if let Err(error) = thread::Builder::new().name("intent".into()).spawn(work) {
-            // The intent stays in `started`: had the thread half started, a second one could send
-            // the order again. Others take the intent over.
+            // The intent stays in `started`: if the thread has started after all, a second one
+            // could send the order again. Another process takes the intent over.
             warn!("no thread for an intent: {error}");
         }
     }
 
-    /// Takes over an intent that its owner does not settle.
+    /// Proposes to take over an intent that its owner does not settle.
     ///
-    /// An owner that is over, or a takeover that came before its sender's end, leaves it at once. An
-    /// owner that only stays silent may be paused: what a takeover has begun may be gone on with,
-    /// and so may a load at an engine that checks fencing numbers; else the intent is left alone,
-    /// because its order could still take effect. What was settled as far as it can be is left alone
-    /// as well, or two VMs would take it from each other for ever.
+    /// An abandoned intent is taken over without a timeout: its owner has ended, or it was taken
+    /// over before its sender ended. An owner that is only silent may be paused. After the load
+    /// timeout its intent is taken over only if it is the result of a takeover, or a load at an
+    /// engine that checks fencing tokens; otherwise the original order could still take effect. An
+    /// intent that is settled as far as possible is left alone, or two VMs would take it from each
+    /// other endlessly.
     fn consider_take_over(&mut self, intent: &IntentView) {
         let now_ms = self.parts.clock.monotonic_ms();
         let ownership = (intent.intent, intent.owner.since);
@@ -238,7 +237,7 @@
         );
     }
 
-    /// Returns how an intent stands, as far as others than its owner are concerned.
+    /// Returns the state of an intent as seen by a process that doesn't own it.
     fn standing(&self, intent: &IntentView) -> Standing {
         self.parts.replayed.read(|state| {
             let replica = state
@@ -256,8 +255,8 @@
         })
     }
 
-    /// Returns whether the sender came to its end only after the intent was taken over. The takeover
-    /// then proves less than one made now.
+    /// Returns whether the sender ended only after the intent was taken over. That takeover then
+    /// proves less than one made now.
     fn wants_newer_take_over(&self, intent: &IntentView) -> bool {
         intent.owner.since > intent.intent && self.standing(intent) == Standing::Abandoned
     }
