--- a/crates/node/src/settling/sender.rs
+++ b/crates/node/src/settling/sender.rs
@@ -1,4 +1,4 @@
-//! Sends the order of an accepted intent, once.
+//! Sends the order of an accepted intent, at most once.
 
 use std::sync::Arc;
 use std::thread;
@@ -25,22 +25,22 @@
 use super::runner::RunnerParts;
 use crate::appender::Persistence;
 
-/// How often freshness is tried before an unsent order is abandoned.
+/// Freshness checks before an unsent order is abandoned.
 const FRESHNESS_TRIES: u32 = 10;
 
-/// The pause between two such tries.
+/// Pause between two freshness checks.
 const FRESHNESS_PAUSE: Duration = Duration::from_millis(500);
 
-/// `OrderSender` sends the order of one intent that this process proposed.
+/// Worker that sends the order of one intent that this process proposed.
 pub struct OrderSender {
-    /// What it works with.
+    /// State and clients shared by all workers.
     pub parts: Arc<RunnerParts>,
-    /// The intent.
+    /// Intent whose order is sent.
     pub intent: IntentView,
 }
 
 impl OrderSender {
-    /// Sends the order and tells its outcome.
+    /// Sends the order and proposes a record of its outcome.
     pub fn run(self) {
         if !self.await_freshness() {
             return self.settle(SettledAs::Abandoned, None);
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Waits until the state is as new as the log and still gives the intent to this process.
+    /// Waits until the replayed state is current. Returns whether this process still owns the
+    /// intent then.
     fn await_freshness(&self) -> bool {
         for _ in 0..FRESHNESS_TRIES {
             if self.parts.freshness.confirm() {
@@ -140,8 +141,8 @@
             .propose(Persistence::Keep, record, |_| {});
     }
 
-    /// The order's effect is unknown. Taking the own intent over says that the order will not be
-    /// sent again; what it did is then read from the engine.
+    /// Takes over this process's own intent after an order of unknown effect. The record states
+    /// that the order will not be sent again; its effect is then read from the engine.
     fn take_own_over(&self, reason: &str) {
         warn!(
             "outcome of the order for {} is unknown: {reason}",
