--- a/crates/node/src/settling/settler.rs
+++ b/crates/node/src/settling/settler.rs
@@ -1,4 +1,4 @@
-//! Settles an intent that was taken over, by what its engine shows.
+//! Settles an intent that was taken over, by the status of its engine.
 
 use std::sync::Arc;
 use std::thread;
@@ -18,20 +18,20 @@
 use super::runner::RunnerParts;
 use crate::appender::Persistence;
 
-/// The pause between two readings of an engine that is not done, or not reached.
+/// Pause between two reads of an engine that is busy with the order or can't be reached.
 const READ_PAUSE: Duration = Duration::from_millis(250);
 
-/// `IntentSettler` settles one intent that this process took over.
+/// Worker that settles one intent that this process took over.
 pub struct IntentSettler {
-    /// What it works with.
+    /// State and clients shared by all workers.
     pub parts: Arc<RunnerParts>,
-    /// The intent.
+    /// Intent that is settled.
     pub intent: IntentView,
 }
 
 impl IntentSettler {
-    /// Reads the engine until the intent can be settled, is settled otherwise, or belongs to
-    /// another process.
+    /// Reads the engine's status until the intent can be settled, has been settled by another
+    /// record, or belongs to another process.
     pub fn run(self) {
         while self.is_still_mine() && !self.parts.stopped() {
             let Some(status) = self.read() else {
@@ -55,8 +55,8 @@
         })
     }
 
-    /// Raises the engine's fence to the takeover's number, so that an engine which checks numbers
-    /// refuses the order if it is still on its way, and returns what the engine shows after that.
+    /// Raises the engine's fence to the takeover's fencing token, so that an engine which checks
+    /// tokens refuses an order that is still on its way. Returns the engine's status after that.
     fn read(&self) -> Option<EngineStatus> {
         let view = self.parts.membership.view();
         let address = view.upstreams.get(&self.intent.engine)?.entry.address;
@@ -89,7 +89,7 @@
     fn settle(&self, outcome: SettledAs, status: EngineStatus) {
         let record =
             outcome::settlement(self.intent.kind, self.intent.intent, outcome, Some(&status));
-        // Replay takes a reading of an engine's run only after it has seen that run.
+        // Replay accepts a settlement of an engine's boot only after an observation of that boot.
         if let Some(place) = self.place() {
             let observation = outcome::observation(place, status);
             self.parts
