--- a/crates/node/src/claims/claim_state.rs
+++ b/crates/node/src/claims/claim_state.rs
@@ -1,4 +1,4 @@
-//! The state of one claim stream, as its tail sees it.
+//! Replay of one claim stream.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use super::claim_stream::ClaimStream;
 use crate::streams::StreamState;
 
-/// `ClaimState` feeds a claim stream's table and tells the waiting requests.
+/// Replayed state of one claim stream; wakes the requests that wait for its verdicts.
 pub struct ClaimState {
     stream: Arc<ClaimStream>,
     process_id: u64,
@@ -56,9 +56,9 @@
         if !is_own || self.stream.decide(&claim.request, &claim.verdict) {
             return;
         }
-        // An append whose answer was lost can come onto the stream after its request was refused as
-        // not run. The key would then be held by a request that never runs, and every repetition
-        // would be told that it is in progress.
+        // The record of an append whose answer was lost can appear on the stream after its request
+        // was refused as not run. The key would then be held by a request that never runs, and each
+        // duplicate would be refused because the call is in progress.
         if claim.verdict == ClaimVerdict::Won {
             self.stream.free(&claim.key, &claim.request);
         }
