--- a/crates/node/src/claims/claim_stream.rs
+++ b/crates/node/src/claims/claim_stream.rs
@@ -1,4 +1,4 @@
-//! One claim stream: its table, what waits for it, and what is to be appended.
+//! Claim table, waiting requests and append queue of one claim stream.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicBool;
@@ -25,14 +25,14 @@
 
 use crate::streams::Pace;
 
-/// `Wait` is how a wait for a claim ended.
+/// Outcome of waiting for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Wait {
-    /// Replay decided.
+    /// Replay decided the claim with this verdict.
     Decided(ClaimVerdict),
     /// The claim is certainly not on the stream.
     NotAppended,
-    /// Nothing was decided in time. The claim may still come onto the stream.
+    /// No verdict came in time. The claim may still appear on the stream.
     TimedOut,
 }
 
@@ -43,11 +43,11 @@
     NotAppended,
 }
 
-/// `ClaimStream` is one claim stream as this process sees it.
+/// One claim stream as this process sees it.
 pub struct ClaimStream {
-    /// The stream.
+    /// Name of the stream.
     pub name: StreamName,
-    /// How often the stream is read.
+    /// Read pacing of the stream.
     pub pace: Pace,
     table: Mutex<ClaimTable>,
     slots: Mutex<HashMap<RequestId, Slot>>,
@@ -81,22 +81,22 @@
         self.caught_up.load(Ordering::Acquire)
     }
 
-    /// Notes that the table is as new as can be had.
+    /// Records that the table is as new as it can be now.
     pub fn note_caught_up(&self) {
         self.caught_up.store(true, Ordering::Release);
     }
 
-    /// Reads or changes the table.
+    /// Calls a function with the table, which is locked meanwhile.
     pub fn with_table<T>(&self, act: impl FnOnce(&mut ClaimTable) -> T) -> T {
         act(&mut self.table.lock())
     }
 
-    /// Returns what is known of a key.
+    /// Returns the table's entry of a key, or none if the key is unknown.
     pub fn entry(&self, key: &IdempotencyKey) -> Option<ClaimEntry> {
         self.table.lock().entry(key).cloned()
     }
 
-    /// Queues a record.
+    /// Queues a record for the next batch.
     pub fn queue(&self, record: ClaimRecord) {
         self.pace.follow_closely();
         self.queue
@@ -104,17 +104,17 @@
             .expect("the stream holds the receiver too");
     }
 
-    /// Returns the records to append, in order.
+    /// Returns the receiver of the queued records, in the order of their appends.
     pub fn queued(&self) -> &Receiver<ClaimRecord> {
         &self.queued
     }
 
-    /// Begins to wait for a request's claim. Called before the claim is queued.
+    /// Registers a request that is about to wait. Must be called before its claim is queued.
     pub fn begin_wait(&self, request: &RequestId) {
         self.slots.lock().insert(request.clone(), Slot::Waiting);
     }
 
-    /// Waits until the request's claim is decided.
+    /// Waits until the request's claim is decided, or the timeout passes.
     pub fn wait(&self, request: &RequestId, timeout: Duration) -> Wait {
         let deadline = Instant::now() + timeout;
         let mut slots = self.slots.lock();
@@ -142,13 +142,13 @@
         }
     }
 
-    /// Tells the waiting request of its verdict. Returns whether anyone waited.
+    /// Passes the verdict to the waiting request. Returns whether a request waited.
     pub fn decide(&self, request: &RequestId, verdict: &ClaimVerdict) -> bool {
         let mut slots = self.slots.lock();
         let Some(slot) = slots.get_mut(request) else {
             return false;
         };
-        // The first verdict counts; a batch that was appended twice brings a second one.
+        // The first verdict counts; a batch that was appended twice causes a second one.
         if *slot == Slot::Waiting {
             *slot = Slot::Decided(verdict.clone());
         }
@@ -157,7 +157,7 @@
         true
     }
 
-    /// Tells the waiting request that its claim is certainly not on the stream.
+    /// Lets the waiting request know that its claim is certainly not on the stream.
     pub fn fail(&self, request: &RequestId) {
         let mut slots = self.slots.lock();
         match slots.get_mut(request) {
@@ -168,23 +168,23 @@
         self.moved.notify_all();
     }
 
-    /// Queues the end of a call.
+    /// Queues the finish record of a call.
     pub fn finish(&self, finish: Finish) {
         self.open_ends.fetch_add(1, Ordering::AcqRel);
         self.queue(ClaimRecord::Finish(finish));
     }
 
-    /// Notes that some ends are on the stream.
+    /// Records that this many finish records have been appended.
     pub fn note_ends_appended(&self, ends: usize) {
         self.open_ends.fetch_sub(ends, Ordering::AcqRel);
     }
 
-    /// Returns whether every end that was queued is on the stream.
+    /// Returns whether every queued finish record has been appended.
     pub fn has_no_open_ends(&self) -> bool {
         self.open_ends.load(Ordering::Acquire) == 0
     }
 
-    /// Queues the end of a claim under which nothing will run.
+    /// Queues a finish record for a claim under which no call will run.
     pub fn free(&self, key: &IdempotencyKey, request: &RequestId) {
         self.finish(Finish {
             key: key.clone(),
