--- a/crates/node/src/claims/claim_sweeper.rs
+++ b/crates/node/src/claims/claim_sweeper.rs
@@ -1,4 +1,4 @@
-//! Ends the claims of processes that are over.
+//! Finishes the claims of processes that have ended.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 use crate::membership_view::SharedMembership;
 use crate::replayed::Replayed;
 
-/// How often claims are looked at.
+/// Interval of the sweeps.
 const TICK: Duration = Duration::from_secs(2);
 
-/// `ClaimSweeper` says of each call whose process ended in its midst that its outcome is unknown.
+/// Finishes claims whose process ended during the call, with an unknown outcome.
 ///
-/// Without it such a key would stay in progress for ever, and be carried by every snapshot. A claim
-/// is ended only if its process was over at two looks in a row: claims and control records are on
-/// different streams, and a claim can be seen here before its process's join.
+/// Otherwise such a key would stay in progress for ever and be part of every snapshot. A claim is
+/// finished only if its process was not a member in two consecutive sweeps: claims and control
+/// records are on different streams, so a claim can be replayed before the join of its process.
 pub struct ClaimSweeper {
-    /// The claim streams.
+    /// Claim streams, in the order of the settings.
     pub streams: Vec<Arc<ClaimStream>>,
-    /// The replayed control state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Ends the claims that were over before and still are, and returns those that are over now.
+    /// Finishes the claims that are in `seen` and still belong to processes that have ended.
+    /// Returns the claims found in this sweep for the first time.
     fn sweep(&self, stream: &ClaimStream, seen: &Ended) -> Ended {
         let is_over = |process_id| {
             self.replayed
