--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -1,4 +1,4 @@
-//! Appends the claims and ends of one claim stream, in batches.
+//! Appends the records of one claim stream in batches.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -19,31 +19,31 @@
 use super::claim_stream::ClaimStream;
 use crate::appender::append_outcome;
 
-/// How long the first record of a batch waits for others. The log takes several hundred appends a
-/// second in all, so claims have to share them.
+/// Longest gap between two records of a batch. The log accepts several hundred appends a second in
+/// total, so claims have to share them.
 const GATHER: Duration = Duration::from_millis(3);
 
-/// The most records of one batch.
+/// Maximum number of records of one batch.
 const BATCH_RECORDS: usize = 128;
 
-/// The pause between two tries of an append.
+/// Pause between two attempts of an append.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How often an append of unknown outcome is repeated for claims alone.
+/// Appends of unknown outcome after which a batch's claims are dropped.
 const UNKNOWN_TRIES: u32 = 10;
 
-/// How often the thread looks whether it should stop.
+/// Interval at which the thread checks the stop flag.
 const STOP_CHECK: Duration = Duration::from_millis(200);
 
-/// `ClaimWriter` appends the records of one claim stream.
+/// Thread that appends the queued records of one claim stream.
 pub struct ClaimWriter {
-    /// The stream.
+    /// Claim stream whose queue is appended.
     pub stream: Arc<ClaimStream>,
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// The metrics.
+    /// Metrics of this daemon.
     pub metrics: Arc<Metrics>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns the next batch, or none when the daemon stops.
+    /// Returns the next batch, or none once the daemon stops.
     fn gather(&self) -> Option<Vec<ClaimRecord>> {
         let queued = self.stream.queued();
         let first = loop {
@@ -75,8 +75,8 @@
         Some(batch)
     }
 
-    /// Appends a batch. Claims are given up when the log refuses; ends are kept until they are on
-    /// the stream, since a lost end would leave its key in progress for ever.
+    /// Appends a batch. Its claims are dropped if the log rejects them; its finish records are
+    /// retried until they are appended, since a lost one would leave its key in progress for ever.
     fn append(&self, mut batch: Vec<ClaimRecord>) {
         let mut unknown_tries = 0;
         while !batch.is_empty() {
@@ -99,7 +99,7 @@
             unknown_tries += u32::from(!certain);
             match certain {
                 true if unknown_tries == 0 => self.give_up_claims(&mut batch),
-                // Claims of unknown outcome are neither refused as not appended nor repeated for
+                // Claims of unknown outcome are neither refused as not appended nor retried for
                 // ever: their requests time out, and replay frees the key if a claim wins late.
                 _ if unknown_tries >= UNKNOWN_TRIES => drop_claims(&mut batch),
                 _ => {}
