--- a/crates/node/src/claims/keeper.rs
+++ b/crates/node/src/claims/keeper.rs
@@ -1,4 +1,4 @@
-//! The gateway's way to claims.
+//! The gateway's interface to claims.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,33 +28,33 @@
 use crate::appender::EpochCell;
 use crate::replayed::Replayed;
 
-/// The longest wait for a claim. A log that does not answer for so long is down, and the caller is
-/// told at once rather than near its deadline.
+/// Longest wait for a claim. A log that does not answer for this long is down, and the caller is
+/// refused then rather than near its deadline.
 const CLAIM_WAIT_MS: u64 = 5_000;
 
-/// The part of the remaining time that is left for the call itself.
+/// Divisor of the remaining time: the claim may use a half, and the rest is left for the call.
 const CALL_SHARE: u64 = 2;
 
-/// When a caller should come back while the log is down.
+/// Retry-after time of refusals while the log is down.
 const LOG_RETRY_MS: u64 = 5_000;
 
-/// When a caller should come back while its call runs.
+/// Retry-after time of refusals while the call under the key runs.
 const RUNNING_RETRY_MS: u64 = 1_000;
 
-/// `NodeClaimKeeper` makes sure that a call under a key runs at most once over all VMs.
+/// Ensures that a call under an idempotency key runs at most once over all VMs.
 pub struct NodeClaimKeeper {
-    /// This VM.
+    /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// This process.
+    /// Random number that tells this process from earlier ones on the same VM.
     pub process_id: u64,
-    /// The claim streams. All VMs must have the same ones in the same order.
+    /// Claim streams. All VMs must have the same ones in the same order.
     pub streams: Vec<Arc<ClaimStream>>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// The replayed control state, which tells which processes are over.
+    /// Control state, which shows which processes have ended.
     pub replayed: Arc<Replayed>,
-    /// Whether this process has joined. Until then others would take its claims for those of a
-    /// process that is over.
+    /// Epoch of this process. While it is empty, other VMs would treat this process's claims as
+    /// those of a process that has ended.
     pub epoch: Arc<EpochCell>,
 }
 
@@ -65,8 +65,8 @@
         &self.streams[index as usize]
     }
 
-    /// Decides from what is already known, without a record. A key that is known to be taken stays
-    /// taken, so a repetition is answered while the log is down, too.
+    /// Decides by the replayed table, without a new record. A key that is taken stays taken, so a
+    /// duplicate is answered even while the log is down.
     fn decide_known(&self, ask: &ClaimAsk, entry: &ClaimEntry) -> Option<ClaimDecision> {
         match &entry.state {
             ClaimState::Free => None,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Returns what a repetition is told while the first call runs, or ran on a process that is
-    /// over and can't tell any more.
+    /// Returns the decision for a duplicate while the first call runs, or if the process that ran
+    /// it has ended and can't record the outcome any more.
     fn running(&self, entry: &ClaimEntry) -> ClaimDecision {
         let runs = self
             .replayed
