--- a/crates/node/src/claims/mod.rs
+++ b/crates/node/src/claims/mod.rs
@@ -1,7 +1,7 @@
-//! Claims: a call under an idempotency key runs at most once over all VMs.
+//! Claims, by which a call under an idempotency key runs at most once over all VMs.
 //!
-//! Each claim stream has one thread that appends batches and one tail that replays. A claim is
-//! decided by replay, never by the answer to its append.
+//! Each claim stream has one thread that appends batches and one that replays. A claim is decided
+//! by replay, never by the result of its append.
 
 mod claim_state;
 mod claim_stream;
