--- a/crates/node/src/appender.rs
+++ b/crates/node/src/appender.rs
@@ -29,37 +29,37 @@
 use crate::log_health::LogHealth;
 use crate::streams::Pace;
 
-/// The pause between two tries of an append.
+/// Pause between two attempts of an append.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How often an append of unknown outcome is repeated before a proposal is dropped. A repeated
-/// record has the same sequence, so replay counts it once.
+/// Appends of unknown outcome after which a proposal is dropped. A retried record has the same
+/// sequence, so replay counts it once.
 const UNKNOWN_TRIES: u32 = 20;
 
-/// Appends of unknown outcome in a row after which the log counts as down. One lost answer says
-/// little, and the next try follows at once.
+/// Consecutive appends of unknown outcome after which the log counts as down. A single lost answer
+/// is no such sign, and the next attempt follows at once.
 const UNKNOWN_MEANS_DOWN: u32 = 3;
 
-/// How often the thread looks whether it should stop.
+/// Interval at which the thread checks the stop flag.
 const STOP_CHECK: Duration = Duration::from_millis(200);
 
-/// `Persistence` is what happens to a proposal while the log is down.
+/// Handling of a proposal while the log is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
-    /// The proposal is dropped: whoever made it would decide anew.
+    /// The proposal is dropped: its proposer decides anew.
     Drop,
-    /// The append is repeated until it works: the record tells a fact that must not be lost.
+    /// The append is retried until it succeeds: the record states a fact that must not be lost.
     Keep,
 }
 
-/// `Appended` is the outcome of a proposal's append.
+/// Outcome of a proposal's append.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Appended {
-    /// The record stands at this offset.
+    /// The record has this offset.
     At(Offset),
-    /// The record is not on the log and will not be.
+    /// The record is not on the log and will not appear there.
     Not(Error),
-    /// The record may be on the log; replay will show it.
+    /// The record may be on the log; replay shows whether it is.
     Unknown(Error),
 }
 
@@ -72,33 +72,32 @@
     done: Done,
 }
 
-/// `Appender` appends control records in the order in which they are proposed.
+/// Appends control records in the order in which they are proposed.
 ///
 /// All records of a process go through one thread, because replay drops a record whose sequence is
-/// not above the last one: two threads could append theirs in the wrong order, and one of the two
-/// would be lost without a trace.
+/// not above the last one: with two threads the appends could be out of order, and one of the two
+/// records would be lost silently.
 #[derive(Clone)]
 pub struct Appender {
     queue: Sender<Proposal>,
 }
 
-/// `EpochCell` holds the epoch of this process once it is known.
+/// Epoch of this process; empty before the process has joined.
 #[derive(Debug, Default)]
 pub struct EpochCell(AtomicU64, AtomicBool);
 
 impl EpochCell {
-    /// Sets the epoch.
     pub fn set(&self, epoch: Epoch) {
         self.0.store(epoch.0, Ordering::Release);
         self.1.store(true, Ordering::Release);
     }
 
-    /// Forgets the epoch: this process may decide nothing any more.
+    /// Empties the cell, after which this process may decide nothing.
     pub fn clear(&self) {
         self.1.store(false, Ordering::Release);
     }
 
-    /// Returns the epoch, or none if this process has not joined.
+    /// Returns the epoch, or none if this process has not joined or its epoch was cleared.
     pub fn get(&self) -> Option<Epoch> {
         self.1
             .load(Ordering::Acquire)
@@ -106,25 +105,25 @@
     }
 }
 
-/// `AppenderParts` is what an appender works with.
+/// State and clients that the appender uses.
 pub struct AppenderParts {
-    /// This VM.
+    /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// The control stream.
+    /// Name of the control stream.
     pub stream: StreamName,
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// Takes in the outcomes.
+    /// Receives the outcome of each append.
     pub health: Arc<LogHealth>,
-    /// The metrics.
+    /// Metrics of this daemon.
     pub metrics: Arc<Metrics>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
-    /// Holds the epoch once this process has joined.
+    /// Epoch of this process, under which records are appended.
     pub epoch: Arc<EpochCell>,
-    /// How often the control stream is read.
+    /// Read pacing of the control stream.
     pub pace: Pace,
 }
 
@@ -200,7 +199,7 @@
         }
     }
 
-    /// Appends a payload, repeating as the persistence says.
+    /// Appends a payload, with retries as the persistence says.
     fn append_until_clear(&self, payload: &[u8], persistence: Persistence) -> Appended {
         let mut unknown_tries = 0;
         loop {
@@ -249,7 +248,7 @@
     }
 }
 
-/// Returns under which outcome an append is counted.
+/// Returns the outcome under which metrics count an append.
 pub fn append_outcome(outcome: &Result<Offset, Error>) -> AppendOutcome {
     match outcome {
         Ok(_) => AppendOutcome::Appended,
