--- a/crates/node/src/streams/catch_up.rs
+++ b/crates/node/src/streams/catch_up.rs
@@ -1,4 +1,4 @@
-//! Finds a state to go on from.
+//! Carries out the plan by which a stream's state catches up with the log.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,49 +30,50 @@
 use super::stream_state::StreamState;
 use crate::membership_view::SharedMembership;
 
-/// The most actions in one go. A plan that needs more goes round in circles, and goes on after a
-/// pause.
+/// Maximum number of actions of one run. A plan that needs more is repeating itself; the next run
+/// follows after a pause.
 const MAX_ACTIONS: usize = 16;
 
-/// `CatchUp` carries out the plan for one stream.
+/// Carries out the catch-up plan of one stream.
 pub struct CatchUp {
-    /// The stream's state.
+    /// Replayed state of the stream.
     pub state: Arc<dyn StreamState>,
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// The snapshot stream.
+    /// Reader of the snapshot stream, shared by all streams.
     pub snapshots: Arc<SnapshotReader>,
-    /// The way to peers' states.
+    /// Client that fetches snapshots from peers.
     pub peers: Arc<PeerSnapshots>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Called when this process holds a state that has been given up: it has to end.
+    /// Ends this process. Called when it holds a state that the fleet has given up.
     pub restart: Arc<dyn Fn() + Send + Sync>,
 }
 
-/// `CaughtUp` is how far catching up has come.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CaughtUp {
     /// The stream can be followed from the state on.
     Follow,
-    /// The log is down; the state serves meanwhile.
+    /// The log is down; requests are served from the state meanwhile.
     Serving,
-    /// Nothing can be done now.
+    /// No action is possible now.
     Waiting,
 }
 
-/// `Episode` is what was learned in one go.
+/// What one run has learned of the log, the snapshot stream and the peers.
 struct Episode {
     knowledge: Knowledge,
     sections: BTreeMap<VmName, Section>,
 }
 
 impl CatchUp {
-    /// Does what the plan says until the stream can be followed or nothing more can be done now.
+    /// Carries out the plan until the stream can be followed or no action is possible.
     pub fn run(&self) -> CaughtUp {
-        // While this process did not follow, others may have agreed on a fresh start and given up
-        // the history that it holds. Its own position can look right all the same; only the snapshot
-        // stream tells. It can't be read while the log is down, but then nothing is decided.
+        // While this process did not follow the stream, other VMs may have agreed on a fresh start
+        // and given up the history that this one holds. Its own position can look valid all the
+        // same; only the snapshot stream shows the fresh start. That stream can't be read while the
+        // log is down, but then nothing is decided.
         if self.state.position().is_some() {
             self.snapshots.read_to_end();
         }
@@ -136,7 +137,7 @@
         LogKnowledge::Down
     }
 
-    /// Carries out one action and returns the outcome if there is nothing more to do now.
+    /// Carries out one action. Returns the outcome if no further action is possible now.
     fn carry_out(&self, action: CatchUpAction, episode: &mut Episode) -> Option<CaughtUp> {
         match action {
             CatchUpAction::ReadLogRange => {
@@ -181,8 +182,8 @@
                 Some(CaughtUp::Waiting)
             }
             CatchUpAction::Halt => {
-                // Accepted configuration must not revert, so the state is kept. An operator has to
-                // act: the log has lost records that it had acknowledged.
+                // Accepted configuration must not revert, so the state is kept. The log has lost
+                // acknowledged records, and an operator has to act.
                 error!(
                     "{} ends before what was read of it; no decisions",
                     self.stream()
