--- a/crates/node/src/streams/control_stream.rs
+++ b/crates/node/src/streams/control_stream.rs
@@ -1,4 +1,4 @@
-//! The control stream's state.
+//! Replay of the control stream.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use crate::load_history::LoadHistory;
 use crate::replayed::Replayed;
 
-/// `ControlStream` feeds the replayed control state.
+/// State of the control stream; replays its records into the shared control state.
 pub struct ControlStream {
     stream: StreamName,
     replayed: Arc<Replayed>,
@@ -31,7 +31,8 @@
 }
 
 impl ControlStream {
-    /// Returns a control stream of which nothing has been read. `moved` is called after each batch.
+    /// Returns the state of a stream of which nothing has been read. `moved` is called after each
+    /// batch.
     pub fn new(
         stream: StreamName,
         replayed: Arc<Replayed>,
