--- a/crates/node/src/streams/mod.rs
+++ b/crates/node/src/streams/mod.rs
@@ -1,9 +1,9 @@
 //! Following the log's streams: replay, catching up, snapshots.
 //!
-//! A [`StreamTail`] keeps one [`StreamState`] as new as its stream. Where the stream no longer has
-//! the records that are needed, a [`CatchUp`] finds a state to go on from: on the snapshot stream
-//! or at a peer. A [`SnapshotWriter`] puts states onto the snapshot stream before the log drops the
-//! records they come from.
+//! A [`StreamTail`] keeps one [`StreamState`] as new as its stream. If the stream no longer has the
+//! records that are needed, a [`CatchUp`] installs a newer state from the snapshot stream or a
+//! peer. A [`SnapshotWriter`] appends states to the snapshot stream before the records that they
+//! were replayed from expire.
 
 mod catch_up;
 mod control_stream;
