--- a/crates/node/src/streams/pace.rs
+++ b/crates/node/src/streams/pace.rs
@@ -1,4 +1,4 @@
-//! How often a stream is read.
+//! Pacing of the reads of a stream.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -9,22 +9,22 @@
 
 use crate::signal::Signal;
 
-/// The pause between two reads for each VM of the fleet. All VMs together read a stream that always
-/// has new records at most once in this time, however many they are.
+/// Pause between two reads for each VM of the fleet. All VMs together read a stream that always
+/// has new records at most once in this time, regardless of their number.
 const PAUSE_PER_VM_MS: u64 = 5;
 
-/// The longest pause. Configuration has to be in force within seconds.
+/// Upper bound of the pause. Configuration has to be in force within seconds.
 const PAUSE_MAX_MS: u64 = 2_000;
 
-/// How long a stream is followed closely after someone began to wait for a record.
+/// Time for which a stream is read without pauses after a caller began to wait for a record.
 const CLOSE_MS: u64 = 5_000;
 
-/// `Pace` paces the reads of one stream.
+/// Pacing of the reads of one stream.
 ///
-/// Each record wakes every VM that waits in a read. With a few VMs that costs nothing; with
-/// hundreds, a few records a second would be a thousand reads a second. So a VM that waits for no
-/// record pauses between two reads, the longer the more VMs there are, while one that waits for the
-/// verdict on its own record, or for a replica, follows closely.
+/// Each record ends the waiting read of every VM. With a few VMs that costs little; with hundreds,
+/// a few records a second would cause a thousand reads a second. So a VM that waits for no record
+/// pauses between two reads, in proportion to the number of VMs, while a VM that waits for the
+/// verdict on its own record, or for a replica, reads without pauses.
 #[derive(Clone)]
 pub struct Pace {
     clock: Arc<dyn Clock>,
@@ -33,7 +33,7 @@
 }
 
 impl Pace {
-    /// Returns a pace at which nobody waits.
+    /// Returns the pacing of a stream of which no record is awaited.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             clock,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Notes that someone waits for a record from now on.
+    /// Reads without pauses for a while, because a record is awaited.
     pub fn follow_closely(&self) {
         let until_ms = self.clock.monotonic_ms() + CLOSE_MS;
         let before_ms = self.close_until_ms.fetch_max(until_ms, Ordering::Relaxed);
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Pauses after a read, in a fleet of the given number of VMs, unless someone waits.
+    /// Pauses after a read, in a fleet of `vms` VMs, unless a record is awaited.
     pub fn pause(&self, vms: usize) {
         if self.close_until_ms.load(Ordering::Relaxed) > self.clock.monotonic_ms() {
             return;
         }
         let pause_ms = (vms as u64 * PAUSE_PER_VM_MS).min(PAUSE_MAX_MS);
-        // Being woken and having waited long enough lead to the same next read.
+        // The next read follows whether the pause ended by a wake or by its timeout.
         let _ = self
             .wake
             .receiver()
