--- a/crates/node/src/streams/peer_snapshots.rs
+++ b/crates/node/src/streams/peer_snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots between daemons.
+//! Exchange of snapshots between daemons.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,34 +19,34 @@
 
 use super::stream_state::StreamState;
 
-/// How long a prepared snapshot is handed out before a newer one is prepared. When all VMs of an
-/// availability zone restart at once, they are all served from one.
+/// Lifetime of a prepared snapshot, after which a newer one is prepared. When all VMs of an
+/// availability zone restart at once, one snapshot serves them all.
 const PREPARED_LIFETIME_MS: u64 = 5_000;
 
-/// The most parts that a peer's snapshot may have.
+/// Maximum number of parts of a peer's snapshot.
 const MAX_PARTS: u32 = 2_048;
 
-/// `Fetched` is what became of asking a peer for its state.
+/// Result of asking a peer for its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fetched {
-    /// The peer does not answer.
+    /// The peer did not answer, or its snapshot can't be used.
     Silent,
     /// The peer has no state.
     NoState,
-    /// The peer's state.
+    /// The peer's state, complete.
     State(Snapshot),
 }
 
-/// `PeerSnapshots` fetches the state of other daemons.
+/// Client that fetches the state of other daemons.
 pub struct PeerSnapshots {
-    /// The way to peers.
+    /// Link over which peers are sent requests.
     pub link: Arc<dyn PeerLink>,
-    /// How long a peer may take to answer.
+    /// Timeout of one request to a peer, in milliseconds.
     pub timeout_ms: u64,
 }
 
 impl PeerSnapshots {
-    /// Returns a peer's state.
+    /// Fetches a peer's state part by part.
     pub fn fetch(&self, peer: SocketAddr) -> Fetched {
         let mut parts: Vec<SnapshotPart> = Vec::new();
         loop {
@@ -84,7 +84,7 @@
     }
 }
 
-/// `SnapshotServer` hands out this daemon's state.
+/// Serves snapshots of this daemon's state to peers.
 pub struct SnapshotServer {
     states: Vec<Arc<dyn StreamState>>,
     clock: Arc<dyn Clock>,
@@ -107,11 +107,11 @@
         }
     }
 
-    /// Returns the part that a peer asks for.
+    /// Returns the part of a snapshot that a peer asks for.
     ///
     /// # Errors
     ///
-    /// `Error::Rejected` if there is no state, or none of the offset that the peer asks for.
+    /// `Error::Rejected` if there is no state, no such part, or no snapshot of the queried offset.
     pub fn part(&self, query: &SnapshotQuery) -> Result<SnapshotPart, Error> {
         let mut prepared = self.prepared.lock();
         let now_ms = self.clock.monotonic_ms();
