--- a/crates/node/src/streams/snapshot_reader.rs
+++ b/crates/node/src/streams/snapshot_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the snapshot stream.
+//! Reader of the snapshot stream.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 use apricotdale_state::snapshot::Lineage;
 use apricotdale_state::snapshot::Section;
 
-/// The most records asked for in one read. A record is a part of up to 64 KiB.
+/// Maximum number of records of one read. A record is a part of up to 64 KiB.
 const READ_RECORDS: usize = 64;
 
-/// `SnapshotReader` knows the newest whole section of each stream, as far as it has read.
+/// Reader of the snapshot stream that keeps the newest complete section of each stream.
 pub struct SnapshotReader {
     stream: StreamName,
     log: Arc<dyn LogClient>,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Returns the snapshot stream.
+    /// Returns the name of the snapshot stream.
     pub fn stream(&self) -> &StreamName {
         &self.stream
     }
 
-    /// Reads to the end of the stream. Returns whether that worked.
+    /// Reads to the end of the stream. Returns whether every read succeeded.
     pub fn read_to_end(&self) -> bool {
         let mut catalog = self.catalog.lock();
         loop {
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Returns the newest whole section of a stream that has been read.
+    /// Returns the newest complete section of a stream that has been read.
     pub fn newest(&self, stream: &StreamName) -> Option<Section> {
         self.catalog.lock().newest(stream).cloned()
     }
 
-    /// Returns a stream's unbroken history as far as it has been read.
+    /// Returns the lineage of a stream, which is its unbroken history, as far as it has been read.
     pub fn lineage(&self, stream: &StreamName) -> Lineage {
         self.catalog.lock().lineage(stream)
     }
