--- a/crates/node/src/streams/snapshot_writer.rs
+++ b/crates/node/src/streams/snapshot_writer.rs
@@ -1,4 +1,4 @@
-//! Puts states onto the snapshot stream.
+//! Appends states to the snapshot stream.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -23,39 +23,39 @@
 use crate::appender::append_outcome;
 use crate::membership_view::SharedMembership;
 
-/// How often the writer looks whether a section is due.
+/// Interval at which the writer checks whether a section is due.
 const TICK: Duration = Duration::from_millis(500);
 
-/// The shortest time between two sections of one stream.
+/// Minimum interval of two sections of one stream.
 const MIN_INTERVAL_MS: u64 = 5_000;
 
-/// The bytes a second that a stream's sections take on average, at most. A large state is written
-/// less often, so that snapshots stay a small part of a VM's traffic.
+/// Upper bound of a stream's average section traffic. A large state is written less often, so that
+/// snapshots stay a small part of a VM's traffic.
 const BYTES_PER_S: u64 = 2_048;
 
-/// The longest time without a section. The log keeps records for a limited time, and a section has
-/// to be written anew before it expires even if nothing has changed.
+/// Maximum interval of two sections. The log keeps records for a limited time, so a section has to
+/// be written again before it expires even if the state has not changed.
 const REFRESH_MS: u64 = 600_000;
 
-/// `SnapshotWriter` writes the sections of the streams for which this VM is preferred.
+/// Thread that writes the sections of the streams for which this VM is preferred.
 pub struct SnapshotWriter {
-    /// The snapshot stream.
+    /// Name of the snapshot stream.
     pub stream: StreamName,
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// The states.
+    /// States of all streams, the control stream's first.
     pub states: Vec<Arc<dyn StreamState>>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// The metrics.
+    /// Metrics of this daemon.
     pub metrics: Arc<Metrics>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
-/// `Written` is what was last written of one stream, or seen when this VM became preferred.
+/// Last section of one stream, or the start of the interval when this VM became preferred.
 #[derive(Clone, Copy, Debug)]
 struct Written {
     at_ms: u64,
@@ -107,8 +107,8 @@
         });
     }
 
-    /// Appends a section and returns whether all its parts are on the stream. A part that was
-    /// appended twice, or of which only some came through, does no harm: readers take whole ones.
+    /// Appends a section and returns whether all its parts were appended. A part that was appended
+    /// twice, or a section of which parts are missing, does no harm: readers use complete sections.
     fn write(&self, stream: &StreamName, section: &Section) -> bool {
         for record in SnapshotRecord::of_section(stream, section, PART_BYTES) {
             let outcome = self.log.append(&self.stream, &record.encode());
