--- a/crates/node/src/streams/stream_state.rs
+++ b/crates/node/src/streams/stream_state.rs
@@ -1,4 +1,4 @@
-//! The state that a stream's records make.
+//! The replayed state of a stream.
 
 use apricotdale_core::log::LogRecord;
 use apricotdale_core::names::StreamName;
@@ -7,12 +7,12 @@
 use apricotdale_state::catch_up::Position;
 use apricotdale_state::snapshot::Section;
 
-/// `StreamState` is the replayed state of one stream.
+/// Replayed state of one stream.
 pub trait StreamState: Send + Sync {
-    /// Returns the stream.
+    /// Returns the name of the stream.
     fn stream(&self) -> &StreamName;
 
-    /// Returns how far the state reaches, or none as long as there is none.
+    /// Returns the position up to which the stream is replayed, or none before the state has begun.
     fn position(&self) -> Option<Position>;
 
     /// Begins with the empty state before the stream's first record.
@@ -21,20 +21,20 @@
     /// Replays records that follow the state without a gap.
     fn replay(&self, records: &[LogRecord]);
 
-    /// Returns the state as a section of a snapshot, or none if there is none.
+    /// Returns the state as a section of a snapshot, or none before the state has begun.
     fn section(&self) -> Option<Section>;
 
-    /// Puts the state of a section in the place of this one.
+    /// Replaces this state by the state of a section.
     ///
     /// # Errors
     ///
-    /// If the section can't be read; this state is then as it was.
+    /// An error if the section can't be decoded; this state is then unchanged.
     fn install(&self, section: &Section) -> Result<()>;
 
-    /// Returns the encoded state to start afresh from at an offset, with what an outdated section
-    /// still tells.
+    /// Returns the encoded state of a fresh start at an offset. It keeps what is still valid of an
+    /// outdated section.
     fn fresh(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8>;
 
-    /// Notes that the state is as new as can be had now.
+    /// Records that the state is as new as it can be now.
     fn note_caught_up(&self);
 }
