--- a/crates/node/src/streams/stream_tail.rs
+++ b/crates/node/src/streams/stream_tail.rs
@@ -22,37 +22,37 @@
 use crate::membership_view::SharedMembership;
 use crate::membership_view::moment;
 
-/// The most records asked for in one read.
+/// Maximum number of records of one read.
 const READ_RECORDS: usize = 1_000;
 
-/// The pause after a read that failed, or after catching up came to nothing.
+/// Pause after a failed read or an unsuccessful catch-up.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// `StreamTail` is what a tail works with.
+/// Thread that follows one stream.
 pub struct StreamTail {
-    /// The stream's state.
+    /// Replayed state of the stream.
     pub state: Arc<dyn StreamState>,
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// How long a read waits for a first record.
+    /// Time that a read waits for a first record, in milliseconds.
     pub wait_ms: u64,
-    /// How often the stream is read.
+    /// Read pacing of the stream.
     pub pace: Pace,
-    /// The membership, whose size sets the pace.
+    /// View of the VMs, whose number sets the pauses between reads.
     pub membership: Arc<SharedMembership>,
-    /// Finds a state to go on from.
+    /// Brings the state up to date when the stream can't be followed.
     pub catch_up: CatchUp,
-    /// Takes in the outcomes of reads, for the stream whose reads tell whether the log works.
+    /// Receives the outcomes of reads; present only for the control stream.
     pub health: Option<Arc<LogHealth>>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
-    /// Notices that the process was frozen, by gaps between two reads.
+    /// Detects process pauses by the gaps between two reads.
     pub pauses: PauseDetector,
 }
 
-/// How much longer than its wait a read may take before the process counts as frozen.
+/// Time beyond its wait after which a read counts as a process pause.
 pub const READ_SLACK_MS: u64 = 5_000;
 
 impl StreamTail {
@@ -74,7 +74,8 @@
     fn catch_up(&self) -> bool {
         let outcome = self.catch_up.run();
         self.note_read(outcome == CaughtUp::Follow);
-        // The first read does not wait: a stream without further records is caught up with at once.
+        // The first read does not wait, so a stream without further records counts as caught up at
+        // once.
         outcome == CaughtUp::Follow && self.follow(0)
     }
 
@@ -88,8 +89,8 @@
         self.follow(self.wait_ms)
     }
 
-    /// Reads and replays one batch, waiting up to `wait_ms` for its first record. Returns whether the stream can be followed further without
-    /// looking for another state.
+    /// Reads and replays one batch, waiting up to `wait_ms` for its first record. Returns whether
+    /// the stream can be followed further without a catch-up.
     fn follow(&self, wait_ms: u64) -> bool {
         let Some(position) = self.state.position() else {
             return false;
