--- a/crates/node/src/operating/admin_source.rs
+++ b/crates/node/src/operating/admin_source.rs
@@ -1,4 +1,4 @@
-//! The daemon as its operators see it.
+//! The daemon's answers to its operators.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -41,53 +41,53 @@
 use crate::peer_answers::HeartbeatSource;
 use crate::replayed::Replayed;
 
-/// `AdminParts` is what the operators' views are built from.
+/// State and clients that the operators' views are built from.
 pub struct AdminParts {
-    /// This VM.
+    /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// Its region.
+    /// Region of the VM.
     pub region: RegionName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// This process.
+    /// Random number that tells this process from earlier ones on the same VM.
     pub process_id: u64,
-    /// When it started, on the monotonic clock.
+    /// Start of this process, in milliseconds of the monotonic clock.
     pub started_ms: u64,
-    /// How long a planned stop waits.
+    /// Time that a planned stop waits for requests in progress, in milliseconds.
     pub grace_ms: u64,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// The last load reports.
+    /// Last load report of each engine.
     pub reports: Arc<ReportTable>,
-    /// The demand.
+    /// Demand for each model, at this VM and reported by peers.
     pub demand: Arc<DemandTable>,
-    /// What the gateway knows.
+    /// Directory from which the gateway resolves models and services.
     pub directory: Arc<NodeDirectory>,
-    /// The callers' interface.
+    /// Gateway that serves callers.
     pub gateway: Arc<Gateway>,
-    /// What peers said.
+    /// Source of the last heartbeat of each peer.
     pub heartbeats: Arc<HeartbeatSource>,
-    /// Whether the log works.
+    /// Outcomes of recent appends and reads, from which the log counts as up or down.
     pub health: Arc<LogHealth>,
-    /// Publishes changes.
+    /// Publishes configuration changes.
     pub publisher: Publisher,
-    /// Begins a planned stop.
+    /// Begins a planned stop when called.
     pub drain: Box<dyn Fn() + Send + Sync>,
-    /// Set once the daemon is stopping.
+    /// Set once a planned stop has begun.
     pub draining: Arc<AtomicBool>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
 }
 
-/// `NodeAdmin` answers operators.
+/// Answers operators' requests.
 pub struct NodeAdmin {
     parts: AdminParts,
 }
 
 impl NodeAdmin {
-    /// Returns the operators' view over the given parts.
+    /// Returns a source of views over the given parts.
     pub fn new(parts: AdminParts) -> Self {
         Self { parts }
     }
@@ -245,7 +245,7 @@
     }
 }
 
-/// Returns a step in the operators' form: the fields of the traced step become one sentence.
+/// Converts a trace step to the operators' form: its fields become one text of `name=value` pairs.
 fn explained(traced: &TracedStep) -> ExplanationStep {
     let fields = serde_json::to_value(&traced.step).unwrap_or(Value::Null);
     let text = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_owned);
