--- a/crates/node/src/operating/mod.rs
+++ b/crates/node/src/operating/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see and do.
+//! Operators' views and actions.
 
 mod admin_source;
 mod publisher;
