--- a/crates/node/src/operating/publisher.rs
+++ b/crates/node/src/operating/publisher.rs
@@ -20,18 +20,18 @@
 use crate::replayed::Replayed;
 use crate::streams::Pace;
 
-/// How long to wait for a change to be replayed: configuration has to be in force within seconds.
+/// Timeout of a change's replay: configuration has to be in force within seconds.
 const REPLAY_WAIT: Duration = Duration::from_secs(5);
 
-/// `Publisher` appends configuration changes for operators.
+/// Appends configuration changes for operators.
 pub struct Publisher {
-    /// The control stream.
+    /// Name of the control stream.
     pub stream: StreamName,
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// How often the control stream is read.
+    /// Read pacing of the control stream.
     pub pace: Pace,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns a rejection if the change can't be accepted. The check spares the stream a record;
+    /// Returns a rejection if the change can't be accepted. The check saves a record on the stream;
     /// replay decides again.
     fn check(&self, change: &ConfigChange) -> Option<PublishOutcome> {
         if !self.replayed.is_caught_up() {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Waits until the stream has a first record. Version zero stands for "nothing published", so
+    /// Waits until the stream has a first record. Version zero means that nothing was published, so
     /// replay rejects a change at offset zero; the joins of the VMs come before it.
     fn await_first_record(&self) {
         self.replayed.wait_for(REPLAY_WAIT, |state| {
