--- a/crates/node/src/operating/views.rs
+++ b/crates/node/src/operating/views.rs
@@ -1,4 +1,4 @@
-//! Builds the operators' views.
+//! Lines of the operators' views.
 
 use apricotdale_admin::EngineLine;
 use apricotdale_admin::MemberLine;
@@ -23,7 +23,7 @@
 use crate::engine_reports::KnownReport;
 use crate::peer_answers::KnownPeer;
 
-/// Returns the line of a model.
+/// Returns the line of a model with its replicas and demand.
 pub fn model_line(state: &ControlState, spec: ModelSpec, demand: TotalDemand) -> ModelLine {
     let replicas = state.replicas_of(&spec.model).map(replica_line).collect();
     ModelLine {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns the line of an upstream.
+/// Returns the line of an upstream with its engine's memory and last load report.
 pub fn upstream_line(
     state: &ControlState,
     view: &UpstreamView,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns the line of a VM, or none if nothing tells its availability zone.
+/// Returns the line of a VM, or none if its availability zone is unknown.
 pub fn member_line(
     vm: &VmName,
     own: (&VmName, &ZoneName, bool),
