--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon and takes it down gracefully.
+//! Start and graceful stop of a daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,16 +27,16 @@
 use crate::assembly::Serving;
 use crate::errors::Result;
 
-/// How long connections may take to close after the last request of a planned stop has ended.
+/// Time for which connections may close after the last request of a planned stop has ended.
 const CLOSE_WAIT: Duration = Duration::from_secs(2);
 
-/// How long the last record may take.
+/// Timeout of the last record's append.
 const DEPART_WAIT: Duration = Duration::from_secs(1);
 
-/// How often the waiting for a stop looks at the flag.
+/// Interval at which a stop's conditions are checked.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// `Daemon` is a running daemon.
+/// Running daemon with its servers and threads.
 pub struct Daemon {
     common: Common,
     serving: Serving,
@@ -49,8 +49,9 @@
     ///
     /// # Errors
     ///
-    /// `Error::Listen` if an address is taken or not this VM's, `Error::UnknownPolicy` for a policy
-    /// that is not there, `Error::System` if the system refuses a thread or a descriptor.
+    /// `Error::Listen` if an address is in use or not local, `Error::UnknownPolicy` if the settings
+    /// name an unknown policy, `Error::System` if the cluster key is invalid or the system can't
+    /// start a thread.
     pub fn start(settings: Settings, adapters: Adapters, metrics: Arc<Metrics>) -> Result<Self> {
         let common = Common::new(settings, adapters, metrics)?;
         let serving = Serving::start(&common)?;
@@ -63,30 +64,31 @@
         })
     }
 
-    /// Returns where callers are served.
+    /// Returns the address on which callers are served.
     pub fn callers_address(&self) -> SocketAddr {
         self.serving.callers.address()
     }
 
-    /// Returns where peers are answered.
+    /// Returns the address on which peers are served.
     pub fn peers_address(&self) -> SocketAddr {
         self.serving.peers.address()
     }
 
-    /// Returns where operators are answered.
+    /// Returns the address on which operators are served.
     pub fn admin_address(&self) -> SocketAddr {
         self.serving.admin.address()
     }
 
-    /// Returns a flag that begins a planned stop once it is set.
+    /// Returns the flag that begins a planned stop once it is set.
     pub fn drain_flag(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.common.draining)
     }
 
-    /// Waits for a planned stop, carries it out, and returns once everything has ended.
+    /// Waits for a planned stop, carries it out, and returns once all threads have ended.
     ///
-    /// New requests are refused at once; those in progress, and the orders on their way, have the
-    /// grace time to end. The deciding threads end last, so that outcomes are still told.
+    /// New requests are refused at once. Requests in progress and orders on their way may finish
+    /// within the grace time. The threads that append records end last, so that outcomes are still
+    /// recorded.
     pub fn wait(self) {
         while !self.common.draining.load(Ordering::Acquire) {
             thread::sleep(STOP_POLL);
@@ -118,8 +120,8 @@
         info!("stopped");
     }
 
-    /// Waits until the ends of all calls under claims are on their streams, and returns whether they
-    /// are. Otherwise the keys of calls that ran would be told as of unknown outcome for ever.
+    /// Waits until the finish records of all calls under claims are appended, and returns whether
+    /// they are. Without them the keys of calls that ran would have an unknown outcome for ever.
     fn await_ends_of_calls(&self, deadline: Instant) -> bool {
         let streams = &self.common.claim_streams;
         while !streams.iter().all(|stream| stream.has_no_open_ends()) {
@@ -132,8 +134,8 @@
         true
     }
 
-    /// Waits until the intents of this process are settled, and returns whether they are. Others
-    /// would have to find out from the engines what became of them.
+    /// Waits until the intents of this process are settled, and returns whether they are. Other
+    /// processes would have to find their outcomes by the engines' status.
     fn settle_intents(&self, timeout: Duration) -> bool {
         let Some(epoch) = self.common.epoch.get() else {
             return false;
@@ -149,9 +151,9 @@
         settled.is_some()
     }
 
-    /// Says on the control stream that this process is over, so that nobody waits for it. It is said
-    /// only once no order of this process can be sent any more: replay frees what such an order
-    /// could still take.
+    /// Appends a record that this process has ended, so that no VM waits for it. It must be
+    /// appended only once this process can send no more orders: replay frees the memory that such
+    /// an order could still use.
     fn depart(&self) {
         let Some(epoch) = self.common.epoch.get() else {
             return;
@@ -168,11 +170,11 @@
                 })
             },
             move |_| {
-                // The stop may have given up waiting.
+                // The receiver is gone if the wait has timed out.
                 let _ = done.send(());
             },
         );
-        // While the log is down the platform's list tells in its place.
+        // While the log is down, the VM list shows the end of this process instead.
         let _ = appended.recv_timeout(DEPART_WAIT);
     }
 }
