--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -1,4 +1,4 @@
-//! The demand for each model: what waits and runs here, and what other VMs told.
+//! Demand for each model: requests waiting and running at this VM, and reports of other VMs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,24 +14,24 @@
 use apricotdale_core::serving::DemandEvent;
 use apricotdale_core::serving::DemandSink;
 
-/// How long another VM's report counts when no newer one comes.
+/// Time for which another VM's report counts when no newer one comes.
 const REPORT_LIFETIME_MS: u64 = 1_500;
 
-/// How long a model counts as used here after its last request.
+/// Time for which a model counts as used at this VM after its last request.
 const RECENT_MS: u64 = 30_000;
 
-/// `TotalDemand` is the demand for one model over all VMs, as far as this VM knows.
+/// Demand for one model over all VMs, as far as it was reported to this VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TotalDemand {
-    /// Requests that wait for a replica.
+    /// Requests that wait for a replica, at any VM.
     pub waiting: u32,
-    /// Requests that wait at this VM.
+    /// Requests that wait for a replica at this VM.
     pub waiting_here: u32,
-    /// Requests in progress.
+    /// Requests in progress, at any VM.
     pub running: u32,
-    /// The shortest time left among the waiting ones.
+    /// Shortest remaining time of a waiting request, in milliseconds; absent if none waits.
     pub tightest_ms: Option<u64>,
-    /// When the oldest request that waits here arrived, on the monotonic clock.
+    /// Arrival of the oldest request that waits at this VM, on the monotonic clock.
     pub waiting_since_ms: Option<u64>,
 }
 
@@ -48,27 +48,27 @@
     requests: BTreeMap<Ticket, LocalRequest>,
     arrived: BTreeMap<ModelName, u32>,
     remote: BTreeMap<(VmName, ModelName), (u64, ModelDemand)>,
-    /// The models whose last report told of demand.
+    /// Models that had demand in the last report.
     reported: BTreeSet<ModelName>,
     last_arrival_ms: BTreeMap<ModelName, u64>,
     remote_arrivals: Vec<ModelName>,
     missing: Vec<(ModelName, UpstreamName)>,
 }
 
-/// `DemandTable` counts the demand for each model.
+/// Table of the demand for each model.
 #[derive(Debug, Default)]
 pub struct DemandTable {
     tables: Mutex<Tables>,
 }
 
 impl DemandTable {
-    /// Returns an empty table.
+    /// Returns a table without entries.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in another VM's report. A line without demand ends the demand that was told: kept as a
-    /// line of nothing it would have the model planned for as one that is wanted.
+    /// Records another VM's report. A line without demand removes the earlier one; if it were kept,
+    /// the model would be planned for as a wanted one.
     pub fn note_remote(&self, now_ms: u64, vm: &VmName, models: Vec<ModelDemand>) {
         let mut tables = self.tables.lock();
         for demand in models {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Returns the demand here, one line a model that has any, had any at the last call, or had
-    /// arrivals since.
+    /// Returns this VM's demand, one line for each model that has any, had any at the last call, or
+    /// had arrivals since.
     pub fn take_report(&self, now_ms: u64) -> Vec<ModelDemand> {
         let mut tables = self.tables.lock();
         let mut report: BTreeMap<ModelName, ModelDemand> = BTreeMap::new();
@@ -101,8 +101,8 @@
             let left_ms = request.deadline_ms.saturating_sub(now_ms);
             line.tightest_ms = Some(line.tightest_ms.map_or(left_ms, |left| left.min(left_ms)));
         }
-        // The end of a demand is told, too: whoever decides would otherwise believe in it for as
-        // long as a report counts, and load a model that nobody waits for any more.
+        // The end of a demand is reported too. Otherwise the VM that decides would count the demand
+        // until the report expires, and load a model that no request waits for.
         for model in std::mem::take(&mut tables.reported) {
             line(&mut report, &model);
         }
@@ -113,7 +113,7 @@
         report.into_values().collect()
     }
 
-    /// Returns the arrivals that other VMs told of since the last call.
+    /// Returns the arrivals that other VMs have reported since the last call.
     pub fn take_remote_arrivals(&self) -> Vec<ModelName> {
         std::mem::take(&mut self.tables.lock().remote_arrivals)
     }
@@ -128,7 +128,7 @@
         started
     }
 
-    /// Returns the models for which a request arrived here within the last while.
+    /// Returns the models for which a request arrived at this VM in the last 30 seconds.
     pub fn recent(&self, now_ms: u64) -> BTreeSet<ModelName> {
         let mut tables = self.tables.lock();
         tables
@@ -137,12 +137,12 @@
         tables.last_arrival_ms.keys().cloned().collect()
     }
 
-    /// Returns the replicas that engines said they don't hold, since the last call.
+    /// Returns the replicas that engines have reported as not loaded since the last call.
     pub fn take_missing(&self) -> Vec<(ModelName, UpstreamName)> {
         std::mem::take(&mut self.tables.lock().missing)
     }
 
-    /// Returns the demand over all VMs, one entry a model.
+    /// Returns the demand over all VMs, one entry for each model.
     pub fn totals(&self, now_ms: u64) -> BTreeMap<ModelName, TotalDemand> {
         let mut tables = self.tables.lock();
         tables
@@ -200,11 +200,11 @@
 /// Called with the time, on the monotonic clock, and the model of each request that arrives.
 pub type ArrivalNote = Box<dyn Fn(u64, &ModelName) + Send + Sync>;
 
-/// `DemandInbox` feeds a [`DemandTable`] from the gateway and wakes the placement loop.
+/// Records the gateway's demand events in a [`DemandTable`] and wakes the placement loop.
 pub struct DemandInbox {
-    /// The table.
+    /// Table that the events are recorded in.
     pub table: Arc<DemandTable>,
-    /// Called when a request arrives that may need a load.
+    /// Called when a model may need a load: at each arrival, and when an engine lacks a model.
     pub wake: Box<dyn Fn() + Send + Sync>,
     /// Called for each request that arrives.
     pub arrived: ArrivalNote,
