--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -1,4 +1,4 @@
-//! What the gateway may know: classes, models, services and where they are.
+//! Directory for the gateway: classes, models, services and their upstreams.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,24 +24,24 @@
 use crate::membership_view::SharedMembership;
 use crate::replayed::Replayed;
 
-/// When a caller that came too early or too late should try another VM.
+/// Retry-after time of refusals while this VM is starting or stopping.
 const RETRY_ELSEWHERE_MS: u64 = 1_000;
 
-/// `NodeDirectory` answers from the replayed state and the membership view.
+/// Directory over the replayed state and the membership view.
 pub struct NodeDirectory {
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The claim streams.
+    /// Claim streams, in the order of the settings.
     pub claim_streams: Vec<Arc<ClaimStream>>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Whether the log works.
+    /// Outcomes of recent appends and reads, from which the log counts as up or down.
     pub health: Arc<LogHealth>,
-    /// The epoch of this process.
+    /// Epoch of this process; empty before it has joined.
     pub epoch: Arc<EpochCell>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// Set once the daemon is stopping.
+    /// Set once a planned stop has begun.
     pub draining: Arc<AtomicBool>,
 }
 
@@ -114,16 +114,16 @@
         }
         let missing = match self.replayed.is_caught_up() {
             false => "this VM has not yet learned the configuration",
-            // A call under a known key would be refused although its answer is kept.
+            // A call under a finished key would be refused although its answer is kept.
             true if !self.claim_streams.iter().all(|it| it.is_caught_up()) => {
                 "this VM has not yet learned which keys are taken"
             }
-            // While the log is down a VM serves what is loaded, though it has not joined. Else it
-            // is about to join, and could decide on no load before that.
+            // While the log is down, a VM serves the loaded models although it has not joined.
+            // While the log is up, it is about to join, and no load could be decided before that.
             true if self.epoch.get().is_none() && !self.is_log_down() => {
                 "this VM has not yet joined"
             }
-            // Every request would be refused for want of an upstream.
+            // Without an upstream every request would be refused.
             true if self.membership.view().upstreams.is_empty() => {
                 "this VM has not yet seen an upstream on the list of VMs"
             }
