--- a/crates/node/src/engine_reports.rs
+++ b/crates/node/src/engine_reports.rs
@@ -1,4 +1,4 @@
-//! The last load report of each engine that this VM read or was told of.
+//! Last load report of each engine, read by this VM or received from a peer.
 
 use std::collections::BTreeMap;
 
@@ -8,30 +8,30 @@
 use apricotdale_core::names::UpstreamName;
 use apricotdale_core::peer::ReplicaLoad;
 
-/// `KnownReport` is a load report with the time at which this VM got it.
+/// Load report with the time at which this VM got it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownReport {
-    /// The report.
+    /// The load report.
     pub report: LoadReport,
-    /// When it was got, on the monotonic clock.
+    /// Time at which this VM got the report, on the monotonic clock.
     pub at_ms: u64,
-    /// Whether this VM read it itself, or else was told by a peer.
+    /// Whether this VM read the report from the engine; otherwise a peer sent it.
     pub own: bool,
 }
 
-/// `ReportTable` holds the last report of each engine.
+/// Table of the last load report of each engine.
 #[derive(Debug, Default)]
 pub struct ReportTable {
     reports: Mutex<BTreeMap<UpstreamName, KnownReport>>,
 }
 
 impl ReportTable {
-    /// Returns an empty table.
+    /// Returns a table without entries.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a report that this VM read itself.
+    /// Records a report that this VM read from the engine.
     pub fn note_read(&self, now_ms: u64, engine: &UpstreamName, report: LoadReport) {
         let known = KnownReport {
             report,
@@ -41,8 +41,8 @@
         self.reports.lock().insert(engine.clone(), known);
     }
 
-    /// Takes in what a peer told, unless this VM knows something newer. Returns the report as it
-    /// was taken in.
+    /// Records a load that a peer sent, unless a newer report is in the table. Returns the recorded
+    /// report.
     pub fn note_told(&self, now_ms: u64, unix_ms: u64, load: &ReplicaLoad) -> Option<LoadReport> {
         let report = LoadReport {
             as_of_ms: unix_ms.saturating_sub(load.age_ms),
@@ -72,7 +72,7 @@
         self.reports.lock().get(engine).cloned()
     }
 
-    /// Returns the loads of the given engines that this VM read itself, for a peer.
+    /// Returns the loads of those given engines whose last report this VM read itself.
     pub fn loads(&self, unix_ms: u64, engines: &[UpstreamName]) -> Vec<ReplicaLoad> {
         let reports = self.reports.lock();
         let known = engines
