--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -1,4 +1,5 @@
-//! Reads the engines for which this VM is preferred, and asks peers about the others it uses.
+//! Reads the engines for which this VM is preferred, and asks peers about the other engines it
+//! uses.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -43,59 +44,59 @@
 use crate::settling::EnginePlace;
 use crate::settling::observation;
 
-/// Engines that are read at once. One that does not answer delays no other by more than its own
-/// timeout.
+/// Number of engines read concurrently, so that an engine that does not answer delays the others by
+/// no more than its timeout.
 const READ_AT_ONCE: usize = 8;
 
-/// Peers asked in one round.
+/// Maximum number of peers asked in one round.
 const PEERS_A_ROUND: usize = 8;
 
-/// Rounds between two readings of the weight store.
+/// Number of rounds between two reads of the weight store.
 const WEIGHTS_ROUNDS: usize = 5;
 
-/// How often engines are read until replay knows them.
+/// Interval of rounds until replay has seen all engines that this VM reads.
 const FIRST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an intent may stay unsettled before an observation of its effect is appended. Its owner
-/// settles it before that, with one record less.
+/// Age up to which an unsettled intent's effect is not reported by an observation. Its owner
+/// usually settles it earlier, which saves a record.
 const SETTLING_TIME_MS: u64 = 5_000;
 
-/// `EngineWatch` is what the watch works with.
+/// Thread that reads engines, the weight store and peers' load reports.
 pub struct EngineWatch {
-    /// This VM.
+    /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// What engines report.
+    /// Client that reads the engines' status and load reports.
     pub reports: Arc<dyn EngineReports>,
-    /// The weight store.
+    /// Client of the weight store.
     pub weights: Arc<dyn WeightStore>,
-    /// Takes the reports.
+    /// Table that the load reports are recorded in.
     pub table: Arc<ReportTable>,
-    /// Takes the weight store's status.
+    /// Receives the weight store's status.
     pub weights_status: Arc<Mutex<Option<WeightsStatus>>>,
-    /// Tells which replicas engines said they lack.
+    /// Demand table, which has the replicas that engines reported as not loaded.
     pub demand: Arc<DemandTable>,
-    /// Appends observations.
+    /// Appends observations of engines.
     pub appender: Appender,
-    /// Lets routing learn of reports.
+    /// Gateway, whose routing policy learns of the load reports.
     pub gateway: Arc<Gateway>,
-    /// The way to peers.
+    /// Link over which peers are sent requests.
     pub link: Arc<dyn PeerLink>,
-    /// How long a peer may take to answer.
+    /// Timeout of one request to a peer, in milliseconds.
     pub peer_timeout_ms: u64,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// How often engines are read.
+    /// Interval of the rounds.
     pub interval: Duration,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
 impl EngineWatch {
-    /// Watches until the daemon stops.
+    /// Reads the engines in rounds until the daemon stops.
     pub fn run(self) {
         let mut round = 0;
         while !self.stop.load(Ordering::Relaxed) {
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Returns how long to wait for the next reading. An engine that replay does not know can take
-    /// no model, so new ones are read at once.
+    /// Returns the pause before the next round. An engine that replay has not seen can load no
+    /// model, so a new engine is read soon.
     fn pause(&self, view: &View) -> Duration {
         let unknown = self.replayed.read(|state| {
             let mut names = engines(view).map(|engine| engine.entry.name.as_str());
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Returns the engines to read now: those for which this VM is preferred, and those that told a
-    /// request they lack a model which replay shows there.
+    /// Returns the engines to read in this round: those for which this VM is preferred, and those
+    /// that rejected a request for a model that replay shows as loaded there.
     fn due<'a>(&self, view: &'a View) -> Vec<&'a UpstreamView> {
         let missing: BTreeSet<UpstreamName> = self
             .demand
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Appends an observation if the status says something that replay does not know.
+    /// Proposes an observation if the status shows something that replay does not know.
     fn compare(&self, engine: &UpstreamView, name: &UpstreamName, status: EngineStatus) {
         let unix_ms = self.clock.unix_ms();
         let is_new = self
@@ -193,9 +194,9 @@
             .propose(Persistence::Drop, observation(place, status), |_| {});
     }
 
-    /// Asks the VMs that read the other engines which this VM uses, a few at a time. In a large
-    /// fleet that keeps the messages of a VM the same; what a VM does not hear, routing makes up for
-    /// with the requests that this VM itself has under way.
+    /// Asks the VMs that read the other engines which this VM uses, a few peers in each round. This
+    /// bounds the messages of a VM in a large fleet; where a report is missing, routing uses the
+    /// requests that this VM itself has in progress.
     fn ask_peers(&self, view: &View, round: usize) {
         let mut by_vm: BTreeMap<VmName, Vec<UpstreamName>> = BTreeMap::new();
         for engine in self.used_engines() {
@@ -252,8 +253,8 @@
         .filter(|upstream| upstream.entry.role == VmRole::Engine)
 }
 
-/// Returns whether a status differs from the replayed state in a way that its orders' owners will
-/// not tell by themselves.
+/// Returns whether a status differs from the replayed state in a way that the owners of the
+/// engine's intents will not report.
 fn says_something_new(
     state: &ControlState,
     name: &UpstreamName,
@@ -290,9 +291,9 @@
 }
 
 fn differs(replica: &Replica, status: &EngineStatus, unix_ms: u64) -> bool {
-    // An order that has shown its effect can have no other. Without this record, the death of its
-    // sender in the middle of a long load would leave its memory reserved at an engine that obeys
-    // every order, until that engine restarts.
+    // An order that has shown its effect can have no other. Without this record, if the sender
+    // ended during a long load, its memory would stay reserved at an engine that doesn't check
+    // fencing tokens, until that engine restarts.
     let fence = FencingNumber::from(replica.load);
     let resident = status
         .residents
