--- a/crates/node/src/errors.rs
+++ b/crates/node/src/errors.rs
@@ -4,24 +4,24 @@
 
 use thiserror::Error;
 
-/// `Result` is the result of starting the daemon.
+/// Result of a step of the daemon's start.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why the daemon can't start.
+/// Reason why the daemon can't start.
 #[derive(Debug, Error)]
 pub enum Error {
     /// An address can't be listened on.
     #[error("cannot listen on {address}: {detail}")]
     Listen {
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error message.
         detail: String,
     },
-    /// The settings name a policy that is not there.
+    /// The settings name an unknown policy.
     #[error("unknown policy: {0}")]
     UnknownPolicy(String),
-    /// The system refused a thread, a descriptor or a signal handler.
+    /// The system can't provide a thread or a descriptor, or a value of the settings is not valid.
     #[error("the system refused: {0}")]
     System(String),
 }
