--- a/crates/node/src/gauges.rs
+++ b/crates/node/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Keeps the metrics that are read from the state rather than counted.
+//! Updates the gauges, which are set from the present state.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -19,31 +19,31 @@
 use crate::engine_reports::ReportTable;
 use crate::log_health::LogHealth;
 
-/// How often the gauges are set.
+/// Interval of the updates.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// `Gauges` sets the gauges.
+/// Thread that updates the gauges.
 pub struct Gauges {
-    /// The metrics.
+    /// Metrics of this daemon.
     pub metrics: Arc<Metrics>,
-    /// The state and the membership.
+    /// Directory, with the replayed state and the membership.
     pub directory: Arc<NodeDirectory>,
-    /// The last load reports.
+    /// Last load report of each engine.
     pub reports: Arc<ReportTable>,
-    /// The peer messages that were rejected.
+    /// Counts of the messages exchanged with peers.
     pub peers: Arc<PeerCounters>,
-    /// Whether the log works.
+    /// Outcomes of recent appends and reads, from which the log counts as up or down.
     pub health: Arc<LogHealth>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
-    /// The peer messages that have been counted as rejected, by reason.
+    /// Rejected peer messages that were added to the metrics, in the order of `Rejection::ALL`.
     pub rejected: [u64; Rejection::ALL.len()],
 }
 
 impl Gauges {
-    /// Sets the gauges until the daemon stops.
+    /// Updates the gauges until the daemon stops.
     pub fn run(mut self) {
         self.announce();
         let mut last_ms = self.clock.monotonic_ms();
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Returns the engines that hold a model and serve nobody, of those that this VM reads.
+    /// Returns the number of engines that hold a model and serve no request, of those that this VM
+    /// reads.
     fn idle_engines(&self) -> u64 {
         let view = self.directory.membership.view();
         let loaded: Vec<UpstreamName> = self.directory.replayed.read(|state| {
