--- a/crates/node/src/grouped_routing.rs
+++ b/crates/node/src/grouped_routing.rs
@@ -9,14 +9,14 @@
 use apricotdale_core::policy::RoutingEvent;
 use apricotdale_core::policy::RoutingPolicy;
 
-/// Returns the group of an upstream, if it is known.
+/// Returns the group of an upstream, or none if the upstream is unknown.
 pub type GroupOf = Box<dyn Fn(&UpstreamName) -> Option<GroupName> + Send>;
 
 /// Returns a new policy for one group.
 pub type NewPolicy = Box<dyn Fn() -> Box<dyn RoutingPolicy> + Send>;
 
-/// `GroupedRouting` keeps a policy for each group, since a policy judges an upstream by comparing
-/// it with the others of its group: a slow model engine is no outlier beside plain services.
+/// Routing with a policy for each group. A policy compares an upstream with the others of its
+/// group: beside plain services, a model engine would always look like a slow outlier.
 pub struct GroupedRouting {
     group_of: GroupOf,
     new_policy: NewPolicy,
