--- a/crates/node/src/joining.rs
+++ b/crates/node/src/joining.rs
@@ -1,4 +1,4 @@
-//! Makes this process a member: appends its join and learns its epoch.
+//! Joins the fleet: appends this process's join and finds its epoch.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,41 +24,41 @@
 use crate::replayed::Replayed;
 use crate::streams::Pace;
 
-/// How long to wait for an appended join to be replayed before it is appended again.
+/// Timeout of an appended join's replay, after which the join is appended again.
 const REPLAY_WAIT: Duration = Duration::from_secs(2);
 
-/// How often to look whether the state has caught up.
+/// Interval at which the state is checked for having caught up.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(20);
 
-/// The pause after an append that failed.
+/// Pause after a failed append.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// `Joining` is what joining needs.
+/// State and clients that joining uses.
 pub struct Joining {
-    /// This VM.
+    /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// This process, chosen at random at its start.
+    /// Random number that tells this process from earlier ones on the same VM.
     pub process_id: u64,
-    /// The control stream.
+    /// Name of the control stream.
     pub stream: StreamName,
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// Takes the epoch.
+    /// Receives the epoch once the join is replayed.
     pub epoch: Arc<EpochCell>,
     /// Appends the first record of the new epoch.
     pub appender: Appender,
-    /// How often the control stream is read.
+    /// Read pacing of the control stream.
     pub pace: Pace,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
 impl Joining {
-    /// Joins, trying until it works or the daemon stops.
+    /// Joins, with retries until the join is replayed or the daemon stops.
     pub fn run(self) {
         let join = Join {
             vm: self.vm.clone(),
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Returns this process's epoch once its join is replayed. Before a join was appended there is
-    /// nothing to wait for.
+    /// Returns this process's epoch once its join is replayed. Does not wait if no join was
+    /// appended yet.
     fn find_epoch(&self, appended: bool) -> Option<Epoch> {
         let timeout = if appended {
             REPLAY_WAIT
@@ -103,7 +103,7 @@
             .wait_for(timeout, |state| state.epoch_of(&self.vm, self.process_id))
     }
 
-    /// Returns the epoch of the process that ran on this VM before.
+    /// Returns the epoch of an earlier process on this VM, or none if there was none.
     fn earlier_epoch(&self) -> Option<Epoch> {
         self.replayed.read(|state| {
             let mut newest = state.members().newest();
@@ -114,9 +114,9 @@
         })
     }
 
-    /// Appends a first record under the new epoch: that the VM's earlier process is over. It held
-    /// the address on which this one listens, so it has ended. Without this record its open
-    /// intents would stay open until this process has something else to say.
+    /// Appends the departure of the VM's earlier process as the first record of the new epoch. That
+    /// process has ended, because it held the address on which this one listens. Without this
+    /// record its unsettled intents would stay open until this process appends another record.
     fn confirm(&self, earlier: Option<Epoch>) {
         let Some(epoch) = earlier else { return };
         let vm = self.vm.clone();
