--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The daemon: feeds the decision crates with events and carries out their actions.
+//! The daemon: passes events to the decision crates and carries out their actions.
 //!
-//! Everything that decides is in the pure crates. The modules here read sockets and clocks, hand
-//! what they read to those crates, and do what they are told. [`Daemon`] puts them together.
+//! Decisions are made in crates without input or output. The modules here read sockets and clocks,
+//! pass what they read to those crates, and carry out the returned actions. [`Daemon`] puts them
+//! together.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
