--- a/crates/node/src/load_history.rs
+++ b/crates/node/src/load_history.rs
@@ -1,4 +1,4 @@
-//! How long loads took, as the control stream tells.
+//! Durations of loads, by the control stream.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +12,19 @@
 
 use crate::placing::is_stuck;
 
-/// `SeenLoad` is a load that was carried out by some VM.
+/// Load that a VM has carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeenLoad {
-    /// The model or adapter.
+    /// Model or adapter that was loaded.
     pub model: ModelName,
-    /// The engine.
+    /// Engine that it was loaded on.
     pub engine: UpstreamName,
-    /// From the decision to the settlement, by the log's times.
+    /// Time from the decision to the settlement, by the log's timestamps, in milliseconds.
     pub took_ms: u64,
 }
 
-/// `LoadHistory` finds the loads that were settled since the last look. Every VM learns from every
-/// load in this way, whoever carried it out, and a VM that starts learns from the records it
+/// Finds the loads that were settled since the last call. Every VM learns from all loads,
+/// regardless of which VM carried them out, and a VM that starts learns from the records it
 /// replays.
 #[derive(Debug, Default)]
 pub struct LoadHistory {
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 struct OpenLoad {
     model: ModelName,
-    /// When it was decided, in milliseconds of Unix time.
+    /// Time of the decision, in milliseconds of Unix time.
     decided_ms: u64,
 }
 
@@ -52,7 +52,7 @@
         Self::default()
     }
 
-    /// Looks at the state after a record was replayed.
+    /// Updates the history by the state after an accepted record.
     pub fn look(&self, state: &ControlState) {
         let mut inner = self.inner.lock();
         let Inner {
@@ -95,18 +95,18 @@
         }
     }
 
-    /// Returns the models of the loads that came to nothing since the last call.
+    /// Returns the models of the loads that failed since the last call.
     pub fn take_failed(&self) -> Vec<ModelName> {
         std::mem::take(&mut self.inner.lock().failed)
     }
 
-    /// Returns the loads seen since the last call.
+    /// Returns the loads that were settled as done since the last call.
     pub fn take(&self) -> Vec<SeenLoad> {
         std::mem::take(&mut self.inner.lock().seen)
     }
 
-    /// Returns whether any load was ever seen. Before that, a predicted load time is a guess, and a
-    /// guess refuses nobody.
+    /// Returns whether any load has been seen. Before that, predicted load times are only
+    /// assumptions, for which no request is refused.
     pub fn has_evidence(&self) -> bool {
         self.inner.lock().any_seen
     }
