--- a/crates/node/src/log_health.rs
+++ b/crates/node/src/log_health.rs
@@ -1,13 +1,13 @@
-//! Whether the platform's log takes appends and answers reads, from the outcomes of our own calls.
+//! Availability of the platform's log, by the outcomes of this process's own calls.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// How long a failed append counts as a sign that the next one would fail, too.
+/// Time for which a failed append is a sign that the next one would fail too.
 const APPEND_FAILURE_COUNTS_MS: u64 = 1_000;
 
-/// `LogHealth` remembers the last outcome of appends and reads. All times are on the monotonic
-/// clock, in milliseconds.
+/// Last outcomes of appends and reads. All times are on the monotonic clock, in milliseconds; zero
+/// means never.
 #[derive(Debug, Default)]
 pub struct LogHealth {
     append_ok_ms: AtomicU64,
@@ -17,7 +17,7 @@
 }
 
 impl LogHealth {
-    /// Notes the outcome of an append.
+    /// Records the outcome of an append.
     pub fn note_append(&self, now_ms: u64, worked: bool) {
         let cell = if worked {
             &self.append_ok_ms
@@ -27,7 +27,7 @@
         cell.store(now_ms.max(1), Ordering::Relaxed);
     }
 
-    /// Notes the outcome of a read.
+    /// Records the outcome of a read.
     pub fn note_read(&self, now_ms: u64, worked: bool) {
         let cell = if worked {
             &self.read_ok_ms
@@ -37,8 +37,8 @@
         cell.store(now_ms.max(1), Ordering::Relaxed);
     }
 
-    /// Returns whether a decision can't be had from the log now: the last read failed, or the last
-    /// append did a moment ago. An older failed append says little, so the next proposal tries anew.
+    /// Returns whether the log can't decide a proposal now: the last read failed, or the last
+    /// append failed less than a second ago. An older failure is no sign for the next append.
     pub fn is_down(&self, now_ms: u64) -> bool {
         let failed_ms = self.append_failed_ms.load(Ordering::Relaxed);
         let appends_fail = failed_ms > self.append_ok_ms.load(Ordering::Relaxed);
@@ -51,13 +51,13 @@
         self.read_failed_ms.load(Ordering::Relaxed) > self.read_ok_ms.load(Ordering::Relaxed)
     }
 
-    /// Returns whether reads fail, and none has worked for some time.
+    /// Returns whether reads fail and none has succeeded for `for_ms`.
     pub fn is_blind(&self, now_ms: u64, for_ms: u64) -> bool {
         let is_long = |read_ms| now_ms.saturating_sub(read_ms) >= for_ms;
         self.reads_fail() && self.last_read_ms().is_none_or(is_long)
     }
 
-    /// Returns the time of the last read that worked, or none before the first.
+    /// Returns the time of the last successful read, or none before the first.
     pub fn last_read_ms(&self) -> Option<u64> {
         match self.read_ok_ms.load(Ordering::Relaxed) {
             0 => None,
