--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -1,4 +1,4 @@
-//! Feeds membership and carries out what it asks for.
+//! Passes events to membership and carries out its actions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,49 +37,49 @@
 use crate::peer_answers::sign_of;
 use crate::replayed::Replayed;
 
-/// How often membership's clock moves.
+/// Interval of membership's ticks.
 const TICK: Duration = Duration::from_millis(100);
 
-/// How often the list is read until it shows an upstream.
+/// Interval of reads of the VM list until it shows an upstream.
 const FIRST_LIST_INTERVAL_MS: u64 = 200;
 
-/// `MembershipLoop` is what the loop works with.
+/// Threads that drive membership: ticks, reads of the VM list, heartbeats.
 pub struct MembershipLoop {
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// The platform's list.
+    /// Client of the platform's VM list.
     pub vm_list: Arc<dyn VmList>,
-    /// How often the list is read.
+    /// Interval of reads of the VM list, in milliseconds.
     pub list_interval_ms: u64,
-    /// The way to peers.
+    /// Link over which peers are sent requests.
     pub link: Arc<dyn PeerLink>,
-    /// How long a peer may take to answer.
+    /// Timeout of one request to a peer, in milliseconds.
     pub peer_timeout_ms: u64,
-    /// Makes this VM's heartbeats.
+    /// Builds this VM's heartbeats and keeps those of peers.
     pub heartbeats: Arc<HeartbeatSource>,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// Appends departures.
+    /// Appends departures of processes and upstreams.
     pub appender: Appender,
-    /// Lets routing forget upstreams.
+    /// Gateway, whose routing policy forgets removed upstreams.
     pub gateway: Arc<Gateway>,
-    /// Called when the platform takes this VM away.
+    /// Called when the VM list shows this VM as leaving.
     pub leaving: Box<dyn Fn() + Send + Sync>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// When this process started, in milliseconds of Unix time.
+    /// Start of this process, in milliseconds of Unix time.
     pub started_unix_ms: u64,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
 impl MembershipLoop {
-    /// Runs until the daemon stops.
+    /// Drives membership until the daemon stops.
     pub fn run(self) {
         let this = Arc::new(self);
         let reader = Arc::clone(&this);
-        // The list is read on a thread of its own: a platform that answers slowly must not hold up
-        // heartbeats, or peers would be suspected because of it.
+        // The VM list is read on a thread of its own: a slow platform must not delay heartbeats, or
+        // peers would suspect this VM.
         let reading = thread::Builder::new()
             .name("vm-list".into())
             .spawn(move || reader.read_list());
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Returns how long to wait for the next reading. Until an upstream is known there is nobody to
-    /// send a request to, so the list is read more often.
+    /// Returns the pause before the next read. Until an upstream is listed no request can be
+    /// served, so the list is read more often.
     fn list_pause_ms(&self) -> u64 {
         match self.membership.view().upstreams.is_empty() {
             true => self.list_interval_ms.min(FIRST_LIST_INTERVAL_MS),
@@ -124,10 +124,10 @@
         }
     }
 
-    /// Takes in a reading of the list, without what it says of an earlier VM of this VM's name.
+    /// Passes a VM list to membership, without entries of an earlier VM with this VM's name.
     ///
-    /// The list lags: a VM that starts under the name of one that was taken away finds itself
-    /// listed as gone, or as leaving at a time before its own start, and would stop at once.
+    /// The list is delayed: a VM that starts under the name of a removed one finds itself listed as
+    /// gone, or as leaving at a time before its own start, and would stop at once.
     fn take_in_listing(self: &Arc<Self>, mut listing: VmListing) {
         let is_of_earlier = |state: VmState| match state {
             VmState::Live => false,
@@ -156,8 +156,8 @@
                     warn!("no thread for a heartbeat: {error}");
                 }
             }
-            // The newest reading still shows what the first one showed, so its time is the one
-            // before which a process or a run must have begun for the list to mean it.
+            // The newest list still shows what the first one showed. A process or engine boot that
+            // the list can mean began before the newest list's time.
             MembershipAction::ProposeDepart { vm, as_of_ms } => {
                 self.propose_depart(vm, self.list_as_of_ms(as_of_ms));
             }
@@ -191,8 +191,8 @@
         self.take_in(event);
     }
 
-    /// Two VMs that replayed the same records have the same digest. A difference means that a VM
-    /// runs another program version with other rules, or has a fault in its memory.
+    /// Compares the digests of two VMs, which are equal after the same records. A difference means
+    /// that a VM runs a program version with other rules, or has a memory fault.
     fn check_digest(&self, beat: &Heartbeat) {
         if self.heartbeats.note_peer(beat) {
             warn!(
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Proposes the end of the processes that the list can mean. A process that joined later runs on
-    /// a VM that took the listed one's place.
+    /// Proposes the departure of the processes that the list can mean. A process that joined later
+    /// runs on a newer VM of the same name.
     fn propose_depart(&self, vm: VmName, as_of_ms: u64) {
         let (is_member, epochs): (bool, Vec<Epoch>) = self.replayed.read(|state| {
             let members = state.members();
