--- a/crates/node/src/membership_view.rs
+++ b/crates/node/src/membership_view.rs
@@ -11,14 +11,14 @@
 use apricotdale_membership::Moment;
 use apricotdale_membership::View;
 
-/// `SharedMembership` feeds the membership logic and hands out its present view.
+/// Membership logic, locked for use by several threads.
 pub struct SharedMembership {
     membership: Mutex<Membership>,
     clock: Arc<dyn Clock>,
 }
 
 impl SharedMembership {
-    /// Returns shared membership.
+    /// Wraps membership for use by several threads.
     pub fn new(membership: Membership, clock: Arc<dyn Clock>) -> Self {
         Self {
             membership: Mutex::new(membership),
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Returns the present view.
+    /// Returns the present view of the VMs and upstreams.
     pub fn view(&self) -> Arc<View> {
         self.membership.lock().view()
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&self, event: MembershipEvent) -> Vec<MembershipAction> {
         let now = moment(&*self.clock);
         self.membership.lock().handle(now, event)
