--- a/crates/node/src/peer_answers.rs
+++ b/crates/node/src/peer_answers.rs
@@ -1,4 +1,4 @@
-//! What this VM tells and answers its peers.
+//! Heartbeats of this VM, and its answers to peers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,36 +23,36 @@
 use crate::replayed::Replayed;
 use crate::streams::SnapshotServer;
 
-/// `KnownPeer` is what a peer said last.
+/// State of a peer by its last heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownPeer {
-    /// How far it has replayed.
+    /// Offset of the next control record that the peer replays.
     pub replayed: Offset,
-    /// When it was heard, on the monotonic clock.
+    /// Time at which the heartbeat was received, on the monotonic clock.
     pub at_ms: u64,
-    /// Whether it said that it is stopping.
+    /// Whether the peer is in a planned stop.
     pub draining: bool,
-    /// Whether its digest differed from ours at the same offset.
+    /// Whether the peer's digest differed from this VM's at the same offset.
     pub diverged: bool,
 }
 
-/// `HeartbeatSource` makes this VM's heartbeats and keeps what peers said in theirs.
+/// Builds this VM's heartbeats and keeps the last heartbeat of each peer.
 pub struct HeartbeatSource {
-    /// This VM.
+    /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// This process.
+    /// Random number that tells this process from earlier ones on the same VM.
     pub process_id: u64,
-    /// Set once the daemon is stopping.
+    /// Set once a planned stop has begun.
     pub draining: Arc<AtomicBool>,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
     peers: Mutex<BTreeMap<VmName, KnownPeer>>,
 }
 
 impl HeartbeatSource {
-    /// Returns a source that has heard of no peer.
+    /// Returns a source that has received no heartbeat.
     pub fn new(
         vm: VmName,
         process_id: u64,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns this VM's heartbeat.
+    /// Returns this VM's present heartbeat.
     pub fn heartbeat(&self) -> Heartbeat {
         let (replayed, digest) = self
             .replayed
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes in a peer's heartbeat and returns whether its state has diverged from ours.
+    /// Records a peer's heartbeat and returns whether its state has diverged from this VM's.
     pub fn note_peer(&self, beat: &Heartbeat) -> bool {
         let own = self.replayed.read(|state| state.digest_at(beat.digest_at));
         let diverged = own.is_some_and(|own| own.digest != beat.digest);
@@ -99,13 +99,13 @@
         diverged
     }
 
-    /// Returns what a peer said last.
+    /// Returns the state of a peer by its last heartbeat, or none if no heartbeat was received.
     pub fn peer(&self, vm: &VmName) -> Option<KnownPeer> {
         self.peers.lock().get(vm).cloned()
     }
 }
 
-/// Returns what a heartbeat says of its sender's process.
+/// Returns the part of a heartbeat that membership uses.
 pub fn sign_of(beat: &Heartbeat) -> PeerSign {
     PeerSign {
         vm: beat.vm.clone(),
@@ -114,21 +114,21 @@
     }
 }
 
-/// `PeerAnswers` answers this VM's peers.
+/// Answers the requests of peers.
 pub struct PeerAnswers {
-    /// Makes heartbeats.
+    /// Source of this VM's heartbeats.
     pub heartbeats: Arc<HeartbeatSource>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Takes the demand that peers tell.
+    /// Table that peers' demand reports are recorded in.
     pub demand: Arc<DemandTable>,
-    /// Wakes placement.
+    /// Wakes the placement loop.
     pub wake: Box<dyn Fn() + Send + Sync>,
-    /// The last load reports.
+    /// Last load report of each engine.
     pub reports: Arc<ReportTable>,
-    /// Hands out this daemon's state.
+    /// Serves snapshots of this daemon's state.
     pub snapshots: SnapshotServer,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
 }
 
