--- a/crates/node/src/policies.rs
+++ b/crates/node/src/policies.rs
@@ -1,4 +1,4 @@
-//! Builds the policies that the settings name.
+//! Construction of the policies that the settings name.
 
 use std::sync::Arc;
 
@@ -20,11 +20,11 @@
 use crate::grouped_routing::GroupedRouting;
 use crate::membership_view::SharedMembership;
 
-/// How long a load proposal may go unseen before it counts as lost. The placement loop itself
-/// holds a proposal back while an earlier one is on its way.
+/// Time after which a load proposal that replay has not shown counts as lost. The placement loop
+/// itself makes no further proposal for a model while one is pending.
 const PROPOSAL_TIMEOUT_MS: u64 = 1_000;
 
-/// Returns the routing policy: one for each group.
+/// Returns the routing policy, which has one instance for each group.
 pub fn routing(
     settings: &Settings,
     seed: u64,
@@ -51,7 +51,7 @@
     )))
 }
 
-/// Returns the retry policy.
+/// Returns the retry policy of the settings.
 pub fn retry(settings: &Settings, seed: u64) -> Result<Box<dyn RetryPolicy>> {
     let options = RetryOptions {
         seed,
@@ -60,13 +60,13 @@
     retry_policy(&settings.policies.retry, options).map_err(Error::unknown_policy)
 }
 
-/// Returns the admission policy.
+/// Returns the admission policy of the settings.
 pub fn admission(settings: &Settings) -> Result<Box<dyn AdmissionPolicy>> {
     let options = apricotdale_admission::Options::default();
     admission_policy(&settings.policies.admission, options).map_err(Error::unknown_policy)
 }
 
-/// Returns the placement policy.
+/// Returns the placement policy of the settings.
 pub fn placement(settings: &Settings) -> Result<Box<dyn PlacementPolicy>> {
     let options = apricotdale_placement::Options {
         proposal_timeout_ms: PROPOSAL_TIMEOUT_MS,
