--- a/crates/node/src/replayed.rs
+++ b/crates/node/src/replayed.rs
@@ -1,4 +1,4 @@
-//! The replayed control state, shared by all threads of the daemon.
+//! Replayed control state, shared by all threads of the daemon.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 use apricotdale_state::ControlState;
 use apricotdale_state::Verdict;
 
-/// `Replayed` holds the control state and wakes those that wait for it to move on.
+/// Replayed control state, with notification of the threads that wait for it to change.
 #[derive(Debug, Default)]
 pub struct Replayed {
     inner: Mutex<Inner>,
@@ -31,7 +31,7 @@
         Self::default()
     }
 
-    /// Reads something from the state.
+    /// Calls a function with the state, which is locked meanwhile.
     pub fn read<T>(&self, read: impl FnOnce(&ControlState) -> T) -> T {
         read(&self.inner.lock().state)
     }
@@ -41,20 +41,20 @@
         self.inner.lock().state.next_offset()
     }
 
-    /// Returns whether the state has been replayed to the stream's end, or taken from a peer, at
-    /// least once.
+    /// Returns whether the state has been replayed to the stream's end, or installed from a peer,
+    /// at least once.
     pub fn is_caught_up(&self) -> bool {
         self.inner.lock().caught_up
     }
 
-    /// Notes that the state is as new as can be had.
+    /// Records that the state is as new as it can be now.
     pub fn note_caught_up(&self) {
         self.inner.lock().caught_up = true;
         self.moved.notify_all();
     }
 
-    /// Replays records and returns the verdict on each. `look` sees the state after each record that
-    /// was accepted.
+    /// Replays records and returns the verdict on each. `look` is called with the state after each
+    /// accepted record.
     pub fn apply(
         &self,
         records: &[LogRecord],
@@ -78,7 +78,7 @@
         verdicts
     }
 
-    /// Puts a state from a snapshot in the place of this one, if it is newer.
+    /// Replaces the state by one from a snapshot if that is newer. Returns whether it was.
     pub fn install(&self, state: ControlState) -> bool {
         let mut inner = self.inner.lock();
         let is_newer = state.next_offset() > inner.state.next_offset();
@@ -90,7 +90,7 @@
         is_newer
     }
 
-    /// Waits until the condition gives a value, and returns none if it did not within the timeout.
+    /// Waits until the condition returns a value. Returns none if it did not within the timeout.
     pub fn wait_for<T>(
         &self,
         timeout: Duration,
