--- a/crates/node/src/signal.rs
+++ b/crates/node/src/signal.rs
@@ -1,9 +1,9 @@
-//! Waking a loop.
+//! Wake signal of a loop.
 
 use crossbeam_channel::Receiver;
 use crossbeam_channel::Sender;
 
-/// `Signal` wakes one loop; several wakes before it looks count as one.
+/// Wakes one loop; several wakes before the loop receives them count as one.
 #[derive(Clone)]
 pub struct Signal {
     sender: Sender<()>,
@@ -11,19 +11,19 @@
 }
 
 impl Signal {
-    /// Returns a signal that has not been given.
+    /// Returns a signal without a pending wake.
     pub fn new() -> Self {
         let (sender, receiver) = crossbeam_channel::bounded(1);
         Self { sender, receiver }
     }
 
-    /// Wakes the loop.
+    /// Wakes the loop that receives from this signal.
     pub fn wake(&self) {
-        // A full channel means that the loop is about to look anyway.
+        // A full channel means that a wake is pending already.
         let _ = self.sender.try_send(());
     }
 
-    /// Returns what the loop waits on.
+    /// Returns the receiver that the loop waits on.
     pub fn receiver(&self) -> Receiver<()> {
         self.receiver.clone()
     }
