--- a/crates/node/src/bin/apricotdaled.rs
+++ b/crates/node/src/bin/apricotdaled.rs
@@ -1,4 +1,4 @@
-//! `apricotdaled` is the daemon that runs on every VM.
+//! The daemon's program, which runs on every VM.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -22,11 +22,11 @@
 /// Exit code for a daemon that could not start.
 const EXIT_START: u8 = 1;
 
-/// The apricotdale daemon: serves callers and decides together with its peers.
+/// The apricotdale daemon: serves callers and decides on placement together with its peers.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
-    /// The settings file.
+    /// Path of the settings file.
     #[bpaf(argument("FILE"))]
     settings: PathBuf,
 }
