--- a/crates/node/src/assembly/deciding.rs
+++ b/crates/node/src/assembly/control_threads.rs
@@ -22,16 +22,16 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::gauges::Gauges;
-use crate::joining::Joining;
+use crate::intents::Freshness;
+use crate::intents::IntentRunner;
+use crate::intents::RunnerParts;
+use crate::join_task::JoinTask;
 use crate::membership_loop::MembershipLoop;
-use crate::placing::CapacityFeed;
-use crate::placing::DemandReporter;
-use crate::placing::FleetSource;
-use crate::placing::PlacementLoop;
-use crate::placing::PlacementParts;
-use crate::settling::Freshness;
-use crate::settling::IntentRunner;
-use crate::settling::RunnerParts;
+use crate::placement::CapacityFeed;
+use crate::placement::DemandReporter;
+use crate::placement::FleetSource;
+use crate::placement::PlacementLoop;
+use crate::placement::PlacementParts;
 use crate::streams::CatchUp;
 use crate::streams::Pace;
 use crate::streams::PeerSnapshots;
@@ -42,7 +42,7 @@
 use crate::streams::StreamTail;
 
 /// Threads of a daemon that replay streams, make proposals and send orders, one for each role.
-pub struct Deciding<'a> {
+pub struct ControlThreads<'a> {
     common: &'a Common,
     serving: &'a Serving,
     appender: Appender,
@@ -51,7 +51,7 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-impl<'a> Deciding<'a> {
+impl<'a> ControlThreads<'a> {
     /// Starts all threads. Returns their handles, which finish once the stop flag is set, and the
     /// appender for a last record before that.
     ///
@@ -72,7 +72,7 @@
             weights: Arc::clone(&weights),
             ranks: Mutex::default(),
         };
-        let mut deciding = Self {
+        let mut control_threads = Self {
             common,
             serving,
             appender,
@@ -80,13 +80,13 @@
             weights,
             threads: vec![thread],
         };
-        deciding.start_streams()?;
-        deciding.start_claims()?;
-        deciding.start_membership()?;
-        deciding.start_placement()?;
-        deciding.start_engines()?;
-        deciding.start_gauges()?;
-        Ok((deciding.threads, deciding.appender))
+        control_threads.start_streams()?;
+        control_threads.start_claims()?;
+        control_threads.start_membership()?;
+        control_threads.start_placement()?;
+        control_threads.start_engines()?;
+        control_threads.start_gauges()?;
+        Ok((control_threads.threads, control_threads.appender))
     }
 
     fn spawn(&mut self, name: &str, run: impl FnOnce() + Send + 'static) -> Result<()> {
@@ -125,7 +125,7 @@
             stop: Arc::clone(&common.stop),
         };
         self.spawn("snapshots", move || writer.run())?;
-        let joining = Joining {
+        let join_task = JoinTask {
             vm: common.vm(),
             zone: common.settings.vm.zone.clone(),
             process_id: common.process_id,
@@ -137,7 +137,7 @@
             pace: common.control_pace.clone(),
             stop: Arc::clone(&common.stop),
         };
-        self.spawn("joining", move || joining.run())
+        self.spawn("joining", move || join_task.run())
     }
 
     fn tail(
--- a/crates/node/src/assembly/mod.rs
+++ b/crates/node/src/assembly/mod.rs
@@ -1,9 +1,9 @@
 //! Construction of a daemon's parts from its settings.
 
 mod common;
-mod deciding;
+mod control_threads;
 mod serving;
 
 pub use common::Common;
-pub use deciding::Deciding;
+pub use control_threads::ControlThreads;
 pub use serving::Serving;
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -23,7 +23,7 @@
 use crate::appender::Appender;
 use crate::appender::Persistence;
 use crate::assembly::Common;
-use crate::assembly::Deciding;
+use crate::assembly::ControlThreads;
 use crate::assembly::Serving;
 use crate::errors::Result;
 
@@ -55,7 +55,7 @@
     pub fn start(settings: Settings, adapters: Adapters, metrics: Arc<Metrics>) -> Result<Self> {
         let common = Common::new(settings, adapters, metrics)?;
         let serving = Serving::start(&common)?;
-        let (threads, appender) = Deciding::start(&common, &serving)?;
+        let (threads, appender) = ControlThreads::start(&common, &serving)?;
         Ok(Self {
             common,
             serving,
--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -39,10 +39,10 @@
 use crate::appender::Persistence;
 use crate::demand::DemandTable;
 use crate::engine_reports::ReportTable;
+use crate::intents::EnginePlace;
+use crate::intents::observation;
 use crate::membership_view::SharedMembership;
 use crate::replayed::Replayed;
-use crate::settling::EnginePlace;
-use crate::settling::observation;
 
 /// Number of engines read concurrently, so that an engine that does not answer delays the others by
 /// no more than its timeout.
--- a/crates/node/src/settling/runner.rs
+++ b/crates/node/src/intents/runner.rs
@@ -30,7 +30,7 @@
 use crate::appender::EpochCell;
 use crate::appender::Persistence;
 use crate::membership_view::SharedMembership;
-use crate::placing::is_stuck;
+use crate::placement::is_stuck;
 use crate::replayed::Replayed;
 
 /// Interval at which the intents are checked when no wake signal comes.
--- a/crates/node/src/joining.rs
+++ b/crates/node/src/join_task.rs
@@ -34,7 +34,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// State and clients that joining uses.
-pub struct Joining {
+pub struct JoinTask {
     /// Name of the VM that this process runs on.
     pub vm: VmName,
     /// Availability zone of the VM.
@@ -57,7 +57,7 @@
     pub stop: Arc<AtomicBool>,
 }
 
-impl Joining {
+impl JoinTask {
     /// Joins, with retries until the join is replayed or the daemon stops.
     pub fn run(self) {
         let join = Join {
--- a/crates/node/src/load_history.rs
+++ b/crates/node/src/load_history.rs
@@ -10,7 +10,7 @@
 use apricotdale_state::ControlState;
 use apricotdale_state::replicas::Stage;
 
-use crate::placing::is_stuck;
+use crate::placement::is_stuck;
 
 /// Load that a VM has carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
