--- a/crates/node/src/appender.rs
+++ b/crates/node/src/appender.rs
@@ -34,11 +34,11 @@
 
 /// Appends of unknown outcome after which a proposal is dropped. A retried record has the same
 /// sequence, so replay counts it once.
-const UNKNOWN_TRIES: u32 = 20;
+const MAX_UNKNOWN_ATTEMPTS: u32 = 20;
 
 /// Consecutive appends of unknown outcome after which the log counts as down. A single lost answer
 /// is no such sign, and the next attempt follows at once.
-const UNKNOWN_MEANS_DOWN: u32 = 3;
+const DOWN_AFTER_UNKNOWN_APPENDS: u32 = 3;
 
 /// Interval at which the thread checks the stop flag.
 const STOP_CHECK: Duration = Duration::from_millis(200);
@@ -201,7 +201,7 @@
 
     /// Appends a payload, with retries as the persistence says.
     fn append_until_clear(&self, payload: &[u8], persistence: Persistence) -> Appended {
-        let mut unknown_tries = 0;
+        let mut unknown_attempts = 0;
         loop {
             self.parts.pace.follow_closely();
             let outcome = self.parts.log.append(&self.parts.stream, payload);
@@ -217,17 +217,19 @@
             };
             warn!("append to the control stream failed: {error}");
             let certain = matches!(error, Error::Unavailable(_) | Error::Rejected(_));
-            unknown_tries += u32::from(!certain);
-            if certain || unknown_tries >= UNKNOWN_MEANS_DOWN {
+            unknown_attempts += u32::from(!certain);
+            if certain || unknown_attempts >= DOWN_AFTER_UNKNOWN_APPENDS {
                 self.parts
                     .health
                     .note_append(self.parts.clock.monotonic_ms(), false);
             }
             match persistence {
-                _ if self.stopped() && unknown_tries > 0 => return Appended::Unknown(error),
+                _ if self.stopped() && unknown_attempts > 0 => return Appended::Unknown(error),
                 _ if self.stopped() => return Appended::Not(error),
-                Persistence::Drop if certain && unknown_tries == 0 => return Appended::Not(error),
-                Persistence::Drop if unknown_tries >= UNKNOWN_TRIES || certain => {
+                Persistence::Drop if certain && unknown_attempts == 0 => {
+                    return Appended::Not(error);
+                }
+                Persistence::Drop if unknown_attempts >= MAX_UNKNOWN_ATTEMPTS || certain => {
                     return Appended::Unknown(error);
                 }
                 Persistence::Drop | Persistence::Keep => thread::sleep(RETRY_PAUSE),
--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -24,13 +24,13 @@
 const GATHER: Duration = Duration::from_millis(3);
 
 /// Maximum number of records of one batch.
-const BATCH_RECORDS: usize = 128;
+const MAX_BATCH_RECORDS: usize = 128;
 
 /// Pause between two attempts of an append.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Appends of unknown outcome after which a batch's claims are dropped.
-const UNKNOWN_TRIES: u32 = 10;
+const MAX_UNKNOWN_ATTEMPTS: u32 = 10;
 
 /// Interval at which the thread checks the stop flag.
 const STOP_CHECK: Duration = Duration::from_millis(200);
@@ -66,7 +66,7 @@
             }
         };
         let mut batch = vec![first];
-        while batch.len() < BATCH_RECORDS {
+        while batch.len() < MAX_BATCH_RECORDS {
             match queued.recv_timeout(GATHER) {
                 Ok(record) => batch.push(record),
                 Err(_) => break,
@@ -78,7 +78,7 @@
     /// Appends a batch. Its claims are dropped if the log rejects them; its finish records are
     /// retried until they are appended, since a lost one would leave its key in progress for ever.
     fn append(&self, mut batch: Vec<ClaimRecord>) {
-        let mut unknown_tries = 0;
+        let mut unknown_attempts = 0;
         while !batch.is_empty() {
             let payload = ClaimBatch {
                 entries: batch.clone(),
@@ -96,12 +96,12 @@
             };
             warn!("append to {} failed: {error}", self.stream.name);
             let certain = matches!(error, Error::Unavailable(_) | Error::Rejected(_));
-            unknown_tries += u32::from(!certain);
+            unknown_attempts += u32::from(!certain);
             match certain {
-                true if unknown_tries == 0 => self.give_up_claims(&mut batch),
+                true if unknown_attempts == 0 => self.give_up_claims(&mut batch),
                 // Claims of unknown outcome are neither refused as not appended nor retried for
                 // ever: their requests time out, and replay frees the key if a claim wins late.
-                _ if unknown_tries >= UNKNOWN_TRIES => drop_claims(&mut batch),
+                _ if unknown_attempts >= MAX_UNKNOWN_ATTEMPTS => drop_claims(&mut batch),
                 _ => {}
             }
             if self.stopped() {
--- a/crates/node/src/claims/keeper.rs
+++ b/crates/node/src/claims/keeper.rs
@@ -33,7 +33,7 @@
 const CLAIM_WAIT_MS: u64 = 5_000;
 
 /// Divisor of the remaining time: the claim may use a half, and the rest is left for the call.
-const CALL_SHARE: u64 = 2;
+const CLAIM_TIME_DIVISOR: u64 = 2;
 
 /// Retry-after time of refusals while the log is down.
 const LOG_RETRY_MS: u64 = 5_000;
@@ -124,7 +124,7 @@
             return log_unavailable("this VM has not joined, so its claims would not count");
         }
         let left_ms = ask.deadline_ms.saturating_sub(self.clock.monotonic_ms());
-        let wait_ms = (left_ms / CALL_SHARE).min(CLAIM_WAIT_MS);
+        let wait_ms = (left_ms / CLAIM_TIME_DIVISOR).min(CLAIM_WAIT_MS);
         stream.begin_wait(&ask.request);
         stream.queue(ClaimRecord::Claim(Claim {
             key: ask.key.clone(),
--- a/crates/node/src/intents/sender.rs
+++ b/crates/node/src/intents/sender.rs
@@ -26,7 +26,7 @@
 use crate::appender::Persistence;
 
 /// Freshness checks before an unsent order is abandoned.
-const FRESHNESS_TRIES: u32 = 10;
+const MAX_FRESHNESS_CHECKS: u32 = 10;
 
 /// Pause between two freshness checks.
 const FRESHNESS_PAUSE: Duration = Duration::from_millis(500);
@@ -75,7 +75,7 @@
     /// Waits until the replayed state is current. Returns whether this process still owns the
     /// intent then.
     fn await_freshness(&self) -> bool {
-        for _ in 0..FRESHNESS_TRIES {
+        for _ in 0..MAX_FRESHNESS_CHECKS {
             if self.parts.freshness.confirm() {
                 return self.is_still_mine();
             }
--- a/crates/node/src/placement/capacity.rs
+++ b/crates/node/src/placement/capacity.rs
@@ -22,7 +22,7 @@
 use crate::engine_reports::ReportTable;
 
 /// Age up to which a load report is used to find the slots that other VMs leave unused.
-const FRESH_MS: u64 = 5_000;
+const MAX_REPORT_AGE_MS: u64 = 5_000;
 
 /// Concurrent requests assumed to be served by one instance of a plain service.
 const SERVICE_SLOTS: u32 = 64;
@@ -154,5 +154,5 @@
 }
 
 fn is_fresh(known: &KnownReport, now_ms: u64) -> bool {
-    now_ms.saturating_sub(known.at_ms) <= FRESH_MS
+    now_ms.saturating_sub(known.at_ms) <= MAX_REPORT_AGE_MS
 }
--- a/crates/node/src/placement/demand_reporter.rs
+++ b/crates/node/src/placement/demand_reporter.rs
@@ -23,7 +23,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Delay between the first arrival and its report, so that a burst of arrivals becomes one report.
-const GATHER: Duration = Duration::from_millis(10);
+const BURST_WINDOW: Duration = Duration::from_millis(10);
 
 /// Reports this VM's demand for each model to the VM preferred for that model.
 pub struct DemandReporter {
@@ -50,7 +50,7 @@
     pub fn run(self) {
         while !self.stop.load(Ordering::Relaxed) {
             if self.wake.recv_timeout(REPORT_INTERVAL).is_ok() {
-                std::thread::sleep(GATHER);
+                std::thread::sleep(BURST_WINDOW);
             }
             self.report();
         }
--- a/crates/node/src/placement/load_failures.rs
+++ b/crates/node/src/placement/load_failures.rs
@@ -10,13 +10,13 @@
 const FIRST_PAUSE_MS: u64 = 500;
 
 /// Upper bound of the backoff.
-const PAUSE_MAX_MS: u64 = 30_000;
+const MAX_PAUSE_MS: u64 = 30_000;
 
 /// Upper bound of the number of doublings, which keeps the shift from overflowing.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 
 /// Consecutive failed loads of a model after which its waiting requests are refused.
-const REFUSED_AFTER: u32 = 2;
+const REFUSED_AFTER_FAILURES: u32 = 2;
 
 /// Delays loads of models whose last loads failed, with exponential backoff.
 ///
@@ -37,10 +37,10 @@
     /// Records a failed load and extends the model's backoff.
     pub fn failed(&mut self, now_ms: u64, model: &ModelName) {
         let count = self.models.get(model).map_or(0, |failure| failure.count) + 1;
-        let doubled_ms = FIRST_PAUSE_MS << (count - 1).min(MOST_DOUBLINGS);
+        let doubled_ms = FIRST_PAUSE_MS << (count - 1).min(MAX_DOUBLINGS);
         let failure = Failure {
             count,
-            until_ms: now_ms + doubled_ms.min(PAUSE_MAX_MS),
+            until_ms: now_ms + doubled_ms.min(MAX_PAUSE_MS),
         };
         self.models.insert(model.clone(), failure);
     }
@@ -59,10 +59,9 @@
 
     /// Returns the models whose waiting requests have to be refused now, each with its refusal.
     pub fn given_up(&self, now_ms: u64) -> Vec<(ModelName, Refusal)> {
-        let held = self
-            .models
-            .iter()
-            .filter(|(_, failure)| failure.count >= REFUSED_AFTER && now_ms < failure.until_ms);
+        let held = self.models.iter().filter(|(_, failure)| {
+            failure.count >= REFUSED_AFTER_FAILURES && now_ms < failure.until_ms
+        });
         held.map(|(model, failure)| {
             let detail = format!("the last {} loads of the model failed", failure.count);
             let refusal = Refusal::not_run(RefusalReason::LoadFailed, detail);
--- a/crates/node/src/placement/placement_loop.rs
+++ b/crates/node/src/placement/placement_loop.rs
@@ -41,11 +41,11 @@
 const TICK: Duration = Duration::from_millis(250);
 
 /// Time for which a proposal of unknown outcome blocks another one for its model.
-const UNKNOWN_HOLD_MS: u64 = 3_000;
+const UNKNOWN_OUTCOME_BLOCK_MS: u64 = 3_000;
 
 /// Time for which requests wait for a load under way while the log can't be read, so that a short
 /// outage does not cause refusals.
-const LOG_PATIENCE_MS: u64 = 5_000;
+const UNREADABLE_LOG_GRACE_MS: u64 = 5_000;
 
 /// Retry-after time of refusals while the log is down.
 const LOG_RETRY_MS: u64 = 5_000;
@@ -326,9 +326,10 @@
                 match appended {
                     Appended::At(offset) => held.insert(model, Held::Appended(offset)),
                     Appended::Not(_) => held.remove(&model),
-                    Appended::Unknown(_) => {
-                        held.insert(model, Held::Until(clock.monotonic_ms() + UNKNOWN_HOLD_MS))
-                    }
+                    Appended::Unknown(_) => held.insert(
+                        model,
+                        Held::Until(clock.monotonic_ms() + UNKNOWN_OUTCOME_BLOCK_MS),
+                    ),
                 };
             });
     }
@@ -354,7 +355,7 @@
         if !self.parts.health.is_down(now_ms) {
             return;
         }
-        let is_blind = self.parts.health.is_blind(now_ms, LOG_PATIENCE_MS);
+        let is_blind = self.parts.health.is_blind(now_ms, UNREADABLE_LOG_GRACE_MS);
         let waiting: BTreeSet<ModelName> = self.waiting_models();
         for model in waiting {
             let (is_loaded, is_coming) = self.parts.source.replayed.read(|state| {
--- a/crates/node/src/streams/pace.rs
+++ b/crates/node/src/streams/pace.rs
@@ -14,7 +14,7 @@
 const PAUSE_PER_VM_MS: u64 = 5;
 
 /// Upper bound of the pause. Configuration has to be in force within seconds.
-const PAUSE_MAX_MS: u64 = 2_000;
+const MAX_PAUSE_MS: u64 = 2_000;
 
 /// Time for which a stream is read without pauses after a caller began to wait for a record.
 const CLOSE_MS: u64 = 5_000;
@@ -56,7 +56,7 @@
         if self.close_until_ms.load(Ordering::Relaxed) > self.clock.monotonic_ms() {
             return;
         }
-        let pause_ms = (vms as u64 * PAUSE_PER_VM_MS).min(PAUSE_MAX_MS);
+        let pause_ms = (vms as u64 * PAUSE_PER_VM_MS).min(MAX_PAUSE_MS);
         // The next read follows whether the pause ended by a wake or by its timeout.
         let _ = self
             .wake
