--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -21,7 +21,7 @@
 
 /// Longest gap between two records of a batch. The log accepts several hundred appends a second in
 /// total, so claims have to share them.
-const GATHER: Duration = Duration::from_millis(3);
+const MAX_RECORD_GAP: Duration = Duration::from_millis(3);
 
 /// Maximum number of records of one batch.
 const MAX_BATCH_RECORDS: usize = 128;
@@ -67,7 +67,7 @@
         };
         let mut batch = vec![first];
         while batch.len() < MAX_BATCH_RECORDS {
-            match queued.recv_timeout(GATHER) {
+            match queued.recv_timeout(MAX_RECORD_GAP) {
                 Ok(record) => batch.push(record),
                 Err(_) => break,
             }
