--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -15,10 +15,10 @@
 use apricotdale_core::serving::DemandSink;
 
 /// Time for which another VM's report counts when no newer one comes.
-const REPORT_LIFETIME_MS: u64 = 1_500;
+const REPORT_TTL_MS: u64 = 1_500;
 
 /// Time for which a model counts as used at this VM after its last request.
-const RECENT_MS: u64 = 30_000;
+const RECENT_USE_MS: u64 = 30_000;
 
 /// Demand for one model over all VMs, as far as it was reported to this VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -133,7 +133,7 @@
         let mut tables = self.tables.lock();
         tables
             .last_arrival_ms
-            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < RECENT_MS);
+            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < RECENT_USE_MS);
         tables.last_arrival_ms.keys().cloned().collect()
     }
 
@@ -147,7 +147,7 @@
         let mut tables = self.tables.lock();
         tables
             .remote
-            .retain(|_, (at_ms, _)| now_ms.saturating_sub(*at_ms) < REPORT_LIFETIME_MS);
+            .retain(|_, (at_ms, _)| now_ms.saturating_sub(*at_ms) < REPORT_TTL_MS);
         let mut totals: BTreeMap<ModelName, TotalDemand> = BTreeMap::new();
         for request in tables.requests.values() {
             let total = totals.entry(request.model.clone()).or_default();
--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -46,13 +46,13 @@
 
 /// Number of engines read concurrently, so that an engine that does not answer delays the others by
 /// no more than its timeout.
-const READ_AT_ONCE: usize = 8;
+const MAX_CONCURRENT_READS: usize = 8;
 
 /// Maximum number of peers asked in one round.
-const PEERS_A_ROUND: usize = 8;
+const PEERS_PER_ROUND: usize = 8;
 
 /// Number of rounds between two reads of the weight store.
-const WEIGHTS_ROUNDS: usize = 5;
+const ROUNDS_PER_WEIGHTS_READ: usize = 5;
 
 /// Interval of rounds until replay has seen all engines that this VM reads.
 const FIRST_INTERVAL: Duration = Duration::from_millis(100);
@@ -102,7 +102,7 @@
         while !self.stop.load(Ordering::Relaxed) {
             let view = self.membership.view();
             let due = self.due(&view);
-            for some in due.chunks(READ_AT_ONCE) {
+            for some in due.chunks(MAX_CONCURRENT_READS) {
                 thread::scope(|scope| {
                     for engine in some {
                         scope.spawn(|| self.read(engine));
@@ -111,7 +111,7 @@
             }
             self.ask_peers(&view, round);
             round += 1;
-            if (round - 1) % WEIGHTS_ROUNDS == 0 {
+            if (round - 1) % ROUNDS_PER_WEIGHTS_READ == 0 {
                 self.read_weights();
             }
             thread::sleep(self.pause(&view));
@@ -205,12 +205,12 @@
                 by_vm.entry(vm.clone()).or_default().push(engine);
             }
         }
-        let skipped = (round * PEERS_A_ROUND) % by_vm.len().max(1);
+        let skipped = (round * PEERS_PER_ROUND) % by_vm.len().max(1);
         let peers = by_vm
             .iter()
             .cycle()
             .skip(skipped)
-            .take(PEERS_A_ROUND.min(by_vm.len()));
+            .take(PEERS_PER_ROUND.min(by_vm.len()));
         for (vm, engines) in peers {
             if let Some(address) = view.peer_address(vm) {
                 self.ask_peer(address, engines.clone());
--- a/crates/node/src/intents/freshness.rs
+++ b/crates/node/src/intents/freshness.rs
@@ -15,7 +15,7 @@
 
 /// Gap between two clock readings from which on the process counts as paused. It is above the
 /// longest tick of the daemon and below the time after which other VMs take intents over.
-const FREEZE_LIMIT_MS: u64 = 1_500;
+const PAUSE_LIMIT_MS: u64 = 1_500;
 
 /// Timeout of replay reaching the end of the stream that was just read.
 const REPLAY_WAIT: Duration = Duration::from_secs(2);
@@ -46,7 +46,7 @@
         replayed: Arc<Replayed>,
         clock: Arc<dyn Clock>,
     ) -> Self {
-        let detector = Mutex::new(PauseDetector::new(FREEZE_LIMIT_MS));
+        let detector = Mutex::new(PauseDetector::new(PAUSE_LIMIT_MS));
         Self {
             log,
             stream,
--- a/crates/node/src/log_health.rs
+++ b/crates/node/src/log_health.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 /// Time for which a failed append is a sign that the next one would fail too.
-const APPEND_FAILURE_COUNTS_MS: u64 = 1_000;
+const APPEND_FAILURE_TTL_MS: u64 = 1_000;
 
 /// Last outcomes of appends and reads. All times are on the monotonic clock, in milliseconds; zero
 /// means never.
@@ -42,7 +42,7 @@
     pub fn is_down(&self, now_ms: u64) -> bool {
         let failed_ms = self.append_failed_ms.load(Ordering::Relaxed);
         let appends_fail = failed_ms > self.append_ok_ms.load(Ordering::Relaxed);
-        let recent = now_ms.saturating_sub(failed_ms) < APPEND_FAILURE_COUNTS_MS;
+        let recent = now_ms.saturating_sub(failed_ms) < APPEND_FAILURE_TTL_MS;
         (appends_fail && recent) || self.reads_fail()
     }
 
--- a/crates/node/src/streams/pace.rs
+++ b/crates/node/src/streams/pace.rs
@@ -17,7 +17,7 @@
 const MAX_PAUSE_MS: u64 = 2_000;
 
 /// Time for which a stream is read without pauses after a caller began to wait for a record.
-const CLOSE_MS: u64 = 5_000;
+const FOLLOW_CLOSELY_MS: u64 = 5_000;
 
 /// Pacing of the reads of one stream.
 ///
@@ -44,7 +44,7 @@
 
     /// Reads without pauses for a while, because a record is awaited.
     pub fn follow_closely(&self) {
-        let until_ms = self.clock.monotonic_ms() + CLOSE_MS;
+        let until_ms = self.clock.monotonic_ms() + FOLLOW_CLOSELY_MS;
         let before_ms = self.close_until_ms.fetch_max(until_ms, Ordering::Relaxed);
         if before_ms < self.clock.monotonic_ms() {
             self.wake.wake();
--- a/crates/node/src/streams/peer_snapshots.rs
+++ b/crates/node/src/streams/peer_snapshots.rs
@@ -21,7 +21,7 @@
 
 /// Lifetime of a prepared snapshot, after which a newer one is prepared. When all VMs of an
 /// availability zone restart at once, one snapshot serves them all.
-const PREPARED_LIFETIME_MS: u64 = 5_000;
+const PREPARED_TTL_MS: u64 = 5_000;
 
 /// Maximum number of parts of a peer's snapshot.
 const MAX_PARTS: u32 = 2_048;
@@ -115,7 +115,7 @@
     pub fn part(&self, query: &SnapshotQuery) -> Result<SnapshotPart, Error> {
         let mut prepared = self.prepared.lock();
         let now_ms = self.clock.monotonic_ms();
-        let is_old = |one: &Prepared| now_ms.saturating_sub(one.made_ms) > PREPARED_LIFETIME_MS;
+        let is_old = |one: &Prepared| now_ms.saturating_sub(one.made_ms) > PREPARED_TTL_MS;
         if query.at.is_none() && prepared.as_ref().is_none_or(is_old) {
             *prepared = Some(self.prepare(now_ms)?);
         }
--- a/crates/node/src/streams/snapshot_reader.rs
+++ b/crates/node/src/streams/snapshot_reader.rs
@@ -14,7 +14,7 @@
 use apricotdale_state::snapshot::Section;
 
 /// Maximum number of records of one read. A record is a part of up to 64 KiB.
-const READ_RECORDS: usize = 64;
+const MAX_READ_RECORDS: usize = 64;
 
 /// Reader of the snapshot stream that keeps the newest complete section of each stream.
 pub struct SnapshotReader {
@@ -43,7 +43,7 @@
         let mut catalog = self.catalog.lock();
         loop {
             let from = catalog.next_offset();
-            match self.log.read(&self.stream, from, READ_RECORDS, 0) {
+            match self.log.read(&self.stream, from, MAX_READ_RECORDS, 0) {
                 Ok(batch) => {
                     for record in &batch.records {
                         if let Err(error) = catalog.apply(record.offset, &record.payload) {
--- a/crates/node/src/streams/snapshot_writer.rs
+++ b/crates/node/src/streams/snapshot_writer.rs
@@ -31,11 +31,11 @@
 
 /// Upper bound of a stream's average section traffic. A large state is written less often, so that
 /// snapshots stay a small part of a VM's traffic.
-const BYTES_PER_S: u64 = 2_048;
+const MAX_SECTION_BYTES_PER_S: u64 = 2_048;
 
 /// Maximum interval of two sections. The log keeps records for a limited time, so a section has to
 /// be written again before it expires even if the state has not changed.
-const REFRESH_MS: u64 = 600_000;
+const MAX_INTERVAL_MS: u64 = 600_000;
 
 /// Thread that writes the sections of the streams for which this VM is preferred.
 pub struct SnapshotWriter {
@@ -91,14 +91,15 @@
         });
         let age_ms = now_ms.saturating_sub(last.at_ms);
         let has_changed = last.next != Some(position.next);
-        let is_due = (has_changed && age_ms >= last.interval_ms) || age_ms >= REFRESH_MS;
+        let is_due = (has_changed && age_ms >= last.interval_ms) || age_ms >= MAX_INTERVAL_MS;
         if !is_due {
             return;
         }
         let Some(section) = state.section() else {
             return;
         };
-        let interval_ms = MIN_INTERVAL_MS.max(section.bytes.len() as u64 * 1_000 / BYTES_PER_S);
+        let interval_ms =
+            MIN_INTERVAL_MS.max(section.bytes.len() as u64 * 1_000 / MAX_SECTION_BYTES_PER_S);
         let next = self.write(state.stream(), &section).then_some(section.next);
         *written = Some(Written {
             at_ms: now_ms,
--- a/crates/node/src/streams/stream_tail.rs
+++ b/crates/node/src/streams/stream_tail.rs
@@ -23,7 +23,7 @@
 use crate::membership_view::moment;
 
 /// Maximum number of records of one read.
-const READ_RECORDS: usize = 1_000;
+const MAX_READ_RECORDS: usize = 1_000;
 
 /// Pause after a failed read or an unsuccessful catch-up.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -61,7 +61,7 @@
         let mut follows = false;
         while !self.stop.load(Ordering::Relaxed) {
             follows = match follows {
-                true if self.was_frozen() => self.catch_up(),
+                true if self.was_paused() => self.catch_up(),
                 true => self.follow_on(),
                 false => self.catch_up(),
             };
@@ -79,7 +79,7 @@
         outcome == CaughtUp::Follow && self.follow(0)
     }
 
-    fn was_frozen(&mut self) -> bool {
+    fn was_paused(&mut self) -> bool {
         let verdict = self.pauses.observe(moment(&*self.clock));
         matches!(verdict, PauseVerdict::Frozen { .. })
     }
@@ -98,7 +98,7 @@
         let from = position.next;
         match self
             .log
-            .read(self.state.stream(), from, READ_RECORDS, wait_ms)
+            .read(self.state.stream(), from, MAX_READ_RECORDS, wait_ms)
         {
             Ok(batch) if batch.end >= from => {
                 if !batch.records.is_empty() {
