--- a/crates/node/src/appender.rs
+++ b/crates/node/src/appender.rs
@@ -210,7 +210,7 @@
                 Ok(offset) => {
                     self.parts
                         .health
-                        .note_append(self.parts.clock.monotonic_ms(), true);
+                        .record_append(self.parts.clock.monotonic_ms(), true);
                     return Appended::At(offset);
                 }
                 Err(error) => error,
@@ -221,7 +221,7 @@
             if certain || unknown_attempts >= DOWN_AFTER_UNKNOWN_APPENDS {
                 self.parts
                     .health
-                    .note_append(self.parts.clock.monotonic_ms(), false);
+                    .record_append(self.parts.clock.monotonic_ms(), false);
             }
             match persistence {
                 _ if self.stopped() && unknown_attempts > 0 => return Appended::Unknown(error),
--- a/crates/node/src/claims/claim_state.rs
+++ b/crates/node/src/claims/claim_state.rs
@@ -104,7 +104,7 @@
         Section::of_claims(Lineage::default(), &table).bytes
     }
 
-    fn note_caught_up(&self) {
-        self.stream.note_caught_up();
+    fn mark_caught_up(&self) {
+        self.stream.mark_caught_up();
     }
 }
--- a/crates/node/src/claims/claim_stream.rs
+++ b/crates/node/src/claims/claim_stream.rs
@@ -54,7 +54,7 @@
     moved: Condvar,
     queue: Sender<ClaimRecord>,
     queued: Receiver<ClaimRecord>,
-    open_ends: AtomicUsize,
+    pending_finishes: AtomicUsize,
     caught_up: AtomicBool,
 }
 
@@ -70,7 +70,7 @@
             moved: Condvar::new(),
             queue,
             queued,
-            open_ends: AtomicUsize::new(0),
+            pending_finishes: AtomicUsize::new(0),
             caught_up: AtomicBool::new(false),
         }
     }
@@ -82,7 +82,7 @@
     }
 
     /// Records that the table is as new as it can be now.
-    pub fn note_caught_up(&self) {
+    pub fn mark_caught_up(&self) {
         self.caught_up.store(true, Ordering::Release);
     }
 
@@ -170,18 +170,18 @@
 
     /// Queues the finish record of a call.
     pub fn finish(&self, finish: Finish) {
-        self.open_ends.fetch_add(1, Ordering::AcqRel);
+        self.pending_finishes.fetch_add(1, Ordering::AcqRel);
         self.queue(ClaimRecord::Finish(finish));
     }
 
     /// Records that this many finish records have been appended.
-    pub fn note_ends_appended(&self, ends: usize) {
-        self.open_ends.fetch_sub(ends, Ordering::AcqRel);
+    pub fn record_finishes_appended(&self, finishes: usize) {
+        self.pending_finishes.fetch_sub(finishes, Ordering::AcqRel);
     }
 
     /// Returns whether every queued finish record has been appended.
-    pub fn has_no_open_ends(&self) -> bool {
-        self.open_ends.load(Ordering::Acquire) == 0
+    pub fn has_no_pending_finishes(&self) -> bool {
+        self.pending_finishes.load(Ordering::Acquire) == 0
     }
 
     /// Queues a finish record for a claim under which no call will run.
--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -90,7 +90,7 @@
             let error = match outcome {
                 Ok(_) => {
                     drop_claims(&mut batch);
-                    return self.stream.note_ends_appended(batch.len());
+                    return self.stream.record_finishes_appended(batch.len());
                 }
                 Err(error) => error,
             };
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -98,7 +98,7 @@
         self.common.membership.handle(MembershipEvent::DrainBegun);
         let gateway = &self.serving.gateway;
         gateway.drain();
-        if !gateway.wait_idle(left(deadline)) {
+        if !gateway.wait_idle(remaining(deadline)) {
             warn!(
                 "the grace time is over with {} requests in progress",
                 gateway.in_progress()
@@ -107,8 +107,8 @@
         self.serving.callers.stop();
         self.serving.callers.wait_idle(CLOSE_WAIT);
         self.common.retired.store(true, Ordering::Release);
-        let told = self.await_ends_of_calls(deadline);
-        if self.settle_intents(left(deadline)) && told {
+        let finishes_appended = self.await_pending_finishes(deadline);
+        if self.settle_intents(remaining(deadline)) && finishes_appended {
             self.depart();
         }
         self.common.stop.store(true, Ordering::Release);
@@ -122,10 +122,13 @@
 
     /// Waits until the finish records of all calls under claims are appended, and returns whether
     /// they are. Without them the keys of calls that ran would have an unknown outcome for ever.
-    fn await_ends_of_calls(&self, deadline: Instant) -> bool {
+    fn await_pending_finishes(&self, deadline: Instant) -> bool {
         let streams = &self.common.claim_streams;
-        while !streams.iter().all(|stream| stream.has_no_open_ends()) {
-            if left(deadline).is_zero() {
+        while !streams
+            .iter()
+            .all(|stream| stream.has_no_pending_finishes())
+        {
+            if remaining(deadline).is_zero() {
                 warn!("stopping with ends of calls that the log has not taken");
                 return false;
             }
@@ -179,6 +182,6 @@
     }
 }
 
-fn left(deadline: Instant) -> Duration {
+fn remaining(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(Instant::now())
 }
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -69,7 +69,7 @@
 
     /// Records another VM's report. A line without demand removes the earlier one; if it were kept,
     /// the model would be planned for as a wanted one.
-    pub fn note_remote(&self, now_ms: u64, vm: &VmName, models: Vec<ModelDemand>) {
+    pub fn record_remote(&self, now_ms: u64, vm: &VmName, models: Vec<ModelDemand>) {
         let mut tables = self.tables.lock();
         for demand in models {
             for _ in 0..demand.arrived {
@@ -198,7 +198,7 @@
 }
 
 /// Called with the time, on the monotonic clock, and the model of each request that arrives.
-pub type ArrivalNote = Box<dyn Fn(u64, &ModelName) + Send + Sync>;
+pub type ArrivalHandler = Box<dyn Fn(u64, &ModelName) + Send + Sync>;
 
 /// Records the gateway's demand events in a [`DemandTable`] and wakes the placement loop.
 pub struct DemandInbox {
@@ -207,7 +207,7 @@
     /// Called when a model may need a load: at each arrival, and when an engine lacks a model.
     pub wake: Box<dyn Fn() + Send + Sync>,
     /// Called for each request that arrives.
-    pub arrived: ArrivalNote,
+    pub arrived: ArrivalHandler,
 }
 
 impl DemandSink for DemandInbox {
--- a/crates/node/src/engine_reports.rs
+++ b/crates/node/src/engine_reports.rs
@@ -32,7 +32,7 @@
     }
 
     /// Records a report that this VM read from the engine.
-    pub fn note_read(&self, now_ms: u64, engine: &UpstreamName, report: LoadReport) {
+    pub fn record_read(&self, now_ms: u64, engine: &UpstreamName, report: LoadReport) {
         let known = KnownReport {
             report,
             at_ms: now_ms,
@@ -43,7 +43,12 @@
 
     /// Records a load that a peer sent, unless a newer report is in the table. Returns the recorded
     /// report.
-    pub fn note_told(&self, now_ms: u64, unix_ms: u64, load: &ReplicaLoad) -> Option<LoadReport> {
+    pub fn record_peer_load(
+        &self,
+        now_ms: u64,
+        unix_ms: u64,
+        load: &ReplicaLoad,
+    ) -> Option<LoadReport> {
         let report = LoadReport {
             as_of_ms: unix_ms.saturating_sub(load.age_ms),
             running: load.running,
--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -165,7 +165,7 @@
                     report: report.clone(),
                 };
                 self.table
-                    .note_read(self.clock.monotonic_ms(), &name, report);
+                    .record_read(self.clock.monotonic_ms(), &name, report);
                 self.gateway.learn_routing(event);
             }
             Err(error) => warn!("load report of {name}: {error}"),
@@ -236,7 +236,7 @@
         };
         for load in loads {
             let (now_ms, unix_ms) = (self.clock.monotonic_ms(), self.clock.unix_ms());
-            if let Some(report) = self.table.note_told(now_ms, unix_ms, &load) {
+            if let Some(report) = self.table.record_peer_load(now_ms, unix_ms, &load) {
                 let event = RoutingEvent::Reported {
                     upstream: load.engine,
                     report,
--- a/crates/node/src/log_health.rs
+++ b/crates/node/src/log_health.rs
@@ -18,8 +18,8 @@
 
 impl LogHealth {
     /// Records the outcome of an append.
-    pub fn note_append(&self, now_ms: u64, worked: bool) {
-        let cell = if worked {
+    pub fn record_append(&self, now_ms: u64, succeeded: bool) {
+        let cell = if succeeded {
             &self.append_ok_ms
         } else {
             &self.append_failed_ms
@@ -28,8 +28,8 @@
     }
 
     /// Records the outcome of a read.
-    pub fn note_read(&self, now_ms: u64, worked: bool) {
-        let cell = if worked {
+    pub fn record_read(&self, now_ms: u64, succeeded: bool) {
+        let cell = if succeeded {
             &self.read_ok_ms
         } else {
             &self.read_failed_ms
--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -194,7 +194,7 @@
     /// Compares the digests of two VMs, which are equal after the same records. A difference means
     /// that a VM runs a program version with other rules, or has a memory fault.
     fn check_digest(&self, beat: &Heartbeat) {
-        if self.heartbeats.note_peer(beat) {
+        if self.heartbeats.record_heartbeat(beat) {
             warn!(
                 "{} has another state than this VM at offset {}",
                 beat.vm, beat.digest_at
--- a/crates/node/src/peer_answers.rs
+++ b/crates/node/src/peer_answers.rs
@@ -86,7 +86,7 @@
     }
 
     /// Records a peer's heartbeat and returns whether its state has diverged from this VM's.
-    pub fn note_peer(&self, beat: &Heartbeat) -> bool {
+    pub fn record_heartbeat(&self, beat: &Heartbeat) -> bool {
         let own = self.replayed.read(|state| state.digest_at(beat.digest_at));
         let diverged = own.is_some_and(|own| own.digest != beat.digest);
         let known = KnownPeer {
@@ -136,14 +136,14 @@
     fn answer(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Heartbeat(beat) => {
-                self.heartbeats.note_peer(&beat);
+                self.heartbeats.record_heartbeat(&beat);
                 self.membership
                     .handle(MembershipEvent::HeartbeatHeard(sign_of(&beat)));
                 PeerReply::Heartbeat(self.heartbeats.heartbeat())
             }
             PeerRequest::Demand(demand) => {
                 let now_ms = self.clock.monotonic_ms();
-                self.demand.note_remote(now_ms, &demand.vm, demand.models);
+                self.demand.record_remote(now_ms, &demand.vm, demand.models);
                 (self.wake)();
                 PeerReply::DemandNoted
             }
--- a/crates/node/src/replayed.rs
+++ b/crates/node/src/replayed.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records that the state is as new as it can be now.
-    pub fn note_caught_up(&self) {
+    pub fn mark_caught_up(&self) {
         self.inner.lock().caught_up = true;
         self.moved.notify_all();
     }
--- a/crates/node/src/streams/catch_up.rs
+++ b/crates/node/src/streams/catch_up.rs
@@ -164,7 +164,7 @@
                 self.install(section.as_ref(), vm.as_str(), episode)
             }
             CatchUpAction::ServeOnly => {
-                self.state.note_caught_up();
+                self.state.mark_caught_up();
                 Some(CaughtUp::Serving)
             }
             CatchUpAction::Wait(reason) => {
--- a/crates/node/src/streams/control_stream.rs
+++ b/crates/node/src/streams/control_stream.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    fn note_progress(&self) {
+    fn publish_progress(&self) {
         let (next, version) = self
             .replayed
             .read(|state| (state.next_offset(), state.config().version()));
@@ -90,7 +90,7 @@
                 }
             }
         }
-        self.note_progress();
+        self.publish_progress();
     }
 
     fn section(&self) -> Option<Section> {
@@ -105,7 +105,7 @@
         let state = section.control()?;
         self.replayed.install(state);
         *self.lineage.lock() = Some(section.lineage);
-        self.note_progress();
+        self.publish_progress();
         Ok(())
     }
 
@@ -115,7 +115,7 @@
         Section::of_control(Lineage::default(), &state).bytes
     }
 
-    fn note_caught_up(&self) {
-        self.replayed.note_caught_up();
+    fn mark_caught_up(&self) {
+        self.replayed.mark_caught_up();
     }
 }
--- a/crates/node/src/streams/stream_state.rs
+++ b/crates/node/src/streams/stream_state.rs
@@ -36,5 +36,5 @@
     fn fresh(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8>;
 
     /// Records that the state is as new as it can be now.
-    fn note_caught_up(&self);
+    fn mark_caught_up(&self);
 }
--- a/crates/node/src/streams/stream_tail.rs
+++ b/crates/node/src/streams/stream_tail.rs
@@ -73,7 +73,7 @@
 
     fn catch_up(&self) -> bool {
         let outcome = self.catch_up.run();
-        self.note_read(outcome == CaughtUp::Follow);
+        self.record_read(outcome == CaughtUp::Follow);
         // The first read does not wait, so a stream without further records counts as caught up at
         // once.
         outcome == CaughtUp::Follow && self.follow(0)
@@ -106,9 +106,9 @@
                 }
                 let reaches = self.state.position().map(|position| position.next);
                 if reaches >= Some(batch.end) {
-                    self.state.note_caught_up();
+                    self.state.mark_caught_up();
                 }
-                self.note_read(true);
+                self.record_read(true);
                 true
             }
             Ok(batch) => {
@@ -117,7 +117,7 @@
                     self.state.stream(),
                     batch.end
                 );
-                self.note_read(false);
+                self.record_read(false);
                 false
             }
             Err(Error::Expired { first }) => {
@@ -129,15 +129,15 @@
             }
             Err(error) => {
                 warn!("reading {} failed: {error}", self.state.stream());
-                self.note_read(false);
+                self.record_read(false);
                 false
             }
         }
     }
 
-    fn note_read(&self, worked: bool) {
+    fn record_read(&self, succeeded: bool) {
         if let Some(health) = &self.health {
-            health.note_read(self.clock.monotonic_ms(), worked);
+            health.record_read(self.clock.monotonic_ms(), succeeded);
         }
     }
 }
