--- a/crates/node/src/assembly/control_threads.rs
+++ b/crates/node/src/assembly/control_threads.rs
@@ -27,7 +27,7 @@
 use crate::intents::RunnerParts;
 use crate::join_task::JoinTask;
 use crate::membership_loop::MembershipLoop;
-use crate::placement::CapacityFeed;
+use crate::placement::CapacityUpdater;
 use crate::placement::DemandReporter;
 use crate::placement::FleetSource;
 use crate::placement::PlacementLoop;
@@ -212,7 +212,7 @@
 
     fn start_placement(&mut self) -> Result<()> {
         let common = self.common;
-        let capacity = CapacityFeed::new(
+        let capacity = CapacityUpdater::new(
             Arc::clone(&common.directory),
             Arc::clone(&common.reports),
             Arc::clone(&common.demand),
--- a/crates/node/src/load_history.rs
+++ b/crates/node/src/load_history.rs
@@ -62,13 +62,13 @@
             any_seen,
         } = &mut *inner;
         open.retain(|load, ended| {
-            let is_coming = state
+            let is_loading = state
                 .replica(*load)
                 .is_some_and(|one| !is_stuck(one.stage()));
-            if !is_coming {
+            if !is_loading {
                 failed.push(ended.model.clone());
             }
-            is_coming
+            is_loading
         });
         for replica in state.replicas() {
             match replica.stage() {
--- a/crates/node/src/log_health.rs
+++ b/crates/node/src/log_health.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns whether reads fail and none has succeeded for `for_ms`.
-    pub fn is_blind(&self, now_ms: u64, for_ms: u64) -> bool {
+    pub fn is_unreadable(&self, now_ms: u64, for_ms: u64) -> bool {
         let is_long = |read_ms| now_ms.saturating_sub(read_ms) >= for_ms;
         self.reads_fail() && self.last_read_ms().is_none_or(is_long)
     }
--- a/crates/node/src/placement/capacity.rs
+++ b/crates/node/src/placement/capacity.rs
@@ -28,15 +28,15 @@
 const SERVICE_SLOTS: u32 = 64;
 
 /// Passes changes of this VM's slots to the gateway.
-pub struct CapacityFeed {
+pub struct CapacityUpdater {
     directory: Arc<NodeDirectory>,
     reports: Arc<ReportTable>,
     demand: Arc<DemandTable>,
     gateway: Arc<Gateway>,
-    told: BTreeMap<ModelName, (u32, Option<u64>)>,
+    passed: BTreeMap<ModelName, (u32, Option<u64>)>,
 }
 
-impl CapacityFeed {
+impl CapacityUpdater {
     /// Returns a feed that has passed nothing to the gateway yet.
     pub fn new(
         directory: Arc<NodeDirectory>,
@@ -49,7 +49,7 @@
             reports,
             demand,
             gateway,
-            told: BTreeMap::new(),
+            passed: BTreeMap::new(),
         }
     }
 
@@ -63,20 +63,20 @@
         ready_at_ms: &BTreeMap<ModelName, u64>,
     ) {
         let started = self.demand.started_here();
-        let known = self.told.keys().filter(|target| self.is_model(target));
+        let known = self.passed.keys().filter(|target| self.is_model(target));
         let models: BTreeSet<ModelName> = wanted.iter().chain(known).cloned().collect();
         for model in models {
             let own = started.get(&model).copied().unwrap_or_default();
             let slots = self.model_slots(&model, view, own, now_ms);
             let ready = ready_at_ms.get(&model).copied().filter(|_| slots == 0);
-            self.tell(model, slots, ready);
+            self.pass_if_changed(model, slots, ready);
         }
         for service in self.services() {
             let instances = self.directory.instances(&service).len();
             let total = u32::try_from(instances)
                 .unwrap_or(u32::MAX)
                 .saturating_mul(SERVICE_SLOTS);
-            self.tell(
+            self.pass_if_changed(
                 service_target(&service),
                 own_slots(total, None, &service, view),
                 None,
@@ -126,13 +126,13 @@
         own_slots(total_slots, report, model, view)
     }
 
-    fn tell(&mut self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
+    fn pass_if_changed(&mut self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
         let capacity = (slots, ready_at_ms);
-        if self.told.get(&target) == Some(&capacity) {
+        if self.passed.get(&target) == Some(&capacity) {
             return;
         }
         self.gateway.capacity(target.clone(), slots, ready_at_ms);
-        self.told.insert(target, capacity);
+        self.passed.insert(target, capacity);
     }
 }
 
--- a/crates/node/src/placement/load_failures.rs
+++ b/crates/node/src/placement/load_failures.rs
@@ -35,7 +35,7 @@
 
 impl LoadFailures {
     /// Records a failed load and extends the model's backoff.
-    pub fn failed(&mut self, now_ms: u64, model: &ModelName) {
+    pub fn record_failure(&mut self, now_ms: u64, model: &ModelName) {
         let count = self.models.get(model).map_or(0, |failure| failure.count) + 1;
         let doubled_ms = FIRST_PAUSE_MS << (count - 1).min(MAX_DOUBLINGS);
         let failure = Failure {
@@ -46,7 +46,7 @@
     }
 
     /// Records a successful load and clears the model's backoff.
-    pub fn worked(&mut self, model: &ModelName) {
+    pub fn record_success(&mut self, model: &ModelName) {
         self.models.remove(model);
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Returns the models whose waiting requests have to be refused now, each with its refusal.
-    pub fn given_up(&self, now_ms: u64) -> Vec<(ModelName, Refusal)> {
+    pub fn refusals(&self, now_ms: u64) -> Vec<(ModelName, Refusal)> {
         let held = self.models.iter().filter(|(_, failure)| {
             failure.count >= REFUSED_AFTER_FAILURES && now_ms < failure.until_ms
         });
--- a/crates/node/src/placement/mod.rs
+++ b/crates/node/src/placement/mod.rs
@@ -7,7 +7,7 @@
 mod placement_loop;
 mod rank_cache;
 
-pub use capacity::CapacityFeed;
+pub use capacity::CapacityUpdater;
 pub use demand_reporter::DemandReporter;
 pub use fleet::FleetSource;
 pub use placement_loop::PlacementLoop;
--- a/crates/node/src/placement/placement_loop.rs
+++ b/crates/node/src/placement/placement_loop.rs
@@ -26,7 +26,7 @@
 use apricotdale_gateway::Gateway;
 use apricotdale_state::replicas::Stage;
 
-use super::capacity::CapacityFeed;
+use super::capacity::CapacityUpdater;
 use super::fleet::Basis;
 use super::fleet::FleetSource;
 use super::load_failures::LoadFailures;
@@ -68,7 +68,7 @@
     /// Gateway whose waiting requests are refused.
     pub gateway: Arc<Gateway>,
     /// Passes slots to the gateway.
-    pub capacity: CapacityFeed,
+    pub capacity: CapacityUpdater,
     /// Read pacing of the control stream.
     pub pace: Pace,
     /// Source of monotonic and Unix time.
@@ -81,7 +81,7 @@
 
 /// State of the last proposal for a model, which blocks another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Held {
+enum PendingProposal {
     /// The proposal is queued for its append.
     Queued,
     /// The record has this offset and has not been replayed.
@@ -90,12 +90,12 @@
     Until(u64),
 }
 
-type HeldModels = Arc<Mutex<BTreeMap<ModelName, Held>>>;
+type PendingProposals = Arc<Mutex<BTreeMap<ModelName, PendingProposal>>>;
 
 /// Loop that plans placement and proposes its actions.
 pub struct PlacementLoop {
     parts: PlacementParts,
-    held: HeldModels,
+    pending: PendingProposals,
     ready_at_ms: BTreeMap<ModelName, u64>,
     basis: Basis,
     failures: LoadFailures,
@@ -106,7 +106,7 @@
     pub fn new(parts: PlacementParts) -> Self {
         Self {
             parts,
-            held: HeldModels::default(),
+            pending: PendingProposals::default(),
             ready_at_ms: BTreeMap::new(),
             basis: Basis::default(),
             failures: LoadFailures::default(),
@@ -124,8 +124,8 @@
 
     fn step(&mut self) {
         let now_ms = self.parts.clock.monotonic_ms();
-        self.release(now_ms);
-        self.feed(now_ms);
+        self.unblock_replayed(now_ms);
+        self.update_policy(now_ms);
         let (fleet, basis) = self.parts.source.fleet(now_ms, self.parts.clock.unix_ms());
         if !self.waiting_models().is_empty() {
             self.parts.pace.follow_closely();
@@ -136,12 +136,12 @@
         for action in actions {
             self.carry_out(action);
         }
-        for (model, refusal) in self.failures.given_up(now_ms) {
+        for (model, refusal) in self.failures.refusals(now_ms) {
             self.parts.gateway.hopeless(&model, &refusal);
         }
         self.unload_strays();
         self.refuse_undecidable();
-        self.forget_ready();
+        self.drop_stale_ready_times();
         let view = self.parts.source.membership.view();
         self.parts
             .capacity
@@ -150,10 +150,10 @@
 
     /// Passes arrivals and finished loads since the last plan to the policy, and failed loads to
     /// the backoff.
-    fn feed(&mut self, now_ms: u64) {
+    fn update_policy(&mut self, now_ms: u64) {
         let arrivals = self.parts.source.demand.take_remote_arrivals();
         for model in self.parts.loads.take_failed() {
-            self.failures.failed(now_ms, &model);
+            self.failures.record_failure(now_ms, &model);
         }
         let mut policy = self.parts.policy.lock();
         for model in arrivals {
@@ -162,7 +162,7 @@
         for load in self.parts.loads.take() {
             let tier = self.parts.source.tier(&load.engine, &load.model);
             policy.loaded(now_ms, &load.model, tier, load.took_ms);
-            self.failures.worked(&load.model);
+            self.failures.record_success(&load.model);
         }
     }
 
@@ -182,7 +182,7 @@
                 if self.parts.loads.has_evidence() {
                     self.ready_at_ms.insert(model.clone(), ready_at_ms);
                 }
-                self.propose_load_near(&model, engine);
+                self.propose_load_in_group(&model, engine);
             }
             PlacementAction::Unload { model, engine } => self.propose_unload(&model, &engine),
             PlacementAction::Hopeless { refusal, .. }
@@ -203,7 +203,7 @@
     /// yet take effect there, proposes the fitting engine of the group with the most free memory
     /// instead, since replay rejects a second replica of a model on one engine. Without such an
     /// engine the waiting requests are refused.
-    fn propose_load_near(&self, model: &ModelName, chosen: UpstreamName) {
+    fn propose_load_in_group(&self, model: &ModelName, chosen: UpstreamName) {
         let view = self.parts.source.membership.view();
         let engine = self.parts.source.replayed.read(|state| {
             let is_free = |name: &UpstreamName| {
@@ -312,35 +312,39 @@
         model: &ModelName,
         build: impl Fn(Proposer) -> ControlRecord + Send + 'static,
     ) {
-        if self.held.lock().contains_key(model) {
+        if self.pending.lock().contains_key(model) {
             return;
         }
-        self.held.lock().insert(model.clone(), Held::Queued);
-        let held = Arc::clone(&self.held);
+        self.pending
+            .lock()
+            .insert(model.clone(), PendingProposal::Queued);
+        let pending = Arc::clone(&self.pending);
         let clock = Arc::clone(&self.parts.clock);
         let model = model.clone();
         self.parts
             .appender
             .propose(Persistence::Drop, build, move |appended| {
-                let mut held = held.lock();
+                let mut pending = pending.lock();
                 match appended {
-                    Appended::At(offset) => held.insert(model, Held::Appended(offset)),
-                    Appended::Not(_) => held.remove(&model),
-                    Appended::Unknown(_) => held.insert(
+                    Appended::At(offset) => {
+                        pending.insert(model, PendingProposal::Appended(offset))
+                    }
+                    Appended::Not(_) => pending.remove(&model),
+                    Appended::Unknown(_) => pending.insert(
                         model,
-                        Held::Until(clock.monotonic_ms() + UNKNOWN_OUTCOME_BLOCK_MS),
+                        PendingProposal::Until(clock.monotonic_ms() + UNKNOWN_OUTCOME_BLOCK_MS),
                     ),
                 };
             });
     }
 
     /// Unblocks models whose proposals have been replayed, or can no longer appear.
-    fn release(&self, now_ms: u64) {
+    fn unblock_replayed(&self, now_ms: u64) {
         let next = self.parts.source.replayed.next_offset();
-        self.held.lock().retain(|_, held| match held {
-            Held::Queued => true,
-            Held::Appended(offset) => *offset >= next,
-            Held::Until(until_ms) => now_ms < *until_ms,
+        self.pending.lock().retain(|_, pending| match pending {
+            PendingProposal::Queued => true,
+            PendingProposal::Appended(offset) => *offset >= next,
+            PendingProposal::Until(until_ms) => now_ms < *until_ms,
         });
     }
 
@@ -355,20 +359,23 @@
         if !self.parts.health.is_down(now_ms) {
             return;
         }
-        let is_blind = self.parts.health.is_blind(now_ms, UNREADABLE_LOG_GRACE_MS);
+        let is_unreadable = self
+            .parts
+            .health
+            .is_unreadable(now_ms, UNREADABLE_LOG_GRACE_MS);
         let waiting: BTreeSet<ModelName> = self.waiting_models();
         for model in waiting {
-            let (is_loaded, is_coming) = self.parts.source.replayed.read(|state| {
+            let (is_loaded, is_loading) = self.parts.source.replayed.read(|state| {
                 let has = |wanted: &[Stage]| {
                     let mut replicas = state.replicas_of(&model);
                     replicas.any(|one| wanted.contains(&one.stage()))
                 };
-                let coming = [Stage::Reserved, Stage::Loading];
-                (has(&[Stage::Loaded]), has(&coming))
+                let loading = [Stage::Reserved, Stage::Loading];
+                (has(&[Stage::Loaded]), has(&loading))
             });
-            let detail = match is_coming {
+            let detail = match is_loading {
                 _ if is_loaded => continue,
-                true if !is_blind => continue,
+                true if !is_unreadable => continue,
                 true => "the model's load is under way, and its end can't be read now",
                 false => "the model is not loaded, and no load can be decided now",
             };
@@ -392,10 +399,10 @@
     }
 
     /// Drops the expected ready times of models without a pending proposal or load under way.
-    fn forget_ready(&mut self) {
-        let held = self.held.lock();
+    fn drop_stale_ready_times(&mut self) {
+        let pending = self.pending.lock();
         self.ready_at_ms.retain(|model, _| {
-            held.contains_key(model)
+            pending.contains_key(model)
                 || self.parts.source.replayed.read(|state| {
                     let mut replicas = state.replicas_of(model);
                     replicas.any(|one| matches!(one.stage(), Stage::Reserved | Stage::Loading))
