--- a/crates/node/src/appender.rs
+++ b/crates/node/src/appender.rs
@@ -185,7 +185,7 @@
             sequence: self.sequence,
         };
         let payload = (proposal.build)(proposer).encode();
-        let outcome = self.append_until_clear(&payload, proposal.persistence);
+        let outcome = self.append_with_retries(&payload, proposal.persistence);
         (proposal.done)(outcome);
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Appends a payload, with retries as the persistence says.
-    fn append_until_clear(&self, payload: &[u8], persistence: Persistence) -> Appended {
+    fn append_with_retries(&self, payload: &[u8], persistence: Persistence) -> Appended {
         let mut unknown_attempts = 0;
         loop {
             self.parts.pace.follow_closely();
@@ -216,9 +216,9 @@
                 Err(error) => error,
             };
             warn!("append to the control stream failed: {error}");
-            let certain = matches!(error, Error::Unavailable(_) | Error::Rejected(_));
-            unknown_attempts += u32::from(!certain);
-            if certain || unknown_attempts >= DOWN_AFTER_UNKNOWN_APPENDS {
+            let is_certain = matches!(error, Error::Unavailable(_) | Error::Rejected(_));
+            unknown_attempts += u32::from(!is_certain);
+            if is_certain || unknown_attempts >= DOWN_AFTER_UNKNOWN_APPENDS {
                 self.parts
                     .health
                     .record_append(self.parts.clock.monotonic_ms(), false);
@@ -226,10 +226,10 @@
             match persistence {
                 _ if self.stopped() && unknown_attempts > 0 => return Appended::Unknown(error),
                 _ if self.stopped() => return Appended::Not(error),
-                Persistence::Drop if certain && unknown_attempts == 0 => {
+                Persistence::Drop if is_certain && unknown_attempts == 0 => {
                     return Appended::Not(error);
                 }
-                Persistence::Drop if unknown_attempts >= MAX_UNKNOWN_ATTEMPTS || certain => {
+                Persistence::Drop if unknown_attempts >= MAX_UNKNOWN_ATTEMPTS || is_certain => {
                     return Appended::Unknown(error);
                 }
                 Persistence::Drop | Persistence::Keep => thread::sleep(RETRY_PAUSE),
--- a/crates/node/src/assembly/common.rs
+++ b/crates/node/src/assembly/common.rs
@@ -189,7 +189,7 @@
     /// Returns a function that ends this process because its replayed state is void. It clears the
     /// epoch, so that the process decides nothing more, and starts a drain, which lets requests in
     /// progress finish.
-    pub fn give_up(&self) -> Arc<dyn Fn() + Send + Sync> {
+    pub fn end_process(&self) -> Arc<dyn Fn() + Send + Sync> {
         let (epoch, draining) = (Arc::clone(&self.epoch), Arc::clone(&self.draining));
         Arc::new(move || {
             error!("the state of this process is void; it drains and has to be restarted");
--- a/crates/node/src/assembly/control_threads.rs
+++ b/crates/node/src/assembly/control_threads.rs
@@ -159,7 +159,7 @@
                 snapshots: Arc::clone(snapshots),
                 peers: Arc::clone(peers),
                 membership: Arc::clone(&common.membership),
-                restart: common.give_up(),
+                restart: common.end_process(),
             },
             pace,
             membership: Arc::clone(&common.membership),
@@ -280,7 +280,7 @@
         RunnerParts {
             vm: common.vm(),
             process_id: common.process_id,
-            give_up: common.give_up(),
+            end_process: common.end_process(),
             replayed: Arc::clone(&common.replayed),
             membership: Arc::clone(&common.membership),
             orders: Arc::clone(&common.adapters.orders),
--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -95,9 +95,9 @@
                 Err(error) => error,
             };
             warn!("append to {} failed: {error}", self.stream.name);
-            let certain = matches!(error, Error::Unavailable(_) | Error::Rejected(_));
-            unknown_attempts += u32::from(!certain);
-            match certain {
+            let is_certain = matches!(error, Error::Unavailable(_) | Error::Rejected(_));
+            unknown_attempts += u32::from(!is_certain);
+            match is_certain {
                 true if unknown_attempts == 0 => self.give_up_claims(&mut batch),
                 // Claims of unknown outcome are neither refused as not appended nor retried for
                 // ever: their requests time out, and replay frees the key if a claim wins late.
--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -39,7 +39,7 @@
 use crate::appender::Persistence;
 use crate::demand::DemandTable;
 use crate::engine_reports::ReportTable;
-use crate::intents::EnginePlace;
+use crate::intents::EngineLocation;
 use crate::intents::observation;
 use crate::membership_view::SharedMembership;
 use crate::replayed::Replayed;
@@ -185,13 +185,13 @@
         if !is_new {
             return;
         }
-        let place = EnginePlace {
+        let location = EngineLocation {
             engine: name.clone(),
             group: engine.entry.group.clone(),
             zone: engine.entry.zone.clone(),
         };
         self.appender
-            .propose(Persistence::Drop, observation(place, status), |_| {});
+            .propose(Persistence::Drop, observation(location, status), |_| {});
     }
 
     /// Asks the VMs that read the other engines which this VM uses, a few peers in each round. This
--- a/crates/node/src/intents/mod.rs
+++ b/crates/node/src/intents/mod.rs
@@ -10,7 +10,7 @@
 mod settler;
 
 pub use freshness::Freshness;
-pub use outcome::EnginePlace;
+pub use outcome::EngineLocation;
 pub use outcome::observation;
 pub use runner::IntentRunner;
 pub use runner::RunnerParts;
--- a/crates/node/src/intents/outcome.rs
+++ b/crates/node/src/intents/outcome.rs
@@ -49,7 +49,7 @@
 
 /// Group and availability zone of an engine, by the VM list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EnginePlace {
+pub struct EngineLocation {
     /// Name of the engine.
     pub engine: UpstreamName,
     /// Group of engines that the engine belongs to.
@@ -60,15 +60,15 @@
 
 /// Returns the record that reports an engine's status.
 pub fn observation(
-    place: EnginePlace,
+    location: EngineLocation,
     status: EngineStatus,
 ) -> impl Fn(Proposer) -> ControlRecord + Send + 'static {
     move |proposer| {
         ControlRecord::Observed(Observation {
             proposer,
-            engine: place.engine.clone(),
-            group: place.group.clone(),
-            zone: place.zone.clone(),
+            engine: location.engine.clone(),
+            group: location.group.clone(),
+            zone: location.zone.clone(),
             boot: status.boot,
             sequence: status.sequence,
             capacity_bytes: status.capacity_bytes,
--- a/crates/node/src/intents/runner.rs
+++ b/crates/node/src/intents/runner.rs
@@ -49,7 +49,7 @@
     /// Random number that tells this process from earlier ones on the same VM.
     pub process_id: u64,
     /// Ends this process when replay no longer counts it as a member.
-    pub give_up: Arc<dyn Fn() + Send + Sync>,
+    pub end_process: Arc<dyn Fn() + Send + Sync>,
     /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
     /// View of the VMs and upstreams, shared by all threads.
@@ -101,7 +101,7 @@
 
 /// State of an intent as seen by processes that don't own it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum IntentState {
     /// Its owner is expected to settle it.
     Open,
     /// The owner can't settle the intent, or knows less than a process that takes it over now.
@@ -141,17 +141,17 @@
             // Disconnection means that the daemon is stopping; the loop condition checks that.
             let _ = self.wake.recv_timeout(TICK);
             self.parts.freshness.tick();
-            self.look();
+            self.check_intents();
         }
     }
 
-    fn look(&mut self) {
+    fn check_intents(&mut self) {
         let Some(epoch) = self.parts.epoch.get() else {
             return;
         };
         if !self.parts.is_member() {
             warn!("replay no longer counts this process as a member");
-            return (self.parts.give_up)();
+            return (self.parts.end_process)();
         }
         let intents: Vec<IntentView> = self
             .parts
@@ -167,14 +167,14 @@
         for intent in intents {
             match intent.owner.epoch == epoch && !self.wants_newer_take_over(&intent) {
                 true if self.parts.retired() => {}
-                true => self.act(intent),
-                false => self.consider_take_over(&intent),
+                true => self.start_worker(intent),
+                false => self.take_over_if_due(&intent),
             }
         }
     }
 
     /// Starts a worker for an intent that this process owns.
-    fn act(&mut self, intent: IntentView) {
+    fn start_worker(&mut self, intent: IntentView) {
         if !self.started.insert((intent.intent, intent.owner.since)) {
             return;
         }
@@ -199,18 +199,18 @@
     /// engine that checks fencing tokens; otherwise the original order could still take effect. An
     /// intent that is settled as far as possible is left alone, or two VMs would take it from each
     /// other endlessly.
-    fn consider_take_over(&mut self, intent: &IntentView) {
+    fn take_over_if_due(&mut self, intent: &IntentView) {
         let now_ms = self.parts.clock.monotonic_ms();
         let ownership = (intent.intent, intent.owner.since);
         let first_ms = *self.first_seen_ms.entry(ownership).or_insert(now_ms);
         let waited_ms = now_ms.saturating_sub(first_ms);
-        let is_due = match self.standing(intent) {
-            Standing::Abandoned => Some(waited_ms),
-            Standing::Settled => None,
-            Standing::Open if self.may_pass_by_owner(intent) => {
+        let is_due = match self.intent_state(intent) {
+            IntentState::Abandoned => Some(waited_ms),
+            IntentState::Settled => None,
+            IntentState::Open if self.may_bypass_owner(intent) => {
                 waited_ms.checked_sub(self.parts.load_timeout_ms)
             }
-            Standing::Open => None,
+            IntentState::Open => None,
         };
         let view = self.parts.membership.view();
         let may = is_due.is_some_and(|due_ms| view.may_propose(&intent.intent, due_ms));
@@ -238,19 +238,19 @@
     }
 
     /// Returns the state of an intent as seen by a process that doesn't own it.
-    fn standing(&self, intent: &IntentView) -> Standing {
+    fn intent_state(&self, intent: &IntentView) -> IntentState {
         self.parts.replayed.read(|state| {
             let replica = state
                 .replica(intent.load)
                 .filter(|_| intent.kind == IntentKind::Load);
             let quiet_since = replica.and_then(|replica| replica.quiet_since);
             match replica {
-                _ if !state.is_current(intent.owner.epoch) => Standing::Abandoned,
+                _ if !state.is_current(intent.owner.epoch) => IntentState::Abandoned,
                 _ if quiet_since.is_some_and(|since| since > intent.owner.since) => {
-                    Standing::Abandoned
+                    IntentState::Abandoned
                 }
-                Some(replica) if is_stuck(replica.stage()) => Standing::Settled,
-                _ => Standing::Open,
+                Some(replica) if is_stuck(replica.stage()) => IntentState::Settled,
+                _ => IntentState::Open,
             }
         })
     }
@@ -258,10 +258,10 @@
     /// Returns whether the sender ended only after the intent was taken over. That takeover then
     /// proves less than one made now.
     fn wants_newer_take_over(&self, intent: &IntentView) -> bool {
-        intent.owner.since > intent.intent && self.standing(intent) == Standing::Abandoned
+        intent.owner.since > intent.intent && self.intent_state(intent) == IntentState::Abandoned
     }
 
-    fn may_pass_by_owner(&self, intent: &IntentView) -> bool {
+    fn may_bypass_owner(&self, intent: &IntentView) -> bool {
         intent.owner.since > intent.intent || self.checks_fence(intent)
     }
 
--- a/crates/node/src/intents/sender.rs
+++ b/crates/node/src/intents/sender.rs
@@ -61,9 +61,9 @@
                     (self.parts.loaded)(&self.intent, took_ms);
                 }
             }
-            Ok(_) => self.take_own_over("the engine's answer does not show the effect"),
+            Ok(_) => self.take_over_own_intent("the engine's answer does not show the effect"),
             Err(error @ (Error::Unknown(_) | Error::Malformed(_))) => {
-                self.take_own_over(&error.to_string());
+                self.take_over_own_intent(&error.to_string());
             }
             Err(error) => {
                 warn!("order for {} had no effect: {error}", self.intent.model);
@@ -77,7 +77,7 @@
     fn await_freshness(&self) -> bool {
         for _ in 0..MAX_FRESHNESS_CHECKS {
             if self.parts.freshness.confirm() {
-                return self.is_still_mine();
+                return self.is_still_owned();
             }
             if self.parts.stopped() {
                 return false;
@@ -87,7 +87,7 @@
         false
     }
 
-    fn is_still_mine(&self) -> bool {
+    fn is_still_owned(&self) -> bool {
         if self.parts.retired() || !self.parts.is_member() {
             return false;
         }
@@ -143,7 +143,7 @@
 
     /// Takes over this process's own intent after an order of unknown effect. The record states
     /// that the order will not be sent again; its effect is then read from the engine.
-    fn take_own_over(&self, reason: &str) {
+    fn take_over_own_intent(&self, reason: &str) {
         warn!(
             "outcome of the order for {} is unknown: {reason}",
             self.intent.model
--- a/crates/node/src/intents/settler.rs
+++ b/crates/node/src/intents/settler.rs
@@ -14,7 +14,7 @@
 use apricotdale_state::view::IntentView;
 
 use super::outcome;
-use super::outcome::EnginePlace;
+use super::outcome::EngineLocation;
 use super::runner::RunnerParts;
 use crate::appender::Persistence;
 
@@ -33,7 +33,7 @@
     /// Reads the engine's status until the intent can be settled, has been settled by another
     /// record, or belongs to another process.
     pub fn run(self) {
-        while self.is_still_mine() && !self.parts.stopped() {
+        while self.is_still_owned() && !self.parts.stopped() {
             let Some(status) = self.read() else {
                 thread::sleep(READ_PAUSE);
                 continue;
@@ -46,7 +46,7 @@
         }
     }
 
-    fn is_still_mine(&self) -> bool {
+    fn is_still_owned(&self) -> bool {
         self.parts.replayed.read(|state| {
             let mut unsettled = state.unsettled_of(self.intent.owner.epoch);
             unsettled.any(|intent| {
@@ -90,7 +90,7 @@
         let record =
             outcome::settlement(self.intent.kind, self.intent.intent, outcome, Some(&status));
         // Replay accepts a settlement of an engine's boot only after an observation of that boot.
-        if let Some(place) = self.place() {
+        if let Some(place) = self.engine_location() {
             let observation = outcome::observation(place, status);
             self.parts
                 .appender
@@ -101,10 +101,10 @@
             .propose(Persistence::Keep, record, |_| {});
     }
 
-    fn place(&self) -> Option<EnginePlace> {
+    fn engine_location(&self) -> Option<EngineLocation> {
         let view = self.parts.membership.view();
         let entry = &view.upstreams.get(&self.intent.engine)?.entry;
-        Some(EnginePlace {
+        Some(EngineLocation {
             engine: self.intent.engine.clone(),
             group: entry.group.clone(),
             zone: entry.zone.clone(),
