--- a/crates/node/src/intents/settler.rs
+++ b/crates/node/src/intents/settler.rs
@@ -90,8 +90,8 @@
         let record =
             outcome::settlement(self.intent.kind, self.intent.intent, outcome, Some(&status));
         // Replay accepts a settlement of an engine's boot only after an observation of that boot.
-        if let Some(place) = self.engine_location() {
-            let observation = outcome::observation(place, status);
+        if let Some(location) = self.engine_location() {
+            let observation = outcome::observation(location, status);
             self.parts
                 .appender
                 .propose(Persistence::Keep, observation, |_| {});
