--- a/crates/node/src/claims/claim_state.rs
+++ b/crates/node/src/claims/claim_state.rs
@@ -42,7 +42,7 @@
             .stream
             .with_table(|table| table.apply(record.offset, record.appended_ms, &record.payload));
         match decided {
-            Ok(decided) => decided.iter().for_each(|claim| self.tell(claim)),
+            Ok(decided) => decided.iter().for_each(|claim| self.deliver_verdict(claim)),
             Err(reason) => warn!(
                 "claim record {} was ignored: {}",
                 record.offset,
@@ -51,7 +51,7 @@
         }
     }
 
-    fn tell(&self, claim: &DecidedClaim) {
+    fn deliver_verdict(&self, claim: &DecidedClaim) {
         let is_own = claim.process_id == Some(self.process_id);
         if !is_own || self.stream.decide(&claim.request, &claim.verdict) {
             return;
--- a/crates/node/src/claims/claim_stream.rs
+++ b/crates/node/src/claims/claim_stream.rs
@@ -27,7 +27,7 @@
 
 /// Outcome of waiting for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wait {
+pub enum ClaimWait {
     /// Replay decided the claim with this verdict.
     Decided(ClaimVerdict),
     /// The claim is certainly not on the stream.
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Slot {
+enum WaitState {
     Waiting,
     Decided(ClaimVerdict),
     NotAppended,
@@ -50,8 +50,8 @@
     /// Read pacing of the stream.
     pub pace: Pace,
     table: Mutex<ClaimTable>,
-    slots: Mutex<HashMap<RequestId, Slot>>,
-    moved: Condvar,
+    waits: Mutex<HashMap<RequestId, WaitState>>,
+    decided: Condvar,
     queue: Sender<ClaimRecord>,
     queued: Receiver<ClaimRecord>,
     pending_finishes: AtomicUsize,
@@ -66,8 +66,8 @@
             name,
             pace,
             table: Mutex::new(ClaimTable::new(ClaimOptions::default())),
-            slots: Mutex::new(HashMap::new()),
-            moved: Condvar::new(),
+            waits: Mutex::new(HashMap::new()),
+            decided: Condvar::new(),
             queue,
             queued,
             pending_finishes: AtomicUsize::new(0),
@@ -111,32 +111,36 @@
 
     /// Registers a request that is about to wait. Must be called before its claim is queued.
     pub fn begin_wait(&self, request: &RequestId) {
-        self.slots.lock().insert(request.clone(), Slot::Waiting);
+        self.waits
+            .lock()
+            .insert(request.clone(), WaitState::Waiting);
     }
 
     /// Waits until the request's claim is decided, or the timeout passes.
-    pub fn wait(&self, request: &RequestId, timeout: Duration) -> Wait {
+    pub fn wait(&self, request: &RequestId, timeout: Duration) -> ClaimWait {
         let deadline = Instant::now() + timeout;
-        let mut slots = self.slots.lock();
+        let mut waits = self.waits.lock();
         loop {
-            let timed_out = match slots.get(request) {
-                Some(Slot::Waiting) => self.moved.wait_until(&mut slots, deadline).timed_out(),
+            let timed_out = match waits.get(request) {
+                Some(WaitState::Waiting) => {
+                    self.decided.wait_until(&mut waits, deadline).timed_out()
+                }
                 _ => false,
             };
-            match slots.get(request) {
-                Some(Slot::Waiting) if !timed_out => {}
-                Some(Slot::Decided(verdict)) => {
+            match waits.get(request) {
+                Some(WaitState::Waiting) if !timed_out => {}
+                Some(WaitState::Decided(verdict)) => {
                     let verdict = verdict.clone();
-                    slots.remove(request);
-                    return Wait::Decided(verdict);
+                    waits.remove(request);
+                    return ClaimWait::Decided(verdict);
                 }
-                Some(Slot::NotAppended) => {
-                    slots.remove(request);
-                    return Wait::NotAppended;
+                Some(WaitState::NotAppended) => {
+                    waits.remove(request);
+                    return ClaimWait::NotAppended;
                 }
-                Some(Slot::Waiting) | None => {
-                    slots.remove(request);
-                    return Wait::TimedOut;
+                Some(WaitState::Waiting) | None => {
+                    waits.remove(request);
+                    return ClaimWait::TimedOut;
                 }
             }
         }
@@ -144,28 +148,30 @@
 
     /// Passes the verdict to the waiting request. Returns whether a request waited.
     pub fn decide(&self, request: &RequestId, verdict: &ClaimVerdict) -> bool {
-        let mut slots = self.slots.lock();
-        let Some(slot) = slots.get_mut(request) else {
+        let mut waits = self.waits.lock();
+        let Some(wait_state) = waits.get_mut(request) else {
             return false;
         };
         // The first verdict counts; a batch that was appended twice causes a second one.
-        if *slot == Slot::Waiting {
-            *slot = Slot::Decided(verdict.clone());
+        if *wait_state == WaitState::Waiting {
+            *wait_state = WaitState::Decided(verdict.clone());
         }
-        drop(slots);
-        self.moved.notify_all();
+        drop(waits);
+        self.decided.notify_all();
         true
     }
 
     /// Lets the waiting request know that its claim is certainly not on the stream.
     pub fn fail(&self, request: &RequestId) {
-        let mut slots = self.slots.lock();
-        match slots.get_mut(request) {
-            Some(slot) if *slot == Slot::Waiting => *slot = Slot::NotAppended,
+        let mut waits = self.waits.lock();
+        match waits.get_mut(request) {
+            Some(wait_state) if *wait_state == WaitState::Waiting => {
+                *wait_state = WaitState::NotAppended
+            }
             _ => return,
         }
-        drop(slots);
-        self.moved.notify_all();
+        drop(waits);
+        self.decided.notify_all();
     }
 
     /// Queues the finish record of a call.
--- a/crates/node/src/claims/claim_sweeper.rs
+++ b/crates/node/src/claims/claim_sweeper.rs
@@ -41,14 +41,14 @@
 impl ClaimSweeper {
     /// Sweeps until the daemon stops.
     pub fn run(self) {
-        let mut seen: Vec<Ended> = vec![Ended::new(); self.streams.len()];
+        let mut seen_before: Vec<Ended> = vec![Ended::new(); self.streams.len()];
         while !self.stop.load(Ordering::Relaxed) {
             let view = self.membership.view();
-            for (stream, seen) in self.streams.iter().zip(&mut seen) {
+            for (stream, seen_before) in self.streams.iter().zip(&mut seen_before) {
                 let sweeps =
                     self.replayed.is_caught_up() && view.is_preferred(stream.name.as_str());
-                *seen = if sweeps {
-                    self.sweep(stream, seen)
+                *seen_before = if sweeps {
+                    self.sweep(stream, seen_before)
                 } else {
                     Ended::new()
                 };
@@ -57,19 +57,19 @@
         }
     }
 
-    /// Finishes the claims that are in `seen` and still belong to processes that have ended.
+    /// Finishes the claims that are in `seen_before` and still belong to processes that have ended.
     /// Returns the claims found in this sweep for the first time.
-    fn sweep(&self, stream: &ClaimStream, seen: &Ended) -> Ended {
-        let is_over = |process_id| {
+    fn sweep(&self, stream: &ClaimStream, seen_before: &Ended) -> Ended {
+        let has_ended = |process_id| {
             self.replayed
                 .read(|state| !state.members().has_process(process_id))
         };
-        let finishes = stream.with_table(|table| table.finishes_of_ended(is_over));
+        let finishes = stream.with_table(|table| table.finishes_of_ended(has_ended));
         let mut ended = Ended::new();
         for finish in finishes {
             let Finish { key, request, .. } = &finish;
             let claim = (key.clone(), request.clone());
-            if seen.contains(&claim) {
+            if seen_before.contains(&claim) {
                 info!("request {request} ended with its process; its outcome is unknown");
                 stream.finish(finish);
                 continue;
--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -98,7 +98,7 @@
             let is_certain = matches!(error, Error::Unavailable(_) | Error::Rejected(_));
             unknown_attempts += u32::from(!is_certain);
             match is_certain {
-                true if unknown_attempts == 0 => self.give_up_claims(&mut batch),
+                true if unknown_attempts == 0 => self.reject_claims(&mut batch),
                 // Claims of unknown outcome are neither refused as not appended nor retried for
                 // ever: their requests time out, and replay frees the key if a claim wins late.
                 _ if unknown_attempts >= MAX_UNKNOWN_ATTEMPTS => drop_claims(&mut batch),
@@ -111,7 +111,7 @@
         }
     }
 
-    fn give_up_claims(&self, batch: &mut Vec<ClaimRecord>) {
+    fn reject_claims(&self, batch: &mut Vec<ClaimRecord>) {
         for record in batch.iter() {
             if let ClaimRecord::Claim(claim) = record {
                 self.stream.fail(&claim.request);
--- a/crates/node/src/claims/keeper.rs
+++ b/crates/node/src/claims/keeper.rs
@@ -24,7 +24,7 @@
 use apricotdale_state::claims::ClaimVerdict;
 
 use super::claim_stream::ClaimStream;
-use super::claim_stream::Wait;
+use super::claim_stream::ClaimWait;
 use crate::appender::EpochCell;
 use crate::replayed::Replayed;
 
@@ -134,9 +134,9 @@
             process_id: self.process_id,
         }));
         match stream.wait(&ask.request, Duration::from_millis(wait_ms)) {
-            Wait::Decided(verdict) => self.decide(ask, verdict),
-            Wait::NotAppended => log_unavailable("the log refused the claim"),
-            Wait::TimedOut => {
+            ClaimWait::Decided(verdict) => self.decide(ask, verdict),
+            ClaimWait::NotAppended => log_unavailable("the log refused the claim"),
+            ClaimWait::TimedOut => {
                 stream.free(&ask.key, &ask.request);
                 log_unavailable("the log did not decide the claim in time")
             }
