--- a/crates/node/src/assembly/common.rs
+++ b/crates/node/src/assembly/common.rs
@@ -104,13 +104,13 @@
         let draining = Arc::new(AtomicBool::new(false));
         let (health, epoch): (Arc<LogHealth>, Arc<EpochCell>) = Default::default();
         let (placement_wake, settle_wake) = (Signal::new(), Signal::new());
-        let moved = wake_both(&placement_wake, &settle_wake);
+        let changed = wake_both(&placement_wake, &settle_wake);
         let control = ControlStream::new(
             settings.platform.control_stream.clone(),
             Arc::clone(&replayed),
             Arc::clone(&loads),
             Arc::clone(&metrics),
-            moved,
+            changed,
         );
         let claim_streams: Vec<Arc<ClaimStream>> = settings
             .platform
--- a/crates/node/src/claims/claim_state.rs
+++ b/crates/node/src/claims/claim_state.rs
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    fn fresh(&self, next: Offset, _: Option<&Section>) -> Vec<u8> {
+    fn fresh_start(&self, next: Offset, _: Option<&Section>) -> Vec<u8> {
         let table = ClaimTable::after_loss(next, ClaimOptions::default());
         Section::of_claims(Lineage::default(), &table).bytes
     }
--- a/crates/node/src/replayed.rs
+++ b/crates/node/src/replayed.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub struct Replayed {
     inner: Mutex<Inner>,
-    moved: Condvar,
+    changed: Condvar,
 }
 
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
     /// Records that the state is as new as it can be now.
     pub fn mark_caught_up(&self) {
         self.inner.lock().caught_up = true;
-        self.moved.notify_all();
+        self.changed.notify_all();
     }
 
     /// Replays records and returns the verdict on each. `look` is called with the state after each
@@ -74,7 +74,7 @@
             })
             .collect();
         drop(inner);
-        self.moved.notify_all();
+        self.changed.notify_all();
         verdicts
     }
 
@@ -86,7 +86,7 @@
             inner.state = state;
         }
         drop(inner);
-        self.moved.notify_all();
+        self.changed.notify_all();
         is_newer
     }
 
@@ -102,7 +102,7 @@
             if let Some(value) = condition(&inner.state) {
                 return Some(value);
             }
-            if self.moved.wait_until(&mut inner, deadline).timed_out() {
+            if self.changed.wait_until(&mut inner, deadline).timed_out() {
                 return condition(&inner.state);
             }
         }
--- a/crates/node/src/streams/catch_up.rs
+++ b/crates/node/src/streams/catch_up.rs
@@ -52,7 +52,7 @@
 
 /// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CaughtUp {
+pub enum CatchUpOutcome {
     /// The stream can be followed from the state on.
     Follow,
     /// The log is down; requests are served from the state meanwhile.
@@ -62,14 +62,14 @@
 }
 
 /// What one run has learned of the log, the snapshot stream and the peers.
-struct Episode {
+struct Findings {
     knowledge: Knowledge,
     sections: BTreeMap<VmName, Section>,
 }
 
 impl CatchUp {
     /// Carries out the plan until the stream can be followed or no action is possible.
-    pub fn run(&self) -> CaughtUp {
+    pub fn run(&self) -> CatchUpOutcome {
         // While this process did not follow the stream, other VMs may have agreed on a fresh start
         // and given up the history that this one holds. Its own position can look valid all the
         // same; only the snapshot stream shows the fresh start. That stream can't be read while the
@@ -77,17 +77,17 @@
         if self.state.position().is_some() {
             self.snapshots.read_to_end();
         }
-        let mut episode = self.begin();
+        let mut findings = self.begin();
         for _ in 0..MAX_ACTIONS {
-            let action = plan(&episode.knowledge);
-            if let Some(outcome) = self.carry_out(action, &mut episode) {
+            let action = plan(&findings.knowledge);
+            if let Some(outcome) = self.carry_out(action, &mut findings) {
                 return outcome;
             }
         }
-        CaughtUp::Waiting
+        CatchUpOutcome::Waiting
     }
 
-    fn begin(&self) -> Episode {
+    fn begin(&self) -> Findings {
         let view = self.membership.view();
         let peers = view.as_of_ms.map(|_| {
             let others = view.vms.keys().filter(|vm| **vm != view.own);
@@ -102,7 +102,7 @@
             lineage: self.snapshots.lineage(self.stream()),
             peers,
         };
-        Episode {
+        Findings {
             knowledge,
             sections: BTreeMap::new(),
         }
@@ -138,48 +138,48 @@
     }
 
     /// Carries out one action. Returns the outcome if no further action is possible now.
-    fn carry_out(&self, action: CatchUpAction, episode: &mut Episode) -> Option<CaughtUp> {
+    fn carry_out(&self, action: CatchUpAction, findings: &mut Findings) -> Option<CatchUpOutcome> {
         match action {
             CatchUpAction::ReadLogRange => {
-                episode.knowledge.log = self.log_range();
+                findings.knowledge.log = self.log_range();
                 None
             }
             CatchUpAction::Follow(_) => {
                 if self.state.position().is_none() {
                     self.state.begin();
                 }
-                Some(CaughtUp::Follow)
+                Some(CatchUpOutcome::Follow)
             }
-            CatchUpAction::ReadSnapshotStream => self.read_snapshots(episode),
+            CatchUpAction::ReadSnapshotStream => self.read_snapshots(findings),
             CatchUpAction::InstallFromStream => {
                 let section = self.snapshots.newest(self.stream());
-                self.install(section.as_ref(), "the snapshot stream", episode)
+                self.install(section.as_ref(), "the snapshot stream", findings)
             }
             CatchUpAction::AskPeers(vms) => {
-                vms.into_iter().for_each(|vm| self.ask(vm, episode));
+                vms.into_iter().for_each(|vm| self.ask_peer(vm, findings));
                 None
             }
             CatchUpAction::InstallFromPeer(vm) => {
-                let section = episode.sections.get(&vm).cloned();
-                self.install(section.as_ref(), vm.as_str(), episode)
+                let section = findings.sections.get(&vm).cloned();
+                self.install(section.as_ref(), vm.as_str(), findings)
             }
             CatchUpAction::ServeOnly => {
                 self.state.mark_caught_up();
-                Some(CaughtUp::Serving)
+                Some(CatchUpOutcome::Serving)
             }
             CatchUpAction::Wait(reason) => {
                 warn!("{} can't be caught up with now: {reason:?}", self.stream());
-                Some(CaughtUp::Waiting)
+                Some(CatchUpOutcome::Waiting)
             }
-            CatchUpAction::ProposeFresh(next) => self.propose_fresh(next, episode),
+            CatchUpAction::ProposeFresh(next) => self.propose_fresh_start(next, findings),
             CatchUpAction::SaveAndRestart => {
                 self.save();
                 (self.restart)();
-                Some(CaughtUp::Waiting)
+                Some(CatchUpOutcome::Waiting)
             }
             CatchUpAction::Restart => {
                 (self.restart)();
-                Some(CaughtUp::Waiting)
+                Some(CatchUpOutcome::Waiting)
             }
             CatchUpAction::Halt => {
                 // Accepted configuration must not revert, so the state is kept. The log has lost
@@ -188,24 +188,24 @@
                     "{} ends before what was read of it; no decisions",
                     self.stream()
                 );
-                Some(CaughtUp::Serving)
+                Some(CatchUpOutcome::Serving)
             }
         }
     }
 
-    fn read_snapshots(&self, episode: &mut Episode) -> Option<CaughtUp> {
+    fn read_snapshots(&self, findings: &mut Findings) -> Option<CatchUpOutcome> {
         if !self.snapshots.read_to_end() {
-            return Some(CaughtUp::Waiting);
+            return Some(CatchUpOutcome::Waiting);
         }
         let newest = self.snapshots.newest(self.stream());
-        episode.knowledge.lineage = self.snapshots.lineage(self.stream());
-        episode.knowledge.stream = newest.map_or(StreamSnapshot::Absent, |section| {
-            StreamSnapshot::Reaches(place(&section))
+        findings.knowledge.lineage = self.snapshots.lineage(self.stream());
+        findings.knowledge.stream = newest.map_or(StreamSnapshot::Absent, |section| {
+            StreamSnapshot::Reaches(section_position(&section))
         });
         None
     }
 
-    fn ask(&self, vm: VmName, episode: &mut Episode) {
+    fn ask_peer(&self, vm: VmName, findings: &mut Findings) {
         let address = self.membership.view().peer_address(&vm);
         let fetched = address.map_or(Fetched::Silent, |address| self.peers.fetch(address));
         let answer = match fetched {
@@ -214,13 +214,13 @@
             Fetched::State(mut snapshot) => match snapshot.sections.remove(self.stream()) {
                 None => PeerAnswer::NoState,
                 Some(section) => {
-                    let position = place(&section);
-                    episode.sections.insert(vm.clone(), section);
+                    let position = section_position(&section);
+                    findings.sections.insert(vm.clone(), section);
                     PeerAnswer::Reaches(position)
                 }
             },
         };
-        let peers = episode.knowledge.peers.iter_mut().flatten();
+        let peers = findings.knowledge.peers.iter_mut().flatten();
         peers
             .filter(|(name, _)| *name == vm)
             .for_each(|(_, known)| *known = answer);
@@ -230,12 +230,12 @@
         &self,
         section: Option<&Section>,
         source: &str,
-        episode: &mut Episode,
-    ) -> Option<CaughtUp> {
+        findings: &mut Findings,
+    ) -> Option<CatchUpOutcome> {
         let installed = section.map(|section| self.state.install(section));
         match installed {
             Some(Ok(())) => {
-                episode.knowledge.own = self.state.position();
+                findings.knowledge.own = self.state.position();
                 info!("{} goes on from a state of {source}", self.stream());
                 None
             }
@@ -244,15 +244,15 @@
                     "the state of {} from {source} can't be read: {error}",
                     self.stream()
                 );
-                Some(CaughtUp::Waiting)
+                Some(CatchUpOutcome::Waiting)
             }
-            None => Some(CaughtUp::Waiting),
+            None => Some(CatchUpOutcome::Waiting),
         }
     }
 
-    fn propose_fresh(&self, next: Offset, episode: &mut Episode) -> Option<CaughtUp> {
+    fn propose_fresh_start(&self, next: Offset, findings: &mut Findings) -> Option<CatchUpOutcome> {
         let outdated = self.snapshots.newest(self.stream());
-        let bytes = self.state.fresh(next, outdated.as_ref());
+        let bytes = self.state.fresh_start(next, outdated.as_ref());
         let fresh = FreshStart {
             after: self.snapshots.next_offset(),
             next,
@@ -265,12 +265,12 @@
         );
         match self.log.append(self.snapshots.stream(), &record.encode()) {
             Ok(_) => {
-                episode.knowledge.stream = StreamSnapshot::Unread;
+                findings.knowledge.stream = StreamSnapshot::Unread;
                 None
             }
             Err(error) => {
                 warn!("append of the fresh start failed: {error}");
-                Some(CaughtUp::Waiting)
+                Some(CatchUpOutcome::Waiting)
             }
         }
     }
@@ -288,7 +288,7 @@
     }
 }
 
-fn place(section: &Section) -> Position {
+fn section_position(section: &Section) -> Position {
     Position {
         lineage: section.lineage,
         next: section.next,
--- a/crates/node/src/streams/control_stream.rs
+++ b/crates/node/src/streams/control_stream.rs
@@ -26,26 +26,26 @@
     replayed: Arc<Replayed>,
     loads: Arc<LoadHistory>,
     metrics: Arc<Metrics>,
-    moved: Box<dyn Fn() + Send + Sync>,
+    changed: Box<dyn Fn() + Send + Sync>,
     lineage: Mutex<Option<Lineage>>,
 }
 
 impl ControlStream {
-    /// Returns the state of a stream of which nothing has been read. `moved` is called after each
+    /// Returns the state of a stream of which nothing has been read. `changed` is called after each
     /// batch.
     pub fn new(
         stream: StreamName,
         replayed: Arc<Replayed>,
         loads: Arc<LoadHistory>,
         metrics: Arc<Metrics>,
-        moved: Box<dyn Fn() + Send + Sync>,
+        changed: Box<dyn Fn() + Send + Sync>,
     ) -> Self {
         Self {
             stream,
             replayed,
             loads,
             metrics,
-            moved,
+            changed,
             lineage: Mutex::new(None),
         }
     }
@@ -56,7 +56,7 @@
             .read(|state| (state.next_offset(), state.config().version()));
         self.metrics.node().set_replayed(next);
         self.metrics.node().set_config_version(version);
-        (self.moved)();
+        (self.changed)();
     }
 }
 
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    fn fresh(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8> {
+    fn fresh_start(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8> {
         let outdated = outdated.and_then(|section| section.control().ok());
         let state = ControlState::after_loss(next, outdated.as_ref());
         Section::of_control(Lineage::default(), &state).bytes
--- a/crates/node/src/streams/peer_snapshots.rs
+++ b/crates/node/src/streams/peer_snapshots.rs
@@ -68,13 +68,13 @@
                 }
             }
             if parts.len() as u32 >= parts[0].parts {
-                return whole(&parts);
+                return decode_snapshot(&parts);
             }
         }
     }
 }
 
-fn whole(parts: &[SnapshotPart]) -> Fetched {
+fn decode_snapshot(parts: &[SnapshotPart]) -> Fetched {
     match Snapshot::from_parts(parts) {
         Ok(snapshot) => Fetched::State(snapshot),
         Err(error) => {
--- a/crates/node/src/streams/snapshot_writer.rs
+++ b/crates/node/src/streams/snapshot_writer.rs
@@ -57,7 +57,7 @@
 
 /// Last section of one stream, or the start of the interval when this VM became preferred.
 #[derive(Clone, Copy, Debug)]
-struct Written {
+struct LastSection {
     at_ms: u64,
     next: Option<Offset>,
     interval_ms: u64,
@@ -66,12 +66,12 @@
 impl SnapshotWriter {
     /// Writes until the daemon stops.
     pub fn run(self) {
-        let mut written: Vec<Option<Written>> = vec![None; self.states.len()];
+        let mut written: Vec<Option<LastSection>> = vec![None; self.states.len()];
         while !self.stop.load(Ordering::Relaxed) {
             let view = self.membership.view();
             for (state, written) in self.states.iter().zip(&mut written) {
                 match view.is_preferred(state.stream().as_str()) {
-                    true => self.consider(&**state, written),
+                    true => self.write_if_due(&**state, written),
                     false => *written = None,
                 }
             }
@@ -79,12 +79,12 @@
         }
     }
 
-    fn consider(&self, state: &dyn StreamState, written: &mut Option<Written>) {
+    fn write_if_due(&self, state: &dyn StreamState, written: &mut Option<LastSection>) {
         let now_ms = self.clock.monotonic_ms();
         let Some(position) = state.position() else {
             return;
         };
-        let last = *written.get_or_insert(Written {
+        let last = *written.get_or_insert(LastSection {
             at_ms: now_ms,
             next: None,
             interval_ms: MIN_INTERVAL_MS,
@@ -101,7 +101,7 @@
         let interval_ms =
             MIN_INTERVAL_MS.max(section.bytes.len() as u64 * 1_000 / MAX_SECTION_BYTES_PER_S);
         let next = self.write(state.stream(), &section).then_some(section.next);
-        *written = Some(Written {
+        *written = Some(LastSection {
             at_ms: now_ms,
             next: next.or(last.next),
             interval_ms,
--- a/crates/node/src/streams/stream_state.rs
+++ b/crates/node/src/streams/stream_state.rs
@@ -33,7 +33,7 @@
 
     /// Returns the encoded state of a fresh start at an offset. It keeps what is still valid of an
     /// outdated section.
-    fn fresh(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8>;
+    fn fresh_start(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8>;
 
     /// Records that the state is as new as it can be now.
     fn mark_caught_up(&self);
--- a/crates/node/src/streams/stream_tail.rs
+++ b/crates/node/src/streams/stream_tail.rs
@@ -15,7 +15,7 @@
 use apricotdale_membership::PauseVerdict;
 
 use super::catch_up::CatchUp;
-use super::catch_up::CaughtUp;
+use super::catch_up::CatchUpOutcome;
 use super::pace::Pace;
 use super::stream_state::StreamState;
 use crate::log_health::LogHealth;
@@ -58,14 +58,14 @@
 impl StreamTail {
     /// Follows the stream until the daemon stops.
     pub fn run(mut self) {
-        let mut follows = false;
+        let mut is_following = false;
         while !self.stop.load(Ordering::Relaxed) {
-            follows = match follows {
+            is_following = match is_following {
                 true if self.was_paused() => self.catch_up(),
                 true => self.follow_on(),
                 false => self.catch_up(),
             };
-            if !follows {
+            if !is_following {
                 thread::sleep(RETRY_PAUSE);
             }
         }
@@ -73,10 +73,10 @@
 
     fn catch_up(&self) -> bool {
         let outcome = self.catch_up.run();
-        self.record_read(outcome == CaughtUp::Follow);
+        self.record_read(outcome == CatchUpOutcome::Follow);
         // The first read does not wait, so a stream without further records counts as caught up at
         // once.
-        outcome == CaughtUp::Follow && self.follow(0)
+        outcome == CatchUpOutcome::Follow && self.follow(0)
     }
 
     fn was_paused(&mut self) -> bool {
