--- a/crates/node/src/load_history.rs
+++ b/crates/node/src/load_history.rs
@@ -14,7 +14,7 @@
 
 /// Load that a VM has carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenLoad {
+pub struct FinishedLoad {
     /// Model or adapter that was loaded.
     pub model: ModelName,
     /// Engine that it was loaded on.
@@ -41,9 +41,9 @@
 #[derive(Debug, Default)]
 struct Inner {
     open: BTreeMap<Offset, OpenLoad>,
-    seen: Vec<SeenLoad>,
+    finished: Vec<FinishedLoad>,
     failed: Vec<ModelName>,
-    any_seen: bool,
+    any_finished: bool,
 }
 
 impl LoadHistory {
@@ -53,13 +53,13 @@
     }
 
     /// Updates the history by the state after an accepted record.
-    pub fn look(&self, state: &ControlState) {
+    pub fn update(&self, state: &ControlState) {
         let mut inner = self.inner.lock();
         let Inner {
             open,
-            seen,
+            finished,
             failed,
-            any_seen,
+            any_finished,
         } = &mut *inner;
         open.retain(|load, ended| {
             let is_loading = state
@@ -83,8 +83,8 @@
                     let Some(load) = open.remove(&replica.load) else {
                         continue;
                     };
-                    *any_seen = true;
-                    seen.push(SeenLoad {
+                    *any_finished = true;
+                    finished.push(FinishedLoad {
                         model: replica.model.clone(),
                         engine: replica.engine.clone(),
                         took_ms: replica.since_ms.saturating_sub(load.decided_ms),
@@ -101,13 +101,13 @@
     }
 
     /// Returns the loads that were settled as done since the last call.
-    pub fn take(&self) -> Vec<SeenLoad> {
-        std::mem::take(&mut self.inner.lock().seen)
+    pub fn take_finished(&self) -> Vec<FinishedLoad> {
+        std::mem::take(&mut self.inner.lock().finished)
     }
 
     /// Returns whether any load has been seen. Before that, predicted load times are only
     /// assumptions, for which no request is refused.
-    pub fn has_evidence(&self) -> bool {
-        self.inner.lock().any_seen
+    pub fn has_finished_any(&self) -> bool {
+        self.inner.lock().any_finished
     }
 }
--- a/crates/node/src/placement/placement_loop.rs
+++ b/crates/node/src/placement/placement_loop.rs
@@ -159,7 +159,7 @@
         for model in arrivals {
             policy.arrived(now_ms, &model);
         }
-        for load in self.parts.loads.take() {
+        for load in self.parts.loads.take_finished() {
             let tier = self.parts.source.tier(&load.engine, &load.model);
             policy.loaded(now_ms, &load.model, tier, load.took_ms);
             self.failures.record_success(&load.model);
@@ -179,7 +179,7 @@
                 engine,
                 ready_at_ms,
             } => {
-                if self.parts.loads.has_evidence() {
+                if self.parts.loads.has_finished_any() {
                     self.ready_at_ms.insert(model.clone(), ready_at_ms);
                 }
                 self.propose_load_in_group(&model, engine);
@@ -187,7 +187,7 @@
             PlacementAction::Unload { model, engine } => self.propose_unload(&model, &engine),
             PlacementAction::Hopeless { refusal, .. }
                 if refusal.reason == RefusalReason::DeadlineTooShort
-                    && !self.parts.loads.has_evidence() => {}
+                    && !self.parts.loads.has_finished_any() => {}
             PlacementAction::Hopeless { model, refusal } => {
                 self.parts.gateway.hopeless(&model, &refusal);
             }
--- a/crates/node/src/replayed.rs
+++ b/crates/node/src/replayed.rs
@@ -53,12 +53,12 @@
         self.changed.notify_all();
     }
 
-    /// Replays records and returns the verdict on each. `look` is called with the state after each
+    /// Replays records and returns the verdict on each. `on_accepted` is called with the state after each
     /// accepted record.
     pub fn apply(
         &self,
         records: &[LogRecord],
-        look: impl Fn(&ControlState),
+        on_accepted: impl Fn(&ControlState),
     ) -> Vec<(Offset, Verdict)> {
         let mut inner = self.inner.lock();
         let verdicts = records
@@ -68,7 +68,7 @@
                     .state
                     .apply(record.offset, record.appended_ms, &record.payload);
                 if verdict.is_accepted() {
-                    look(&inner.state);
+                    on_accepted(&inner.state);
                 }
                 (record.offset, verdict)
             })
--- a/crates/node/src/streams/control_stream.rs
+++ b/crates/node/src/streams/control_stream.rs
@@ -78,7 +78,10 @@
     }
 
     fn replay(&self, records: &[LogRecord]) {
-        for (offset, verdict) in self.replayed.apply(records, |state| self.loads.look(state)) {
+        for (offset, verdict) in self
+            .replayed
+            .apply(records, |state| self.loads.update(state))
+        {
             self.metrics.node().record_replayed(verdict.as_str());
             match verdict {
                 Verdict::Accepted(_) => {}
