--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -34,7 +34,7 @@
 use crate::appender::Persistence;
 use crate::membership_view::SharedMembership;
 use crate::peer_answers::HeartbeatSource;
-use crate::peer_answers::sign_of;
+use crate::peer_answers::peer_sign;
 use crate::replayed::Replayed;
 
 /// Interval of membership's ticks.
@@ -84,7 +84,7 @@
             .name("vm-list".into())
             .spawn(move || reader.read_list());
         while !this.stopped() {
-            this.take_in(MembershipEvent::Tick);
+            this.handle_event(MembershipEvent::Tick);
             thread::sleep(TICK);
         }
         match reading {
@@ -104,10 +104,10 @@
             if now_ms >= next_ms {
                 next_ms = now_ms + self.list_pause_ms();
                 match self.vm_list.list() {
-                    Ok(listing) => self.take_in_listing(listing),
+                    Ok(listing) => self.handle_listing(listing),
                     Err(error) => {
                         warn!("the list of VMs can't be read: {error}");
-                        self.take_in(MembershipEvent::ListingFailed);
+                        self.handle_event(MembershipEvent::ListingFailed);
                     }
                 }
             }
@@ -128,20 +128,20 @@
     ///
     /// The list is delayed: a VM that starts under the name of a removed one finds itself listed as
     /// gone, or as leaving at a time before its own start, and would stop at once.
-    fn take_in_listing(self: &Arc<Self>, mut listing: VmListing) {
-        let is_of_earlier = |state: VmState| match state {
+    fn handle_listing(self: &Arc<Self>, mut listing: VmListing) {
+        let is_of_earlier_vm = |state: VmState| match state {
             VmState::Live => false,
             VmState::Leaving => listing.as_of_ms < self.started_unix_ms,
             VmState::Gone => true,
         };
         let own = self.heartbeats.vm.as_str();
         listing.entries.retain(|entry| {
-            entry.role != VmRole::Entry || entry.name != own || !is_of_earlier(entry.state)
+            entry.role != VmRole::Entry || entry.name != own || !is_of_earlier_vm(entry.state)
         });
-        self.take_in(MembershipEvent::ListingRead(listing));
+        self.handle_event(MembershipEvent::ListingRead(listing));
     }
 
-    fn take_in(self: &Arc<Self>, event: MembershipEvent) {
+    fn handle_event(self: &Arc<Self>, event: MembershipEvent) {
         for action in self.membership.handle(event) {
             self.carry_out(action);
         }
@@ -151,7 +151,7 @@
         match action {
             MembershipAction::Heartbeat { vm, address } => {
                 let this = Arc::clone(self);
-                let beat = move || this.beat(&vm, address);
+                let beat = move || this.send_heartbeat(&vm, address);
                 if let Err(error) = thread::Builder::new().name("heartbeat".into()).spawn(beat) {
                     warn!("no thread for a heartbeat: {error}");
                 }
@@ -162,7 +162,7 @@
                 self.propose_depart(vm, self.list_as_of_ms(as_of_ms));
             }
             MembershipAction::ProposeUpstreamGone { upstream, as_of_ms } => {
-                self.propose_gone(upstream, self.list_as_of_ms(as_of_ms));
+                self.propose_upstream_gone(upstream, self.list_as_of_ms(as_of_ms));
             }
             MembershipAction::PeerRestarted { vm, process_id } => {
                 info!("{vm} runs a new process {process_id:x}");
@@ -179,16 +179,16 @@
             .map_or(first_ms, |newest_ms| newest_ms.max(first_ms))
     }
 
-    fn beat(self: &Arc<Self>, vm: &VmName, address: SocketAddr) {
+    fn send_heartbeat(self: &Arc<Self>, vm: &VmName, address: SocketAddr) {
         let request = PeerRequest::Heartbeat(self.heartbeats.heartbeat());
         let event = match self.link.ask(address, &request, self.peer_timeout_ms) {
             Ok(PeerReply::Heartbeat(beat)) => {
                 self.check_digest(&beat);
-                MembershipEvent::HeartbeatAnswered(sign_of(&beat))
+                MembershipEvent::HeartbeatAnswered(peer_sign(&beat))
             }
             Ok(_) | Err(_) => MembershipEvent::HeartbeatMissed { vm: vm.clone() },
         };
-        self.take_in(event);
+        self.handle_event(event);
     }
 
     /// Compares the digests of two VMs, which are equal after the same records. A difference means
@@ -231,7 +231,7 @@
         }
     }
 
-    fn propose_gone(&self, upstream: UpstreamName, as_of_ms: u64) {
+    fn propose_upstream_gone(&self, upstream: UpstreamName, as_of_ms: u64) {
         self.gateway.learn_routing(RoutingEvent::Removed {
             upstream: upstream.clone(),
         });
--- a/crates/node/src/peer_answers.rs
+++ b/crates/node/src/peer_answers.rs
@@ -106,7 +106,7 @@
 }
 
 /// Returns the part of a heartbeat that membership uses.
-pub fn sign_of(beat: &Heartbeat) -> PeerSign {
+pub fn peer_sign(beat: &Heartbeat) -> PeerSign {
     PeerSign {
         vm: beat.vm.clone(),
         process_id: beat.process_id,
@@ -138,7 +138,7 @@
             PeerRequest::Heartbeat(beat) => {
                 self.heartbeats.record_heartbeat(&beat);
                 self.membership
-                    .handle(MembershipEvent::HeartbeatHeard(sign_of(&beat)));
+                    .handle(MembershipEvent::HeartbeatHeard(peer_sign(&beat)));
                 PeerReply::Heartbeat(self.heartbeats.heartbeat())
             }
             PeerRequest::Demand(demand) => {
