--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -151,8 +151,11 @@
         match action {
             MembershipAction::Heartbeat { vm, address } => {
                 let this = Arc::clone(self);
-                let beat = move || this.send_heartbeat(&vm, address);
-                if let Err(error) = thread::Builder::new().name("heartbeat".into()).spawn(beat) {
+                let heartbeat = move || this.send_heartbeat(&vm, address);
+                if let Err(error) = thread::Builder::new()
+                    .name("heartbeat".into())
+                    .spawn(heartbeat)
+                {
                     warn!("no thread for a heartbeat: {error}");
                 }
             }
@@ -182,9 +185,9 @@
     fn send_heartbeat(self: &Arc<Self>, vm: &VmName, address: SocketAddr) {
         let request = PeerRequest::Heartbeat(self.heartbeats.heartbeat());
         let event = match self.link.ask(address, &request, self.peer_timeout_ms) {
-            Ok(PeerReply::Heartbeat(beat)) => {
-                self.check_digest(&beat);
-                MembershipEvent::HeartbeatAnswered(peer_sign(&beat))
+            Ok(PeerReply::Heartbeat(heartbeat)) => {
+                self.check_digest(&heartbeat);
+                MembershipEvent::HeartbeatAnswered(peer_sign(&heartbeat))
             }
             Ok(_) | Err(_) => MembershipEvent::HeartbeatMissed { vm: vm.clone() },
         };
@@ -193,11 +196,11 @@
 
     /// Compares the digests of two VMs, which are equal after the same records. A difference means
     /// that a VM runs a program version with other rules, or has a memory fault.
-    fn check_digest(&self, beat: &Heartbeat) {
-        if self.heartbeats.record_heartbeat(beat) {
+    fn check_digest(&self, heartbeat: &Heartbeat) {
+        if self.heartbeats.record_heartbeat(heartbeat) {
             warn!(
                 "{} has another state than this VM at offset {}",
-                beat.vm, beat.digest_at
+                heartbeat.vm, heartbeat.digest_at
             );
         }
     }
--- a/crates/node/src/peer_answers.rs
+++ b/crates/node/src/peer_answers.rs
@@ -86,16 +86,18 @@
     }
 
     /// Records a peer's heartbeat and returns whether its state has diverged from this VM's.
-    pub fn record_heartbeat(&self, beat: &Heartbeat) -> bool {
-        let own = self.replayed.read(|state| state.digest_at(beat.digest_at));
-        let diverged = own.is_some_and(|own| own.digest != beat.digest);
+    pub fn record_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
+        let own = self
+            .replayed
+            .read(|state| state.digest_at(heartbeat.digest_at));
+        let diverged = own.is_some_and(|own| own.digest != heartbeat.digest);
         let known = KnownPeer {
-            replayed: beat.replayed,
+            replayed: heartbeat.replayed,
             at_ms: self.clock.monotonic_ms(),
-            draining: beat.draining,
+            draining: heartbeat.draining,
             diverged,
         };
-        self.peers.lock().insert(beat.vm.clone(), known);
+        self.peers.lock().insert(heartbeat.vm.clone(), known);
         diverged
     }
 
@@ -106,11 +108,11 @@
 }
 
 /// Returns the part of a heartbeat that membership uses.
-pub fn peer_sign(beat: &Heartbeat) -> PeerSign {
+pub fn peer_sign(heartbeat: &Heartbeat) -> PeerSign {
     PeerSign {
-        vm: beat.vm.clone(),
-        process_id: beat.process_id,
-        draining: beat.draining,
+        vm: heartbeat.vm.clone(),
+        process_id: heartbeat.process_id,
+        draining: heartbeat.draining,
     }
 }
 
@@ -135,10 +137,10 @@
 impl PeerHandler for PeerAnswers {
     fn answer(&self, request: PeerRequest) -> PeerReply {
         match request {
-            PeerRequest::Heartbeat(beat) => {
-                self.heartbeats.record_heartbeat(&beat);
+            PeerRequest::Heartbeat(heartbeat) => {
+                self.heartbeats.record_heartbeat(&heartbeat);
                 self.membership
-                    .handle(MembershipEvent::HeartbeatHeard(peer_sign(&beat)));
+                    .handle(MembershipEvent::HeartbeatHeard(peer_sign(&heartbeat)));
                 PeerReply::Heartbeat(self.heartbeats.heartbeat())
             }
             PeerRequest::Demand(demand) => {
