--- a/crates/node/src/assembly/serving.rs
+++ b/crates/node/src/assembly/serving.rs
@@ -19,7 +19,7 @@
 use super::common::Common;
 use super::common::wake_both;
 use crate::claims::NodeClaimKeeper;
-use crate::demand::DemandInbox;
+use crate::demand::DemandRecorder;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::operations::AdminParts;
@@ -85,7 +85,7 @@
         ..Default::default()
     };
     let placement = Arc::clone(&common.placement);
-    let demand = DemandInbox {
+    let demand = DemandRecorder {
         table: Arc::clone(&common.demand),
         wake: wake_both(&common.placement_wake, &common.report_wake),
         arrived: Box::new(move |now_ms, model| placement.lock().arrived(now_ms, model)),
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -26,7 +26,7 @@
     /// Requests that wait for a replica, at any VM.
     pub waiting: u32,
     /// Requests that wait for a replica at this VM.
-    pub waiting_here: u32,
+    pub waiting_locally: u32,
     /// Requests in progress, at any VM.
     pub running: u32,
     /// Shortest remaining time of a waiting request, in milliseconds; absent if none waits.
@@ -75,10 +75,10 @@
             for _ in 0..demand.arrived {
                 tables.remote_arrivals.push(demand.model.clone());
             }
-            let place = (vm.clone(), demand.model.clone());
+            let key = (vm.clone(), demand.model.clone());
             match demand.waiting + demand.running {
-                0 => tables.remote.remove(&place),
-                _ => tables.remote.insert(place, (now_ms, demand)),
+                0 => tables.remote.remove(&key),
+                _ => tables.remote.insert(key, (now_ms, demand)),
             };
         }
     }
@@ -119,7 +119,7 @@
     }
 
     /// Returns the requests that this VM has in progress, by model.
-    pub fn started_here(&self) -> BTreeMap<ModelName, u32> {
+    pub fn local_running(&self) -> BTreeMap<ModelName, u32> {
         let mut started = BTreeMap::new();
         let tables = self.tables.lock();
         for request in tables.requests.values().filter(|request| request.started) {
@@ -138,7 +138,7 @@
     }
 
     /// Returns the replicas that engines have reported as not loaded since the last call.
-    pub fn take_missing(&self) -> Vec<(ModelName, UpstreamName)> {
+    pub fn take_missing_replicas(&self) -> Vec<(ModelName, UpstreamName)> {
         std::mem::take(&mut self.tables.lock().missing)
     }
 
@@ -156,7 +156,7 @@
                 continue;
             }
             total.waiting += 1;
-            total.waiting_here += 1;
+            total.waiting_locally += 1;
             tighten(total, Some(request.deadline_ms.saturating_sub(now_ms)));
             let since_ms = total.waiting_since_ms.unwrap_or(request.arrived_ms);
             total.waiting_since_ms = Some(since_ms.min(request.arrived_ms));
@@ -201,7 +201,7 @@
 pub type ArrivalHandler = Box<dyn Fn(u64, &ModelName) + Send + Sync>;
 
 /// Records the gateway's demand events in a [`DemandTable`] and wakes the placement loop.
-pub struct DemandInbox {
+pub struct DemandRecorder {
     /// Table that the events are recorded in.
     pub table: Arc<DemandTable>,
     /// Called when a model may need a load: at each arrival, and when an engine lacks a model.
@@ -210,7 +210,7 @@
     pub arrived: ArrivalHandler,
 }
 
-impl DemandSink for DemandInbox {
+impl DemandSink for DemandRecorder {
     fn note(&self, now_ms: u64, event: DemandEvent) {
         match event {
             DemandEvent::Arrived {
--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -102,9 +102,9 @@
         while !self.stop.load(Ordering::Relaxed) {
             let view = self.membership.view();
             let due = self.due(&view);
-            for some in due.chunks(MAX_CONCURRENT_READS) {
+            for batch in due.chunks(MAX_CONCURRENT_READS) {
                 thread::scope(|scope| {
-                    for engine in some {
+                    for engine in batch {
                         scope.spawn(|| self.read(engine));
                     }
                 });
@@ -143,7 +143,7 @@
     fn due<'a>(&self, view: &'a View) -> Vec<&'a UpstreamView> {
         let missing: BTreeSet<UpstreamName> = self
             .demand
-            .take_missing()
+            .take_missing_replicas()
             .into_iter()
             .map(|(_, engine)| engine)
             .collect();
@@ -171,17 +171,17 @@
             Err(error) => warn!("load report of {name}: {error}"),
         }
         match self.reports.status(address) {
-            Ok(status) => self.compare(engine, &name, status),
+            Ok(status) => self.propose_if_new(engine, &name, status),
             Err(error) => warn!("status of {name}: {error}"),
         }
     }
 
     /// Proposes an observation if the status shows something that replay does not know.
-    fn compare(&self, engine: &UpstreamView, name: &UpstreamName, status: EngineStatus) {
+    fn propose_if_new(&self, engine: &UpstreamView, name: &UpstreamName, status: EngineStatus) {
         let unix_ms = self.clock.unix_ms();
         let is_new = self
             .replayed
-            .read(|state| says_something_new(state, name, &status, unix_ms));
+            .read(|state| shows_unknown_change(state, name, &status, unix_ms));
         if !is_new {
             return;
         }
@@ -255,7 +255,7 @@
 
 /// Returns whether a status differs from the replayed state in a way that the owners of the
 /// engine's intents will not report.
-fn says_something_new(
+fn shows_unknown_change(
     state: &ControlState,
     name: &UpstreamName,
     status: &EngineStatus,
@@ -273,18 +273,18 @@
             .any(|one| FencingNumber::from(one.load) == fence)
             || engine.undecided.values().any(|one| one.fence == fence)
     };
-    let strange = status
+    let has_unknown = status
         .residents
         .iter()
         .any(|resident| !is_known(resident.fence));
-    let gone = engine.undecided.values().any(|one| {
+    let has_lost = engine.undecided.values().any(|one| {
         !status
             .residents
             .iter()
             .any(|resident| resident.fence == one.fence)
     });
-    strange
-        || gone
+    has_unknown
+        || has_lost
         || state
             .replicas_on(name)
             .any(|one| differs(one, status, unix_ms))
--- a/crates/node/src/gauges.rs
+++ b/crates/node/src/gauges.rs
@@ -45,22 +45,22 @@
 impl Gauges {
     /// Updates the gauges until the daemon stops.
     pub fn run(mut self) {
-        self.announce();
+        self.register_rejections();
         let mut last_ms = self.clock.monotonic_ms();
         while !self.stop.load(Ordering::Relaxed) {
             thread::sleep(INTERVAL);
             let now_ms = self.clock.monotonic_ms();
-            self.set(now_ms, now_ms.saturating_sub(last_ms));
+            self.update(now_ms, now_ms.saturating_sub(last_ms));
             last_ms = now_ms;
         }
     }
 
-    fn announce(&self) {
+    fn register_rejections(&self) {
         let reasons = Rejection::ALL.iter().map(|reason| reason.as_str());
         self.metrics.node().set_peer_rejections(reasons);
     }
 
-    fn set(&mut self, now_ms: u64, passed_ms: u64) {
+    fn update(&mut self, now_ms: u64, passed_ms: u64) {
         let node = self.metrics.node();
         let count = |stages: &[Stage]| {
             self.directory.replayed.read(|state| {
--- a/crates/node/src/join_task.rs
+++ b/crates/node/src/join_task.rs
@@ -67,17 +67,17 @@
         };
         let payload = ControlRecord::Join(join).encode();
         let mut appended = false;
-        let mut earlier = None;
+        let mut earlier_epoch = None;
         while !self.stop.load(Ordering::Relaxed) {
             if !self.replayed.is_caught_up() {
                 thread::sleep(CATCH_UP_PAUSE);
                 continue;
             }
-            earlier = earlier.or_else(|| self.earlier_epoch());
+            earlier_epoch = earlier_epoch.or_else(|| self.earlier_epoch());
             if let Some(epoch) = self.find_epoch(appended) {
                 info!("joined with epoch {epoch}");
                 self.epoch.set(epoch);
-                self.confirm(earlier);
+                self.depart_earlier(earlier_epoch);
                 return;
             }
             self.pace.follow_closely();
@@ -117,8 +117,8 @@
     /// Appends the departure of the VM's earlier process as the first record of the new epoch. That
     /// process has ended, because it held the address on which this one listens. Without this
     /// record its unsettled intents would stay open until this process appends another record.
-    fn confirm(&self, earlier: Option<Epoch>) {
-        let Some(epoch) = earlier else { return };
+    fn depart_earlier(&self, earlier_epoch: Option<Epoch>) {
+        let Some(epoch) = earlier_epoch else { return };
         let vm = self.vm.clone();
         self.appender.propose(
             Persistence::Keep,
--- a/crates/node/src/operations/admin_source.rs
+++ b/crates/node/src/operations/admin_source.rs
@@ -201,8 +201,8 @@
                     .iter()
                     .find(|(name, _)| *name == vm)
                     .map(|(_, one)| *one);
-                let heard = parts.heartbeats.peer(vm);
-                views::member_line(vm, own, member, &view, heard.as_ref(), now_ms)
+                let last_heartbeat = parts.heartbeats.peer(vm);
+                views::member_line(vm, own, member, &view, last_heartbeat.as_ref(), now_ms)
             });
             lines.collect()
         });
--- a/crates/node/src/operations/publisher.rs
+++ b/crates/node/src/operations/publisher.rs
@@ -45,7 +45,7 @@
             edits: request.edits.clone(),
         };
         if let Some(verdict) = self.verdict(change.change_id) {
-            return told(&verdict, change.change_id);
+            return publish_outcome(&verdict, change.change_id);
         }
         if let Some(rejected) = self.check(&change) {
             return rejected;
@@ -85,7 +85,7 @@
             .replayed
             .read(|state| (state.config().version(), state.config().validate(change)));
         match fault {
-            _ if version > change.base_version => Some(stale(version)),
+            _ if version > change.base_version => Some(version_conflict(version)),
             Some(fault) => Some(PublishOutcome::Rejected {
                 reason: fault.as_str().into(),
                 detail: fault.to_string(),
@@ -112,7 +112,7 @@
             state.change(change_id).map(|change| change.verdict.clone())
         });
         match verdict {
-            Some(verdict) => told(&verdict, change_id),
+            Some(verdict) => publish_outcome(&verdict, change_id),
             None => PublishOutcome::Unknown {
                 change_id,
                 detail: "the change was appended but not replayed in time".into(),
@@ -121,7 +121,7 @@
     }
 }
 
-fn told(verdict: &Verdict, change_id: u64) -> PublishOutcome {
+fn publish_outcome(verdict: &Verdict, change_id: u64) -> PublishOutcome {
     match verdict {
         Verdict::Accepted(Accepted::Configured(version)) => {
             PublishOutcome::Accepted { version: *version }
@@ -147,7 +147,7 @@
     }
 }
 
-fn stale(version: ConfigVersion) -> PublishOutcome {
+fn version_conflict(version: ConfigVersion) -> PublishOutcome {
     PublishOutcome::Rejected {
         reason: RejectReason::VersionConflict.as_str().into(),
         detail: format!("version {version} is in force; read it and base the change on it"),
--- a/crates/node/src/operations/views.rs
+++ b/crates/node/src/operations/views.rs
@@ -94,7 +94,7 @@
     own: (&VmName, &ZoneName, bool),
     member: Option<&Member>,
     view: &View,
-    heard: Option<&KnownPeer>,
+    last_heartbeat: Option<&KnownPeer>,
     now_ms: u64,
 ) -> Option<MemberLine> {
     let (own_vm, own_zone, own_draining) = own;
@@ -108,7 +108,9 @@
     let state = match seen {
         _ if is_own && own_draining => MemberState::Draining,
         _ if is_own => MemberState::Alive,
-        Some(_) if heard.is_some_and(|heard| heard.draining) => MemberState::Draining,
+        Some(_) if last_heartbeat.is_some_and(|last_heartbeat| last_heartbeat.draining) => {
+            MemberState::Draining
+        }
         Some(seen) if seen.live => MemberState::Alive,
         Some(_) => MemberState::Suspected,
         None => MemberState::Gone,
@@ -119,8 +121,9 @@
         state,
         listed: None,
         epoch: member.map(|member| member.epoch),
-        replayed: heard.map(|heard| heard.replayed),
-        heard_age_ms: heard.map(|heard| now_ms.saturating_sub(heard.at_ms)),
-        diverged: heard.is_some_and(|heard| heard.diverged),
+        replayed: last_heartbeat.map(|last_heartbeat| last_heartbeat.replayed),
+        heard_age_ms: last_heartbeat
+            .map(|last_heartbeat| now_ms.saturating_sub(last_heartbeat.at_ms)),
+        diverged: last_heartbeat.is_some_and(|last_heartbeat| last_heartbeat.diverged),
     })
 }
--- a/crates/node/src/placement/capacity.rs
+++ b/crates/node/src/placement/capacity.rs
@@ -62,7 +62,7 @@
         wanted: &[ModelName],
         ready_at_ms: &BTreeMap<ModelName, u64>,
     ) {
-        let started = self.demand.started_here();
+        let started = self.demand.local_running();
         let known = self.passed.keys().filter(|target| self.is_model(target));
         let models: BTreeSet<ModelName> = wanted.iter().chain(known).cloned().collect();
         for model in models {
--- a/crates/node/src/placement/placement_loop.rs
+++ b/crates/node/src/placement/placement_loop.rs
@@ -394,7 +394,7 @@
             .totals(self.parts.clock.monotonic_ms());
         let waiting = totals
             .into_iter()
-            .filter(|(_, demand)| demand.waiting_here > 0);
+            .filter(|(_, demand)| demand.waiting_locally > 0);
         waiting.map(|(model, _)| model).collect()
     }
 
