--- a/crates/node/src/load_history.rs
+++ b/crates/node/src/load_history.rs
@@ -107,7 +107,7 @@
 
     /// Returns whether any load has been seen. Before that, predicted load times are only
     /// assumptions, for which no request is refused.
-    pub fn has_finished_any(&self) -> bool {
+    pub fn has_finished_load(&self) -> bool {
         self.inner.lock().any_finished
     }
 }
--- a/crates/node/src/placement/placement_loop.rs
+++ b/crates/node/src/placement/placement_loop.rs
@@ -179,7 +179,7 @@
                 engine,
                 ready_at_ms,
             } => {
-                if self.parts.loads.has_finished_any() {
+                if self.parts.loads.has_finished_load() {
                     self.ready_at_ms.insert(model.clone(), ready_at_ms);
                 }
                 self.propose_load_in_group(&model, engine);
@@ -187,7 +187,7 @@
             PlacementAction::Unload { model, engine } => self.propose_unload(&model, &engine),
             PlacementAction::Hopeless { refusal, .. }
                 if refusal.reason == RefusalReason::DeadlineTooShort
-                    && !self.parts.loads.has_finished_any() => {}
+                    && !self.parts.loads.has_finished_load() => {}
             PlacementAction::Hopeless { model, refusal } => {
                 self.parts.gateway.hopeless(&model, &refusal);
             }
