--- a/crates/node/tests/catch_up.rs
+++ b/crates/node/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Where a daemon gets its state from when the log no longer has it, or is down.
+//! Catching up: where a daemon gets its state from when the log lacks it or is down.
 
 mod support;
 
@@ -19,7 +19,7 @@
 
 const OUTCOME_UNKNOWN: (&str, &str) = ("key_outcome_unknown", "unknown");
 
-/// How long after a change a snapshot is due, in milliseconds, with something over.
+/// Time after a change at which its snapshot is due, with a margin, in milliseconds.
 const SNAPSHOT_MS: u64 = 6_000;
 
 /// Starts two daemons with a loaded model and a booking, and returns the model.
@@ -35,7 +35,7 @@
     (cluster, model)
 }
 
-/// Returns how far the newest snapshot of a stream reaches.
+/// Returns the position of the newest snapshot of a stream.
 fn snapshot_of(world: &World, stream: &str) -> Option<Offset> {
     let mut catalog = Catalog::new(Offset(0));
     for record in world.log.records("snapshots") {
@@ -46,7 +46,7 @@
     Some(catalog.newest(&StreamName::new(stream))?.next)
 }
 
-/// Waits until the snapshots hold all that is on the streams now, and drops that from the streams.
+/// Waits until the snapshots include all present records, and drops those records.
 fn snapshot_and_trim(world: &World) {
     for stream in ["control", "claims-0"] {
         let end = Offset(world.log.records(stream).len() as u64);
@@ -68,7 +68,7 @@
     }
 }
 
-/// Asserts that a daemon knows the configuration, the replica and the booking.
+/// Asserts that a daemon has the configuration, the replica and the booking.
 fn assert_knows_all(cluster: &Cluster, node: &Node, model: &str) {
     assert_eq!(node.status().config_version, cluster.version);
     node.caller.complete(model).expect_whole();
@@ -78,9 +78,8 @@
     assert_eq!(cluster.world.service.effects_of("key"), 1);
 }
 
-/// Symptom: after a night without changes a new VM knows no configuration, or a booking is made
-/// again. Sequence: the log drops its old records; a VM starts while no other runs. Cause: the state
-/// is not on the snapshot stream, or is not read from there.
+/// Guards against a VM that starts without configuration, or makes a booking again. The log has
+/// dropped its old records, and no other VM runs, so that the state is only on the snapshot stream.
 #[test]
 fn a_new_daemon_starts_from_the_snapshot_stream() {
     let (mut cluster, model) = start_used();
@@ -91,9 +90,9 @@
     cluster.wait_looked(2);
 }
 
-/// Symptom: a VM that stood still for a while serves an old configuration, or none any more.
-/// Sequence: the log drops records that the VM has not read. Cause: the VM follows the stream over
-/// the gap, or stops following it.
+/// Guards against a VM that resumes after a pause and serves an old configuration, or none. The
+/// log has dropped records that the VM has not read, and the VM must not follow the stream over
+/// the gap or stop following it.
 #[test]
 fn a_daemon_that_fell_behind_goes_on_from_a_snapshot() {
     let (cluster, model) = start_used();
@@ -107,9 +106,8 @@
     cluster.wait_looked(1);
 }
 
-/// Symptom: a VM that starts in an outage serves nothing until the log is back. Sequence: the log is
-/// down; a VM starts while others run. Cause: it does not ask them for their state, or decides with
-/// it although nobody can tell whether it is the newest.
+/// Guards against a VM that serves nothing because it starts while the log is down, although its
+/// peers have a state; and against one that decides by such a state, which may not be the newest.
 #[test]
 fn a_daemon_that_starts_in_an_outage_serves_with_a_peer_s_state() {
     let (mut cluster, model) = start_used();
@@ -128,7 +126,7 @@
     assert_eq!(cluster.world.service.effects_of("new"), 0);
 }
 
-/// Guards against a VM that takes requests before it knows which keys are taken.
+/// Guards against a VM that accepts requests before it has replayed which keys are taken.
 #[test]
 fn keys_are_known_before_ready() {
     let (mut cluster, model) = start_used();
@@ -145,7 +143,7 @@
     assert_knows_all(&cluster, started, &model);
 }
 
-/// Returns how many fresh starts of the control stream were proposed.
+/// Returns the number of proposed fresh starts of the control stream.
 fn fresh_starts(world: &World) -> usize {
     let records = world.log.records("snapshots");
     let fresh = records
@@ -154,7 +152,7 @@
     fresh.count()
 }
 
-/// Drops all records, and starts two daemons after those that knew them are gone.
+/// Drops all records, and starts two daemons after those with the state have ended.
 fn start_afresh(cluster: &mut Cluster) {
     stop_all(cluster);
     for vm in ["vm-0", "vm-1"] {
@@ -176,9 +174,9 @@
     cluster.nodes[2..].iter().for_each(Node::wait_ready);
 }
 
-/// Symptom: after a loss of all state the VMs decide differently, or a booking is made again.
-/// Sequence: the log has dropped everything, and the VMs that knew it are gone; two VMs start at
-/// once. Cause: each starts afresh by itself, or takes a forgotten key for a new one.
+/// Guards against VMs that decide differently after all state is lost, or make a booking again.
+/// Two VMs start at once when the log has dropped everything: each could start afresh for itself,
+/// or treat a forgotten key as new.
 #[test]
 fn two_daemons_that_find_nothing_agree_on_a_fresh_start() {
     let (mut cluster, model) = start_used();
@@ -198,9 +196,9 @@
     assert!(cluster.world.memory_held());
 }
 
-/// Symptom: an accepted configuration is lost with the records after it. Sequence: a snapshot is
-/// left, but the log has dropped records that came after it, and nobody is there who knew them.
-/// Cause: what the snapshot holds is thrown away with what it lacks.
+/// Guards against the loss of an accepted configuration. A snapshot is left, but the log has
+/// dropped records after it, and no VM with the newer state runs; the fresh start must keep what
+/// the snapshot has.
 #[test]
 fn a_fresh_start_keeps_the_configuration_of_an_old_snapshot() {
     let (mut cluster, _) = start_used();
@@ -225,8 +223,8 @@
     cluster.wait_looked(2);
 }
 
-/// Symptom: two VMs act on two histories. Sequence: all is dropped from the log while a VM that knows
-/// it is paused; another VM starts. Cause: silence is taken for absence.
+/// Guards against two histories. The log drops all records while the VM that has the state is
+/// paused, and another VM starts: a peer without an answer must not count as absent.
 #[test]
 fn nobody_starts_afresh_while_a_silent_daemon_may_know_the_state() {
     let (mut cluster, model) = start_used();
