--- a/crates/node/tests/claim_faults.rs
+++ b/crates/node/tests/claim_faults.rs
@@ -1,4 +1,4 @@
-//! Calls under a key, while claims and processes fail.
+//! Calls under an idempotency key while claims and processes fail.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::wait_until;
 use support::world::Cluster;
 
-/// Returns whether a call's end is on the stream.
+/// Returns whether a call's finish record is on the stream.
 fn has_ended(cluster: &Cluster, ran: Ran) -> bool {
     let records = cluster.world.log.records("claims-0");
     let batches = records
@@ -23,9 +23,9 @@
     entries.any(|entry| matches!(entry, ClaimRecord::Finish(end) if end.ran == ran))
 }
 
-/// Symptom: a booking is refused although it could run, or runs twice. Sequence: the claim is on the
-/// stream, its append's answer is lost, and the claim is appended again. Cause: a lost answer is
-/// taken for a lost claim, or the second record for a second right to run.
+/// Guards against a booking that is refused although it could run, or that runs twice. The answer
+/// to the claim's append is lost, and the claim is appended again; the second record must grant
+/// nothing.
 #[test]
 fn a_claim_whose_answer_is_lost_runs_once() {
     let cluster = Cluster::start(2, 1, true);
@@ -40,10 +40,9 @@
     assert_eq!(cluster.world.service.effects_of("key"), 1);
 }
 
-/// Symptom: a booking that was refused as not run is made after all, or its key is in progress for
-/// ever. Sequence: the claim reaches the stream only after its request was refused, and after the
-/// end that the request wrote then. Cause: the late claim is acted on, or holds the key for a request
-/// that has ended.
+/// Guards against a booking that runs after it was refused as not run, and a key in progress for
+/// ever. The claim reaches the stream only after its request was refused and the request's finish
+/// record was appended.
 #[test]
 fn a_claim_that_comes_after_its_refusal_is_freed() {
     let cluster = Cluster::start(2, 1, true);
@@ -67,9 +66,8 @@
     assert_eq!(world.service.effects_of("key"), 1);
 }
 
-/// Symptom: a booking is made twice. Sequence: the caller repeats it at another VM: before the first
-/// claim is decided, while the call runs, or after it. Cause: the second VM does not know of the
-/// first one's claim.
+/// Guards against a booking that runs twice because the caller sends it to another VM as well,
+/// before the first claim is decided, during the call or after it.
 #[test]
 fn two_claims_at_once_run_one_call() {
     let cluster = Cluster::start(2, 1, true);
@@ -115,9 +113,9 @@
     assert_eq!(world.service.effects_of("key"), 1);
 }
 
-/// Symptom: a booking is made twice, or its key is in progress for ever. Sequence: a VM stops within
-/// the call, or the call's answer is lost; the caller repeats it elsewhere. Cause: a call that may
-/// have run is taken for one that did not, or nobody ends the claim of a process that is over.
+/// Guards against a booking that runs twice, and a key in progress for ever. A VM stops during the
+/// call, or the call's answer is lost, and the caller sends a duplicate elsewhere; the first call
+/// may have run, and the claim of an ended process must be finished.
 #[rstest]
 fn a_call_that_may_have_run_is_never_run_again(#[values(true, false)] process_ends: bool) {
     let cluster = Cluster::start(3, 1, true);
