--- a/crates/node/tests/config_race.rs
+++ b/crates/node/tests/config_race.rs
@@ -1,4 +1,4 @@
-//! Configuration: publishers that race, answers that are lost, records that can't be used.
+//! Configuration: concurrent publishers, lost answers, records that can't be used.
 
 mod support;
 
@@ -32,7 +32,7 @@
     matches!(append.control(), Some(ControlRecord::Config(_)))
 }
 
-/// Returns a daemon's configuration without how far the daemon has replayed.
+/// Returns a daemon's configuration without the position that the daemon has replayed to.
 fn config_of(node: &Node) -> ConfigView {
     let mut config = node.admin().config().expect("a configuration");
     config.replayed = Offset(0);
@@ -51,9 +51,9 @@
     }
 }
 
-/// Symptom: one operator's change takes back another's without anyone having decided that, or VMs
-/// have different ones in force. Sequence: two operators read one version, and publish at two VMs at
-/// once. Cause: the second change is taken although it was based on what is no longer in force.
+/// Guards against a change that silently reverts another, and against VMs with different
+/// configurations. Two operators publish changes of one version at two VMs at once; the second one
+/// must be rejected, since its base version is no longer in force.
 #[test]
 fn of_two_changes_on_one_version_one_is_in_force_everywhere() {
     let cluster = Cluster::start(3, 0, true);
@@ -89,9 +89,9 @@
     }
 }
 
-/// Symptom: an accepted change is gone, or in force twice. Sequence: the append's answer is lost, and
-/// the operator's command repeats the request. Cause: the record is not looked for on the stream, or
-/// its repetition is taken for another change.
+/// Guards against an accepted change that is lost or applied twice. The append's answer is lost,
+/// and the operator's command retries the request; the VM must look for the record on the stream
+/// and recognise the duplicate.
 #[rstest]
 #[case(AppendFault::LoseAnswer, true)]
 #[case(AppendFault::LoseRecord, false)]
@@ -122,9 +122,9 @@
     }
 }
 
-/// Symptom: after a restart of all VMs an older configuration is in force. Sequence: every daemon is
-/// killed and started anew, and the log answers slowly. Cause: a daemon takes requests before it has
-/// replayed all changes.
+/// Guards against an older configuration after a restart of all VMs. Every daemon is killed and
+/// restarted while the log answers slowly; none may accept requests before it has replayed all
+/// changes.
 #[test]
 fn a_restart_of_all_daemons_reverts_nothing() {
     let mut cluster = Cluster::start(2, 1, true);
@@ -150,8 +150,8 @@
     cluster.wait_looked(2);
 }
 
-/// Symptom: VMs stop at a record, or have different configurations after it. Sequence: a record that
-/// can't be decoded and a change that breaks a rule are on the stream. Cause: not all skip it alike.
+/// Guards against VMs that stop at a record or disagree after it. The stream has a record that
+/// can't be decoded and a change that breaks a rule; all VMs must skip both.
 #[test]
 fn records_that_cannot_be_used_are_skipped_by_all_alike() {
     let mut cluster = Cluster::start(2, 1, true);
