--- a/crates/node/tests/double_faults.rs
+++ b/crates/node/tests/double_faults.rs
@@ -1,4 +1,4 @@
-//! Faults that come together, or twice.
+//! Faults that coincide or repeat.
 
 mod support;
 
@@ -17,9 +17,9 @@
 use support::world::engine_address;
 use support::world::engine_name;
 
-/// Symptom: a model is loaded a second time, or never served. Sequence: the order is on its way when
-/// the log goes down; it takes effect, or its answer is lost too; the log comes back. Cause: the
-/// outcome is dropped because it can't be told at once.
+/// Guards against a model that is loaded a second time or never served. The order is on its way
+/// when the log goes down; it takes effect, or its answer is lost too. The outcome must be appended
+/// once the log is back.
 #[rstest]
 fn an_outcome_in_an_outage_is_told_after_it(
     #[values(None, Some(OrderFault::LoseAnswer))] fault: Option<OrderFault>,
@@ -65,9 +65,8 @@
     assert_eq!(world.load_orders(&model), 1);
 }
 
-/// Symptom: an intent stays open when the VM that took it over stops, too. Sequence: the proposer
-/// stops; the VM that takes over stops right after; both are listed as gone. Cause: an intent is taken
-/// over once only, or for its proposer's end only.
+/// Guards against an intent that stays open when the VM that took it over stops too. The proposer
+/// stops, then the VM that takes over, and both are listed as gone.
 #[rstest]
 fn an_intent_is_taken_over_twice(#[values(true, false)] checks_fence: bool) {
     let cluster = Cluster::start(3, 2, checks_fence);
@@ -77,7 +76,7 @@
     let second_stop = world.log.fault_appends(AppendFault::Freeze, 1, |append| {
         matches!(append.control(), Some(ControlRecord::TakeOver(_)))
     });
-    // The third one is asleep meanwhile, or it would take over at the same moment.
+    // The third VM is paused meanwhile, or it would take over at the same moment.
     cluster.nodes[2].switch.freeze();
     cluster.list_as_gone(0);
     second_stop.wait_hits(1);
@@ -91,11 +90,10 @@
     assert!(world.memory_held());
 }
 
-/// Symptom: an engine that was told of a takeover obeys the late order after all, beside what was
-/// loaded since. Sequence: the proposer freezes when it is about to send the order; others take over
-/// and raise the engine's fence; the engine restarts, and forgets the fence; the order arrives, and
-/// others fill the engine. Cause: the memory of an order was given away because one run of the engine
-/// refuses it.
+/// Guards against an engine that carries out a late order beside models loaded since. The proposer
+/// is paused before it sends the order; others take the intent over and raise the engine's fence;
+/// the engine restarts and forgets the fence; then the order arrives. Its memory must stay reserved
+/// even if one boot of the engine has refused it.
 #[test]
 fn a_restart_forgets_the_fence_and_the_memory_still_holds() {
     let cluster = Cluster::start(3, 1, true);
@@ -124,9 +122,10 @@
     assert!(world.memory_held());
 }
 
-/// Symptom: a booking is made again. Sequence: the VM that made it stops before it could tell, and the
-/// log goes down; the caller repeats the booking elsewhere, during the outage and after it; the first
-/// VM wakes up. Cause: a claim that can't be looked up is taken for none.
+/// Guards against a booking that is made twice. The VM that made it stops before it could record
+/// the outcome, and the log goes down; the caller sends a duplicate to another VM during the outage
+/// and after it, and the first VM resumes. A claim that can't be looked up must not count as
+/// absent.
 #[test]
 fn a_call_of_a_stopped_daemon_is_not_repeated_in_an_outage() {
     let cluster = Cluster::start(2, 1, true);
