--- a/crates/node/tests/ended_demand.rs
+++ b/crates/node/tests/ended_demand.rs
@@ -10,15 +10,15 @@
 use support::world::FIXED_TIMEOUT;
 use support::world::LEARNED;
 
-/// How long the request in vain may wait, in milliseconds.
+/// Timeout of the request that gets no replica, in milliseconds.
 const TIMEOUT_MS: u64 = 800;
 
-/// After how long a placement policy proposes anew what came to nothing, in milliseconds, with
-/// something over. A report of demand counts for longer.
+/// Time after which a placement policy repeats a proposal without effect, with a margin, in
+/// milliseconds. A demand report counts for longer.
 const PROPOSAL_MS: u64 = 1_100;
 
-/// Guards against a load that nobody waits for: the preferred VM was told of a request and not of its
-/// refusal, or a report without demand kept the model in the policy's plan.
+/// Guards against a load for which no request waits: the preferred VM received the report of a
+/// request but not of its refusal, or a report without demand kept the model in the policy's plan.
 #[rstest]
 fn a_request_that_was_refused_is_no_demand(
     #[values(FIXED_TIMEOUT, LEARNED)] placement: &'static str,
@@ -41,7 +41,7 @@
     let reply = cluster.nodes[0].caller.complete_within(&model, TIMEOUT_MS);
     assert_eq!(reply.refusal(), ("deadline_passed", "not_run"));
     assert!(refused.hits() > 0);
-    // A report counts for some seconds only. Here it would count for ever.
+    // A report expires after some seconds; the stopped clock keeps it from expiring here.
     let preferred = &cluster.nodes[1];
     preferred.clock.set_stopped(true);
     wait_until("the request's end to be known", || {
@@ -53,8 +53,8 @@
     assert_eq!(world.load_orders(&model), 0);
 }
 
-/// Guards against a load that is proposed while the log takes nothing, waits behind a record that must
-/// not be lost, and is decided when the log is back and nobody waits for the model any more.
+/// Guards against a load that is proposed while the log accepts nothing, is queued behind a record
+/// that must not be lost, and is decided when the log is back and no request waits for the model.
 #[test]
 fn a_load_is_not_proposed_while_none_can_be_decided() {
     let cluster = Cluster::start_with(2, 2, true, LEARNED);
@@ -73,7 +73,7 @@
             append.is_load() && append.is_by(&other)
         });
     let begun = cluster.nodes[1].caller.begin_complete(&settled);
-    // The outcome of the first is known when the second is tried.
+    // The outcome of the first append is known when the second is attempted.
     refused.wait_hits(2);
     let reply = cluster.nodes[0].caller.complete_within(&model, TIMEOUT_MS);
     assert_eq!(reply.refusal(), ("deadline_passed", "not_run"));
