--- a/crates/node/tests/frozen_wake.rs
+++ b/crates/node/tests/frozen_wake.rs
@@ -1,4 +1,4 @@
-//! A daemon that wakes from a freeze with its old beliefs.
+//! A daemon that resumes from a process pause with stale state.
 
 mod support;
 
@@ -17,9 +17,9 @@
     });
 }
 
-/// Symptom: an engine that obeys every order loads a model that others have decided to load
-/// elsewhere. Sequence: a VM freezes before it sends an order; its intent is taken over; it wakes up
-/// and sends the order. Cause: the VM acts on what it knew before the freeze.
+/// Guards against a model that is loaded on two engines, one of which doesn't check fencing tokens.
+/// A VM is paused before it sends an order; its intent is taken over and settled elsewhere; the VM
+/// resumes and must not send the order.
 #[test]
 fn an_intent_that_was_taken_over_in_a_freeze_is_given_up() {
     let cluster = Cluster::start(3, 2, false);
@@ -41,9 +41,9 @@
     assert_eq!(world.holders(&model), 1);
 }
 
-/// Symptom: as above. Sequence: the VM freezes right after it has read how far the stream goes, and
-/// on waking reads nothing further for a while. Cause: a reading from before the freeze is taken for
-/// proof that nothing has happened since.
+/// Guards against the same fault where the VM is paused right after it has read the end of the
+/// stream, and reads nothing more for a while after it resumes. The read from before the pause is
+/// no proof that the state is current.
 #[test]
 fn a_reading_from_before_the_freeze_proves_nothing() {
     let cluster = Cluster::start(3, 2, false);
@@ -77,9 +77,9 @@
     assert_eq!(world.holders(&model), 1);
 }
 
-/// Symptom: as above, by a freeze of the whole machine, of which only the clock tells. Sequence: the
-/// clock jumps between the intent and the order while the log can't be read. Cause: the order does
-/// not wait for a reading of the log.
+/// Guards against the same fault where the whole machine is paused, which only its clock shows. The
+/// clock jumps between the intent and the order while the log can't be read; the order must wait
+/// for a read of the log.
 #[test]
 fn after_a_jump_of_the_clock_no_order_goes_out_before_the_log_is_read() {
     let cluster = Cluster::start(1, 1, false);
@@ -99,12 +99,11 @@
     assert_eq!(world.load_orders(&model), 1);
 }
 
-/// Symptom: a VM takes requests for which it can never have a model loaded, and its claims count as
-/// those of a process that is over. Sequence: the list calls a frozen VM gone, and others note its
-/// departure; the list was wrong, and the VM wakes up. Cause: the process does not notice that its
-/// epoch is over.
+/// Guards against a VM that accepts requests although it can never have a model loaded, and whose
+/// claims count as those of an ended process. The list wrongly shows a paused VM as gone, others
+/// record its departure, and the VM resumes.
 ///
-/// It ends, so that it is started anew, and cuts off no answer that is in progress.
+/// The process must end, so that it is restarted, and must not cut off an answer in progress.
 #[test]
 fn a_process_that_was_departed_ends_after_its_requests() {
     let cluster = Cluster::start(3, 2, true);
@@ -130,10 +129,10 @@
     frozen.wait_ended();
 }
 
-/// Symptom: an engine that obeys every order gets one from a process that another has replaced.
-/// Sequence: a VM's process freezes right before an order; a new one starts under the VM's name and
-/// has the model loaded; the first one wakes up. Cause: the first process takes its VM's name for its
-/// own membership.
+/// Guards against an order from a process that was replaced, to an engine that doesn't check
+/// fencing tokens. A VM's process is paused right before an order; a new process starts under the
+/// VM's name and has the model loaded; the first one resumes. The membership of the VM's name is
+/// not its own.
 #[test]
 fn a_process_that_was_replaced_sends_no_order() {
     let mut cluster = Cluster::start(2, 2, false);
