--- a/crates/node/tests/graceful_stop.rs
+++ b/crates/node/tests/graceful_stop.rs
@@ -12,18 +12,18 @@
 use support::world::Cluster;
 use support::world::engine_address;
 
-/// How long a request waits for a load in vain, in milliseconds.
+/// Timeout of a request that waits for a load without result, in milliseconds.
 const TIMEOUT_MS: u64 = 1_000;
 
-/// How many calls of each kind are made while a stream keeps a stopping daemon from its end.
+/// Calls of each kind made while a stream keeps a stopping daemon from ending.
 const REFUSED_CALLS: usize = 20;
 
-/// How many changes of the configuration are made while an order does so.
+/// Configuration changes made while an order keeps a stopping daemon from ending.
 const CHANGES: usize = 20;
 
 const DRAINING: (&str, &str) = ("draining", "not_run");
 
-/// Who tells a daemon to stop.
+/// What starts a daemon's stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Teller {
     Signal,
@@ -44,8 +44,8 @@
     wait_until("the daemon to stop", || node.status().draining);
 }
 
-/// Guards against a planned stop that cuts off a stream because it was told twice, or that waits for
-/// the log and never ends.
+/// Guards against a planned stop that cuts off a stream because it was started twice, or that waits
+/// for the log and never ends.
 #[rstest]
 fn a_stop_told_twice_cuts_off_no_stream(
     #[values(Teller::Signal, Teller::Operator, Teller::List)] first: Teller,
@@ -57,7 +57,7 @@
     stopping.caller.complete(&model).expect_whole();
     world.streams.close();
     let stream = stopping.caller.stream(&model);
-    // What a VM has not read when the log goes down it can't serve.
+    // A VM can't serve what it has not read when the log goes down.
     cluster.wait_replayed(1);
     world.log.set_down(log_is_down);
     tell(&cluster, first);
@@ -75,8 +75,8 @@
     assert_eq!(world.load_orders(&model), 1);
 }
 
-/// Guards against a stop that cuts off a request which waits for its model while the load order is on
-/// its way.
+/// Guards against a stop that cuts off a request which waits for its model while the load order is
+/// on its way.
 #[test]
 fn a_stop_waits_for_a_request_that_waits_for_its_model() {
     let cluster = Cluster::start(2, 1, true);
@@ -92,8 +92,8 @@
     stopping.wait_ended();
 }
 
-/// Guards against a stop that waits for requests only, and not for an order on its way whose request
-/// has ended.
+/// Guards against a stop that waits for requests only, and not for an order on its way whose
+/// request has ended.
 #[test]
 fn a_stop_waits_for_an_order_that_nobody_waits_for() {
     let cluster = Cluster::start(2, 1, true);
@@ -124,8 +124,8 @@
     assert_eq!(world.load_orders(&model), 1);
 }
 
-/// Guards against a stop that drops the end of a booking which could not be appended, though the log
-/// comes back within the grace time.
+/// Guards against a stop that loses the finish record of a booking whose append failed, although
+/// the log is back within the grace time.
 #[test]
 fn a_stop_waits_for_the_ends_of_calls() {
     let cluster = Cluster::start(2, 1, true);
