--- a/crates/node/tests/lagging_list.rs
+++ b/crates/node/tests/lagging_list.rs
@@ -1,4 +1,4 @@
-//! A list of VMs that speaks of a time that is past.
+//! A delayed VM list.
 
 mod support;
 
@@ -7,15 +7,15 @@
 use support::wait_until;
 use support::world::Cluster;
 
-/// How far the list lags, in milliseconds.
+/// Delay of the list, in milliseconds.
 const LAG_MS: u64 = 60_000;
 
-/// How long a VM must not have been heard before it is departed, with something over.
+/// Silence after which a VM that is listed as gone is departed, with a margin, in milliseconds.
 const SILENCE_MS: u64 = 10_000;
 
-/// Symptom: a VM that has just started is taken for over. Sequence: a VM is taken away and replaced
-/// under its name; the list still shows the first one's end while the new process is paused. Cause:
-/// the list is held against a process that began after the time of which the list speaks.
+/// Guards against a departure of a VM that has just started. A VM is removed and replaced under its
+/// name; the list still shows the first one as gone while the new process is paused. A list that is
+/// older than the process must not count against it.
 #[test]
 fn a_list_older_than_the_process_departs_nobody() {
     let mut cluster = Cluster::start(3, 1, true);
