--- a/crates/node/tests/leaving_upstream.rs
+++ b/crates/node/tests/leaving_upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are taken away.
+//! Upstreams that are removed.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::world::engine_name;
 use support::world::instance_address;
 
-/// How many calls show that an upstream gets none.
+/// Number of calls that show that an upstream receives none.
 const CALLS: usize = 12;
 
 fn served_at(cluster: &Cluster, engine: usize) -> usize {
@@ -18,9 +18,9 @@
     cluster.world.engines.with(address, |one| one.served.len())
 }
 
-/// Symptom: requests fail when an engine's VM is taken away. Sequence: the list says that it is
-/// leaving, and requests for a model on it go on. Cause: new requests are sent there, or answers in
-/// progress are cut off.
+/// Guards against requests that fail when an engine's VM is removed. The list shows it as leaving
+/// while requests for its model continue: new ones must go elsewhere, and answers in progress must
+/// not be cut off.
 #[test]
 fn a_leaving_engine_gets_no_new_request_and_ends_its_old_ones() {
     let cluster = Cluster::start(2, 2, true);
@@ -48,7 +48,7 @@
     assert_eq!(world.load_orders(&model), 2);
 }
 
-/// Symptom: as above, for a plain service, whose calls may not be repeated.
+/// Guards against the same fault at a plain service, whose calls may not be retried.
 #[test]
 fn a_leaving_instance_gets_no_new_call() {
     let cluster = Cluster::start(1, 0, true);
@@ -67,9 +67,8 @@
     assert_eq!(world.service.effects_at(leaving), before);
 }
 
-/// Symptom: no request for a model is answered after its engine's VM was taken away. Sequence: the
-/// list says that the engine is gone. Cause: its replica still counts, or its memory is still planned
-/// with.
+/// Guards against a model that is never served again after its engine's VM was removed. When the
+/// list shows the engine as gone, neither its replica nor its memory may count.
 #[test]
 fn a_replica_on_an_engine_that_is_gone_is_replaced() {
     let cluster = Cluster::start(2, 2, true);
