--- a/crates/node/tests/log_outage.rs
+++ b/crates/node/tests/log_outage.rs
@@ -1,4 +1,4 @@
-//! What a daemon does while the log is down, and when it comes back.
+//! A daemon while the log is down, and when it is back.
 
 mod support;
 
@@ -15,16 +15,16 @@
 use support::world::engine_address;
 use support::world::model_name;
 
-/// How many reads each VM tries in a stretch of an outage.
+/// Attempted reads of each VM in one part of an outage.
 const READS_TRIED: usize = 12;
 
-/// How many models are asked for in vain during an outage.
+/// Models that are requested without result during an outage.
 const REFUSED_MODELS: usize = 8;
 
 const LOG_UNAVAILABLE: (&str, &str) = ("log_unavailable", "not_run");
 
-/// Guards against a request that waits in an outage of the log for a decision that it does not need,
-/// or for one that nobody can make.
+/// Guards against a request that waits, while the log is down, for a decision that it doesn't need,
+/// or for one that can't be made.
 #[test]
 fn a_loaded_model_is_served_and_another_is_refused_at_once() {
     let cluster = Cluster::start(2, 2, true);
@@ -42,8 +42,8 @@
     assert_eq!(cluster.world.load_orders(&loaded), 1);
 }
 
-/// Guards against a log that takes no appends, or answers none, and counts as up because it can be
-/// read: a cold request waited to its deadline.
+/// Guards against a log that rejects appends, or answers none, and counts as up because it can be
+/// read: a request for a model without replica waited until its deadline.
 #[rstest]
 fn a_log_that_takes_no_append_is_down(
     #[values(AppendFault::Refuse, AppendFault::LoseRecord)] fault: AppendFault,
@@ -58,8 +58,8 @@
     cluster.wait_recovered(0);
 }
 
-/// Guards against a key that is forgotten in an outage, and a refused claim whose call runs later: a
-/// repeated booking ran twice, or "not run" was false.
+/// Guards against a key that is forgotten while the log is down, and a refused claim whose call
+/// runs later: a duplicate booking ran twice, or the refusal "not run" was false.
 #[test]
 fn a_known_key_is_answered_and_a_new_one_is_refused_and_not_run() {
     let cluster = Cluster::start(2, 1, true);
@@ -100,8 +100,9 @@
     }
 }
 
-/// Returns the appends that VMs try while each of them tries to read the log again. The first VM is
-/// left out: it tries the end of its booking until that is on the stream.
+/// Returns the number of appends that VMs attempt while each of them attempts to read the log
+/// again. The first VM is left out: it retries the finish record of its booking until that is
+/// appended.
 fn appends_tried_while_down(cluster: &Cluster) -> usize {
     let log = &cluster.world.log;
     let vms = || cluster.nodes[1..].iter().map(|node| &node.vm);
@@ -131,8 +132,8 @@
         .count()
 }
 
-/// Guards against proposals that pile up in an outage, refused requests that count as demand, and an
-/// end that is appended many times.
+/// Guards against proposals that accumulate while the log is down, refused requests that count as
+/// demand, and a finish record that is appended many times.
 #[test]
 fn an_outage_ends_without_a_storm_of_appends() {
     let cluster = Cluster::start_with(3, 2, true, LEARNED);
@@ -173,12 +174,11 @@
     });
 }
 
-/// How long a VM waits for the log to tell that a model is loaded, in milliseconds, with something
-/// over.
+/// Time for which a VM waits for the log to show a load's outcome, with a margin, in milliseconds.
 const LOG_PATIENCE_MS: u64 = 5_500;
 
-/// Guards against a request that waits to its deadline for a load whose end nobody can tell its VM: the
-/// model is loaded, but the log went down before the VM had read so.
+/// Guards against a request that waits until its deadline for a load whose outcome its VM can't
+/// read: the model is loaded, but the log went down before the VM had read that.
 #[test]
 fn a_load_whose_end_cannot_be_read_is_not_waited_for() {
     let cluster = Cluster::start(2, 1, true);
@@ -199,7 +199,7 @@
     let behind = &cluster.nodes[1];
     let waiting = behind.caller.begin_complete(&model);
     wait_until("the request to wait", || behind.waiting_for(&model) == 1);
-    // A short outage is waited out.
+    // A short outage causes no refusal.
     let reads = world.log.tried_reads(&behind.vm);
     wait_until("reads to be tried", || {
         world.log.tried_reads(&behind.vm) >= reads + READS_TRIED
