--- a/crates/node/tests/lost_appends.rs
+++ b/crates/node/tests/lost_appends.rs
@@ -11,7 +11,7 @@
 use support::wait_until;
 use support::world::Cluster;
 
-/// The records of one load.
+/// Records of one load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Record {
     Intent,
@@ -25,9 +25,9 @@
     }
 }
 
-/// Symptom: a model is loaded twice, or its replica is used by nobody. Sequence: a record of the load
-/// is appended, or lost, or comes late, and no answer says which; it is appended again. Cause: the
-/// second copy counts as a second decision, or is not appended at all.
+/// Guards against a model that is loaded twice, or a replica that is never used. A record of the
+/// load is appended, lost or delayed, and no answer shows which, so it is appended again; both
+/// records together must count once.
 #[rstest]
 fn a_record_without_an_answer_counts_once(
     #[values(Record::Intent, Record::Settlement)] record: Record,
@@ -50,12 +50,12 @@
     let decided = world.decided();
     let accepted = decided.iter().filter(|one| one.is_accepted());
     let settled = accepted.filter(|one| matches!(one.record, ControlRecord::LoadSettled(_)));
-    // The model's own, and that of the one which each look has loaded.
+    // The model itself, and the one that each `wait_looked` has loaded.
     assert_eq!(settled.count(), 3);
 }
 
-/// Symptom: a VM counts as two, or never takes requests. Sequence: the append of its join gets no
-/// answer, and it joins again. Cause: each join that stands gives the process an epoch of its own.
+/// Guards against a VM that counts as two, or never accepts requests. The append of its join gets
+/// no answer, and it joins again; two join records of one process must give one epoch.
 #[rstest]
 fn a_join_without_an_answer_gives_one_epoch(
     #[values(AppendFault::LoseAnswer, AppendFault::LoseRecord, AppendFault::Delay)]
