--- a/crates/node/tests/lost_orders.rs
+++ b/crates/node/tests/lost_orders.rs
@@ -1,4 +1,4 @@
-//! Orders whose answer does not come.
+//! Orders without an answer.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::wait_until;
 use support::world::Cluster;
 
-/// How long a load may take to be told, in milliseconds, with something over.
+/// Time within which a load's outcome is appended, with a margin, in milliseconds.
 const SETTLING_MS: u64 = 10_000;
 
 fn take_overs(cluster: &Cluster) -> usize {
@@ -20,8 +20,8 @@
     take_overs.count()
 }
 
-/// Symptom: a model is loaded twice. Sequence: the engine loads it, and its answer is lost. Cause:
-/// the sender takes a lost answer for a lost order.
+/// Guards against a model that is loaded twice because the engine's answer to the order is lost. A
+/// lost answer must not count as a lost order.
 #[rstest]
 fn a_load_whose_answer_is_lost_is_read_from_the_engine(#[values(true, false)] checks_fence: bool) {
     let cluster = Cluster::start(1, 2, checks_fence);
@@ -36,11 +36,11 @@
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
 
-/// Symptom: a request waits for a load that nobody carries out. Sequence: the order, or the engine
-/// with it, is lost. Cause: the intent stays open, or counts as a replica that is on its way.
+/// Guards against a request that waits for a load that is never carried out. The order, or the
+/// engine with it, is lost; the intent must not stay open, nor count as a replica that will load.
 ///
-/// An engine that obeys every order could still get a lost one, so its memory stays reserved and
-/// the model is loaded elsewhere.
+/// An engine that doesn't check fencing tokens could still receive a lost order, so its memory
+/// stays reserved and the model is loaded elsewhere.
 #[rstest]
 fn a_load_that_is_lost_is_decided_anew(
     #[values(OrderFault::LoseOrder, OrderFault::Die)] fault: OrderFault,
@@ -58,10 +58,9 @@
     assert_eq!(world.holders(&model), 1);
 }
 
-/// Symptom: an engine holds more than its memory, or a model that no decision put there stays. Sequence:
-/// the answer to an order does not come in time, and the engine acts on the order only after the model
-/// was loaded elsewhere. Cause: an order that was not seen to take effect is taken for one that never
-/// will.
+/// Guards against an engine that holds more than its memory, and a model that stays without an
+/// accepted load. An order gets no answer in time, and the engine carries it out only after the
+/// model was loaded elsewhere.
 #[rstest]
 #[case(true, 1)]
 #[case(false, 2)]
