--- a/crates/node/tests/one_order.rs
+++ b/crates/node/tests/one_order.rs
@@ -1,4 +1,4 @@
-//! From an accepted intent to one order.
+//! From an accepted intent to a single order.
 
 mod support;
 
@@ -36,10 +36,10 @@
     }
 }
 
-/// Symptom: a model is loaded as often as there are VMs. Sequence: a burst of cold requests reaches
-/// all VMs at once, and each proposes a load on another engine before it has read the others'
-/// proposals. Cause: the order is sent for a proposal rather than for an accepted intent, or replay
-/// accepts a proposal that was based on another number of replicas.
+/// Guards against a model that is loaded once for each VM. A burst of cold requests reaches all VMs
+/// at once, and each proposes a load on another engine before it has read the others' proposals. An
+/// order must be sent for an accepted intent only, and replay must reject a proposal with another
+/// expected number of replicas.
 #[test]
 fn of_three_proposals_at_once_one_order_reaches_the_engines() {
     let cluster = Cluster::start(3, 3, true);
@@ -73,9 +73,8 @@
     assert_eq!(world.holders(&model), 1);
 }
 
-/// Symptom: an engine loads a model that nobody decided on. Sequence: the proposal's append waits in
-/// the log, and its VM sends the order meanwhile, under a number that no record has. Cause: the
-/// order does not wait for replay.
+/// Guards against a load without an accepted intent. The append of the proposal is delayed in the
+/// log, and its VM must not send the order before replay, under a fencing token that no record has.
 #[test]
 fn the_order_waits_for_its_intent_and_bears_its_offset() {
     let cluster = Cluster::start(1, 1, true);
@@ -100,9 +99,8 @@
     assert_eq!(fences, [load.offset.0]);
 }
 
-/// Symptom: an engine is told to load more than its memory holds. Sequence: three VMs propose to load
-/// three models on one engine at once, and each alone would fit. Cause: a proposal is accepted by what
-/// its proposer knew of the memory.
+/// Guards against orders for more models than an engine's memory can hold. Three VMs propose to
+/// load three models on one engine at once, of which each alone would fit.
 #[test]
 fn of_three_models_at_once_those_that_fit_are_ordered() {
     let cluster = Cluster::start(3, 1, false);
