--- a/crates/node/tests/silent_peer.rs
+++ b/crates/node/tests/silent_peer.rs
@@ -1,4 +1,4 @@
-//! What a daemon does while another that it would ask is silent.
+//! A daemon while a peer that it would ask does not respond.
 
 mod support;
 
@@ -8,9 +8,8 @@
 use support::world::Cluster;
 use support::world::model_spec;
 
-/// Symptom: nothing is decided on some models, or no configuration comes into force, while one VM
-/// stands still. Sequence: a VM freezes, and is still listed as live; models that it decides on first
-/// are called elsewhere. Cause: the others wait for it.
+/// Guards against decisions and configuration changes that wait for a paused VM. The VM is still
+/// listed as live, and models for which it is the preferred one are called at other VMs.
 #[test]
 fn a_silent_daemon_holds_up_no_decision() {
     let cluster = Cluster::start(3, 2, true);
@@ -29,8 +28,8 @@
     assert_eq!(cluster.world.service.effects_of("key"), 1);
 }
 
-/// Symptom: a VM that stood still serves an old configuration after it wakes up. Sequence: a model is
-/// added while the VM is frozen. Cause: it takes requests before it has replayed what it missed.
+/// Guards against a VM that serves an old configuration after a pause, in which a model was added.
+/// It must not accept requests before it has replayed what it missed.
 #[test]
 fn a_daemon_that_wakes_learns_what_it_missed() {
     let cluster = Cluster::start(2, 1, true);
