--- a/crates/node/tests/stray_models.rs
+++ b/crates/node/tests/stray_models.rs
@@ -1,4 +1,4 @@
-//! What engines hold and should not, and what they lack and should hold.
+//! Models that engines hold without an accepted load, or lack in spite of one.
 
 mod support;
 
@@ -13,12 +13,11 @@
 use support::world::MODEL_BYTES;
 use support::world::engine_address;
 
-/// How long a load may take to be told, in milliseconds, with something over.
+/// Time within which a load's outcome is appended, with a margin, in milliseconds.
 const SETTLING_MS: u64 = 10_000;
 
-/// Symptom: an engine's memory is taken by a model that nobody routes to. Sequence: an order takes
-/// effect long after its intent was settled as failed. Cause: nobody notices what no decision put
-/// there.
+/// Guards against memory that is used by a model to which no request is routed. An order takes
+/// effect long after its intent was settled as failed.
 #[rstest]
 fn the_late_effect_of_an_order_is_unloaded(#[values(true, false)] checks_fence: bool) {
     let cluster = Cluster::start(3, 2, checks_fence);
@@ -39,17 +38,16 @@
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
 
-/// How an engine comes to lack a model.
+/// How an engine loses a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
     Restart,
     Model,
 }
 
-/// Symptom: requests are refused although the model could be loaded, or wait for ever. Sequence: an
-/// engine restarts, or loses a model, which the control stream shows as loaded there; a request comes
-/// before anyone has read the engine's status. Cause: the engine's word that it lacks the model is
-/// taken for an answer, or the replica still counts.
+/// Guards against requests that are refused although the model could be loaded, or that wait for
+/// ever. An engine restarts, or loses a model that the control stream shows as loaded there, and a
+/// request comes before a VM has read the engine's status.
 #[rstest]
 fn a_request_waits_for_a_model_that_its_engine_lost(
     #[values(Loss::Restart, Loss::Model)] loss: Loss,
