--- a/crates/node/tests/taken_over.rs
+++ b/crates/node/tests/taken_over.rs
@@ -1,4 +1,4 @@
-//! Intents whose proposer stops in their midst.
+//! Intents whose proposer stops before they are settled.
 
 mod support;
 
@@ -11,10 +11,10 @@
 use support::world::Cluster;
 use support::world::StopAt;
 
-/// How often the VMs look at an intent after it was settled.
+/// Number of checks that the VMs make of an intent after it was settled.
 const LOOKS: usize = 4;
 
-/// What the platform's list says of the VM that stopped.
+/// State of the stopped VM in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Listed {
     Gone,
@@ -35,11 +35,11 @@
     }
 }
 
-/// Symptom: a request waits for a load that nobody carries out. Sequence: a VM proposes a load and
-/// stops before it sends the order; the intent stays open. Cause: nobody takes the intent over, or
-/// whoever does waits for an order that never comes.
+/// Guards against a request that waits for a load that is never carried out. A VM proposes a load
+/// and stops before it sends the order; another VM must take the intent over, without waiting for
+/// the order.
 ///
-/// The VM that wakes later has no say any more: its order must not take effect.
+/// If the first VM resumes later, its order must not take effect.
 #[rstest]
 #[case(true, Listed::Gone)]
 #[case(true, Listed::Live)]
@@ -60,9 +60,9 @@
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
 
-/// Symptom: two engines load a model that was decided on once. Sequence: a VM stops after its
-/// intent, and is still listed as live; others take the intent over and load elsewhere; the VM wakes
-/// up and sends the order. Cause: a takeover where the engine would obey the late order.
+/// Guards against one accepted load that two engines carry out. A VM stops after its intent and is
+/// still listed as live. The engine doesn't check fencing tokens, so the late order of the VM could
+/// still take effect, and the intent must not be taken over.
 #[test]
 fn an_intent_that_an_obeying_engine_may_still_get_is_left_alone() {
     let cluster = Cluster::start(3, 2, false);
@@ -83,9 +83,8 @@
     assert_eq!((world.holders(&model), world.load_orders(&model)), (1, 1));
 }
 
-/// Symptom: a model is loaded twice, or a replica that is there is used by nobody. Sequence: a VM
-/// stops after its order took effect and before it could tell. Cause: the effect is not read from
-/// the engine.
+/// Guards against a model that is loaded twice, or a replica that is never used. A VM stops after
+/// its order took effect and before it recorded that; the effect must be read from the engine.
 #[rstest]
 fn an_effect_that_nobody_told_is_read_from_the_engine(
     #[values(true, false)] checks_fence: bool,
@@ -106,10 +105,9 @@
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
 
-/// Symptom: an engine is told to load more than its memory holds. Sequence: a VM stops when it is
-/// about to send an order to an engine that obeys; the list says that it is gone; others fill the
-/// engine; the order arrives after all. Cause: the memory of an order that may still arrive was
-/// given away.
+/// Guards against orders for more models than an engine's memory can hold. A VM stops right before
+/// it sends an order to an engine that doesn't check fencing tokens; the list shows it as gone;
+/// others fill the engine; then the order arrives. Its memory must stay reserved.
 #[test]
 fn the_memory_of_an_order_that_may_still_arrive_stays_reserved() {
     let cluster = Cluster::start(3, 1, false);
@@ -132,10 +130,10 @@
     assert!(world.memory_held());
 }
 
-/// Symptom: two engines load a model that was decided on once. Sequence: a VM stops when it is about to
-/// send an order to an engine that checks numbers, and is still listed as live; others take the intent
-/// over and load elsewhere; the VM wakes up and sends the order. Cause: the engine was not told of the
-/// takeover's number, or the number of the order is not that of its intent.
+/// Guards against one accepted load that two engines carry out. A VM stops right before it sends an
+/// order to an engine that checks fencing tokens, and is still listed as live; others take the
+/// intent over and load elsewhere; the VM resumes and sends the order. The engine must have the
+/// takeover's fencing token, and the order that of its intent.
 #[test]
 fn a_late_order_is_refused_by_its_number() {
     let cluster = Cluster::start(3, 2, true);
@@ -154,9 +152,9 @@
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
 
-/// Symptom: the log fills with records of two VMs that take one intent from each other. Sequence: the
-/// proposer stays frozen for long; its intent was taken over and settled as far as it can be. Cause:
-/// each look finds it unsettled.
+/// Guards against a log that fills with records of two VMs that take one intent from each other.
+/// The proposer stays paused for long; its intent was taken over and settled as far as possible,
+/// but still counts as unsettled.
 #[test]
 fn a_settled_intent_is_not_taken_over_again() {
     let cluster = Cluster::start(3, 2, true);
