--- a/crates/node/tests/unload_faults.rs
+++ b/crates/node/tests/unload_faults.rs
@@ -1,4 +1,4 @@
-//! Unloads whose order gets no answer.
+//! Unload orders without an answer.
 
 mod support;
 
@@ -9,12 +9,12 @@
 use support::world::Cluster;
 use support::world::engine_address;
 
-/// How long a replica must have been idle to be unloaded, in milliseconds, with something over.
+/// Idle time after which a replica is unloaded, with a margin, in milliseconds.
 const IDLE_MS: u64 = 700_000;
 
-/// Symptom: a replica that nobody uses stays for ever, or counts as loaded where it is gone. Sequence:
-/// the order to unload it, its answer, or the engine with it, is lost. Cause: the unload stays open, or
-/// is taken for done or for failed without a look at the engine.
+/// Guards against an unused replica that stays for ever, or that counts as loaded after it is gone.
+/// The unload order, its answer, or the engine with it, is lost; the unload must be settled by the
+/// engine's status.
 #[rstest]
 fn an_unload_without_an_answer_comes_to_its_end(
     #[values(OrderFault::LoseOrder, OrderFault::LoseAnswer, OrderFault::Die)] fault: OrderFault,
@@ -39,9 +39,8 @@
     assert_eq!(world.load_orders(&model), 2);
 }
 
-/// Symptom: a replica that is used again is unloaded under its callers, or requests are refused.
-/// Sequence: requests come while the order to unload waits at the engine. Cause: the replica is still
-/// routed to, or the request does not wait for the load after it.
+/// Guards against a replica that is unloaded while requests use it, and against refused requests.
+/// The requests come while the unload order waits at the engine; they must wait for the next load.
 #[test]
 fn a_request_during_an_unload_waits_for_the_next_load() {
     let cluster = Cluster::start(2, 1, true);
