--- a/crates/node/tests/support/caller.rs
+++ b/crates/node/tests/support/caller.rs
@@ -15,17 +15,17 @@
 use super::PATIENCE;
 use super::SERVICE;
 
-/// The time that a request may ask for, in milliseconds. Tests move their clocks on by less.
+/// Timeout that a request asks for, in milliseconds. Tests advance their clocks by less.
 const TIMEOUT_MS: u64 = 500_000;
 
-/// `Caller` calls one daemon.
+/// Client that calls one daemon.
 #[derive(Clone)]
 pub struct Caller {
     agent: Agent,
     url: String,
 }
 
-/// `Reply` is a whole answer.
+/// Complete answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     pub status: u16,
@@ -34,7 +34,7 @@
 }
 
 impl Reply {
-    /// Returns reason and `ran` of a refusal, or two dashes of an answer.
+    /// Returns the reason and the `ran` field of a refusal, or two dashes for an answer.
     pub fn refusal(&self) -> (&str, &str) {
         let text = |member: &str| self.body[member].as_str().unwrap_or("-");
         (text("reason"), text("ran"))
@@ -46,7 +46,7 @@
     }
 }
 
-/// `Waiting` is a call whose answer has not been looked at.
+/// Call on a thread of its own whose answer has not been read.
 pub struct Waiting(JoinHandle<Reply>);
 
 impl Waiting {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns whether anything is answered at all.
+    /// Returns whether the daemon answers health checks at all.
     pub fn is_served(&self) -> bool {
         let answer = self.agent.get(format!("{}/health/live", self.url)).call();
         answer.is_ok()
@@ -88,7 +88,7 @@
         self.complete_within(model, TIMEOUT_MS)
     }
 
-    /// Calls a model that has to answer within a time.
+    /// Calls a model with a timeout.
     pub fn complete_within(&self, model: &str, timeout_ms: u64) -> Reply {
         let body = json!({"model": model, "prompt": "a slot"});
         self.post("/v1/completions", None, timeout_ms, &body)
@@ -100,7 +100,7 @@
         Waiting(thread::spawn(move || caller.complete(&model)))
     }
 
-    /// Calls the service under a key, with a body that tells calls apart.
+    /// Calls the service under a key, with the same body for each call.
     pub fn book(&self, key: &str) -> Reply {
         self.book_crew(key, "two")
     }
@@ -122,7 +122,7 @@
         Waiting(thread::spawn(move || caller.book(&key)))
     }
 
-    /// Begins a stream and returns it at its first event.
+    /// Begins a streamed call and returns it once its first event has come.
     pub fn stream(&self, model: &str) -> Stream {
         let body = json!({"model": model, "messages": [], "stream": true});
         let request = self
@@ -154,7 +154,7 @@
     }
 }
 
-/// `Stream` is an answer as it comes.
+/// Streamed answer that is read event by event.
 pub struct Stream {
     reader: BufReader<BodyReader<'static>>,
 }
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Returns whether the rest of the answer ends as a whole one does.
+    /// Returns whether the remainder of the answer ends as a complete one does.
     pub fn ends_whole(mut self) -> bool {
         let mut last = None;
         while let Some(event) = self.next_event() {
