--- a/crates/node/tests/support/clock.rs
+++ b/crates/node/tests/support/clock.rs
@@ -1,4 +1,4 @@
-//! Time that a test can move on.
+//! Clocks that a test can advance.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicI64;
@@ -12,13 +12,14 @@
 
 use super::switch::Switch;
 
-/// Unix time at the beginning of each test, in milliseconds.
+/// Unix time at the start of each test, in milliseconds.
 const UNIX_START_MS: u64 = 1_790_000_000_000;
 
-/// Monotonic time at the beginning of each test, since zero stands for "never" in some places.
+/// Monotonic time at the start of each test. It is not zero, since zero means "never" in some
+/// places.
 const MONOTONIC_START_MS: u64 = 1_000;
 
-/// `WorldTime` is the time of the platform, from which all clocks run.
+/// Time of the platform, which all clocks follow.
 #[derive(Debug)]
 pub struct WorldTime {
     start: Instant,
@@ -35,7 +36,7 @@
 }
 
 impl WorldTime {
-    /// Moves the platform's clock and those of all daemons on.
+    /// Advances the clocks of the platform and of all daemons.
     pub fn advance(&self, ms: u64) {
         self.advanced_ms.fetch_add(ms, Ordering::SeqCst);
     }
@@ -50,7 +51,7 @@
     }
 }
 
-/// `TestClock` is the clock of one daemon.
+/// Clock of one daemon.
 #[derive(Debug)]
 pub struct TestClock {
     pub world: Arc<WorldTime>,
@@ -69,13 +70,13 @@
         }
     }
 
-    /// Stops this clock, or lets it go on as if it had never stopped.
+    /// Stops this clock, or lets it run again as if it had never stopped.
     pub fn set_stopped(&self, is_stopped: bool) {
         *self.stopped_at_ms.lock() = is_stopped.then(|| self.running_ms());
     }
 
-    /// Lets this clock go on from some time after the one at which it stopped, whatever time has
-    /// passed meanwhile.
+    /// Lets this clock run again from `ms` after the time at which it stopped, regardless of the
+    /// time that has passed meanwhile.
     pub fn go_on_after(&self, ms: u64) {
         let mut stopped_at_ms = self.stopped_at_ms.lock();
         if let Some(at_ms) = stopped_at_ms.take() {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Lets this clock alone jump, as one does over a freeze.
+    /// Advances this clock alone, as a pause of the whole machine does.
     pub fn jump(&self, ms: u64) {
         self.jumped_ms.fetch_add(ms.cast_signed(), Ordering::SeqCst);
     }
