--- a/crates/node/tests/support/engine.rs
+++ b/crates/node/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines, in memory, with faults.
+//! In-memory model engines with faults.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -29,41 +29,41 @@
 use super::clock::WorldTime;
 use super::switch::Switch;
 
-/// The accelerator memory of each engine.
+/// Accelerator memory of each engine.
 pub const CAPACITY_BYTES: u64 = 100;
 
-/// The places in each engine's batch.
+/// Slots of each engine's batch.
 const SLOTS: u32 = 8;
 
-/// `OrderFault` is what becomes of the next order to any engine.
+/// Fault of the next order to any engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
     /// The order does not arrive, and no answer comes.
     LoseOrder,
     /// The order takes effect, and no answer comes.
     LoseAnswer,
-    /// No answer comes, and the order is acted on once the test releases it.
+    /// No answer comes, and the order is carried out once the test releases it.
     Delay,
-    /// The engine dies while it carries the order out, and starts anew without any model.
+    /// The engine ends while it carries the order out, and restarts without any model.
     Die,
-    /// The order takes effect, and the daemon that sent it freezes before the answer comes.
+    /// The order takes effect, and the daemon that sent it is paused before the answer comes.
     FreezeSender,
-    /// The daemon freezes when it is about to send the order.
+    /// The daemon is paused right before it sends the order.
     FreezeBefore,
 }
 
-/// `Order` is a load or an unload that an engine has received.
+/// Load or unload order that an engine has received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     pub vm: VmName,
     pub model: ModelName,
     pub fence: FencingNumber,
     pub is_load: bool,
-    /// Whether it took effect.
+    /// Whether the order took effect.
     pub done: bool,
 }
 
-/// `Engine` is one engine.
+/// State of one engine.
 #[derive(Debug)]
 pub struct Engine {
     pub status: EngineStatus,
@@ -99,7 +99,7 @@
         residents.any(|resident| resident.model.as_str() == model)
     }
 
-    /// Returns the loads that were received for a model.
+    /// Returns the number of load orders received for a model.
     pub fn loads_of(&self, model: &str) -> usize {
         let loads = self.orders.iter().filter(|order| order.is_load);
         loads.filter(|order| order.model.as_str() == model).count()
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// Acts on an order, if this is still the run that received it.
+    /// Carries out an order, if the engine's boot is still the one that received it.
     fn act(&mut self, order: LateOrder) -> Result<()> {
         if self.status.boot != order.boot {
             return Err(Error::unknown("the engine restarted"));
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Puts a model into the memory.
+    /// Adds a model to the memory.
     pub fn put(&mut self, order: &LoadOrder) {
         let residents = &mut self.status.residents;
         if residents.iter().any(|one| one.model == order.model) {
@@ -168,7 +168,7 @@
 
 type Effect = Box<dyn FnOnce(&mut Engine) -> Result<()> + Send>;
 
-/// `LateOrder` is an order that its engine has received and not yet acted on.
+/// Order that its engine has received and not yet carried out.
 struct LateOrder {
     address: SocketAddr,
     boot: BootId,
@@ -177,7 +177,7 @@
     effect: Effect,
 }
 
-/// `FakeEngines` are all engines.
+/// All engines of a test.
 pub struct FakeEngines {
     engines: Mutex<BTreeMap<SocketAddr, Engine>>,
     faults: Mutex<VecDeque<OrderFault>>,
@@ -204,7 +204,7 @@
         self.engines.lock().insert(address, engine);
     }
 
-    /// Reads or changes an engine.
+    /// Calls a function with an engine, which is locked meanwhile.
     pub fn with<T>(&self, address: SocketAddr, act: impl FnOnce(&mut Engine) -> T) -> T {
         let mut engines = self.engines.lock();
         let result = act(engines.get_mut(&address).expect("a known engine"));
@@ -213,31 +213,31 @@
         result
     }
 
-    /// Sums something up over all engines.
+    /// Returns the sum of a count over all engines.
     pub fn sum(&self, of: impl Fn(&Engine) -> usize) -> usize {
         self.engines.lock().values().map(of).sum()
     }
 
-    /// Puts a fault in the way of the next order.
+    /// Applies a fault to the next order.
     pub fn fault(&self, fault: OrderFault) {
         self.faults.lock().push_back(fault);
     }
 
-    /// Lets orders wait in their connections, or lets them go on.
+    /// Holds orders in their connections, or releases them.
     pub fn hold_orders(&self, address: SocketAddr, holds: bool) {
         self.with(address, |engine| engine.holds_orders = holds);
     }
 
-    /// Lets the engines act on the orders that are late.
+    /// Lets the engines carry out the delayed orders.
     pub fn release_late(&self) {
         for late in std::mem::take(&mut *self.late.lock()) {
             let address = late.address;
-            // A refusal goes to a sender that has long stopped listening.
+            // A refusal has no receiver: the sender's timeout has passed.
             let _ = self.with(address, |engine| engine.act(late));
         }
     }
 
-    /// Lets all orders go on.
+    /// Releases all orders.
     pub fn open(&self) {
         let mut engines = self.engines.lock();
         engines
@@ -255,12 +255,12 @@
         self.with(address, |engine| engine.is_reachable = is_reachable);
     }
 
-    /// Removes a model without any order, as a faulty engine might.
+    /// Removes a model without an order, as a faulty engine might.
     pub fn lose_model(&self, address: SocketAddr, model: &str) {
         self.with(address, |engine| engine.remove(&ModelName::new(model)));
     }
 
-    /// Returns the engines as one VM reaches them.
+    /// Returns a client through which one VM reaches the engines.
     pub fn client(self: &Arc<Self>, vm: &VmName, switch: &Arc<Switch>) -> EnginesOfVm {
         EnginesOfVm {
             engines: Arc::clone(self),
@@ -278,7 +278,7 @@
     }
 }
 
-/// `EnginesOfVm` are the engines as one daemon reaches them.
+/// Client through which one daemon reaches the engines.
 pub struct EnginesOfVm {
     pub(super) engines: Arc<FakeEngines>,
     pub(super) vm: VmName,
@@ -286,7 +286,7 @@
 }
 
 impl EnginesOfVm {
-    /// Takes an order to its engine, with the faults on the way.
+    /// Delivers an order to its engine, with the next fault.
     fn order(&self, address: SocketAddr, order: Order, effect: Effect) -> Result<EngineStatus> {
         self.switch.pass();
         let fault = self.engines.faults.lock().pop_front();
