--- a/crates/node/tests/support/log.rs
+++ b/crates/node/tests/support/log.rs
@@ -1,4 +1,4 @@
-//! The platform's log, in memory, with faults.
+//! In-memory fake of the platform's log, with faults.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 
 #[derive(Debug, Default)]
 struct Stream {
-    /// Every record, those included that have expired.
+    /// All records, including expired ones.
     records: Vec<LogRecord>,
     first: usize,
 }
@@ -45,7 +45,7 @@
     tried_reads: BTreeMap<VmName, usize>,
 }
 
-/// `FakeLog` is the log service.
+/// In-memory log service.
 pub struct FakeLog {
     inner: Mutex<Inner>,
     changed: Condvar,
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Begins or ends an outage: nothing is appended or read during it.
+    /// Begins or ends an outage, during which appends and reads fail.
     pub fn set_down(&self, is_down: bool) {
         self.inner.lock().is_down = is_down;
         self.changed.notify_all();
     }
 
-    /// Drops the records of a stream before an offset.
+    /// Expires the records of a stream before an offset.
     pub fn trim(&self, stream: &str, before: u64) {
         let mut inner = self.inner.lock();
         let stream = inner.streams.entry(stream.into()).or_default();
@@ -75,14 +75,14 @@
         stream.first = stream.first.max(before as usize);
     }
 
-    /// Drops every record of a stream, and returns the offset of the next one.
+    /// Expires all records of a stream, and returns the offset of the next one.
     pub fn trim_all(&self, stream: &str) -> u64 {
         let end = self.records(stream).len() as u64;
         self.trim(stream, end);
         end
     }
 
-    /// Puts a fault in the way of the next appends that match, as many as `times`.
+    /// Applies a fault to the next `times` appends that match.
     pub fn fault_appends(
         &self,
         fault: AppendFault,
@@ -100,7 +100,7 @@
         faulted
     }
 
-    /// Puts a fault in the way of the reads that match, until the test releases it.
+    /// Applies a fault to the reads that match, until the test releases it.
     pub fn fault_reads(
         &self,
         fault: ReadFault,
@@ -116,7 +116,7 @@
         faulted
     }
 
-    /// Ends every fault.
+    /// Ends all faults.
     pub fn open(&self) {
         let mut inner = self.inner.lock();
         inner.is_down = false;
@@ -130,7 +130,7 @@
         self.changed.notify_all();
     }
 
-    /// Lets the records that a fault holds go on to the stream.
+    /// Appends the records that a fault holds to their streams.
     pub fn release(&self, faulted: &Faulted) {
         let late = faulted.release();
         let mut inner = self.inner.lock();
@@ -141,31 +141,31 @@
         self.changed.notify_all();
     }
 
-    /// Appends a record as nobody's.
+    /// Appends a record that no VM has sent.
     pub fn append_raw(&self, stream: &str, payload: &[u8]) -> Offset {
         self.push(&mut self.inner.lock(), &stream.into(), payload)
     }
 
-    /// Returns every record of a stream, those included that have expired.
+    /// Returns all records of a stream, including expired ones.
     pub fn records(&self, stream: &str) -> Vec<LogRecord> {
         let inner = self.inner.lock();
         let stream = inner.streams.get(&StreamName::new(stream));
         stream.map_or_else(Vec::new, |stream| stream.records.clone())
     }
 
-    /// Returns how many appends a VM has tried, whatever became of them.
+    /// Returns the number of appends that a VM has attempted, regardless of their outcome.
     pub fn tried_appends(&self, vm: &VmName) -> usize {
         let inner = self.inner.lock();
         inner.tried_appends.get(vm).copied().unwrap_or(0)
     }
 
-    /// Returns how many reads a VM has tried, whatever became of them.
+    /// Returns the number of reads that a VM has attempted, regardless of their outcome.
     pub fn tried_reads(&self, vm: &VmName) -> usize {
         let inner = self.inner.lock();
         inner.tried_reads.get(vm).copied().unwrap_or(0)
     }
 
-    /// Returns the log as one VM reaches it.
+    /// Returns a client through which one VM reaches the log.
     pub fn client(self: &Arc<Self>, vm: &VmName, switch: &Arc<Switch>) -> LogOfVm {
         LogOfVm {
             log: Arc::clone(self),
@@ -260,7 +260,7 @@
 }
 
 impl Inner {
-    /// Returns the fault in the way of a read.
+    /// Returns the fault that applies to a read.
     fn read_fault(&self, read: &Read<'_>) -> Option<ReadFault> {
         let rule = self.read_rules.iter().find(|rule| rule.applies(read))?;
         rule.faulted.hit();
@@ -294,7 +294,7 @@
     })
 }
 
-/// `LogOfVm` is the log as one daemon reaches it.
+/// Client through which one daemon reaches the log.
 pub struct LogOfVm {
     log: Arc<FakeLog>,
     vm: VmName,
