--- a/crates/node/tests/support/log_fault.rs
+++ b/crates/node/tests/support/log_fault.rs
@@ -17,10 +17,10 @@
 
 use super::wait_until;
 
-/// `AppendFault` is what becomes of an append.
+/// Fault of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendFault {
-    /// Nothing is appended, and the answer says so.
+    /// Nothing is appended, and the answer is an error that says so.
     Refuse,
     /// Nothing is appended, and no answer comes.
     LoseRecord,
@@ -28,26 +28,26 @@
     LoseAnswer,
     /// No answer comes, and the record is appended once the test releases it.
     Delay,
-    /// Both record and answer wait until the test releases them.
+    /// Both the record and the answer are held until the test releases them.
     Hold,
-    /// The record is appended, and the daemon freezes before it hears of that.
+    /// The record is appended, and the daemon is paused before it gets the answer.
     Freeze,
 }
 
-/// `ReadFault` is what becomes of a read.
+/// Fault of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadFault {
-    /// Nothing is read, and the answer says so.
+    /// Nothing is read, and the answer is an error that says so.
     Refuse,
-    /// The answer waits until the test releases it.
+    /// The answer is held until the test releases it.
     Hold,
-    /// The daemon freezes before the read, once.
+    /// The daemon is paused before the read, once.
     FreezeBefore,
-    /// The daemon freezes after the read and before it hears of what was read, once.
+    /// The daemon is paused after the read and before it gets the answer, once.
     FreezeAfter,
 }
 
-/// `Append` is an append that a daemon tries.
+/// Append that a daemon attempts.
 pub struct Append<'a> {
     pub vm: &'a VmName,
     pub stream: &'a StreamName,
@@ -85,7 +85,7 @@
         self.stream.as_str() == "snapshots"
     }
 
-    /// Returns the entries of a claim batch, or none for another record.
+    /// Returns the entries of a claim batch, which are none for another record.
     pub fn claims(&self) -> Vec<ClaimRecord> {
         match self.stream.as_str().starts_with("claims-") {
             true => ClaimBatch::decode(self.payload).map_or_else(Vec::new, |batch| batch.entries),
@@ -116,7 +116,7 @@
     matches!(record.body, SnapshotBody::Fresh(_)) && record.stream.as_str() == stream
 }
 
-/// `Read` is a read that a daemon tries.
+/// Read that a daemon attempts.
 pub struct Read<'a> {
     pub vm: &'a VmName,
     pub stream: &'a StreamName,
@@ -128,7 +128,7 @@
         self.vm == vm
     }
 
-    /// Returns whether the read only asks how far the control stream goes.
+    /// Returns whether the read only finds the end of the control stream.
     pub fn is_of_end(&self) -> bool {
         self.is_of_control() && self.max_records == 1
     }
@@ -143,7 +143,7 @@
     }
 }
 
-/// `Faulted` tells how often a fault has struck, and ends it.
+/// Handle of a fault, which counts how often the fault was applied and releases it.
 #[derive(Debug, Default)]
 pub struct Faulted {
     hits: AtomicUsize,
@@ -156,7 +156,7 @@
         self.hits.load(Ordering::SeqCst)
     }
 
-    /// Waits until the fault has struck as often.
+    /// Waits until the fault was applied this many times.
     pub fn wait_hits(&self, hits: usize) {
         wait_until("the fault to strike", || self.hits() >= hits);
     }
