--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Daemons in this process, with an in-memory fake at each of their borders.
+//! Daemons in this process, with in-memory fakes of the systems that they call.
 //!
-//! Time passes as on the machine's clock; a test can move it on at once. Daemons talk to each other
-//! over nng on loopback, and to callers and operators over HTTP.
+//! Time passes as on the machine's clock, and a test can advance it. Daemons communicate over nng
+//! on loopback, and with callers and operators over HTTP.
 
 #![allow(dead_code)]
 
@@ -23,10 +23,10 @@
 
 pub use world::SERVICE;
 
-/// A bound on waits that ends a broken test; no assertion depends on its length.
+/// Timeout of waits, which ends a failing test; no assertion depends on its length.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// The pause between two looks at a condition.
+/// Interval at which a condition is checked.
 const POLL_PAUSE: Duration = Duration::from_millis(5);
 
 /// Waits until a condition holds.
