--- a/crates/node/tests/support/node.rs
+++ b/crates/node/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! One daemon, in this process.
+//! A daemon in this process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,10 +34,10 @@
 use super::world::World;
 use super::world::configuration;
 
-/// How long an order may go without an outcome before others take it over where they may.
+/// Time without an outcome after which an order's intent is taken over where that is allowed.
 pub const LOAD_TIMEOUT_MS: u64 = 5_000;
 
-/// `Node` is a daemon with its VM.
+/// Daemon with the fakes of its VM.
 pub struct Node {
     pub vm: VmName,
     pub switch: Arc<Switch>,
@@ -49,7 +49,7 @@
 }
 
 impl Node {
-    /// Starts a daemon and puts its VM onto the list.
+    /// Starts a daemon and adds its VM to the list.
     pub fn start(world: &World, vm: &str, placement: &str) -> Self {
         let switch = Arc::new(Switch::default());
         let clock = Arc::new(TestClock::new(&world.time, &switch));
@@ -82,7 +82,7 @@
         self.admin().status().expect("the daemon's status")
     }
 
-    /// Returns the epoch of this daemon's process, or of the one that took its place.
+    /// Returns the epoch of this daemon's process, or of the process that replaced it.
     pub fn epoch(&self) -> Epoch {
         let view = self.admin().members().expect("the members");
         let mut lines = view.members.iter();
@@ -90,13 +90,13 @@
         line.and_then(|line| line.epoch).expect("an epoch")
     }
 
-    /// Returns whether a model is configured here.
+    /// Returns whether a model is configured at this daemon.
     pub fn knows(&self, model: &str) -> bool {
         let view = self.admin().models().expect("the models");
         view.models.iter().any(|line| line.model.as_str() == model)
     }
 
-    /// Returns how many requests wait for a model, as far as this daemon knows.
+    /// Returns the number of requests that wait for a model, by this daemon's demand table.
     pub fn waiting_for(&self, model: &str) -> u32 {
         let view = self.admin().models().expect("the models");
         let mut lines = view.models.iter();
@@ -108,14 +108,14 @@
         wait_until("the daemon to be ready", || self.caller.is_ready());
     }
 
-    /// Waits until a configuration is in force here.
+    /// Waits until a configuration version is in force at this daemon.
     pub fn wait_version(&self, version: ConfigVersion) {
         wait_until("the configuration to be in force", || {
             self.status().config_version >= version
         });
     }
 
-    /// Waits until this daemon has read from the list that an upstream is in a state.
+    /// Waits until this daemon has read an upstream's state from the list.
     pub fn wait_listed(&self, upstream: &str, state: VmState) {
         wait_until("the list to be read", || {
             let view = self.admin().upstreams().expect("the upstreams");
@@ -133,7 +133,7 @@
         });
     }
 
-    /// Publishes edits on top of a version.
+    /// Publishes edits based on a version.
     pub fn publish(&self, base_version: ConfigVersion, edits: Vec<ConfigEdit>) -> PublishOutcome {
         let request = PublishRequest {
             operator: "test".into(),
@@ -144,7 +144,7 @@
         self.admin().publish(&request).expect("an outcome")
     }
 
-    /// Publishes what is in force once more, and returns the new version.
+    /// Publishes the configuration in force again, and returns the new version.
     pub fn publish_again(&self, base_version: ConfigVersion) -> ConfigVersion {
         match self.publish(base_version, configuration()) {
             PublishOutcome::Accepted { version } => version,
@@ -169,7 +169,7 @@
 }
 
 impl Drop for Node {
-    /// Lets the daemon end by itself. A test does not wait for that.
+    /// Starts the daemon's stop. A test does not wait for its end.
     fn drop(&mut self) {
         self.begin_stop();
         self.switch.thaw();
