--- a/crates/node/tests/support/platform.rs
+++ b/crates/node/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The rest of the platform: the list of VMs and the weight store.
+//! Fakes of the VM list and the weight store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,13 +23,13 @@
 use super::clock::WorldTime;
 use super::switch::Switch;
 
-/// How far the list lags at first, in milliseconds.
+/// Initial delay of the list, in milliseconds.
 const LAG_MS: u64 = 20;
 
-/// `FakeVmList` is the list of VMs.
+/// In-memory VM list.
 pub struct FakeVmList {
     entries: Mutex<Vec<VmEntry>>,
-    /// What single VMs are told of an entry, since the list lags more for some than for others.
+    /// States of entries shown to single VMs, since the delay of the list differs between VMs.
     told: Mutex<BTreeMap<(VmName, String), VmState>>,
     lag_ms: AtomicU64,
     time: Arc<WorldTime>,
@@ -74,18 +74,18 @@
         entry.expect("a listed VM").state = state;
     }
 
-    /// Lets the list speak of a time that lies so far back.
+    /// Sets the delay of the list.
     pub fn set_lag(&self, lag_ms: u64) {
         self.lag_ms.store(lag_ms, Ordering::SeqCst);
     }
 
-    /// Tells one VM another state of an entry than all others.
+    /// Shows one VM another state of an entry than all others.
     pub fn tell(&self, vm: &VmName, name: &str, state: VmState) {
         let told = (vm.clone(), name.to_owned());
         self.told.lock().insert(told, state);
     }
 
-    /// Tells all VMs the same again.
+    /// Shows all VMs the same states again.
     pub fn tell_all_alike(&self) {
         self.told.lock().clear();
     }
@@ -99,7 +99,7 @@
         entries
     }
 
-    /// Returns the list as one VM reaches it.
+    /// Returns a client through which one VM reads the list.
     pub fn client(self: &Arc<Self>, vm: &VmName, switch: &Arc<Switch>) -> VmListOfVm {
         VmListOfVm {
             list: Arc::clone(self),
@@ -109,7 +109,7 @@
     }
 }
 
-/// `VmListOfVm` is the list as one daemon reaches it.
+/// Client through which one daemon reads the list.
 pub struct VmListOfVm {
     list: Arc<FakeVmList>,
     vm: VmName,
@@ -128,7 +128,7 @@
     }
 }
 
-/// `IdleWeightStore` is a weight store that nobody uses.
+/// Weight store without active loads.
 pub struct IdleWeightStore;
 
 impl WeightStore for IdleWeightStore {
