--- a/crates/node/tests/support/service.rs
+++ b/crates/node/tests/support/service.rs
@@ -1,4 +1,4 @@
-//! A plain service, in memory, with faults.
+//! In-memory plain service with faults.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,16 +17,16 @@
 use super::switch::Switch;
 use super::wait_until;
 
-/// `CallFault` is what becomes of a call.
+/// Fault of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
     /// The call runs, and no answer comes.
     LoseAnswer,
-    /// The call runs, and the daemon that made it freezes before the answer comes.
+    /// The call runs, and the daemon that made it is paused before the answer comes.
     Freeze,
 }
 
-/// `Effect` is a call that ran.
+/// Call that ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Effect {
     pub instance: SocketAddr,
@@ -40,7 +40,7 @@
     is_held: bool,
 }
 
-/// `FakeService` is every instance of the service.
+/// All instances of the service.
 #[derive(Default)]
 pub struct FakeService {
     inner: Mutex<Inner>,
@@ -48,18 +48,18 @@
 }
 
 impl FakeService {
-    /// Puts a fault in the way of the next call.
+    /// Applies a fault to the next call.
     pub fn fault(&self, fault: CallFault) {
         self.inner.lock().faults.push_back(fault);
     }
 
-    /// Lets calls that have run wait with their answers, or lets them go on.
+    /// Holds the answers of calls that have run, or releases them.
     pub fn hold(&self, is_held: bool) {
         self.inner.lock().is_held = is_held;
         self.changed.notify_all();
     }
 
-    /// Returns how often calls under a key ran.
+    /// Returns the number of calls under a key that ran.
     pub fn effects_of(&self, key: &str) -> usize {
         let inner = self.inner.lock();
         let keys = inner.effects.iter().filter_map(|one| one.key.as_ref());
@@ -71,14 +71,14 @@
         wait_until("the call to run", || self.effects_of(key) > 0);
     }
 
-    /// Returns how many calls ran at an instance.
+    /// Returns the number of calls that ran at an instance.
     pub fn effects_at(&self, instance: SocketAddr) -> usize {
         let inner = self.inner.lock();
         let here = inner.effects.iter();
         here.filter(|effect| effect.instance == instance).count()
     }
 
-    /// Returns the service as one VM reaches it.
+    /// Returns a client through which one VM reaches the service.
     pub fn client(self: &Arc<Self>, switch: &Arc<Switch>) -> ServiceOfVm {
         ServiceOfVm {
             service: Arc::clone(self),
@@ -87,7 +87,7 @@
     }
 }
 
-/// `ServiceOfVm` is the service as one daemon reaches it.
+/// Client through which one daemon reaches the service.
 pub struct ServiceOfVm {
     service: Arc<FakeService>,
     switch: Arc<Switch>,
