--- a/crates/node/tests/support/serving.rs
+++ b/crates/node/tests/support/serving.rs
@@ -1,4 +1,4 @@
-//! Answers of engines to requests.
+//! Engines' answers to requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 use super::engine::EnginesOfVm;
 use super::switch::Switch;
 
-/// The events of each stream before its end. The last one waits while streams are held.
+/// Events of each stream before its end. The last one waits while streams are held.
 const STREAM_EVENTS: usize = 2;
 
-/// `StreamGate` holds streams back in their midst.
+/// Gate that holds streams before their last event.
 #[derive(Debug, Default)]
 pub struct StreamGate {
     is_closed: Mutex<bool>,
@@ -45,7 +45,7 @@
     }
 }
 
-/// `ServingOfVm` is the engines' serving as one daemon reaches it.
+/// Client through which one daemon sends requests to engines.
 pub struct ServingOfVm {
     pub engines: EnginesOfVm,
     pub gate: Arc<StreamGate>,
