--- a/crates/node/tests/support/switch.rs
+++ b/crates/node/tests/support/switch.rs
@@ -1,11 +1,10 @@
-//! Freezes one daemon at its borders.
+//! Pauses one daemon at its adapters.
 
 use parking_lot::Condvar;
 use parking_lot::Mutex;
 
-/// `Switch` stops a daemon as a paused process stops: every call of its adapters, the clock's
-/// included, waits until the daemon is thawed. A daemon that is never thawed was killed, as far as
-/// anyone else can tell.
+/// Makes a daemon behave like a paused process: every call of its adapters, including the
+/// clock's, waits until the daemon resumes. To others, a daemon that never resumes was killed.
 #[derive(Debug, Default)]
 pub struct Switch {
     is_frozen: Mutex<bool>,
@@ -13,7 +12,7 @@
 }
 
 impl Switch {
-    /// Returns at once while the daemon runs, or else once it is thawed.
+    /// Returns at once while the daemon runs, otherwise once it resumes.
     pub fn pass(&self) {
         let mut is_frozen = self.is_frozen.lock();
         while *is_frozen {
