--- a/crates/node/tests/support/world.rs
+++ b/crates/node/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Everything around the daemons, and the daemons themselves.
+//! The daemons of a test and the fakes that they share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,34 +34,34 @@
 use super::serving::StreamGate;
 use super::wait_until;
 
-/// The group of the entry VMs on the list.
+/// Group of the entry VMs in the list.
 pub const ENTRY_GROUP: &str = "entry";
 
-/// The group of the engines.
+/// Group of the engines.
 pub const ENGINE_GROUP: &str = "planner-lm";
 
-/// The service, which is the group of its instances too.
+/// Name of the service, and of the group of its instances.
 pub const SERVICE: &str = "booking-app";
 
-/// The memory that each model takes. Two fit on an engine.
+/// Memory that each model takes. Two fit on an engine.
 pub const MODEL_BYTES: u64 = 40;
 
-/// How many models are configured, so that each of a few VMs is the preferred one of some.
+/// Number of configured models, high enough that each of a few VMs is preferred for some.
 const MODELS: usize = 24;
 
-/// The placement policy that unloads what has been idle for minutes, and nothing before.
+/// Placement policy that unloads replicas only after they have been idle for minutes.
 pub const FIXED_TIMEOUT: &str = "fixed_timeout";
 
-/// The placement policy in use, which loads for demand only.
+/// Placement policy in use, which loads for demand only.
 pub const LEARNED: &str = "learned";
 
-/// The class of all requests.
+/// Class of all requests.
 const CLASS: &str = "quick";
 
-/// How soon a request must be answered, in milliseconds.
+/// Time within which a request must be answered, in milliseconds.
 const ANSWER_WITHIN_MS: u64 = 300_000;
 
-/// `World` is everything around the daemons.
+/// Fakes shared by all daemons.
 pub struct World {
     pub time: Arc<WorldTime>,
     pub log: Arc<FakeLog>,
@@ -71,18 +71,18 @@
     pub vm_list: Arc<FakeVmList>,
 }
 
-/// `StopAt` is where in a load a daemon stops.
+/// Point of a load at which a daemon is paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopAt {
-    /// The intent is on the log. The daemon has not heard of that.
+    /// The intent is on the log, and the daemon has no answer yet.
     Intent,
     /// The daemon is about to send the order.
     Order,
-    /// The order has taken effect. The daemon has not heard of that.
+    /// The order has taken effect, and the daemon has no answer yet.
     Effect,
 }
 
-/// `Decided` is a control record with replay's verdict on it.
+/// Control record with replay's verdict on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decided {
     pub offset: Offset,
@@ -101,7 +101,7 @@
 }
 
 impl World {
-    /// Returns a world with as many engines, and one instance of the service.
+    /// Returns a world with the given number of engines, and one instance of the service.
     pub fn new(engines: usize, checks_fence: bool) -> Self {
         let time = Arc::new(WorldTime::default());
         let world = Self {
@@ -130,7 +130,7 @@
             .put(name, VmRole::Service, SERVICE, address, None);
     }
 
-    /// Returns every control record that can be read, with replay's verdict on it.
+    /// Returns all control records that can be read, with replay's verdict on each.
     pub fn decided(&self) -> Vec<Decided> {
         let mut state = ControlState::new();
         let records = self.log.records("control").into_iter();
@@ -180,19 +180,19 @@
         self.accepted_loads(model).remove(0)
     }
 
-    /// Returns how many replicas of a model can serve.
+    /// Returns the number of loaded replicas of a model, by the control stream.
     pub fn loaded(&self, model: &str) -> usize {
         let (state, model) = (self.state(), ModelName::new(model));
         let replicas = state.replicas_of(&model);
         replicas.filter(|one| one.stage() == Stage::Loaded).count()
     }
 
-    /// Returns how many loads of a model the engines have received.
+    /// Returns the number of load orders for a model that the engines have received.
     pub fn load_orders(&self, model: &str) -> usize {
         self.engines.sum(|engine| engine.loads_of(model))
     }
 
-    /// Returns how many loads of a model took effect by a VM's orders.
+    /// Returns the number of a VM's load orders for a model that took effect.
     pub fn effects_of(&self, vm: &VmName, model: &str) -> usize {
         let by_vm = |order: &&Order| {
             order.is_load && order.done && order.vm == *vm && order.model.as_str() == model
@@ -201,14 +201,14 @@
             .sum(|engine| engine.orders.iter().filter(by_vm).count())
     }
 
-    /// Returns whether the memory of each engine has always held what was loaded.
+    /// Returns whether no engine has ever held more than its memory.
     pub fn memory_held(&self) -> bool {
         self.engines
             .sum(|engine| usize::from(engine.most_bytes_held > CAPACITY_BYTES))
             == 0
     }
 
-    /// Returns the number of an engine on which a model is loaded.
+    /// Returns the number of the engine on which a model is loaded.
     pub fn holder(&self, model: &str) -> usize {
         let holds = |number: &usize| {
             self.engines
@@ -218,7 +218,7 @@
         (0..engines).find(holds).expect("a loaded model")
     }
 
-    /// Returns on how many engines a model is loaded.
+    /// Returns the number of engines on which a model is loaded.
     pub fn holders(&self, model: &str) -> usize {
         self.engines.sum(|engine| usize::from(engine.holds(model)))
     }
@@ -236,7 +236,7 @@
     format!("engine-{number}")
 }
 
-/// `Cluster` is a world with daemons in it.
+/// World with daemons.
 pub struct Cluster {
     pub world: World,
     pub nodes: Vec<Node>,
@@ -245,8 +245,8 @@
 }
 
 impl Cluster {
-    /// Starts daemons that know the configuration. Their placement policy keeps what is loaded, so
-    /// that only the fault under test moves it.
+    /// Starts daemons that have the configuration. Their placement policy keeps loaded models, so
+    /// that only the fault under test changes the replicas.
     pub fn start(vms: usize, engines: usize, checks_fence: bool) -> Self {
         Self::start_with(vms, engines, checks_fence, FIXED_TIMEOUT)
     }
@@ -292,21 +292,21 @@
         (0..self.nodes.len()).for_each(|node| self.wait_replayed(node));
     }
 
-    /// Returns a model for which a daemon is the preferred one among all.
+    /// Returns a model for which a daemon is the preferred one of all.
     pub fn model_preferring(&self, node: usize) -> String {
         let mut models = (0..MODELS).map(model_name);
         let preferring = models.find(|model| self.preferred(model) == node);
         preferring.expect("a model for each VM")
     }
 
-    /// Returns two models for which a daemon is the preferred one among all.
+    /// Returns two models for which a daemon is the preferred one of all.
     pub fn two_models_preferring(&self, node: usize) -> [String; 2] {
         let models = (0..MODELS).map(model_name);
         let mut preferring = models.filter(|model| self.preferred(model) == node);
         [(); 2].map(|()| preferring.next().expect("two models for each VM"))
     }
 
-    /// Returns the daemon that is the preferred one for a model among all.
+    /// Returns the preferred daemon for a model.
     pub fn preferred(&self, model: &str) -> usize {
         let vms = self.nodes.iter().map(|node| &node.vm);
         let preferred = rendezvous::preferred(vms, &ModelName::new(model));
@@ -315,7 +315,7 @@
         node.expect("a preferred VM")
     }
 
-    /// Waits until a daemon has replayed what is on the control stream now.
+    /// Waits until a daemon has replayed the present end of the control stream.
     pub fn wait_replayed(&self, node: usize) {
         let end = self.world.state().next_offset();
         wait_until("all to be replayed", || {
@@ -323,8 +323,8 @@
         });
     }
 
-    /// Waits until a daemon has looked at all that was replayed before. It has loaded a model then
-    /// that nobody asked for yet.
+    /// Waits until a daemon's threads have handled everything replayed before, by having it load a
+    /// model that was not requested before.
     pub fn wait_looked(&self, node: usize) {
         let model = self.fresh_model();
         self.nodes[node].caller.complete(&model).expect_whole();
@@ -346,8 +346,8 @@
         fresh.expect("a model that was not loaded")
     }
 
-    /// Starts a load through a daemon that stops in the midst of it, and waits until it has stopped.
-    /// The call that asked for the load is not answered.
+    /// Starts a load through a daemon that is paused at a point of the load, and waits for the
+    /// pause. The call that caused the load is not answered.
     pub fn stop_in_load(&self, node: usize, stop: StopAt, model: &str) {
         let node = &self.nodes[node];
         let vm = node.vm.clone();
@@ -366,7 +366,7 @@
         self.world.wait_load(model);
     }
 
-    /// Lets the list say that a VM is gone, and time pass until that is believed.
+    /// Lists a VM as gone, and advances the time until the daemons act on that.
     pub fn list_as_gone(&self, node: usize) {
         let vm = &self.nodes[node].vm;
         self.world.vm_list.set_state(vm.as_str(), VmState::Gone);
@@ -375,7 +375,7 @@
 }
 
 impl Drop for Cluster {
-    /// Lets whatever still waits in a fake go on, so that the daemons can end.
+    /// Releases everything that the fakes hold, so that the daemons can end.
     fn drop(&mut self) {
         self.world.log.open();
         self.world.engines.open();
