--- a/crates/node/tests/catch_up.rs
+++ b/crates/node/tests/catch_up.rs
@@ -81,7 +81,7 @@
 /// Guards against a VM that starts without configuration, or makes a booking again. The log has
 /// dropped its old records, and no other VM runs, so that the state is only on the snapshot stream.
 #[test]
-fn a_new_daemon_starts_from_the_snapshot_stream() {
+fn starts_from_snapshot() {
     let (mut cluster, model) = start_used();
     snapshot_and_trim(&cluster.world);
     stop_all(&cluster);
@@ -94,7 +94,7 @@
 /// log has dropped records that the VM has not read, and the VM must not follow the stream over
 /// the gap or stop following it.
 #[test]
-fn a_daemon_that_fell_behind_goes_on_from_a_snapshot() {
+fn resumes_from_snapshot() {
     let (cluster, model) = start_used();
     let behind = &cluster.nodes[1];
     behind.switch.freeze();
@@ -109,7 +109,7 @@
 /// Guards against a VM that serves nothing because it starts while the log is down, although its
 /// peers have a state; and against one that decides by such a state, which may not be the newest.
 #[test]
-fn a_daemon_that_starts_in_an_outage_serves_with_a_peer_s_state() {
+fn serves_peer_state() {
     let (mut cluster, model) = start_used();
     let cold = cluster.model_preferring(1);
     cluster.world.log.set_down(true);
@@ -128,7 +128,7 @@
 
 /// Guards against a VM that accepts requests before it has replayed which keys are taken.
 #[test]
-fn keys_are_known_before_ready() {
+fn keys_before_ready() {
     let (mut cluster, model) = start_used();
     let vm = VmName::new("vm-2");
     let held = cluster.world.log.fault_reads(ReadFault::Hold, move |read| {
@@ -178,7 +178,7 @@
 /// Two VMs start at once when the log has dropped everything: each could start afresh for itself,
 /// or treat a forgotten key as new.
 #[test]
-fn two_daemons_that_find_nothing_agree_on_a_fresh_start() {
+fn one_fresh_start() {
     let (mut cluster, model) = start_used();
     start_afresh(&mut cluster);
     let [one, other] = [2, 3].map(|node| &cluster.nodes[node]);
@@ -200,7 +200,7 @@
 /// dropped records after it, and no VM with the newer state runs; the fresh start must keep what
 /// the snapshot has.
 #[test]
-fn a_fresh_start_keeps_the_configuration_of_an_old_snapshot() {
+fn fresh_start_keeps_configuration() {
     let (mut cluster, _) = start_used();
     snapshot_and_trim(&cluster.world);
     cluster
@@ -226,7 +226,7 @@
 /// Guards against two histories. The log drops all records while the VM that has the state is
 /// paused, and another VM starts: a peer without an answer must not count as absent.
 #[test]
-fn nobody_starts_afresh_while_a_silent_daemon_may_know_the_state() {
+fn paused_peer_blocks_fresh_start() {
     let (mut cluster, model) = start_used();
     stop_all(&cluster);
     for stream in ["control", "claims-0", "snapshots"] {
--- a/crates/node/tests/claim_faults.rs
+++ b/crates/node/tests/claim_faults.rs
@@ -27,7 +27,7 @@
 /// to the claim's append is lost, and the claim is appended again; the second record must grant
 /// nothing.
 #[test]
-fn a_claim_whose_answer_is_lost_runs_once() {
+fn lost_claim_answer() {
     let cluster = Cluster::start(2, 1, true);
     let lost = cluster
         .world
@@ -44,7 +44,7 @@
 /// ever. The claim reaches the stream only after its request was refused and the request's finish
 /// record was appended.
 #[test]
-fn a_claim_that_comes_after_its_refusal_is_freed() {
+fn late_claim_freed() {
     let cluster = Cluster::start(2, 1, true);
     let (world, callers) = (
         &cluster.world,
@@ -69,7 +69,7 @@
 /// Guards against a booking that runs twice because the caller sends it to another VM as well,
 /// before the first claim is decided, during the call or after it.
 #[test]
-fn two_claims_at_once_run_one_call() {
+fn concurrent_duplicate_calls() {
     let cluster = Cluster::start(2, 1, true);
     let world = &cluster.world;
     let held = world
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_repetition_during_the_call_is_told_so_and_after_it_gets_its_answer() {
+fn duplicate_gets_answer() {
     let cluster = Cluster::start(2, 1, true);
     let (world, callers) = (
         &cluster.world,
@@ -117,7 +117,7 @@
 /// call, or the call's answer is lost, and the caller sends a duplicate elsewhere; the first call
 /// may have run, and the claim of an ended process must be finished.
 #[rstest]
-fn a_call_that_may_have_run_is_never_run_again(#[values(true, false)] process_ends: bool) {
+fn unknown_outcome_not_retried(#[values(true, false)] process_ends: bool) {
     let cluster = Cluster::start(3, 1, true);
     let world = &cluster.world;
     let fault = match process_ends {
--- a/crates/node/tests/config_race.rs
+++ b/crates/node/tests/config_race.rs
@@ -55,7 +55,7 @@
 /// configurations. Two operators publish changes of one version at two VMs at once; the second one
 /// must be rejected, since its base version is no longer in force.
 #[test]
-fn of_two_changes_on_one_version_one_is_in_force_everywhere() {
+fn concurrent_changes_conflict() {
     let cluster = Cluster::start(3, 0, true);
     let held = cluster
         .world
@@ -95,7 +95,7 @@
 #[rstest]
 #[case(AppendFault::LoseAnswer, true)]
 #[case(AppendFault::LoseRecord, false)]
-fn a_change_whose_answer_is_lost_is_looked_for(#[case] fault: AppendFault, #[case] stands: bool) {
+fn lost_publish_answer(#[case] fault: AppendFault, #[case] stands: bool) {
     let cluster = Cluster::start(2, 0, true);
     cluster.world.log.fault_appends(fault, 1, is_config);
     let request = PublishRequest {
@@ -126,7 +126,7 @@
 /// restarted while the log answers slowly; none may accept requests before it has replayed all
 /// changes.
 #[test]
-fn a_restart_of_all_daemons_reverts_nothing() {
+fn restart_keeps_configuration() {
     let mut cluster = Cluster::start(2, 1, true);
     let outcome = cluster.nodes[0].publish(cluster.version, vec![put_class("review", 60_000)]);
     let version = accepted(&outcome).expect("an accepted change");
@@ -153,7 +153,7 @@
 /// Guards against VMs that stop at a record or disagree after it. The stream has a record that
 /// can't be decoded and a change that breaks a rule; all VMs must skip both.
 #[test]
-fn records_that_cannot_be_used_are_skipped_by_all_alike() {
+fn unusable_records_skipped() {
     let mut cluster = Cluster::start(2, 1, true);
     let world = &cluster.world;
     let bad_change = ConfigChange {
--- a/crates/node/tests/lagging_list.rs
+++ b/crates/node/tests/delayed_list.rs
@@ -17,7 +17,7 @@
 /// name; the list still shows the first one as gone while the new process is paused. A list that is
 /// older than the process must not count against it.
 #[test]
-fn a_list_older_than_the_process_departs_nobody() {
+fn delayed_list_departure() {
     let mut cluster = Cluster::start(3, 1, true);
     let [replaced, dead] = [0, 2].map(|node| cluster.nodes[node].vm.clone());
     for node in [0, 2] {
--- a/crates/node/tests/double_faults.rs
+++ b/crates/node/tests/double_faults.rs
@@ -21,7 +21,7 @@
 /// when the log goes down; it takes effect, or its answer is lost too. The outcome must be appended
 /// once the log is back.
 #[rstest]
-fn an_outcome_in_an_outage_is_told_after_it(
+fn outcome_after_outage(
     #[values(None, Some(OrderFault::LoseAnswer))] fault: Option<OrderFault>,
     #[values(true, false)] checks_fence: bool,
 ) {
@@ -68,7 +68,7 @@
 /// Guards against an intent that stays open when the VM that took it over stops too. The proposer
 /// stops, then the VM that takes over, and both are listed as gone.
 #[rstest]
-fn an_intent_is_taken_over_twice(#[values(true, false)] checks_fence: bool) {
+fn second_takeover(#[values(true, false)] checks_fence: bool) {
     let cluster = Cluster::start(3, 2, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -95,7 +95,7 @@
 /// the engine restarts and forgets the fence; then the order arrives. Its memory must stay reserved
 /// even if one boot of the engine has refused it.
 #[test]
-fn a_restart_forgets_the_fence_and_the_memory_still_holds() {
+fn restart_after_fence() {
     let cluster = Cluster::start(3, 1, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -127,7 +127,7 @@
 /// and after it, and the first VM resumes. A claim that can't be looked up must not count as
 /// absent.
 #[test]
-fn a_call_of_a_stopped_daemon_is_not_repeated_in_an_outage() {
+fn killed_call_not_repeated() {
     let cluster = Cluster::start(2, 1, true);
     let world = &cluster.world;
     let (stopped, other) = (&cluster.nodes[0], &cluster.nodes[1].caller);
--- a/crates/node/tests/ended_demand.rs
+++ b/crates/node/tests/ended_demand.rs
@@ -20,9 +20,7 @@
 /// Guards against a load for which no request waits: the preferred VM received the report of a
 /// request but not of its refusal, or a report without demand kept the model in the policy's plan.
 #[rstest]
-fn a_request_that_was_refused_is_no_demand(
-    #[values(FIXED_TIMEOUT, LEARNED)] placement: &'static str,
-) {
+fn refusal_ends_demand(#[values(FIXED_TIMEOUT, LEARNED)] placement: &'static str) {
     let cluster = Cluster::start_with(2, 2, true, placement);
     let world = &cluster.world;
     let model = cluster.model_preferring(1);
@@ -56,7 +54,7 @@
 /// Guards against a load that is proposed while the log accepts nothing, is queued behind a record
 /// that must not be lost, and is decided when the log is back and no request waits for the model.
 #[test]
-fn a_load_is_not_proposed_while_none_can_be_decided() {
+fn no_proposal_during_outage() {
     let cluster = Cluster::start_with(2, 2, true, LEARNED);
     let world = &cluster.world;
     let [settled, model] = cluster.two_models_preferring(1);
--- a/crates/node/tests/graceful_stop.rs
+++ b/crates/node/tests/graceful_stop.rs
@@ -47,7 +47,7 @@
 /// Guards against a planned stop that cuts off a stream because it was started twice, or that waits
 /// for the log and never ends.
 #[rstest]
-fn a_stop_told_twice_cuts_off_no_stream(
+fn second_stop_signal(
     #[values(Teller::Signal, Teller::Operator, Teller::List)] first: Teller,
     #[values(true, false)] log_is_down: bool,
 ) {
@@ -78,7 +78,7 @@
 /// Guards against a stop that cuts off a request which waits for its model while the load order is
 /// on its way.
 #[test]
-fn a_stop_waits_for_a_request_that_waits_for_its_model() {
+fn stop_awaits_request() {
     let cluster = Cluster::start(2, 1, true);
     let (world, stopping) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -95,7 +95,7 @@
 /// Guards against a stop that waits for requests only, and not for an order on its way whose
 /// request has ended.
 #[test]
-fn a_stop_waits_for_an_order_that_nobody_waits_for() {
+fn stop_awaits_order() {
     let cluster = Cluster::start(2, 1, true);
     let (world, stopping) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -127,7 +127,7 @@
 /// Guards against a stop that loses the finish record of a booking whose append failed, although
 /// the log is back within the grace time.
 #[test]
-fn a_stop_waits_for_the_ends_of_calls() {
+fn stop_awaits_finishes() {
     let cluster = Cluster::start(2, 1, true);
     let (world, stopping) = (&cluster.world, &cluster.nodes[0]);
     let vm = stopping.vm.clone();
--- a/crates/node/tests/taken_over.rs
+++ b/crates/node/tests/intent_takeover.rs
@@ -44,7 +44,7 @@
 #[case(true, Listed::Gone)]
 #[case(true, Listed::Live)]
 #[case(false, Listed::Gone)]
-fn an_intent_without_order_is_taken_over(#[case] checks_fence: bool, #[case] listed: Listed) {
+fn unsent_order_takeover(#[case] checks_fence: bool, #[case] listed: Listed) {
     let cluster = Cluster::start(3, 2, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -64,7 +64,7 @@
 /// still listed as live. The engine doesn't check fencing tokens, so the late order of the VM could
 /// still take effect, and the intent must not be taken over.
 #[test]
-fn an_intent_that_an_obeying_engine_may_still_get_is_left_alone() {
+fn unfenced_intent_kept() {
     let cluster = Cluster::start(3, 2, false);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -86,7 +86,7 @@
 /// Guards against a model that is loaded twice, or a replica that is never used. A VM stops after
 /// its order took effect and before it recorded that; the effect must be read from the engine.
 #[rstest]
-fn an_effect_that_nobody_told_is_read_from_the_engine(
+fn unrecorded_effect_found(
     #[values(true, false)] checks_fence: bool,
     #[values(Listed::Gone, Listed::Live)] listed: Listed,
 ) {
@@ -109,7 +109,7 @@
 /// it sends an order to an engine that doesn't check fencing tokens; the list shows it as gone;
 /// others fill the engine; then the order arrives. Its memory must stay reserved.
 #[test]
-fn the_memory_of_an_order_that_may_still_arrive_stays_reserved() {
+fn pending_order_memory() {
     let cluster = Cluster::start(3, 1, false);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -135,7 +135,7 @@
 /// intent over and load elsewhere; the VM resumes and sends the order. The engine must have the
 /// takeover's fencing token, and the order that of its intent.
 #[test]
-fn a_late_order_is_refused_by_its_number() {
+fn stale_token_refused() {
     let cluster = Cluster::start(3, 2, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -156,7 +156,7 @@
 /// The proposer stays paused for long; its intent was taken over and settled as far as possible,
 /// but still counts as unsettled.
 #[test]
-fn a_settled_intent_is_not_taken_over_again() {
+fn settled_intent_kept() {
     let cluster = Cluster::start(3, 2, true);
     let model = cluster.model_preferring(0);
     cluster.stop_in_load(0, StopAt::Order, &model);
--- a/crates/node/tests/leaving_upstream.rs
+++ b/crates/node/tests/leaving_upstream.rs
@@ -22,7 +22,7 @@
 /// while requests for its model continue: new ones must go elsewhere, and answers in progress must
 /// not be cut off.
 #[test]
-fn a_leaving_engine_gets_no_new_request_and_ends_its_old_ones() {
+fn leaving_engine_drains() {
     let cluster = Cluster::start(2, 2, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -50,7 +50,7 @@
 
 /// Guards against the same fault at a plain service, whose calls may not be retried.
 #[test]
-fn a_leaving_instance_gets_no_new_call() {
+fn leaving_instance_drains() {
     let cluster = Cluster::start(1, 0, true);
     let (world, node) = (&cluster.world, &cluster.nodes[0]);
     let [leaving, staying] = [1, 2].map(instance_address);
@@ -70,7 +70,7 @@
 /// Guards against a model that is never served again after its engine's VM was removed. When the
 /// list shows the engine as gone, neither its replica nor its memory may count.
 #[test]
-fn a_replica_on_an_engine_that_is_gone_is_replaced() {
+fn removed_replica_replaced() {
     let cluster = Cluster::start(2, 2, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
--- a/crates/node/tests/log_outage.rs
+++ b/crates/node/tests/log_outage.rs
@@ -26,7 +26,7 @@
 /// Guards against a request that waits, while the log is down, for a decision that it doesn't need,
 /// or for one that can't be made.
 #[test]
-fn a_loaded_model_is_served_and_another_is_refused_at_once() {
+fn only_loaded_models_served() {
     let cluster = Cluster::start(2, 2, true);
     let (loaded, cold) = (cluster.model_preferring(0), cluster.model_preferring(1));
     cluster.nodes[0].caller.complete(&loaded).expect_whole();
@@ -45,9 +45,7 @@
 /// Guards against a log that rejects appends, or answers none, and counts as up because it can be
 /// read: a request for a model without replica waited until its deadline.
 #[rstest]
-fn a_log_that_takes_no_append_is_down(
-    #[values(AppendFault::Refuse, AppendFault::LoseRecord)] fault: AppendFault,
-) {
+fn appendless_log_down(#[values(AppendFault::Refuse, AppendFault::LoseRecord)] fault: AppendFault) {
     let cluster = Cluster::start(2, 2, true);
     let cold = cluster.model_preferring(0);
     let faulted = cluster.world.log.fault_appends(fault, usize::MAX, |_| true);
@@ -61,7 +59,7 @@
 /// Guards against a key that is forgotten while the log is down, and a refused claim whose call
 /// runs later: a duplicate booking ran twice, or the refusal "not run" was false.
 #[test]
-fn a_known_key_is_answered_and_a_new_one_is_refused_and_not_run() {
+fn keys_during_outage() {
     let cluster = Cluster::start(2, 1, true);
     let (world, callers) = (
         &cluster.world,
@@ -135,7 +133,7 @@
 /// Guards against proposals that accumulate while the log is down, refused requests that count as
 /// demand, and a finish record that is appended many times.
 #[test]
-fn an_outage_ends_without_a_storm_of_appends() {
+fn no_append_storm() {
     let cluster = Cluster::start_with(3, 2, true, LEARNED);
     let world = &cluster.world;
     refuse_cold_models_in_outage(&cluster);
@@ -180,7 +178,7 @@
 /// Guards against a request that waits until its deadline for a load whose outcome its VM can't
 /// read: the model is loaded, but the log went down before the VM had read that.
 #[test]
-fn a_load_whose_end_cannot_be_read_is_not_waited_for() {
+fn unreadable_load_outcome() {
     let cluster = Cluster::start(2, 1, true);
     let (world, vm) = (&cluster.world, cluster.nodes[1].vm.clone());
     let model = cluster.model_preferring(0);
--- a/crates/node/tests/lost_appends.rs
+++ b/crates/node/tests/lost_appends.rs
@@ -29,7 +29,7 @@
 /// load is appended, lost or delayed, and no answer shows which, so it is appended again; both
 /// records together must count once.
 #[rstest]
-fn a_record_without_an_answer_counts_once(
+fn unanswered_record_counts_once(
     #[values(Record::Intent, Record::Settlement)] record: Record,
     #[values(AppendFault::LoseAnswer, AppendFault::LoseRecord, AppendFault::Delay)]
     fault: AppendFault,
@@ -57,7 +57,7 @@
 /// Guards against a VM that counts as two, or never accepts requests. The append of its join gets
 /// no answer, and it joins again; two join records of one process must give one epoch.
 #[rstest]
-fn a_join_without_an_answer_gives_one_epoch(
+fn unanswered_join_one_epoch(
     #[values(AppendFault::LoseAnswer, AppendFault::LoseRecord, AppendFault::Delay)]
     fault: AppendFault,
 ) {
--- a/crates/node/tests/lost_orders.rs
+++ b/crates/node/tests/lost_orders.rs
@@ -23,7 +23,7 @@
 /// Guards against a model that is loaded twice because the engine's answer to the order is lost. A
 /// lost answer must not count as a lost order.
 #[rstest]
-fn a_load_whose_answer_is_lost_is_read_from_the_engine(#[values(true, false)] checks_fence: bool) {
+fn lost_load_answer(#[values(true, false)] checks_fence: bool) {
     let cluster = Cluster::start(1, 2, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -42,7 +42,7 @@
 /// An engine that doesn't check fencing tokens could still receive a lost order, so its memory
 /// stays reserved and the model is loaded elsewhere.
 #[rstest]
-fn a_load_that_is_lost_is_decided_anew(
+fn lost_load_repeated(
     #[values(OrderFault::LoseOrder, OrderFault::Die)] fault: OrderFault,
     #[values(true, false)] checks_fence: bool,
 ) {
@@ -64,10 +64,7 @@
 #[rstest]
 #[case(true, 1)]
 #[case(false, 2)]
-fn an_order_that_takes_effect_late_is_refused_or_counted(
-    #[case] checks_fence: bool,
-    #[case] replicas: usize,
-) {
+fn late_order_effect(#[case] checks_fence: bool, #[case] replicas: usize) {
     let cluster = Cluster::start(2, 2, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
--- a/crates/node/tests/one_order.rs
+++ b/crates/node/tests/one_order.rs
@@ -41,7 +41,7 @@
 /// order must be sent for an accepted intent only, and replay must reject a proposal with another
 /// expected number of replicas.
 #[test]
-fn of_three_proposals_at_once_one_order_reaches_the_engines() {
+fn concurrent_proposals_one_order() {
     let cluster = Cluster::start(3, 3, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -76,7 +76,7 @@
 /// Guards against a load without an accepted intent. The append of the proposal is delayed in the
 /// log, and its VM must not send the order before replay, under a fencing token that no record has.
 #[test]
-fn the_order_waits_for_its_intent_and_bears_its_offset() {
+fn order_awaits_replay() {
     let cluster = Cluster::start(1, 1, true);
     let model = cluster.model_preferring(0);
     let held = cluster
@@ -102,7 +102,7 @@
 /// Guards against orders for more models than an engine's memory can hold. Three VMs propose to
 /// load three models on one engine at once, of which each alone would fit.
 #[test]
-fn of_three_models_at_once_those_that_fit_are_ordered() {
+fn memory_limits_orders() {
     let cluster = Cluster::start(3, 1, false);
     let world = &cluster.world;
     let held = world
--- a/crates/node/tests/frozen_wake.rs
+++ b/crates/node/tests/pause_recovery.rs
@@ -21,7 +21,7 @@
 /// A VM is paused before it sends an order; its intent is taken over and settled elsewhere; the VM
 /// resumes and must not send the order.
 #[test]
-fn an_intent_that_was_taken_over_in_a_freeze_is_given_up() {
+fn takeover_during_pause() {
     let cluster = Cluster::start(3, 2, false);
     let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -45,7 +45,7 @@
 /// stream, and reads nothing more for a while after it resumes. The read from before the pause is
 /// no proof that the state is current.
 #[test]
-fn a_reading_from_before_the_freeze_proves_nothing() {
+fn read_before_pause() {
     let cluster = Cluster::start(3, 2, false);
     let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -81,7 +81,7 @@
 /// clock jumps between the intent and the order while the log can't be read; the order must wait
 /// for a read of the log.
 #[test]
-fn after_a_jump_of_the_clock_no_order_goes_out_before_the_log_is_read() {
+fn clock_jump_blocks_order() {
     let cluster = Cluster::start(1, 1, false);
     let (world, node) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -105,7 +105,7 @@
 ///
 /// The process must end, so that it is restarted, and must not cut off an answer in progress.
 #[test]
-fn a_process_that_was_departed_ends_after_its_requests() {
+fn departed_process_ends() {
     let cluster = Cluster::start(3, 2, true);
     let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -134,7 +134,7 @@
 /// VM's name and has the model loaded; the first one resumes. The membership of the VM's name is
 /// not its own.
 #[test]
-fn a_process_that_was_replaced_sends_no_order() {
+fn replaced_process_order() {
     let mut cluster = Cluster::start(2, 2, false);
     let model = cluster.model_preferring(0);
     let vm = cluster.nodes[0].vm.clone();
--- a/crates/node/tests/stray_models.rs
+++ b/crates/node/tests/stray_models.rs
@@ -19,7 +19,7 @@
 /// Guards against memory that is used by a model to which no request is routed. An order takes
 /// effect long after its intent was settled as failed.
 #[rstest]
-fn the_late_effect_of_an_order_is_unloaded(#[values(true, false)] checks_fence: bool) {
+fn late_effect_unloaded(#[values(true, false)] checks_fence: bool) {
     let cluster = Cluster::start(3, 2, checks_fence);
     let world = &cluster.world;
     let (model, other) = (cluster.model_preferring(0), cluster.model_preferring(1));
@@ -49,7 +49,7 @@
 /// ever. An engine restarts, or loses a model that the control stream shows as loaded there, and a
 /// request comes before a VM has read the engine's status.
 #[rstest]
-fn a_request_waits_for_a_model_that_its_engine_lost(
+fn lost_model_reloaded(
     #[values(Loss::Restart, Loss::Model)] loss: Loss,
     #[values(0, 1)] node: usize,
 ) {
--- a/crates/node/tests/unload_faults.rs
+++ b/crates/node/tests/unload_faults.rs
@@ -16,7 +16,7 @@
 /// The unload order, its answer, or the engine with it, is lost; the unload must be settled by the
 /// engine's status.
 #[rstest]
-fn an_unload_without_an_answer_comes_to_its_end(
+fn unanswered_unload_settles(
     #[values(OrderFault::LoseOrder, OrderFault::LoseAnswer, OrderFault::Die)] fault: OrderFault,
     #[values(true, false)] checks_fence: bool,
 ) {
@@ -42,7 +42,7 @@
 /// Guards against a replica that is unloaded while requests use it, and against refused requests.
 /// The requests come while the unload order waits at the engine; they must wait for the next load.
 #[test]
-fn a_request_during_an_unload_waits_for_the_next_load() {
+fn request_during_unload() {
     let cluster = Cluster::start(2, 1, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
--- a/crates/node/tests/silent_peer.rs
+++ b/crates/node/tests/unresponsive_peer.rs
@@ -11,7 +11,7 @@
 /// Guards against decisions and configuration changes that wait for a paused VM. The VM is still
 /// listed as live, and models for which it is the preferred one are called at other VMs.
 #[test]
-fn a_silent_daemon_holds_up_no_decision() {
+fn decisions_despite_pause() {
     let cluster = Cluster::start(3, 2, true);
     let model = cluster.model_preferring(0);
     cluster.nodes[0].switch.freeze();
@@ -31,7 +31,7 @@
 /// Guards against a VM that serves an old configuration after a pause, in which a model was added.
 /// It must not accept requests before it has replayed what it missed.
 #[test]
-fn a_daemon_that_wakes_learns_what_it_missed() {
+fn resumed_daemon_catches_up() {
     let cluster = Cluster::start(2, 1, true);
     let woken = &cluster.nodes[1];
     woken.switch.freeze();
