--- a/crates/node/tests/catch_up.rs
+++ b/crates/node/tests/catch_up.rs
@@ -27,7 +27,7 @@
     let cluster = Cluster::start(2, 2, true);
     let model = cluster.model_preferring(0);
     for node in &cluster.nodes {
-        node.caller.complete(&model).expect_whole();
+        node.caller.complete(&model).expect_complete();
         wait_until("the booking to be known", || {
             node.caller.book("key").status == 200
         });
@@ -71,7 +71,7 @@
 /// Asserts that a daemon has the configuration, the replica and the booking.
 fn assert_knows_all(cluster: &Cluster, node: &Node, model: &str) {
     assert_eq!(node.status().config_version, cluster.version);
-    node.caller.complete(model).expect_whole();
+    node.caller.complete(model).expect_complete();
     let again = node.caller.book("key");
     assert_eq!((again.status, again.replayed), (200, true));
     assert_eq!(cluster.world.load_orders(model), 1);
@@ -87,7 +87,7 @@
     stop_all(&cluster);
     cluster.add("vm-2").wait_ready();
     assert_knows_all(&cluster, &cluster.nodes[2], &model);
-    cluster.wait_looked(2);
+    cluster.wait_handled(2);
 }
 
 /// Guards against a VM that resumes after a pause and serves an old configuration, or none. The
@@ -102,8 +102,8 @@
     snapshot_and_trim(&cluster.world);
     behind.switch.thaw();
     behind.wait_version(version);
-    behind.caller.complete(&model).expect_whole();
-    cluster.wait_looked(1);
+    behind.caller.complete(&model).expect_complete();
+    cluster.wait_handled(1);
 }
 
 /// Guards against a VM that serves nothing because it starts while the log is down, although its
@@ -187,7 +187,7 @@
     other.wait_version(version);
     for node in [one, other] {
         assert_eq!(node.caller.book("key").refusal(), OUTCOME_UNKNOWN);
-        node.caller.complete(&model).expect_whole();
+        node.caller.complete(&model).expect_complete();
     }
     assert_eq!(cluster.world.service.effects_of("key"), 1);
     wait_until("one replica to be left", || {
@@ -209,7 +209,7 @@
         .fault_appends(AppendFault::Refuse, usize::MAX, |append| {
             append.is_snapshot() && !is_fresh_start(append.payload, "control")
         });
-    cluster.wait_looked(0);
+    cluster.wait_handled(0);
     stop_all(&cluster);
     for vm in ["vm-0", "vm-1"] {
         cluster.world.vm_list.set_state(vm, VmState::Gone);
@@ -220,7 +220,7 @@
     assert_eq!(config.version, cluster.version);
     assert!(!config.models.is_empty());
     assert!(fresh_starts(&cluster.world) >= 1);
-    cluster.wait_looked(2);
+    cluster.wait_handled(2);
 }
 
 /// Guards against two histories. The log drops all records while the VM that has the state is
@@ -235,7 +235,7 @@
     cluster.add("vm-2");
     let started = &cluster.nodes[2];
     wait_until("the log to be looked at", || {
-        cluster.world.log.tried_reads(&started.vm) > 12
+        cluster.world.log.attempted_reads(&started.vm) > 12
     });
     assert_eq!(fresh_starts(&cluster.world), 0);
     assert!(!started.caller.is_ready());
--- a/crates/node/tests/claim_faults.rs
+++ b/crates/node/tests/claim_faults.rs
@@ -33,7 +33,7 @@
         .world
         .log
         .fault_appends(AppendFault::LoseAnswer, 1, |append| append.has_claim());
-    cluster.nodes[0].caller.book("key").expect_whole();
+    cluster.nodes[0].caller.book("key").expect_complete();
     lost.wait_hits(1);
     let elsewhere = &cluster.nodes[1].caller;
     wait_until("the end to be known", || elsewhere.book("key").replayed);
@@ -105,7 +105,7 @@
     }
     world.service.hold(false);
     let first = first.reply();
-    first.expect_whole();
+    first.expect_complete();
     for caller in callers {
         wait_until("the answer to be kept", || caller.book("key").replayed);
         assert_eq!(caller.book("key").body, first.body);
--- a/crates/node/tests/config_race.rs
+++ b/crates/node/tests/config_race.rs
@@ -147,7 +147,7 @@
         assert_eq!(node.status().config_version, version);
         assert!(has_class(node, "review"));
     }
-    cluster.wait_looked(2);
+    cluster.wait_handled(2);
 }
 
 /// Guards against VMs that stop at a record or disagree after it. The stream has a record that
@@ -178,5 +178,5 @@
         wait_until("the same configuration", || config_of(node) == expected);
         assert!(has_class(node, "quickest") && !has_class(node, "review"));
     }
-    cluster.wait_looked(2);
+    cluster.wait_handled(2);
 }
--- a/crates/node/tests/delayed_list.rs
+++ b/crates/node/tests/delayed_list.rs
@@ -8,7 +8,7 @@
 use support::world::Cluster;
 
 /// Delay of the list, in milliseconds.
-const LAG_MS: u64 = 60_000;
+const DELAY_MS: u64 = 60_000;
 
 /// Silence after which a VM that is listed as gone is departed, with a margin, in milliseconds.
 const SILENCE_MS: u64 = 10_000;
@@ -23,8 +23,8 @@
     for node in [0, 2] {
         cluster.nodes[node].switch.freeze();
     }
-    cluster.world.vm_list.set_lag(LAG_MS);
-    cluster.world.time.advance(2 * LAG_MS);
+    cluster.world.vm_list.set_delay(DELAY_MS);
+    cluster.world.time.advance(2 * DELAY_MS);
     let successor = cluster.add(replaced.as_str());
     successor.wait_ready();
     let epoch = successor.epoch();
--- a/crates/node/tests/double_faults.rs
+++ b/crates/node/tests/double_faults.rs
@@ -60,7 +60,10 @@
     wait_until("the load to settle", || world.loaded(&model) == 1);
     for node in 0..2 {
         cluster.wait_recovered(node);
-        cluster.nodes[node].caller.complete(&model).expect_whole();
+        cluster.nodes[node]
+            .caller
+            .complete(&model)
+            .expect_complete();
     }
     assert_eq!(world.load_orders(&model), 1);
 }
@@ -84,7 +87,7 @@
     cluster.nodes[2].switch.thaw();
     let call = cluster.nodes[2].caller.begin_complete(&model);
     cluster.list_as_gone(1);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     wait_until("the load to settle", || world.loaded(&model) == 1);
     assert_eq!(world.holders(&model), 1);
     assert!(world.memory_held());
@@ -102,7 +105,7 @@
     cluster.stop_in_load(0, StopAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     world.time.advance(2 * LOAD_TIMEOUT_MS);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     world.engines.restart(engine_address(0));
     wait_until("the restart to be noted", || world.loaded(&model) == 0);
     let memory = world.state().memory(&engine_name(0).into());
@@ -117,7 +120,7 @@
         cluster.nodes[preferred]
             .caller
             .complete(&other)
-            .expect_whole();
+            .expect_complete();
     }
     assert!(world.memory_held());
 }
--- a/crates/node/tests/ended_demand.rs
+++ b/crates/node/tests/ended_demand.rs
@@ -46,7 +46,7 @@
         preferred.waiting_for(&model) == 0
     });
     world.log.release(&refused);
-    preferred.clock.go_on_after(PROPOSAL_MS);
+    preferred.clock.resume_after(PROPOSAL_MS);
     cluster.wait_recovered(1);
     assert_eq!(world.load_orders(&model), 0);
 }
--- a/crates/node/tests/graceful_stop.rs
+++ b/crates/node/tests/graceful_stop.rs
@@ -54,7 +54,7 @@
     let cluster = Cluster::start(2, 1, true);
     let (world, stopping) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
-    stopping.caller.complete(&model).expect_whole();
+    stopping.caller.complete(&model).expect_complete();
     world.streams.close();
     let stream = stopping.caller.stream(&model);
     // A VM can't serve what it has not read when the log goes down.
@@ -67,11 +67,11 @@
         assert_eq!(stopping.caller.book("key").refusal(), DRAINING);
     }
     world.streams.open();
-    assert!(stream.ends_whole());
+    assert!(stream.ends_complete());
     stopping.wait_ended();
     let departed = world.departed(&stopping.vm).len();
     assert_eq!(departed, usize::from(!log_is_down));
-    cluster.nodes[1].caller.complete(&model).expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
     assert_eq!(world.load_orders(&model), 1);
 }
 
@@ -88,7 +88,7 @@
     tell(&cluster, Teller::Signal);
     assert!(!call.is_answered());
     world.engines.hold_orders(engine_address(0), false);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     stopping.wait_ended();
 }
 
@@ -120,7 +120,7 @@
         _ => false,
     });
     assert!(settled);
-    cluster.nodes[1].caller.complete(&model).expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
     assert_eq!(world.load_orders(&model), 1);
 }
 
@@ -136,7 +136,7 @@
         .fault_appends(AppendFault::Refuse, usize::MAX, move |append| {
             append.is_by(&vm) && append.has_finish()
         });
-    stopping.caller.book("key").expect_whole();
+    stopping.caller.book("key").expect_complete();
     refused.wait_hits(1);
     tell(&cluster, Teller::Signal);
     let hits = refused.hits();
--- a/crates/node/tests/intent_takeover.rs
+++ b/crates/node/tests/intent_takeover.rs
@@ -51,11 +51,11 @@
     cluster.stop_in_load(0, StopAt::Intent, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     let_others_notice(&cluster, listed);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     assert!(take_overs(&cluster) > 0);
     cluster.nodes[0].switch.thaw();
     cluster.wait_replayed(0);
-    cluster.wait_looked(1);
+    cluster.wait_handled(1);
     assert_eq!(world.effects_of(&cluster.nodes[0].vm, &model), 0);
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
@@ -71,15 +71,15 @@
     cluster.stop_in_load(0, StopAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     let_others_notice(&cluster, Listed::Live);
-    cluster.wait_looked(1);
-    cluster.wait_looked(2);
+    cluster.wait_handled(1);
+    cluster.wait_handled(2);
     assert_eq!(
         (take_overs(&cluster), world.accepted_loads(&model).len()),
         (0, 1)
     );
     assert!(!call.is_answered());
     cluster.nodes[0].switch.thaw();
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     assert_eq!((world.holders(&model), world.load_orders(&model)), (1, 1));
 }
 
@@ -96,10 +96,10 @@
     cluster.stop_in_load(0, StopAt::Effect, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     let_others_notice(&cluster, listed);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     cluster.nodes[0].switch.thaw();
     cluster.wait_replayed(0);
-    cluster.wait_looked(1);
+    cluster.wait_handled(1);
     assert_eq!(world.accepted_loads(&model).len(), 1);
     assert_eq!(world.load_orders(&model), 1);
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
@@ -121,7 +121,7 @@
         cluster.nodes[preferred]
             .caller
             .complete(&other)
-            .expect_whole();
+            .expect_complete();
     }
     cluster.nodes[0].switch.thaw();
     wait_until("the late order to arrive", || {
@@ -142,12 +142,12 @@
     cluster.stop_in_load(0, StopAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     let_others_notice(&cluster, Listed::Live);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     cluster.nodes[0].switch.thaw();
     wait_until("the late order to arrive", || {
         world.load_orders(&model) == 2
     });
-    cluster.wait_looked(0);
+    cluster.wait_handled(0);
     assert_eq!(world.effects_of(&cluster.nodes[0].vm, &model), 0);
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
@@ -162,12 +162,12 @@
     cluster.stop_in_load(0, StopAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     let_others_notice(&cluster, Listed::Live);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     let before = take_overs(&cluster);
     for _ in 0..LOOKS {
         cluster.world.time.advance(2 * LOAD_TIMEOUT_MS);
-        cluster.wait_looked(1);
-        cluster.wait_looked(2);
+        cluster.wait_handled(1);
+        cluster.wait_handled(2);
     }
     assert_eq!(take_overs(&cluster), before);
 }
--- a/crates/node/tests/leaving_upstream.rs
+++ b/crates/node/tests/leaving_upstream.rs
@@ -26,7 +26,7 @@
     let cluster = Cluster::start(2, 2, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     let leaving = world.holder(&model);
     world.streams.close();
     let stream = cluster.nodes[1].caller.stream(&model);
@@ -39,12 +39,12 @@
     let before = served_at(&cluster, leaving);
     for node in &cluster.nodes {
         for _ in 0..CALLS {
-            node.caller.complete(&model).expect_whole();
+            node.caller.complete(&model).expect_complete();
         }
     }
     assert_eq!(served_at(&cluster, leaving), before);
     world.streams.open();
-    assert!(stream.ends_whole());
+    assert!(stream.ends_complete());
     assert_eq!(world.load_orders(&model), 2);
 }
 
@@ -57,13 +57,13 @@
     world.add_instance("booking-2", staying);
     node.wait_listed("booking-2", VmState::Live);
     wait_until("both instances to be called", || {
-        node.caller.book_once().expect_whole();
+        node.caller.book_once().expect_complete();
         [leaving, staying].map(|one| world.service.effects_at(one) > 0) == [true, true]
     });
     world.vm_list.set_state("booking-1", VmState::Leaving);
     node.wait_listed("booking-1", VmState::Leaving);
     let before = world.service.effects_at(leaving);
-    (0..CALLS).for_each(|_| node.caller.book_once().expect_whole());
+    (0..CALLS).for_each(|_| node.caller.book_once().expect_complete());
     assert_eq!(world.service.effects_at(leaving), before);
 }
 
@@ -74,7 +74,7 @@
     let cluster = Cluster::start(2, 2, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     let gone = world.holder(&model);
     world.engines.set_reachable(engine_address(gone), false);
     world.vm_list.set_state(&engine_name(gone), VmState::Gone);
--- a/crates/node/tests/log_outage.rs
+++ b/crates/node/tests/log_outage.rs
@@ -29,13 +29,13 @@
 fn only_loaded_models_served() {
     let cluster = Cluster::start(2, 2, true);
     let (loaded, cold) = (cluster.model_preferring(0), cluster.model_preferring(1));
-    cluster.nodes[0].caller.complete(&loaded).expect_whole();
+    cluster.nodes[0].caller.complete(&loaded).expect_complete();
     (0..2).for_each(|node| cluster.wait_replayed(node));
     cluster.world.log.set_down(true);
     for node in &cluster.nodes {
-        node.caller.complete(&loaded).expect_whole();
+        node.caller.complete(&loaded).expect_complete();
         assert_eq!(node.caller.complete(&cold).refusal(), LOG_UNAVAILABLE);
-        node.caller.complete(&loaded).expect_whole();
+        node.caller.complete(&loaded).expect_complete();
     }
     cluster.world.log.set_down(false);
     cluster.wait_recovered(0);
@@ -66,7 +66,7 @@
         [0, 1].map(|node| &cluster.nodes[node].caller),
     );
     let first = callers[0].book("known");
-    first.expect_whole();
+    first.expect_complete();
     wait_until("the end to be known everywhere", || {
         callers[1].book("known").replayed
     });
@@ -79,7 +79,7 @@
     world.log.set_down(false);
     (0..2).for_each(|node| cluster.wait_recovered(node));
     assert_eq!(world.service.effects_of("new"), 0);
-    callers[1].book("new").expect_whole();
+    callers[1].book("new").expect_complete();
     assert_eq!(
         (
             world.service.effects_of("known"),
@@ -104,12 +104,12 @@
 fn appends_tried_while_down(cluster: &Cluster) -> usize {
     let log = &cluster.world.log;
     let vms = || cluster.nodes[1..].iter().map(|node| &node.vm);
-    let appends = || vms().map(|vm| log.tried_appends(vm)).sum::<usize>();
+    let appends = || vms().map(|vm| log.attempted_appends(vm)).sum::<usize>();
     let before = appends();
     for vm in vms() {
-        let reads = log.tried_reads(vm);
+        let reads = log.attempted_reads(vm);
         wait_until("reads to be tried", || {
-            log.tried_reads(vm) >= reads + READS_TRIED
+            log.attempted_reads(vm) >= reads + READS_TRIED
         });
     }
     appends() - before
@@ -165,7 +165,7 @@
     world.service.wait_effect_of("key");
     world.log.set_down(true);
     world.service.hold(false);
-    booking.reply().expect_whole();
+    booking.reply().expect_complete();
     refuse_cold_models(cluster);
     wait_until("no append to be tried", || {
         appends_tried_while_down(cluster) == 0
@@ -191,24 +191,24 @@
         read.is_by(&vm) && read.follows_control()
     });
     world.engines.hold_orders(engine, false);
-    loading.reply().expect_whole();
+    loading.reply().expect_complete();
     world.log.set_down(true);
     world.log.release(&held);
     let behind = &cluster.nodes[1];
     let waiting = behind.caller.begin_complete(&model);
     wait_until("the request to wait", || behind.waiting_for(&model) == 1);
     // A short outage causes no refusal.
-    let reads = world.log.tried_reads(&behind.vm);
+    let reads = world.log.attempted_reads(&behind.vm);
     wait_until("reads to be tried", || {
-        world.log.tried_reads(&behind.vm) >= reads + READS_TRIED
+        world.log.attempted_reads(&behind.vm) >= reads + READS_TRIED
     });
     assert!(!waiting.is_answered());
     world.time.advance(LOG_PATIENCE_MS);
     assert_eq!(waiting.reply().refusal(), LOG_UNAVAILABLE);
     assert_eq!(behind.caller.complete(&model).refusal(), LOG_UNAVAILABLE);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     world.log.set_down(false);
     cluster.wait_recovered(1);
-    behind.caller.complete(&model).expect_whole();
+    behind.caller.complete(&model).expect_complete();
     assert_eq!(world.load_orders(&model), 1);
 }
--- a/crates/node/tests/lost_appends.rs
+++ b/crates/node/tests/lost_appends.rs
@@ -40,17 +40,17 @@
     let faulted = world
         .log
         .fault_appends(fault, 1, move |append| is_of(record, append));
-    cluster.nodes[1].caller.complete(&model).expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
     faulted.wait_hits(1);
     world.log.release(&faulted);
-    (0..2).for_each(|node| cluster.wait_looked(node));
+    (0..2).for_each(|node| cluster.wait_handled(node));
     assert_eq!(world.accepted_loads(&model).len(), 1);
     assert_eq!(world.load_orders(&model), 1);
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
     let decided = world.decided();
     let accepted = decided.iter().filter(|one| one.is_accepted());
     let settled = accepted.filter(|one| matches!(one.record, ControlRecord::LoadSettled(_)));
-    // The model itself, and the one that each `wait_looked` has loaded.
+    // The model itself, and the one that each `wait_handled` has loaded.
     assert_eq!(settled.count(), 3);
 }
 
@@ -68,7 +68,7 @@
     cluster.add("vm-1").wait_ready();
     faulted.wait_hits(1);
     cluster.world.log.release(&faulted);
-    cluster.wait_looked(1);
+    cluster.wait_handled(1);
     let joins = cluster.world.decided().into_iter().filter(|one| {
         let is_of_vm = |join: &ControlRecord| match join {
             ControlRecord::Join(join) => join.vm.as_str() == "vm-1",
--- a/crates/node/tests/lost_orders.rs
+++ b/crates/node/tests/lost_orders.rs
@@ -28,8 +28,8 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     world.engines.fault(OrderFault::LoseAnswer);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
-    cluster.wait_looked(0);
+    cluster.nodes[0].caller.complete(&model).expect_complete();
+    cluster.wait_handled(0);
     assert_eq!(take_overs(&cluster), 1);
     assert_eq!(world.accepted_loads(&model).len(), 1);
     assert_eq!(world.load_orders(&model), 1);
@@ -50,7 +50,7 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     world.engines.fault(fault);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     wait_until("the load to settle", || world.loaded(&model) == 1);
     let loads = world.accepted_loads(&model);
     assert_eq!(loads.len(), 2);
@@ -69,14 +69,14 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     world.engines.fault(OrderFault::Delay);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     world.engines.release_late();
     world.time.advance(SETTLING_MS);
     wait_until("the late effect to be counted", || {
         world.loaded(&model) == replicas
     });
     for node in &cluster.nodes {
-        node.caller.complete(&model).expect_whole();
+        node.caller.complete(&model).expect_complete();
     }
     assert_eq!(world.holders(&model), replicas);
     assert_eq!(world.accepted_loads(&model).len(), 2);
--- a/crates/node/tests/one_order.rs
+++ b/crates/node/tests/one_order.rs
@@ -18,14 +18,14 @@
         for engine in (0..3).filter(|engine| *engine != number) {
             let name = engine_name(engine);
             let list = &cluster.world.vm_list;
-            list.tell(&node.vm, &name, VmState::Leaving);
+            list.show(&node.vm, &name, VmState::Leaving);
             node.wait_listed(&name, VmState::Leaving);
         }
     }
 }
 
 fn all_see_all_engines(cluster: &Cluster) {
-    cluster.world.vm_list.tell_all_alike();
+    cluster.world.vm_list.show_all_alike();
     for node in &cluster.nodes {
         (0..3).for_each(|engine| node.wait_listed(&engine_name(engine), VmState::Live));
     }
@@ -58,7 +58,7 @@
     all_see_all_engines(&cluster);
     world.log.release(&held);
     for call in calls {
-        call.reply().expect_whole();
+        call.reply().expect_complete();
     }
     let decided = world.decided();
     let loads = decided.iter().filter(|one| one.is_load_of(&model));
@@ -67,7 +67,7 @@
         _ => None,
     });
     assert_eq!(engines.collect::<BTreeSet<_>>().len(), 3);
-    (0..3).for_each(|node| cluster.wait_looked(node));
+    (0..3).for_each(|node| cluster.wait_handled(node));
     assert_eq!(world.accepted_loads(&model).len(), 1);
     assert_eq!(world.load_orders(&model), 1);
     assert_eq!(world.holders(&model), 1);
@@ -87,7 +87,7 @@
     held.wait_hits(1);
     assert_eq!(cluster.world.load_orders(&model), 0);
     cluster.world.log.release(&held);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     wait_until("the load to settle", || cluster.world.loaded(&model) == 1);
     let load = cluster.world.wait_load(&model);
     let fences = cluster
@@ -117,7 +117,7 @@
     held.wait_hits(3);
     world.log.release(&held);
     for call in calls {
-        call.reply().expect_whole();
+        call.reply().expect_complete();
     }
     let decided = world.decided();
     let loads = decided
--- a/crates/node/tests/pause_recovery.rs
+++ b/crates/node/tests/pause_recovery.rs
@@ -34,8 +34,8 @@
     cluster.list_as_gone(0);
     wait_taken_over(&cluster);
     frozen.switch.thaw();
-    cluster.nodes[1].caller.complete(&model).expect_whole();
-    call.reply().expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
+    call.reply().expect_complete();
     frozen.wait_ended();
     assert_eq!(world.effects_of(&frozen.vm, &model), 0);
     assert_eq!(world.holders(&model), 1);
@@ -70,8 +70,8 @@
     assert_eq!(world.effects_of(&frozen.vm, &model), 0);
     frozen.switch.thaw();
     world.log.release(&blind);
-    cluster.nodes[1].caller.complete(&model).expect_whole();
-    call.reply().expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
+    call.reply().expect_complete();
     frozen.wait_ended();
     assert_eq!(world.effects_of(&frozen.vm, &model), 0);
     assert_eq!(world.holders(&model), 1);
@@ -95,7 +95,7 @@
     unread.wait_hits(3);
     assert_eq!(world.load_orders(&model), 0);
     world.log.release(&unread);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     assert_eq!(world.load_orders(&model), 1);
 }
 
@@ -109,7 +109,7 @@
     let cluster = Cluster::start(3, 2, true);
     let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
-    frozen.caller.complete(&model).expect_whole();
+    frozen.caller.complete(&model).expect_complete();
     world.streams.close();
     let stream = frozen.caller.stream(&model);
     frozen.switch.freeze();
@@ -125,7 +125,7 @@
     let refused = frozen.caller.complete(&model);
     assert_eq!(refused.refusal(), ("draining", "not_run"));
     world.streams.open();
-    assert!(stream.ends_whole());
+    assert!(stream.ends_complete());
     frozen.wait_ended();
 }
 
@@ -155,7 +155,7 @@
     wait_until("the first process to be over", || {
         !world.state().is_current(first)
     });
-    cluster.nodes[2].caller.complete(&model).expect_whole();
+    cluster.nodes[2].caller.complete(&model).expect_complete();
     assert_eq!(world.load_orders(&model), 1);
     cluster.nodes[0].switch.thaw();
     cluster.nodes[0].wait_ended();
--- a/crates/node/tests/stray_models.rs
+++ b/crates/node/tests/stray_models.rs
@@ -23,7 +23,7 @@
     let cluster = Cluster::start(3, 2, checks_fence);
     let world = &cluster.world;
     let (model, other) = (cluster.model_preferring(0), cluster.model_preferring(1));
-    cluster.nodes[0].caller.complete(&other).expect_whole();
+    cluster.nodes[0].caller.complete(&other).expect_complete();
     let engine = engine_address(0);
     let late = LoadOrder {
         model: ModelName::new(&model),
@@ -34,7 +34,7 @@
     world.engines.with(engine, |engine| engine.put(&late));
     wait_until("the model to be unloaded", || world.holders(&model) == 0);
     assert_eq!(world.holders(&other), 1);
-    cluster.nodes[2].caller.complete(&model).expect_whole();
+    cluster.nodes[2].caller.complete(&model).expect_complete();
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
 
@@ -56,14 +56,17 @@
     let cluster = Cluster::start(2, 1, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     cluster.wait_replayed(1);
     world.time.advance(SETTLING_MS);
     match loss {
         Loss::Restart => world.engines.restart(engine_address(0)),
         Loss::Model => world.engines.lose_model(engine_address(0), &model),
     }
-    cluster.nodes[node].caller.complete(&model).expect_whole();
+    cluster.nodes[node]
+        .caller
+        .complete(&model)
+        .expect_complete();
     assert_eq!(world.load_orders(&model), 2);
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
 }
--- a/crates/node/tests/support/caller.rs
+++ b/crates/node/tests/support/caller.rs
@@ -12,8 +12,8 @@
 use ureq::Agent;
 use ureq::BodyReader;
 
-use super::PATIENCE;
 use super::SERVICE;
+use super::WAIT_TIMEOUT;
 
 /// Timeout that a request asks for, in milliseconds. Tests advance their clocks by less.
 const TIMEOUT_MS: u64 = 500_000;
@@ -41,7 +41,7 @@
     }
 
     #[track_caller]
-    pub fn expect_whole(&self) {
+    pub fn expect_complete(&self) {
         assert_eq!(self.status, 200, "{self:?}");
     }
 }
@@ -64,7 +64,7 @@
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .proxy(None)
-            .timeout_global(Some(PATIENCE + Duration::from_secs(10)))
+            .timeout_global(Some(WAIT_TIMEOUT + Duration::from_secs(10)))
             .build();
         Self {
             agent: Agent::new_with_config(config),
@@ -174,7 +174,7 @@
     }
 
     /// Returns whether the remainder of the answer ends as a complete one does.
-    pub fn ends_whole(mut self) -> bool {
+    pub fn ends_complete(mut self) -> bool {
         let mut last = None;
         while let Some(event) = self.next_event() {
             last = Some(event);
--- a/crates/node/tests/support/clock.rs
+++ b/crates/node/tests/support/clock.rs
@@ -77,7 +77,7 @@
 
     /// Lets this clock run again from `ms` after the time at which it stopped, regardless of the
     /// time that has passed meanwhile.
-    pub fn go_on_after(&self, ms: u64) {
+    pub fn resume_after(&self, ms: u64) {
         let mut stopped_at_ms = self.stopped_at_ms.lock();
         if let Some(at_ms) = stopped_at_ms.take() {
             let running_ms = self.running_ms();
--- a/crates/node/tests/support/engine.rs
+++ b/crates/node/tests/support/engine.rs
@@ -69,7 +69,7 @@
     pub status: EngineStatus,
     pub orders: Vec<Order>,
     pub served: Vec<RequestId>,
-    pub most_bytes_held: u64,
+    pub max_bytes_held: u64,
     holds_orders: bool,
     is_reachable: bool,
 }
@@ -87,7 +87,7 @@
             },
             orders: Vec::new(),
             served: Vec::new(),
-            most_bytes_held: 0,
+            max_bytes_held: 0,
             holds_orders: false,
             is_reachable: true,
         }
@@ -149,7 +149,7 @@
             fence: order.fence,
         });
         let held_bytes = residents.iter().map(|one| one.bytes).sum();
-        self.most_bytes_held = self.most_bytes_held.max(held_bytes);
+        self.max_bytes_held = self.max_bytes_held.max(held_bytes);
         self.status.sequence += 1;
     }
 
--- a/crates/node/tests/support/log.rs
+++ b/crates/node/tests/support/log.rs
@@ -41,8 +41,8 @@
     append_rules: Vec<AppendRule>,
     read_rules: Vec<ReadRule>,
     is_down: bool,
-    tried_appends: BTreeMap<VmName, usize>,
-    tried_reads: BTreeMap<VmName, usize>,
+    attempted_appends: BTreeMap<VmName, usize>,
+    attempted_reads: BTreeMap<VmName, usize>,
 }
 
 /// In-memory log service.
@@ -154,15 +154,15 @@
     }
 
     /// Returns the number of appends that a VM has attempted, regardless of their outcome.
-    pub fn tried_appends(&self, vm: &VmName) -> usize {
+    pub fn attempted_appends(&self, vm: &VmName) -> usize {
         let inner = self.inner.lock();
-        inner.tried_appends.get(vm).copied().unwrap_or(0)
+        inner.attempted_appends.get(vm).copied().unwrap_or(0)
     }
 
     /// Returns the number of reads that a VM has attempted, regardless of their outcome.
-    pub fn tried_reads(&self, vm: &VmName) -> usize {
+    pub fn attempted_reads(&self, vm: &VmName) -> usize {
         let inner = self.inner.lock();
-        inner.tried_reads.get(vm).copied().unwrap_or(0)
+        inner.attempted_reads.get(vm).copied().unwrap_or(0)
     }
 
     /// Returns a client through which one VM reaches the log.
@@ -188,7 +188,7 @@
 
     fn append(&self, by: &LogOfVm, stream: &StreamName, payload: &[u8]) -> Result<Offset> {
         let mut inner = self.inner.lock();
-        *inner.tried_appends.entry(by.vm.clone()).or_default() += 1;
+        *inner.attempted_appends.entry(by.vm.clone()).or_default() += 1;
         if inner.is_down {
             return Err(Error::unavailable("the log is down"));
         }
@@ -231,7 +231,7 @@
     fn read(&self, by: &LogOfVm, read: &Read<'_>, from: Offset, wait_ms: u64) -> Result<LogBatch> {
         let deadline = Instant::now() + Duration::from_millis(wait_ms);
         let mut inner = self.inner.lock();
-        *inner.tried_reads.entry(by.vm.clone()).or_default() += 1;
+        *inner.attempted_reads.entry(by.vm.clone()).or_default() += 1;
         let fault = inner.read_fault(read);
         match fault {
             Some(ReadFault::Refuse) => return Err(Error::unavailable("refused by the test")),
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -24,7 +24,7 @@
 pub use world::SERVICE;
 
 /// Timeout of waits, which ends a failing test; no assertion depends on its length.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Interval at which a condition is checked.
 const POLL_PAUSE: Duration = Duration::from_millis(5);
@@ -32,7 +32,7 @@
 /// Waits until a condition holds.
 #[track_caller]
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "waited in vain for {what}");
         thread::sleep(POLL_PAUSE);
--- a/crates/node/tests/support/platform.rs
+++ b/crates/node/tests/support/platform.rs
@@ -24,14 +24,14 @@
 use super::switch::Switch;
 
 /// Initial delay of the list, in milliseconds.
-const LAG_MS: u64 = 20;
+const DELAY_MS: u64 = 20;
 
 /// In-memory VM list.
 pub struct FakeVmList {
     entries: Mutex<Vec<VmEntry>>,
     /// States of entries shown to single VMs, since the delay of the list differs between VMs.
-    told: Mutex<BTreeMap<(VmName, String), VmState>>,
-    lag_ms: AtomicU64,
+    shown: Mutex<BTreeMap<(VmName, String), VmState>>,
+    delay_ms: AtomicU64,
     time: Arc<WorldTime>,
 }
 
@@ -39,8 +39,8 @@
     pub fn new(time: &Arc<WorldTime>) -> Self {
         Self {
             entries: Mutex::default(),
-            told: Mutex::default(),
-            lag_ms: AtomicU64::new(LAG_MS),
+            shown: Mutex::default(),
+            delay_ms: AtomicU64::new(DELAY_MS),
             time: Arc::clone(time),
         }
     }
@@ -75,26 +75,26 @@
     }
 
     /// Sets the delay of the list.
-    pub fn set_lag(&self, lag_ms: u64) {
-        self.lag_ms.store(lag_ms, Ordering::SeqCst);
+    pub fn set_delay(&self, delay_ms: u64) {
+        self.delay_ms.store(delay_ms, Ordering::SeqCst);
     }
 
     /// Shows one VM another state of an entry than all others.
-    pub fn tell(&self, vm: &VmName, name: &str, state: VmState) {
-        let told = (vm.clone(), name.to_owned());
-        self.told.lock().insert(told, state);
+    pub fn show(&self, vm: &VmName, name: &str, state: VmState) {
+        let shown = (vm.clone(), name.to_owned());
+        self.shown.lock().insert(shown, state);
     }
 
     /// Shows all VMs the same states again.
-    pub fn tell_all_alike(&self) {
-        self.told.lock().clear();
+    pub fn show_all_alike(&self) {
+        self.shown.lock().clear();
     }
 
     fn entries_for(&self, vm: &VmName) -> Vec<VmEntry> {
-        let (mut entries, told) = (self.entries.lock().clone(), self.told.lock());
+        let (mut entries, shown) = (self.entries.lock().clone(), self.shown.lock());
         for entry in &mut entries {
-            let told = told.get(&(vm.clone(), entry.name.clone()));
-            entry.state = told.copied().unwrap_or(entry.state);
+            let shown = shown.get(&(vm.clone(), entry.name.clone()));
+            entry.state = shown.copied().unwrap_or(entry.state);
         }
         entries
     }
@@ -120,7 +120,7 @@
     fn list(&self) -> Result<VmListing> {
         self.switch.pass();
         let listing = VmListing {
-            as_of_ms: self.list.time.unix_ms() - self.list.lag_ms.load(Ordering::SeqCst),
+            as_of_ms: self.list.time.unix_ms() - self.list.delay_ms.load(Ordering::SeqCst),
             entries: self.list.entries_for(&self.vm),
         };
         self.switch.pass();
--- a/crates/node/tests/support/world.rs
+++ b/crates/node/tests/support/world.rs
@@ -204,7 +204,7 @@
     /// Returns whether no engine has ever held more than its memory.
     pub fn memory_held(&self) -> bool {
         self.engines
-            .sum(|engine| usize::from(engine.most_bytes_held > CAPACITY_BYTES))
+            .sum(|engine| usize::from(engine.max_bytes_held > CAPACITY_BYTES))
             == 0
     }
 
@@ -325,9 +325,9 @@
 
     /// Waits until a daemon's threads have handled everything replayed before, by having it load a
     /// model that was not requested before.
-    pub fn wait_looked(&self, node: usize) {
+    pub fn wait_handled(&self, node: usize) {
         let model = self.fresh_model();
-        self.nodes[node].caller.complete(&model).expect_whole();
+        self.nodes[node].caller.complete(&model).expect_complete();
     }
 
     /// Waits until a daemon can have a model loaded again.
--- a/crates/node/tests/unload_faults.rs
+++ b/crates/node/tests/unload_faults.rs
@@ -23,7 +23,7 @@
     let cluster = Cluster::start(2, 1, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     (0..2).for_each(|node| cluster.wait_replayed(node));
     world.engines.fault(fault);
     world.time.advance(IDLE_MS);
@@ -34,7 +34,7 @@
         let memory = world.state().memory(&"engine-0".into());
         memory.is_some_and(|memory| memory.free_bytes() == memory.capacity_bytes)
     });
-    cluster.nodes[1].caller.complete(&model).expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
     assert_eq!(world.load_orders(&model), 2);
 }
@@ -46,7 +46,7 @@
     let cluster = Cluster::start(2, 1, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     (0..2).for_each(|node| cluster.wait_replayed(node));
     world.engines.hold_orders(engine_address(0), true);
     world.time.advance(IDLE_MS);
@@ -58,7 +58,7 @@
     });
     world.engines.hold_orders(engine_address(0), false);
     for call in calls {
-        call.reply().expect_whole();
+        call.reply().expect_complete();
     }
     assert_eq!((world.holders(&model), world.load_orders(&model)), (1, 2));
 }
--- a/crates/node/tests/unresponsive_peer.rs
+++ b/crates/node/tests/unresponsive_peer.rs
@@ -16,9 +16,9 @@
     let model = cluster.model_preferring(0);
     cluster.nodes[0].switch.freeze();
     let [one, other] = [1, 2].map(|node| &cluster.nodes[node]);
-    one.caller.complete(&model).expect_whole();
-    other.caller.complete(&model).expect_whole();
-    one.caller.book("key").expect_whole();
+    one.caller.complete(&model).expect_complete();
+    other.caller.complete(&model).expect_complete();
+    one.caller.book("key").expect_complete();
     wait_until("the booking to be known", || {
         other.caller.book("key").replayed
     });
@@ -37,7 +37,10 @@
     woken.switch.freeze();
     let edit = ConfigEdit::PutModel(model_spec("new-model"));
     cluster.nodes[0].publish(cluster.version, vec![edit]);
-    cluster.nodes[0].caller.complete("new-model").expect_whole();
+    cluster.nodes[0]
+        .caller
+        .complete("new-model")
+        .expect_complete();
     woken.switch.thaw();
     wait_until("the new model to be served", || {
         woken.caller.complete("new-model").status == 200
