--- a/crates/node/tests/catch_up.rs
+++ b/crates/node/tests/catch_up.rs
@@ -69,7 +69,7 @@
 }
 
 /// Asserts that a daemon has the configuration, the replica and the booking.
-fn assert_knows_all(cluster: &Cluster, node: &Node, model: &str) {
+fn assert_has_all(cluster: &Cluster, node: &Node, model: &str) {
     assert_eq!(node.status().config_version, cluster.version);
     node.caller.complete(model).expect_complete();
     let again = node.caller.book("key");
@@ -86,7 +86,7 @@
     snapshot_and_trim(&cluster.world);
     stop_all(&cluster);
     cluster.add("vm-2").wait_ready();
-    assert_knows_all(&cluster, &cluster.nodes[2], &model);
+    assert_has_all(&cluster, &cluster.nodes[2], &model);
     cluster.wait_handled(2);
 }
 
@@ -115,7 +115,7 @@
     cluster.world.log.set_down(true);
     cluster.add("vm-2").wait_ready();
     let started = &cluster.nodes[2];
-    assert_knows_all(&cluster, started, &model);
+    assert_has_all(&cluster, started, &model);
     let refused = started.caller.complete(&cold);
     assert_eq!(refused.refusal(), ("log_unavailable", "not_run"));
     let refused = started.caller.book("new");
@@ -140,7 +140,7 @@
     assert!(!started.caller.is_ready());
     cluster.world.log.release(&held);
     started.wait_ready();
-    assert_knows_all(&cluster, started, &model);
+    assert_has_all(&cluster, started, &model);
 }
 
 /// Returns the number of proposed fresh starts of the control stream.
@@ -241,6 +241,6 @@
     assert!(!started.caller.is_ready());
     cluster.nodes[0].switch.thaw();
     started.wait_ready();
-    assert_knows_all(&cluster, started, &model);
+    assert_has_all(&cluster, started, &model);
     assert_eq!(fresh_starts(&cluster.world), 0);
 }
--- a/crates/node/tests/config_race.rs
+++ b/crates/node/tests/config_race.rs
@@ -95,7 +95,7 @@
 #[rstest]
 #[case(AppendFault::LoseAnswer, true)]
 #[case(AppendFault::LoseRecord, false)]
-fn lost_publish_answer(#[case] fault: AppendFault, #[case] stands: bool) {
+fn lost_publish_answer(#[case] fault: AppendFault, #[case] is_appended: bool) {
     let cluster = Cluster::start(2, 0, true);
     cluster.world.log.fault_appends(fault, 1, is_config);
     let request = PublishRequest {
@@ -108,8 +108,8 @@
         .admin()
         .publish(&request)
         .expect("an outcome");
-    assert_eq!(accepted(&first).is_some(), stands, "{first:?}");
-    assert!(stands || matches!(first, PublishOutcome::Unknown { change_id: 7, .. }));
+    assert_eq!(accepted(&first).is_some(), is_appended, "{first:?}");
+    assert!(is_appended || matches!(first, PublishOutcome::Unknown { change_id: 7, .. }));
     let again = cluster.nodes[1]
         .admin()
         .publish(&request)
--- a/crates/node/tests/delayed_list.rs
+++ b/crates/node/tests/delayed_list.rs
@@ -11,7 +11,7 @@
 const DELAY_MS: u64 = 60_000;
 
 /// Silence after which a VM that is listed as gone is departed, with a margin, in milliseconds.
-const SILENCE_MS: u64 = 10_000;
+const DEPARTURE_SILENCE_MS: u64 = 10_000;
 
 /// Guards against a departure of a VM that has just started. A VM is removed and replaced under its
 /// name; the list still shows the first one as gone while the new process is paused. A list that is
@@ -31,7 +31,7 @@
     successor.switch.freeze();
     let world = &cluster.world;
     world.vm_list.set_state(replaced.as_str(), VmState::Gone);
-    world.time.advance(SILENCE_MS);
+    world.time.advance(DEPARTURE_SILENCE_MS);
     world.vm_list.set_state(dead.as_str(), VmState::Gone);
     wait_until("the dead VM to be departed", || {
         !world.departed(&dead).is_empty()
--- a/crates/node/tests/ended_demand.rs
+++ b/crates/node/tests/ended_demand.rs
@@ -15,7 +15,7 @@
 
 /// Time after which a placement policy repeats a proposal without effect, with a margin, in
 /// milliseconds. A demand report counts for longer.
-const PROPOSAL_MS: u64 = 1_100;
+const REPROPOSAL_MS: u64 = 1_100;
 
 /// Guards against a load for which no request waits: the preferred VM received the report of a
 /// request but not of its refusal, or a report without demand kept the model in the policy's plan.
@@ -46,7 +46,7 @@
         preferred.waiting_for(&model) == 0
     });
     world.log.release(&refused);
-    preferred.clock.resume_after(PROPOSAL_MS);
+    preferred.clock.resume_after(REPROPOSAL_MS);
     cluster.wait_recovered(1);
     assert_eq!(world.load_orders(&model), 0);
 }
--- a/crates/node/tests/graceful_stop.rs
+++ b/crates/node/tests/graceful_stop.rs
@@ -25,18 +25,18 @@
 
 /// What starts a daemon's stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Teller {
+enum StopSource {
     Signal,
     Operator,
     List,
 }
 
-fn tell(cluster: &Cluster, teller: Teller) {
+fn start_stop(cluster: &Cluster, source: StopSource) {
     let node = &cluster.nodes[0];
-    match teller {
-        Teller::Signal => node.begin_stop(),
-        Teller::Operator => drop(node.admin().drain().expect("an answer")),
-        Teller::List => {
+    match source {
+        StopSource::Signal => node.begin_stop(),
+        StopSource::Operator => drop(node.admin().drain().expect("an answer")),
+        StopSource::List => {
             let list = &cluster.world.vm_list;
             list.set_state(node.vm.as_str(), VmState::Leaving);
         }
@@ -48,7 +48,7 @@
 /// for the log and never ends.
 #[rstest]
 fn second_stop_signal(
-    #[values(Teller::Signal, Teller::Operator, Teller::List)] first: Teller,
+    #[values(StopSource::Signal, StopSource::Operator, StopSource::List)] first: StopSource,
     #[values(true, false)] log_is_down: bool,
 ) {
     let cluster = Cluster::start(2, 1, true);
@@ -60,8 +60,8 @@
     // A VM can't serve what it has not read when the log goes down.
     cluster.wait_replayed(1);
     world.log.set_down(log_is_down);
-    tell(&cluster, first);
-    tell(&cluster, Teller::Operator);
+    start_stop(&cluster, first);
+    start_stop(&cluster, StopSource::Operator);
     for _ in 0..REFUSED_CALLS {
         assert_eq!(stopping.caller.complete(&model).refusal(), DRAINING);
         assert_eq!(stopping.caller.book("key").refusal(), DRAINING);
@@ -85,7 +85,7 @@
     world.engines.hold_orders(engine_address(0), true);
     let call = stopping.caller.begin_complete(&model);
     wait_until("the order to arrive", || world.load_orders(&model) == 1);
-    tell(&cluster, Teller::Signal);
+    start_stop(&cluster, StopSource::Signal);
     assert!(!call.is_answered());
     world.engines.hold_orders(engine_address(0), false);
     call.reply().expect_complete();
@@ -103,7 +103,7 @@
     let refused = stopping.caller.complete_within(&model, TIMEOUT_MS);
     assert_eq!(refused.refusal().1, "not_run", "{refused:?}");
     assert_eq!(world.load_orders(&model), 1);
-    tell(&cluster, Teller::Signal);
+    start_stop(&cluster, StopSource::Signal);
     wait_until("callers to be let go", || !stopping.caller.is_served());
     let mut version = cluster.version;
     for _ in 0..CHANGES {
@@ -138,7 +138,7 @@
         });
     stopping.caller.book("key").expect_complete();
     refused.wait_hits(1);
-    tell(&cluster, Teller::Signal);
+    start_stop(&cluster, StopSource::Signal);
     let hits = refused.hits();
     wait_until("the end to be tried again, or the stop to be over", || {
         refused.hits() > hits + 3 || stopping.has_ended()
--- a/crates/node/tests/intent_takeover.rs
+++ b/crates/node/tests/intent_takeover.rs
@@ -12,7 +12,7 @@
 use support::world::StopAt;
 
 /// Number of checks that the VMs make of an intent after it was settled.
-const LOOKS: usize = 4;
+const CHECKS: usize = 4;
 
 /// State of the stopped VM in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,14 +21,14 @@
     Live,
 }
 
-fn take_overs(cluster: &Cluster) -> usize {
+fn accepted_takeovers(cluster: &Cluster) -> usize {
     let decided = cluster.world.decided();
     let records = decided.iter().filter(|one| one.is_accepted());
-    let take_overs = records.filter(|one| matches!(one.record, ControlRecord::TakeOver(_)));
-    take_overs.count()
+    let accepted_takeovers = records.filter(|one| matches!(one.record, ControlRecord::TakeOver(_)));
+    accepted_takeovers.count()
 }
 
-fn let_others_notice(cluster: &Cluster, listed: Listed) {
+fn advance_until_noticed(cluster: &Cluster, listed: Listed) {
     match listed {
         Listed::Gone => cluster.list_as_gone(0),
         Listed::Live => cluster.world.time.advance(2 * LOAD_TIMEOUT_MS),
@@ -50,9 +50,9 @@
     let model = cluster.model_preferring(0);
     cluster.stop_in_load(0, StopAt::Intent, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
-    let_others_notice(&cluster, listed);
+    advance_until_noticed(&cluster, listed);
     call.reply().expect_complete();
-    assert!(take_overs(&cluster) > 0);
+    assert!(accepted_takeovers(&cluster) > 0);
     cluster.nodes[0].switch.thaw();
     cluster.wait_replayed(0);
     cluster.wait_handled(1);
@@ -70,11 +70,14 @@
     let model = cluster.model_preferring(0);
     cluster.stop_in_load(0, StopAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
-    let_others_notice(&cluster, Listed::Live);
+    advance_until_noticed(&cluster, Listed::Live);
     cluster.wait_handled(1);
     cluster.wait_handled(2);
     assert_eq!(
-        (take_overs(&cluster), world.accepted_loads(&model).len()),
+        (
+            accepted_takeovers(&cluster),
+            world.accepted_loads(&model).len()
+        ),
         (0, 1)
     );
     assert!(!call.is_answered());
@@ -95,7 +98,7 @@
     let model = cluster.model_preferring(0);
     cluster.stop_in_load(0, StopAt::Effect, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
-    let_others_notice(&cluster, listed);
+    advance_until_noticed(&cluster, listed);
     call.reply().expect_complete();
     cluster.nodes[0].switch.thaw();
     cluster.wait_replayed(0);
@@ -114,8 +117,10 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     cluster.stop_in_load(0, StopAt::Order, &model);
-    let_others_notice(&cluster, Listed::Gone);
-    wait_until("the intent to be taken over", || take_overs(&cluster) > 0);
+    advance_until_noticed(&cluster, Listed::Gone);
+    wait_until("the intent to be taken over", || {
+        accepted_takeovers(&cluster) > 0
+    });
     for preferred in [1, 2] {
         let other = cluster.model_preferring(preferred);
         cluster.nodes[preferred]
@@ -141,7 +146,7 @@
     let model = cluster.model_preferring(0);
     cluster.stop_in_load(0, StopAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
-    let_others_notice(&cluster, Listed::Live);
+    advance_until_noticed(&cluster, Listed::Live);
     call.reply().expect_complete();
     cluster.nodes[0].switch.thaw();
     wait_until("the late order to arrive", || {
@@ -161,13 +166,13 @@
     let model = cluster.model_preferring(0);
     cluster.stop_in_load(0, StopAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
-    let_others_notice(&cluster, Listed::Live);
+    advance_until_noticed(&cluster, Listed::Live);
     call.reply().expect_complete();
-    let before = take_overs(&cluster);
-    for _ in 0..LOOKS {
+    let before = accepted_takeovers(&cluster);
+    for _ in 0..CHECKS {
         cluster.world.time.advance(2 * LOAD_TIMEOUT_MS);
         cluster.wait_handled(1);
         cluster.wait_handled(2);
     }
-    assert_eq!(take_overs(&cluster), before);
+    assert_eq!(accepted_takeovers(&cluster), before);
 }
--- a/crates/node/tests/log_outage.rs
+++ b/crates/node/tests/log_outage.rs
@@ -16,7 +16,7 @@
 use support::world::model_name;
 
 /// Attempted reads of each VM in one part of an outage.
-const READS_TRIED: usize = 12;
+const READ_ATTEMPTS: usize = 12;
 
 /// Models that are requested without result during an outage.
 const REFUSED_MODELS: usize = 8;
@@ -101,7 +101,7 @@
 /// Returns the number of appends that VMs attempt while each of them attempts to read the log
 /// again. The first VM is left out: it retries the finish record of its booking until that is
 /// appended.
-fn appends_tried_while_down(cluster: &Cluster) -> usize {
+fn append_attempts_while_down(cluster: &Cluster) -> usize {
     let log = &cluster.world.log;
     let vms = || cluster.nodes[1..].iter().map(|node| &node.vm);
     let appends = || vms().map(|vm| log.attempted_appends(vm)).sum::<usize>();
@@ -109,7 +109,7 @@
     for vm in vms() {
         let reads = log.attempted_reads(vm);
         wait_until("reads to be tried", || {
-            log.attempted_reads(vm) >= reads + READS_TRIED
+            log.attempted_reads(vm) >= reads + READ_ATTEMPTS
         });
     }
     appends() - before
@@ -119,7 +119,7 @@
     cluster.world.log.records("control").len()
 }
 
-fn ends(cluster: &Cluster) -> usize {
+fn finishes(cluster: &Cluster) -> usize {
     let records = cluster.world.log.records("claims-0");
     let batches = records
         .iter()
@@ -148,7 +148,7 @@
     }
     // At most a load and an unload, each with its settlement, for the call at each VM.
     assert!(control_len(&cluster) - before <= 4 * cluster.nodes.len());
-    assert_eq!(ends(&cluster), 1);
+    assert_eq!(finishes(&cluster), 1);
     let refused = (0..REFUSED_MODELS).map(model_name);
     assert_eq!(
         refused
@@ -168,12 +168,12 @@
     booking.reply().expect_complete();
     refuse_cold_models(cluster);
     wait_until("no append to be tried", || {
-        appends_tried_while_down(cluster) == 0
+        append_attempts_while_down(cluster) == 0
     });
 }
 
 /// Time for which a VM waits for the log to show a load's outcome, with a margin, in milliseconds.
-const LOG_PATIENCE_MS: u64 = 5_500;
+const UNREADABLE_LOG_GRACE_MS: u64 = 5_500;
 
 /// Guards against a request that waits until its deadline for a load whose outcome its VM can't
 /// read: the model is loaded, but the log went down before the VM had read that.
@@ -200,10 +200,10 @@
     // A short outage causes no refusal.
     let reads = world.log.attempted_reads(&behind.vm);
     wait_until("reads to be tried", || {
-        world.log.attempted_reads(&behind.vm) >= reads + READS_TRIED
+        world.log.attempted_reads(&behind.vm) >= reads + READ_ATTEMPTS
     });
     assert!(!waiting.is_answered());
-    world.time.advance(LOG_PATIENCE_MS);
+    world.time.advance(UNREADABLE_LOG_GRACE_MS);
     assert_eq!(waiting.reply().refusal(), LOG_UNAVAILABLE);
     assert_eq!(behind.caller.complete(&model).refusal(), LOG_UNAVAILABLE);
     cluster.nodes[0].caller.complete(&model).expect_complete();
--- a/crates/node/tests/lost_orders.rs
+++ b/crates/node/tests/lost_orders.rs
@@ -13,11 +13,11 @@
 /// Time within which a load's outcome is appended, with a margin, in milliseconds.
 const SETTLING_MS: u64 = 10_000;
 
-fn take_overs(cluster: &Cluster) -> usize {
+fn accepted_takeovers(cluster: &Cluster) -> usize {
     let decided = cluster.world.decided();
     let records = decided.iter().filter(|one| one.is_accepted());
-    let take_overs = records.filter(|one| matches!(one.record, ControlRecord::TakeOver(_)));
-    take_overs.count()
+    let accepted_takeovers = records.filter(|one| matches!(one.record, ControlRecord::TakeOver(_)));
+    accepted_takeovers.count()
 }
 
 /// Guards against a model that is loaded twice because the engine's answer to the order is lost. A
@@ -30,7 +30,7 @@
     world.engines.fault(OrderFault::LoseAnswer);
     cluster.nodes[0].caller.complete(&model).expect_complete();
     cluster.wait_handled(0);
-    assert_eq!(take_overs(&cluster), 1);
+    assert_eq!(accepted_takeovers(&cluster), 1);
     assert_eq!(world.accepted_loads(&model).len(), 1);
     assert_eq!(world.load_orders(&model), 1);
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
