--- a/crates/node/tests/catch_up.rs
+++ b/crates/node/tests/catch_up.rs
@@ -28,7 +28,7 @@
     let model = cluster.model_preferring(0);
     for node in &cluster.nodes {
         node.caller.complete(&model).expect_complete();
-        wait_until("the booking to be known", || {
+        wait_until("the booking to be replayed", || {
             node.caller.book("key").status == 200
         });
     }
@@ -234,7 +234,7 @@
     }
     cluster.add("vm-2");
     let started = &cluster.nodes[2];
-    wait_until("the log to be looked at", || {
+    wait_until("the log to be read", || {
         cluster.world.log.attempted_reads(&started.vm) > 12
     });
     assert_eq!(fresh_starts(&cluster.world), 0);
--- a/crates/node/tests/claim_faults.rs
+++ b/crates/node/tests/claim_faults.rs
@@ -36,7 +36,9 @@
     cluster.nodes[0].caller.book("key").expect_complete();
     lost.wait_hits(1);
     let elsewhere = &cluster.nodes[1].caller;
-    wait_until("the end to be known", || elsewhere.book("key").replayed);
+    wait_until("the finish to be replayed", || {
+        elsewhere.book("key").replayed
+    });
     assert_eq!(cluster.world.service.effects_of("key"), 1);
 }
 
@@ -55,7 +57,7 @@
         .fault_appends(AppendFault::Delay, usize::MAX, |append| append.has_claim());
     let refused = callers[0].book("key");
     assert_eq!(refused.refusal(), ("log_unavailable", "not_run"));
-    wait_until("the end to be on the stream", || {
+    wait_until("the finish to be on the stream", || {
         has_ended(&cluster, Ran::NotRun)
     });
     world.log.release(&late);
@@ -83,7 +85,9 @@
     assert!(whole.count() >= 1, "{replies:?}");
     assert_eq!(world.service.effects_of("key"), 1);
     for node in &cluster.nodes {
-        wait_until("the end to be known", || node.caller.book("key").replayed);
+        wait_until("the finish to be replayed", || {
+            node.caller.book("key").replayed
+        });
     }
     assert_eq!(world.service.effects_of("key"), 1);
 }
@@ -107,7 +111,7 @@
     let first = first.reply();
     first.expect_complete();
     for caller in callers {
-        wait_until("the answer to be kept", || caller.book("key").replayed);
+        wait_until("the answer to be stored", || caller.book("key").replayed);
         assert_eq!(caller.book("key").body, first.body);
     }
     assert_eq!(world.service.effects_of("key"), 1);
@@ -139,7 +143,7 @@
             node.caller.book("key").refusal() == ("key_outcome_unknown", "unknown")
         });
     }
-    wait_until("the end to be on the stream", || {
+    wait_until("the finish to be on the stream", || {
         has_ended(&cluster, Ran::Unknown)
     });
     assert_eq!(world.service.effects_of("key"), 1);
--- a/crates/node/tests/double_faults.rs
+++ b/crates/node/tests/double_faults.rs
@@ -48,7 +48,7 @@
         reply.status == 200 || reply.refusal().1 == "not_run",
         "{reply:?}"
     );
-    wait_until("the outcome to be told", || {
+    wait_until("the outcome to be appended", || {
         let decided = world.decided();
         let mut accepted = decided.iter().filter(|one| one.is_accepted());
         accepted.any(|one| match &one.record {
@@ -107,7 +107,7 @@
     world.time.advance(2 * LOAD_TIMEOUT_MS);
     call.reply().expect_complete();
     world.engines.restart(engine_address(0));
-    wait_until("the restart to be noted", || world.loaded(&model) == 0);
+    wait_until("the restart to be replayed", || world.loaded(&model) == 0);
     let memory = world.state().memory(&engine_name(0).into());
     let reserved_bytes = memory.expect("a known engine").held_bytes;
     assert_eq!(reserved_bytes, MODEL_BYTES);
--- a/crates/node/tests/ended_demand.rs
+++ b/crates/node/tests/ended_demand.rs
@@ -42,7 +42,7 @@
     // A report expires after some seconds; the stopped clock keeps it from expiring here.
     let preferred = &cluster.nodes[1];
     preferred.clock.set_stopped(true);
-    wait_until("the request's end to be known", || {
+    wait_until("the request's end to be reported", || {
         preferred.waiting_for(&model) == 0
     });
     world.log.release(&refused);
@@ -75,7 +75,7 @@
     refused.wait_hits(2);
     let reply = cluster.nodes[0].caller.complete_within(&model, TIMEOUT_MS);
     assert_eq!(reply.refusal(), ("deadline_passed", "not_run"));
-    wait_until("the request's end to be known", || {
+    wait_until("the request's end to be reported", || {
         cluster.nodes[1].waiting_for(&model) == 0
     });
     world.log.release(&refused);
--- a/crates/node/tests/graceful_stop.rs
+++ b/crates/node/tests/graceful_stop.rs
@@ -104,7 +104,9 @@
     assert_eq!(refused.refusal().1, "not_run", "{refused:?}");
     assert_eq!(world.load_orders(&model), 1);
     start_stop(&cluster, StopSource::Signal);
-    wait_until("callers to be let go", || !stopping.caller.is_served());
+    wait_until("callers to be disconnected", || {
+        !stopping.caller.is_served()
+    });
     let mut version = cluster.version;
     for _ in 0..CHANGES {
         version = cluster.nodes[1].publish_again(version);
@@ -140,12 +142,14 @@
     refused.wait_hits(1);
     start_stop(&cluster, StopSource::Signal);
     let hits = refused.hits();
-    wait_until("the end to be tried again, or the stop to be over", || {
+    wait_until("the finish to be retried, or the stop to end", || {
         refused.hits() > hits + 3 || stopping.has_ended()
     });
     world.log.release(&refused);
     stopping.wait_ended();
     let elsewhere = &cluster.nodes[1].caller;
-    wait_until("the booking to be known", || elsewhere.book("key").replayed);
+    wait_until("the booking to be replayed", || {
+        elsewhere.book("key").replayed
+    });
     assert_eq!(world.service.effects_of("key"), 1);
 }
--- a/crates/node/tests/log_outage.rs
+++ b/crates/node/tests/log_outage.rs
@@ -67,7 +67,7 @@
     );
     let first = callers[0].book("known");
     first.expect_complete();
-    wait_until("the end to be known everywhere", || {
+    wait_until("the finish to be replayed everywhere", || {
         callers[1].book("known").replayed
     });
     world.log.set_down(true);
@@ -108,7 +108,7 @@
     let before = appends();
     for vm in vms() {
         let reads = log.attempted_reads(vm);
-        wait_until("reads to be tried", || {
+        wait_until("reads to be attempted", || {
             log.attempted_reads(vm) >= reads + READ_ATTEMPTS
         });
     }
@@ -144,7 +144,9 @@
         wait_until("the log to be used again", || {
             node.caller.complete(&model).status == 200
         });
-        wait_until("the end to be known", || node.caller.book("key").replayed);
+        wait_until("the finish to be replayed", || {
+            node.caller.book("key").replayed
+        });
     }
     // At most a load and an unload, each with its settlement, for the call at each VM.
     assert!(control_len(&cluster) - before <= 4 * cluster.nodes.len());
@@ -167,7 +169,7 @@
     world.service.hold(false);
     booking.reply().expect_complete();
     refuse_cold_models(cluster);
-    wait_until("no append to be tried", || {
+    wait_until("no append to be attempted", || {
         append_attempts_while_down(cluster) == 0
     });
 }
@@ -199,7 +201,7 @@
     wait_until("the request to wait", || behind.waiting_for(&model) == 1);
     // A short outage causes no refusal.
     let reads = world.log.attempted_reads(&behind.vm);
-    wait_until("reads to be tried", || {
+    wait_until("reads to be attempted", || {
         world.log.attempted_reads(&behind.vm) >= reads + READ_ATTEMPTS
     });
     assert!(!waiting.is_answered());
--- a/crates/node/tests/pause_recovery.rs
+++ b/crates/node/tests/pause_recovery.rs
@@ -30,7 +30,7 @@
         read.is_by(&vm) && read.is_of_end()
     });
     let call = frozen.caller.begin_complete(&model);
-    wait_until("the daemon to freeze", || frozen.switch.is_frozen());
+    wait_until("the daemon to be paused", || frozen.switch.is_frozen());
     cluster.list_as_gone(0);
     wait_taken_over(&cluster);
     frozen.switch.thaw();
@@ -54,7 +54,7 @@
         read.is_by(&vm) && read.is_of_end()
     });
     let call = frozen.caller.begin_complete(&model);
-    wait_until("the daemon to freeze", || frozen.switch.is_frozen());
+    wait_until("the daemon to be paused", || frozen.switch.is_frozen());
     let vm = frozen.vm.clone();
     let blind = world.log.fault_reads(ReadFault::Hold, move |read| {
         read.is_by(&vm) && read.follows_control()
@@ -114,14 +114,14 @@
     let stream = frozen.caller.stream(&model);
     frozen.switch.freeze();
     cluster.list_as_gone(0);
-    wait_until("the departure to be noted", || {
+    wait_until("the departure to be recorded", || {
         let decided = world.decided();
         let mut accepted = decided.iter().filter(|one| one.is_accepted());
         accepted.any(|one| matches!(one.record, ControlRecord::Depart(_)))
     });
     world.vm_list.set_state(frozen.vm.as_str(), VmState::Live);
     frozen.switch.thaw();
-    wait_until("no request to be taken", || !frozen.caller.is_ready());
+    wait_until("no request to be accepted", || !frozen.caller.is_ready());
     let refused = frozen.caller.complete(&model);
     assert_eq!(refused.refusal(), ("draining", "not_run"));
     world.streams.open();
@@ -147,12 +147,12 @@
             read.is_by(&frozen_vm) && read.is_of_end()
         });
     drop(cluster.nodes[0].caller.begin_complete(&model));
-    wait_until("the process to freeze", || {
+    wait_until("the process to be paused", || {
         cluster.nodes[0].switch.is_frozen()
     });
     cluster.add(vm.as_str()).wait_ready();
     let world = &cluster.world;
-    wait_until("the first process to be over", || {
+    wait_until("the first process to end", || {
         !world.state().is_current(first)
     });
     cluster.nodes[2].caller.complete(&model).expect_complete();
--- a/crates/node/tests/support/log_fault.rs
+++ b/crates/node/tests/support/log_fault.rs
@@ -158,7 +158,7 @@
 
     /// Waits until the fault was applied this many times.
     pub fn wait_hits(&self, hits: usize) {
-        wait_until("the fault to strike", || self.hits() >= hits);
+        wait_until("the fault to be applied", || self.hits() >= hits);
     }
 
     pub fn is_released(&self) -> bool {
--- a/crates/node/tests/support/node.rs
+++ b/crates/node/tests/support/node.rs
@@ -126,7 +126,7 @@
 
     /// Waits until this daemon sends new work to an upstream.
     pub fn wait_accepts(&self, upstream: &str) {
-        wait_until("the upstream to be trusted", || {
+        wait_until("the upstream to be accepted", || {
             let view = self.admin().upstreams().expect("the upstreams");
             let mut lines = view.upstreams.iter();
             lines.any(|line| line.upstream.as_str() == upstream && line.accepts)
--- a/crates/node/tests/unresponsive_peer.rs
+++ b/crates/node/tests/unresponsive_peer.rs
@@ -19,7 +19,7 @@
     one.caller.complete(&model).expect_complete();
     other.caller.complete(&model).expect_complete();
     one.caller.book("key").expect_complete();
-    wait_until("the booking to be known", || {
+    wait_until("the booking to be replayed", || {
         other.caller.book("key").replayed
     });
     let version = one.publish_again(cluster.version);
