--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -93,14 +93,14 @@
         while !self.common.draining.load(Ordering::Acquire) {
             thread::sleep(STOP_POLL);
         }
-        info!("stopping: no new work is taken");
+        info!("planned stop begins: new requests are refused");
         let deadline = Instant::now() + Duration::from_millis(self.common.settings.drain.grace_ms);
         self.common.membership.handle(MembershipEvent::DrainBegun);
         let gateway = &self.serving.gateway;
         gateway.drain();
         if !gateway.wait_idle(remaining(deadline)) {
             warn!(
-                "the grace time is over with {} requests in progress",
+                "the grace time has passed with {} requests in progress",
                 gateway.in_progress()
             );
         }
@@ -129,7 +129,7 @@
             .all(|stream| stream.has_no_pending_finishes())
         {
             if remaining(deadline).is_zero() {
-                warn!("stopping with ends of calls that the log has not taken");
+                warn!("stopping with finish records of calls that are not appended");
                 return false;
             }
             thread::sleep(STOP_POLL);
@@ -149,7 +149,7 @@
             (!unsettled.any(is_own)).then_some(())
         });
         if settled.is_none() {
-            warn!("stopping with intents that are not settled; others take them over");
+            warn!("stopping with unsettled intents; other VMs take them over");
         }
         settled.is_some()
     }
