--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -121,7 +121,7 @@
     fn read_weights(&self) {
         match self.weights.status() {
             Ok(status) => *self.weights_status.lock() = Some(status),
-            Err(error) => warn!("status of the weight store: {error}"),
+            Err(error) => warn!("reading the weight store's status failed: {error}"),
         }
     }
 
@@ -168,11 +168,11 @@
                     .record_read(self.clock.monotonic_ms(), &name, report);
                 self.gateway.learn_routing(event);
             }
-            Err(error) => warn!("load report of {name}: {error}"),
+            Err(error) => warn!("reading the load report of {name} failed: {error}"),
         }
         match self.reports.status(address) {
             Ok(status) => self.propose_if_new(engine, &name, status),
-            Err(error) => warn!("status of {name}: {error}"),
+            Err(error) => warn!("reading the status of {name} failed: {error}"),
         }
     }
 
