--- a/crates/node/src/intents/runner.rs
+++ b/crates/node/src/intents/runner.rs
@@ -187,7 +187,7 @@
         if let Err(error) = thread::Builder::new().name("intent".into()).spawn(work) {
             // The intent stays in `started`: if the thread has started after all, a second one
             // could send the order again. Another process takes the intent over.
-            warn!("no thread for an intent: {error}");
+            warn!("starting a thread for an intent failed: {error}");
         }
     }
 
