--- a/crates/node/src/intents/sender.rs
+++ b/crates/node/src/intents/sender.rs
@@ -66,7 +66,10 @@
                 self.take_over_own_intent(&error.to_string());
             }
             Err(error) => {
-                warn!("order for {} had no effect: {error}", self.intent.model);
+                warn!(
+                    "order for {} failed without effect: {error}",
+                    self.intent.model
+                );
                 self.settle(SettledAs::Failed(error.to_string()), None);
             }
         }
