--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -89,7 +89,7 @@
         }
         match reading {
             Ok(reading) => drop(reading.join()),
-            Err(error) => warn!("no thread to read the list of VMs: {error}"),
+            Err(error) => warn!("starting the thread that reads the VM list failed: {error}"),
         }
     }
 
@@ -106,7 +106,7 @@
                 match self.vm_list.list() {
                     Ok(listing) => self.handle_listing(listing),
                     Err(error) => {
-                        warn!("the list of VMs can't be read: {error}");
+                        warn!("reading the VM list failed: {error}");
                         self.handle_event(MembershipEvent::ListingFailed);
                     }
                 }
@@ -156,7 +156,7 @@
                     .name("heartbeat".into())
                     .spawn(heartbeat)
                 {
-                    warn!("no thread for a heartbeat: {error}");
+                    warn!("starting a heartbeat thread failed: {error}");
                 }
             }
             // The newest list still shows what the first one showed. A process or engine boot that
@@ -199,7 +199,7 @@
     fn check_digest(&self, heartbeat: &Heartbeat) {
         if self.heartbeats.record_heartbeat(heartbeat) {
             warn!(
-                "{} has another state than this VM at offset {}",
+                "the state of {} differs from this VM's at offset {}",
                 heartbeat.vm, heartbeat.digest_at
             );
         }
@@ -218,7 +218,9 @@
             return;
         }
         for epoch in epochs {
-            info!("the list of {as_of_ms} says that {vm} is gone; its process {epoch} departs");
+            info!(
+                "the VM list of {as_of_ms} shows {vm} as gone; proposing the departure of epoch {epoch}"
+            );
             let vm = vm.clone();
             self.appender.propose(
                 Persistence::Drop,
@@ -248,7 +250,7 @@
             return;
         }
         let Some(boot) = boot else { return };
-        info!("the list of {as_of_ms} says that {upstream} is gone");
+        info!("the VM list of {as_of_ms} shows {upstream} as gone");
         self.appender.propose(
             Persistence::Drop,
             move |proposer| {
