--- a/crates/node/src/streams/catch_up.rs
+++ b/crates/node/src/streams/catch_up.rs
@@ -168,7 +168,10 @@
                 Some(CatchUpOutcome::Serving)
             }
             CatchUpAction::Wait(reason) => {
-                warn!("{} can't be caught up with now: {reason:?}", self.stream());
+                warn!(
+                    "catching up with {} is not possible now: {reason:?}",
+                    self.stream()
+                );
                 Some(CatchUpOutcome::Waiting)
             }
             CatchUpAction::ProposeFresh(next) => self.propose_fresh_start(next, findings),
@@ -185,7 +188,7 @@
                 // Accepted configuration must not revert, so the state is kept. The log has lost
                 // acknowledged records, and an operator has to act.
                 error!(
-                    "{} ends before what was read of it; no decisions",
+                    "{} ends before the replayed position; no decisions are made",
                     self.stream()
                 );
                 Some(CatchUpOutcome::Serving)
@@ -236,12 +239,12 @@
         match installed {
             Some(Ok(())) => {
                 findings.knowledge.own = self.state.position();
-                info!("{} goes on from a state of {source}", self.stream());
+                info!("installed a state of {} from {source}", self.stream());
                 None
             }
             Some(Err(error)) => {
                 error!(
-                    "the state of {} from {source} can't be read: {error}",
+                    "the state of {} from {source} can't be decoded: {error}",
                     self.stream()
                 );
                 Some(CatchUpOutcome::Waiting)
