--- a/crates/node/src/streams/peer_snapshots.rs
+++ b/crates/node/src/streams/peer_snapshots.rs
@@ -78,7 +78,7 @@
     match Snapshot::from_parts(parts) {
         Ok(snapshot) => Fetched::State(snapshot),
         Err(error) => {
-            warn!("a peer's snapshot can't be read: {error}");
+            warn!("a peer's snapshot can't be decoded: {error}");
             Fetched::Silent
         }
     }
