--- a/crates/node/src/streams/snapshot_reader.rs
+++ b/crates/node/src/streams/snapshot_reader.rs
@@ -47,7 +47,7 @@
                 Ok(batch) => {
                     for record in &batch.records {
                         if let Err(error) = catalog.apply(record.offset, &record.payload) {
-                            warn!("snapshot record {}: {error}", record.offset);
+                            warn!("snapshot record {} was not applied: {error}", record.offset);
                         }
                     }
                     if catalog.next_offset() >= batch.end {
