--- a/crates/node/src/streams/stream_tail.rs
+++ b/crates/node/src/streams/stream_tail.rs
@@ -113,7 +113,7 @@
             }
             Ok(batch) => {
                 warn!(
-                    "{} ends at {}, but {from} was read",
+                    "{} ends at {}, before the replayed offset {from}",
                     self.state.stream(),
                     batch.end
                 );
@@ -122,7 +122,7 @@
             }
             Err(Error::Expired { first }) => {
                 warn!(
-                    "{}: offset {from} has expired, {first} is kept",
+                    "{}: offset {from} has expired; the first kept offset is {first}",
                     self.state.stream()
                 );
                 false
