--- a/crates/node/src/claims/claim_stream.rs
+++ b/crates/node/src/claims/claim_stream.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns whether the table has been replayed to the stream's end, or taken from a peer, at
+    /// Returns whether the table has been replayed to the stream's end, or installed from a peer, at
     /// least once.
     pub fn is_caught_up(&self) -> bool {
         self.caught_up.load(Ordering::Acquire)
