--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -206,7 +206,7 @@
     pub table: Arc<DemandTable>,
     /// Called when a model may need a load: at each arrival, and when an engine lacks a model.
     pub wake: Box<dyn Fn() + Send + Sync>,
-    /// Called for each request that arrives.
+    /// Called at each arrival, before it is recorded.
     pub arrived: ArrivalHandler,
 }
 
