--- a/crates/node/src/intents/runner.rs
+++ b/crates/node/src/intents/runner.rs
@@ -68,7 +68,7 @@
     pub clock: Arc<dyn Clock>,
     /// Metrics of this daemon.
     pub metrics: Arc<Metrics>,
-    /// Called after each load.
+    /// Called after each load that this process has carried out.
     pub loaded: Loaded,
     /// Timeout of an order, after which its outcome counts as unknown, in milliseconds.
     pub load_timeout_ms: u64,
@@ -89,7 +89,7 @@
             .read(|state| state.epoch_of(&self.vm, self.process_id).is_some())
     }
 
-    /// Returns whether this process sends no further orders.
+    /// Returns whether this process must send no further orders to engines.
     pub fn retired(&self) -> bool {
         self.retired.load(Ordering::Acquire)
     }
