--- a/crates/node/src/log_health.rs
+++ b/crates/node/src/log_health.rs
@@ -17,7 +17,7 @@
 }
 
 impl LogHealth {
-    /// Records the outcome of an append.
+    /// Records the outcome of an append to the control stream.
     pub fn record_append(&self, now_ms: u64, succeeded: bool) {
         let cell = if succeeded {
             &self.append_ok_ms
@@ -27,7 +27,7 @@
         cell.store(now_ms.max(1), Ordering::Relaxed);
     }
 
-    /// Records the outcome of a read.
+    /// Records the outcome of a read of the control stream.
     pub fn record_read(&self, now_ms: u64, succeeded: bool) {
         let cell = if succeeded {
             &self.read_ok_ms
@@ -46,7 +46,7 @@
         (appends_fail && recent) || self.reads_fail()
     }
 
-    /// Returns whether the last read failed.
+    /// Returns whether the last read of the control stream failed.
     pub fn reads_fail(&self) -> bool {
         self.read_failed_ms.load(Ordering::Relaxed) > self.read_ok_ms.load(Ordering::Relaxed)
     }
