--- a/crates/node/src/membership_view.rs
+++ b/crates/node/src/membership_view.rs
@@ -1,4 +1,4 @@
-//! The membership, shared by all threads of the daemon.
+//! Membership, shared by all threads of the daemon.
 
 use std::sync::Arc;
 
