--- a/crates/node/src/intents/runner.rs
+++ b/crates/node/src/intents/runner.rs
@@ -40,7 +40,7 @@
 const REPROPOSE_MS: u64 = 3_000;
 
 /// Called with a load that this process has carried out, and its duration in milliseconds.
-pub type Loaded = Box<dyn Fn(&IntentView, u64) + Send + Sync>;
+pub type LoadHandler = Box<dyn Fn(&IntentView, u64) + Send + Sync>;
 
 /// State and clients that the runner and its workers use.
 pub struct RunnerParts {
@@ -69,7 +69,7 @@
     /// Metrics of this daemon.
     pub metrics: Arc<Metrics>,
     /// Called after each load that this process has carried out.
-    pub loaded: Loaded,
+    pub loaded: LoadHandler,
     /// Timeout of an order, after which its outcome counts as unknown, in milliseconds.
     pub load_timeout_ms: u64,
     /// Set once this process must send no further orders to engines.
--- a/crates/node/src/placement/placement_loop.rs
+++ b/crates/node/src/placement/placement_loop.rs
@@ -210,8 +210,8 @@
                 let boot = state.engine(name).map(|engine| engine.boot());
                 let mut replicas = state.replicas_on(name);
                 !replicas.any(|one| {
-                    let may_come = boot.is_some_and(|boot| one.can_hold(boot));
-                    one.model == *model && is_stuck(one.stage()) && may_come
+                    let may_take_effect = boot.is_some_and(|boot| one.can_hold(boot));
+                    one.model == *model && is_stuck(one.stage()) && may_take_effect
                 })
             };
             if is_free(&chosen) {
--- a/crates/node/tests/claim_faults.rs
+++ b/crates/node/tests/claim_faults.rs
@@ -81,8 +81,8 @@
     held.wait_hits(2);
     world.log.release(&held);
     let replies = calls.map(|call| call.reply());
-    let whole = replies.iter().filter(|reply| reply.status == 200);
-    assert!(whole.count() >= 1, "{replies:?}");
+    let complete = replies.iter().filter(|reply| reply.status == 200);
+    assert!(complete.count() >= 1, "{replies:?}");
     assert_eq!(world.service.effects_of("key"), 1);
     for node in &cluster.nodes {
         wait_until("the finish to be replayed", || {
--- a/crates/node/tests/pause_recovery.rs
+++ b/crates/node/tests/pause_recovery.rs
@@ -62,11 +62,11 @@
     cluster.list_as_gone(0);
     wait_taken_over(&cluster);
     let vm = frozen.vm.clone();
-    let second_look = world.log.fault_reads(ReadFault::FreezeAfter, move |read| {
+    let second_check = world.log.fault_reads(ReadFault::FreezeAfter, move |read| {
         read.is_by(&vm) && read.is_of_end()
     });
     frozen.switch.thaw();
-    second_look.wait_hits(1);
+    second_check.wait_hits(1);
     assert_eq!(world.effects_of(&frozen.vm, &model), 0);
     frozen.switch.thaw();
     world.log.release(&blind);
