--- a/crates/node/src/assembly/deciding.rs
+++ b/crates/node/src/assembly/control_threads.rs
@@ -1,4 +1,4 @@
-//! The parts that replay, decide and carry out.
+//! Threads that replay streams, make proposals and send orders.
 
 use std::iter;
 use std::sync::Arc;
@@ -22,16 +22,16 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::gauges::Gauges;
-use crate::joining::Joining;
+use crate::intents::Freshness;
+use crate::intents::IntentRunner;
+use crate::intents::RunnerParts;
+use crate::join_task::JoinTask;
 use crate::membership_loop::MembershipLoop;
-use crate::placing::CapacityFeed;
-use crate::placing::DemandReporter;
-use crate::placing::FleetSource;
-use crate::placing::PlacementLoop;
-use crate::placing::PlacementParts;
-use crate::settling::Freshness;
-use crate::settling::IntentRunner;
-use crate::settling::RunnerParts;
+use crate::placement::CapacityUpdater;
+use crate::placement::DemandReporter;
+use crate::placement::FleetSource;
+use crate::placement::PlacementLoop;
+use crate::placement::PlacementParts;
 use crate::streams::CatchUp;
 use crate::streams::Pace;
 use crate::streams::PeerSnapshots;
@@ -41,8 +41,8 @@
 use crate::streams::StreamState;
 use crate::streams::StreamTail;
 
-/// `Deciding` is the part of a daemon that replays, decides and carries out: one thread a role.
-pub struct Deciding<'a> {
+/// Threads of a daemon that replay streams, make proposals and send orders, one for each role.
+pub struct ControlThreads<'a> {
     common: &'a Common,
     serving: &'a Serving,
     appender: Appender,
@@ -51,13 +51,13 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-impl<'a> Deciding<'a> {
-    /// Starts all roles. Returns their threads, which end once the stop flag is set, and the way to
-    /// append a last record before that.
+impl<'a> ControlThreads<'a> {
+    /// Starts all threads. Returns their handles, which finish once the stop flag is set, and the
+    /// appender for a last record before that.
     ///
     /// # Errors
     ///
-    /// `Error::System` if the system refuses a thread.
+    /// `Error::System` if the system can't start a thread.
     pub fn start(
         common: &'a Common,
         serving: &'a Serving,
@@ -72,7 +72,7 @@
             weights: Arc::clone(&weights),
             ranks: Mutex::default(),
         };
-        let mut deciding = Self {
+        let mut control_threads = Self {
             common,
             serving,
             appender,
@@ -80,13 +80,13 @@
             weights,
             threads: vec![thread],
         };
-        deciding.start_streams()?;
-        deciding.start_claims()?;
-        deciding.start_membership()?;
-        deciding.start_placement()?;
-        deciding.start_engines()?;
-        deciding.start_gauges()?;
-        Ok((deciding.threads, deciding.appender))
+        control_threads.start_streams()?;
+        control_threads.start_claims()?;
+        control_threads.start_membership()?;
+        control_threads.start_placement()?;
+        control_threads.start_engines()?;
+        control_threads.start_gauges()?;
+        Ok((control_threads.threads, control_threads.appender))
     }
 
     fn spawn(&mut self, name: &str, run: impl FnOnce() + Send + 'static) -> Result<()> {
@@ -112,7 +112,7 @@
         let paces = iter::once(common.control_pace.clone()).chain(claims);
         for (state, pace) in common.states.iter().zip(paces) {
             let tail = self.tail(state, pace, &snapshots, &peers);
-            // Nobody waits for a tail to end: it may be in a read that waits for a record.
+            // A tail is not joined at the stop: it may be in a read that waits for a record.
             let _ = spawn_thread("stream-tail", move || tail.run())?;
         }
         let writer = SnapshotWriter {
@@ -125,7 +125,7 @@
             stop: Arc::clone(&common.stop),
         };
         self.spawn("snapshots", move || writer.run())?;
-        let joining = Joining {
+        let join_task = JoinTask {
             vm: common.vm(),
             zone: common.settings.vm.zone.clone(),
             process_id: common.process_id,
@@ -137,7 +137,7 @@
             pace: common.control_pace.clone(),
             stop: Arc::clone(&common.stop),
         };
-        self.spawn("joining", move || joining.run())
+        self.spawn("joining", move || join_task.run())
     }
 
     fn tail(
@@ -159,7 +159,7 @@
                 snapshots: Arc::clone(snapshots),
                 peers: Arc::clone(peers),
                 membership: Arc::clone(&common.membership),
-                restart: common.give_up(),
+                restart: common.end_process(),
             },
             pace,
             membership: Arc::clone(&common.membership),
@@ -212,7 +212,7 @@
 
     fn start_placement(&mut self) -> Result<()> {
         let common = self.common;
-        let capacity = CapacityFeed::new(
+        let capacity = CapacityUpdater::new(
             Arc::clone(&common.directory),
             Arc::clone(&common.reports),
             Arc::clone(&common.demand),
@@ -280,7 +280,7 @@
         RunnerParts {
             vm: common.vm(),
             process_id: common.process_id,
-            give_up: common.give_up(),
+            end_process: common.end_process(),
             replayed: Arc::clone(&common.replayed),
             membership: Arc::clone(&common.membership),
             orders: Arc::clone(&common.adapters.orders),
--- a/crates/node/src/claims/claim_state.rs
+++ b/crates/node/src/claims/claim_state.rs
@@ -1,4 +1,4 @@
-//! The state of one claim stream, as its tail sees it.
+//! Replay of one claim stream.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use super::claim_stream::ClaimStream;
 use crate::streams::StreamState;
 
-/// `ClaimState` feeds a claim stream's table and tells the waiting requests.
+/// Replayed state of one claim stream; wakes the requests that wait for its verdicts.
 pub struct ClaimState {
     stream: Arc<ClaimStream>,
     process_id: u64,
@@ -42,7 +42,7 @@
             .stream
             .with_table(|table| table.apply(record.offset, record.appended_ms, &record.payload));
         match decided {
-            Ok(decided) => decided.iter().for_each(|claim| self.tell(claim)),
+            Ok(decided) => decided.iter().for_each(|claim| self.deliver_verdict(claim)),
             Err(reason) => warn!(
                 "claim record {} was ignored: {}",
                 record.offset,
@@ -51,14 +51,14 @@
         }
     }
 
-    fn tell(&self, claim: &DecidedClaim) {
+    fn deliver_verdict(&self, claim: &DecidedClaim) {
         let is_own = claim.process_id == Some(self.process_id);
         if !is_own || self.stream.decide(&claim.request, &claim.verdict) {
             return;
         }
-        // An append whose answer was lost can come onto the stream after its request was refused as
-        // not run. The key would then be held by a request that never runs, and every repetition
-        // would be told that it is in progress.
+        // The record of an append whose answer was lost can appear on the stream after its request
+        // was refused as not run. The key would then be held by a request that never runs, and each
+        // duplicate would be refused because the call is in progress.
         if claim.verdict == ClaimVerdict::Won {
             self.stream.free(&claim.key, &claim.request);
         }
@@ -99,12 +99,12 @@
         Ok(())
     }
 
-    fn fresh(&self, next: Offset, _: Option<&Section>) -> Vec<u8> {
+    fn fresh_start(&self, next: Offset, _: Option<&Section>) -> Vec<u8> {
         let table = ClaimTable::after_loss(next, ClaimOptions::default());
         Section::of_claims(Lineage::default(), &table).bytes
     }
 
-    fn note_caught_up(&self) {
-        self.stream.note_caught_up();
+    fn mark_caught_up(&self) {
+        self.stream.mark_caught_up();
     }
 }
--- a/crates/node/src/claims/claim_stream.rs
+++ b/crates/node/src/claims/claim_stream.rs
@@ -1,4 +1,4 @@
-//! One claim stream: its table, what waits for it, and what is to be appended.
+//! Claim table, waiting requests and append queue of one claim stream.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicBool;
@@ -25,36 +25,36 @@
 
 use crate::streams::Pace;
 
-/// `Wait` is how a wait for a claim ended.
+/// Outcome of waiting for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wait {
-    /// Replay decided.
+pub enum ClaimWait {
+    /// Replay decided the claim with this verdict.
     Decided(ClaimVerdict),
     /// The claim is certainly not on the stream.
     NotAppended,
-    /// Nothing was decided in time. The claim may still come onto the stream.
+    /// No verdict came in time. The claim may still appear on the stream.
     TimedOut,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Slot {
+enum WaitState {
     Waiting,
     Decided(ClaimVerdict),
     NotAppended,
 }
 
-/// `ClaimStream` is one claim stream as this process sees it.
+/// One claim stream as this process sees it.
 pub struct ClaimStream {
-    /// The stream.
+    /// Name of the stream.
     pub name: StreamName,
-    /// How often the stream is read.
+    /// Read pacing of the stream.
     pub pace: Pace,
     table: Mutex<ClaimTable>,
-    slots: Mutex<HashMap<RequestId, Slot>>,
-    moved: Condvar,
+    waits: Mutex<HashMap<RequestId, WaitState>>,
+    decided: Condvar,
     queue: Sender<ClaimRecord>,
     queued: Receiver<ClaimRecord>,
-    open_ends: AtomicUsize,
+    pending_finishes: AtomicUsize,
     caught_up: AtomicBool,
 }
 
@@ -66,37 +66,37 @@
             name,
             pace,
             table: Mutex::new(ClaimTable::new(ClaimOptions::default())),
-            slots: Mutex::new(HashMap::new()),
-            moved: Condvar::new(),
+            waits: Mutex::new(HashMap::new()),
+            decided: Condvar::new(),
             queue,
             queued,
-            open_ends: AtomicUsize::new(0),
+            pending_finishes: AtomicUsize::new(0),
             caught_up: AtomicBool::new(false),
         }
     }
 
-    /// Returns whether the table has been replayed to the stream's end, or taken from a peer, at
+    /// Returns whether the table has been replayed to the stream's end, or installed from a peer, at
     /// least once.
     pub fn is_caught_up(&self) -> bool {
         self.caught_up.load(Ordering::Acquire)
     }
 
-    /// Notes that the table is as new as can be had.
-    pub fn note_caught_up(&self) {
+    /// Records that the table is as new as it can be now.
+    pub fn mark_caught_up(&self) {
         self.caught_up.store(true, Ordering::Release);
     }
 
-    /// Reads or changes the table.
+    /// Calls a function with the table, which is locked meanwhile.
     pub fn with_table<T>(&self, act: impl FnOnce(&mut ClaimTable) -> T) -> T {
         act(&mut self.table.lock())
     }
 
-    /// Returns what is known of a key.
+    /// Returns the table's entry of a key, or none if the key is unknown.
     pub fn entry(&self, key: &IdempotencyKey) -> Option<ClaimEntry> {
         self.table.lock().entry(key).cloned()
     }
 
-    /// Queues a record.
+    /// Queues a record for the next batch.
     pub fn queue(&self, record: ClaimRecord) {
         self.pace.follow_closely();
         self.queue
@@ -104,87 +104,93 @@
             .expect("the stream holds the receiver too");
     }
 
-    /// Returns the records to append, in order.
+    /// Returns the receiver of the queued records, in the order of their appends.
     pub fn queued(&self) -> &Receiver<ClaimRecord> {
         &self.queued
     }
 
-    /// Begins to wait for a request's claim. Called before the claim is queued.
+    /// Registers a request that is about to wait. Must be called before its claim is queued.
     pub fn begin_wait(&self, request: &RequestId) {
-        self.slots.lock().insert(request.clone(), Slot::Waiting);
+        self.waits
+            .lock()
+            .insert(request.clone(), WaitState::Waiting);
     }
 
-    /// Waits until the request's claim is decided.
-    pub fn wait(&self, request: &RequestId, timeout: Duration) -> Wait {
+    /// Waits until the request's claim is decided, or the timeout passes.
+    pub fn wait(&self, request: &RequestId, timeout: Duration) -> ClaimWait {
         let deadline = Instant::now() + timeout;
-        let mut slots = self.slots.lock();
+        let mut waits = self.waits.lock();
         loop {
-            let timed_out = match slots.get(request) {
-                Some(Slot::Waiting) => self.moved.wait_until(&mut slots, deadline).timed_out(),
+            let timed_out = match waits.get(request) {
+                Some(WaitState::Waiting) => {
+                    self.decided.wait_until(&mut waits, deadline).timed_out()
+                }
                 _ => false,
             };
-            match slots.get(request) {
-                Some(Slot::Waiting) if !timed_out => {}
-                Some(Slot::Decided(verdict)) => {
+            match waits.get(request) {
+                Some(WaitState::Waiting) if !timed_out => {}
+                Some(WaitState::Decided(verdict)) => {
                     let verdict = verdict.clone();
-                    slots.remove(request);
-                    return Wait::Decided(verdict);
+                    waits.remove(request);
+                    return ClaimWait::Decided(verdict);
                 }
-                Some(Slot::NotAppended) => {
-                    slots.remove(request);
-                    return Wait::NotAppended;
+                Some(WaitState::NotAppended) => {
+                    waits.remove(request);
+                    return ClaimWait::NotAppended;
                 }
-                Some(Slot::Waiting) | None => {
-                    slots.remove(request);
-                    return Wait::TimedOut;
+                Some(WaitState::Waiting) | None => {
+                    waits.remove(request);
+                    return ClaimWait::TimedOut;
                 }
             }
         }
     }
 
-    /// Tells the waiting request of its verdict. Returns whether anyone waited.
+    /// Passes the verdict to the waiting request. Returns whether a request waited.
     pub fn decide(&self, request: &RequestId, verdict: &ClaimVerdict) -> bool {
-        let mut slots = self.slots.lock();
-        let Some(slot) = slots.get_mut(request) else {
+        let mut waits = self.waits.lock();
+        let Some(wait_state) = waits.get_mut(request) else {
             return false;
         };
-        // The first verdict counts; a batch that was appended twice brings a second one.
-        if *slot == Slot::Waiting {
-            *slot = Slot::Decided(verdict.clone());
+        // The first verdict counts; a batch that was appended twice causes a second one.
+        if *wait_state == WaitState::Waiting {
+            *wait_state = WaitState::Decided(verdict.clone());
         }
-        drop(slots);
-        self.moved.notify_all();
+        drop(waits);
+        self.decided.notify_all();
         true
     }
 
-    /// Tells the waiting request that its claim is certainly not on the stream.
+    /// Lets the waiting request know that its claim is certainly not on the stream.
     pub fn fail(&self, request: &RequestId) {
-        let mut slots = self.slots.lock();
-        match slots.get_mut(request) {
-            Some(slot) if *slot == Slot::Waiting => *slot = Slot::NotAppended,
+        let mut waits = self.waits.lock();
+        match waits.get_mut(request) {
+            Some(wait_state) if *wait_state == WaitState::Waiting => {
+                *wait_state = WaitState::NotAppended
+            }
             _ => return,
         }
-        drop(slots);
-        self.moved.notify_all();
+        drop(waits);
+        self.decided.notify_all();
     }
 
-    /// Queues the end of a call.
+    /// Queues the finish record of a call.
     pub fn finish(&self, finish: Finish) {
-        self.open_ends.fetch_add(1, Ordering::AcqRel);
+        self.pending_finishes.fetch_add(1, Ordering::AcqRel);
         self.queue(ClaimRecord::Finish(finish));
     }
 
-    /// Notes that some ends are on the stream.
-    pub fn note_ends_appended(&self, ends: usize) {
-        self.open_ends.fetch_sub(ends, Ordering::AcqRel);
+    /// Records that this many finish records have been appended.
+    pub fn record_finishes_appended(&self, finishes: usize) {
+        self.pending_finishes.fetch_sub(finishes, Ordering::AcqRel);
     }
 
-    /// Returns whether every end that was queued is on the stream.
-    pub fn has_no_open_ends(&self) -> bool {
-        self.open_ends.load(Ordering::Acquire) == 0
+    /// Returns whether every queued finish record has been appended.
+    pub fn has_no_pending_finishes(&self) -> bool {
+        self.pending_finishes.load(Ordering::Acquire) == 0
     }
 
-    /// Queues the end of a claim under which nothing will run.
+    /// Queues a finish record for a claim under which no call will run.
     pub fn free(&self, key: &IdempotencyKey, request: &RequestId) {
         self.finish(Finish {
             key: key.clone(),
--- a/crates/node/src/claims/claim_sweeper.rs
+++ b/crates/node/src/claims/claim_sweeper.rs
@@ -1,4 +1,4 @@
-//! Ends the claims of processes that are over.
+//! Finishes the claims of processes that have ended.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 use crate::membership_view::SharedMembership;
 use crate::replayed::Replayed;
 
-/// How often claims are looked at.
+/// Interval of the sweeps.
 const TICK: Duration = Duration::from_secs(2);
 
-/// `ClaimSweeper` says of each call whose process ended in its midst that its outcome is unknown.
+/// Finishes claims whose process ended during the call, with an unknown outcome.
 ///
-/// Without it such a key would stay in progress for ever, and be carried by every snapshot. A claim
-/// is ended only if its process was over at two looks in a row: claims and control records are on
-/// different streams, and a claim can be seen here before its process's join.
+/// Otherwise such a key would stay in progress for ever and be part of every snapshot. A claim is
+/// finished only if its process was not a member in two consecutive sweeps: claims and control
+/// records are on different streams, so a claim can be replayed before the join of its process.
 pub struct ClaimSweeper {
-    /// The claim streams.
+    /// Claim streams, in the order of the settings.
     pub streams: Vec<Arc<ClaimStream>>,
-    /// The replayed control state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// The membership.
+    /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
@@ -41,14 +41,14 @@
 impl ClaimSweeper {
     /// Sweeps until the daemon stops.
     pub fn run(self) {
-        let mut seen: Vec<Ended> = vec![Ended::new(); self.streams.len()];
+        let mut seen_before: Vec<Ended> = vec![Ended::new(); self.streams.len()];
         while !self.stop.load(Ordering::Relaxed) {
             let view = self.membership.view();
-            for (stream, seen) in self.streams.iter().zip(&mut seen) {
+            for (stream, seen_before) in self.streams.iter().zip(&mut seen_before) {
                 let sweeps =
                     self.replayed.is_caught_up() && view.is_preferred(stream.name.as_str());
-                *seen = if sweeps {
-                    self.sweep(stream, seen)
+                *seen_before = if sweeps {
+                    self.sweep(stream, seen_before)
                 } else {
                     Ended::new()
                 };
@@ -57,18 +57,19 @@
         }
     }
 
-    /// Ends the claims that were over before and still are, and returns those that are over now.
-    fn sweep(&self, stream: &ClaimStream, seen: &Ended) -> Ended {
-        let is_over = |process_id| {
+    /// Finishes the claims that are in `seen_before` and still belong to processes that have ended.
+    /// Returns the claims found in this sweep for the first time.
+    fn sweep(&self, stream: &ClaimStream, seen_before: &Ended) -> Ended {
+        let has_ended = |process_id| {
             self.replayed
                 .read(|state| !state.members().has_process(process_id))
         };
-        let finishes = stream.with_table(|table| table.finishes_of_ended_processes(is_over));
+        let finishes = stream.with_table(|table| table.finishes_of_ended_processes(has_ended));
         let mut ended = Ended::new();
         for finish in finishes {
             let Finish { key, request, .. } = &finish;
             let claim = (key.clone(), request.clone());
-            if seen.contains(&claim) {
+            if seen_before.contains(&claim) {
                 info!("request {request} ended with its process; its outcome is unknown");
                 stream.finish(finish);
                 continue;
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -1,4 +1,4 @@
-//! The demand for each model: what waits and runs here, and what other VMs told.
+//! Demand for each model: requests waiting and running at this VM, and reports of other VMs.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,24 +14,24 @@
 use apricotdale_core::serving::DemandEvent;
 use apricotdale_core::serving::DemandSink;
 
-/// How long another VM's report counts when no newer one comes.
-const REPORT_LIFETIME_MS: u64 = 1_500;
+/// Time for which another VM's report counts when no newer one comes.
+const REPORT_TTL_MS: u64 = 1_500;
 
-/// How long a model counts as used here after its last request.
-const RECENT_MS: u64 = 30_000;
+/// Time for which a model counts as used at this VM after its last request.
+const RECENT_USE_MS: u64 = 30_000;
 
-/// `TotalDemand` is the demand for one model over all VMs, as far as this VM knows.
+/// Demand for one model over all VMs, as far as it was reported to this VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TotalDemand {
-    /// Requests that wait for a replica.
+    /// Requests that wait for a replica, at any VM.
     pub waiting: u32,
-    /// Requests that wait at this VM.
-    pub waiting_here: u32,
-    /// Requests in progress.
+    /// Requests that wait for a replica at this VM.
+    pub waiting_locally: u32,
+    /// Requests in progress, at any VM.
     pub running: u32,
-    /// The shortest time left among the waiting ones.
+    /// Shortest remaining time of a waiting request, in milliseconds; absent if none waits.
     pub tightest_ms: Option<u64>,
-    /// When the oldest request that waits here arrived, on the monotonic clock.
+    /// Arrival of the oldest request that waits at this VM, on the monotonic clock.
     pub waiting_since_ms: Option<u64>,
 }
 
@@ -48,43 +48,43 @@
     requests: BTreeMap<Ticket, LocalRequest>,
     arrived: BTreeMap<ModelName, u32>,
     remote: BTreeMap<(VmName, ModelName), (u64, ModelDemand)>,
-    /// The models whose last report told of demand.
+    /// Models that had demand in the last report.
     reported: BTreeSet<ModelName>,
     last_arrival_ms: BTreeMap<ModelName, u64>,
     remote_arrivals: Vec<ModelName>,
     missing: Vec<(ModelName, UpstreamName)>,
 }
 
-/// `DemandTable` counts the demand for each model.
+/// Table of the demand for each model.
 #[derive(Debug, Default)]
 pub struct DemandTable {
     tables: Mutex<Tables>,
 }
 
 impl DemandTable {
-    /// Returns an empty table.
+    /// Returns a table without entries.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in another VM's report. A line without demand ends the demand that was told: kept as a
-    /// line of nothing it would have the model planned for as one that is wanted.
-    pub fn note_remote(&self, now_ms: u64, vm: &VmName, models: Vec<ModelDemand>) {
+    /// Records another VM's report. A line without demand removes the earlier one; if it were kept,
+    /// the model would be planned for as a wanted one.
+    pub fn record_remote(&self, now_ms: u64, vm: &VmName, models: Vec<ModelDemand>) {
         let mut tables = self.tables.lock();
         for demand in models {
             for _ in 0..demand.arrived {
                 tables.remote_arrivals.push(demand.model.clone());
             }
-            let place = (vm.clone(), demand.model.clone());
+            let key = (vm.clone(), demand.model.clone());
             match demand.waiting + demand.running {
-                0 => tables.remote.remove(&place),
-                _ => tables.remote.insert(place, (now_ms, demand)),
+                0 => tables.remote.remove(&key),
+                _ => tables.remote.insert(key, (now_ms, demand)),
             };
         }
     }
 
-    /// Returns the demand here, one line a model that has any, had any at the last call, or had
-    /// arrivals since.
+    /// Returns this VM's demand, one line for each model that has any, had any at the last call, or
+    /// had arrivals since.
     pub fn take_report(&self, now_ms: u64) -> Vec<ModelDemand> {
         let mut tables = self.tables.lock();
         let mut report: BTreeMap<ModelName, ModelDemand> = BTreeMap::new();
@@ -101,8 +101,8 @@
             let left_ms = request.deadline_ms.saturating_sub(now_ms);
             line.tightest_ms = Some(line.tightest_ms.map_or(left_ms, |left| left.min(left_ms)));
         }
-        // The end of a demand is told, too: whoever decides would otherwise believe in it for as
-        // long as a report counts, and load a model that nobody waits for any more.
+        // The end of a demand is reported too. Otherwise the VM that decides would count the demand
+        // until the report expires, and load a model that no request waits for.
         for model in std::mem::take(&mut tables.reported) {
             line(&mut report, &model);
         }
@@ -113,13 +113,13 @@
         report.into_values().collect()
     }
 
-    /// Returns the arrivals that other VMs told of since the last call.
+    /// Returns the arrivals that other VMs have reported since the last call.
     pub fn take_remote_arrivals(&self) -> Vec<ModelName> {
         std::mem::take(&mut self.tables.lock().remote_arrivals)
     }
 
     /// Returns the requests that this VM has in progress, by model.
-    pub fn started_here(&self) -> BTreeMap<ModelName, u32> {
+    pub fn local_running(&self) -> BTreeMap<ModelName, u32> {
         let mut started = BTreeMap::new();
         let tables = self.tables.lock();
         for request in tables.requests.values().filter(|request| request.started) {
@@ -128,26 +128,26 @@
         started
     }
 
-    /// Returns the models for which a request arrived here within the last while.
+    /// Returns the models for which a request arrived at this VM in the last 30 seconds.
     pub fn recent(&self, now_ms: u64) -> BTreeSet<ModelName> {
         let mut tables = self.tables.lock();
         tables
             .last_arrival_ms
-            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < RECENT_MS);
+            .retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < RECENT_USE_MS);
         tables.last_arrival_ms.keys().cloned().collect()
     }
 
-    /// Returns the replicas that engines said they don't hold, since the last call.
-    pub fn take_missing(&self) -> Vec<(ModelName, UpstreamName)> {
+    /// Returns the replicas that engines have reported as not loaded since the last call.
+    pub fn take_missing_replicas(&self) -> Vec<(ModelName, UpstreamName)> {
         std::mem::take(&mut self.tables.lock().missing)
     }
 
-    /// Returns the demand over all VMs, one entry a model.
+    /// Returns the demand over all VMs, one entry for each model.
     pub fn totals(&self, now_ms: u64) -> BTreeMap<ModelName, TotalDemand> {
         let mut tables = self.tables.lock();
         tables
             .remote
-            .retain(|_, (at_ms, _)| now_ms.saturating_sub(*at_ms) < REPORT_LIFETIME_MS);
+            .retain(|_, (at_ms, _)| now_ms.saturating_sub(*at_ms) < REPORT_TTL_MS);
         let mut totals: BTreeMap<ModelName, TotalDemand> = BTreeMap::new();
         for request in tables.requests.values() {
             let total = totals.entry(request.model.clone()).or_default();
@@ -156,7 +156,7 @@
                 continue;
             }
             total.waiting += 1;
-            total.waiting_here += 1;
+            total.waiting_locally += 1;
             tighten(total, Some(request.deadline_ms.saturating_sub(now_ms)));
             let since_ms = total.waiting_since_ms.unwrap_or(request.arrived_ms);
             total.waiting_since_ms = Some(since_ms.min(request.arrived_ms));
@@ -198,19 +198,19 @@
 }
 
 /// Called with the time, on the monotonic clock, and the model of each request that arrives.
-pub type ArrivalNote = Box<dyn Fn(u64, &ModelName) + Send + Sync>;
+pub type ArrivalHandler = Box<dyn Fn(u64, &ModelName) + Send + Sync>;
 
-/// `DemandInbox` feeds a [`DemandTable`] from the gateway and wakes the placement loop.
-pub struct DemandInbox {
-    /// The table.
+/// Records the gateway's demand events in a [`DemandTable`] and wakes the placement loop.
+pub struct DemandRecorder {
+    /// Table that the events are recorded in.
     pub table: Arc<DemandTable>,
-    /// Called when a request arrives that may need a load.
+    /// Called when a model may need a load: at each arrival, and when an engine lacks a model.
     pub wake: Box<dyn Fn() + Send + Sync>,
-    /// Called for each request that arrives.
-    pub arrived: ArrivalNote,
+    /// Called at each arrival, before it is recorded.
+    pub arrived: ArrivalHandler,
 }
 
-impl DemandSink for DemandInbox {
+impl DemandSink for DemandRecorder {
     fn note(&self, now_ms: u64, event: DemandEvent) {
         match event {
             DemandEvent::Arrived {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The daemon: feeds the decision crates with events and carries out their actions.
+//! The daemon: passes events to the decision crates and carries out their actions.
 //!
-//! Everything that decides is in the pure crates. The modules here read sockets and clocks, hand
-//! what they read to those crates, and do what they are told. [`Daemon`] puts them together.
+//! Decisions are made in crates without input or output. The modules here read sockets and clocks,
+//! pass what they read to those crates, and carry out the returned actions. [`Daemon`] puts them
+//! together.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -17,17 +18,17 @@
 mod errors;
 mod gauges;
 mod grouped_routing;
-mod joining;
+mod intents;
+mod join_task;
 mod load_history;
 mod log_health;
 mod membership_loop;
 mod membership_view;
-mod operating;
+mod operations;
 mod peer_answers;
-mod placing;
+mod placement;
 mod policies;
 mod replayed;
-mod settling;
 mod signal;
 mod streams;
 
--- a/crates/node/src/load_history.rs
+++ b/crates/node/src/load_history.rs
@@ -1,4 +1,4 @@
-//! How long loads took, as the control stream tells.
+//! Durations of loads, by the control stream.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,21 @@
 use apricotdale_state::ControlState;
 use apricotdale_state::replicas::Stage;
 
-use crate::placing::is_stuck;
+use crate::placement::is_stuck;
 
-/// `SeenLoad` is a load that was carried out by some VM.
+/// Load that a VM has carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenLoad {
-    /// The model or adapter.
+pub struct FinishedLoad {
+    /// Model or adapter that was loaded.
     pub model: ModelName,
-    /// The engine.
+    /// Engine that it was loaded on.
     pub engine: UpstreamName,
-    /// From the decision to the settlement, by the log's times.
+    /// Time from the decision to the settlement, by the log's timestamps, in milliseconds.
     pub took_ms: u64,
 }
 
-/// `LoadHistory` finds the loads that were settled since the last look. Every VM learns from every
-/// load in this way, whoever carried it out, and a VM that starts learns from the records it
+/// Finds the loads that were settled since the last call. Every VM learns from all loads,
+/// regardless of which VM carried them out, and a VM that starts learns from the records it
 /// replays.
 #[derive(Debug, Default)]
 pub struct LoadHistory {
@@ -34,16 +34,16 @@
 #[derive(Clone, Debug)]
 struct OpenLoad {
     model: ModelName,
-    /// When it was decided, in milliseconds of Unix time.
+    /// Time of the decision, in milliseconds of Unix time.
     decided_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     open: BTreeMap<Offset, OpenLoad>,
-    seen: Vec<SeenLoad>,
+    finished: Vec<FinishedLoad>,
     failed: Vec<ModelName>,
-    any_seen: bool,
+    any_finished: bool,
 }
 
 impl LoadHistory {
@@ -52,23 +52,23 @@
         Self::default()
     }
 
-    /// Looks at the state after a record was replayed.
-    pub fn look(&self, state: &ControlState) {
+    /// Updates the history by the state after an accepted record.
+    pub fn update(&self, state: &ControlState) {
         let mut inner = self.inner.lock();
         let Inner {
             open,
-            seen,
+            finished,
             failed,
-            any_seen,
+            any_finished,
         } = &mut *inner;
         open.retain(|load, ended| {
-            let is_coming = state
+            let is_loading = state
                 .replica(*load)
                 .is_some_and(|one| !is_stuck(one.stage()));
-            if !is_coming {
+            if !is_loading {
                 failed.push(ended.model.clone());
             }
-            is_coming
+            is_loading
         });
         for replica in state.replicas() {
             match replica.stage() {
@@ -83,8 +83,8 @@
                     let Some(load) = open.remove(&replica.load) else {
                         continue;
                     };
-                    *any_seen = true;
-                    seen.push(SeenLoad {
+                    *any_finished = true;
+                    finished.push(FinishedLoad {
                         model: replica.model.clone(),
                         engine: replica.engine.clone(),
                         took_ms: replica.since_ms.saturating_sub(load.decided_ms),
@@ -95,19 +95,19 @@
         }
     }
 
-    /// Returns the models of the loads that came to nothing since the last call.
+    /// Returns the models of the loads that failed since the last call.
     pub fn take_failed(&self) -> Vec<ModelName> {
         std::mem::take(&mut self.inner.lock().failed)
     }
 
-    /// Returns the loads seen since the last call.
-    pub fn take(&self) -> Vec<SeenLoad> {
-        std::mem::take(&mut self.inner.lock().seen)
+    /// Returns the loads that were settled as done since the last call.
+    pub fn take_finished(&self) -> Vec<FinishedLoad> {
+        std::mem::take(&mut self.inner.lock().finished)
     }
 
-    /// Returns whether any load was ever seen. Before that, a predicted load time is a guess, and a
-    /// guess refuses nobody.
-    pub fn has_evidence(&self) -> bool {
-        self.inner.lock().any_seen
+    /// Returns whether any load has been seen. Before that, predicted load times are only
+    /// assumptions, for which no request is refused.
+    pub fn has_finished_load(&self) -> bool {
+        self.inner.lock().any_finished
     }
 }
--- a/crates/node/src/operating/publisher.rs
+++ b/crates/node/src/operations/publisher.rs
@@ -20,18 +20,18 @@
 use crate::replayed::Replayed;
 use crate::streams::Pace;
 
-/// How long to wait for a change to be replayed: configuration has to be in force within seconds.
+/// Timeout of a change's replay: configuration has to be in force within seconds.
 const REPLAY_WAIT: Duration = Duration::from_secs(5);
 
-/// `Publisher` appends configuration changes for operators.
+/// Appends configuration changes for operators.
 pub struct Publisher {
-    /// The control stream.
+    /// Name of the control stream.
     pub stream: StreamName,
-    /// The log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// The replayed state.
+    /// Control state replayed from the control stream.
     pub replayed: Arc<Replayed>,
-    /// How often the control stream is read.
+    /// Read pacing of the control stream.
     pub pace: Pace,
 }
 
@@ -45,7 +45,7 @@
             edits: request.edits.clone(),
         };
         if let Some(verdict) = self.verdict(change.change_id) {
-            return told(&verdict, change.change_id);
+            return publish_outcome(&verdict, change.change_id);
         }
         if let Some(rejected) = self.check(&change) {
             return rejected;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns a rejection if the change can't be accepted. The check spares the stream a record;
+    /// Returns a rejection if the change can't be accepted. The check saves a record on the stream;
     /// replay decides again.
     fn check(&self, change: &ConfigChange) -> Option<PublishOutcome> {
         if !self.replayed.is_caught_up() {
@@ -85,7 +85,7 @@
             .replayed
             .read(|state| (state.config().version(), state.config().validate(change)));
         match fault {
-            _ if version > change.base_version => Some(stale(version)),
+            _ if version > change.base_version => Some(version_conflict(version)),
             Some(fault) => Some(PublishOutcome::Rejected {
                 reason: fault.as_str().into(),
                 detail: fault.to_string(),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Waits until the stream has a first record. Version zero stands for "nothing published", so
+    /// Waits until the stream has a first record. Version zero means that nothing was published, so
     /// replay rejects a change at offset zero; the joins of the VMs come before it.
     fn await_first_record(&self) {
         self.replayed.wait_for(REPLAY_WAIT, |state| {
@@ -112,7 +112,7 @@
             state.change(change_id).map(|change| change.verdict.clone())
         });
         match verdict {
-            Some(verdict) => told(&verdict, change_id),
+            Some(verdict) => publish_outcome(&verdict, change_id),
             None => PublishOutcome::Unknown {
                 change_id,
                 detail: "the change was appended but not replayed in time".into(),
@@ -121,7 +121,7 @@
     }
 }
 
-fn told(verdict: &Verdict, change_id: u64) -> PublishOutcome {
+fn publish_outcome(verdict: &Verdict, change_id: u64) -> PublishOutcome {
     match verdict {
         Verdict::Accepted(Accepted::Configured(version)) => {
             PublishOutcome::Accepted { version: *version }
@@ -147,7 +147,7 @@
     }
 }
 
-fn stale(version: ConfigVersion) -> PublishOutcome {
+fn version_conflict(version: ConfigVersion) -> PublishOutcome {
     PublishOutcome::Rejected {
         reason: RejectReason::VersionConflict.as_str().into(),
         detail: format!("version {version} is in force; read it and base the change on it"),
--- a/crates/node/src/operating/views.rs
+++ b/crates/node/src/operations/views.rs
@@ -1,4 +1,4 @@
-//! Builds the operators' views.
+//! Lines of the operators' views.
 
 use apricotdale_admin::EngineLine;
 use apricotdale_admin::MemberLine;
@@ -23,7 +23,7 @@
 use crate::engine_reports::KnownReport;
 use crate::peer_answers::KnownPeer;
 
-/// Returns the line of a model.
+/// Returns the line of a model with its replicas and demand.
 pub fn model_line(state: &ControlState, spec: ModelSpec, demand: TotalDemand) -> ModelLine {
     let replicas = state.replicas_of(&spec.model).map(replica_line).collect();
     ModelLine {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns the line of an upstream.
+/// Returns the line of an upstream with its engine's memory and last load report.
 pub fn upstream_line(
     state: &ControlState,
     view: &UpstreamView,
@@ -88,13 +88,13 @@
     }
 }
 
-/// Returns the line of a VM, or none if nothing tells its availability zone.
+/// Returns the line of a VM, or none if its availability zone is unknown.
 pub fn member_line(
     vm: &VmName,
     own: (&VmName, &ZoneName, bool),
     member: Option<&Member>,
     view: &View,
-    heard: Option<&KnownPeer>,
+    last_heartbeat: Option<&KnownPeer>,
     now_ms: u64,
 ) -> Option<MemberLine> {
     let (own_vm, own_zone, own_draining) = own;
@@ -108,7 +108,9 @@
     let state = match seen {
         _ if is_own && own_draining => MemberState::Draining,
         _ if is_own => MemberState::Alive,
-        Some(_) if heard.is_some_and(|heard| heard.draining) => MemberState::Draining,
+        Some(_) if last_heartbeat.is_some_and(|last_heartbeat| last_heartbeat.draining) => {
+            MemberState::Draining
+        }
         Some(seen) if seen.live => MemberState::Alive,
         Some(_) => MemberState::Suspected,
         None => MemberState::Gone,
@@ -119,8 +121,9 @@
         state,
         listed: None,
         epoch: member.map(|member| member.epoch),
-        replayed: heard.map(|heard| heard.replayed),
-        heard_age_ms: heard.map(|heard| now_ms.saturating_sub(heard.at_ms)),
-        diverged: heard.is_some_and(|heard| heard.diverged),
+        replayed: last_heartbeat.map(|last_heartbeat| last_heartbeat.replayed),
+        heard_age_ms: last_heartbeat
+            .map(|last_heartbeat| now_ms.saturating_sub(last_heartbeat.at_ms)),
+        diverged: last_heartbeat.is_some_and(|last_heartbeat| last_heartbeat.diverged),
     })
 }
--- a/crates/node/src/placing/capacity.rs
+++ b/crates/node/src/placement/capacity.rs
@@ -1,4 +1,4 @@
-//! Tells the gateway how many requests this VM may have in progress at each target.
+//! Shares the slots of models and services among the VMs and passes this VM's share to the gateway.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,23 +21,23 @@
 use crate::engine_reports::KnownReport;
 use crate::engine_reports::ReportTable;
 
-/// The age up to which a load report tells which slots the other VMs leave unused.
-const FRESH_MS: u64 = 5_000;
+/// Age up to which a load report is used to find the slots that other VMs leave unused.
+const MAX_REPORT_AGE_MS: u64 = 5_000;
 
-/// Calls at once that one instance of a plain service is trusted with.
+/// Concurrent requests assumed to be served by one instance of a plain service.
 const SERVICE_SLOTS: u32 = 64;
 
-/// `CapacityFeed` tells the gateway of changes only.
-pub struct CapacityFeed {
+/// Passes changes of this VM's slots to the gateway.
+pub struct CapacityUpdater {
     directory: Arc<NodeDirectory>,
     reports: Arc<ReportTable>,
     demand: Arc<DemandTable>,
     gateway: Arc<Gateway>,
-    told: BTreeMap<ModelName, (u32, Option<u64>)>,
+    passed: BTreeMap<ModelName, (u32, Option<u64>)>,
 }
 
-impl CapacityFeed {
-    /// Returns a feed that has told nothing yet.
+impl CapacityUpdater {
+    /// Returns a feed that has passed nothing to the gateway yet.
     pub fn new(
         directory: Arc<NodeDirectory>,
         reports: Arc<ReportTable>,
@@ -49,13 +49,12 @@
             reports,
             demand,
             gateway,
-            told: BTreeMap::new(),
+            passed: BTreeMap::new(),
         }
     }
 
-    /// Tells the gateway what has changed of the models that are wanted or loaded, and of those told
-    /// of before. `ready_at_ms` gives the time at which a model without
-    /// replicas is expected to have one.
+    /// Passes changes of the slots of `wanted` models, of those passed before, and of all services.
+    /// `ready_at_ms` gives the time at which a model without replicas is expected to have one.
     pub fn update(
         &mut self,
         now_ms: u64,
@@ -63,21 +62,21 @@
         wanted: &[ModelName],
         ready_at_ms: &BTreeMap<ModelName, u64>,
     ) {
-        let started = self.demand.started_here();
-        let known = self.told.keys().filter(|target| self.is_model(target));
+        let started = self.demand.local_running();
+        let known = self.passed.keys().filter(|target| self.is_model(target));
         let models: BTreeSet<ModelName> = wanted.iter().chain(known).cloned().collect();
         for model in models {
             let own = started.get(&model).copied().unwrap_or_default();
             let slots = self.model_slots(&model, view, own, now_ms);
             let ready = ready_at_ms.get(&model).copied().filter(|_| slots == 0);
-            self.tell(model, slots, ready);
+            self.pass_if_changed(model, slots, ready);
         }
         for service in self.services() {
             let instances = self.directory.instances(&service).len();
             let total = u32::try_from(instances)
                 .unwrap_or(u32::MAX)
                 .saturating_mul(SERVICE_SLOTS);
-            self.tell(
+            self.pass_if_changed(
                 service_target(&service),
                 own_slots(total, None, &service, view),
                 None,
@@ -127,25 +126,25 @@
         own_slots(total_slots, report, model, view)
     }
 
-    fn tell(&mut self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
+    fn pass_if_changed(&mut self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
         let capacity = (slots, ready_at_ms);
-        if self.told.get(&target) == Some(&capacity) {
+        if self.passed.get(&target) == Some(&capacity) {
             return;
         }
         self.gateway
             .set_capacity(target.clone(), slots, ready_at_ms);
-        self.told.insert(target, capacity);
+        self.passed.insert(target, capacity);
     }
 }
 
-/// Returns how many requests this VM may have in progress at a target.
+/// Returns how many requests this VM may have in progress at a model or service.
 fn own_slots<K: Hash + ?Sized>(
     total_slots: u32,
     report: Option<SlotReport>,
     key: &K,
     view: &View,
 ) -> u32 {
-    // A VM that is stopping has no rank any more, and goes on with what it has.
+    // A VM that is stopping has no rank any more; it counts as the only one.
     let (vm_rank, vm_count) = view.share_rank(key).unwrap_or((0, 1));
     vm_slots(&SlotView {
         total_slots,
@@ -156,5 +155,5 @@
 }
 
 fn is_fresh(known: &KnownReport, now_ms: u64) -> bool {
-    now_ms.saturating_sub(known.at_ms) <= FRESH_MS
+    now_ms.saturating_sub(known.at_ms) <= MAX_REPORT_AGE_MS
 }
--- a/crates/node/src/placing/mod.rs
+++ b/crates/node/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Placement: from demand to intents on the control stream, and from replicas to admission's slots.
+//! Placement: turns demand into proposed loads and unloads, and replicas into admission slots.
 
 mod capacity;
 mod demand_reporter;
@@ -7,7 +7,7 @@
 mod placement_loop;
 mod rank_cache;
 
-pub use capacity::CapacityFeed;
+pub use capacity::CapacityUpdater;
 pub use demand_reporter::DemandReporter;
 pub use fleet::FleetSource;
 pub use placement_loop::PlacementLoop;
--- a/crates/node/src/placing/placement_loop.rs
+++ b/crates/node/src/placement/placement_loop.rs
@@ -1,4 +1,4 @@
-//! Asks the placement policy what to load and unload, and proposes it.
+//! Runs the placement policy and proposes the loads and unloads that it plans.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
 use apricotdale_gateway::Gateway;
 use apricotdale_state::replicas::Stage;
 
-use super::capacity::CapacityFeed;
+use super::capacity::CapacityUpdater;
 use super::fleet::Basis;
 use super::fleet::FleetSource;
 use super::load_failures::LoadFailures;
@@ -37,65 +37,65 @@
 use crate::log_health::LogHealth;
 use crate::streams::Pace;
 
-/// How often placement plans when nothing happens.
+/// Interval of planning when no wake signal comes.
 const TICK: Duration = Duration::from_millis(250);
 
-/// How long a proposal of unknown outcome keeps its model from being proposed again.
-const UNKNOWN_HOLD_MS: u64 = 3_000;
+/// Time for which a proposal of unknown outcome blocks another one for its model.
+const UNKNOWN_OUTCOME_BLOCK_MS: u64 = 3_000;
 
-/// How long requests wait for a load under way while its end can't be read, so that a short outage
-/// refuses nobody.
-const LOG_PATIENCE_MS: u64 = 5_000;
+/// Time for which requests wait for a load under way while the log can't be read, so that a short
+/// outage does not cause refusals.
+const UNREADABLE_LOG_GRACE_MS: u64 = 5_000;
 
-/// When a caller should come back while the log is down.
+/// Retry-after time of refusals while the log is down.
 const LOG_RETRY_MS: u64 = 5_000;
 
-/// When a caller should come back while an order for its model may yet take effect.
+/// Retry-after time of refusals while an earlier order for the model may yet take effect.
 const BLOCKED_RETRY_MS: u64 = 5_000;
 
-/// `PlacementParts` is what the loop works with.
+/// State and clients that the placement loop uses.
 pub struct PlacementParts {
-    /// Builds the policy's view.
+    /// Source of the policy's view of the fleet.
     pub source: Arc<FleetSource>,
-    /// The policy, which the gateway's arrivals feed as well.
+    /// Placement policy; the gateway also passes it arrivals.
     pub policy: Arc<Mutex<Box<dyn PlacementPolicy>>>,
-    /// How long loads took.
+    /// Durations of the loads that replay has shown.
     pub loads: Arc<LoadHistory>,
-    /// Appends the proposals.
+    /// Appends the proposed control records.
     pub appender: Appender,
-    /// Whether the log works.
+    /// Outcomes of recent appends and reads, from which the log counts as up or down.
     pub health: Arc<LogHealth>,
-    /// Where waiting requests are refused.
+    /// Gateway whose waiting requests are refused.
     pub gateway: Arc<Gateway>,
-    /// Tells the gateway of slots.
-    pub capacity: CapacityFeed,
-    /// How often the control stream is read.
+    /// Passes slots to the gateway.
+    pub capacity: CapacityUpdater,
+    /// Read pacing of the control stream.
     pub pace: Pace,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub clock: Arc<dyn Clock>,
-    /// Woken when demand or replicas change.
+    /// Signalled when demand or replicas change.
     pub wake: Receiver<()>,
-    /// Set when the daemon stops.
+    /// Set when the daemon's threads have to end.
     pub stop: Arc<AtomicBool>,
 }
 
-/// `Held` is why a model is not proposed again now.
+/// State of the last proposal for a model, which blocks another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Held {
-    /// The proposal waits for its append.
+enum PendingProposal {
+    /// The proposal is queued for its append.
     Queued,
-    /// The proposal stands at this offset and waits for replay.
+    /// The record has this offset and has not been replayed.
     Appended(Offset),
-    /// The proposal may come onto the stream until this time.
+    /// The append's outcome is unknown; the record may appear until this time.
     Until(u64),
 }
 
-type HeldModels = Arc<Mutex<BTreeMap<ModelName, Held>>>;
+type PendingProposals = Arc<Mutex<BTreeMap<ModelName, PendingProposal>>>;
 
-/// `PlacementLoop` carries out the placement policy.
+/// Loop that plans placement and proposes its actions.
 pub struct PlacementLoop {
     parts: PlacementParts,
-    held: HeldModels,
+    pending: PendingProposals,
     ready_at_ms: BTreeMap<ModelName, u64>,
     basis: Basis,
     failures: LoadFailures,
@@ -106,7 +106,7 @@
     pub fn new(parts: PlacementParts) -> Self {
         Self {
             parts,
-            held: HeldModels::default(),
+            pending: PendingProposals::default(),
             ready_at_ms: BTreeMap::new(),
             basis: Basis::default(),
             failures: LoadFailures::default(),
@@ -116,7 +116,7 @@
     /// Runs until the daemon stops.
     pub fn run(mut self) {
         while !self.parts.stop.load(Ordering::Relaxed) {
-            // A disconnected sender means that the daemon is going down; the flag tells.
+            // Disconnection means that the daemon is stopping; the loop condition checks that.
             let _ = self.parts.wake.recv_timeout(TICK);
             self.step();
         }
@@ -124,8 +124,8 @@
 
     fn step(&mut self) {
         let now_ms = self.parts.clock.monotonic_ms();
-        self.release(now_ms);
-        self.feed(now_ms);
+        self.unblock_replayed(now_ms);
+        self.update_policy(now_ms);
         let (fleet, basis) = self.parts.source.fleet(now_ms, self.parts.clock.unix_ms());
         if !self.waiting_models().is_empty() {
             self.parts.pace.follow_closely();
@@ -136,38 +136,39 @@
         for action in actions {
             self.carry_out(action);
         }
-        for (model, refusal) in self.failures.given_up(now_ms) {
+        for (model, refusal) in self.failures.refusals(now_ms) {
             self.parts.gateway.refuse_waiting(&model, &refusal);
         }
         self.unload_strays();
         self.refuse_undecidable();
-        self.forget_ready();
+        self.drop_stale_ready_times();
         let view = self.parts.source.membership.view();
         self.parts
             .capacity
             .update(now_ms, &view, &wanted, &self.ready_at_ms);
     }
 
-    /// Lets the policy learn what happened since the last plan.
-    fn feed(&mut self, now_ms: u64) {
+    /// Passes arrivals and finished loads since the last plan to the policy, and failed loads to
+    /// the backoff.
+    fn update_policy(&mut self, now_ms: u64) {
         let arrivals = self.parts.source.demand.take_remote_arrivals();
         for model in self.parts.loads.take_failed() {
-            self.failures.failed(now_ms, &model);
+            self.failures.record_failure(now_ms, &model);
         }
         let mut policy = self.parts.policy.lock();
         for model in arrivals {
             policy.arrived(now_ms, &model);
         }
-        for load in self.parts.loads.take() {
+        for load in self.parts.loads.take_finished() {
             let tier = self.parts.source.tier(&load.engine, &load.model);
             policy.loaded(now_ms, &load.model, tier, load.took_ms);
-            self.failures.worked(&load.model);
+            self.failures.record_success(&load.model);
         }
     }
 
-    /// Carries out what the policy wants. While no decision can be had nothing is proposed: the
-    /// proposal would wait behind records that must not be lost, and be decided when the log is
-    /// back, whoever still waits for it then. The policy wants it anew.
+    /// Carries out one action of the policy. While the log is down, loads and unloads are not
+    /// proposed: the proposal would be queued behind records that must not be lost, and be decided
+    /// once the log is back, when the demand may have ended. The policy plans the action again.
     fn carry_out(&mut self, action: PlacementAction) {
         let is_down = self.parts.health.is_down(self.parts.clock.monotonic_ms());
         match action {
@@ -178,15 +179,15 @@
                 engine,
                 ready_at_ms,
             } => {
-                if self.parts.loads.has_evidence() {
+                if self.parts.loads.has_finished_load() {
                     self.ready_at_ms.insert(model.clone(), ready_at_ms);
                 }
-                self.propose_load_near(&model, engine);
+                self.propose_load_in_group(&model, engine);
             }
             PlacementAction::Unload { model, engine } => self.propose_unload(&model, &engine),
             PlacementAction::NoLoadInTime { refusal, .. }
                 if refusal.reason == RefusalReason::DeadlineTooShort
-                    && !self.parts.loads.has_evidence() => {}
+                    && !self.parts.loads.has_finished_load() => {}
             PlacementAction::NoLoadInTime { model, refusal } => {
                 self.parts.gateway.refuse_waiting(&model, &refusal);
             }
@@ -198,18 +199,19 @@
             .may_load(self.parts.clock.monotonic_ms(), model)
     }
 
-    /// Proposes a load on the engine that the policy chose, or on another one of its group where an
-    /// order for the model that may yet take effect stands in the way: replay rejects a second
-    /// replica of a model on one engine. Without another engine the waiting requests are refused.
-    fn propose_load_near(&self, model: &ModelName, chosen: UpstreamName) {
+    /// Proposes a load on the engine that the policy chose. If an earlier order for the model may
+    /// yet take effect there, proposes the fitting engine of the group with the most free memory
+    /// instead, since replay rejects a second replica of a model on one engine. Without such an
+    /// engine the waiting requests are refused.
+    fn propose_load_in_group(&self, model: &ModelName, chosen: UpstreamName) {
         let view = self.parts.source.membership.view();
         let engine = self.parts.source.replayed.read(|state| {
             let is_free = |name: &UpstreamName| {
                 let boot = state.engine(name).map(|engine| engine.boot());
                 let mut replicas = state.replicas_on(name);
                 !replicas.any(|one| {
-                    let may_come = boot.is_some_and(|boot| one.may_hold_memory(boot));
-                    one.model == *model && is_stuck(one.stage()) && may_come
+                    let may_take_effect = boot.is_some_and(|boot| one.may_hold_memory(boot));
+                    one.model == *model && is_stuck(one.stage()) && may_take_effect
                 })
             };
             if is_free(&chosen) {
@@ -258,8 +260,9 @@
         });
     }
 
-    /// Proposes to unload what engines hold although no accepted load put it there: the late effect
-    /// of an order whose intent was settled long ago. It takes memory and nobody routes to it.
+    /// Proposes to unload models that engines hold without an accepted load: the late effect of an
+    /// order whose intent was settled before. Such a model uses memory, and no request is routed to
+    /// it.
     fn unload_strays(&self) {
         let view = self.parts.source.membership.view();
         let strays: Vec<(ModelName, UpstreamName, Offset)> =
@@ -275,7 +278,7 @@
                 strays.collect()
             });
         for (model, engine, load) in strays {
-            info!("{engine} holds {model}, which no decision put there");
+            info!("{engine} holds {model} without an accepted load");
             self.propose_unload_of(&model, &engine, load);
         }
     }
@@ -303,67 +306,76 @@
         });
     }
 
-    /// Proposes a record for a model, unless an earlier proposal is still on its way.
+    /// Proposes a record for a model, unless an earlier proposal for it is pending.
     fn propose(
         &self,
         model: &ModelName,
         build: impl Fn(Proposer) -> ControlRecord + Send + 'static,
     ) {
-        if self.held.lock().contains_key(model) {
+        if self.pending.lock().contains_key(model) {
             return;
         }
-        self.held.lock().insert(model.clone(), Held::Queued);
-        let held = Arc::clone(&self.held);
+        self.pending
+            .lock()
+            .insert(model.clone(), PendingProposal::Queued);
+        let pending = Arc::clone(&self.pending);
         let clock = Arc::clone(&self.parts.clock);
         let model = model.clone();
         self.parts
             .appender
             .propose(Persistence::Drop, build, move |appended| {
-                let mut held = held.lock();
+                let mut pending = pending.lock();
                 match appended {
-                    Appended::At(offset) => held.insert(model, Held::Appended(offset)),
-                    Appended::Not(_) => held.remove(&model),
-                    Appended::Unknown(_) => {
-                        held.insert(model, Held::Until(clock.monotonic_ms() + UNKNOWN_HOLD_MS))
+                    Appended::At(offset) => {
+                        pending.insert(model, PendingProposal::Appended(offset))
                     }
+                    Appended::Not(_) => pending.remove(&model),
+                    Appended::Unknown(_) => pending.insert(
+                        model,
+                        PendingProposal::Until(clock.monotonic_ms() + UNKNOWN_OUTCOME_BLOCK_MS),
+                    ),
                 };
             });
     }
 
-    /// Lets models be proposed again whose proposals have been replayed.
-    fn release(&self, now_ms: u64) {
+    /// Unblocks models whose proposals have been replayed, or can no longer appear.
+    fn unblock_replayed(&self, now_ms: u64) {
         let next = self.parts.source.replayed.next_offset();
-        self.held.lock().retain(|_, held| match held {
-            Held::Queued => true,
-            Held::Appended(offset) => *offset >= next,
-            Held::Until(until_ms) => now_ms < *until_ms,
+        self.pending.lock().retain(|_, pending| match pending {
+            PendingProposal::Queued => true,
+            PendingProposal::Appended(offset) => *offset >= next,
+            PendingProposal::Until(until_ms) => now_ms < *until_ms,
         });
     }
 
-    /// Refuses the requests that wait for a model without any replica while no decision can be had,
-    /// and those that wait for a load whose end could not be read for a while.
+    /// Refuses requests while no load can be decided: those for a model without a replica loaded or
+    /// loading, and, once the log has been unreadable for a while, those for a model that is
+    /// loading.
     ///
-    /// Holding them until the log comes back would let them pass their deadlines in silence; a
-    /// caller that is told at once can go elsewhere.
+    /// If they waited for the log to recover, they would pass their deadlines without an answer; a
+    /// caller that is refused at once can go elsewhere.
     fn refuse_undecidable(&self) {
         let now_ms = self.parts.clock.monotonic_ms();
         if !self.parts.health.is_down(now_ms) {
             return;
         }
-        let is_blind = self.parts.health.is_blind(now_ms, LOG_PATIENCE_MS);
+        let is_unreadable = self
+            .parts
+            .health
+            .is_unreadable(now_ms, UNREADABLE_LOG_GRACE_MS);
         let waiting: BTreeSet<ModelName> = self.waiting_models();
         for model in waiting {
-            let (is_loaded, is_coming) = self.parts.source.replayed.read(|state| {
+            let (is_loaded, is_loading) = self.parts.source.replayed.read(|state| {
                 let has = |wanted: &[Stage]| {
                     let mut replicas = state.replicas_of(&model);
                     replicas.any(|one| wanted.contains(&one.stage()))
                 };
-                let coming = [Stage::Reserved, Stage::Loading];
-                (has(&[Stage::Loaded]), has(&coming))
+                let loading = [Stage::Reserved, Stage::Loading];
+                (has(&[Stage::Loaded]), has(&loading))
             });
-            let detail = match is_coming {
+            let detail = match is_loading {
                 _ if is_loaded => continue,
-                true if !is_blind => continue,
+                true if !is_unreadable => continue,
                 true => "the model's load is under way, and its end can't be read now",
                 false => "the model is not loaded, and no load can be decided now",
             };
@@ -382,15 +394,15 @@
             .totals(self.parts.clock.monotonic_ms());
         let waiting = totals
             .into_iter()
-            .filter(|(_, demand)| demand.waiting_here > 0);
+            .filter(|(_, demand)| demand.waiting_locally > 0);
         waiting.map(|(model, _)| model).collect()
     }
 
-    /// Forgets when models were expected that have a replica, or have no load under way, now.
-    fn forget_ready(&mut self) {
-        let held = self.held.lock();
+    /// Drops the expected ready times of models without a pending proposal or load under way.
+    fn drop_stale_ready_times(&mut self) {
+        let pending = self.pending.lock();
         self.ready_at_ms.retain(|model, _| {
-            held.contains_key(model)
+            pending.contains_key(model)
                 || self.parts.source.replayed.read(|state| {
                     let mut replicas = state.replicas_of(model);
                     replicas.any(|one| matches!(one.stage(), Stage::Reserved | Stage::Loading))
@@ -399,7 +411,8 @@
     }
 }
 
-/// Returns whether nobody expects a replica to come up although its order may yet take effect.
+/// Returns whether a replica in this stage is not expected to load although its order may yet take
+/// effect.
 pub fn is_stuck(stage: Stage) -> bool {
     matches!(stage, Stage::Revoked | Stage::Lingering)
 }
--- a/crates/node/src/replayed.rs
+++ b/crates/node/src/replayed.rs
@@ -1,4 +1,4 @@
-//! The replayed control state, shared by all threads of the daemon.
+//! Replayed control state, shared by all threads of the daemon.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,11 +11,11 @@
 use apricotdale_state::ControlState;
 use apricotdale_state::Verdict;
 
-/// `Replayed` holds the control state and wakes those that wait for it to move on.
+/// Replayed control state, with notification of the threads that wait for it to change.
 #[derive(Debug, Default)]
 pub struct Replayed {
     inner: Mutex<Inner>,
-    moved: Condvar,
+    changed: Condvar,
 }
 
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
         Self::default()
     }
 
-    /// Reads something from the state.
+    /// Calls a function with the state, which is locked meanwhile.
     pub fn read<T>(&self, read: impl FnOnce(&ControlState) -> T) -> T {
         read(&self.inner.lock().state)
     }
@@ -41,24 +41,24 @@
         self.inner.lock().state.next_offset()
     }
 
-    /// Returns whether the state has been replayed to the stream's end, or taken from a peer, at
-    /// least once.
+    /// Returns whether the state has been replayed to the stream's end, or installed from a peer,
+    /// at least once.
     pub fn is_caught_up(&self) -> bool {
         self.inner.lock().caught_up
     }
 
-    /// Notes that the state is as new as can be had.
-    pub fn note_caught_up(&self) {
+    /// Records that the state is as new as it can be now.
+    pub fn mark_caught_up(&self) {
         self.inner.lock().caught_up = true;
-        self.moved.notify_all();
+        self.changed.notify_all();
     }
 
-    /// Replays records and returns the verdict on each. `look` sees the state after each record that
-    /// was accepted.
+    /// Replays records and returns the verdict on each. `on_accepted` is called with the state after each
+    /// accepted record.
     pub fn apply(
         &self,
         records: &[LogRecord],
-        look: impl Fn(&ControlState),
+        on_accepted: impl Fn(&ControlState),
     ) -> Vec<(Offset, Verdict)> {
         let mut inner = self.inner.lock();
         let verdicts = records
@@ -68,17 +68,17 @@
                     .state
                     .apply(record.offset, record.appended_ms, &record.payload);
                 if verdict.is_accepted() {
-                    look(&inner.state);
+                    on_accepted(&inner.state);
                 }
                 (record.offset, verdict)
             })
             .collect();
         drop(inner);
-        self.moved.notify_all();
+        self.changed.notify_all();
         verdicts
     }
 
-    /// Puts a state from a snapshot in the place of this one, if it is newer.
+    /// Replaces the state by one from a snapshot if that is newer. Returns whether it was.
     pub fn install(&self, state: ControlState) -> bool {
         let mut inner = self.inner.lock();
         let is_newer = state.next_offset() > inner.state.next_offset();
@@ -86,11 +86,11 @@
             inner.state = state;
         }
         drop(inner);
-        self.moved.notify_all();
+        self.changed.notify_all();
         is_newer
     }
 
-    /// Waits until the condition gives a value, and returns none if it did not within the timeout.
+    /// Waits until the condition returns a value. Returns none if it did not within the timeout.
     pub fn wait_for<T>(
         &self,
         timeout: Duration,
@@ -102,7 +102,7 @@
             if let Some(value) = condition(&inner.state) {
                 return Some(value);
             }
-            if self.moved.wait_until(&mut inner, deadline).timed_out() {
+            if self.changed.wait_until(&mut inner, deadline).timed_out() {
                 return condition(&inner.state);
             }
         }
--- a/crates/node/src/streams/control_stream.rs
+++ b/crates/node/src/streams/control_stream.rs
@@ -1,4 +1,4 @@
-//! The control stream's state.
+//! Replay of the control stream.
 
 use std::sync::Arc;
 
@@ -20,42 +20,43 @@
 use crate::load_history::LoadHistory;
 use crate::replayed::Replayed;
 
-/// `ControlStream` feeds the replayed control state.
+/// State of the control stream; replays its records into the shared control state.
 pub struct ControlStream {
     stream: StreamName,
     replayed: Arc<Replayed>,
     loads: Arc<LoadHistory>,
     metrics: Arc<Metrics>,
-    moved: Box<dyn Fn() + Send + Sync>,
+    changed: Box<dyn Fn() + Send + Sync>,
     lineage: Mutex<Option<Lineage>>,
 }
 
 impl ControlStream {
-    /// Returns a control stream of which nothing has been read. `moved` is called after each batch.
+    /// Returns the state of a stream of which nothing has been read. `changed` is called after each
+    /// batch.
     pub fn new(
         stream: StreamName,
         replayed: Arc<Replayed>,
         loads: Arc<LoadHistory>,
         metrics: Arc<Metrics>,
-        moved: Box<dyn Fn() + Send + Sync>,
+        changed: Box<dyn Fn() + Send + Sync>,
     ) -> Self {
         Self {
             stream,
             replayed,
             loads,
             metrics,
-            moved,
+            changed,
             lineage: Mutex::new(None),
         }
     }
 
-    fn note_progress(&self) {
+    fn publish_progress(&self) {
         let (next, version) = self
             .replayed
             .read(|state| (state.next_offset(), state.config().version()));
         self.metrics.node().set_replayed(next);
         self.metrics.node().set_config_version(version);
-        (self.moved)();
+        (self.changed)();
     }
 }
 
@@ -77,7 +78,10 @@
     }
 
     fn replay(&self, records: &[LogRecord]) {
-        for (offset, verdict) in self.replayed.apply(records, |state| self.loads.look(state)) {
+        for (offset, verdict) in self
+            .replayed
+            .apply(records, |state| self.loads.update(state))
+        {
             self.metrics.node().record_replayed(verdict.as_str());
             match verdict {
                 Verdict::Accepted(_) => {}
@@ -89,7 +93,7 @@
                 }
             }
         }
-        self.note_progress();
+        self.publish_progress();
     }
 
     fn section(&self) -> Option<Section> {
@@ -104,17 +108,17 @@
         let state = section.control()?;
         self.replayed.install(state);
         *self.lineage.lock() = Some(section.lineage);
-        self.note_progress();
+        self.publish_progress();
         Ok(())
     }
 
-    fn fresh(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8> {
+    fn fresh_start(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8> {
         let outdated = outdated.and_then(|section| section.control().ok());
         let state = ControlState::after_loss(next, outdated.as_ref());
         Section::of_control(Lineage::default(), &state).bytes
     }
 
-    fn note_caught_up(&self) {
-        self.replayed.note_caught_up();
+    fn mark_caught_up(&self) {
+        self.replayed.mark_caught_up();
     }
 }
--- a/crates/node/tests/double_faults.rs
+++ b/crates/node/tests/double_faults.rs
@@ -1,4 +1,4 @@
-//! Faults that come together, or twice.
+//! Faults that coincide or repeat.
 
 mod support;
 
@@ -17,11 +17,11 @@
 use support::world::engine_address;
 use support::world::engine_name;
 
-/// Symptom: a model is loaded a second time, or never served. Sequence: the order is on its way when
-/// the log goes down; it takes effect, or its answer is lost too; the log comes back. Cause: the
-/// outcome is dropped because it can't be told at once.
+/// Guards against a model that is loaded a second time or never served. The order is on its way
+/// when the log goes down; it takes effect, or its answer is lost too. The outcome must be appended
+/// once the log is back.
 #[rstest]
-fn an_outcome_in_an_outage_is_told_after_it(
+fn outcome_after_outage(
     #[values(None, Some(OrderFault::LoseAnswer))] fault: Option<OrderFault>,
     #[values(true, false)] checks_fence: bool,
 ) {
@@ -48,7 +48,7 @@
         reply.status == 200 || reply.refusal().1 == "not_run",
         "{reply:?}"
     );
-    wait_until("the outcome to be told", || {
+    wait_until("the outcome to be appended", || {
         let decided = world.decided();
         let mut accepted = decided.iter().filter(|one| one.is_accepted());
         accepted.any(|one| match &one.record {
@@ -60,16 +60,18 @@
     wait_until("the load to settle", || world.loaded(&model) == 1);
     for node in 0..2 {
         cluster.wait_recovered(node);
-        cluster.nodes[node].caller.complete(&model).expect_whole();
+        cluster.nodes[node]
+            .caller
+            .complete(&model)
+            .expect_complete();
     }
     assert_eq!(world.load_orders(&model), 1);
 }
 
-/// Symptom: an intent stays open when the VM that took it over stops, too. Sequence: the proposer
-/// stops; the VM that takes over stops right after; both are listed as gone. Cause: an intent is taken
-/// over once only, or for its proposer's end only.
+/// Guards against an intent that stays open when the VM that took it over stops too. The proposer
+/// stops, then the VM that takes over, and both are listed as gone.
 #[rstest]
-fn an_intent_is_taken_over_twice(#[values(true, false)] checks_fence: bool) {
+fn second_takeover(#[values(true, false)] checks_fence: bool) {
     let cluster = Cluster::start(3, 2, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -77,7 +79,7 @@
     let second_stop = world.log.fault_appends(AppendFault::Freeze, 1, |append| {
         matches!(append.control(), Some(ControlRecord::TakeOver(_)))
     });
-    // The third one is asleep meanwhile, or it would take over at the same moment.
+    // The third VM is paused meanwhile, or it would take over at the same moment.
     cluster.nodes[2].switch.freeze();
     cluster.list_as_gone(0);
     second_stop.wait_hits(1);
@@ -85,28 +87,27 @@
     cluster.nodes[2].switch.thaw();
     let call = cluster.nodes[2].caller.begin_complete(&model);
     cluster.list_as_gone(1);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     wait_until("the load to settle", || world.loaded(&model) == 1);
     assert_eq!(world.holders(&model), 1);
     assert!(world.memory_held());
 }
 
-/// Symptom: an engine that was told of a takeover obeys the late order after all, beside what was
-/// loaded since. Sequence: the proposer freezes when it is about to send the order; others take over
-/// and raise the engine's fence; the engine restarts, and forgets the fence; the order arrives, and
-/// others fill the engine. Cause: the memory of an order was given away because one run of the engine
-/// refuses it.
+/// Guards against an engine that carries out a late order beside models loaded since. The proposer
+/// is paused before it sends the order; others take the intent over and raise the engine's fence;
+/// the engine restarts and forgets the fence; then the order arrives. Its memory must stay reserved
+/// even if one boot of the engine has refused it.
 #[test]
-fn a_restart_forgets_the_fence_and_the_memory_still_holds() {
+fn restart_after_fence() {
     let cluster = Cluster::start(3, 1, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     cluster.stop_in_load(0, StopAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     world.time.advance(2 * LOAD_TIMEOUT_MS);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     world.engines.restart(engine_address(0));
-    wait_until("the restart to be noted", || world.loaded(&model) == 0);
+    wait_until("the restart to be replayed", || world.loaded(&model) == 0);
     let memory = world.state().memory(&engine_name(0).into());
     let reserved_bytes = memory.expect("a known engine").held_bytes;
     assert_eq!(reserved_bytes, MODEL_BYTES);
@@ -119,16 +120,17 @@
         cluster.nodes[preferred]
             .caller
             .complete(&other)
-            .expect_whole();
+            .expect_complete();
     }
     assert!(world.memory_held());
 }
 
-/// Symptom: a booking is made again. Sequence: the VM that made it stops before it could tell, and the
-/// log goes down; the caller repeats the booking elsewhere, during the outage and after it; the first
-/// VM wakes up. Cause: a claim that can't be looked up is taken for none.
+/// Guards against a booking that is made twice. The VM that made it stops before it could record
+/// the outcome, and the log goes down; the caller sends a duplicate to another VM during the outage
+/// and after it, and the first VM resumes. A claim that can't be looked up must not count as
+/// absent.
 #[test]
-fn a_call_of_a_stopped_daemon_is_not_repeated_in_an_outage() {
+fn killed_call_not_repeated() {
     let cluster = Cluster::start(2, 1, true);
     let world = &cluster.world;
     let (stopped, other) = (&cluster.nodes[0], &cluster.nodes[1].caller);
--- a/crates/node/tests/ended_demand.rs
+++ b/crates/node/tests/ended_demand.rs
@@ -10,19 +10,17 @@
 use support::world::FIXED_TIMEOUT;
 use support::world::LEARNED;
 
-/// How long the request in vain may wait, in milliseconds.
+/// Timeout of the request that gets no replica, in milliseconds.
 const TIMEOUT_MS: u64 = 800;
 
-/// After how long a placement policy proposes anew what came to nothing, in milliseconds, with
-/// something over. A report of demand counts for longer.
-const PROPOSAL_MS: u64 = 1_100;
+/// Time after which a placement policy repeats a proposal without effect, with a margin, in
+/// milliseconds. A demand report counts for longer.
+const REPROPOSAL_MS: u64 = 1_100;
 
-/// Guards against a load that nobody waits for: the preferred VM was told of a request and not of its
-/// refusal, or a report without demand kept the model in the policy's plan.
+/// Guards against a load for which no request waits: the preferred VM received the report of a
+/// request but not of its refusal, or a report without demand kept the model in the policy's plan.
 #[rstest]
-fn a_request_that_was_refused_is_no_demand(
-    #[values(FIXED_TIMEOUT, LEARNED)] placement: &'static str,
-) {
+fn refusal_ends_demand(#[values(FIXED_TIMEOUT, LEARNED)] placement: &'static str) {
     let cluster = Cluster::start_with(2, 2, true, placement);
     let world = &cluster.world;
     let model = cluster.model_preferring(1);
@@ -41,22 +39,22 @@
     let reply = cluster.nodes[0].caller.complete_within(&model, TIMEOUT_MS);
     assert_eq!(reply.refusal(), ("deadline_passed", "not_run"));
     assert!(refused.hits() > 0);
-    // A report counts for some seconds only. Here it would count for ever.
+    // A report expires after some seconds; the stopped clock keeps it from expiring here.
     let preferred = &cluster.nodes[1];
     preferred.clock.set_stopped(true);
-    wait_until("the request's end to be known", || {
+    wait_until("the request's end to be reported", || {
         preferred.waiting_for(&model) == 0
     });
     world.log.release(&refused);
-    preferred.clock.go_on_after(PROPOSAL_MS);
+    preferred.clock.resume_after(REPROPOSAL_MS);
     cluster.wait_recovered(1);
     assert_eq!(world.load_orders(&model), 0);
 }
 
-/// Guards against a load that is proposed while the log takes nothing, waits behind a record that must
-/// not be lost, and is decided when the log is back and nobody waits for the model any more.
+/// Guards against a load that is proposed while the log accepts nothing, is queued behind a record
+/// that must not be lost, and is decided when the log is back and no request waits for the model.
 #[test]
-fn a_load_is_not_proposed_while_none_can_be_decided() {
+fn no_proposal_during_outage() {
     let cluster = Cluster::start_with(2, 2, true, LEARNED);
     let world = &cluster.world;
     let [settled, model] = cluster.two_models_preferring(1);
@@ -73,11 +71,11 @@
             append.is_load() && append.is_by(&other)
         });
     let begun = cluster.nodes[1].caller.begin_complete(&settled);
-    // The outcome of the first is known when the second is tried.
+    // The outcome of the first append is known when the second is attempted.
     refused.wait_hits(2);
     let reply = cluster.nodes[0].caller.complete_within(&model, TIMEOUT_MS);
     assert_eq!(reply.refusal(), ("deadline_passed", "not_run"));
-    wait_until("the request's end to be known", || {
+    wait_until("the request's end to be reported", || {
         cluster.nodes[1].waiting_for(&model) == 0
     });
     world.log.release(&refused);
--- a/crates/node/tests/leaving_upstream.rs
+++ b/crates/node/tests/leaving_upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are taken away.
+//! Upstreams that are removed.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::world::engine_name;
 use support::world::instance_address;
 
-/// How many calls show that an upstream gets none.
+/// Number of calls that show that an upstream receives none.
 const CALLS: usize = 12;
 
 fn served_at(cluster: &Cluster, engine: usize) -> usize {
@@ -18,15 +18,15 @@
     cluster.world.engines.with(address, |one| one.served.len())
 }
 
-/// Symptom: requests fail when an engine's VM is taken away. Sequence: the list says that it is
-/// leaving, and requests for a model on it go on. Cause: new requests are sent there, or answers in
-/// progress are cut off.
+/// Guards against requests that fail when an engine's VM is removed. The list shows it as leaving
+/// while requests for its model continue: new ones must go elsewhere, and answers in progress must
+/// not be cut off.
 #[test]
-fn a_leaving_engine_gets_no_new_request_and_ends_its_old_ones() {
+fn leaving_engine_drains() {
     let cluster = Cluster::start(2, 2, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     let leaving = world.holder(&model);
     world.streams.close();
     let stream = cluster.nodes[1].caller.stream(&model);
@@ -39,43 +39,42 @@
     let before = served_at(&cluster, leaving);
     for node in &cluster.nodes {
         for _ in 0..CALLS {
-            node.caller.complete(&model).expect_whole();
+            node.caller.complete(&model).expect_complete();
         }
     }
     assert_eq!(served_at(&cluster, leaving), before);
     world.streams.open();
-    assert!(stream.ends_whole());
+    assert!(stream.ends_complete());
     assert_eq!(world.load_orders(&model), 2);
 }
 
-/// Symptom: as above, for a plain service, whose calls may not be repeated.
+/// Guards against the same fault at a plain service, whose calls may not be retried.
 #[test]
-fn a_leaving_instance_gets_no_new_call() {
+fn leaving_instance_drains() {
     let cluster = Cluster::start(1, 0, true);
     let (world, node) = (&cluster.world, &cluster.nodes[0]);
     let [leaving, staying] = [1, 2].map(instance_address);
     world.add_instance("booking-2", staying);
     node.wait_listed("booking-2", VmState::Live);
     wait_until("both instances to be called", || {
-        node.caller.book_once().expect_whole();
+        node.caller.book_once().expect_complete();
         [leaving, staying].map(|one| world.service.effects_at(one) > 0) == [true, true]
     });
     world.vm_list.set_state("booking-1", VmState::Leaving);
     node.wait_listed("booking-1", VmState::Leaving);
     let before = world.service.effects_at(leaving);
-    (0..CALLS).for_each(|_| node.caller.book_once().expect_whole());
+    (0..CALLS).for_each(|_| node.caller.book_once().expect_complete());
     assert_eq!(world.service.effects_at(leaving), before);
 }
 
-/// Symptom: no request for a model is answered after its engine's VM was taken away. Sequence: the
-/// list says that the engine is gone. Cause: its replica still counts, or its memory is still planned
-/// with.
+/// Guards against a model that is never served again after its engine's VM was removed. When the
+/// list shows the engine as gone, neither its replica nor its memory may count.
 #[test]
-fn a_replica_on_an_engine_that_is_gone_is_replaced() {
+fn removed_replica_replaced() {
     let cluster = Cluster::start(2, 2, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     let gone = world.holder(&model);
     world.engines.set_reachable(engine_address(gone), false);
     world.vm_list.set_state(&engine_name(gone), VmState::Gone);
--- a/crates/node/tests/log_outage.rs
+++ b/crates/node/tests/log_outage.rs
@@ -1,4 +1,4 @@
-//! What a daemon does while the log is down, and when it comes back.
+//! A daemon while the log is down, and when it is back.
 
 mod support;
 
@@ -15,39 +15,37 @@
 use support::world::engine_address;
 use support::world::model_name;
 
-/// How many reads each VM tries in a stretch of an outage.
-const READS_TRIED: usize = 12;
+/// Attempted reads of each VM in one part of an outage.
+const READ_ATTEMPTS: usize = 12;
 
-/// How many models are asked for in vain during an outage.
+/// Models that are requested without result during an outage.
 const REFUSED_MODELS: usize = 8;
 
 const LOG_UNAVAILABLE: (&str, &str) = ("log_unavailable", "not_run");
 
-/// Guards against a request that waits in an outage of the log for a decision that it does not need,
-/// or for one that nobody can make.
+/// Guards against a request that waits, while the log is down, for a decision that it doesn't need,
+/// or for one that can't be made.
 #[test]
-fn a_loaded_model_is_served_and_another_is_refused_at_once() {
+fn only_loaded_models_served() {
     let cluster = Cluster::start(2, 2, true);
     let (loaded, cold) = (cluster.model_preferring(0), cluster.model_preferring(1));
-    cluster.nodes[0].caller.complete(&loaded).expect_whole();
+    cluster.nodes[0].caller.complete(&loaded).expect_complete();
     (0..2).for_each(|node| cluster.wait_replayed(node));
     cluster.world.log.set_down(true);
     for node in &cluster.nodes {
-        node.caller.complete(&loaded).expect_whole();
+        node.caller.complete(&loaded).expect_complete();
         assert_eq!(node.caller.complete(&cold).refusal(), LOG_UNAVAILABLE);
-        node.caller.complete(&loaded).expect_whole();
+        node.caller.complete(&loaded).expect_complete();
     }
     cluster.world.log.set_down(false);
     cluster.wait_recovered(0);
     assert_eq!(cluster.world.load_orders(&loaded), 1);
 }
 
-/// Guards against a log that takes no appends, or answers none, and counts as up because it can be
-/// read: a cold request waited to its deadline.
+/// Guards against a log that rejects appends, or answers none, and counts as up because it can be
+/// read: a request for a model without replica waited until its deadline.
 #[rstest]
-fn a_log_that_takes_no_append_is_down(
-    #[values(AppendFault::Refuse, AppendFault::LoseRecord)] fault: AppendFault,
-) {
+fn appendless_log_down(#[values(AppendFault::Refuse, AppendFault::LoseRecord)] fault: AppendFault) {
     let cluster = Cluster::start(2, 2, true);
     let cold = cluster.model_preferring(0);
     let faulted = cluster.world.log.fault_appends(fault, usize::MAX, |_| true);
@@ -58,18 +56,18 @@
     cluster.wait_recovered(0);
 }
 
-/// Guards against a key that is forgotten in an outage, and a refused claim whose call runs later: a
-/// repeated booking ran twice, or "not run" was false.
+/// Guards against a key that is forgotten while the log is down, and a refused claim whose call
+/// runs later: a duplicate booking ran twice, or the refusal "not run" was false.
 #[test]
-fn a_known_key_is_answered_and_a_new_one_is_refused_and_not_run() {
+fn keys_during_outage() {
     let cluster = Cluster::start(2, 1, true);
     let (world, callers) = (
         &cluster.world,
         [0, 1].map(|node| &cluster.nodes[node].caller),
     );
     let first = callers[0].book("known");
-    first.expect_whole();
-    wait_until("the end to be known everywhere", || {
+    first.expect_complete();
+    wait_until("the finish to be replayed everywhere", || {
         callers[1].book("known").replayed
     });
     world.log.set_down(true);
@@ -81,7 +79,7 @@
     world.log.set_down(false);
     (0..2).for_each(|node| cluster.wait_recovered(node));
     assert_eq!(world.service.effects_of("new"), 0);
-    callers[1].book("new").expect_whole();
+    callers[1].book("new").expect_complete();
     assert_eq!(
         (
             world.service.effects_of("known"),
@@ -100,17 +98,18 @@
     }
 }
 
-/// Returns the appends that VMs try while each of them tries to read the log again. The first VM is
-/// left out: it tries the end of its booking until that is on the stream.
-fn appends_tried_while_down(cluster: &Cluster) -> usize {
+/// Returns the number of appends that VMs attempt while each of them attempts to read the log
+/// again. The first VM is left out: it retries the finish record of its booking until that is
+/// appended.
+fn append_attempts_while_down(cluster: &Cluster) -> usize {
     let log = &cluster.world.log;
     let vms = || cluster.nodes[1..].iter().map(|node| &node.vm);
-    let appends = || vms().map(|vm| log.tried_appends(vm)).sum::<usize>();
+    let appends = || vms().map(|vm| log.attempted_appends(vm)).sum::<usize>();
     let before = appends();
     for vm in vms() {
-        let reads = log.tried_reads(vm);
-        wait_until("reads to be tried", || {
-            log.tried_reads(vm) >= reads + READS_TRIED
+        let reads = log.attempted_reads(vm);
+        wait_until("reads to be attempted", || {
+            log.attempted_reads(vm) >= reads + READ_ATTEMPTS
         });
     }
     appends() - before
@@ -120,7 +119,7 @@
     cluster.world.log.records("control").len()
 }
 
-fn ends(cluster: &Cluster) -> usize {
+fn finishes(cluster: &Cluster) -> usize {
     let records = cluster.world.log.records("claims-0");
     let batches = records
         .iter()
@@ -131,10 +130,10 @@
         .count()
 }
 
-/// Guards against proposals that pile up in an outage, refused requests that count as demand, and an
-/// end that is appended many times.
+/// Guards against proposals that accumulate while the log is down, refused requests that count as
+/// demand, and a finish record that is appended many times.
 #[test]
-fn an_outage_ends_without_a_storm_of_appends() {
+fn no_append_storm() {
     let cluster = Cluster::start_with(3, 2, true, LEARNED);
     let world = &cluster.world;
     refuse_cold_models_in_outage(&cluster);
@@ -145,11 +144,13 @@
         wait_until("the log to be used again", || {
             node.caller.complete(&model).status == 200
         });
-        wait_until("the end to be known", || node.caller.book("key").replayed);
+        wait_until("the finish to be replayed", || {
+            node.caller.book("key").replayed
+        });
     }
     // At most a load and an unload, each with its settlement, for the call at each VM.
     assert!(control_len(&cluster) - before <= 4 * cluster.nodes.len());
-    assert_eq!(ends(&cluster), 1);
+    assert_eq!(finishes(&cluster), 1);
     let refused = (0..REFUSED_MODELS).map(model_name);
     assert_eq!(
         refused
@@ -166,21 +167,20 @@
     world.service.wait_effect_of("key");
     world.log.set_down(true);
     world.service.hold(false);
-    booking.reply().expect_whole();
+    booking.reply().expect_complete();
     refuse_cold_models(cluster);
-    wait_until("no append to be tried", || {
-        appends_tried_while_down(cluster) == 0
+    wait_until("no append to be attempted", || {
+        append_attempts_while_down(cluster) == 0
     });
 }
 
-/// How long a VM waits for the log to tell that a model is loaded, in milliseconds, with something
-/// over.
-const LOG_PATIENCE_MS: u64 = 5_500;
+/// Time for which a VM waits for the log to show a load's outcome, with a margin, in milliseconds.
+const UNREADABLE_LOG_GRACE_MS: u64 = 5_500;
 
-/// Guards against a request that waits to its deadline for a load whose end nobody can tell its VM: the
-/// model is loaded, but the log went down before the VM had read so.
+/// Guards against a request that waits until its deadline for a load whose outcome its VM can't
+/// read: the model is loaded, but the log went down before the VM had read that.
 #[test]
-fn a_load_whose_end_cannot_be_read_is_not_waited_for() {
+fn unreadable_load_outcome() {
     let cluster = Cluster::start(2, 1, true);
     let (world, vm) = (&cluster.world, cluster.nodes[1].vm.clone());
     let model = cluster.model_preferring(0);
@@ -193,24 +193,24 @@
         read.is_by(&vm) && read.follows_control()
     });
     world.engines.hold_orders(engine, false);
-    loading.reply().expect_whole();
+    loading.reply().expect_complete();
     world.log.set_down(true);
     world.log.release(&held);
     let behind = &cluster.nodes[1];
     let waiting = behind.caller.begin_complete(&model);
     wait_until("the request to wait", || behind.waiting_for(&model) == 1);
-    // A short outage is waited out.
-    let reads = world.log.tried_reads(&behind.vm);
-    wait_until("reads to be tried", || {
-        world.log.tried_reads(&behind.vm) >= reads + READS_TRIED
+    // A short outage causes no refusal.
+    let reads = world.log.attempted_reads(&behind.vm);
+    wait_until("reads to be attempted", || {
+        world.log.attempted_reads(&behind.vm) >= reads + READ_ATTEMPTS
     });
     assert!(!waiting.is_answered());
-    world.time.advance(LOG_PATIENCE_MS);
+    world.time.advance(UNREADABLE_LOG_GRACE_MS);
     assert_eq!(waiting.reply().refusal(), LOG_UNAVAILABLE);
     assert_eq!(behind.caller.complete(&model).refusal(), LOG_UNAVAILABLE);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     world.log.set_down(false);
     cluster.wait_recovered(1);
-    behind.caller.complete(&model).expect_whole();
+    behind.caller.complete(&model).expect_complete();
     assert_eq!(world.load_orders(&model), 1);
 }
--- a/crates/node/tests/one_order.rs
+++ b/crates/node/tests/one_order.rs
@@ -1,4 +1,4 @@
-//! From an accepted intent to one order.
+//! From an accepted intent to a single order.
 
 mod support;
 
@@ -18,14 +18,14 @@
         for engine in (0..3).filter(|engine| *engine != number) {
             let name = engine_name(engine);
             let list = &cluster.world.vm_list;
-            list.tell(&node.vm, &name, VmState::Leaving);
+            list.show(&node.vm, &name, VmState::Leaving);
             node.wait_listed(&name, VmState::Leaving);
         }
     }
 }
 
 fn all_see_all_engines(cluster: &Cluster) {
-    cluster.world.vm_list.tell_all_alike();
+    cluster.world.vm_list.show_all_alike();
     for node in &cluster.nodes {
         (0..3).for_each(|engine| node.wait_listed(&engine_name(engine), VmState::Live));
     }
@@ -36,12 +36,12 @@
     }
 }
 
-/// Symptom: a model is loaded as often as there are VMs. Sequence: a burst of cold requests reaches
-/// all VMs at once, and each proposes a load on another engine before it has read the others'
-/// proposals. Cause: the order is sent for a proposal rather than for an accepted intent, or replay
-/// accepts a proposal that was based on another number of replicas.
+/// Guards against a model that is loaded once for each VM. A burst of cold requests reaches all VMs
+/// at once, and each proposes a load on another engine before it has read the others' proposals. An
+/// order must be sent for an accepted intent only, and replay must reject a proposal with another
+/// expected number of replicas.
 #[test]
-fn of_three_proposals_at_once_one_order_reaches_the_engines() {
+fn concurrent_proposals_one_order() {
     let cluster = Cluster::start(3, 3, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
@@ -58,7 +58,7 @@
     all_see_all_engines(&cluster);
     world.log.release(&held);
     for call in calls {
-        call.reply().expect_whole();
+        call.reply().expect_complete();
     }
     let decided = world.decided();
     let loads = decided.iter().filter(|one| one.is_load_of(&model));
@@ -67,17 +67,16 @@
         _ => None,
     });
     assert_eq!(engines.collect::<BTreeSet<_>>().len(), 3);
-    (0..3).for_each(|node| cluster.wait_looked(node));
+    (0..3).for_each(|node| cluster.wait_handled(node));
     assert_eq!(world.accepted_loads(&model).len(), 1);
     assert_eq!(world.load_orders(&model), 1);
     assert_eq!(world.holders(&model), 1);
 }
 
-/// Symptom: an engine loads a model that nobody decided on. Sequence: the proposal's append waits in
-/// the log, and its VM sends the order meanwhile, under a number that no record has. Cause: the
-/// order does not wait for replay.
+/// Guards against a load without an accepted intent. The append of the proposal is delayed in the
+/// log, and its VM must not send the order before replay, under a fencing token that no record has.
 #[test]
-fn the_order_waits_for_its_intent_and_bears_its_offset() {
+fn order_awaits_replay() {
     let cluster = Cluster::start(1, 1, true);
     let model = cluster.model_preferring(0);
     let held = cluster
@@ -88,7 +87,7 @@
     held.wait_hits(1);
     assert_eq!(cluster.world.load_orders(&model), 0);
     cluster.world.log.release(&held);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     wait_until("the load to settle", || cluster.world.loaded(&model) == 1);
     let load = cluster.world.wait_load(&model);
     let fences = cluster
@@ -100,11 +99,10 @@
     assert_eq!(fences, [load.offset.0]);
 }
 
-/// Symptom: an engine is told to load more than its memory holds. Sequence: three VMs propose to load
-/// three models on one engine at once, and each alone would fit. Cause: a proposal is accepted by what
-/// its proposer knew of the memory.
+/// Guards against orders for more models than an engine's memory can hold. Three VMs propose to
+/// load three models on one engine at once, of which each alone would fit.
 #[test]
-fn of_three_models_at_once_those_that_fit_are_ordered() {
+fn memory_limits_orders() {
     let cluster = Cluster::start(3, 1, false);
     let world = &cluster.world;
     let held = world
@@ -119,7 +117,7 @@
     held.wait_hits(3);
     world.log.release(&held);
     for call in calls {
-        call.reply().expect_whole();
+        call.reply().expect_complete();
     }
     let decided = world.decided();
     let loads = decided
--- a/crates/node/tests/frozen_wake.rs
+++ b/crates/node/tests/pause_recovery.rs
@@ -1,4 +1,4 @@
-//! A daemon that wakes from a freeze with its old beliefs.
+//! A daemon that resumes from a process pause with stale state.
 
 mod support;
 
@@ -17,11 +17,11 @@
     });
 }
 
-/// Symptom: an engine that obeys every order loads a model that others have decided to load
-/// elsewhere. Sequence: a VM freezes before it sends an order; its intent is taken over; it wakes up
-/// and sends the order. Cause: the VM acts on what it knew before the freeze.
+/// Guards against a model that is loaded on two engines, one of which doesn't check fencing tokens.
+/// A VM is paused before it sends an order; its intent is taken over and settled elsewhere; the VM
+/// resumes and must not send the order.
 #[test]
-fn an_intent_that_was_taken_over_in_a_freeze_is_given_up() {
+fn takeover_during_pause() {
     let cluster = Cluster::start(3, 2, false);
     let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -30,22 +30,22 @@
         read.is_by(&vm) && read.is_of_end()
     });
     let call = frozen.caller.begin_complete(&model);
-    wait_until("the daemon to freeze", || frozen.switch.is_frozen());
+    wait_until("the daemon to be paused", || frozen.switch.is_frozen());
     cluster.list_as_gone(0);
     wait_taken_over(&cluster);
     frozen.switch.thaw();
-    cluster.nodes[1].caller.complete(&model).expect_whole();
-    call.reply().expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
+    call.reply().expect_complete();
     frozen.wait_ended();
     assert_eq!(world.effects_of(&frozen.vm, &model), 0);
     assert_eq!(world.holders(&model), 1);
 }
 
-/// Symptom: as above. Sequence: the VM freezes right after it has read how far the stream goes, and
-/// on waking reads nothing further for a while. Cause: a reading from before the freeze is taken for
-/// proof that nothing has happened since.
+/// Guards against the same fault where the VM is paused right after it has read the end of the
+/// stream, and reads nothing more for a while after it resumes. The read from before the pause is
+/// no proof that the state is current.
 #[test]
-fn a_reading_from_before_the_freeze_proves_nothing() {
+fn read_before_pause() {
     let cluster = Cluster::start(3, 2, false);
     let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -54,7 +54,7 @@
         read.is_by(&vm) && read.is_of_end()
     });
     let call = frozen.caller.begin_complete(&model);
-    wait_until("the daemon to freeze", || frozen.switch.is_frozen());
+    wait_until("the daemon to be paused", || frozen.switch.is_frozen());
     let vm = frozen.vm.clone();
     let blind = world.log.fault_reads(ReadFault::Hold, move |read| {
         read.is_by(&vm) && read.follows_control()
@@ -62,26 +62,26 @@
     cluster.list_as_gone(0);
     wait_taken_over(&cluster);
     let vm = frozen.vm.clone();
-    let second_look = world.log.fault_reads(ReadFault::FreezeAfter, move |read| {
+    let second_check = world.log.fault_reads(ReadFault::FreezeAfter, move |read| {
         read.is_by(&vm) && read.is_of_end()
     });
     frozen.switch.thaw();
-    second_look.wait_hits(1);
+    second_check.wait_hits(1);
     assert_eq!(world.effects_of(&frozen.vm, &model), 0);
     frozen.switch.thaw();
     world.log.release(&blind);
-    cluster.nodes[1].caller.complete(&model).expect_whole();
-    call.reply().expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
+    call.reply().expect_complete();
     frozen.wait_ended();
     assert_eq!(world.effects_of(&frozen.vm, &model), 0);
     assert_eq!(world.holders(&model), 1);
 }
 
-/// Symptom: as above, by a freeze of the whole machine, of which only the clock tells. Sequence: the
-/// clock jumps between the intent and the order while the log can't be read. Cause: the order does
-/// not wait for a reading of the log.
+/// Guards against the same fault where the whole machine is paused, which only its clock shows. The
+/// clock jumps between the intent and the order while the log can't be read; the order must wait
+/// for a read of the log.
 #[test]
-fn after_a_jump_of_the_clock_no_order_goes_out_before_the_log_is_read() {
+fn clock_jump_blocks_order() {
     let cluster = Cluster::start(1, 1, false);
     let (world, node) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
@@ -95,47 +95,46 @@
     unread.wait_hits(3);
     assert_eq!(world.load_orders(&model), 0);
     world.log.release(&unread);
-    call.reply().expect_whole();
+    call.reply().expect_complete();
     assert_eq!(world.load_orders(&model), 1);
 }
 
-/// Symptom: a VM takes requests for which it can never have a model loaded, and its claims count as
-/// those of a process that is over. Sequence: the list calls a frozen VM gone, and others note its
-/// departure; the list was wrong, and the VM wakes up. Cause: the process does not notice that its
-/// epoch is over.
+/// Guards against a VM that accepts requests although it can never have a model loaded, and whose
+/// claims count as those of an ended process. The list wrongly shows a paused VM as gone, others
+/// record its departure, and the VM resumes.
 ///
-/// It ends, so that it is started anew, and cuts off no answer that is in progress.
+/// The process must end, so that it is restarted, and must not cut off an answer in progress.
 #[test]
-fn a_process_that_was_departed_ends_after_its_requests() {
+fn departed_process_ends() {
     let cluster = Cluster::start(3, 2, true);
     let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
-    frozen.caller.complete(&model).expect_whole();
+    frozen.caller.complete(&model).expect_complete();
     world.streams.close();
     let stream = frozen.caller.stream(&model);
     frozen.switch.freeze();
     cluster.list_as_gone(0);
-    wait_until("the departure to be noted", || {
+    wait_until("the departure to be recorded", || {
         let decided = world.decided();
         let mut accepted = decided.iter().filter(|one| one.is_accepted());
         accepted.any(|one| matches!(one.record, ControlRecord::Depart(_)))
     });
     world.vm_list.set_state(frozen.vm.as_str(), VmState::Live);
     frozen.switch.thaw();
-    wait_until("no request to be taken", || !frozen.caller.is_ready());
+    wait_until("no request to be accepted", || !frozen.caller.is_ready());
     let refused = frozen.caller.complete(&model);
     assert_eq!(refused.refusal(), ("draining", "not_run"));
     world.streams.open();
-    assert!(stream.ends_whole());
+    assert!(stream.ends_complete());
     frozen.wait_ended();
 }
 
-/// Symptom: an engine that obeys every order gets one from a process that another has replaced.
-/// Sequence: a VM's process freezes right before an order; a new one starts under the VM's name and
-/// has the model loaded; the first one wakes up. Cause: the first process takes its VM's name for its
-/// own membership.
+/// Guards against an order from a process that was replaced, to an engine that doesn't check
+/// fencing tokens. A VM's process is paused right before an order; a new process starts under the
+/// VM's name and has the model loaded; the first one resumes. The membership of the VM's name is
+/// not its own.
 #[test]
-fn a_process_that_was_replaced_sends_no_order() {
+fn replaced_process_order() {
     let mut cluster = Cluster::start(2, 2, false);
     let model = cluster.model_preferring(0);
     let vm = cluster.nodes[0].vm.clone();
@@ -148,15 +147,15 @@
             read.is_by(&frozen_vm) && read.is_of_end()
         });
     drop(cluster.nodes[0].caller.begin_complete(&model));
-    wait_until("the process to freeze", || {
+    wait_until("the process to be paused", || {
         cluster.nodes[0].switch.is_frozen()
     });
     cluster.add(vm.as_str()).wait_ready();
     let world = &cluster.world;
-    wait_until("the first process to be over", || {
+    wait_until("the first process to end", || {
         !world.state().is_current(first)
     });
-    cluster.nodes[2].caller.complete(&model).expect_whole();
+    cluster.nodes[2].caller.complete(&model).expect_complete();
     assert_eq!(world.load_orders(&model), 1);
     cluster.nodes[0].switch.thaw();
     cluster.nodes[0].wait_ended();
--- a/crates/node/tests/support/platform.rs
+++ b/crates/node/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The rest of the platform: the list of VMs and the weight store.
+//! Fakes of the VM list and the weight store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,15 +23,15 @@
 use super::clock::WorldTime;
 use super::switch::Switch;
 
-/// How far the list lags at first, in milliseconds.
-const LAG_MS: u64 = 20;
+/// Initial delay of the list, in milliseconds.
+const DELAY_MS: u64 = 20;
 
-/// `FakeVmList` is the list of VMs.
+/// In-memory VM list.
 pub struct FakeVmList {
     entries: Mutex<Vec<VmEntry>>,
-    /// What single VMs are told of an entry, since the list lags more for some than for others.
-    told: Mutex<BTreeMap<(VmName, String), VmState>>,
-    lag_ms: AtomicU64,
+    /// States of entries shown to single VMs, since the delay of the list differs between VMs.
+    shown: Mutex<BTreeMap<(VmName, String), VmState>>,
+    delay_ms: AtomicU64,
     time: Arc<WorldTime>,
 }
 
@@ -39,8 +39,8 @@
     pub fn new(time: &Arc<WorldTime>) -> Self {
         Self {
             entries: Mutex::default(),
-            told: Mutex::default(),
-            lag_ms: AtomicU64::new(LAG_MS),
+            shown: Mutex::default(),
+            delay_ms: AtomicU64::new(DELAY_MS),
             time: Arc::clone(time),
         }
     }
@@ -74,32 +74,32 @@
         entry.expect("a listed VM").state = state;
     }
 
-    /// Lets the list speak of a time that lies so far back.
-    pub fn set_lag(&self, lag_ms: u64) {
-        self.lag_ms.store(lag_ms, Ordering::SeqCst);
+    /// Sets the delay of the list.
+    pub fn set_delay(&self, delay_ms: u64) {
+        self.delay_ms.store(delay_ms, Ordering::SeqCst);
     }
 
-    /// Tells one VM another state of an entry than all others.
-    pub fn tell(&self, vm: &VmName, name: &str, state: VmState) {
-        let told = (vm.clone(), name.to_owned());
-        self.told.lock().insert(told, state);
+    /// Shows one VM another state of an entry than all others.
+    pub fn show(&self, vm: &VmName, name: &str, state: VmState) {
+        let shown = (vm.clone(), name.to_owned());
+        self.shown.lock().insert(shown, state);
     }
 
-    /// Tells all VMs the same again.
-    pub fn tell_all_alike(&self) {
-        self.told.lock().clear();
+    /// Shows all VMs the same states again.
+    pub fn show_all_alike(&self) {
+        self.shown.lock().clear();
     }
 
     fn entries_for(&self, vm: &VmName) -> Vec<VmEntry> {
-        let (mut entries, told) = (self.entries.lock().clone(), self.told.lock());
+        let (mut entries, shown) = (self.entries.lock().clone(), self.shown.lock());
         for entry in &mut entries {
-            let told = told.get(&(vm.clone(), entry.name.clone()));
-            entry.state = told.copied().unwrap_or(entry.state);
+            let shown = shown.get(&(vm.clone(), entry.name.clone()));
+            entry.state = shown.copied().unwrap_or(entry.state);
         }
         entries
     }
 
-    /// Returns the list as one VM reaches it.
+    /// Returns a client through which one VM reads the list.
     pub fn client(self: &Arc<Self>, vm: &VmName, switch: &Arc<Switch>) -> VmListOfVm {
         VmListOfVm {
             list: Arc::clone(self),
@@ -109,7 +109,7 @@
     }
 }
 
-/// `VmListOfVm` is the list as one daemon reaches it.
+/// Client through which one daemon reads the list.
 pub struct VmListOfVm {
     list: Arc<FakeVmList>,
     vm: VmName,
@@ -120,7 +120,7 @@
     fn list(&self) -> Result<VmListing> {
         self.switch.pass();
         let listing = VmListing {
-            as_of_ms: self.list.time.unix_ms() - self.list.lag_ms.load(Ordering::SeqCst),
+            as_of_ms: self.list.time.unix_ms() - self.list.delay_ms.load(Ordering::SeqCst),
             entries: self.list.entries_for(&self.vm),
         };
         self.switch.pass();
@@ -128,7 +128,7 @@
     }
 }
 
-/// `IdleWeightStore` is a weight store that nobody uses.
+/// Weight store without active loads.
 pub struct IdleWeightStore;
 
 impl WeightStore for IdleWeightStore {
--- a/crates/node/tests/unload_faults.rs
+++ b/crates/node/tests/unload_faults.rs
@@ -1,4 +1,4 @@
-//! Unloads whose order gets no answer.
+//! Unload orders without an answer.
 
 mod support;
 
@@ -9,21 +9,21 @@
 use support::world::Cluster;
 use support::world::engine_address;
 
-/// How long a replica must have been idle to be unloaded, in milliseconds, with something over.
+/// Idle time after which a replica is unloaded, with a margin, in milliseconds.
 const IDLE_MS: u64 = 700_000;
 
-/// Symptom: a replica that nobody uses stays for ever, or counts as loaded where it is gone. Sequence:
-/// the order to unload it, its answer, or the engine with it, is lost. Cause: the unload stays open, or
-/// is taken for done or for failed without a look at the engine.
+/// Guards against an unused replica that stays for ever, or that counts as loaded after it is gone.
+/// The unload order, its answer, or the engine with it, is lost; the unload must be settled by the
+/// engine's status.
 #[rstest]
-fn an_unload_without_an_answer_comes_to_its_end(
+fn unanswered_unload_settles(
     #[values(OrderFault::LoseOrder, OrderFault::LoseAnswer, OrderFault::Die)] fault: OrderFault,
     #[values(true, false)] checks_fence: bool,
 ) {
     let cluster = Cluster::start(2, 1, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     (0..2).for_each(|node| cluster.wait_replayed(node));
     world.engines.fault(fault);
     world.time.advance(IDLE_MS);
@@ -34,20 +34,19 @@
         let memory = world.state().memory(&"engine-0".into());
         memory.is_some_and(|memory| memory.free_bytes() == memory.capacity_bytes)
     });
-    cluster.nodes[1].caller.complete(&model).expect_whole();
+    cluster.nodes[1].caller.complete(&model).expect_complete();
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
     assert_eq!(world.load_orders(&model), 2);
 }
 
-/// Symptom: a replica that is used again is unloaded under its callers, or requests are refused.
-/// Sequence: requests come while the order to unload waits at the engine. Cause: the replica is still
-/// routed to, or the request does not wait for the load after it.
+/// Guards against a replica that is unloaded while requests use it, and against refused requests.
+/// The requests come while the unload order waits at the engine; they must wait for the next load.
 #[test]
-fn a_request_during_an_unload_waits_for_the_next_load() {
+fn request_during_unload() {
     let cluster = Cluster::start(2, 1, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].caller.complete(&model).expect_whole();
+    cluster.nodes[0].caller.complete(&model).expect_complete();
     (0..2).for_each(|node| cluster.wait_replayed(node));
     world.engines.hold_orders(engine_address(0), true);
     world.time.advance(IDLE_MS);
@@ -59,7 +58,7 @@
     });
     world.engines.hold_orders(engine_address(0), false);
     for call in calls {
-        call.reply().expect_whole();
+        call.reply().expect_complete();
     }
     assert_eq!((world.holders(&model), world.load_orders(&model)), (1, 2));
 }
--- a/crates/node/tests/silent_peer.rs
+++ b/crates/node/tests/unresponsive_peer.rs
@@ -1,4 +1,4 @@
-//! What a daemon does while another that it would ask is silent.
+//! A daemon while a peer that it would ask does not respond.
 
 mod support;
 
@@ -8,19 +8,18 @@
 use support::world::Cluster;
 use support::world::model_spec;
 
-/// Symptom: nothing is decided on some models, or no configuration comes into force, while one VM
-/// stands still. Sequence: a VM freezes, and is still listed as live; models that it decides on first
-/// are called elsewhere. Cause: the others wait for it.
+/// Guards against decisions and configuration changes that wait for a paused VM. The VM is still
+/// listed as live, and models for which it is the preferred one are called at other VMs.
 #[test]
-fn a_silent_daemon_holds_up_no_decision() {
+fn decisions_despite_pause() {
     let cluster = Cluster::start(3, 2, true);
     let model = cluster.model_preferring(0);
     cluster.nodes[0].switch.freeze();
     let [one, other] = [1, 2].map(|node| &cluster.nodes[node]);
-    one.caller.complete(&model).expect_whole();
-    other.caller.complete(&model).expect_whole();
-    one.caller.book("key").expect_whole();
-    wait_until("the booking to be known", || {
+    one.caller.complete(&model).expect_complete();
+    other.caller.complete(&model).expect_complete();
+    one.caller.book("key").expect_complete();
+    wait_until("the booking to be replayed", || {
         other.caller.book("key").replayed
     });
     let version = one.publish_again(cluster.version);
@@ -29,16 +28,19 @@
     assert_eq!(cluster.world.service.effects_of("key"), 1);
 }
 
-/// Symptom: a VM that stood still serves an old configuration after it wakes up. Sequence: a model is
-/// added while the VM is frozen. Cause: it takes requests before it has replayed what it missed.
+/// Guards against a VM that serves an old configuration after a pause, in which a model was added.
+/// It must not accept requests before it has replayed what it missed.
 #[test]
-fn a_daemon_that_wakes_learns_what_it_missed() {
+fn resumed_daemon_catches_up() {
     let cluster = Cluster::start(2, 1, true);
     let woken = &cluster.nodes[1];
     woken.switch.freeze();
     let edit = ConfigEdit::PutModel(model_spec("new-model"));
     cluster.nodes[0].publish(cluster.version, vec![edit]);
-    cluster.nodes[0].caller.complete("new-model").expect_whole();
+    cluster.nodes[0]
+        .caller
+        .complete("new-model")
+        .expect_complete();
     woken.switch.thaw();
     wait_until("the new model to be served", || {
         woken.caller.complete("new-model").status == 200
