--- a/crates/settings/src/checks.rs
+++ b/crates/settings/src/checks.rs
@@ -5,56 +5,56 @@
 use crate::problem::Problem;
 use crate::values::Values;
 
-type Place = (&'static str, &'static str);
+type KeyPath = (&'static str, &'static str);
 
-const LISTENERS: [Place; 3] = [
+const LISTENERS: [KeyPath; 3] = [
     ("listen", "callers"),
     ("listen", "peers"),
     ("listen", "admin"),
 ];
 
-const REMOTES: [Place; 3] = [
+const REMOTES: [KeyPath; 3] = [
     ("platform", "log"),
     ("platform", "weights"),
     ("platform", "vm_list"),
 ];
 
-/// `AtLeast` says that one value must not be below another, and why.
-struct AtLeast {
-    high: Place,
-    low: Place,
+/// `MinimumRule` says that one value must not be below another, and why.
+struct MinimumRule {
+    bounded: KeyPath,
+    minimum: KeyPath,
     reason: &'static str,
 }
 
-const AT_LEAST: &[AtLeast] = &[
-    AtLeast {
-        high: ("callers", "idle_timeout_ms"),
-        low: ("callers", "head_timeout_ms"),
+const MINIMUM_RULES: &[MinimumRule] = &[
+    MinimumRule {
+        bounded: ("callers", "idle_timeout_ms"),
+        minimum: ("callers", "head_timeout_ms"),
         reason: "or a kept connection is closed while its next request arrives",
     },
-    AtLeast {
-        high: ("callers", "body_timeout_ms"),
-        low: ("callers", "head_timeout_ms"),
+    MinimumRule {
+        bounded: ("callers", "body_timeout_ms"),
+        minimum: ("callers", "head_timeout_ms"),
         reason: "or a body has less time than its head",
     },
-    AtLeast {
-        high: ("callers", "max_body_bytes"),
-        low: ("callers", "max_head_bytes"),
+    MinimumRule {
+        bounded: ("callers", "max_body_bytes"),
+        minimum: ("callers", "max_head_bytes"),
         reason: "or a head may be larger than a body",
     },
-    AtLeast {
-        high: ("peers", "heartbeat_interval_ms"),
-        low: ("peers", "timeout_ms"),
+    MinimumRule {
+        bounded: ("peers", "heartbeat_interval_ms"),
+        minimum: ("peers", "timeout_ms"),
         reason: "or heartbeats to a silent peer pile up",
     },
-    AtLeast {
-        high: ("upstreams", "load_timeout_ms"),
-        low: ("upstreams", "report_interval_ms"),
+    MinimumRule {
+        bounded: ("upstreams", "load_timeout_ms"),
+        minimum: ("upstreams", "report_interval_ms"),
         reason: "or an order is given up before the engine's next report",
     },
-    AtLeast {
-        high: ("drain", "grace_ms"),
-        low: ("callers", "max_timeout_ms"),
+    MinimumRule {
+        bounded: ("drain", "grace_ms"),
+        minimum: ("callers", "max_timeout_ms"),
         reason: "or a planned stop cuts off a request in progress",
     },
 ];
@@ -65,20 +65,20 @@
     check_listeners(values, &mut problems);
     check_remotes(values, &mut problems);
     check_streams(values, &mut problems);
-    for rule in AT_LEAST {
-        check_at_least(values, rule, &mut problems);
+    for rule in MINIMUM_RULES {
+        check_minimum(values, rule, &mut problems);
     }
     problems
 }
 
 fn check_listeners(values: &Values, problems: &mut Vec<Problem>) {
-    for (index, place) in LISTENERS.iter().enumerate() {
+    for (index, key_path) in LISTENERS.iter().enumerate() {
         for earlier in &LISTENERS[..index] {
-            let addresses = (address(values, *place), address(values, *earlier));
+            let addresses = (address(values, *key_path), address(values, *earlier));
             match addresses {
-                (Some(one), Some(other)) if overlap(one, other) => {
+                (Some(one), Some(other)) if sockets_conflict(one, other) => {
                     let allowed = format!("listens where {} does", earlier.1);
-                    problems.push(address_problem(values, *place, one, allowed));
+                    problems.push(address_problem(values, *key_path, one, allowed));
                 }
                 _ => {}
             }
@@ -87,13 +87,13 @@
 }
 
 fn check_remotes(values: &Values, problems: &mut Vec<Problem>) {
-    for place in REMOTES {
+    for key_path in REMOTES {
         for listener in LISTENERS {
-            let addresses = (address(values, place), address(values, listener));
+            let addresses = (address(values, key_path), address(values, listener));
             match addresses {
                 (Some(remote), Some(own)) if remote == own => {
                     let allowed = format!("is where this daemon itself listens ({})", listener.1);
-                    problems.push(address_problem(values, place, remote, allowed));
+                    problems.push(address_problem(values, key_path, remote, allowed));
                 }
                 _ => {}
             }
@@ -134,51 +134,56 @@
     number.is_some_and(|number| number.bytes().all(|byte| byte.is_ascii_digit()))
 }
 
-fn check_at_least(values: &Values, rule: &AtLeast, problems: &mut Vec<Problem>) {
+fn check_minimum(values: &Values, rule: &MinimumRule, problems: &mut Vec<Problem>) {
     let numbers = (
-        values.number(rule.high.0, rule.high.1),
-        values.number(rule.low.0, rule.low.1),
+        values.number(rule.bounded.0, rule.bounded.1),
+        values.number(rule.minimum.0, rule.minimum.1),
     );
-    let (Some(high), Some(low)) = numbers else {
+    let (Some(bounded), Some(minimum)) = numbers else {
         return;
     };
-    if high >= low {
+    if bounded >= minimum {
         return;
     }
-    let (section, name) = rule.low;
+    let (section, name) = rule.minimum;
     problems.push(Problem::of_key(
-        rule.high.0,
-        rule.high.1,
-        Some(&high.to_string()),
+        rule.bounded.0,
+        rule.bounded.1,
+        Some(&bounded.to_string()),
         // Where the higher value is a default, the line of the lower one is what was written.
         values
-            .line(rule.high.0, rule.high.1)
+            .line(rule.bounded.0, rule.bounded.1)
             .or_else(|| values.line(section, name)),
         format!(
-            "must be at least [{section}] {name} = {low}, {}",
+            "must be at least [{section}] {name} = {minimum}, {}",
             rule.reason
         ),
     ));
 }
 
-fn address(values: &Values, place: Place) -> Option<SocketAddr> {
-    values.address(place.0, place.1)
+fn address(values: &Values, key_path: KeyPath) -> Option<SocketAddr> {
+    values.address(key_path.0, key_path.1)
 }
 
 /// Returns whether two listeners would want the same socket. Port 0 takes any free one.
-fn overlap(one: SocketAddr, other: SocketAddr) -> bool {
+fn sockets_conflict(one: SocketAddr, other: SocketAddr) -> bool {
     if one.port() == 0 || one.port() != other.port() {
         return false;
     }
     one.ip() == other.ip() || one.ip().is_unspecified() || other.ip().is_unspecified()
 }
 
-fn address_problem(values: &Values, place: Place, address: SocketAddr, allowed: String) -> Problem {
+fn address_problem(
+    values: &Values,
+    key_path: KeyPath,
+    address: SocketAddr,
+    allowed: String,
+) -> Problem {
     Problem::of_key(
-        place.0,
-        place.1,
+        key_path.0,
+        key_path.1,
         Some(&address.to_string()),
-        values.line(place.0, place.1),
+        values.line(key_path.0, key_path.1),
         allowed,
     )
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -79,48 +79,48 @@
     fn of(text: &str) -> Self {
         let mut scan = Self::default();
         let mut section = String::new();
-        let mut heads = 0;
+        let mut occurrence = 0;
         let text = text.trim_start_matches(BYTE_ORDER_MARK);
         for (index, line) in text.lines().enumerate() {
             let number = index + 1;
             let line = line.trim();
             match line.split_once(['=', ':']) {
-                _ if line.is_empty() || line.starts_with([';', '#']) => scan.blank(),
+                _ if line.is_empty() || line.starts_with([';', '#']) => scan.push_blank_line(),
                 _ if line.starts_with('[') && line.ends_with(']') => {
                     section = line[1..line.len() - 1].trim().to_owned();
                     let lines = scan.section_lines.entry(section.clone()).or_default();
                     lines.push(number);
-                    heads = lines.len();
-                    scan.keep(line);
+                    occurrence = lines.len();
+                    scan.push_line(line);
                 }
                 Some((key, _)) if !key.trim().is_empty() && !line.starts_with('[') => {
                     let key = key.trim().to_owned();
                     scan.entry_lines
-                        .entry((section.clone(), heads, key))
+                        .entry((section.clone(), occurrence, key))
                         .or_default()
                         .push(number);
-                    scan.keep(line);
+                    scan.push_line(line);
                 }
-                _ => scan.unreadable(&section, number, line),
+                _ => scan.reject_line(&section, number, line),
             }
         }
         scan
     }
 
-    fn keep(&mut self, line: &str) {
+    fn push_line(&mut self, line: &str) {
         self.readable.push_str(line);
         self.readable.push('\n');
     }
 
-    fn blank(&mut self) {
+    fn push_blank_line(&mut self) {
         self.readable.push('\n');
     }
 
-    fn unreadable(&mut self, section: &str, number: usize, line: &str) {
+    fn reject_line(&mut self, section: &str, number: usize, line: &str) {
         let allowed = format!("{line:?} is neither a comment, a [section] nor key = value");
         let problem = Problem::of_section(section, Some(number), allowed);
         self.problems.push(problem);
-        self.blank();
+        self.push_blank_line();
     }
 
     fn document(&self, ini: &Ini) -> Document {
@@ -128,16 +128,16 @@
         let mut seen: HashMap<&str, usize> = HashMap::new();
         for (name, properties) in ini.iter() {
             let name = name.unwrap_or_default();
-            let heads = seen.entry(name).or_default();
+            let occurrence = seen.entry(name).or_default();
             if !name.is_empty() {
-                *heads += 1;
+                *occurrence += 1;
             }
-            let entries: Vec<Entry> = self.entries(name, *heads, properties);
+            let entries: Vec<Entry> = self.entries(name, *occurrence, properties);
             if name.is_empty() && entries.is_empty() {
                 continue;
             }
             let line = match self.section_lines.get(name) {
-                Some(lines) if *heads > 0 => lines[*heads - 1],
+                Some(lines) if *occurrence > 0 => lines[*occurrence - 1],
                 _ => 1,
             };
             sections.push(Section {
@@ -150,13 +150,18 @@
         Document { sections }
     }
 
-    fn entries(&self, section: &str, heads: usize, properties: &ini::Properties) -> Vec<Entry> {
+    fn entries(
+        &self,
+        section: &str,
+        occurrence: usize,
+        properties: &ini::Properties,
+    ) -> Vec<Entry> {
         let mut seen: HashMap<&str, usize> = HashMap::new();
         let mut entries = Vec::new();
         for (key, value) in properties.iter() {
             let count = seen.entry(key).or_default();
-            let place = (section.to_owned(), heads, key.to_owned());
-            let lines = self.entry_lines.get(&place);
+            let entry_id = (section.to_owned(), occurrence, key.to_owned());
+            let lines = self.entry_lines.get(&entry_id);
             let line = lines.and_then(|lines| lines.get(*count)).copied();
             *count += 1;
             entries.push(Entry {
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -35,7 +35,7 @@
     pub(crate) name: &'static str,
     pub(crate) kind: Kind,
     pub(crate) default: DefaultValue,
-    pub(crate) about: &'static str,
+    pub(crate) description: &'static str,
 }
 
 impl Key {
@@ -56,9 +56,11 @@
             DefaultValue::Unset => "unset".to_owned(),
             DefaultValue::Text(text) => format!("`{text}`"),
         };
-        let Self { name, about, .. } = self;
+        let Self {
+            name, description, ..
+        } = self;
         let allowed = self.kind.allowed();
-        format!("| `{name}` | {about} | {allowed} | {default} |")
+        format!("| `{name}` | {description} | {allowed} | {default} |")
     }
 }
 
@@ -67,14 +69,14 @@
     name: &'static str,
     kind: Kind,
     default: DefaultValue,
-    about: &'static str,
+    description: &'static str,
 ) -> Key {
     Key {
         section,
         name,
         kind,
         default,
-        about,
+        description,
     }
 }
 
@@ -394,7 +396,7 @@
 }
 
 /// Returns the names of a section's keys.
-pub(crate) fn names_of(section: &str) -> Vec<&'static str> {
+pub(crate) fn key_names(section: &str) -> Vec<&'static str> {
     KEYS.iter()
         .filter(|key| key.section == section)
         .map(|key| key.name)
--- a/crates/settings/src/kind.rs
+++ b/crates/settings/src/kind.rs
@@ -91,7 +91,7 @@
             Self::Milliseconds { min, max }
             | Self::Bytes { min, max }
             | Self::Count { min, max } => {
-                let number = whole_number(text)?;
+                let number = parse_digits(text)?;
                 (min..=max)
                     .contains(&number)
                     .then_some(Value::Number(number))
@@ -99,7 +99,7 @@
             Self::Word(words) => words.contains(&text).then(|| Value::Text(text.to_owned())),
             Self::Path => (!text.is_empty()).then(|| Value::Text(text.to_owned())),
             Self::ClusterKey => ClusterKey::from_hex(text).map(Value::Key),
-            Self::Seed => whole_number(text).map(Value::Number),
+            Self::Seed => parse_digits(text).map(Value::Number),
         }
     }
 }
@@ -111,7 +111,7 @@
 
 /// Returns the number that decimal digits stand for. A sign is not allowed, which the standard
 /// library's own reading would let pass.
-fn whole_number(text: &str) -> Option<u64> {
+fn parse_digits(text: &str) -> Option<u64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
     }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -253,7 +253,7 @@
             cluster_key: key.clone(),
             heartbeat_interval_ms: number(values, "peers", "heartbeat_interval_ms"),
             timeout_ms: number(values, "peers", "timeout_ms"),
-            suspect_after_missed: small(values, "peers", "suspect_after_missed"),
+            suspect_after_missed: number_u32(values, "peers", "suspect_after_missed"),
         }
     }
 }
@@ -261,10 +261,10 @@
 impl CallerSettings {
     fn of(values: &Values) -> Self {
         Self {
-            max_connections: size(values, "callers", "max_connections"),
-            max_head_bytes: size(values, "callers", "max_head_bytes"),
-            max_headers: size(values, "callers", "max_headers"),
-            max_body_bytes: size(values, "callers", "max_body_bytes"),
+            max_connections: number_usize(values, "callers", "max_connections"),
+            max_head_bytes: number_usize(values, "callers", "max_head_bytes"),
+            max_headers: number_usize(values, "callers", "max_headers"),
+            max_body_bytes: number_usize(values, "callers", "max_body_bytes"),
             head_timeout_ms: number(values, "callers", "head_timeout_ms"),
             body_timeout_ms: number(values, "callers", "body_timeout_ms"),
             idle_timeout_ms: number(values, "callers", "idle_timeout_ms"),
@@ -306,11 +306,11 @@
         .expect("a number with a default was read")
 }
 
-fn small(values: &Values, section: &'static str, name: &'static str) -> u32 {
+fn number_u32(values: &Values, section: &'static str, name: &'static str) -> u32 {
     u32::try_from(number(values, section, name)).expect("small counts are below 32 bits")
 }
 
-fn size(values: &Values, section: &'static str, name: &'static str) -> usize {
+fn number_usize(values: &Values, section: &'static str, name: &'static str) -> usize {
     usize::try_from(number(values, section, name)).expect("sizes are below 32 bits")
 }
 
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -15,15 +15,15 @@
 use crate::problem::Problem;
 
 /// What stands in a message in place of a secret.
-const HIDDEN: &str = "(hidden)";
+const SECRET_PLACEHOLDER: &str = "(hidden)";
 
-type Place = (&'static str, &'static str);
+type KeyPath = (&'static str, &'static str);
 
 /// `Values` are the values that could be read, given or by default.
 #[derive(Debug, Default)]
 pub(crate) struct Values {
-    values: HashMap<Place, Value>,
-    lines: HashMap<Place, usize>,
+    values: HashMap<KeyPath, Value>,
+    lines: HashMap<KeyPath, usize>,
 }
 
 impl Values {
@@ -32,22 +32,22 @@
     pub(crate) fn of(document: &Document) -> (Self, Vec<Problem>) {
         let mut values = Self::default();
         let mut problems = Vec::new();
-        let mut heads: HashMap<&str, usize> = HashMap::new();
+        let mut first_lines: HashMap<&str, usize> = HashMap::new();
         for section in &document.sections {
-            if let Some(first) = heads.insert(&section.name, section.line) {
+            if let Some(first) = first_lines.insert(&section.name, section.line) {
                 problems.push(Problem::of_section(
                     &section.name,
                     Some(section.line),
                     format!("the section stands already at line {first}; it may stand once"),
                 ));
             }
-            values.take_section(section, &mut problems);
+            values.read_section(section, &mut problems);
         }
-        values.fill_in(&mut problems);
+        values.apply_defaults(&mut problems);
         (values, problems)
     }
 
-    fn take_section(&mut self, section: &Section, problems: &mut Vec<Problem>) {
+    fn read_section(&mut self, section: &Section, problems: &mut Vec<Problem>) {
         if !keys::is_section(&section.name) {
             let allowed = format!(
                 "unknown section; allowed are {}",
@@ -59,15 +59,15 @@
         }
         for entry in &section.entries {
             match keys::find(&section.name, &entry.key) {
-                Some(key) => self.take_entry(key, entry, problems),
+                Some(key) => self.read_entry(key, entry, problems),
                 None => problems.push(unknown_key(section, entry)),
             }
         }
     }
 
-    fn take_entry(&mut self, key: &Key, entry: &Entry, problems: &mut Vec<Problem>) {
+    fn read_entry(&mut self, key: &Key, entry: &Entry, problems: &mut Vec<Problem>) {
         let shown = if key.kind.is_secret() {
-            HIDDEN
+            SECRET_PLACEHOLDER
         } else {
             &entry.value
         };
@@ -80,25 +80,25 @@
                 allowed,
             )
         };
-        let place = (key.section, key.name);
-        if let Some(first) = self.lines.get(&place) {
+        let key_path = (key.section, key.name);
+        if let Some(first) = self.lines.get(&key_path) {
             let allowed = format!("the key stands already at line {first}; it may stand once");
             problems.push(problem(allowed));
             return;
         }
-        self.lines.insert(place, entry.line);
+        self.lines.insert(key_path, entry.line);
         match key.kind.read(&entry.value) {
             Some(value) => {
-                self.values.insert(place, value);
+                self.values.insert(key_path, value);
             }
             None => problems.push(problem(format!("allowed is {}", key.kind.allowed()))),
         }
     }
 
-    fn fill_in(&mut self, problems: &mut Vec<Problem>) {
+    fn apply_defaults(&mut self, problems: &mut Vec<Problem>) {
         for key in KEYS {
-            let place = (key.section, key.name);
-            if self.lines.contains_key(&place) {
+            let key_path = (key.section, key.name);
+            if self.lines.contains_key(&key_path) {
                 continue;
             }
             match key.default {
@@ -112,7 +112,7 @@
                 )),
                 DefaultValue::Text(text) => {
                     let value = key.kind.read(text).expect("each default is allowed");
-                    self.values.insert(place, value);
+                    self.values.insert(key_path, value);
                 }
             }
         }
@@ -158,7 +158,7 @@
 
 fn unknown_key(section: &Section, entry: &Entry) -> Problem {
     // The value is not repeated: it may be the shared key below a name with a slip in it.
-    let known = keys::names_of(&section.name).join(", ");
+    let known = keys::key_names(&section.name).join(", ");
     Problem::of_key(
         &section.name,
         &entry.key,
--- a/crates/settings/tests/bad_settings.rs
+++ b/crates/settings/tests/bad_settings.rs
@@ -7,7 +7,7 @@
 use apricotdale_settings::Settings;
 use rstest::rstest;
 
-const GOOD: &str = "\
+const VALID_SETTINGS: &str = "\
 [vm]
 name = entry-1
 region = dk-east
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn minimal_settings_are_accepted() {
-    let settings = Settings::from_text(GOOD).expect("the settings are good");
+fn minimal_settings() {
+    let settings = Settings::from_text(VALID_SETTINGS).expect("the settings are good");
     assert_eq!(settings.vm.name.as_str(), "entry-1");
     assert_eq!(settings.platform.claim_streams.len(), 4);
     assert_eq!(settings.platform.claim_streams[3].as_str(), "claims-3");
@@ -50,7 +50,7 @@
 /// Symptom: an operator mends one setting, starts the daemon, and learns of the next one only
 /// then. Sequence: a file with several mistakes. Cause: checking stops at the first.
 #[test]
-fn every_problem_is_told_at_once() {
+fn all_problems_reported() {
     let text = "\
 [vm]
 name = entry 1
@@ -91,10 +91,13 @@
         "[vm] region: missing; allowed is a name",
         "[platform] vm_list: missing; allowed is an IP number",
     ];
-    let told = problems(text);
-    assert_eq!(told.len(), expected.len(), "{told:#?}");
-    for (told, expected) in told.iter().zip(expected) {
-        assert!(told.starts_with(expected), "{told:?} is not {expected:?}");
+    let reported = problems(text);
+    assert_eq!(reported.len(), expected.len(), "{reported:#?}");
+    for (reported, expected) in reported.iter().zip(expected) {
+        assert!(
+            reported.starts_with(expected),
+            "{reported:?} is not {expected:?}"
+        );
     }
 }
 
@@ -141,16 +144,19 @@
 )]
 #[case::one_heartbeat("peers", "suspect_after_missed = 1", "suspect_after_missed", "from 2")]
 #[case::weight("policies", "weight = 3", "weight", "unknown key")]
-fn value_is_rejected(
+fn invalid_value(
     #[case] section: &str,
     #[case] line: &str,
     #[case] key: &str,
     #[case] allowed: &str,
 ) {
-    let told = problems(&with_line(section, line));
-    assert_eq!(told.len(), 1, "{told:#?}");
-    assert!(told[0].contains(&format!("[{section}] {key}")), "{told:?}");
-    assert!(told[0].contains(allowed), "{told:?}");
+    let reported = problems(&with_line(section, line));
+    assert_eq!(reported.len(), 1, "{reported:#?}");
+    assert!(
+        reported[0].contains(&format!("[{section}] {key}")),
+        "{reported:?}"
+    );
+    assert!(reported[0].contains(allowed), "{reported:?}");
 }
 
 #[rstest]
@@ -158,14 +164,14 @@
 #[case("retry", RETRY_POLICIES)]
 #[case("admission", ADMISSION_POLICIES)]
 #[case("placement", PLACEMENT_POLICIES)]
-fn unknown_policy_is_told_the_known_ones(#[case] key: &str, #[case] known: &[&str]) {
-    let told = problems(&with_line("policies", &format!("{key} = by-weight")));
+fn unknown_policy_name(#[case] key: &str, #[case] known: &[&str]) {
+    let reported = problems(&with_line("policies", &format!("{key} = by-weight")));
     let expected = format!(
         "[policies] {key} = \"by-weight\": allowed is one of {}",
         known.join(", ")
     );
-    assert_eq!(told.len(), 1, "{told:#?}");
-    assert!(told[0].ends_with(&expected), "{told:?}");
+    assert_eq!(reported.len(), 1, "{reported:#?}");
+    assert!(reported[0].ends_with(&expected), "{reported:?}");
 }
 
 #[rstest]
@@ -179,11 +185,11 @@
     "60000"
 )]
 #[case::drain("drain", "grace_ms = 599999", "max_timeout_ms = 600000")]
-fn combination_is_rejected(#[case] section: &str, #[case] lines: &str, #[case] low: &str) {
-    let told = problems(&with_line(section, lines));
-    assert_eq!(told.len(), 1, "{told:#?}");
-    assert!(told[0].contains("must be at least"), "{told:?}");
-    assert!(told[0].contains(low), "{told:?}");
+fn invalid_combination(#[case] section: &str, #[case] lines: &str, #[case] low: &str) {
+    let reported = problems(&with_line(section, lines));
+    assert_eq!(reported.len(), 1, "{reported:#?}");
+    assert!(reported[0].contains("must be at least"), "{reported:?}");
+    assert!(reported[0].contains(low), "{reported:?}");
 }
 
 #[rstest]
@@ -191,14 +197,14 @@
 #[case::any_address("0.0.0.0:8080", false)]
 #[case::other_port("10.0.0.1:8081", true)]
 #[case::other_address("10.0.0.2:8080", true)]
-fn listeners_share_no_socket(#[case] peers: &str, #[case] accepted: bool) {
-    let text = GOOD.replace("10.0.0.1:7080", peers);
+fn listener_conflict(#[case] peers: &str, #[case] accepted: bool) {
+    let text = VALID_SETTINGS.replace("10.0.0.1:7080", peers);
     assert_eq!(Settings::from_text(&text).is_ok(), accepted);
 }
 
 #[test]
-fn listeners_may_all_take_any_free_port() {
-    let text = GOOD
+fn several_zero_ports() {
+    let text = VALID_SETTINGS
         .replace("10.0.0.1:8080", "127.0.0.1:0")
         .replace("10.0.0.1:7080", "127.0.0.1:0")
         .replace("10.0.0.1:9080", "127.0.0.1:0");
@@ -211,24 +217,24 @@
 #[rstest]
 #[case::bad_value("cluster_key = c0ffee", "c0ffee")]
 #[case::bad_name("cluster-key = c0ffee", "c0ffee")]
-fn secret_is_never_repeated(#[case] line: &str, #[case] secret: &str) {
-    let told = problems(&with_line("peers", line)).join("\n");
-    assert!(!told.contains(secret), "{told}");
+fn secret_not_printed(#[case] line: &str, #[case] secret: &str) {
+    let reported = problems(&with_line("peers", line)).join("\n");
+    assert!(!reported.contains(secret), "{reported}");
 }
 
 #[test]
-fn repeated_section_is_rejected() {
-    let told = problems(&format!("{GOOD}[vm]\n"));
-    assert_eq!(told.len(), 1, "{told:#?}");
-    assert!(told[0].starts_with("line 17: [vm]: the section stands already at line 1"));
+fn duplicate_section() {
+    let reported = problems(&format!("{VALID_SETTINGS}[vm]\n"));
+    assert_eq!(reported.len(), 1, "{reported:#?}");
+    assert!(reported[0].starts_with("line 17: [vm]: the section stands already at line 1"));
 }
 
 #[test]
-fn missing_file_is_one_problem() {
+fn missing_file() {
     let path = std::path::Path::new("no-such-folder/daemon.ini");
-    let told = Settings::from_file(path).expect_err("there is no file");
-    assert_eq!(told.len(), 1);
-    assert!(told[0].to_string().contains("can't be read"));
+    let reported = Settings::from_file(path).expect_err("there is no file");
+    assert_eq!(reported.len(), 1);
+    assert!(reported[0].to_string().contains("can't be read"));
 }
 
 /// Returns good settings with a line that stands first in its section and replaces the line of the
@@ -236,7 +242,7 @@
 fn with_line(section: &str, line: &str) -> String {
     let key = line.split('=').next().unwrap_or_default().trim();
     let head = format!("[{section}]");
-    let kept = GOOD
+    let kept = VALID_SETTINGS
         .lines()
         .scan(String::new(), |current, text| {
             if text.starts_with('[') {
--- a/crates/settings/tests/example_settings.rs
+++ b/crates/settings/tests/example_settings.rs
@@ -12,7 +12,7 @@
 #[case("scaravilli", "catania", "magazzino-nord")]
 #[case("scaravilli", "catania", "sala-taglio")]
 #[case("scaravilli", "catania", "ufficio-vecchio")]
-fn example_is_accepted(#[case] deployment: &str, #[case] region: &str, #[case] zone: &str) {
+fn example_accepted(#[case] deployment: &str, #[case] region: &str, #[case] zone: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
         .join(deployment)
--- a/crates/settings/tests/settings_page.rs
+++ b/crates/settings/tests/settings_page.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn page_has_the_row_of_every_key_in_its_section() {
+fn every_key_documented() {
     let page = page();
     let mut missing = Vec::new();
     for key in KEYS {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn page_has_no_row_of_a_key_that_is_gone() {
+fn no_extra_rows() {
     let rows = page()
         .lines()
         .filter(|line| line.starts_with("| `"))
