--- a/crates/settings/src/checks.rs
+++ b/crates/settings/src/checks.rs
@@ -1,4 +1,6 @@
-//! Combinations of values that can't work, though each value by itself is allowed.
+//! Checks of values that depend on each other.
+//!
+//! Each value can be allowed by itself and still be unusable together with another one.
 
 use std::net::SocketAddr;
 
@@ -19,10 +21,13 @@
     ("platform", "vm_list"),
 ];
 
-/// `MinimumRule` says that one value must not be below another, and why.
+/// Lower bound that one number takes from another one.
 struct MinimumRule {
+    /// Section and key of the number that is checked.
     bounded: KeyPath,
+    /// Section and key of the number that it must at least be equal to.
     minimum: KeyPath,
+    /// What goes wrong below the bound; the end of the message to the operator.
     reason: &'static str,
 }
 
@@ -30,36 +35,36 @@
     MinimumRule {
         bounded: ("callers", "idle_timeout_ms"),
         minimum: ("callers", "head_timeout_ms"),
-        reason: "or a kept connection is closed while its next request arrives",
+        reason: "otherwise an idle connection is closed while its next request arrives",
     },
     MinimumRule {
         bounded: ("callers", "body_timeout_ms"),
         minimum: ("callers", "head_timeout_ms"),
-        reason: "or a body has less time than its head",
+        reason: "otherwise a body has less time than its head",
     },
     MinimumRule {
         bounded: ("callers", "max_body_bytes"),
         minimum: ("callers", "max_head_bytes"),
-        reason: "or a head may be larger than a body",
+        reason: "otherwise a head may be larger than a body",
     },
     MinimumRule {
         bounded: ("peers", "heartbeat_interval_ms"),
         minimum: ("peers", "timeout_ms"),
-        reason: "or heartbeats to a silent peer pile up",
+        reason: "otherwise heartbeats to an unresponsive peer accumulate",
     },
     MinimumRule {
         bounded: ("upstreams", "load_timeout_ms"),
         minimum: ("upstreams", "report_interval_ms"),
-        reason: "or an order is given up before the engine's next report",
+        reason: "otherwise an order times out before the next report of its engine",
     },
     MinimumRule {
         bounded: ("drain", "grace_ms"),
         minimum: ("callers", "max_timeout_ms"),
-        reason: "or a planned stop cuts off a request in progress",
+        reason: "otherwise a planned stop cuts off a request in progress",
     },
 ];
 
-/// Returns the combinations that can't work.
+/// Returns a problem for each combination of values that can't work.
 pub(crate) fn check(values: &Values) -> Vec<Problem> {
     let mut problems = Vec::new();
     check_listeners(values, &mut problems);
@@ -77,7 +82,7 @@
             let addresses = (address(values, *key_path), address(values, *earlier));
             match addresses {
                 (Some(one), Some(other)) if sockets_conflict(one, other) => {
-                    let allowed = format!("listens where {} does", earlier.1);
+                    let allowed = format!("is the same socket as {}", earlier.1);
                     problems.push(address_problem(values, *key_path, one, allowed));
                 }
                 _ => {}
@@ -92,7 +97,7 @@
             let addresses = (address(values, key_path), address(values, listener));
             match addresses {
                 (Some(remote), Some(own)) if remote == own => {
-                    let allowed = format!("is where this daemon itself listens ({})", listener.1);
+                    let allowed = format!("is an address where this daemon itself listens ({})", listener.1);
                     problems.push(address_problem(values, key_path, remote, allowed));
                 }
                 _ => {}
@@ -101,7 +106,8 @@
     }
 }
 
-/// Checks that no two streams have one name: claims would be replayed as decisions.
+/// Checks that the names of all streams differ. Otherwise records of one kind, such as claims,
+/// would be replayed as another, such as decisions.
 fn check_streams(values: &Values, problems: &mut Vec<Problem>) {
     let control = values.text("platform", "control_stream");
     let snapshots = values.text("platform", "snapshot_stream");
@@ -120,7 +126,7 @@
             Some(stream) if is_claim_stream(stream, prefix) => problems.push(stream_problem(
                 values,
                 name,
-                "must not be named as a stream of claims is (claim_stream_prefix)",
+                "must not be the name of a claim stream (claim_stream_prefix and a number)",
             )),
             _ => {}
         }
@@ -150,7 +156,7 @@
         rule.bounded.0,
         rule.bounded.1,
         Some(&bounded.to_string()),
-        // Where the higher value is a default, the line of the lower one is what was written.
+        // If the bounded value is a default, the operator wrote only the line of the minimum.
         values
             .line(rule.bounded.0, rule.bounded.1)
             .or_else(|| values.line(section, name)),
@@ -165,7 +171,8 @@
     values.address(key_path.0, key_path.1)
 }
 
-/// Returns whether two listeners would want the same socket. Port 0 takes any free one.
+/// Returns whether two listeners would bind the same socket. Port 0 means any free port and
+/// conflicts with nothing.
 fn sockets_conflict(one: SocketAddr, other: SocketAddr) -> bool {
     if one.port() == 0 || one.port() != other.port() {
         return false;
--- a/crates/settings/tests/bad_settings.rs
+++ b/crates/settings/tests/bad_settings.rs
@@ -78,10 +78,10 @@
     let expected = [
         "line 2: [vm] name = \"entry 1\": allowed is a name",
         "line 5: [listen] callers = \"localhost:8080\": allowed is an IP number",
-        "line 7: [listen] admin = \"10.0.0.1:9080\": listens where peers does",
+        "line 7: [listen] admin = \"10.0.0.1:9080\": is the same socket as peers",
         "line 8: [listen]: \"nonsense\" is neither a comment, a [section] nor key = value",
         "line 11: [platform] weights = \"10.0.9.2:0\": allowed is an IP number",
-        "line 12: [platform] control_stream = \"claims-2\": must not be named as",
+        "line 12: [platform] control_stream = \"claims-2\": must not be the name of a claim stream",
         "line 14: [peers] cluster_key = \"(hidden)\": allowed is at least 64 hexadecimal",
         "line 15: [peers] heartbeat_interval_s: unknown key; allowed are cluster_key,",
         "line 18: [callers] head_timeout_ms = \"10s\": allowed is a whole number of milliseconds",
