--- a/crates/settings/src/checks.rs
+++ b/crates/settings/src/checks.rs
@@ -97,7 +97,10 @@
             let addresses = (address(values, key_path), address(values, listener));
             match addresses {
                 (Some(remote), Some(own)) if remote == own => {
-                    let allowed = format!("is an address where this daemon itself listens ({})", listener.1);
+                    let allowed = format!(
+                        "is an address where this daemon itself listens ({})",
+                        listener.1
+                    );
                     problems.push(address_problem(values, key_path, remote, allowed));
                 }
                 _ => {}
