--- a/crates/settings/src/cluster_key.rs
+++ b/crates/settings/src/cluster_key.rs
@@ -1,19 +1,22 @@
-//! The key that the daemons of one deployment share.
+//! Secret key that the daemons of one deployment share.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// The shortest key.
+/// Shortest key that is accepted, in bytes.
 pub(crate) const MIN_KEY_BYTES: usize = 32;
 
-/// `ClusterKey` is the key with which daemons authenticate their messages to each other. It is
-/// never shown.
+/// Key with which the daemons of a deployment authenticate their messages to each other.
+///
+/// `Debug` hides the bytes, so that the key does not reach a log.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ClusterKey(Arc<[u8]>);
 
 impl ClusterKey {
-    /// Returns the key that a text of hexadecimal digits stands for, or none if it is too short,
-    /// no such text, or one byte repeated.
+    /// Parses a key of hexadecimal digits.
+    ///
+    /// Returns `None` if the text has any other character, an odd number of digits or fewer than
+    /// 64, or if the key is one byte repeated, as a placeholder would be.
     pub fn from_hex(text: &str) -> Option<Self> {
         let digits: Vec<u8> = text
             .chars()
@@ -32,7 +35,7 @@
         Some(Self(Arc::from(bytes)))
     }
 
-    /// Returns the key's bytes.
+    /// Returns the secret bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
