--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,8 +1,8 @@
-//! Reading an INI file with the line of each entry.
+//! Parser of INI files that keeps the line number of each entry.
 //!
-//! `rust-ini` reads the values. It stops at the first line that it can't read and keeps no line
-//! numbers, so a scan of the lines comes first: it finds the lines that are no INI, which are
-//! reported and blanked out, and the line of each entry.
+//! `rust-ini` parses the values. It stops at the first line that it can't parse and keeps no line
+//! numbers. A scan of the lines therefore comes first: it records the line of each entry, reports
+//! the lines that are not valid INI, and replaces them by empty lines.
 
 use std::collections::HashMap;
 
@@ -11,48 +11,51 @@
 
 use crate::problem::Problem;
 
-/// What some editors write at the beginning of a file.
+/// Byte order mark, which some editors write at the beginning of a file.
 const BYTE_ORDER_MARK: char = '\u{feff}';
 
-/// `Entry` is one `key = value` of a file.
+/// One `key = value` line of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The key.
+    /// Text before the `=` or `:`, without the spaces around it.
     pub key: String,
-    /// The value, without the spaces around it.
+    /// Text behind the `=` or `:` up to the end of the line, without the spaces around it.
     pub value: String,
-    /// The line, from one.
+    /// Line number, from 1.
     pub line: usize,
 }
 
-/// `Section` is one section of a file.
+/// One section of a file: its `[name]` line and the entries below.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
-    /// The name, empty for entries before the first section.
+    /// Name between the brackets, empty for the entries before the first section.
     pub name: String,
-    /// The line of its head, from one.
+    /// Line number of the `[name]` line, from 1; also 1 for the entries before the first section.
     pub line: usize,
-    /// Its entries, in order.
+    /// Entries in the order of their lines.
     pub entries: Vec<Entry>,
 }
 
-/// `Document` is an INI file.
+/// Sections and entries of an INI file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Document {
-    /// The sections, in order. Sections of the same name stand one by one.
+    /// Sections in the order of their lines. Sections of the same name are not merged.
     pub sections: Vec<Section>,
 }
 
 #[derive(Default)]
 struct Scan {
+    /// Text for `rust-ini`: the valid lines, and an empty one for each other line.
     readable: String,
+    /// Line numbers of the `[name]` lines, by name.
     section_lines: HashMap<String, Vec<usize>>,
+    /// Line numbers of the entries, by section name, how often the section had begun, and key.
     entry_lines: HashMap<(String, usize, String), Vec<usize>>,
     problems: Vec<Problem>,
 }
 
 impl Document {
-    /// Returns a file's sections, and a problem for each line that is no INI.
+    /// Parses a file, and returns a problem for each line that is not valid INI.
     ///
     /// A value runs to the end of its line: there are no quotes, no escapes and no comments behind
     /// a value.
