--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,4 +1,4 @@
-//! Every key of the settings.
+//! Table of all settings keys, with their types, defaults and descriptions.
 
 use apricotdale_admission::ADMISSION_POLICIES;
 use apricotdale_placement::PLACEMENT_POLICIES;
@@ -14,21 +14,21 @@
 const HOUR_MS: u64 = 60 * MINUTE_MS;
 const MIB: u64 = 1024 * 1024;
 
-/// Levels of the log, most severe first.
+/// Log levels, most severe first.
 const LOG_LEVELS: &[&str] = &["error", "warn", "info", "debug", "trace"];
 
-/// `DefaultValue` says what holds where a key is missing.
+/// Value that applies if a key is not in the file.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum DefaultValue {
-    /// The key must be given.
+    /// None: the file must have the key.
     Required,
-    /// Nothing is set; the key's description says what that means.
+    /// None: the key's description says what applies instead.
     Unset,
-    /// This value.
+    /// This text, parsed like a value of the file.
     Text(&'static str),
 }
 
-/// `Key` is one key of the settings.
+/// One key that a settings file may have.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
     pub(crate) section: &'static str,
@@ -39,17 +39,17 @@
 }
 
 impl Key {
-    /// Returns the section.
+    /// Returns the name of the section that the key belongs to.
     pub fn section(&self) -> &'static str {
         self.section
     }
 
-    /// Returns the key.
+    /// Returns the name of the key within its section.
     pub fn name(&self) -> &'static str {
         self.name
     }
 
-    /// Returns the row of the key in `docs/SETTINGS.md`.
+    /// Returns the key's table row as it stands in `docs/SETTINGS.md`.
     pub fn row(&self) -> String {
         let default = match self.default {
             DefaultValue::Required => "required".to_owned(),
@@ -92,7 +92,7 @@
     Kind::Count { min, max }
 }
 
-/// Lists every key, section by section.
+/// All keys, grouped by section.
 pub const KEYS: &[Key] = &[
     key(
         "vm",
@@ -384,18 +384,18 @@
     ),
 ];
 
-/// Returns whether a section is known.
+/// Returns whether a section of this name has any key.
 pub(crate) fn is_section(name: &str) -> bool {
     KEYS.iter().any(|key| key.section == name)
 }
 
-/// Returns the key of a section, or none if it is not known.
+/// Looks up a key, or returns `None` if it is unknown.
 pub(crate) fn find(section: &str, name: &str) -> Option<&'static Key> {
     KEYS.iter()
         .find(|key| key.section == section && key.name == name)
 }
 
-/// Returns the names of a section's keys.
+/// Returns the names of a section's keys, in the order of [`KEYS`].
 pub(crate) fn key_names(section: &str) -> Vec<&'static str> {
     KEYS.iter()
         .filter(|key| key.section == section)
@@ -403,7 +403,7 @@
         .collect()
 }
 
-/// Returns the sections, in order.
+/// Returns the names of all sections, in the order of [`KEYS`].
 pub(crate) fn sections() -> Vec<&'static str> {
     let mut sections: Vec<&str> = KEYS.iter().map(|key| key.section).collect();
     sections.dedup();
