--- a/crates/settings/src/kind.rs
+++ b/crates/settings/src/kind.rs
@@ -1,53 +1,53 @@
-//! Kinds of values: what each allows and how it is read.
+//! Types of setting values: which texts each type allows, and how they are parsed.
 
 use std::net::SocketAddr;
 
 use crate::cluster_key::ClusterKey;
 use crate::cluster_key::MIN_KEY_BYTES;
 
-/// The longest name.
+/// Longest name that is accepted, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// `Kind` is what a key's value must be.
+/// Type of a key's value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Kind {
-    /// A name of letters, digits, `-`, `_` and `.`.
+    /// Name of letters, digits, `-`, `_` and `.`.
     Name,
-    /// An IP number and a port, where the daemon listens. Port 0 takes any free port.
+    /// IP address and port on which the daemon listens. Port 0 means any free port.
     ListenAddress,
-    /// An IP number and a port, where something else listens.
+    /// IP address and port of a service that the daemon connects to.
     RemoteAddress,
-    /// A time in milliseconds.
+    /// Duration in milliseconds, within inclusive bounds.
     Milliseconds { min: u64, max: u64 },
-    /// A size in bytes.
+    /// Size in bytes, within inclusive bounds.
     Bytes { min: u64, max: u64 },
-    /// A count.
+    /// Number of things, within inclusive bounds.
     Count { min: u64, max: u64 },
-    /// One of some words.
+    /// One of the listed words.
     Word(&'static [&'static str]),
-    /// A path of a file.
+    /// Path of a file.
     Path,
-    /// The key that the daemons share.
+    /// Secret key that the daemons of the deployment share, in hexadecimal digits.
     ClusterKey,
-    /// The seed of the policies' random choices.
+    /// Seed of the policies' random choices.
     Seed,
 }
 
-/// `Value` is a value that has been read.
+/// Parsed value of a key.
 #[derive(Clone, Debug)]
 pub(crate) enum Value {
-    /// A name, a word or a path.
+    /// Name, word or path.
     Text(String),
-    /// An address.
+    /// Listen address or remote address.
     Address(SocketAddr),
-    /// A number.
+    /// Duration, size, count or seed.
     Number(u64),
-    /// The key that the daemons share.
+    /// Secret key that the daemons of the deployment share.
     Key(ClusterKey),
 }
 
 impl Kind {
-    /// Returns what is allowed, in words.
+    /// Describes the allowed values, for messages and for the rows of `docs/SETTINGS.md`.
     pub(crate) fn allowed(self) -> String {
         match self {
             Self::Name => format!("a name of 1 to {MAX_NAME_BYTES} letters, digits, - _ and ."),
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Returns whether a value must not be repeated in a message.
+    /// Returns whether messages must hide the value.
     pub(crate) fn is_secret(self) -> bool {
         matches!(self, Self::ClusterKey)
     }
 
-    /// Returns the value that a text stands for, or none if it is not allowed.
+    /// Parses a value, or returns `None` if the text is not allowed.
     pub(crate) fn read(self, text: &str) -> Option<Value> {
         match self {
             Self::Name => is_name(text).then(|| Value::Text(text.to_owned())),
@@ -109,8 +109,7 @@
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(allowed)
 }
 
-/// Returns the number that decimal digits stand for. A sign is not allowed, which the standard
-/// library's own reading would let pass.
+/// Parses decimal digits. Unlike `u64::from_str`, it rejects a leading `+`.
 fn parse_digits(text: &str) -> Option<u64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
