--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,12 @@
 //! Settings of a daemon, read from an INI file and checked as a whole.
 //!
-//! [`Settings::from_text`] returns either settings that can be used or every [`Problem`] at once.
-//! Nothing is started on settings with a problem. [`KEYS`] lists every key with its default and
-//! what it allows; `docs/SETTINGS.md` holds one row for each.
+//! [`Settings::from_text`] returns either settings that can be used or all [`Problem`]s of the
+//! text. A daemon does not start while its settings have a problem. [`KEYS`] lists every key with
+//! its default and the values that it allows; `docs/SETTINGS.md` has one row for each key.
 //!
-//! There is no setting by which work is steered: no weight, no choice of a VM, no address of an
-//! upstream. Operators steer only by the classes' targets, which are published and not set.
+//! No setting directs load: there are no weights, no pinned VMs and no addresses of upstreams.
+//! Operators influence routing only by the targets of the classes, which are part of the published
+//! configuration and not of these settings.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
