--- a/crates/settings/src/problem.rs
+++ b/crates/settings/src/problem.rs
@@ -1,24 +1,25 @@
-//! What is wrong with a file of settings.
+//! Problems of a settings file, as they are printed for the operator.
 
 use std::fmt;
 
-/// `Problem` is one thing that is wrong, told so that it can be mended without reading code.
+/// One fault of a settings file, with all that an operator needs to correct it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The line, from one, or none where something is missing.
+    /// Line number from 1, or `None` if the fault has no line, as with a missing key.
     pub line: Option<usize>,
-    /// The section.
+    /// Name of the section, empty if the problem belongs to none.
     pub section: String,
-    /// The key, or none where the section as a whole is meant.
+    /// Name of the key, or `None` if the problem is about the section as a whole.
     pub key: Option<String>,
-    /// The value as written, or none where there is none. A secret is never repeated.
+    /// Value as it is written in the file, or `None` if there is none to show. A placeholder stands
+    /// for a secret.
     pub value: Option<String>,
-    /// What is wrong and what is allowed.
+    /// Description of the fault, and of the values that are allowed.
     pub allowed: String,
 }
 
 impl Problem {
-    /// Returns a problem of a section.
+    /// Returns a problem that concerns a section as a whole.
     pub fn of_section(section: &str, line: Option<usize>, allowed: impl Into<String>) -> Self {
         Self {
             line,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Returns a problem of a key.
+    /// Returns a problem that concerns one key of a section.
     pub fn of_key(
         section: &str,
         key: &str,
