--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon.
+//! Settings of a daemon, in one struct for each section of the file.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -17,162 +17,164 @@
 use crate::problem::Problem;
 use crate::values::Values;
 
-/// `Settings` are the settings of a daemon, checked as a whole.
+/// All settings of a daemon, valid by themselves and together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The VM itself.
+    /// Section `[vm]`: identity of the VM.
     pub vm: VmSettings,
-    /// Where the daemon listens.
+    /// Section `[listen]`: addresses on which the daemon listens.
     pub listen: ListenSettings,
-    /// The platform.
+    /// Section `[platform]`: services of the platform.
     pub platform: PlatformSettings,
-    /// The other daemons.
+    /// Section `[peers]`: messages between the daemons.
     pub peers: PeerSettings,
-    /// Limits towards callers.
+    /// Section `[callers]`: limits for callers' connections and requests.
     pub callers: CallerSettings,
-    /// Limits towards upstreams.
+    /// Section `[upstreams]`: timeouts and intervals for upstreams.
     pub upstreams: UpstreamSettings,
-    /// The planned stop.
+    /// Section `[drain]`: planned stop.
     pub drain: DrainSettings,
-    /// The log of the daemon itself.
+    /// Section `[log]`: the daemon's log lines (the log service is in `platform`).
     pub log: LogSettings,
-    /// The policies.
+    /// Section `[policies]`: names of the policies.
     pub policies: PolicySettings,
 }
 
-/// `VmSettings` say which VM this is.
+/// Identity of the VM that the daemon runs on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmSettings {
-    /// The VM's name, as on the platform's list.
+    /// Name of the VM, as on the platform's VM list.
     pub name: VmName,
-    /// Its region.
+    /// Region of the VM.
     pub region: RegionName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
 }
 
-/// `ListenSettings` say where the daemon listens.
+/// Addresses on which the daemon listens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Address for requests of callers.
     pub callers: SocketAddr,
-    /// For the other daemons.
+    /// Address for messages of the other daemons.
     pub peers: SocketAddr,
-    /// For operators, health checks and metrics.
+    /// Address for operators, health checks and metrics.
     pub admin: SocketAddr,
 }
 
-/// `PlatformSettings` say where the platform is and how it is used.
+/// Addresses of the platform's services, and how the daemon uses them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// The append-only log service.
+    /// Address of the append-only log service.
     pub log: SocketAddr,
-    /// The weight store.
+    /// Address of the weight store.
     pub weights: SocketAddr,
-    /// The list of VMs.
+    /// Address of the service that has the VM list.
     pub vm_list: SocketAddr,
-    /// The stream of decisions and configuration.
+    /// Stream of decisions and configuration changes.
     pub control_stream: StreamName,
-    /// The streams of claims, in order of their number.
+    /// Streams of claims, named with the prefix and a number from 0, in order of that number.
     pub claim_streams: Vec<StreamName>,
-    /// The stream of snapshots.
+    /// Stream of snapshots.
     pub snapshot_stream: StreamName,
-    /// How long a read of the log waits for a first record.
+    /// Time for which a read of the log waits for a first record, in milliseconds.
     pub log_wait_ms: u64,
-    /// How long an append, or a read beyond its wait, may take.
+    /// Timeout of an append, and of a read in addition to `log_wait_ms`, in milliseconds.
     pub log_timeout_ms: u64,
-    /// How often the list of VMs is read.
+    /// Interval between reads of the VM list, in milliseconds.
     pub vm_list_interval_ms: u64,
 }
 
-/// `PeerSettings` say how the daemons deal with each other.
+/// Authentication, heartbeats and timeouts between the daemons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// The secret that all daemons of the deployment share.
+    /// Secret key that all daemons of the deployment share.
     pub cluster_key: ClusterKey,
-    /// How often each peer is asked for a heartbeat.
+    /// Interval between heartbeats to each peer, in milliseconds.
     pub heartbeat_interval_ms: u64,
-    /// How long a peer's reply may take.
+    /// Timeout of a peer's reply, in milliseconds.
     pub timeout_ms: u64,
-    /// After how many missed heartbeats in a row a peer is suspected.
+    /// Number of consecutive missed heartbeats after which a peer is suspected to have failed.
     pub suspect_after_missed: u32,
 }
 
-/// `CallerSettings` are the limits towards callers.
+/// Limits and timeouts for connections and requests of callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerSettings {
-    /// Connections at once.
+    /// Greatest number of open connections.
     pub max_connections: usize,
-    /// The largest request head.
+    /// Largest request head, in bytes.
     pub max_head_bytes: usize,
-    /// The most header lines of a request.
+    /// Greatest number of header lines in a request.
     pub max_headers: usize,
-    /// The largest request body.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a request head may take to arrive.
+    /// Time within which a request head must arrive, in milliseconds.
     pub head_timeout_ms: u64,
-    /// How long a request body may take to arrive.
+    /// Time within which a request body must arrive, in milliseconds.
     pub body_timeout_ms: u64,
-    /// How long a connection may wait for its next request.
+    /// Time for which a connection is kept open without a request, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// How long a caller may take to accept one piece of an answer.
+    /// Time within which a caller must accept one piece of an answer, in milliseconds.
     pub write_timeout_ms: u64,
-    /// The class of a request that names none.
+    /// Class of a request that names none.
     pub default_class: ClassName,
-    /// The longest time within which a request may ask to be answered.
+    /// Longest timeout that a request may ask for, in milliseconds.
     pub max_timeout_ms: u64,
 }
 
-/// `UpstreamSettings` are the limits towards upstreams.
+/// Timeouts and intervals for upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamSettings {
-    /// How long connecting may take.
+    /// Timeout of a connection attempt, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// How long a stream may pause between two events.
+    /// Longest pause between two events of an upstream's stream, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// How long an order to load or unload may take until its outcome counts as unknown.
+    /// Time after which the outcome of an order to load or unload counts as unknown, in
+    /// milliseconds.
     pub load_timeout_ms: u64,
-    /// How often the engines' status and load, and the weight store's use, are read.
+    /// Interval between reads of the engines' status and load, and of the weight store's use, in
+    /// milliseconds.
     pub report_interval_ms: u64,
 }
 
-/// `DrainSettings` say how a planned stop goes.
+/// Limits of a planned stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainSettings {
-    /// How long it waits for the requests in progress.
+    /// Time for which a planned stop waits for the requests in progress, in milliseconds.
     pub grace_ms: u64,
 }
 
-/// `LogSettings` say what the daemon logs, and where.
+/// Level and destination of the daemon's log lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least severe level: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
-    /// The file, or none for standard error.
+    /// File to which lines are appended, or `None` for standard error.
     pub file: Option<PathBuf>,
 }
 
-/// `PolicySettings` name the policies.
+/// Names of the policies that make the daemon's choices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicySettings {
-    /// How an upstream is chosen for a request.
+    /// Policy that chooses an upstream for a request.
     pub routing: String,
-    /// Whether a failed try is repeated.
+    /// Policy that decides whether a failed attempt is retried.
     pub retry: String,
-    /// Which requests start, wait or are refused.
+    /// Policy that decides which requests start, wait or are refused.
     pub admission: String,
-    /// Where models are loaded and when they are unloaded.
+    /// Policy that decides where models are loaded and when they are unloaded.
     pub placement: String,
-    /// The seed of random choices, or none for one chosen at each start.
+    /// Seed of the policies' random choices, or `None` to draw one at each start.
     pub seed: Option<u64>,
 }
 
 impl Settings {
-    /// Returns the settings that a text stands for.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Every problem of the text, in order of line, those without a line last.
+    /// All problems of the text, in the order of their lines; those without a line come last.
     pub fn from_text(text: &str) -> Result<Self, Vec<Problem>> {
         let (document, mut problems) = Document::read(text);
         let (values, more) = Values::of(&document);
@@ -185,11 +187,11 @@
         Err(problems)
     }
 
-    /// Returns the settings that a file holds.
+    /// Reads, parses and checks a settings file.
     ///
     /// # Errors
     ///
-    /// As for `from_text`; one problem if the file can't be read.
+    /// Same as [`Settings::from_text`], or a single problem if the file can't be read.
     pub fn from_file(path: &Path) -> Result<Self, Vec<Problem>> {
         let text = fs::read_to_string(path).map_err(|error| {
             let detail = format!("the file can't be read: {error}");
@@ -248,7 +250,7 @@
 
 impl PeerSettings {
     fn of(values: &Values) -> Self {
-        let key = values.cluster_key().expect("a required key was read");
+        let key = values.cluster_key().expect("a required key is present");
         Self {
             cluster_key: key.clone(),
             heartbeat_interval_ms: number(values, "peers", "heartbeat_interval_ms"),
@@ -298,30 +300,31 @@
     }
 }
 
-// A value that is required or has a default is there once no problem was found.
+// `Settings::from_text` has reported every required value that is missing or invalid, so the
+// lookups below succeed.
 
 fn number(values: &Values, section: &'static str, name: &'static str) -> u64 {
     values
         .number(section, name)
-        .expect("a number with a default was read")
+        .expect("a number with a default is present")
 }
 
 fn number_u32(values: &Values, section: &'static str, name: &'static str) -> u32 {
-    u32::try_from(number(values, section, name)).expect("small counts are below 32 bits")
+    u32::try_from(number(values, section, name)).expect("counts fit into 32 bits")
 }
 
 fn number_usize(values: &Values, section: &'static str, name: &'static str) -> usize {
-    usize::try_from(number(values, section, name)).expect("sizes are below 32 bits")
+    usize::try_from(number(values, section, name)).expect("sizes fit into a usize")
 }
 
 fn text<'a>(values: &'a Values, section: &'static str, name: &'static str) -> &'a str {
     values
         .text(section, name)
-        .expect("a text that is required or has a default was read")
+        .expect("a required or default text is present")
 }
 
 fn address(values: &Values, section: &'static str, name: &'static str) -> SocketAddr {
     values
         .address(section, name)
-        .expect("a required address was read")
+        .expect("a required address is present")
 }
