--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,4 +1,4 @@
-//! The values of a file, each checked by itself.
+//! Values of a settings file, each parsed and checked by itself.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,21 +14,23 @@
 use crate::kind::Value;
 use crate::problem::Problem;
 
-/// What stands in a message in place of a secret.
+/// Text that messages show instead of a secret value.
 const SECRET_PLACEHOLDER: &str = "(hidden)";
 
 type KeyPath = (&'static str, &'static str);
 
-/// `Values` are the values that could be read, given or by default.
+/// Values that could be parsed, from the file or by default.
 #[derive(Debug, Default)]
 pub(crate) struct Values {
+    /// By section and key.
     values: HashMap<KeyPath, Value>,
+    /// Line numbers of the keys that the file has, by section and key.
     lines: HashMap<KeyPath, usize>,
 }
 
 impl Values {
-    /// Returns the values of a document, and a problem for each one that is wrong, missing,
-    /// repeated or not known.
+    /// Parses the values of a document, and returns a problem for each key that is invalid,
+    /// missing, duplicate or unknown.
     pub(crate) fn of(document: &Document) -> (Self, Vec<Problem>) {
         let mut values = Self::default();
         let mut problems = Vec::new();
@@ -38,7 +40,7 @@
                 problems.push(Problem::of_section(
                     &section.name,
                     Some(section.line),
-                    format!("the section stands already at line {first}; it may stand once"),
+                    format!("duplicate section; it begins first at line {first}"),
                 ));
             }
             values.read_section(section, &mut problems);
@@ -82,7 +84,7 @@
         };
         let key_path = (key.section, key.name);
         if let Some(first) = self.lines.get(&key_path) {
-            let allowed = format!("the key stands already at line {first}; it may stand once");
+            let allowed = format!("duplicate key; it is set first at line {first}");
             problems.push(problem(allowed));
             return;
         }
@@ -118,12 +120,12 @@
         }
     }
 
-    /// Returns the line at which a key was given, or none for a default.
+    /// Returns the line number of a key in the file, or `None` if its default applies.
     pub(crate) fn line(&self, section: &'static str, name: &'static str) -> Option<usize> {
         self.lines.get(&(section, name)).copied()
     }
 
-    /// Returns a number, or none if it could not be read or is unset.
+    /// Returns a number, or `None` if it is invalid or unset.
     pub(crate) fn number(&self, section: &'static str, name: &'static str) -> Option<u64> {
         match self.values.get(&(section, name)) {
             Some(Value::Number(number)) => Some(*number),
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Returns an address, or none if it could not be read.
+    /// Returns an address, or `None` if it is invalid or missing.
     pub(crate) fn address(&self, section: &'static str, name: &'static str) -> Option<SocketAddr> {
         match self.values.get(&(section, name)) {
             Some(Value::Address(address)) => Some(*address),
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Returns a text, or none if it could not be read or is unset.
+    /// Returns a text, or `None` if it is invalid, missing or unset.
     pub(crate) fn text(&self, section: &'static str, name: &'static str) -> Option<&str> {
         match self.values.get(&(section, name)) {
             Some(Value::Text(text)) => Some(text),
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Returns the shared key, or none if it could not be read.
+    /// Returns the shared secret key, or `None` if it is invalid or missing.
     pub(crate) fn cluster_key(&self) -> Option<&ClusterKey> {
         match self.values.get(&("peers", "cluster_key")) {
             Some(Value::Key(key)) => Some(key),
@@ -157,7 +159,7 @@
 }
 
 fn unknown_key(section: &Section, entry: &Entry) -> Problem {
-    // The value is not repeated: it may be the shared key below a name with a slip in it.
+    // The value is not shown: it may be the cluster key behind a misspelt name.
     let known = keys::key_names(&section.name).join(", ");
     Problem::of_key(
         &section.name,
--- a/crates/settings/tests/bad_settings.rs
+++ b/crates/settings/tests/bad_settings.rs
@@ -1,4 +1,4 @@
-//! Settings that must not start a daemon, and all that is said of them at once.
+//! Rejection of invalid settings, with all problems in one report.
 
 use apricotdale_admission::ADMISSION_POLICIES;
 use apricotdale_placement::PLACEMENT_POLICIES;
@@ -32,23 +32,23 @@
 const ODD_KEY: &str =
     "cluster_key = 000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f2";
 
-/// Returns the problems of a text, each as an operator reads it.
+/// Returns the problems of a text in the form printed for the operator.
 fn problems(text: &str) -> Vec<String> {
-    let problems = Settings::from_text(text).expect_err("the settings are bad");
+    let problems = Settings::from_text(text).expect_err("the settings are invalid");
     problems.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn minimal_settings() {
-    let settings = Settings::from_text(VALID_SETTINGS).expect("the settings are good");
+    let settings = Settings::from_text(VALID_SETTINGS).expect("the settings are valid");
     assert_eq!(settings.vm.name.as_str(), "entry-1");
     assert_eq!(settings.platform.claim_streams.len(), 4);
     assert_eq!(settings.platform.claim_streams[3].as_str(), "claims-3");
     assert_eq!(settings.policies.seed, None);
 }
 
-/// Symptom: an operator mends one setting, starts the daemon, and learns of the next one only
-/// then. Sequence: a file with several mistakes. Cause: checking stops at the first.
+/// Guards against a check that stops at the first fault: an operator who corrects one setting would
+/// learn of the next fault only at the next start.
 #[test]
 fn all_problems_reported() {
     let text = "\
@@ -86,7 +86,7 @@
         "line 15: [peers] heartbeat_interval_s: unknown key; allowed are cluster_key,",
         "line 18: [callers] head_timeout_ms = \"10s\": allowed is a whole number of milliseconds",
         "line 19: [callers] max_connections = \"0\": allowed is a whole number from 1",
-        "line 20: [callers] max_connections = \"5\": the key stands already at line 19",
+        "line 20: [callers] max_connections = \"5\": duplicate key; it is set first at line 19",
         "line 21: [routing]: unknown section; allowed are vm, listen,",
         "[vm] region: missing; allowed is a name",
         "[platform] vm_list: missing; allowed is an IP number",
@@ -211,9 +211,8 @@
     assert!(Settings::from_text(&text).is_ok());
 }
 
-/// Symptom: the secret shared by all daemons stands in a log or on a terminal. Sequence: the key
-/// has one digit too few, or its name a slip, and the problem is printed. Cause: a problem repeats
-/// the value that was written.
+/// Guards against the cluster key in a log or on a terminal: a key with a digit missing, or behind
+/// a misspelt name, is a problem whose message could show the value.
 #[rstest]
 #[case::bad_value("cluster_key = c0ffee", "c0ffee")]
 #[case::bad_name("cluster-key = c0ffee", "c0ffee")]
@@ -226,19 +225,19 @@
 fn duplicate_section() {
     let reported = problems(&format!("{VALID_SETTINGS}[vm]\n"));
     assert_eq!(reported.len(), 1, "{reported:#?}");
-    assert!(reported[0].starts_with("line 17: [vm]: the section stands already at line 1"));
+    assert!(reported[0].starts_with("line 17: [vm]: duplicate section; it begins first at line 1"));
 }
 
 #[test]
 fn missing_file() {
     let path = std::path::Path::new("no-such-folder/daemon.ini");
-    let reported = Settings::from_file(path).expect_err("there is no file");
+    let reported = Settings::from_file(path).expect_err("the file does not exist");
     assert_eq!(reported.len(), 1);
     assert!(reported[0].to_string().contains("can't be read"));
 }
 
-/// Returns good settings with a line that stands first in its section and replaces the line of the
-/// same key, if there is one.
+/// Returns valid settings with `line` inserted as the first line of its section, without the
+/// section's former line of the same key.
 fn with_line(section: &str, line: &str) -> String {
     let key = line.split('=').next().unwrap_or_default().trim();
     let head = format!("[{section}]");
