--- a/crates/settings/tests/example_settings.rs
+++ b/crates/settings/tests/example_settings.rs
@@ -1,4 +1,4 @@
-//! The example settings of both deployments are good.
+//! Validity of the example settings of both deployments.
 
 use std::path::Path;
 
@@ -17,7 +17,7 @@
         .join("../../examples")
         .join(deployment)
         .join(format!("entry-{zone}.ini"));
-    let settings = Settings::from_file(&path).expect("the example is good");
+    let settings = Settings::from_file(&path).expect("the example is valid");
     assert_eq!(settings.vm.region.as_str(), region);
     assert_eq!(settings.vm.zone.as_str(), zone);
 }
--- a/crates/settings/tests/settings_page.rs
+++ b/crates/settings/tests/settings_page.rs
@@ -1,4 +1,4 @@
-//! The page of the settings names every key.
+//! Agreement between the settings keys and the rows of `docs/SETTINGS.md`.
 
 use std::fs;
 use std::path::Path;
@@ -7,7 +7,7 @@
 
 fn page() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
-    fs::read_to_string(path).expect("the page is there")
+    fs::read_to_string(path).expect("the page can be read")
 }
 
 #[test]
