--- a/crates/telemetry/src/json_log.rs
+++ b/crates/telemetry/src/json_log.rs
@@ -35,10 +35,10 @@
 use crate::line_writer::LineWriter;
 
 /// The key under which a record names its request.
-const REQUEST_ID: &str = "request_id";
+const REQUEST_ID_KEY: &str = "request_id";
 
 /// The key under which a record gives its machine-readable reason.
-const REASON: &str = "reason";
+const REASON_KEY: &str = "reason";
 
 /// `LogOptions` says what is logged and in whose name.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -116,8 +116,8 @@
             level: record.level().as_str(),
             vm: &self.options.vm,
             availability_zone: &self.options.zone,
-            request_id: fields.remove(REQUEST_ID),
-            reason: fields.remove(REASON),
+            request_id: fields.remove(REQUEST_ID_KEY),
+            reason: fields.remove(REASON_KEY),
             message: record.args().to_string(),
             module: record.target(),
             fields,
--- a/crates/telemetry/src/names.rs
+++ b/crates/telemetry/src/known_names.rs
@@ -5,7 +5,7 @@
 use std::sync::RwLock;
 
 /// The label value of a name that is not among the known ones.
-pub(crate) const OTHER: &str = "other";
+pub(crate) const OTHER_LABEL: &str = "other";
 
 /// `KnownNames` is the set of names that may become label values.
 ///
@@ -24,7 +24,7 @@
         Self {
             limit,
             names: RwLock::default(),
-            other: Arc::from(OTHER),
+            other: Arc::from(OTHER_LABEL),
         }
     }
 
--- a/crates/telemetry/src/labels.rs
+++ b/crates/telemetry/src/labels.rs
@@ -7,7 +7,7 @@
 use prometheus_client::encoding::EncodeLabelSet;
 
 macro_rules! label_values {
-    ($(#[$doc:meta])* $name:ident { $($(#[$value_doc:meta])* $value:ident = $word:literal,)* }) => {
+    ($(#[$doc:meta])* $name:ident { $($(#[$value_doc:meta])* $value:ident = $label:literal,)* }) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum $name {
@@ -20,7 +20,7 @@
 
             /// Returns the word used in metrics.
             pub fn as_str(self) -> &'static str {
-                match self { $(Self::$value => $word,)* }
+                match self { $(Self::$value => $label,)* }
             }
         }
     };
@@ -148,7 +148,7 @@
 }
 
 /// Lists the words of the retry decisions.
-pub(crate) const RETRY_DECISIONS: &[&str] = &[
+pub(crate) const RETRY_DECISION_LABELS: &[&str] = &[
     "retry",
     "may_have_run",
     "answer_begun",
@@ -158,7 +158,7 @@
 ];
 
 /// Returns the word of a retry decision.
-pub(crate) fn retry_word(decision: RetryDecision) -> &'static str {
+pub(crate) fn retry_decision_label(decision: RetryDecision) -> &'static str {
     match decision {
         RetryDecision::RetryAfterMs(_) => "retry",
         RetryDecision::MayHaveRun => "may_have_run",
@@ -170,7 +170,7 @@
 }
 
 /// Returns the word of a cache tier.
-pub(crate) fn tier_word(tier: CacheTier) -> &'static str {
+pub(crate) fn tier_label(tier: CacheTier) -> &'static str {
     match tier {
         CacheTier::Memory => "memory",
         CacheTier::Disk => "disk",
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -9,10 +9,10 @@
 
 mod errors;
 mod json_log;
+mod known_names;
 mod labels;
 mod line_writer;
 mod metrics;
-mod names;
 mod node_metrics;
 mod process_metrics;
 mod serving_metrics;
--- a/crates/telemetry/src/line_writer.rs
+++ b/crates/telemetry/src/line_writer.rs
@@ -16,7 +16,7 @@
 /// The longest time that a flush waits for room in the queue, and again for the lines.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-enum Order {
+enum Command {
     Write(Vec<u8>),
     Flush(Sender<()>),
 }
@@ -27,7 +27,7 @@
 /// that would stop every request at its next log line: one would notice deadlines missed on a VM
 /// whose upstreams are well. Here the queue fills instead, and lines are dropped and counted.
 pub struct LineWriter {
-    orders: Sender<Order>,
+    commands: Sender<Command>,
     dropped: Arc<AtomicU64>,
 }
 
@@ -38,20 +38,20 @@
     ///
     /// `Error::Thread` if the thread can't be started.
     pub fn start(writer: Box<dyn Write + Send>, queued_lines: usize) -> Result<Self> {
-        let (orders, queue) = crossbeam_channel::bounded(queued_lines.max(1));
+        let (commands, queue) = crossbeam_channel::bounded(queued_lines.max(1));
         thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_all(writer, &queue))
             .map_err(Error::Thread)?;
         Ok(Self {
-            orders,
+            commands,
             dropped: Arc::default(),
         })
     }
 
     /// Queues a line, which holds its own newline. Returns at once.
     pub fn write(&self, line: Vec<u8>) {
-        if self.orders.try_send(Order::Write(line)).is_err() {
+        if self.commands.try_send(Command::Write(line)).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -60,8 +60,10 @@
     /// are; where the log's reader stalls they are not, and a stop must not wait for it.
     pub fn flush(&self) -> bool {
         let (done, written) = crossbeam_channel::bounded(1);
-        let asked = self.orders.send_timeout(Order::Flush(done), FLUSH_TIMEOUT);
-        asked.is_ok() && written.recv_timeout(FLUSH_TIMEOUT).is_ok()
+        let queued = self
+            .commands
+            .send_timeout(Command::Flush(done), FLUSH_TIMEOUT);
+        queued.is_ok() && written.recv_timeout(FLUSH_TIMEOUT).is_ok()
     }
 
     /// Returns the count of lines dropped so far, which grows while the log is used.
@@ -70,15 +72,15 @@
     }
 }
 
-fn write_all(mut writer: Box<dyn Write + Send>, queue: &Receiver<Order>) {
-    for order in queue {
+fn write_all(mut writer: Box<dyn Write + Send>, queue: &Receiver<Command>) {
+    for command in queue {
         // A failed write can't be logged. The next line is tried all the same, since a full file
         // system or a reader that was replaced may recover.
-        match order {
-            Order::Write(line) => {
+        match command {
+            Command::Write(line) => {
                 let _ = writer.write_all(&line);
             }
-            Order::Flush(done) => {
+            Command::Flush(done) => {
                 let _ = writer.flush();
                 let _ = done.send(());
             }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -12,7 +12,7 @@
 use crate::serving_metrics::ServingMetrics;
 
 /// The prefix of each metric's name.
-const PREFIX: &str = "apricotdale";
+const METRIC_NAME_PREFIX: &str = "apricotdale";
 
 /// `Metrics` is all that a daemon counts and measures.
 pub struct Metrics {
@@ -24,7 +24,7 @@
 impl Metrics {
     /// Returns the metrics at zero.
     pub fn new() -> Self {
-        let mut registry = Registry::with_prefix(PREFIX);
+        let mut registry = Registry::with_prefix(METRIC_NAME_PREFIX);
         let serving = ServingMetrics::new(&mut registry);
         let node = NodeMetrics::new(&mut registry);
         registry.register_collector(Box::new(ProcessMetrics));
--- a/crates/telemetry/src/node_metrics.rs
+++ b/crates/telemetry/src/node_metrics.rs
@@ -23,7 +23,7 @@
 use crate::labels::StreamKind;
 use crate::labels::TierLabels;
 use crate::labels::VerdictLabels;
-use crate::labels::tier_word;
+use crate::labels::tier_label;
 
 /// Upper bounds of the histogram of loads, in seconds.
 const LOAD_BOUNDS_S: [f64; 14] = [
@@ -78,7 +78,7 @@
         };
         metrics.register_state(registry);
         metrics.register_work(registry);
-        metrics.start_at_zero();
+        metrics.init_series();
         metrics
     }
 
@@ -162,7 +162,7 @@
         );
     }
 
-    fn start_at_zero(&self) {
+    fn init_series(&self) {
         for state in ReplicaGauge::ALL {
             self.set_replicas(*state, 0);
         }
@@ -252,11 +252,11 @@
     }
 
     /// Measures a load by where the checkpoint was.
-    pub fn loaded(&self, tier: CacheTier, took_ms: u64) {
-        let tier = tier_word(tier);
+    pub fn loaded(&self, tier: CacheTier, duration_ms: u64) {
+        let tier = tier_label(tier);
         self.loads
             .get_or_create(&TierLabels { tier })
-            .observe(took_ms as f64 / MS_PER_S);
+            .observe(duration_ms as f64 / MS_PER_S);
     }
 
     /// Counts a message of a peer that was not accepted.
@@ -268,8 +268,8 @@
 
     /// Sets the log lines dropped so far. A lower value than before changes nothing.
     pub fn set_log_lines_dropped(&self, lines: u64) {
-        let more = lines.saturating_sub(self.log_lines_dropped.get());
-        self.log_lines_dropped.inc_by(more);
+        let increase = lines.saturating_sub(self.log_lines_dropped.get());
+        self.log_lines_dropped.inc_by(increase);
     }
 
     fn append_counter(&self, stream: StreamKind, outcome: AppendOutcome) -> Counter {
--- a/crates/telemetry/src/serving_metrics.rs
+++ b/crates/telemetry/src/serving_metrics.rs
@@ -15,16 +15,16 @@
 use prometheus_client::registry::Registry;
 use prometheus_client::registry::Unit;
 
+use crate::known_names::KnownNames;
 use crate::labels::AnsweredLabels;
 use crate::labels::ClassLabels;
-use crate::labels::RETRY_DECISIONS;
+use crate::labels::RETRY_DECISION_LABELS;
 use crate::labels::RefusalLabels;
 use crate::labels::RetryLabels;
-use crate::labels::retry_word;
-use crate::names::KnownNames;
+use crate::labels::retry_decision_label;
 
 /// The label value of a request whose class is not known.
-const NO_CLASS: &str = "none";
+const UNKNOWN_CLASS_LABEL: &str = "none";
 
 /// The most classes that get series of their own. No configuration has more.
 const MAX_CLASSES: usize = 64;
@@ -83,10 +83,10 @@
             inter_token: Histogram::new(INTER_TOKEN_BOUNDS_S),
         };
         metrics.register(registry);
-        metrics.start_refusals(&Arc::from(NO_CLASS));
+        metrics.init_refusals(&Arc::from(UNKNOWN_CLASS_LABEL));
         for reason in RefusalReason::ALL {
-            metrics.refusal_counter(*reason, Ran::Ran, Arc::from(NO_CLASS));
-            metrics.refusal_counter(*reason, Ran::Unknown, Arc::from(NO_CLASS));
+            metrics.refusal_counter(*reason, Ran::Ran, Arc::from(UNKNOWN_CLASS_LABEL));
+            metrics.refusal_counter(*reason, Ran::Unknown, Arc::from(UNKNOWN_CLASS_LABEL));
         }
         metrics
     }
@@ -144,7 +144,7 @@
         let Some(label) = self.classes.add(class.as_str()) else {
             return;
         };
-        self.start_refusals(&label);
+        self.init_refusals(&label);
         for target in ["met", "missed"] {
             drop(self.answered.get_or_create(&AnsweredLabels {
                 class: Arc::clone(&label),
@@ -158,7 +158,7 @@
         let Some(label) = self.groups.add(group.as_str()) else {
             return;
         };
-        for decision in RETRY_DECISIONS {
+        for decision in RETRY_DECISION_LABELS {
             for ran in [Ran::NotRun, Ran::Ran, Ran::Unknown] {
                 drop(self.retries.get_or_create(&RetryLabels {
                     decision,
@@ -172,23 +172,23 @@
     /// Takes in an event.
     pub(crate) fn observe(&self, event: &ServingEvent) {
         match event {
-            ServingEvent::Refused { class, refusal } => self.refused(class.as_ref(), refusal),
+            ServingEvent::Refused { class, refusal } => self.count_refusal(class.as_ref(), refusal),
             ServingEvent::Retry {
                 group,
                 decision,
                 ran,
-            } => self.retried(group, *decision, *ran),
+            } => self.count_retry(group, *decision, *ran),
             ServingEvent::Answered {
                 class,
                 first_answer_ms,
                 total_ms,
                 met,
-            } => self.answered(class, *first_answer_ms, *total_ms, *met),
+            } => self.record_answer(class, *first_answer_ms, *total_ms, *met),
             ServingEvent::QueueWait { class, wait_ms } => {
-                self.measure(&self.queue_wait, class, *wait_ms);
+                self.observe_duration(&self.queue_wait, class, *wait_ms);
             }
             ServingEvent::ColdStart { class, wait_ms } => {
-                self.measure(&self.cold_start, class, *wait_ms);
+                self.observe_duration(&self.cold_start, class, *wait_ms);
             }
             ServingEvent::InterToken { gap_us } => {
                 self.inter_token.observe(*gap_us as f64 / US_PER_S);
@@ -196,42 +196,42 @@
         }
     }
 
-    fn refused(&self, class: Option<&ClassName>, refusal: &Refusal) {
+    fn count_refusal(&self, class: Option<&ClassName>, refusal: &Refusal) {
         let label = match class {
             Some(class) => self.classes.label(class.as_str()),
-            None => Arc::from(NO_CLASS),
+            None => Arc::from(UNKNOWN_CLASS_LABEL),
         };
         self.refusal_counter(refusal.reason, refusal.ran, label)
             .inc();
     }
 
-    fn retried(&self, group: &GroupName, decision: RetryDecision, ran: Ran) {
+    fn count_retry(&self, group: &GroupName, decision: RetryDecision, ran: Ran) {
         let labels = RetryLabels {
-            decision: retry_word(decision),
+            decision: retry_decision_label(decision),
             ran: ran.as_str(),
             group: self.groups.label(group.as_str()),
         };
         self.retries.get_or_create(&labels).inc();
     }
 
-    fn answered(&self, class: &ClassName, first_answer_ms: u64, total_ms: u64, met: bool) {
+    fn record_answer(&self, class: &ClassName, first_answer_ms: u64, total_ms: u64, met: bool) {
         let labels = AnsweredLabels {
             class: self.classes.label(class.as_str()),
             target: if met { "met" } else { "missed" },
         };
         self.answered.get_or_create(&labels).inc();
-        self.measure(&self.first_answer, class, first_answer_ms);
-        self.measure(&self.total, class, total_ms);
+        self.observe_duration(&self.first_answer, class, first_answer_ms);
+        self.observe_duration(&self.total, class, total_ms);
     }
 
-    fn measure(&self, histograms: &ClassHistograms, class: &ClassName, took_ms: u64) {
+    fn observe_duration(&self, histograms: &ClassHistograms, class: &ClassName, duration_ms: u64) {
         let class = self.classes.label(class.as_str());
         histograms
             .get_or_create(&ClassLabels { class })
-            .observe(took_ms as f64 / MS_PER_S);
+            .observe(duration_ms as f64 / MS_PER_S);
     }
 
-    fn start_refusals(&self, class: &Arc<str>) {
+    fn init_refusals(&self, class: &Arc<str>) {
         for reason in RefusalReason::ALL {
             self.refusal_counter(*reason, Ran::NotRun, Arc::clone(class));
         }
--- a/crates/telemetry/tests/json_lines.rs
+++ b/crates/telemetry/tests/json_lines.rs
@@ -15,9 +15,9 @@
 use rstest::rstest;
 
 #[derive(Clone, Default)]
-struct Written(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Written {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -30,7 +30,7 @@
 
 /// Logs one record with some keys and returns the lines that were written.
 fn lines(level: Level, message: &str, keys: &[(&str, Value<'_>)]) -> Vec<serde_json::Value> {
-    let written = Written::default();
+    let written = SharedBuffer::default();
     let mut options = LogOptions::new("entry-1".into(), "hall-a".into());
     options.level = LevelFilter::Info;
     let logger = JsonLogger::new(options, Box::new(written.clone())).unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn line_names_vm_zone_request_and_reason() {
+fn own_fields() {
     let keys = [
         ("request_id", "entry-1.42".to_value()),
         ("reason", "overloaded".to_value()),
@@ -76,7 +76,7 @@
 #[case::fraction(0.5_f64.to_value(), serde_json::json!(0.5))]
 #[case::not_a_number(f64::NAN.to_value(), serde_json::json!("NaN"))]
 #[case::text("a\n\"b\"".to_value(), serde_json::json!("a\n\"b\""))]
-fn other_keys_keep_their_type(#[case] value: Value<'_>, #[case] expected: serde_json::Value) {
+fn value_types(#[case] value: Value<'_>, #[case] expected: serde_json::Value) {
     let lines = lines(Level::Info, "loaded", &[("took", value)]);
     assert_eq!(lines[0]["fields"]["took"], expected);
 }
@@ -85,7 +85,7 @@
 /// logged. Sequence: a caller's text with a newline, or a key named like a field, is logged.
 /// Cause: text is put into the line as it is, and keys overwrite the line's own fields.
 #[test]
-fn logged_text_can_forge_no_line_and_no_field() {
+fn forged_line_and_field() {
     let message = "bad header\n{\"level\":\"ERROR\",\"vm\":\"entry-9\"}";
     let lines = lines(Level::Info, message, &[("vm", "entry-9".to_value())]);
     assert_eq!(lines.len(), 1);
@@ -95,6 +95,6 @@
 }
 
 #[test]
-fn less_severe_levels_are_left_out() {
+fn level_filter() {
     assert!(lines(Level::Debug, "detail", &[]).is_empty());
 }
--- a/crates/telemetry/tests/operations_page.rs
+++ b/crates/telemetry/tests/operations_page.rs
@@ -16,15 +16,15 @@
     fs::read_to_string(path).expect("the page is there")
 }
 
-fn section(head: &str) -> String {
+fn section(title: &str) -> String {
     let page = page();
-    let section = page.split(&format!("\n## {head}\n")).nth(1);
+    let section = page.split(&format!("\n## {title}\n")).nth(1);
     let section = section.expect("the section is there");
     section.split("\n## ").next().unwrap_or_default().to_owned()
 }
 
 #[test]
-fn page_has_a_row_for_every_refusal_reason() {
+fn refusal_reasons_documented() {
     let refusals = section("Refusals");
     for reason in RefusalReason::ALL {
         assert!(
@@ -35,7 +35,7 @@
 }
 
 /// Returns metrics of which each family has a series; an empty family is not rendered.
-fn used_metrics() -> Metrics {
+fn metrics_with_all_families() -> Metrics {
     let metrics = Metrics::new();
     let class = ClassName::new("quick");
     metrics.set_classes([&class]);
@@ -59,8 +59,8 @@
 }
 
 #[test]
-fn page_names_metrics_that_exist() {
-    let text = used_metrics().render();
+fn documented_metrics_exist() {
+    let text = metrics_with_all_families().render();
     let rows = section("What to watch");
     let rows = rows.lines().filter(|line| line.starts_with("| `"));
     let mut names = 0;
--- a/crates/telemetry/tests/pre_registered.rs
+++ b/crates/telemetry/tests/pre_registered.rs
@@ -27,7 +27,7 @@
 #[case("none", "ran")]
 #[case("none", "unknown")]
 #[case("quick", "not_run")]
-fn every_refusal_reason_stands_at_zero(#[case] class: &str, #[case] ran: &str) {
+fn refusal_series_at_zero(#[case] class: &str, #[case] ran: &str) {
     let metrics = Metrics::new();
     metrics.set_classes([&ClassName::new("quick")]);
     let text = metrics.render();
@@ -44,7 +44,7 @@
 #[case("budget_spent")]
 #[case("too_many_tries")]
 #[case("no_time_left")]
-fn every_retry_decision_stands_at_zero(#[case] decision: &str) {
+fn retry_series_at_zero(#[case] decision: &str) {
     let metrics = Metrics::new();
     metrics.set_groups([&GroupName::new("telaio")]);
     let text = metrics.render();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn every_count_of_the_daemon_stands_at_zero() {
+fn daemon_series_at_zero() {
     let metrics = Metrics::new();
     metrics.node().set_verdicts(["accepted", "stale_epoch"]);
     metrics.node().set_peer_rejections(["bad_signature"]);
--- a/crates/telemetry/tests/process_usage.rs
+++ b/crates/telemetry/tests/process_usage.rs
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn memory_and_threads_are_those_of_a_running_process() {
+fn memory_and_threads() {
     let metrics = Metrics::new();
     assert!(value(&metrics, "apricotdale_process_resident_memory_bytes") > 100_000.0);
     assert!(value(&metrics, "apricotdale_process_threads") >= 1.0);
 }
 
 #[test]
-fn processor_time_grows_with_work() {
+fn processor_time_grows() {
     let metrics = Metrics::new();
     let name = "apricotdale_process_processor_seconds_total";
     let before = value(&metrics, name);
--- a/crates/telemetry/tests/serving_counts.rs
+++ b/crates/telemetry/tests/serving_counts.rs
@@ -82,7 +82,7 @@
     ServingEvent::InterToken { gap_us: 62_000 },
     "apricotdale_inter_token_seconds_bucket{le=\"0.062\"} 1".to_owned(),
 )]
-fn event_is_counted(#[case] event: ServingEvent, #[case] line: String) {
+fn event_counted(#[case] event: ServingEvent, #[case] line: String) {
     let metrics = metrics();
     metrics.observe(&event);
     let text = metrics.render();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn state_of_the_daemon_is_shown() {
+fn daemon_state() {
     let metrics = metrics();
     let node = metrics.node();
     node.set_log_read_age_ms(2_500);
@@ -128,7 +128,7 @@
 /// sends a new class with each request, and each is refused as unknown. Cause: what a caller wrote
 /// becomes a label.
 #[test]
-fn callers_can_not_add_series() {
+fn caller_adds_no_series() {
     let metrics = metrics();
     metrics.observe(&refused(Some("made-up"), Ran::NotRun));
     let before = metrics.render().lines().count();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn classes_beyond_the_limit_share_a_series() {
+fn class_limit() {
     let metrics = Metrics::new();
     let classes: Vec<ClassName> = (0..200).map(|n| ClassName::from(format!("c{n}"))).collect();
     metrics.set_classes(&classes);
--- a/crates/telemetry/tests/stalled_reader.rs
+++ b/crates/telemetry/tests/stalled_reader.rs
@@ -9,7 +9,7 @@
 use apricotdale_telemetry::LineWriter;
 
 #[derive(Clone)]
-struct Stalled(Arc<Shared>);
+struct StalledWriter(Arc<Shared>);
 
 #[derive(Default)]
 struct Shared {
@@ -24,7 +24,7 @@
     written: Vec<u8>,
 }
 
-impl Write for Stalled {
+impl Write for StalledWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let mut state = self.0.state.lock().unwrap();
         state.entered = true;
@@ -47,9 +47,9 @@
 /// reader of the log stalls, the write of a line blocks, each serving thread blocks at its next
 /// line. Cause: serving threads write to the log themselves.
 #[test]
-fn lines_are_dropped_and_nobody_waits() {
+fn stalled_reader_drops_lines() {
     let shared = Arc::new(Shared::default());
-    let lines = LineWriter::start(Box::new(Stalled(Arc::clone(&shared))), 2).unwrap();
+    let lines = LineWriter::start(Box::new(StalledWriter(Arc::clone(&shared))), 2).unwrap();
     let dropped = lines.dropped();
     lines.write(b"first\n".to_vec());
     let state = shared.state.lock().unwrap();
