--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
 //! Structured logs and metrics of a daemon.
 //!
-//! Logs are JSON lines ([`init_logs`]). Metrics are counted in [`Metrics`] and rendered in the
-//! OpenMetrics text format. No label ever carries a caller, a request or a model, so the number of
-//! series is bounded by the configuration.
+//! Log lines are JSON objects ([`init_logs`]). [`Metrics`] counts and measures, and renders the
+//! OpenMetrics text format. No label holds the name of a caller, a request or a model, so the
+//! number of series is bounded by the configuration.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
