--- a/crates/telemetry/src/errors.rs
+++ b/crates/telemetry/src/errors.rs
@@ -1,20 +1,20 @@
-//! Errors of starting the logs.
+//! Errors of opening and installing the log.
 
 use thiserror::Error;
 
-/// `Result` is the result of starting the logs.
+/// Result of opening or installing the log.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what starting the logs can fail with.
+/// Reason why the log could not be opened or installed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The log file can't be opened.
-    #[error("the log file can't be opened: {0}")]
+    /// The log file can't be opened for appending.
+    #[error("can't open the log file: {0}")]
     Open(#[source] std::io::Error),
-    /// The thread that writes the lines can't be started.
-    #[error("the log's thread can't be started: {0}")]
+    /// The thread that writes the log lines can't be started.
+    #[error("can't start the thread that writes the log: {0}")]
     Thread(#[source] std::io::Error),
-    /// A logger has been installed before.
-    #[error("a logger is installed already")]
+    /// The program has a logger already; a process can install only one.
+    #[error("a logger is already installed")]
     Installed(#[source] log::SetLoggerError),
 }
