--- a/crates/telemetry/src/known_names.rs
+++ b/crates/telemetry/src/known_names.rs
@@ -1,17 +1,16 @@
-//! Names as label values, bounded in number.
+//! Bounded set of the names that metrics may use as label values.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::RwLock;
 
-/// The label value of a name that is not among the known ones.
+/// Label value of every name that is not in the set.
 pub(crate) const OTHER_LABEL: &str = "other";
 
-/// `KnownNames` is the set of names that may become label values.
+/// Set of the names that may become label values; every other name is counted as `other`.
 ///
-/// A name that a caller made up could otherwise become a series of its own: a caller who sends a
-/// new class with each request would make the metrics grow until the VM has no memory left. One
-/// would notice a scrape that grows by the hour. Here such a name is counted as `other`.
+/// Otherwise a caller who sends a new class with each request would add a series with each of them,
+/// and the metrics would grow until the VM ran out of memory.
 pub(crate) struct KnownNames {
     limit: usize,
     names: RwLock<BTreeSet<Arc<str>>>,
@@ -19,7 +18,7 @@
 }
 
 impl KnownNames {
-    /// Returns a set that holds at most `limit` names.
+    /// Returns an empty set that accepts at most `limit` names.
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -28,8 +27,8 @@
         }
     }
 
-    /// Adds a name and returns its label value, or none if it is known already. The label value is
-    /// the name itself, or `other` if the set is full.
+    /// Adds a name and returns its label value, or `None` if the set has the name already. The
+    /// label value is the name itself, or `other` if the set is full.
     pub(crate) fn add(&self, name: &str) -> Option<Arc<str>> {
         if self.known(name).is_some() {
             return None;
@@ -43,7 +42,7 @@
         Some(name)
     }
 
-    /// Returns a name's label value: the name itself, or `other` if it was not added.
+    /// Returns the label value of a name: the name itself, or `other` if the set does not have it.
     pub(crate) fn label(&self, name: &str) -> Arc<str> {
         self.known(name).unwrap_or_else(|| Arc::clone(&self.other))
     }
