--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a daemon as a whole.
+//! Registry of all metrics of a daemon.
 
 use apricotdale_core::names::ClassName;
 use apricotdale_core::names::GroupName;
@@ -11,10 +11,10 @@
 use crate::process_metrics::ProcessMetrics;
 use crate::serving_metrics::ServingMetrics;
 
-/// The prefix of each metric's name.
+/// First part of every metric name.
 const METRIC_NAME_PREFIX: &str = "apricotdale";
 
-/// `Metrics` is all that a daemon counts and measures.
+/// All metrics of a daemon, with the registry that renders them.
 pub struct Metrics {
     registry: Registry,
     serving: ServingMetrics,
@@ -22,7 +22,7 @@
 }
 
 impl Metrics {
-    /// Returns the metrics at zero.
+    /// Returns metrics that have counted nothing yet.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix(METRIC_NAME_PREFIX);
         let serving = ServingMetrics::new(&mut registry);
@@ -35,26 +35,28 @@
         }
     }
 
-    /// Makes the configured classes known. Refusals of any other class are counted as `other`.
+    /// Adds configured classes, each with its series at zero. Requests of any other class are
+    /// counted as class `other`.
     pub fn set_classes<'a>(&self, classes: impl IntoIterator<Item = &'a ClassName>) {
         for class in classes {
             self.serving.add_class(class);
         }
     }
 
-    /// Makes the groups of upstreams known. Retries at any other group are counted as `other`.
+    /// Adds groups of upstreams, each with its series at zero. Retries at any other group are
+    /// counted as group `other`.
     pub fn set_groups<'a>(&self, groups: impl IntoIterator<Item = &'a GroupName>) {
         for group in groups {
             self.serving.add_group(group);
         }
     }
 
-    /// Returns what is counted and measured of the daemon itself.
+    /// Returns the metrics of the daemon itself, as opposed to those of requests.
     pub fn node(&self) -> &NodeMetrics {
         &self.node
     }
 
-    /// Returns the metrics in the OpenMetrics text format.
+    /// Renders all metrics in the OpenMetrics text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string does not fail");
