--- a/crates/telemetry/src/line_writer.rs
+++ b/crates/telemetry/src/line_writer.rs
@@ -1,4 +1,4 @@
-//! Writing lines without making the writers of lines wait.
+//! Writer of log lines that never blocks the threads that log.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The longest time that a flush waits for room in the queue, and again for the lines.
+/// Longest time that a flush waits for a slot in the queue, and again until its lines are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 enum Command {
@@ -21,22 +21,22 @@
     Flush(Sender<()>),
 }
 
-/// `LineWriter` writes lines by a thread of its own.
+/// Writer that hands lines to a thread of its own, over a bounded queue.
 ///
-/// If whoever reads the log stalls, a write blocks. Written by the serving threads themselves,
-/// that would stop every request at its next log line: one would notice deadlines missed on a VM
-/// whose upstreams are well. Here the queue fills instead, and lines are dropped and counted.
+/// A write blocks while the reader of the log stalls. If the serving threads wrote the lines
+/// themselves, every request would stop at its next log line and miss its deadline although its
+/// upstream is healthy. With the queue, lines are dropped and counted instead.
 pub struct LineWriter {
     commands: Sender<Command>,
     dropped: Arc<AtomicU64>,
 }
 
 impl LineWriter {
-    /// Starts the writing thread with room for some lines in its queue.
+    /// Starts the writing thread with a queue of at most `queued_lines` lines (at least one).
     ///
     /// # Errors
     ///
-    /// `Error::Thread` if the thread can't be started.
+    /// [`Error::Thread`] if the thread can't be started.
     pub fn start(writer: Box<dyn Write + Send>, queued_lines: usize) -> Result<Self> {
         let (commands, queue) = crossbeam_channel::bounded(queued_lines.max(1));
         thread::Builder::new()
@@ -49,7 +49,8 @@
         })
     }
 
-    /// Queues a line, which holds its own newline. Returns at once.
+    /// Queues a line, which must end with its newline, or drops it if the queue is full. Never
+    /// blocks.
     pub fn write(&self, line: Vec<u8>) {
         if self.commands.try_send(Command::Write(line)).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -57,7 +58,7 @@
     }
 
     /// Waits, for a bounded time, until the lines queued so far are written. Returns whether they
-    /// are; where the log's reader stalls they are not, and a stop must not wait for it.
+    /// are. A stalled reader delays a stop of the program only by this time.
     pub fn flush(&self) -> bool {
         let (done, written) = crossbeam_channel::bounded(1);
         let queued = self
@@ -66,7 +67,7 @@
         queued.is_ok() && written.recv_timeout(FLUSH_TIMEOUT).is_ok()
     }
 
-    /// Returns the count of lines dropped so far, which grows while the log is used.
+    /// Returns the counter of dropped lines, which later drops increase.
     pub fn dropped(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.dropped)
     }
@@ -74,8 +75,8 @@
 
 fn write_all(mut writer: Box<dyn Write + Send>, queue: &Receiver<Command>) {
     for command in queue {
-        // A failed write can't be logged. The next line is tried all the same, since a full file
-        // system or a reader that was replaced may recover.
+        // A failed write can't be logged. Later lines are still attempted, since the cause, such as
+        // a full file system or a reader that was replaced, may go away.
         match command {
             Command::Write(line) => {
                 let _ = writer.write_all(&line);
