--- a/crates/telemetry/src/process_metrics.rs
+++ b/crates/telemetry/src/process_metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon's process takes of the VM, read when the metrics are.
+//! Resource usage of the daemon's process, read whenever the metrics are rendered.
 
 use std::fmt;
 
@@ -12,13 +12,13 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Unit;
 
-/// `ProcessMetrics` reads the processor time, memory and threads of this process.
+/// Collector of the processor time, resident memory and threads of this process.
 #[derive(Debug)]
 pub(crate) struct ProcessMetrics;
 
 impl Collector for ProcessMetrics {
     fn encode(&self, encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        // Where the kernel shows no such file, the other metrics are still worth reading.
+        // Without `/proc/self/stat` only these metrics are left out; the others are still rendered.
         match Process::myself().and_then(|process| process.stat()) {
             Ok(stat) => encode_stat(&stat, encoder),
             Err(_) => Ok(()),
@@ -39,7 +39,7 @@
     )?)?;
     memory.encode(encoder.encode_descriptor(
         "process_resident_memory",
-        "Memory of the process that is in use",
+        "Resident memory of the process",
         Some(&Unit::Bytes),
         memory.metric_type(),
     )?)?;
