--- a/crates/telemetry/src/json_log.rs
+++ b/crates/telemetry/src/json_log.rs
@@ -1,8 +1,8 @@
-//! Logs as JSON lines.
+//! Logger that writes JSON lines.
 //!
-//! `simplelog` lays its lines out as text and has no JSON format. What it offers for other formats
-//! is its trait `SharedLogger`, so [`JsonLogger`] implements that, and `simplelog`'s
-//! `CombinedLogger` installs it.
+//! `simplelog` has no JSON format, but accepts other loggers that implement its trait
+//! `SharedLogger`. [`JsonLogger`] implements it, and `simplelog`'s `CombinedLogger` installs the
+//! logger.
 
 use std::fs::OpenOptions;
 use std::io;
@@ -34,27 +34,27 @@
 use crate::errors::Result;
 use crate::line_writer::LineWriter;
 
-/// The key under which a record names its request.
+/// Key of a log record that holds the request ID.
 const REQUEST_ID_KEY: &str = "request_id";
 
-/// The key under which a record gives its machine-readable reason.
+/// Key of a log record that holds the machine-readable reason.
 const REASON_KEY: &str = "reason";
 
-/// `LogOptions` says what is logged and in whose name.
+/// Level filter, origin and queue size of a logger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogOptions {
-    /// The least severe level that is written.
+    /// Least severe level that is written.
     pub level: LevelFilter,
-    /// The VM.
+    /// Name of the VM, written into every line.
     pub vm: VmName,
-    /// Its availability zone.
+    /// Availability zone of the VM, written into every line.
     pub zone: ZoneName,
-    /// Lines that wait at most to be written; the others are dropped and counted.
+    /// Greatest number of lines that wait to be written. Further lines are dropped and counted.
     pub queued_lines: usize,
 }
 
 impl LogOptions {
-    /// Returns options with the default level and queue.
+    /// Returns options with level `info` and a queue of 8192 lines.
     pub fn new(vm: VmName, zone: ZoneName) -> Self {
         Self {
             level: LevelFilter::Info,
@@ -65,10 +65,10 @@
     }
 }
 
-/// `JsonLogger` writes each record as one line of JSON.
+/// Logger that writes each record as one line of JSON.
 ///
-/// A record's key `request_id` and `reason` become fields of their own; its other keys are put in
-/// the object `fields`, where none of them can pass for a field of the line.
+/// The keys `request_id` and `reason` of a record become fields of the line. All other keys go into
+/// the nested object `fields`, so that none of them can overwrite a field of the line.
 pub struct JsonLogger {
     options: LogOptions,
     lines: LineWriter,
@@ -91,24 +91,24 @@
 }
 
 impl JsonLogger {
-    /// Returns a logger that writes to a writer by a thread of its own.
+    /// Returns a logger that writes lines to `writer` on a thread of its own.
     ///
     /// # Errors
     ///
-    /// `Error::Thread` if the thread can't be started.
+    /// [`Error::Thread`] if the thread can't be started.
     pub fn new(options: LogOptions, writer: Box<dyn Write + Send>) -> Result<Self> {
         let lines = LineWriter::start(writer, options.queued_lines)?;
         Ok(Self { options, lines })
     }
 
-    /// Returns the count of lines dropped so far, which grows while the log is used.
+    /// Returns the counter of dropped lines, which later drops increase.
     pub fn dropped(&self) -> Arc<AtomicU64> {
         self.lines.dropped()
     }
 
     fn line(&self, record: &Record<'_>) -> Vec<u8> {
         let mut fields = Fields(Map::new());
-        // The visitor returns no error of its own, and a source that fails has given what it could.
+        // `Fields` never returns an error. If a source fails, the keys read until then are logged.
         let _ = record.key_values().visit(&mut fields);
         let mut fields = fields.0;
         let line = Line {
@@ -122,7 +122,8 @@
             module: record.target(),
             fields,
         };
-        let mut bytes = serde_json::to_vec(&line).expect("a line holds only strings and numbers");
+        let mut bytes =
+            serde_json::to_vec(&line).expect("a log line has only types that JSON can represent");
         bytes.push(b'\n');
         bytes
     }
@@ -140,7 +141,7 @@
     }
 
     fn flush(&self) {
-        // `Log` has no way to tell that the lines could not be written.
+        // `Log::flush` has no result, so lines that are still unwritten can't be reported.
         let _ = self.lines.flush();
     }
 }
@@ -191,14 +192,14 @@
 fn timestamp(now: SystemTime) -> String {
     OffsetDateTime::from(now)
         .format(&Rfc3339)
-        .expect("a clock shows a year of four digits")
+        .expect("the year of the clock has four digits")
 }
 
-/// Returns the writer of a log file, which is appended to, or of standard error.
+/// Opens a log file for appending, or returns standard error if there is no path.
 ///
 /// # Errors
 ///
-/// `Error::Open` if the file can't be opened.
+/// [`Error::Open`] if the file can't be opened.
 pub fn open_log(path: Option<&Path>) -> Result<Box<dyn Write + Send>> {
     let Some(path) = path else {
         return Ok(Box::new(io::stderr()));
@@ -211,12 +212,13 @@
     Ok(Box::new(file))
 }
 
-/// Installs a [`JsonLogger`] as the program's logger, and returns its count of dropped lines.
+/// Installs a [`JsonLogger`] as the logger of the program, and returns its counter of dropped
+/// lines.
 ///
 /// # Errors
 ///
-/// `Error::Installed` if a logger has been installed before, `Error::Thread` if the writing thread
-/// can't be started.
+/// [`Error::Installed`] if the program has a logger already, [`Error::Thread`] if the writing
+/// thread can't be started.
 pub fn init_logs(options: LogOptions, writer: Box<dyn Write + Send>) -> Result<Arc<AtomicU64>> {
     let logger = JsonLogger::new(options, writer)?;
     let dropped = logger.dropped();
