--- a/crates/telemetry/src/serving_metrics.rs
+++ b/crates/telemetry/src/serving_metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted and measured of requests.
+//! Metrics of requests: counts of their outcomes, and latency histograms.
 
 use std::sync::Arc;
 
@@ -23,23 +23,23 @@
 use crate::labels::RetryLabels;
 use crate::labels::retry_decision_label;
 
-/// The label value of a request whose class is not known.
+/// Label value of a request that was refused before its class was known.
 const UNKNOWN_CLASS_LABEL: &str = "none";
 
-/// The most classes that get series of their own. No configuration has more.
+/// Greatest number of classes that get series of their own. No configuration has more.
 const MAX_CLASSES: usize = 64;
 
-/// The most groups that get series of their own.
+/// Greatest number of upstream groups that get series of their own.
 const MAX_GROUPS: usize = 64;
 
-/// Upper bounds of the histograms of whole requests, in seconds. 1.3 s is the project's target for
-/// the first token.
+/// Upper bounds of the buckets for durations of requests, in seconds. The latency target for the
+/// first token, 1.3 s, is a bound, so that the histogram shows exactly how many requests meet it.
 const REQUEST_BOUNDS_S: [f64; 16] = [
     0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 1.3, 2.0, 3.0, 5.0, 10.0, 20.0, 40.0, 80.0, 160.0,
 ];
 
-/// Upper bounds of the histogram of the time between tokens, in seconds. 62 ms is the project's
-/// target.
+/// Upper bounds of the buckets for the time between two tokens, in seconds. The target of 62 ms is
+/// a bound for the same reason.
 const INTER_TOKEN_BOUNDS_S: [f64; 13] = [
     0.005, 0.01, 0.02, 0.03, 0.04, 0.05, 0.062, 0.08, 0.12, 0.25, 0.5, 1.0, 2.0,
 ];
@@ -49,7 +49,7 @@
 
 type ClassHistograms = Family<ClassLabels, Histogram>;
 
-/// `ServingMetrics` counts and measures requests.
+/// Counters and histograms of requests, by class or by upstream group.
 pub(crate) struct ServingMetrics {
     classes: KnownNames,
     groups: KnownNames,
@@ -68,7 +68,7 @@
 }
 
 impl ServingMetrics {
-    /// Returns the metrics, registered and at zero.
+    /// Registers the metrics, with the refusals that no class is known for at zero.
     pub(crate) fn new(registry: &mut Registry) -> Self {
         let metrics = Self {
             classes: KnownNames::new(MAX_CLASSES),
@@ -99,17 +99,17 @@
         );
         registry.register(
             "retry_decisions",
-            "Failed tries at an upstream, by what was decided and by whether the try ran",
+            "Failed attempts at an upstream, by the retry decision and by whether the attempt ran",
             self.retries.clone(),
         );
         registry.register(
             "answered",
-            "Requests answered in whole, by whether the class's target was met",
+            "Requests answered completely, by whether the class's target was met",
             self.answered.clone(),
         );
         registry.register_with_unit(
             "first_answer",
-            "Time from arrival to the first token, or to the whole answer where it is no stream",
+            "Time from arrival to the first token, or to the complete answer if it is no stream",
             Unit::Seconds,
             self.first_answer.clone(),
         );
@@ -139,7 +139,7 @@
         );
     }
 
-    /// Makes a class known and starts its series at zero.
+    /// Adds a class, and starts its counters at zero unless it was added before.
     pub(crate) fn add_class(&self, class: &ClassName) {
         let Some(label) = self.classes.add(class.as_str()) else {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Makes a group known and starts its series at zero.
+    /// Adds an upstream group, and starts its counters at zero unless it was added before.
     pub(crate) fn add_group(&self, group: &GroupName) {
         let Some(label) = self.groups.add(group.as_str()) else {
             return;
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Takes in an event.
+    /// Counts and measures what an event reports.
     pub(crate) fn observe(&self, event: &ServingEvent) {
         match event {
             ServingEvent::Refused { class, refusal } => self.count_refusal(class.as_ref(), refusal),
