--- a/crates/telemetry/src/labels.rs
+++ b/crates/telemetry/src/labels.rs
@@ -1,4 +1,4 @@
-//! Labels of the metrics. Every set of label values is finite.
+//! Label sets of the metrics, and the enums whose values become label values.
 
 use std::sync::Arc;
 
@@ -15,10 +15,10 @@
         }
 
         impl $name {
-            /// Lists every value.
+            /// All values, in the order of their declaration.
             pub const ALL: &'static [Self] = &[$(Self::$value,)*];
 
-            /// Returns the word used in metrics.
+            /// Returns the label value.
             pub fn as_str(self) -> &'static str {
                 match self { $(Self::$value => $label,)* }
             }
@@ -27,65 +27,65 @@
 }
 
 label_values! {
-    /// `StreamKind` is what a stream of the log is for.
+    /// Purpose of a stream of the log service.
     StreamKind {
-        /// The control stream.
+        /// Stream of decisions and configuration changes.
         Control = "control",
-        /// A claim stream.
+        /// Stream of claims, one of several.
         Claims = "claims",
-        /// The snapshot stream.
+        /// Stream of snapshots.
         Snapshot = "snapshot",
     }
 }
 
 label_values! {
-    /// `AppendOutcome` is what became of an append to the log.
+    /// Outcome of an append to the log service, as far as the daemon knows it.
     AppendOutcome {
-        /// The record is on the stream.
+        /// The stream has the record.
         Appended = "appended",
-        /// The record is certainly not on the stream.
+        /// The stream certainly does not have the record.
         NotAppended = "not_appended",
-        /// The record may be on the stream.
+        /// The stream may have the record: the answer was lost.
         Unknown = "unknown",
     }
 }
 
 label_values! {
-    /// `OrderKind` is an order to an engine.
+    /// Type of an order that the daemon sends to an engine.
     OrderKind {
-        /// To load a model.
+        /// Load a model.
         Load = "load",
-        /// To unload a model.
+        /// Unload a model.
         Unload = "unload",
-        /// To raise the highest fencing number.
+        /// Raise the highest fencing token that the engine has seen.
         Fence = "fence",
     }
 }
 
 label_values! {
-    /// `OrderOutcome` is what became of an order to an engine.
+    /// Outcome of an order to an engine, as far as the daemon knows it.
     OrderOutcome {
-        /// It took effect.
+        /// The order took effect.
         Done = "done",
-        /// The engine refused it; it had no effect.
+        /// The engine refused the order, which had no effect.
         Refused = "refused",
-        /// The engine refused it because of its old fencing number.
+        /// The engine refused the order because it has seen a higher fencing token.
         StaleFence = "stale_fence",
-        /// It was not received.
+        /// The engine did not receive the order.
         NotReceived = "not_received",
-        /// It may have taken effect.
+        /// The order may have taken effect: the answer was lost.
         Unknown = "unknown",
     }
 }
 
 label_values! {
-    /// `ReplicaGauge` is a state in which replicas are counted.
+    /// State of a replica, by which the replica gauge counts.
     ReplicaGauge {
-        /// A load was decided and is not settled.
+        /// A load is decided, and its outcome is not recorded yet.
         Loading = "loading",
-        /// The replica can serve.
+        /// The replica can serve requests.
         Loaded = "loaded",
-        /// An unload was decided and is not settled.
+        /// An unload is decided, and its outcome is not recorded yet.
         Unloading = "unloading",
     }
 }
@@ -147,7 +147,7 @@
     pub(crate) tier: &'static str,
 }
 
-/// Lists the words of the retry decisions.
+/// Label values of all retry decisions.
 pub(crate) const RETRY_DECISION_LABELS: &[&str] = &[
     "retry",
     "may_have_run",
@@ -157,7 +157,7 @@
     "no_time_left",
 ];
 
-/// Returns the word of a retry decision.
+/// Returns the label value of a retry decision.
 pub(crate) fn retry_decision_label(decision: RetryDecision) -> &'static str {
     match decision {
         RetryDecision::RetryAfterMs(_) => "retry",
@@ -169,7 +169,7 @@
     }
 }
 
-/// Returns the word of a cache tier.
+/// Returns the label value of the cache tier that held a checkpoint.
 pub(crate) fn tier_label(tier: CacheTier) -> &'static str {
     match tier {
         CacheTier::Memory => "memory",
