--- a/crates/telemetry/src/node_metrics.rs
+++ b/crates/telemetry/src/node_metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted and measured of the daemon itself.
+//! Metrics of the daemon itself: its state, and its work with the log, engines and peers.
 
 use std::sync::atomic::AtomicU64;
 
@@ -25,7 +25,7 @@
 use crate::labels::VerdictLabels;
 use crate::labels::tier_label;
 
-/// Upper bounds of the histogram of loads, in seconds.
+/// Upper bounds of the buckets for durations of model loads, in seconds.
 const LOAD_BOUNDS_S: [f64; 14] = [
     0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 8.0, 12.0, 20.0, 30.0, 60.0, 120.0, 300.0, 600.0,
 ];
@@ -39,7 +39,7 @@
     Histogram::new(LOAD_BOUNDS_S)
 }
 
-/// `NodeMetrics` counts and measures the daemon itself.
+/// Gauges and counters of the daemon itself.
 pub struct NodeMetrics {
     replayed_offset: Gauge,
     config_version: Gauge,
@@ -58,7 +58,7 @@
 }
 
 impl NodeMetrics {
-    /// Returns the metrics, registered and at zero.
+    /// Registers the metrics. Series with fixed labels start at zero.
     pub(crate) fn new(registry: &mut Registry) -> Self {
         let metrics = Self {
             replayed_offset: Gauge::default(),
@@ -95,7 +95,7 @@
         );
         registry.register_with_unit(
             "log_read_age",
-            "Age of the last successful read of the log",
+            "Time since the last successful read of the log",
             Unit::Seconds,
             self.log_read_age.clone(),
         );
@@ -106,7 +106,7 @@
         );
         registry.register(
             "ready",
-            "Whether the daemon takes new requests",
+            "Whether the daemon accepts new requests",
             self.ready.clone(),
         );
         registry.register(
@@ -131,33 +131,33 @@
         );
         registry.register(
             "control_records",
-            "Records of the control stream replayed, by verdict",
+            "Replayed records of the control stream, by verdict",
             self.records.clone(),
         );
         registry.register(
             "log_appends",
-            "Appends to the log, by what became of them",
+            "Appends to the log, by outcome",
             self.appends.clone(),
         );
         registry.register(
             "engine_orders",
-            "Orders to engines, by what became of them",
+            "Orders to engines, by outcome",
             self.orders.clone(),
         );
         registry.register_with_unit(
             "model_load",
-            "Time that a load took, by where the checkpoint was",
+            "Duration of a model load, by the cache tier that held the checkpoint",
             Unit::Seconds,
             self.loads.clone(),
         );
         registry.register(
             "peer_messages_rejected",
-            "Messages of peers that were not accepted",
+            "Rejected messages of peers, by reason",
             self.peer_rejections.clone(),
         );
         registry.register(
             "log_lines_dropped",
-            "Lines that were not written because the log's reader stalled",
+            "Log lines dropped because the reader of the log stalled",
             self.log_lines_dropped.clone(),
         );
     }
@@ -178,21 +178,21 @@
         }
     }
 
-    /// Starts the series of the verdicts of replay at zero.
+    /// Starts a series at zero for each verdict that replay can give a control record.
     pub fn set_verdicts(&self, verdicts: impl IntoIterator<Item = &'static str>) {
         for verdict in verdicts {
             drop(self.records.get_or_create(&VerdictLabels { verdict }));
         }
     }
 
-    /// Starts the series of the reasons for which peer messages are rejected at zero.
+    /// Starts a series at zero for each reason for which a peer's message can be rejected.
     pub fn set_peer_rejections(&self, reasons: impl IntoIterator<Item = &'static str>) {
         for reason in reasons {
             drop(self.peer_rejections.get_or_create(&ReasonLabels { reason }));
         }
     }
 
-    /// Sets the offset up to which the control stream has been replayed, exclusive.
+    /// Sets the offset behind the last replayed record of the control stream.
     pub fn set_replayed(&self, offset: Offset) {
         self.replayed_offset.set(gauge_value(offset.0));
     }
@@ -202,27 +202,27 @@
         self.config_version.set(gauge_value(version.0));
     }
 
-    /// Sets the age of the last successful read of the log.
+    /// Sets the time since the last successful read of the log service, in milliseconds.
     pub fn set_log_read_age_ms(&self, age_ms: u64) {
         self.log_read_age.set(age_ms as f64 / MS_PER_S);
     }
 
-    /// Sets the requests of callers in progress.
+    /// Sets the number of callers' requests that are in progress.
     pub fn set_in_progress(&self, requests: u64) {
         self.in_progress.set(gauge_value(requests));
     }
 
-    /// Sets whether the daemon takes new requests.
+    /// Sets whether the daemon accepts new requests.
     pub fn set_ready(&self, ready: bool) {
         self.ready.set(i64::from(ready));
     }
 
-    /// Sets whether the daemon is stopping.
+    /// Sets whether the daemon drains, that is, finishes its requests before it stops.
     pub fn set_draining(&self, draining: bool) {
         self.draining.set(i64::from(draining));
     }
 
-    /// Sets the replicas in a state.
+    /// Sets the number of replicas in a state, as the replayed control stream has them.
     pub fn set_replicas(&self, state: ReplicaGauge, replicas: u64) {
         let state = state.as_str();
         self.replicas
@@ -230,28 +230,29 @@
             .set(gauge_value(replicas));
     }
 
-    /// Adds time during which accelerators held a loaded replica without a request. Only the
-    /// replica's preferred VM counts it, so that the sum over all VMs is that of the fleet.
+    /// Adds time during which an accelerator held a loaded replica without any request. Only the
+    /// preferred VM of the replica may count it, so that the sum over all VMs is the fleet's idle
+    /// time.
     pub fn add_idle_accelerator_ms(&self, idle_ms: u64) {
         self.idle_accelerator.inc_by(idle_ms as f64 / MS_PER_S);
     }
 
-    /// Counts a replayed record by its verdict.
+    /// Counts a replayed control record by the verdict that replay gave it.
     pub fn record_replayed(&self, verdict: &'static str) {
         self.records.get_or_create(&VerdictLabels { verdict }).inc();
     }
 
-    /// Counts an append by what became of it.
+    /// Counts an append to the log service by its outcome.
     pub fn appended(&self, stream: StreamKind, outcome: AppendOutcome) {
         self.append_counter(stream, outcome).inc();
     }
 
-    /// Counts an engine order by what became of it.
+    /// Counts an order to an engine by its outcome.
     pub fn ordered(&self, order: OrderKind, outcome: OrderOutcome) {
         self.order_counter(order, outcome).inc();
     }
 
-    /// Measures a load by where the checkpoint was.
+    /// Measures a model load by the cache tier that held the checkpoint.
     pub fn loaded(&self, tier: CacheTier, duration_ms: u64) {
         let tier = tier_label(tier);
         self.loads
@@ -259,14 +260,14 @@
             .observe(duration_ms as f64 / MS_PER_S);
     }
 
-    /// Counts a message of a peer that was not accepted.
+    /// Counts a message of a peer that was rejected, by reason.
     pub fn peer_rejected(&self, reason: &'static str) {
         self.peer_rejections
             .get_or_create(&ReasonLabels { reason })
             .inc();
     }
 
-    /// Sets the log lines dropped so far. A lower value than before changes nothing.
+    /// Sets the total number of dropped log lines. A value below the previous one is ignored.
     pub fn set_log_lines_dropped(&self, lines: u64) {
         let increase = lines.saturating_sub(self.log_lines_dropped.get());
         self.log_lines_dropped.inc_by(increase);
