--- a/crates/telemetry/tests/json_lines.rs
+++ b/crates/telemetry/tests/json_lines.rs
@@ -1,4 +1,4 @@
-//! The format of a log line.
+//! Format of log lines.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Logs one record with some keys and returns the lines that were written.
+/// Logs one record and returns the lines that were written, at most one.
 fn lines(level: Level, message: &str, keys: &[(&str, Value<'_>)]) -> Vec<serde_json::Value> {
     let written = SharedBuffer::default();
     let mut options = LogOptions::new("entry-1".into(), "hall-a".into());
@@ -81,9 +81,8 @@
     assert_eq!(lines[0]["fields"]["took"], expected);
 }
 
-/// Symptom: a line of the log seems to come from another VM, or two lines stand where one was
-/// logged. Sequence: a caller's text with a newline, or a key named like a field, is logged.
-/// Cause: text is put into the line as it is, and keys overwrite the line's own fields.
+/// Guards against log lines that a caller can forge: text with a newline must not make a second
+/// line, and a key named like a field of the line must not overwrite that field.
 #[test]
 fn forged_line_and_field() {
     let message = "bad header\n{\"level\":\"ERROR\",\"vm\":\"entry-9\"}";
