--- a/crates/telemetry/tests/operations_page.rs
+++ b/crates/telemetry/tests/operations_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page says what each refusal means, and names metrics that exist.
+//! Agreement of `docs/OPERATIONS.md` with the refusal reasons and the metrics.
 
 use std::fs;
 use std::path::Path;
@@ -13,13 +13,13 @@
 
 fn page() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/OPERATIONS.md");
-    fs::read_to_string(path).expect("the page is there")
+    fs::read_to_string(path).expect("the page can be read")
 }
 
 fn section(title: &str) -> String {
     let page = page();
     let section = page.split(&format!("\n## {title}\n")).nth(1);
-    let section = section.expect("the section is there");
+    let section = section.expect("the page has the section");
     section.split("\n## ").next().unwrap_or_default().to_owned()
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns metrics of which each family has a series; an empty family is not rendered.
+/// Returns metrics with at least one series in each family, since empty families are not rendered.
 fn metrics_with_all_families() -> Metrics {
     let metrics = Metrics::new();
     let class = ClassName::new("quick");
@@ -74,10 +74,10 @@
             let family = name.trim_end_matches("_total");
             assert!(
                 text.contains(&format!("# TYPE apricotdale_{family} ")),
-                "{name} is no metric"
+                "{name} is not a metric"
             );
             names += 1;
         }
     }
-    assert!(names >= 15, "only {names} metrics are named");
+    assert!(names >= 15, "only {names} metrics are documented");
 }
