--- a/crates/telemetry/tests/pre_registered.rs
+++ b/crates/telemetry/tests/pre_registered.rs
@@ -1,7 +1,7 @@
-//! Series that stand at zero before anything has happened.
+//! Series that exist with the value zero from the start.
 //!
-//! A series that first appears with its first event has no earlier value, and a rate over it
-//! misses that event.
+//! A series that first appears with its first event has no earlier value, so a rate over it misses
+//! that event.
 
 use apricotdale_core::names::ClassName;
 use apricotdale_core::names::GroupName;
