--- a/crates/telemetry/tests/process_usage.rs
+++ b/crates/telemetry/tests/process_usage.rs
@@ -1,4 +1,4 @@
-//! What the process takes is read with the metrics.
+//! Metrics of the process itself.
 
 use std::hint;
 
