--- a/crates/telemetry/tests/serving_counts.rs
+++ b/crates/telemetry/tests/serving_counts.rs
@@ -1,4 +1,4 @@
-//! What each event of a request counts, and that callers can't add series.
+//! Effect of each serving event on the metrics, and the bound on the number of series.
 
 use apricotdale_core::engine::CacheTier;
 use apricotdale_core::names::ClassName;
@@ -124,9 +124,8 @@
     }
 }
 
-/// Symptom: the metrics of a VM grow by the hour until it runs out of memory. Sequence: a caller
-/// sends a new class with each request, and each is refused as unknown. Cause: what a caller wrote
-/// becomes a label.
+/// Guards against metrics that grow until the VM runs out of memory: a caller who sends a new class
+/// with each request must not add a series with each refusal.
 #[test]
 fn caller_adds_no_series() {
     let metrics = metrics();
