--- a/crates/telemetry/tests/stalled_reader.rs
+++ b/crates/telemetry/tests/stalled_reader.rs
@@ -1,4 +1,4 @@
-//! A log whose reader stalls.
+//! Behaviour of the log writer while the reader of the log stalls.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -43,9 +43,8 @@
     }
 }
 
-/// Symptom: every request of a VM misses its deadline while its upstreams are well. Sequence: the
-/// reader of the log stalls, the write of a line blocks, each serving thread blocks at its next
-/// line. Cause: serving threads write to the log themselves.
+/// Guards against requests that miss their deadline because of the log: if serving threads wrote
+/// the lines themselves, each would block at its next line while the reader stalls.
 #[test]
 fn stalled_reader_drops_lines() {
     let shared = Arc::new(Shared::default());
