--- a/crates/node/src/appender.rs
+++ b/crates/node/src/appender.rs
@@ -241,7 +241,7 @@
         self.parts
             .metrics
             .node()
-            .appended(StreamKind::Control, outcome);
+            .record_append(StreamKind::Control, outcome);
     }
 
     fn stopped(&self) -> bool {
--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -86,7 +86,9 @@
             .encode();
             let outcome = self.log.append(&self.stream.name, &payload);
             let counted = append_outcome(&outcome);
-            self.metrics.node().appended(StreamKind::Claims, counted);
+            self.metrics
+                .node()
+                .record_append(StreamKind::Claims, counted);
             let error = match outcome {
                 Ok(_) => {
                     drop_claims(&mut batch);
--- a/crates/node/src/gauges.rs
+++ b/crates/node/src/gauges.rs
@@ -97,7 +97,7 @@
         for (reason, counted) in Rejection::ALL.iter().zip(&mut self.rejected) {
             let rejected = self.peers.rejected(*reason);
             for _ in *counted..rejected {
-                self.metrics.node().peer_rejected(reason.as_str());
+                self.metrics.node().record_peer_rejection(reason.as_str());
             }
             *counted = rejected;
         }
--- a/crates/node/src/settling/sender.rs
+++ b/crates/node/src/settling/sender.rs
@@ -174,6 +174,6 @@
             Err(Error::Unavailable(_)) => OrderOutcome::NotReceived,
             Err(_) => OrderOutcome::Refused,
         };
-        self.parts.metrics.node().ordered(kind, outcome);
+        self.parts.metrics.node().record_order(kind, outcome);
     }
 }
--- a/crates/node/src/streams/snapshot_writer.rs
+++ b/crates/node/src/streams/snapshot_writer.rs
@@ -113,7 +113,9 @@
         for record in SnapshotRecord::of_section(stream, section, PART_BYTES) {
             let outcome = self.log.append(&self.stream, &record.encode());
             let counted = append_outcome(&outcome);
-            self.metrics.node().appended(StreamKind::Snapshot, counted);
+            self.metrics
+                .node()
+                .record_append(StreamKind::Snapshot, counted);
             if let Err(error) = outcome {
                 warn!("append of a snapshot of {stream} failed: {error}");
                 return false;
--- a/crates/telemetry/src/node_metrics.rs
+++ b/crates/telemetry/src/node_metrics.rs
@@ -243,17 +243,17 @@
     }
 
     /// Counts an append to the log service by its outcome.
-    pub fn appended(&self, stream: StreamKind, outcome: AppendOutcome) {
+    pub fn record_append(&self, stream: StreamKind, outcome: AppendOutcome) {
         self.append_counter(stream, outcome).inc();
     }
 
     /// Counts an order to an engine by its outcome.
-    pub fn ordered(&self, order: OrderKind, outcome: OrderOutcome) {
+    pub fn record_order(&self, order: OrderKind, outcome: OrderOutcome) {
         self.order_counter(order, outcome).inc();
     }
 
     /// Measures a model load by the cache tier that held the checkpoint.
-    pub fn loaded(&self, tier: CacheTier, duration_ms: u64) {
+    pub fn record_load(&self, tier: CacheTier, duration_ms: u64) {
         let tier = tier_label(tier);
         self.loads
             .get_or_create(&TierLabels { tier })
@@ -261,7 +261,7 @@
     }
 
     /// Counts a message of a peer that was rejected, by reason.
-    pub fn peer_rejected(&self, reason: &'static str) {
+    pub fn record_peer_rejection(&self, reason: &'static str) {
         self.peer_rejections
             .get_or_create(&ReasonLabels { reason })
             .inc();
--- a/crates/telemetry/tests/operations_page.rs
+++ b/crates/telemetry/tests/operations_page.rs
@@ -42,7 +42,7 @@
     metrics.set_groups([&GroupName::new("telaio")]);
     metrics.node().set_verdicts(["configured"]);
     metrics.node().set_peer_rejections(["bad_tag"]);
-    metrics.node().loaded(CacheTier::Disk, 1);
+    metrics.node().record_load(CacheTier::Disk, 1);
     metrics.observe(&ServingEvent::Answered {
         class: class.clone(),
         first_answer_ms: 1,
--- a/crates/telemetry/tests/serving_counts.rs
+++ b/crates/telemetry/tests/serving_counts.rs
@@ -99,8 +99,8 @@
     node.set_log_read_age_ms(2_500);
     node.set_draining(true);
     node.add_idle_accelerator_ms(1_500);
-    node.appended(StreamKind::Claims, AppendOutcome::Unknown);
-    node.loaded(CacheTier::Disk, 4_000);
+    node.record_append(StreamKind::Claims, AppendOutcome::Unknown);
+    node.record_load(CacheTier::Disk, 4_000);
     node.set_log_lines_dropped(5);
     node.set_log_lines_dropped(3);
     node.set_verdicts(["accepted"]);
