--- a/crates/admin/src/client.rs
+++ b/crates/admin/src/client.rs
@@ -144,7 +144,7 @@
     pub fn publish(&self, change: &PublishRequest) -> Result<PublishOutcome> {
         let url = format!("{}/admin/config", self.base_url);
         let answer = self.agent.post(&url).send_json(change);
-        self.read(answer.map_err(change_error)?)
+        self.decode_answer(answer.map_err(change_error)?)
     }
 
     /// Begins a graceful shutdown of the daemon.
@@ -155,21 +155,21 @@
     pub fn drain(&self) -> Result<DrainView> {
         let url = format!("{}/admin/drain", self.base_url);
         let answer = self.agent.post(&url).send_empty();
-        self.read(answer.map_err(change_error)?)
+        self.decode_answer(answer.map_err(change_error)?)
     }
 
     fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         let url = format!("{}{path}", self.base_url);
         let answer = self.agent.get(&url).call();
         let answer = answer.map_err(|error| Error::Unreachable(error.to_string()))?;
-        match self.read(answer) {
+        match self.decode_answer(answer) {
             // A call that changes nothing has no outcome that could be unknown.
             Err(Error::OutcomeUnknown(detail)) => Err(Error::Unreachable(detail)),
             answer => answer,
         }
     }
 
-    fn read<T: DeserializeOwned>(&self, mut answer: Response<Body>) -> Result<T> {
+    fn decode_answer<T: DeserializeOwned>(&self, mut answer: Response<Body>) -> Result<T> {
         let is_problem = answer.body().mime_type() == Some(PROBLEM_CONTENT_TYPE);
         let bytes = answer
             .body_mut()
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -25,7 +25,7 @@
 use crate::source::AdminSource;
 
 /// The path below which a request is explained.
-const REQUESTS_PREFIX: &str = "/admin/requests/";
+const REQUEST_PATH_PREFIX: &str = "/admin/requests/";
 
 /// The longest request identity that is looked up.
 const MAX_REQUEST_ID_BYTES: usize = 200;
@@ -116,11 +116,11 @@
         .pool_size(options.max_requests.max(1));
     let address = server.server_addr();
     let stopping = Arc::new(AtomicBool::new(false));
-    let stop_seen = Arc::clone(&stopping);
+    let stop_requested = Arc::clone(&stopping);
     let thread = thread::Builder::new()
         .name("admin".to_owned())
         .spawn(move || {
-            while !stop_seen.load(Ordering::Acquire) {
+            while !stop_requested.load(Ordering::Acquire) {
                 server.poll_timeout(STOP_CHECK_INTERVAL);
             }
             server.join();
@@ -148,16 +148,16 @@
     fn dispatch(&self, request: &Request) -> Result<Response> {
         let path = request.url();
         match (request.method(), path.as_str()) {
-            ("GET", "/admin/status") => Ok(json(200, &self.source.status())),
-            ("GET", "/admin/config") => Ok(json(200, &self.source.config()?)),
-            ("GET", "/admin/models") => Ok(json(200, &self.source.models()?)),
-            ("GET", "/admin/upstreams") => Ok(json(200, &self.source.upstreams()?)),
-            ("GET", "/admin/members") => Ok(json(200, &self.source.members()?)),
-            ("GET", path) if path.starts_with(REQUESTS_PREFIX) => {
-                self.explain(&path[REQUESTS_PREFIX.len()..])
+            ("GET", "/admin/status") => Ok(json_response(200, &self.source.status())),
+            ("GET", "/admin/config") => Ok(json_response(200, &self.source.config()?)),
+            ("GET", "/admin/models") => Ok(json_response(200, &self.source.models()?)),
+            ("GET", "/admin/upstreams") => Ok(json_response(200, &self.source.upstreams()?)),
+            ("GET", "/admin/members") => Ok(json_response(200, &self.source.members()?)),
+            ("GET", path) if path.starts_with(REQUEST_PATH_PREFIX) => {
+                self.explain(&path[REQUEST_PATH_PREFIX.len()..])
             }
             ("POST", "/admin/config") => self.publish(request),
-            ("POST", "/admin/drain") => Ok(json(200, &self.source.drain())),
+            ("POST", "/admin/drain") => Ok(json_response(200, &self.source.drain())),
             ("GET", "/metrics") => Ok(self.metrics()),
             ("GET", "/health/live") => Ok(Response::text("live\n")),
             ("GET", "/health/ready") => self.ready(),
@@ -174,14 +174,17 @@
                 "a request identity has 1 to {MAX_REQUEST_ID_BYTES} bytes"
             )));
         }
-        Ok(json(200, &self.source.explain(&RequestId::new(id))?))
+        Ok(json_response(
+            200,
+            &self.source.explain(&RequestId::new(id))?,
+        ))
     }
 
     fn publish(&self, request: &Request) -> Result<Response> {
         let change: PublishRequest = read_json(request, self.options.max_body_bytes)?;
         let _permit = self.change_permit()?;
         let outcome = self.source.publish(&change);
-        Ok(json(outcome.http_status(), &outcome))
+        Ok(json_response(outcome.http_status(), &outcome))
     }
 
     /// Returns the right to wait for one change.
@@ -190,11 +193,11 @@
     /// repeat their change would take every thread, the health check would time out, and the
     /// platform would replace a VM that serves well.
     fn change_permit(&self) -> Result<ChangePermit<'_>> {
-        let before = self.changes.fetch_add(1, Ordering::AcqRel);
+        let waiting_changes = self.changes.fetch_add(1, Ordering::AcqRel);
         let permit = ChangePermit(&self.changes);
-        if before >= self.options.max_changes {
+        if waiting_changes >= self.options.max_changes {
             return Err(Error::Busy(format!(
-                "{before} changes wait for the log; this one was not appended"
+                "{waiting_changes} changes wait for the log; this one was not appended"
             )));
         }
         Ok(permit)
@@ -237,7 +240,7 @@
         "/health/live",
         "/health/ready",
     ];
-    PATHS.contains(&path) || path.starts_with(REQUESTS_PREFIX)
+    PATHS.contains(&path) || path.starts_with(REQUEST_PATH_PREFIX)
 }
 
 fn read_json<T: DeserializeOwned>(request: &Request, max_body_bytes: u64) -> Result<T> {
@@ -256,7 +259,7 @@
     serde_json::from_slice(&bytes).map_err(|error| Error::bad_request(error.to_string()))
 }
 
-fn json<T: Serialize>(status: u16, value: &T) -> Response {
+fn json_response<T: Serialize>(status: u16, value: &T) -> Response {
     let body = serde_json::to_vec(value).expect("views hold only strings, numbers and lists");
     Response::from_data("application/json", body).with_status_code(status)
 }
--- a/crates/admin/tests/change_limits.rs
+++ b/crates/admin/tests/change_limits.rs
@@ -38,7 +38,7 @@
     AdminClient::new(server.address(), ClientOptions::default())
 }
 
-fn publish_aside(server: &AdminServer) -> JoinHandle<Result<PublishOutcome>> {
+fn publish_in_background(server: &AdminServer) -> JoinHandle<Result<PublishOutcome>> {
     let client = client(server);
     thread::spawn(move || client.publish(&change("lise")))
 }
@@ -47,11 +47,14 @@
 /// their change until each thread of the operators' interface waits for the log, the health check
 /// gets no answer. Cause: nothing keeps a thread free for the health check.
 #[test]
-fn health_is_answered_while_changes_wait() {
+fn health_during_changes() {
     let source = FakeSource::new();
     let server = source.serve_with(LIMITS);
     let gate = source.close_gate();
-    let waiting = [publish_aside(&server), publish_aside(&server)];
+    let waiting = [
+        publish_in_background(&server),
+        publish_in_background(&server),
+    ];
     source.await_waiting(2);
 
     let third = client(&server).publish(&change("mads"));
@@ -67,7 +70,7 @@
 }
 
 #[test]
-fn large_body_is_refused_and_reaches_no_source() {
+fn large_body_refused() {
     let source = FakeSource::new();
     let server = source.serve_with(LIMITS);
     let answer = client(&server).publish(&change(&"x".repeat(2_000)));
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn unknown_field_is_refused() {
+fn unknown_field_refused() {
     let source = FakeSource::new();
     let server = source.serve();
     let url = format!("http://{}/admin/config", server.address());
@@ -90,12 +93,12 @@
 }
 
 #[test]
-fn stop_answers_a_change_in_progress_and_refuses_connections() {
+fn stop_during_change() {
     let source = FakeSource::new();
     let server = source.serve();
     let gate = source.close_gate();
     let address = server.address();
-    let waiting = publish_aside(&server);
+    let waiting = publish_in_background(&server);
     source.await_waiting(1);
     let stopped = thread::spawn(move || server.stop());
     drop(gate);
--- a/crates/admin/tests/fake_source/mod.rs
+++ b/crates/admin/tests/fake_source/mod.rs
@@ -99,11 +99,11 @@
     /// Waits until a number of changes wait at the gate.
     pub fn await_waiting(&self, changes: usize) {
         let waiting = self.gate.waiting.lock().unwrap();
-        let enough = self
+        let reached = self
             .gate
             .changed
             .wait_while(waiting, |waiting| *waiting < changes);
-        drop(enough.unwrap());
+        drop(reached.unwrap());
     }
 
     fn require_ready(&self) -> Result<()> {
@@ -133,7 +133,7 @@
 }
 
 impl Gate {
-    fn pass(&self) {
+    fn wait_until_open(&self) {
         *self.waiting.lock().unwrap() += 1;
         self.changed.notify_all();
         let closed = self.closed.lock().unwrap();
@@ -260,7 +260,7 @@
 
     fn publish(&self, request: &PublishRequest) -> PublishOutcome {
         self.published.lock().unwrap().push(request.clone());
-        self.gate.pass();
+        self.gate.wait_until_open();
         if let Some(outcome) = self.next_outcome.lock().unwrap().take() {
             return outcome;
         }
--- a/crates/admin/tests/lost_answer.rs
+++ b/crates/admin/tests/lost_answer.rs
@@ -25,7 +25,7 @@
 
 /// Takes one connection, reads a request, answers with some bytes and closes. The handle returns
 /// the number of connections, which is counted until one of the test's own arrives.
-fn answer_once(answer: &'static str) -> (SocketAddr, JoinHandle<usize>) {
+fn serve_answer(answer: &'static str) -> (SocketAddr, JoinHandle<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let counter = thread::spawn(move || {
@@ -56,8 +56,8 @@
 #[case::nothing("")]
 #[case::half_a_head("HTTP/1.1 200 OK\r\nContent-Le")]
 #[case::half_a_body("HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\n{\"outcome\"")]
-fn lost_answer_is_unknown_and_not_repeated(#[case] answer: &'static str) {
-    let (address, counter) = answer_once(answer);
+fn lost_answer_not_retried(#[case] answer: &'static str) {
+    let (address, counter) = serve_answer(answer);
     let outcome = AdminClient::new(address, ClientOptions::default()).publish(&change());
     assert!(
         matches!(outcome, Err(Error::OutcomeUnknown(_))),
@@ -70,15 +70,15 @@
 #[case::page("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 6\r\n\r\n<html>")]
 #[case::other_json("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")]
 #[case::redirect("HTTP/1.1 307 Moved\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n")]
-fn strange_answer_is_malformed(#[case] answer: &'static str) {
-    let (address, counter) = answer_once(answer);
+fn malformed_answer(#[case] answer: &'static str) {
+    let (address, counter) = serve_answer(answer);
     let outcome = AdminClient::new(address, ClientOptions::default()).publish(&change());
     assert!(matches!(outcome, Err(Error::Malformed(_))), "{outcome:?}");
     assert_eq!(connections(address, counter), 1);
 }
 
 #[test]
-fn refused_connection_changed_nothing() {
+fn refused_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn cut_view_is_no_unknown_outcome() {
-    let (address, counter) = answer_once("HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\n{");
+fn truncated_view() {
+    let (address, counter) = serve_answer("HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\n{");
     let status = AdminClient::new(address, ClientOptions::default()).status();
     assert!(matches!(status, Err(Error::Unreachable(_))), "{status:?}");
     assert_eq!(connections(address, counter), 1);
--- a/crates/admin/tests/round_trip.rs
+++ b/crates/admin/tests/round_trip.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn views_arrive_as_the_source_gave_them() {
+fn views_unchanged() {
     let source = FakeSource::new();
     let server = source.serve();
     let client = AdminClient::new(server.address(), ClientOptions::default());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn errors_arrive_as_the_source_gave_them() {
+fn errors_unchanged() {
     let source = FakeSource::new();
     let server = source.serve();
     let client = AdminClient::new(server.address(), ClientOptions::default());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn publication_is_accepted_once_for_one_base_version() {
+fn stale_base_version() {
     let source = FakeSource::new();
     let server = source.serve();
     let client = AdminClient::new(server.address(), ClientOptions::default());
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn unknown_outcome_is_an_answer() {
+fn unknown_outcome() {
     let source = FakeSource::new();
     let unknown = PublishOutcome::Unknown {
         change_id: 5,
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn repeated_drain_says_so() {
+fn repeated_drain() {
     let source = FakeSource::new();
     let server = source.serve();
     let client = AdminClient::new(server.address(), ClientOptions::default());
@@ -115,7 +115,7 @@
 #[case::post_to_view("POST", "/admin/models", 405, "application/problem+json")]
 #[case::no_request("GET", "/admin/requests/", 400, "application/problem+json")]
 #[case::no_body("POST", "/admin/config", 400, "application/problem+json")]
-fn path_has_status_and_content_type(
+fn status_and_content_type(
     #[case] method: &str,
     #[case] path: &str,
     #[case] status: u16,
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn readiness_names_its_reason() {
+fn readiness_reason() {
     let source = FakeSource::new();
     source.ready.store(false, Ordering::SeqCst);
     let server = source.serve();
