--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,15 +1,13 @@
-//! The operators' interface of a daemon: types, server and client.
+//! Operators' interface of a daemon: types, server and client.
 //!
-//! Each daemon listens for operators on one address of its own. What it answers there is what this
-//! one VM knows; the interface has no view of the whole fleet and none is needed, since every VM
-//! replays the same control stream.
+//! Each daemon serves its operators on an address of its own and answers with the state of its own
+//! VM. No endpoint collects the state of the whole fleet, and none needs to: every VM replays the
+//! same control stream.
 //!
-//! The daemon implements [`AdminSource`] and gives it to [`serve`]. The operators' command uses
-//! [`AdminClient`]. Both speak JSON over HTTP/1.1; errors travel as problem documents
-//! ([`Problem`]).
+//! The daemon implements [`AdminSource`] and passes it to [`serve`]. The operators' command uses
+//! [`AdminClient`]. Both use JSON over HTTP/1.1 and send errors as problem documents ([`Problem`]).
 //!
-//! The interface has no authentication of its own: it belongs on a network that only operators
-//! reach.
+//! The interface authenticates nobody. It belongs on a network that only operators can reach.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
