--- a/crates/admin/src/errors.rs
+++ b/crates/admin/src/errors.rs
@@ -1,45 +1,45 @@
-//! Errors of the operators' interface. The same type stands at both ends: the server sends it as a
-//! problem document, and the client turns the document back.
+//! Errors of the operators' interface. The server and the client share them: the server sends an
+//! error as a problem document, which the client converts back.
 
 use thiserror::Error;
 
-/// `Result` is the result of the operators' interface.
+/// Result of a call of the operators' interface.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what the operators' interface can fail with.
+/// Error of a call of the operators' interface, with a detail for the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Error {
-    /// The daemon has not yet learned the state that the answer needs.
+    /// The daemon has not replayed the state yet that the answer needs.
     #[error("not ready: {0}")]
     NotReady(String),
-    /// The daemon does not know the thing asked for.
+    /// The daemon has no such path or request.
     #[error("not found: {0}")]
     NotFound(String),
-    /// The request can't be understood.
+    /// The request is not valid.
     #[error("bad request: {0}")]
     BadRequest(String),
-    /// The path is served, but not by this method.
+    /// The path exists, but not for this HTTP method.
     #[error("method not allowed: {0}")]
     MethodNotAllowed(String),
-    /// The request's body is larger than the limit.
+    /// The request body is larger than [`ServerOptions`](crate::ServerOptions) allow.
     #[error("body too large: {0}")]
     BodyTooLarge(String),
-    /// The daemon answers as many changes at once as it may. The request did nothing.
+    /// As many changes as allowed wait for the log already. The request had no effect.
     #[error("busy: {0}")]
     Busy(String),
-    /// A fault inside the daemon.
+    /// The daemon failed in a way that has no code of its own.
     #[error("internal: {0}")]
     Internal(String),
-    /// The daemon was not reached. The request did nothing.
+    /// The daemon can't be reached. The request had no effect.
     #[error("daemon not reached: {0}")]
     Unreachable(String),
-    /// The daemon may have acted on the request: its answer was lost.
+    /// The answer was lost, so the request may have had its effect.
     #[error("outcome unknown: {0}")]
     OutcomeUnknown(String),
-    /// The daemon answered with something that can't be understood.
+    /// The answer is not what the operators' interface sends.
     #[error("malformed answer: {0}")]
     Malformed(String),
-    /// The address can't be listened on.
+    /// The server can't listen on its address.
     #[error("cannot listen: {0}")]
     Listen(String),
 }
