--- a/crates/admin/src/source.rs
+++ b/crates/admin/src/source.rs
@@ -1,4 +1,4 @@
-//! The trait that a daemon implements to answer its operators.
+//! Trait with which a daemon answers its operators.
 
 use apricotdale_core::names::RequestId;
 
@@ -13,52 +13,58 @@
 use crate::views::Status;
 use crate::views::UpstreamsView;
 
-/// `AdminSource` is a daemon as its operators see it. Every method but `publish` returns at once
-/// from what the VM already holds, so that a view can be had while the platform is down.
+/// State and actions that a daemon offers its operators.
+///
+/// Every method but `publish` returns at once from the state that the VM has in memory, so that
+/// operators get answers even if the platform is down.
 pub trait AdminSource: Send + Sync {
-    /// Returns how this daemon is. It can always be told, also before the daemon is ready.
+    /// Returns the daemon's status, which is available even before the daemon is ready.
     fn status(&self) -> Status;
 
     /// Returns the configuration in force on this VM.
     ///
     /// # Errors
     ///
-    /// `Error::NotReady` before the control stream has been replayed for the first time.
+    /// [`Error::NotReady`](crate::Error::NotReady) until the control stream has been replayed once.
     fn config(&self) -> Result<ConfigView>;
 
     /// Returns every configured model with its replicas.
     ///
     /// # Errors
     ///
-    /// As for `config`.
+    /// Same as [`config`](Self::config).
     fn models(&self) -> Result<ModelsView>;
 
-    /// Returns every engine and every instance of a plain service that this VM knows.
+    /// Returns the engines and the instances of plain services that this VM has read from the
+    /// platform's list.
     ///
     /// # Errors
     ///
-    /// As for `config`.
+    /// Same as [`config`](Self::config).
     fn upstreams(&self) -> Result<UpstreamsView>;
 
-    /// Returns every VM that runs a daemon, as this one sees it.
+    /// Returns the VMs that run a daemon, with their states as this VM observes them.
     ///
     /// # Errors
     ///
-    /// As for `config`.
+    /// Same as [`config`](Self::config).
     fn members(&self) -> Result<MembersView>;
 
-    /// Returns what this VM did for one request.
+    /// Returns the steps that this VM took for one request.
     ///
     /// # Errors
     ///
-    /// `Error::NotFound` if this VM did not serve the request or has forgotten it.
+    /// [`Error::NotFound`](crate::Error::NotFound) if this VM did not serve the request, or no
+    /// longer keeps its steps.
     fn explain(&self, request: &RequestId) -> Result<Explanation>;
 
     /// Appends a change of the configuration to the control stream and waits, for a bounded time,
-    /// until this VM has replayed it. A change whose `change_id` has been accepted before is
-    /// answered with the version that it got then.
+    /// until this VM has replayed it.
+    ///
+    /// A change whose `change_id` has been accepted before is not applied again: the outcome has
+    /// the version that the change got the first time.
     fn publish(&self, request: &PublishRequest) -> PublishOutcome;
 
-    /// Begins a graceful shutdown and returns at once. Repeating it changes nothing.
+    /// Starts a graceful shutdown and returns at once. A second call changes nothing.
     fn drain(&self) -> DrainView;
 }
