--- a/crates/admin/src/client.rs
+++ b/crates/admin/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the operators' interface.
+//! Client of the operators' interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,14 +23,15 @@
 use crate::views::Status;
 use crate::views::UpstreamsView;
 
-/// `ClientOptions` are the limits of the client.
+/// Timeouts and size limit of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientOptions {
-    /// The longest time to connect.
+    /// Timeout of connecting, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// The longest time for a whole call. It is longer than a daemon waits for a change.
+    /// Timeout of a complete call, in milliseconds. Must exceed the time for which a daemon waits
+    /// until a change is replayed.
     pub call_timeout_ms: u64,
-    /// The largest answer.
+    /// Largest answer that is read, in bytes.
     pub max_answer_bytes: u64,
 }
 
@@ -44,7 +45,7 @@
     }
 }
 
-/// `AdminClient` asks one daemon.
+/// Client that calls one daemon.
 pub struct AdminClient {
     agent: Agent,
     base_url: String,
@@ -52,10 +53,11 @@
 }
 
 impl AdminClient {
-    /// Returns a client of the daemon whose operators' interface is at an address.
+    /// Returns a client of the daemon that serves operators at `address`.
     ///
-    /// It uses no proxy, whatever the environment says, and keeps no connection: a kept one may
-    /// have been closed by the daemon, which shows only once a change has been sent on it.
+    /// The client ignores the environment's proxy settings. It keeps no idle connections: the
+    /// daemon may have closed one, which the client would notice only after it has sent a change
+    /// over it.
     pub fn new(address: SocketAddr, options: ClientOptions) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -72,57 +74,57 @@
         }
     }
 
-    /// Returns how the daemon is.
+    /// Returns the daemon's status.
     ///
     /// # Errors
     ///
-    /// `Error::Unreachable` if no answer came, `Error::Malformed` if it can't be understood, or
-    /// the daemon's own error.
+    /// [`Error::Unreachable`] if there is no complete answer, [`Error::Malformed`] if the answer
+    /// can't be decoded, or the error that the daemon answered with.
     pub fn status(&self) -> Result<Status> {
         self.get("/admin/status")
     }
 
-    /// Returns the configuration in force.
+    /// Returns the configuration in force on the daemon's VM.
     ///
     /// # Errors
     ///
-    /// As for `status`.
+    /// Same as [`status`](Self::status).
     pub fn config(&self) -> Result<ConfigView> {
         self.get("/admin/config")
     }
 
-    /// Returns the models with their replicas.
+    /// Returns the configured models with their replicas.
     ///
     /// # Errors
     ///
-    /// As for `status`.
+    /// Same as [`status`](Self::status).
     pub fn models(&self) -> Result<ModelsView> {
         self.get("/admin/models")
     }
 
-    /// Returns the upstreams.
+    /// Returns the engines and instances of plain services that the daemon's VM has on its list.
     ///
     /// # Errors
     ///
-    /// As for `status`.
+    /// Same as [`status`](Self::status).
     pub fn upstreams(&self) -> Result<UpstreamsView> {
         self.get("/admin/upstreams")
     }
 
-    /// Returns the VMs that run a daemon.
+    /// Returns the VMs that run a daemon, with their states as the daemon observes them.
     ///
     /// # Errors
     ///
-    /// As for `status`.
+    /// Same as [`status`](Self::status).
     pub fn members(&self) -> Result<MembersView> {
         self.get("/admin/members")
     }
 
-    /// Returns what the daemon did for a request.
+    /// Returns the steps that the daemon took for a request.
     ///
     /// # Errors
     ///
-    /// As for `status`; `Error::BadRequest` for an identity that no request can have.
+    /// Same as [`status`](Self::status), and [`Error::BadRequest`] for text that is no request ID.
     pub fn explain(&self, request: &RequestId) -> Result<Explanation> {
         let id = request.as_str();
         if !id
@@ -134,24 +136,24 @@
         self.get(&format!("/admin/requests/{id}"))
     }
 
-    /// Publishes a change.
+    /// Publishes a change of the configuration.
     ///
     /// # Errors
     ///
-    /// `Error::Unreachable`, `Error::Busy`, `Error::BadRequest` and `Error::BodyTooLarge` if the
-    /// change was certainly not appended, `Error::OutcomeUnknown` or `Error::Malformed` if it may
-    /// have been.
+    /// [`Error::Unreachable`], [`Error::Busy`], [`Error::BadRequest`] or [`Error::BodyTooLarge`] if
+    /// the change was certainly not appended; [`Error::OutcomeUnknown`] or [`Error::Malformed`] if
+    /// it may have been.
     pub fn publish(&self, change: &PublishRequest) -> Result<PublishOutcome> {
         let url = format!("{}/admin/config", self.base_url);
         let answer = self.agent.post(&url).send_json(change);
         self.decode_answer(answer.map_err(change_error)?)
     }
 
-    /// Begins a graceful shutdown of the daemon.
+    /// Starts a graceful shutdown of the daemon.
     ///
     /// # Errors
     ///
-    /// As for `publish`.
+    /// Same as [`publish`](Self::publish).
     pub fn drain(&self) -> Result<DrainView> {
         let url = format!("{}/admin/drain", self.base_url);
         let answer = self.agent.post(&url).send_empty();
@@ -163,7 +165,7 @@
         let answer = self.agent.get(&url).call();
         let answer = answer.map_err(|error| Error::Unreachable(error.to_string()))?;
         match self.decode_answer(answer) {
-            // A call that changes nothing has no outcome that could be unknown.
+            // A read-only call has no effect that could be unknown.
             Err(Error::OutcomeUnknown(detail)) => Err(Error::Unreachable(detail)),
             answer => answer,
         }
@@ -189,8 +191,8 @@
     }
 }
 
-/// Returns the error of a call that changes something. Only an error of the connect itself says
-/// that nothing was changed.
+/// Maps an error of a call that changes something. Only if the connection failed is it certain that
+/// the call had no effect.
 fn change_error(error: ureq::Error) -> Error {
     let detail = error.to_string();
     match error {
