--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -1,30 +1,30 @@
-//! Errors as problem documents (RFC 9457).
+//! Problem documents (RFC 9457), the form in which errors are sent.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::errors::Error;
 
-/// The content type of a problem document.
+/// Content type of a problem document.
 pub(crate) const PROBLEM_CONTENT_TYPE: &str = "application/problem+json";
 
-/// `ProblemCode` is the machine-readable kind of a problem.
+/// Machine-readable kind of a problem.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProblemCode {
-    /// The daemon has not yet learned the state that the answer needs.
+    /// The daemon has not replayed the state yet that the answer needs.
     NotReady,
-    /// The daemon does not know the thing asked for.
+    /// The daemon has no such path or request.
     NotFound,
-    /// The request can't be understood.
+    /// The request is not valid.
     BadRequest,
-    /// The path is served, but not by this method.
+    /// The path exists, but not for this HTTP method.
     MethodNotAllowed,
-    /// The request's body is larger than the limit.
+    /// The request body is larger than the server allows.
     BodyTooLarge,
-    /// The daemon answers as many changes at once as it may.
+    /// As many changes as allowed wait for the log already.
     Busy,
-    /// A fault inside the daemon.
+    /// The daemon failed in a way that has no code of its own.
     Internal,
 }
 
@@ -53,21 +53,21 @@
     }
 }
 
-/// `Problem` is a problem document.
+/// Problem document that describes why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// The kind in words.
+    /// Short name of the kind, the same for all problems of one code.
     pub title: String,
-    /// The HTTP status.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// The kind as a machine-readable code.
+    /// Machine-readable kind.
     pub code: ProblemCode,
-    /// A sentence for a person.
+    /// Explanation of this problem for the operator.
     pub detail: String,
 }
 
 impl Problem {
-    /// Returns the problem document of a code.
+    /// Returns a problem document with the title and the HTTP status of `code`.
     pub fn new(code: ProblemCode, detail: impl Into<String>) -> Self {
         Self {
             title: code.title().to_owned(),
