--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The server of the operators' interface.
+//! HTTP server of the operators' interface.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -24,30 +24,32 @@
 use crate::publish::PublishRequest;
 use crate::source::AdminSource;
 
-/// The path below which a request is explained.
+/// Start of the paths that explain a request; the request ID follows.
 const REQUEST_PATH_PREFIX: &str = "/admin/requests/";
 
-/// The longest request identity that is looked up.
+/// Longest request ID that is accepted, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 200;
 
-/// The content type of the metrics.
+/// Content type of the metrics, as the OpenMetrics specification has it.
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// How often the server looks whether it has been told to stop.
+/// Interval at which the server thread checks whether it must stop.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// `RenderMetrics` returns the metrics as text.
+/// Function that renders the metrics in the OpenMetrics text format.
 pub type RenderMetrics = Arc<dyn Fn() -> String + Send + Sync>;
 
-/// `ServerOptions` are the limits of the server.
+/// Limits of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerOptions {
-    /// Requests that are answered at once; the others wait.
+    /// Number of worker threads, that is, of requests that are answered at the same time. Further
+    /// requests wait.
     pub max_requests: usize,
-    /// Changes that are waited for at once; the others are refused. It is lower than
-    /// `max_requests`, so that health checks are answered while the log is slow.
+    /// Greatest number of changes that wait for the log at the same time. Further changes are
+    /// refused. Must be below `max_requests`, so that health checks are answered while the log is
+    /// slow.
     pub max_changes: usize,
-    /// The largest body of a request.
+    /// Largest request body that is read, in bytes.
     pub max_body_bytes: u64,
 }
 
@@ -61,7 +63,7 @@
     }
 }
 
-/// `AdminServer` is a running server of the operators' interface. Dropping it stops it.
+/// Running server of the operators' interface. Dropping the value stops the server.
 pub struct AdminServer {
     address: SocketAddr,
     stopping: Arc<AtomicBool>,
@@ -69,12 +71,12 @@
 }
 
 impl AdminServer {
-    /// Returns the address on which the server listens.
+    /// Returns the address on which the server listens, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops the server and returns once the requests in progress are answered.
+    /// Stops the server, and returns once all requests in progress have been answered.
     pub fn stop(mut self) {
         self.shut_down();
     }
@@ -94,11 +96,11 @@
     }
 }
 
-/// Starts the server on an address; port 0 takes any free port.
+/// Starts a server on an address. Port 0 means any free port.
 ///
 /// # Errors
 ///
-/// `Error::Listen` if the address can't be listened on.
+/// [`Error::Listen`] if the server can't listen on the address or its thread can't be started.
 pub fn serve(
     address: SocketAddr,
     source: Arc<dyn AdminSource>,
@@ -187,10 +189,10 @@
         Ok(json_response(outcome.http_status(), &outcome))
     }
 
-    /// Returns the right to wait for one change.
+    /// Acquires a permit to wait for one change, or fails if all permits are taken.
     ///
-    /// While the log is slow each change holds a thread. Without the limit a few operators who
-    /// repeat their change would take every thread, the health check would time out, and the
+    /// While the log is slow, each change blocks a thread. Without the limit, a few operators who
+    /// retry their changes would block all threads, the health check would time out, and the
     /// platform would replace a VM that serves well.
     fn change_permit(&self) -> Result<ChangePermit<'_>> {
         let waiting_changes = self.changes.fetch_add(1, Ordering::AcqRel);
