--- a/crates/admin/src/views.rs
+++ b/crates/admin/src/views.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells its operators.
+//! Views of a daemon's state that operators can read.
 
 use std::net::SocketAddr;
 
@@ -23,97 +23,97 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `Status` is how one daemon is.
+/// Status of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The VM.
+    /// Name of the daemon's VM.
     pub vm: VmName,
-    /// Its region.
+    /// Region of the VM.
     pub region: RegionName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// The version of the program.
+    /// Version of the daemon's program.
     pub program_version: String,
-    /// The daemon's process, chosen at random at its start.
+    /// ID of the daemon's process, chosen at random when the process starts.
     pub process_id: u64,
-    /// How long it has run.
+    /// Time since the process started, in milliseconds.
     pub uptime_ms: u64,
-    /// Whether it takes new requests of callers.
+    /// Whether the daemon accepts new requests of callers.
     pub ready: bool,
-    /// Why it takes none, or none if it does.
+    /// Reason why the daemon is not ready, or `None` if it is ready.
     pub not_ready_because: Option<String>,
-    /// Whether it is stopping.
+    /// Whether the daemon finishes its requests in order to stop.
     pub draining: bool,
-    /// Requests of callers in progress.
+    /// Number of callers' requests in progress.
     pub in_progress: u64,
-    /// The offset up to which it has replayed the control stream, exclusive.
+    /// Offset behind the last replayed record of the control stream.
     pub replayed: Offset,
-    /// The version of the configuration in force.
+    /// Version of the configuration in force.
     pub config_version: ConfigVersion,
-    /// The age of its last successful read of the log, or none before the first.
+    /// Time since the last successful read of the log, in milliseconds, or `None` before the first.
     pub log_read_age_ms: Option<u64>,
 }
 
-/// `ConfigView` is the configuration in force on one VM.
+/// Configuration in force on one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigView {
-    /// The version in force: the base version of the next change.
+    /// Version in force, which is the base version of the next change.
     pub version: ConfigVersion,
-    /// The offset up to which the VM has replayed the control stream, exclusive.
+    /// Offset behind the last control record that the VM has replayed.
     pub replayed: Offset,
-    /// Classes of work and their targets.
+    /// Classes of requests, with their latency targets.
     pub classes: Vec<ClassTarget>,
-    /// Models and adapters.
+    /// Models and their adapters.
     pub models: Vec<ModelSpec>,
-    /// Plain services.
+    /// Plain services, which are upstreams without models.
     pub services: Vec<ServiceSpec>,
 }
 
-/// `ModelsView` is every configured model with its replicas.
+/// All configured models with their replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelsView {
-    /// The offset up to which the VM has replayed the control stream, exclusive.
+    /// Offset behind the last control record that the VM has replayed.
     pub replayed: Offset,
-    /// The models, in order of name.
+    /// Models and adapters, sorted by name.
     pub models: Vec<ModelLine>,
 }
 
-/// `ModelLine` is one model or adapter.
+/// State of one model or adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelLine {
-    /// The model or adapter.
+    /// Name of the model or adapter.
     pub model: ModelName,
-    /// The model an adapter belongs to.
+    /// Base model of an adapter, or `None` for a model.
     pub base: Option<ModelName>,
-    /// The group of engines that can run it.
+    /// Group of the engines that can run the model.
     pub group: GroupName,
-    /// The accelerator memory it takes.
+    /// Accelerator memory that one replica needs, in bytes.
     pub bytes: u64,
-    /// Requests that wait for it on this VM.
+    /// Number of requests that wait for the model on this VM.
     pub waiting: u32,
-    /// Requests in progress on it from this VM.
+    /// Number of this VM's requests that run on the model.
     pub running: u32,
-    /// Its replicas, loaded or decided.
+    /// Replicas that are loaded, or whose load or unload is decided.
     pub replicas: Vec<ReplicaLine>,
 }
 
-/// `ReplicaState` is how far a replica is, by the replayed control stream.
+/// State of a replica, as the replayed control stream has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaState {
-    /// A load was decided and is not settled.
+    /// A load is decided, and its outcome is not recorded yet.
     Loading,
-    /// The replica can serve.
+    /// The replica can serve requests.
     Loaded,
-    /// An unload was decided and is not settled.
+    /// An unload is decided, and its outcome is not recorded yet.
     Unloading,
 }
 
 impl ReplicaState {
-    /// Lists every state.
+    /// All states, in the order of their declaration.
     pub const ALL: &'static [Self] = &[Self::Loading, Self::Loaded, Self::Unloading];
 
-    /// Returns the word used in answers and metrics.
+    /// Returns the state's name in answers and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Loading => "loading",
@@ -123,99 +123,99 @@
     }
 }
 
-/// `ReplicaLine` is one replica of a model.
+/// State of one replica of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaLine {
-    /// The engine.
+    /// Engine that holds the replica or loads it.
     pub engine: UpstreamName,
-    /// How far it is.
+    /// State of the replica.
     pub state: ReplicaState,
-    /// The fencing number of the last order for it.
+    /// Fencing token of the last order for this replica.
     pub fence: FencingNumber,
-    /// The VM that must settle the open load or unload, or none if nothing is open.
+    /// VM that must record the outcome of the open load or unload, or `None` if none is open.
     pub owner: Option<VmName>,
-    /// When it came into this state, in milliseconds of Unix time.
+    /// Time at which the replica came into its state, in milliseconds of Unix time.
     pub since_unix_ms: u64,
 }
 
-/// `UpstreamsView` is every upstream that a VM knows.
+/// All upstreams that a VM has read from the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamsView {
-    /// The age of the reading of the platform's list, or none before the first.
+    /// Time since the platform's list was read, in milliseconds, or `None` before the first read.
     pub list_age_ms: Option<u64>,
-    /// The upstreams, in order of name.
+    /// Upstreams, sorted by name.
     pub upstreams: Vec<UpstreamLine>,
 }
 
-/// `UpstreamLine` is one engine or one instance of a plain service.
+/// State of one engine, or of one instance of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLine {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// What it is.
+    /// Role of the upstream on the platform's list.
     pub role: VmRole,
-    /// Its group.
+    /// Group of interchangeable upstreams that it belongs to.
     pub group: GroupName,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
-    /// Where it serves.
+    /// Address to which requests are sent.
     pub address: SocketAddr,
-    /// Its state on the platform's list.
+    /// State on the platform's list.
     pub state: VmState,
-    /// Whether this VM sends it new work.
+    /// Whether this VM sends new requests to the upstream.
     pub accepts: bool,
-    /// What is known of an engine, or none for a plain service and for an engine not yet read.
+    /// State of an engine, or `None` for a plain service and for an engine without a status report.
     pub engine: Option<EngineLine>,
 }
 
-/// `EngineLine` is what is known of an engine.
+/// State of an engine, as the answering VM has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLine {
-    /// The run of the engine process.
+    /// ID of the engine process's incarnation; it changes with each restart.
     pub boot: BootId,
-    /// Accelerator memory.
+    /// Accelerator memory of the engine, in bytes.
     pub capacity_bytes: u64,
-    /// Memory that is used or reserved.
+    /// Accelerator memory that is used or reserved, in bytes.
     pub used_bytes: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the engine refuses orders whose fencing token is below the highest that it has seen.
     pub checks_fence: bool,
-    /// The highest fencing number it has seen.
+    /// Highest fencing token that the engine has seen.
     pub highest_fence: FencingNumber,
-    /// Requests in the running batch, as last reported.
+    /// Number of requests in the running batch, by the last load report.
     pub running: u32,
-    /// Requests that wait, as last reported.
+    /// Number of requests that wait in the engine, by the last load report.
     pub waiting: u32,
-    /// Places in the batch.
+    /// Number of requests that fit into the batch.
     pub slots: u32,
-    /// The age of the last load report, or none before the first.
+    /// Time since the last load report, in milliseconds, or `None` before the first.
     pub report_age_ms: Option<u64>,
 }
 
-/// `MembersView` is every VM that runs a daemon.
+/// All VMs that run a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersView {
-    /// The age of the reading of the platform's list, or none before the first.
+    /// Time since the platform's list was read, in milliseconds, or `None` before the first read.
     pub list_age_ms: Option<u64>,
-    /// The VMs, in order of name.
+    /// VMs, sorted by name.
     pub members: Vec<MemberLine>,
 }
 
-/// `MemberState` is how one VM sees another.
+/// State of a VM, as another VM observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Its heartbeats arrive.
+    /// Heartbeats of the VM arrive.
     Alive,
-    /// Its heartbeats have stopped.
+    /// Heartbeats of the VM have stopped, so it may have failed.
     Suspected,
-    /// It says that it is stopping.
+    /// The VM has announced that it finishes its requests in order to stop.
     Draining,
-    /// The platform's list says that it is gone.
+    /// The platform's list has the VM as gone.
     Gone,
 }
 
 impl MemberState {
-    /// Returns the word used in answers.
+    /// Returns the state's name in answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -226,63 +226,63 @@
     }
 }
 
-/// `MemberLine` is one VM that runs a daemon.
+/// One VM that runs a daemon, as the answering VM observes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberLine {
-    /// The VM.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// How the answering VM sees it.
+    /// State that the answering VM has observed.
     pub state: MemberState,
-    /// Its state on the platform's list, or none if it is not listed.
+    /// State on the platform's list, or `None` if the list does not have the VM.
     pub listed: Option<VmState>,
-    /// The epoch of its process, or none if it has not joined.
+    /// Epoch of the VM's process, or `None` if the process has not joined.
     pub epoch: Option<Epoch>,
-    /// The offset up to which it said that it has replayed, exclusive.
+    /// Offset behind the last control record that the VM has announced as replayed.
     pub replayed: Option<Offset>,
-    /// The age of its last heartbeat, or none if none came.
+    /// Time since the VM's last heartbeat, in milliseconds, or `None` if there was none.
     pub heard_age_ms: Option<u64>,
-    /// Whether its state digest differs from that of the answering VM at the same offset.
+    /// Whether the VM's state digest differs from the answering VM's digest at the same offset.
     pub diverged: bool,
 }
 
-/// `Explanation` is what one VM did for one request.
+/// Steps that one VM took for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The request.
+    /// ID of the request.
     pub request: RequestId,
-    /// The VM that served it.
+    /// VM that served the request.
     pub vm: VmName,
-    /// Its class, as far as it is known.
+    /// Class of the request, or `None` if it was not determined.
     pub class: Option<ClassName>,
-    /// When it arrived, in milliseconds of Unix time.
+    /// Time at which the request arrived, in milliseconds of Unix time.
     pub arrived_unix_ms: u64,
-    /// What was done, in order of time.
+    /// Steps in the order of time.
     pub steps: Vec<ExplanationStep>,
 }
 
-/// `ExplanationStep` is one step of the work on a request.
+/// One step of the work on a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplanationStep {
-    /// When, counted from the request's arrival.
+    /// Time from the request's arrival to this step, in milliseconds.
     pub after_ms: u64,
-    /// What, as a machine-readable word such as `sent` or `refused`.
+    /// Machine-readable name of the step, such as `sent` or `refused`.
     pub step: String,
-    /// The upstream that it concerns, if any.
+    /// Upstream of the step, or `None` if the step has none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub upstream: Option<UpstreamName>,
-    /// A sentence for a person.
+    /// Explanation for the operator.
     pub detail: String,
 }
 
-/// `DrainView` is the answer to an order to drain.
+/// Answer to a request to drain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainView {
-    /// Whether the daemon was draining already.
+    /// Whether the daemon was draining before this request.
     pub was_draining: bool,
-    /// Requests of callers in progress, which will be finished.
+    /// Number of callers' requests in progress, which the daemon will finish.
     pub in_progress: u64,
-    /// How long the daemon waits for them.
+    /// Longest time for which the daemon waits for them, in milliseconds.
     pub grace_ms: u64,
 }
