--- a/crates/admin/tests/change_limits.rs
+++ b/crates/admin/tests/change_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on changes, and health while changes wait.
+//! Limits on changes, and answers to health checks while changes wait.
 
 mod fake_source;
 
@@ -43,9 +43,9 @@
     thread::spawn(move || client.publish(&change("lise")))
 }
 
-/// Symptom: the platform replaces VMs that serve well. Sequence: the log is slow, operators repeat
-/// their change until each thread of the operators' interface waits for the log, the health check
-/// gets no answer. Cause: nothing keeps a thread free for the health check.
+/// Guards against VMs that the platform replaces although they serve well: while the log is slow,
+/// operators retry their changes until every thread of the server waits for the log. Without a free
+/// thread the health check gets no answer.
 #[test]
 fn health_during_changes() {
     let source = FakeSource::new();
