--- a/crates/admin/tests/lost_answer.rs
+++ b/crates/admin/tests/lost_answer.rs
@@ -1,4 +1,4 @@
-//! What a client says of a change when no whole answer comes.
+//! Result of a client's call if the answer is lost, incomplete or malformed.
 
 use std::io::Read;
 use std::io::Write;
@@ -23,8 +23,8 @@
     }
 }
 
-/// Takes one connection, reads a request, answers with some bytes and closes. The handle returns
-/// the number of connections, which is counted until one of the test's own arrives.
+/// Answers every connection with the same bytes and closes it. The handle returns the number of
+/// connections before the one with which [`connections`] ends the count.
 fn serve_answer(answer: &'static str) -> (SocketAddr, JoinHandle<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -49,9 +49,9 @@
     counter.join().unwrap()
 }
 
-/// Symptom: an operator is told that a change failed, publishes another, and both are in force.
-/// Sequence: the daemon appends the change, and its answer is lost. Cause: the client takes a lost
-/// answer for a failure, or sends the change again by itself.
+/// Guards against a change that is reported as failed although the daemon has appended it: the
+/// operator would publish another one, and both would be in force. A lost answer is therefore an
+/// unknown outcome, and the client does not retry by itself.
 #[rstest]
 #[case::nothing("")]
 #[case::half_a_head("HTTP/1.1 200 OK\r\nContent-Le")]
