--- a/crates/admin/tests/round_trip.rs
+++ b/crates/admin/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! Every call of the operators' interface over a real socket.
+//! Calls of the operators' interface from a client to a server over a socket.
 
 mod fake_source;
 
@@ -57,7 +57,7 @@
     assert!(matches!(client.config(), Err(Error::NotReady(_))));
     assert!(
         client.status().is_ok(),
-        "a daemon tells how it is before it is ready"
+        "the status is available before the daemon is ready"
     );
 }
 
