--- a/crates/admin/tests/fake_source/mod.rs
+++ b/crates/admin/tests/fake_source/mod.rs
@@ -1,6 +1,6 @@
-//! A daemon's side of the operators' interface, held in memory.
+//! Source for the operators' interface that keeps its state in memory.
 
-// Each file of tests is a program of its own and uses a part of this one.
+// Each test file is a crate of its own and uses only a part of this module.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -44,10 +44,10 @@
 use apricotdale_core::vm_list::VmRole;
 use apricotdale_core::vm_list::VmState;
 
-/// The one request that the fake can explain.
+/// ID of the only request that the fake can explain.
 pub const KNOWN_REQUEST: &str = "entry-1.42";
 
-/// `FakeSource` keeps a configuration and accepts a change that is based on its version.
+/// Source with a configuration, which accepts a change if it is based on the version in force.
 pub struct FakeSource {
     pub ready: AtomicBool,
     pub draining: AtomicBool,
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Starts a server of this source on a free port.
+    /// Starts a server for this source on a free port, with the default limits.
     pub fn serve(self: &Arc<Self>) -> AdminServer {
         self.serve_with(ServerOptions::default())
     }
@@ -96,7 +96,7 @@
         ClosedGate(Arc::clone(self))
     }
 
-    /// Waits until a number of changes wait at the gate.
+    /// Waits until at least `changes` changes wait at the gate.
     pub fn await_waiting(&self, changes: usize) {
         let waiting = self.gate.waiting.lock().unwrap();
         let reached = self
@@ -114,8 +114,8 @@
     }
 }
 
-/// `ClosedGate` keeps changes waiting until it is dropped, also by a test that fails: a server
-/// waits for its changes when it is dropped in turn.
+/// Guard that keeps changes waiting until it is dropped. A failing test drops it as well: a server
+/// that is dropped waits for its changes and would otherwise block forever.
 pub struct ClosedGate(Arc<FakeSource>);
 
 impl Drop for ClosedGate {
@@ -313,7 +313,7 @@
     }
 }
 
-/// Returns a class with a target.
+/// Returns a class with a latency target.
 pub fn class(name: &str, answer_within_ms: u64) -> ClassTarget {
     ClassTarget {
         class: name.into(),
@@ -321,7 +321,7 @@
     }
 }
 
-/// Returns a model, or an adapter of a base.
+/// Returns a model, or an adapter if it has a base.
 pub fn model(name: &str, base: Option<&str>) -> ModelSpec {
     ModelSpec {
         model: name.into(),
