--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -45,7 +45,7 @@
 pub fn run(output: &mut dyn Write, errors: &mut dyn Write) -> ExitStatus {
     let arguments = match arguments().run_inner(Args::current_args()) {
         Ok(arguments) => arguments,
-        Err(failure) => return tell_failure(failure, output, errors),
+        Err(failure) => return print_parse_failure(failure, output, errors),
     };
     let mut session = Session { output };
     match session.run(arguments.command) {
@@ -58,12 +58,12 @@
     }
 }
 
-fn tell_failure(
+fn print_parse_failure(
     failure: ParseFailure,
     output: &mut dyn Write,
     errors: &mut dyn Write,
 ) -> ExitStatus {
-    let told = match &failure {
+    let result = match &failure {
         ParseFailure::Stdout(doc, full) => (
             writeln!(output, "{}", doc.monochrome(*full)),
             ExitStatus::Done,
@@ -74,7 +74,7 @@
             ExitStatus::Usage,
         ),
     };
-    match told {
+    match result {
         (Ok(()), status) => status,
         (Err(_), _) => ExitStatus::OutputFailed,
     }
@@ -135,7 +135,7 @@
                 self.show(target.format, &client(target).explain(&request)?)
             }
             Command::Story { request, files } => {
-                let lines = story::tell(&request, &files, self.output)?;
+                let lines = story::write_story(&request, &files, self.output)?;
                 Ok(match lines {
                     0 => ExitStatus::Refused,
                     _ => ExitStatus::Done,
@@ -176,7 +176,7 @@
             base_version,
             edits,
         };
-        let outcome = outcome_of(client.publish(&change), change_id)?;
+        let outcome = publish_outcome(client.publish(&change), change_id)?;
         self.show(target.format, &outcome)?;
         Ok(match outcome {
             PublishOutcome::Accepted { .. } => ExitStatus::Done,
@@ -232,7 +232,7 @@
 }
 
 /// Returns a publication's outcome.
-fn outcome_of(
+fn publish_outcome(
     answer: apricotdale_admin::Result<PublishOutcome>,
     change_id: u64,
 ) -> Result<PublishOutcome> {
@@ -279,9 +279,9 @@
 }
 
 fn in_file(file: &Path, problems: Vec<Problem>) -> Vec<FileProblem> {
-    let place = |problem| FileProblem {
+    let with_file = |problem| FileProblem {
         file: file.to_owned(),
         problem,
     };
-    problems.into_iter().map(place).collect()
+    problems.into_iter().map(with_file).collect()
 }
--- a/crates/ctl/src/config_file.rs
+++ b/crates/ctl/src/config_file.rs
@@ -12,8 +12,8 @@
 use apricotdale_settings::Problem;
 use apricotdale_settings::Section;
 
-const HEADS: &str = "allowed are [class NAME], [model NAME] and [service NAME]";
-const POSITIVE: &str = "a whole number above 0, without a unit";
+const ALLOWED_SECTIONS: &str = "allowed are [class NAME], [model NAME] and [service NAME]";
+const POSITIVE_NUMBER: &str = "a whole number above 0, without a unit";
 
 /// `ConfigFile` is a file of classes, models and services, in order of name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -46,73 +46,73 @@
     pub fn add_text(&mut self, text: &str) -> Vec<Problem> {
         let (document, mut problems) = Document::read(text);
         for section in &document.sections {
-            self.take_section(section, &mut problems);
+            self.read_section(section, &mut problems);
         }
         problems.sort_by_key(|problem| problem.line.unwrap_or(usize::MAX));
         problems
     }
 
-    fn take_section(&mut self, section: &Section, problems: &mut Vec<Problem>) {
-        let head = section.name.split_once(' ');
-        let (kind, name) = head.unwrap_or((&section.name, ""));
+    fn read_section(&mut self, section: &Section, problems: &mut Vec<Problem>) {
+        let kind_and_name = section.name.split_once(' ');
+        let (kind, name) = kind_and_name.unwrap_or((&section.name, ""));
         let name = name.trim();
         if name.is_empty() || !["class", "model", "service"].contains(&kind) {
-            problems.push(of_section(section, HEADS));
+            problems.push(section_problem(section, ALLOWED_SECTIONS));
             return;
         }
-        let mut fields = Fields::of(section, problems);
+        let mut reader = SectionReader::of(section, problems);
         let is_new = match kind {
-            "class" => self.take_class(name, &mut fields),
-            "model" => self.take_model(name, &mut fields),
-            _ => self.take_service(name, &mut fields),
+            "class" => self.add_class(name, &mut reader),
+            "model" => self.add_model(name, &mut reader),
+            _ => self.add_service(name, &mut reader),
         };
-        fields.reject_others();
+        reader.reject_unknown_keys();
         if !is_new {
-            problems.push(of_section(
+            problems.push(section_problem(
                 section,
                 "stands already, above or in another file",
             ));
         }
     }
 
-    fn take_class(&mut self, name: &str, fields: &mut Fields<'_>) -> bool {
+    fn add_class(&mut self, name: &str, reader: &mut SectionReader<'_>) -> bool {
         let class = ClassName::new(name);
         let target = ClassTarget {
             class: class.clone(),
-            answer_within_ms: fields.number("answer_within_ms"),
+            answer_within_ms: reader.number("answer_within_ms"),
         };
         self.classes.insert(class, target).is_none()
     }
 
-    fn take_model(&mut self, name: &str, fields: &mut Fields<'_>) -> bool {
+    fn add_model(&mut self, name: &str, reader: &mut SectionReader<'_>) -> bool {
         let model = ModelName::new(name);
         let spec = ModelSpec {
             model: model.clone(),
-            base: fields.optional("base").map(ModelName::from),
-            group: GroupName::new(fields.required("group")),
-            bytes: fields.number("bytes"),
+            base: reader.optional("base").map(ModelName::from),
+            group: GroupName::new(reader.required("group")),
+            bytes: reader.number("bytes"),
         };
         self.models.insert(model, spec).is_none()
     }
 
-    fn take_service(&mut self, name: &str, fields: &mut Fields<'_>) -> bool {
+    fn add_service(&mut self, name: &str, reader: &mut SectionReader<'_>) -> bool {
         let service = GroupName::new(name);
         let spec = ServiceSpec {
             service: service.clone(),
-            idempotent_paths: fields.paths("idempotent_paths"),
+            idempotent_paths: reader.paths("idempotent_paths"),
         };
         self.services.insert(service, spec).is_none()
     }
 }
 
-/// `Fields` reads the entries of one section and notes what is wrong with them.
-struct Fields<'a> {
+/// `SectionReader` reads the entries of one section and notes what is wrong with them.
+struct SectionReader<'a> {
     section: &'a Section,
     problems: &'a mut Vec<Problem>,
     known: Vec<&'static str>,
 }
 
-impl<'a> Fields<'a> {
+impl<'a> SectionReader<'a> {
     fn of(section: &'a Section, problems: &'a mut Vec<Problem>) -> Self {
         Self {
             section,
@@ -126,9 +126,9 @@
         let section = self.section;
         let mut entries = section.entries.iter().filter(|entry| entry.key == key);
         let first = entries.next()?;
-        for again in entries {
+        for duplicate in entries {
             let allowed = format!("the key stands already at line {}", first.line);
-            self.reject(key, Some(&again.value), Some(again.line), allowed);
+            self.reject(key, Some(&duplicate.value), Some(duplicate.line), allowed);
         }
         if first.value.is_empty() {
             self.reject(key, Some(""), Some(first.line), "must not be empty");
@@ -157,7 +157,7 @@
                     key,
                     Some(text),
                     self.line(key),
-                    format!("allowed is {POSITIVE}"),
+                    format!("allowed is {POSITIVE_NUMBER}"),
                 );
                 0
             }
@@ -176,7 +176,7 @@
         paths
     }
 
-    fn reject_others(&mut self) {
+    fn reject_unknown_keys(&mut self) {
         for entry in &self.section.entries {
             if self.known.contains(&entry.key.as_str()) {
                 continue;
@@ -210,6 +210,6 @@
     }
 }
 
-fn of_section(section: &Section, allowed: &str) -> Problem {
+fn section_problem(section: &Section, allowed: &str) -> Problem {
     Problem::of_section(&section.name, Some(section.line), allowed)
 }
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/story.rs
@@ -18,9 +18,9 @@
 /// The name by which the standard input is named in place of a file.
 const STANDARD_INPUT: &str = "-";
 
-/// `Line` is what is used of a log line.
+/// `LogLine` is what is used of a log line.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogLine {
     time: String,
     vm: String,
     #[serde(default)]
@@ -39,10 +39,14 @@
 ///
 /// [`Error::LogFile`] for a file that can't be read, [`Error::Output`] if the story can't be
 /// written.
-pub(crate) fn tell(request: &str, files: &[PathBuf], output: &mut dyn Write) -> Result<usize> {
+pub(crate) fn write_story(
+    request: &str,
+    files: &[PathBuf],
+    output: &mut dyn Write,
+) -> Result<usize> {
     let mut lines = Vec::new();
     for file in files {
-        read(request, file, &mut lines).map_err(|source| Error::LogFile {
+        read_lines(request, file, &mut lines).map_err(|source| Error::LogFile {
             file: file.clone(),
             source,
         })?;
@@ -54,7 +58,7 @@
         let fields: Vec<String> = line
             .fields
             .iter()
-            .map(|(name, value)| format!("{name}={}", plain(value)))
+            .map(|(name, value)| format!("{name}={}", field_text(value)))
             .collect();
         writeln!(
             output,
@@ -68,7 +72,7 @@
     Ok(lines.len())
 }
 
-fn read(request: &str, file: &Path, lines: &mut Vec<Line>) -> io::Result<()> {
+fn read_lines(request: &str, file: &Path, lines: &mut Vec<LogLine>) -> io::Result<()> {
     let reader: Box<dyn BufRead> = match file.to_str() {
         Some(STANDARD_INPUT) => Box::new(BufReader::new(io::stdin())),
         _ => Box::new(BufReader::new(File::open(file)?)),
@@ -79,13 +83,13 @@
         let Some(start) = text.find('{').filter(|_| text.contains(request)) else {
             continue;
         };
-        let line: Option<Line> = serde_json::from_str(&text[start..]).ok();
+        let line: Option<LogLine> = serde_json::from_str(&text[start..]).ok();
         lines.extend(line.filter(|line| line.request_id.as_deref() == Some(request)));
     }
     Ok(())
 }
 
-fn plain(value: &Value) -> String {
+fn field_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,7 +1,7 @@
 //! Tables of text with aligned columns.
 
 /// The space between two columns.
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 /// `Table` is a head and rows of the same length.
 pub(crate) struct Table {
@@ -10,9 +10,9 @@
 
 impl Table {
     /// Returns a table without rows.
-    pub(crate) fn new(head: &[&str]) -> Self {
-        let head = head.iter().map(|cell| (*cell).to_owned()).collect();
-        Self { rows: vec![head] }
+    pub(crate) fn new(header: &[&str]) -> Self {
+        let header = header.iter().map(|cell| (*cell).to_owned()).collect();
+        Self { rows: vec![header] }
     }
 
     /// Adds a row.
@@ -30,7 +30,7 @@
                 .zip(&widths)
                 .map(|(cell, width)| format!("{cell:<width$}"))
                 .collect();
-            text.push_str(cells.join(GAP).trim_end());
+            text.push_str(cells.join(COLUMN_GAP).trim_end());
             text.push('\n');
         }
         text
--- a/crates/ctl/src/text.rs
+++ b/crates/ctl/src/text.rs
@@ -19,7 +19,7 @@
 use crate::table::Table;
 
 /// What stands where there is no value.
-const NONE: &str = "-";
+const NO_VALUE: &str = "-";
 
 /// `AsText` is an answer that can be printed for people.
 pub(crate) trait AsText {
@@ -147,11 +147,11 @@
     let engine = line.engine.as_ref();
     [
         line.upstream.to_string(),
-        role_word(line.role).to_owned(),
+        role_name(line.role).to_owned(),
         line.group.to_string(),
         line.zone.to_string(),
         line.address.to_string(),
-        state_word(line.state).to_owned(),
+        state_name(line.state).to_owned(),
         yes_or_no(line.accepts),
         optional(&engine.map(|engine| engine.used_bytes)),
         optional(&engine.map(|engine| engine.capacity_bytes)),
@@ -180,7 +180,7 @@
                 line.vm.to_string(),
                 line.zone.to_string(),
                 line.state.as_str().to_owned(),
-                optional(&line.listed.map(state_word)),
+                optional(&line.listed.map(state_name)),
                 optional(&line.epoch),
                 optional(&line.replayed),
                 optional(&line.heard_age_ms),
@@ -219,12 +219,12 @@
 
 impl AsText for DrainView {
     fn as_text(&self) -> String {
-        let begun = match self.was_draining {
+        let state = match self.was_draining {
             true => "was draining already",
             false => "drains now",
         };
         format!(
-            "the daemon {begun}: {} requests in progress, at most {} ms\n",
+            "the daemon {state}: {} requests in progress, at most {} ms\n",
             self.in_progress, self.grace_ms
         )
     }
@@ -275,7 +275,7 @@
 fn optional<T: Display>(value: &Option<T>) -> String {
     match value {
         Some(value) => value.to_string(),
-        None => NONE.to_owned(),
+        None => NO_VALUE.to_owned(),
     }
 }
 
@@ -284,7 +284,7 @@
     word.to_owned()
 }
 
-fn role_word(role: VmRole) -> &'static str {
+fn role_name(role: VmRole) -> &'static str {
     match role {
         VmRole::Entry => "entry",
         VmRole::Engine => "engine",
@@ -292,7 +292,7 @@
     }
 }
 
-fn state_word(state: VmState) -> &'static str {
+fn state_name(state: VmState) -> &'static str {
     match state {
         VmState::Live => "live",
         VmState::Leaving => "leaving",
--- a/crates/ctl/tests/config_problems.rs
+++ b/crates/ctl/tests/config_problems.rs
@@ -30,17 +30,17 @@
 )]
 #[case::section_twice("[service s]\n[service s]", "stands already")]
 #[case::no_ini("[service s]\nnonsense", "neither a comment")]
-fn bad_entry_is_told(#[case] text: &str, #[case] expected: &str) {
-    let told = problems(text);
-    assert_eq!(told.len(), 1, "{told:#?}");
-    assert!(told[0].contains(expected), "{told:?}");
+fn invalid_entry(#[case] text: &str, #[case] expected: &str) {
+    let reported = problems(text);
+    assert_eq!(reported.len(), 1, "{reported:#?}");
+    assert!(reported[0].contains(expected), "{reported:?}");
 }
 
 #[test]
-fn every_problem_is_told_at_once_in_order_of_line() {
+fn problems_in_line_order() {
     let text = "[class quick]\nanswer_within_ms = x\n[model m]\nsize = 5\n[service s]\nzzz\n";
-    let told = problems(text);
-    let lines: Vec<&str> = told
+    let reported = problems(text);
+    let lines: Vec<&str> = reported
         .iter()
         .map(|line| line.split(':').next().unwrap())
         .collect();
--- a/crates/ctl/tests/example_files.rs
+++ b/crates/ctl/tests/example_files.rs
@@ -9,7 +9,7 @@
 #[rstest]
 #[case::hjulvaerk("hjulvaerk", 3, 100, 120, "booking-app")]
 #[case::scaravilli("scaravilli", 3, 50, 55, "bancone")]
-fn examples_have_the_sizes_of_the_deployment(
+fn example_sizes(
     #[case] deployment: &str,
     #[case] classes: usize,
     #[case] models: usize,
--- a/crates/ctl/tests/exit_codes.rs
+++ b/crates/ctl/tests/exit_codes.rs
@@ -30,14 +30,14 @@
 }
 
 /// Runs a command that asks a VM.
-fn ask(vm: SocketAddr, arguments: &[&str]) -> Output {
+fn run_at(vm: SocketAddr, arguments: &[&str]) -> Output {
     let vm = vm.to_string();
     run(&[arguments, &["--vm", &vm]].concat())
 }
 
 /// Runs a command that publishes by a VM.
 fn publish(vm: SocketAddr, arguments: &[&str]) -> Output {
-    ask(vm, &[arguments, &["--operator", "lise"]].concat())
+    run_at(vm, &[arguments, &["--operator", "lise"]].concat())
 }
 
 fn code(output: &Output) -> i32 {
@@ -64,14 +64,14 @@
     "--operator", "lise"])]
 #[case::weight(&["set-class", "quick", "--vm", "127.0.0.1:1", "--answer-within-ms", "5",
     "--operator", "lise", "--weight", "3"])]
-fn bad_command_line_exits_with_2(#[case] arguments: &[&str]) {
+fn invalid_command_line(#[case] arguments: &[&str]) {
     let output = run(arguments);
     assert_eq!(code(&output), 2);
     assert!(!output.stderr.is_empty());
 }
 
 #[test]
-fn help_names_every_exit_code() {
+fn help_lists_exit_codes() {
     let output = run(&["--help"]);
     assert_eq!(code(&output), 0);
     let help = printed(&output);
@@ -89,31 +89,37 @@
 #[case::models("models", "planner-lm-3")]
 #[case::upstreams("upstreams", "leaving")]
 #[case::members("members", "suspected")]
-fn view_is_printed_in_both_formats(#[case] command: &str, #[case] word: &str) {
+fn view_formats(#[case] command: &str, #[case] word: &str) {
     let server = FakeSource::new().serve();
-    let text = ask(server.address(), &[command]);
+    let text = run_at(server.address(), &[command]);
     assert_eq!(code(&text), 0);
     assert!(printed(&text).contains(word), "{}", printed(&text));
-    let json = ask(server.address(), &[command, "--format", "json"]);
+    let json = run_at(server.address(), &[command, "--format", "json"]);
     assert_eq!(code(&json), 0);
     let value: serde_json::Value = serde_json::from_slice(&json.stdout).expect("JSON is printed");
     assert!(value.to_string().contains(word), "{value}");
 }
 
 #[test]
-fn request_is_explained_by_the_vm_that_served_it() {
+fn explain_request() {
     let server = FakeSource::new().serve();
-    let known = ask(server.address(), &["explain", KNOWN_REQUEST]);
+    let known = run_at(server.address(), &["explain", KNOWN_REQUEST]);
     assert_eq!(code(&known), 0);
     assert!(printed(&known).contains("overloaded: 9 requests wait"));
-    assert_eq!(code(&ask(server.address(), &["explain", "entry-1.43"])), 3);
-    assert_eq!(code(&ask(server.address(), &["explain", "../config"])), 3);
+    assert_eq!(
+        code(&run_at(server.address(), &["explain", "entry-1.43"])),
+        3
+    );
+    assert_eq!(
+        code(&run_at(server.address(), &["explain", "../config"])),
+        3
+    );
 }
 
 #[test]
-fn daemon_that_is_not_there_exits_with_4() {
+fn unreachable_daemon() {
     let vm = free_address();
-    assert_eq!(code(&ask(vm, &["status"])), 4);
+    assert_eq!(code(&run_at(vm, &["status"])), 4);
     assert_eq!(
         code(&publish(
             vm,
@@ -121,20 +127,20 @@
         )),
         4
     );
-    assert_eq!(code(&ask(vm, &["drain"])), 4);
+    assert_eq!(code(&run_at(vm, &["drain"])), 4);
 }
 
 #[test]
-fn daemon_that_is_not_ready_exits_with_4() {
+fn daemon_not_ready() {
     let source = FakeSource::new();
     source.ready.store(false, Ordering::SeqCst);
     let server = source.serve();
-    assert_eq!(code(&ask(server.address(), &["config"])), 4);
-    assert_eq!(code(&ask(server.address(), &["status"])), 0);
+    assert_eq!(code(&run_at(server.address(), &["config"])), 4);
+    assert_eq!(code(&run_at(server.address(), &["status"])), 0);
 }
 
 #[test]
-fn accepted_change_exits_with_0() {
+fn accepted_change() {
     let source = FakeSource::new();
     let server = source.serve();
     let output = publish(
@@ -153,7 +159,7 @@
 }
 
 #[test]
-fn change_that_is_in_force_already_is_not_sent() {
+fn change_already_in_force() {
     let source = FakeSource::new();
     let server = source.serve();
     let output = publish(
@@ -167,7 +173,7 @@
 /// Symptom: two operators change one class, both are told that theirs is in force. Sequence: both
 /// read version 7, both publish. Cause: a change says nothing of the version that it is based on.
 #[test]
-fn change_on_an_old_version_exits_with_3() {
+fn stale_base_version() {
     let source = FakeSource::new();
     let server = source.serve();
     let arguments = [
@@ -191,7 +197,7 @@
 }
 
 #[test]
-fn unknown_outcome_exits_with_5_and_may_be_repeated() {
+fn unknown_outcome() {
     let source = FakeSource::new();
     *source.next_outcome.lock().unwrap() = Some(PublishOutcome::Unknown {
         change_id: 5,
@@ -211,7 +217,7 @@
 /// Sequence: the daemon dies after it has appended the change. Cause: a lost answer ends with the
 /// exit code of a failure.
 #[test]
-fn lost_answer_exits_with_5() {
+fn lost_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let vm = listener.local_addr().unwrap();
     let daemon = thread::spawn(move || {
@@ -219,22 +225,22 @@
         let read = connection.read(&mut [0; 1024]).unwrap();
         assert!(read > 0);
     });
-    assert_eq!(code(&ask(vm, &["drain"])), 5);
+    assert_eq!(code(&run_at(vm, &["drain"])), 5);
     daemon.join().unwrap();
 }
 
 #[test]
-fn drain_tells_what_is_in_progress() {
+fn drain_in_progress() {
     let source = FakeSource::new();
     let server = source.serve();
-    let output = ask(server.address(), &["drain"]);
+    let output = run_at(server.address(), &["drain"]);
     assert_eq!(code(&output), 0);
     assert!(printed(&output).contains("drains now: 3 requests in progress"));
     assert!(source.draining.load(Ordering::SeqCst));
 }
 
 #[test]
-fn file_is_published_and_published_again_changes_nothing() {
+fn publish_file_twice() {
     let folder = tempfile::tempdir().unwrap();
     let path = write(
         folder.path(),
@@ -263,7 +269,7 @@
 }
 
 #[test]
-fn bad_file_exits_with_6_and_sends_nothing() {
+fn invalid_file() {
     let folder = tempfile::tempdir().unwrap();
     let path = write(
         folder.path(),
@@ -273,8 +279,8 @@
     let server = source.serve();
     let output = publish(server.address(), &["publish", &path]);
     assert_eq!(code(&output), 6);
-    let told = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(told.lines().count(), 3, "{told}");
+    let reported = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(reported.lines().count(), 3, "{reported}");
     assert!(source.published.lock().unwrap().is_empty());
     assert_eq!(
         code(&publish(server.address(), &["publish", "no-such-file"])),
@@ -284,7 +290,7 @@
 }
 
 #[test]
-fn files_are_one_change_and_may_not_repeat_each_other() {
+fn several_files() {
     let folder = tempfile::tempdir().unwrap();
     let one = write_as(
         folder.path(),
@@ -302,10 +308,10 @@
 
     let twice = publish(server.address(), &["publish", &one, &two, &one]);
     assert_eq!(code(&twice), 6);
-    let told = String::from_utf8(twice.stderr).unwrap();
+    let reported = String::from_utf8(twice.stderr).unwrap();
     assert!(
-        told.contains("one.ini: line 1: [class quick]: stands already"),
-        "{told}"
+        reported.contains("one.ini: line 1: [class quick]: stands already"),
+        "{reported}"
     );
 }
 
--- a/crates/ctl/tests/publish_edits.rs
+++ b/crates/ctl/tests/publish_edits.rs
@@ -67,7 +67,7 @@
 #[rstest]
 #[case::same(MissingEntries::Keep)]
 #[case::same_and_remove(MissingEntries::Remove)]
-fn same_configuration_needs_no_edit(#[case] missing: MissingEntries) {
+fn same_configuration(#[case] missing: MissingEntries) {
     assert!(edits(SAME, missing).is_empty());
 }
 
@@ -79,7 +79,7 @@
     "put_model a-base"
 )]
 #[case::paths("/stock", "/stock, /bolts", "put_service bancone")]
-fn changed_entry_is_put(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+fn changed_entry(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     assert_eq!(
         edits(&SAME.replace(from, to), MissingEntries::Keep),
         [expected]
@@ -90,7 +90,7 @@
 /// file names an adapter whose name sorts before that of its new base. Cause: edits in order of
 /// name.
 #[test]
-fn base_is_put_before_its_adapter() {
+fn base_before_adapter() {
     let text = "\
 [model a-new]
 base = z-new
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn adapter_is_removed_before_its_base() {
+fn adapter_removed_first() {
     let expected = [
         "remove_class quick",
         "remove_model z-adapter",
@@ -116,6 +116,6 @@
 }
 
 #[test]
-fn what_the_file_lacks_stays_unless_asked() {
+fn missing_entries_kept() {
     assert!(edits("", MissingEntries::Keep).is_empty());
 }
--- a/crates/ctl/tests/request_story.rs
+++ b/crates/ctl/tests/request_story.rs
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn request_that_is_nowhere() {
+fn unknown_request() {
     let output = story("r9", &[&log(&[LOST])]);
     assert_eq!(output.status.code(), Some(3));
     assert!(output.stdout.is_empty());
 }
 
 #[test]
-fn file_that_is_not_there() {
+fn missing_file() {
     let output = Command::new(env!("CARGO_BIN_EXE_apricotctl"))
         .args(["story", "r1", "nowhere.log"])
         .output()
