--- a/crates/ctl/src/config_file.rs
+++ b/crates/ctl/src/config_file.rs
@@ -1,4 +1,4 @@
-//! Files of classes, models and services.
+//! Configuration files, which define classes, models and services for publication.
 
 use std::collections::BTreeMap;
 
@@ -15,23 +15,23 @@
 const ALLOWED_SECTIONS: &str = "allowed are [class NAME], [model NAME] and [service NAME]";
 const POSITIVE_NUMBER: &str = "a whole number above 0, without a unit";
 
-/// `ConfigFile` is a file of classes, models and services, in order of name.
+/// Entries of one or more configuration files, sorted by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigFile {
-    /// Classes of work and their targets.
+    /// Classes of requests, with their latency targets.
     pub classes: BTreeMap<ClassName, ClassTarget>,
-    /// Models and adapters.
+    /// Models and their adapters.
     pub models: BTreeMap<ModelName, ModelSpec>,
-    /// Plain services.
+    /// Plain services, by the name of their group.
     pub services: BTreeMap<GroupName, ServiceSpec>,
 }
 
 impl ConfigFile {
-    /// Returns what an INI text holds.
+    /// Parses one INI text.
     ///
     /// # Errors
     ///
-    /// Every problem of the text, in order of line.
+    /// All problems of the text, in the order of their lines.
     pub fn from_text(text: &str) -> Result<Self, Vec<Problem>> {
         let mut file = Self::default();
         let problems = file.add_text(text);
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Adds what another INI text holds, and returns every problem of it, in order of line. A
-    /// class, model or service that is there already is a problem.
+    /// Parses another INI text, adds its entries, and returns all its problems in the order of
+    /// their lines. An entry that is already defined is a problem.
     pub fn add_text(&mut self, text: &str) -> Vec<Problem> {
         let (document, mut problems) = Document::read(text);
         for section in &document.sections {
@@ -70,7 +70,7 @@
         if !is_new {
             problems.push(section_problem(
                 section,
-                "stands already, above or in another file",
+                "duplicate section; it is defined above or in another file",
             ));
         }
     }
@@ -105,7 +105,7 @@
     }
 }
 
-/// `SectionReader` reads the entries of one section and notes what is wrong with them.
+/// Reader of one section's entries, which records their problems.
 struct SectionReader<'a> {
     section: &'a Section,
     problems: &'a mut Vec<Problem>,
@@ -127,7 +127,7 @@
         let mut entries = section.entries.iter().filter(|entry| entry.key == key);
         let first = entries.next()?;
         for duplicate in entries {
-            let allowed = format!("the key stands already at line {}", first.line);
+            let allowed = format!("duplicate key; it is set first at line {}", first.line);
             self.reject(key, Some(&duplicate.value), Some(duplicate.line), allowed);
         }
         if first.value.is_empty() {
--- a/crates/ctl/tests/config_problems.rs
+++ b/crates/ctl/tests/config_problems.rs
@@ -1,10 +1,10 @@
-//! Files of classes, models and services that are not published.
+//! Rejection of invalid configuration files.
 
 use apricotdale_ctl::ConfigFile;
 use rstest::rstest;
 
 fn problems(text: &str) -> Vec<String> {
-    let problems = ConfigFile::from_text(text).expect_err("the file is bad");
+    let problems = ConfigFile::from_text(text).expect_err("the file is invalid");
     problems.iter().map(ToString::to_string).collect()
 }
 
@@ -26,9 +26,9 @@
 #[case::path("[service s]\nidempotent_paths = /a, b", "paths that begin with /")]
 #[case::key_twice(
     "[model m]\ngroup = g\ngroup = h\nbytes = 5",
-    "stands already at line 2"
+    "duplicate key; it is set first at line 2"
 )]
-#[case::section_twice("[service s]\n[service s]", "stands already")]
+#[case::section_twice("[service s]\n[service s]", "duplicate section")]
 #[case::no_ini("[service s]\nnonsense", "neither a comment")]
 fn invalid_entry(#[case] text: &str, #[case] expected: &str) {
     let reported = problems(text);
--- a/crates/ctl/tests/exit_codes.rs
+++ b/crates/ctl/tests/exit_codes.rs
@@ -1,4 +1,4 @@
-//! The command as scripts use it: its exit codes and what it prints.
+//! Exit codes and output of the command, as scripts use them.
 
 #[path = "../../admin/tests/fake_source/mod.rs"]
 mod fake_source;
@@ -29,13 +29,13 @@
         .expect("the command runs")
 }
 
-/// Runs a command that asks a VM.
+/// Runs a command that calls the daemon at `vm`.
 fn run_at(vm: SocketAddr, arguments: &[&str]) -> Output {
     let vm = vm.to_string();
     run(&[arguments, &["--vm", &vm]].concat())
 }
 
-/// Runs a command that publishes by a VM.
+/// Runs a command that publishes through the daemon at `vm`.
 fn publish(vm: SocketAddr, arguments: &[&str]) -> Output {
     run_at(vm, &[arguments, &["--operator", "lise"]].concat())
 }
@@ -170,8 +170,8 @@
     assert!(source.published.lock().unwrap().is_empty());
 }
 
-/// Symptom: two operators change one class, both are told that theirs is in force. Sequence: both
-/// read version 7, both publish. Cause: a change says nothing of the version that it is based on.
+/// Guards against two operators who change the same class from the same version and are both told
+/// that their change is in force: a change on an old version must be rejected.
 #[test]
 fn stale_base_version() {
     let source = FakeSource::new();
@@ -213,9 +213,8 @@
     assert_ne!(published[0].change_id, published[1].change_id);
 }
 
-/// Symptom: a script takes a change for failed and does without it, while it is in force.
-/// Sequence: the daemon dies after it has appended the change. Cause: a lost answer ends with the
-/// exit code of a failure.
+/// Guards against a script that treats a change as failed although it is in force: if the daemon
+/// dies after the append, the lost answer must have an exit code of its own.
 #[test]
 fn lost_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -260,7 +259,7 @@
     assert_eq!(
         source.config().unwrap().models.len(),
         2,
-        "what the file lacks stays"
+        "entries missing from the file are kept"
     );
 
     let removing = publish(server.address(), &["publish", &path, "--remove-missing"]);
@@ -310,7 +309,7 @@
     assert_eq!(code(&twice), 6);
     let reported = String::from_utf8(twice.stderr).unwrap();
     assert!(
-        reported.contains("one.ini: line 1: [class quick]: stands already"),
+        reported.contains("one.ini: line 1: [class quick]: duplicate section"),
         "{reported}"
     );
 }
