--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of `apricotctl`. The doc comments of the parsed types are its help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,26 +6,26 @@
 
 use bpaf::Bpaf;
 
-/// The environment variable that stands for `--vm`.
+/// Environment variable that is used if `--vm` is absent.
 const VM_VARIABLE: &str = "APRICOTDALE_VM";
 
-/// The environment variable that stands for `--operator`.
+/// Environment variable that is used if `--operator` is absent.
 const OPERATOR_VARIABLE: &str = "APRICOTDALE_OPERATOR";
 
-/// What the help says of the exit codes.
+/// Part of the help text that lists the exit codes.
 const EXIT_CODES: &str = "\
-Exit codes: 0 done; 1 the output can't be written; 2 the command line can't be understood; \
-3 the daemon refused: a change was rejected, or the thing asked for is not there; \
-4 the daemon was not reached or can't answer now, and nothing was changed; \
-5 the change may have been made, and running the command again is safe; \
-6 a file has problems, and nothing was sent.";
+Exit codes: 0 done; 1 the output can't be written; 2 the command line is invalid; \
+3 the daemon refused: a change was rejected, or the daemon has no such request; \
+4 the daemon can't be reached or can't answer now, and nothing was changed; \
+5 the change may have been made, and the command can be retried safely; \
+6 a file is invalid or can't be read, and nothing was sent.";
 
-/// `Format` is how answers are printed.
+/// Output format of answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
-    /// For people.
+    /// Aligned text for people.
     Text,
-    /// For programs.
+    /// One JSON document for programs.
     Json,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Asks one daemon of apricotdale, and publishes changes of the configuration.
+/// Queries one daemon of apricotdale, and publishes changes of the configuration.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, footer(EXIT_CODES))]
 pub(crate) struct Arguments {
@@ -51,23 +51,23 @@
 
 #[derive(Clone, Copy, Debug, Bpaf)]
 pub(crate) struct Target {
-    /// The operators' address of the VM that is asked
+    /// Address of the operators' interface of the VM to call
     #[bpaf(argument("IP:PORT"), env(VM_VARIABLE))]
     pub(crate) vm: SocketAddr,
-    /// How the answer is printed: text (the default) or json
+    /// Output format: text (the default) or json
     #[bpaf(argument("FORMAT"), fallback(Format::Text))]
     pub(crate) format: Format,
 }
 
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Publication {
-    /// Who publishes
+    /// Name of the operator who publishes the change
     #[bpaf(argument("NAME"), env(OPERATOR_VARIABLE))]
     pub(crate) operator: String,
-    /// Publish only if this is the version in force, such as the one that a dry run printed
+    /// Publish only if this version is in force, such as the one that a dry run printed
     #[bpaf(argument("VERSION"))]
     pub(crate) base_version: Option<u64>,
-    /// Print the edits and publish nothing
+    /// Print the edits without publishing them
     pub(crate) dry_run: bool,
 }
 
@@ -77,30 +77,30 @@
 
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum Command {
-    /// Publish files of classes, models and services as one change
+    /// Publish classes, models and services from files as one change
     #[bpaf(command)]
     Publish {
         #[bpaf(external)]
         target: Target,
         #[bpaf(external)]
         publication: Publication,
-        /// Remove what is in force and in none of the files
+        /// Remove entries that are in force but in none of the files
         remove_missing: bool,
-        /// The INI files
+        /// INI files with classes, models and services
         #[bpaf(positional("FILE"), some("give at least one file"))]
         files: Vec<PathBuf>,
     },
-    /// Set how soon requests of a class must be answered
+    /// Set the latency target of a class
     #[bpaf(command("set-class"))]
     SetClass {
         #[bpaf(external)]
         target: Target,
         #[bpaf(external)]
         publication: Publication,
-        /// The target, in milliseconds from arrival to the first token or the whole answer
+        /// Latency target in milliseconds, from arrival to the first token or the complete answer
         #[bpaf(argument("MS"), guard(is_positive, "must be above 0"))]
         answer_within_ms: u64,
-        /// The class
+        /// Name of the class
         #[bpaf(positional("CLASS"))]
         class: String,
     },
@@ -110,7 +110,7 @@
         #[bpaf(external)]
         target: Target,
     },
-    /// Print how the VM's daemon is
+    /// Print the status of the VM's daemon
     #[bpaf(command)]
     Status {
         #[bpaf(external)]
@@ -122,47 +122,47 @@
         #[bpaf(external)]
         target: Target,
     },
-    /// Print the upstreams that the VM knows
+    /// Print the upstreams that the VM has on its list
     #[bpaf(command)]
     Upstreams {
         #[bpaf(external)]
         target: Target,
     },
-    /// Print the daemons that the VM knows
+    /// Print the daemons of the deployment as the VM observes them
     #[bpaf(command)]
     Members {
         #[bpaf(external)]
         target: Target,
     },
-    /// Print what the VM did for a request
+    /// Print the steps that the VM took for a request
     #[bpaf(command)]
     Explain {
         #[bpaf(external)]
         target: Target,
-        /// The request, as the answer's X-Request-Id names it
+        /// Request ID, as in the X-Request-Id header of the answer
         #[bpaf(positional("REQUEST_ID"))]
         request: String,
     },
-    /// Print a request's story from the log lines of entry VMs
+    /// Print the log lines about a request from several entry VMs, in order of time
     #[bpaf(command)]
     Story {
-        /// The request's identity
+        /// Request ID
         #[bpaf(positional("REQUEST_ID"))]
         request: String,
-        /// Files with log lines; - is the standard input
+        /// Files with log lines; - means standard input
         #[bpaf(positional("FILE"), some("at least one file is needed"))]
         files: Vec<PathBuf>,
     },
-    /// Stop the VM's daemon once its requests in progress are answered
+    /// Stop the VM's daemon after its requests in progress have been answered
     #[bpaf(command)]
     Drain {
         #[bpaf(external)]
         target: Target,
     },
-    /// Check a daemon's settings without starting it
+    /// Check a settings file of a daemon without starting the daemon
     #[bpaf(command("check-settings"))]
     CheckSettings {
-        /// The INI file
+        /// INI file with the settings
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
