--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Execution of the commands.
 
 use std::fs;
 use std::io::Write;
@@ -38,10 +38,13 @@
 use crate::text::AsText;
 use crate::text::edit_line;
 
-/// The largest identity of a change. Programs that read JSON numbers as floats keep it exactly.
+/// Largest change ID: the largest integer up to which a program that reads JSON numbers as 64-bit
+/// floats represents all integers exactly.
 const MAX_CHANGE_ID: u64 = (1 << 53) - 1;
 
-/// Runs the command that the process's arguments ask for, and returns how it ended.
+/// Runs the command that the arguments of the process ask for.
+///
+/// Answers are written to `output`, errors and usage messages to `errors`.
 pub fn run(output: &mut dyn Write, errors: &mut dyn Write) -> ExitStatus {
     let arguments = match arguments().run_inner(Args::current_args()) {
         Ok(arguments) => arguments,
@@ -51,7 +54,7 @@
     match session.run(arguments.command) {
         Ok(status) => status,
         Err(error) => {
-            // There is nowhere left to tell that standard error can't be written.
+            // If standard error can't be written, there is no other place to report the error.
             let _ = writeln!(errors, "{error}");
             error.exit_status()
         }
@@ -212,7 +215,11 @@
     fn check_settings(&mut self, file: &Path) -> Result<ExitStatus> {
         let settings = Settings::from_file(file)
             .map_err(|problems| Error::BadFile(in_file(file, problems)))?;
-        writeln!(self.output, "the settings of {} are good", settings.vm.name)?;
+        writeln!(
+            self.output,
+            "the settings of {} are valid",
+            settings.vm.name
+        )?;
         Ok(ExitStatus::Done)
     }
 
@@ -225,13 +232,14 @@
     }
 
     fn show_json<T: Serialize>(&mut self, answer: &T) -> Result<ExitStatus> {
-        let text = serde_json::to_string(answer).expect("answers hold only strings and numbers");
+        let text = serde_json::to_string(answer)
+            .expect("an answer has only types that JSON can represent");
         writeln!(self.output, "{text}")?;
         Ok(ExitStatus::Done)
     }
 }
 
-/// Returns a publication's outcome.
+/// Returns the outcome of a publication; a lost answer is an unknown outcome.
 fn publish_outcome(
     answer: apricotdale_admin::Result<PublishOutcome>,
     change_id: u64,
@@ -244,8 +252,8 @@
     }
 }
 
-/// Returns the error of a call that changes something. An answer that can't be understood, or that
-/// tells of a fault inside the daemon, says nothing of whether the change was made.
+/// Maps an error of a call that changes something. An answer that can't be decoded, or that reports
+/// a fault inside the daemon, does not say whether the change was made.
 fn change_error(error: AdminError) -> AdminError {
     match error {
         AdminError::Malformed(detail) | AdminError::Internal(detail) => {
