--- a/crates/ctl/src/edits.rs
+++ b/crates/ctl/src/edits.rs
@@ -1,21 +1,23 @@
-//! The edits that lead from the configuration in force to a file.
+//! Edits that change the configuration in force into that of a file.
 
 use apricotdale_admin::ConfigView;
 use apricotdale_core::config::ConfigEdit;
 
 use crate::config_file::ConfigFile;
 
-/// `MissingEntries` says what becomes of what is in force and not in the file.
+/// Treatment of entries that are in force but not in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MissingEntries {
-    /// It stays.
+    /// Leave them in force.
     Keep,
-    /// It is removed.
+    /// Remove them.
     Remove,
 }
 
-/// Returns the edits, in an order in which each one can be applied after the ones before it: a
-/// model comes before its adapters and goes after them.
+/// Returns the edits that make the entries of `file` the configuration in force.
+///
+/// Each edit is valid after the ones before it: a base model is added before its adapters and
+/// removed after them.
 pub fn edits_between(
     in_force: &ConfigView,
     file: &ConfigFile,
