--- a/crates/ctl/src/errors.rs
+++ b/crates/ctl/src/errors.rs
@@ -9,15 +9,15 @@
 
 use crate::exit::ExitStatus;
 
-/// `Result` is the result of a command.
+/// Result of a command.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `FileProblem` is a problem of one file.
+/// Problem of a file, with the path of the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileProblem {
-    /// The file.
+    /// Path as it was given on the command line.
     pub file: PathBuf,
-    /// The problem.
+    /// Problem that was found in the file.
     pub problem: Problem,
 }
 
@@ -27,30 +27,30 @@
     }
 }
 
-/// `Error` is what a command can fail with.
+/// Reason why a command failed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The daemon, or the way to it.
+    /// The call of the daemon failed.
     #[error(transparent)]
     Admin(#[from] apricotdale_admin::Error),
-    /// Files have problems.
+    /// Files are invalid or can't be read; the list is not empty.
     #[error("{}", problem_lines(.0))]
     BadFile(Vec<FileProblem>),
     /// A file with log lines can't be read.
     #[error("{file} can't be read: {source}", file = .file.display())]
     LogFile {
-        /// The file.
+        /// Path as it was given on the command line.
         file: PathBuf,
-        /// Why.
+        /// Error of opening or reading the file.
         source: io::Error,
     },
-    /// The output could not be written.
+    /// The output can't be written.
     #[error("the output can't be written: {0}")]
     Output(#[from] io::Error),
 }
 
 impl Error {
-    /// Returns how the command ends after this error.
+    /// Returns the exit status that the command has after this error.
     pub fn exit_status(&self) -> ExitStatus {
         use apricotdale_admin::Error as Admin;
         match self {
