--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,26 +1,26 @@
-//! Exit codes.
+//! Exit statuses of the operators' command.
 
-/// `ExitStatus` is how the command ends. Scripts rely on the numbers.
+/// Exit status of a command. Scripts rely on the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExitStatus {
-    /// Done: the answer was printed, or the change is in force.
+    /// The answer was printed, or the change is in force.
     Done,
-    /// The output could not be written.
+    /// The output can't be written.
     OutputFailed,
-    /// The command line can't be understood.
+    /// The command line is invalid.
     Usage,
-    /// The daemon refused: the change was rejected, or the thing asked for is not there.
+    /// The daemon refused: the change was rejected, or the daemon has no such request.
     Refused,
-    /// The daemon was not reached, or it can't answer now. Nothing was changed.
+    /// The daemon can't be reached, or can't answer now. Nothing was changed.
     Unavailable,
-    /// The change may be in force. Running the same command again is safe.
+    /// The change may be in force. The same command can be retried safely.
     OutcomeUnknown,
-    /// A file has problems. Nothing was sent.
+    /// A file is invalid or can't be read. Nothing was sent.
     BadFile,
 }
 
 impl ExitStatus {
-    /// Returns the number with which the process exits.
+    /// Returns the exit code of the process.
     pub fn as_u8(self) -> u8 {
         match self {
             Self::Done => 0,
