--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,11 +1,11 @@
 //! The operators' command `apricotctl`.
 //!
-//! It asks one daemon for what that VM knows, and publishes changes of the configuration by it. An
-//! operator steers by the targets of classes alone: no command names a weight, an upstream, or a
-//! VM to run something on. The VM that a command names is the one that is asked or drained.
+//! The command queries the state of one daemon and publishes changes of the configuration through
+//! it. Operators influence routing only by the latency targets of classes: no command has weights,
+//! names upstreams, or chooses the VM that a request runs on. The VM that a command names is the
+//! one that answers the query or drains.
 //!
-//! [`ConfigFile`] and [`edits_between`] hold what a publication is made of; neither does any input
-//! or output.
+//! [`ConfigFile`] and [`edits_between`] determine what is published. They do no I/O.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
