--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `apricotctl`, the operators' command.
+//! Program `apricotctl`, the command for operators.
 
 #![forbid(unsafe_code)]
 
