--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/story.rs
@@ -1,4 +1,4 @@
-//! A request's story, read from the log lines of entry VMs.
+//! Log lines of entry VMs about one request, merged from several files.
 
 use std::fs::File;
 use std::io;
@@ -15,10 +15,10 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The name by which the standard input is named in place of a file.
+/// Argument that means the standard input instead of a file.
 const STANDARD_INPUT: &str = "-";
 
-/// `LogLine` is what is used of a log line.
+/// Fields of a JSON log line that are printed or compared.
 #[derive(Debug, Deserialize)]
 struct LogLine {
     time: String,
@@ -32,13 +32,12 @@
     fields: Map<String, Value>,
 }
 
-/// Writes the lines about a request, of all files together and in the order of their times.
-/// Returns how many there are. Lines that are not JSON, such as another program's, are passed over.
+/// Writes the log lines of all files that are about a request, in the order of their times, and
+/// returns their number. Lines that are not JSON are skipped, such as those of other programs.
 ///
 /// # Errors
 ///
-/// [`Error::LogFile`] for a file that can't be read, [`Error::Output`] if the story can't be
-/// written.
+/// [`Error::LogFile`] if a file can't be read, [`Error::Output`] if the lines can't be written.
 pub(crate) fn write_story(
     request: &str,
     files: &[PathBuf],
@@ -51,7 +50,7 @@
             source,
         })?;
     }
-    // Times of one VM are in order; those of two are as good as their clocks.
+    // The order of lines from different VMs is only as accurate as the VMs' clocks.
     lines.sort_by(|left, right| left.time.cmp(&right.time));
     for line in &lines {
         let reason = line.reason.as_deref().unwrap_or_default();
@@ -79,7 +78,8 @@
     };
     for text in reader.lines() {
         let text = text?;
-        // A quick look first: a day's log has millions of lines, and few are about one request.
+        // Only lines that contain the ID are parsed: a day's log has millions of lines, of which
+        // few are about one request.
         let Some(start) = text.find('{').filter(|_| text.contains(request)) else {
             continue;
         };
