--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,26 +1,26 @@
-//! Tables of text with aligned columns.
+//! Text tables with aligned columns.
 
-/// The space between two columns.
+/// Text between two columns.
 const COLUMN_GAP: &str = "  ";
 
-/// `Table` is a head and rows of the same length.
+/// Table of a header and rows, all with the same number of cells.
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Returns a table without rows.
+    /// Returns a table that has only its header.
     pub(crate) fn new(header: &[&str]) -> Self {
         let header = header.iter().map(|cell| (*cell).to_owned()).collect();
         Self { rows: vec![header] }
     }
 
-    /// Adds a row.
+    /// Appends a row, which must have as many cells as the header.
     pub(crate) fn row<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.into());
     }
 
-    /// Returns the table as lines.
+    /// Renders the header and the rows as lines without trailing spaces.
     pub(crate) fn render(&self) -> String {
         let widths = self.widths();
         let mut text = String::new();
