--- a/crates/ctl/src/text.rs
+++ b/crates/ctl/src/text.rs
@@ -1,4 +1,4 @@
-//! Answers as text for people.
+//! Text format of answers.
 
 use std::fmt::Display;
 
@@ -18,12 +18,12 @@
 
 use crate::table::Table;
 
-/// What stands where there is no value.
+/// Text of a table cell without a value.
 const NO_VALUE: &str = "-";
 
-/// `AsText` is an answer that can be printed for people.
+/// Answer that can be printed as text for people.
 pub(crate) trait AsText {
-    /// Returns the answer as lines.
+    /// Renders the answer as complete lines.
     fn as_text(&self) -> String;
 }
 
@@ -34,7 +34,7 @@
         row("region", self.region.to_string());
         row("availability zone", self.zone.to_string());
         row("program version", self.program_version.clone());
-        // Requests that this process served begin with this number.
+        // The request IDs that this process gives begin with this number.
         row("process", format!("{:016x}", self.process_id));
         row("uptime ms", self.uptime_ms.to_string());
         row("ready", yes_or_no(self.ready));
@@ -220,7 +220,7 @@
 impl AsText for DrainView {
     fn as_text(&self) -> String {
         let state = match self.was_draining {
-            true => "was draining already",
+            true => "was already draining",
             false => "drains now",
         };
         format!(
@@ -234,20 +234,20 @@
     fn as_text(&self) -> String {
         match self {
             Self::Accepted { version } => format!("accepted: version {version} is in force\n"),
-            // Some details begin with the reason.
+            // The detail is printed alone if it already begins with the reason.
             Self::Rejected { reason, detail } if detail.starts_with(reason.as_str()) => {
                 format!("rejected: {detail}\n")
             }
             Self::Rejected { reason, detail } => format!("rejected: {reason}: {detail}\n"),
             Self::Unknown { change_id, detail } => format!(
                 "unknown: change {change_id} may be in force: {detail}\nRun the same command \
-                 again: it publishes what is then still missing, and nothing twice.\n"
+                 again: it publishes only what is still missing then.\n"
             ),
         }
     }
 }
 
-/// Returns an edit as a line.
+/// Describes an edit in one line, without a newline.
 pub(crate) fn edit_line(edit: &ConfigEdit) -> String {
     match edit {
         ConfigEdit::PutClass(target) => {
