--- a/crates/ctl/tests/example_files.rs
+++ b/crates/ctl/tests/example_files.rs
@@ -1,4 +1,4 @@
-//! The example files of both deployments can be published.
+//! Validity and size of the example configuration files of both deployments.
 
 use std::fs;
 use std::path::Path;
@@ -21,7 +21,7 @@
         .join(deployment);
     let mut file = ConfigFile::default();
     for name in ["classes.ini", "models.ini", "adapters.ini"] {
-        let text = fs::read_to_string(folder.join(name)).expect("the example is there");
+        let text = fs::read_to_string(folder.join(name)).expect("the example can be read");
         assert_eq!(file.add_text(&text), []);
     }
     let bases = file
