--- a/crates/ctl/tests/publish_edits.rs
+++ b/crates/ctl/tests/publish_edits.rs
@@ -1,4 +1,4 @@
-//! The edits that lead from the configuration in force to a file.
+//! Edits that change the configuration in force into that of a file.
 
 use apricotdale_admin::ConfigView;
 use apricotdale_core::config::ClassTarget;
@@ -47,9 +47,9 @@
 idempotent_paths = /stock
 ";
 
-/// Returns each edit as its kind and name.
+/// Returns each edit as its kind and the name of its entry.
 fn edits(text: &str, missing: MissingEntries) -> Vec<String> {
-    let file = ConfigFile::from_text(text).expect("the file is good");
+    let file = ConfigFile::from_text(text).expect("the file is valid");
     let edits = edits_between(&in_force(), &file, missing);
     let word = |edit| {
         let value: serde_json::Value = serde_json::to_value(edit).unwrap();
@@ -86,9 +86,8 @@
     );
 }
 
-/// Symptom: a good file is rejected because an adapter's base is not configured. Sequence: the
-/// file names an adapter whose name sorts before that of its new base. Cause: edits in order of
-/// name.
+/// Guards against edits in the order of names: an adapter whose name sorts before its new base
+/// model would be added first, and the valid file would be rejected because the base is unknown.
 #[test]
 fn base_before_adapter() {
     let text = "\
