--- a/crates/ctl/tests/request_story.rs
+++ b/crates/ctl/tests/request_story.rs
@@ -1,4 +1,4 @@
-//! `apricotctl story`: what the log lines of several VMs say of one request.
+//! `apricotctl story`: log lines of several VMs about one request.
 
 use std::io::Write;
 use std::process::Command;
