--- a/crates/ctl/tests/example_files.rs
+++ b/crates/ctl/tests/example_files.rs
@@ -1,4 +1,4 @@
-//! The example files of both deployments can be published.
+//! Validity and size of the example configuration files of both deployments.
 
 use std::fs;
 use std::path::Path;
@@ -9,7 +9,7 @@
 #[rstest]
 #[case::hjulvaerk("hjulvaerk", 3, 100, 120, "booking-app")]
 #[case::scaravilli("scaravilli", 3, 50, 55, "bancone")]
-fn examples_have_the_sizes_of_the_deployment(
+fn example_sizes(
     #[case] deployment: &str,
     #[case] classes: usize,
     #[case] models: usize,
@@ -21,7 +21,7 @@
         .join(deployment);
     let mut file = ConfigFile::default();
     for name in ["classes.ini", "models.ini", "adapters.ini"] {
-        let text = fs::read_to_string(folder.join(name)).expect("the example is there");
+        let text = fs::read_to_string(folder.join(name)).expect("the example can be read");
         assert_eq!(file.add_text(&text), []);
     }
     let bases = file
--- a/crates/ctl/tests/publish_edits.rs
+++ b/crates/ctl/tests/publish_edits.rs
@@ -1,4 +1,4 @@
-//! The edits that lead from the configuration in force to a file.
+//! Edits that change the configuration in force into that of a file.
 
 use apricotdale_admin::ConfigView;
 use apricotdale_core::config::ClassTarget;
@@ -47,9 +47,9 @@
 idempotent_paths = /stock
 ";
 
-/// Returns each edit as its kind and name.
+/// Returns each edit as its kind and the name of its entry.
 fn edits(text: &str, missing: MissingEntries) -> Vec<String> {
-    let file = ConfigFile::from_text(text).expect("the file is good");
+    let file = ConfigFile::from_text(text).expect("the file is valid");
     let edits = edits_between(&in_force(), &file, missing);
     let word = |edit| {
         let value: serde_json::Value = serde_json::to_value(edit).unwrap();
@@ -67,7 +67,7 @@
 #[rstest]
 #[case::same(MissingEntries::Keep)]
 #[case::same_and_remove(MissingEntries::Remove)]
-fn same_configuration_needs_no_edit(#[case] missing: MissingEntries) {
+fn same_configuration(#[case] missing: MissingEntries) {
     assert!(edits(SAME, missing).is_empty());
 }
 
@@ -79,18 +79,17 @@
     "put_model a-base"
 )]
 #[case::paths("/stock", "/stock, /bolts", "put_service bancone")]
-fn changed_entry_is_put(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+fn changed_entry(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     assert_eq!(
         edits(&SAME.replace(from, to), MissingEntries::Keep),
         [expected]
     );
 }
 
-/// Symptom: a good file is rejected because an adapter's base is not configured. Sequence: the
-/// file names an adapter whose name sorts before that of its new base. Cause: edits in order of
-/// name.
+/// Guards against edits in the order of names: an adapter whose name sorts before its new base
+/// model would be added first, and the valid file would be rejected because the base is unknown.
 #[test]
-fn base_is_put_before_its_adapter() {
+fn base_before_adapter() {
     let text = "\
 [model a-new]
 base = z-new
@@ -105,7 +104,7 @@
 }
 
 #[test]
-fn adapter_is_removed_before_its_base() {
+fn adapter_removed_first() {
     let expected = [
         "remove_class quick",
         "remove_model z-adapter",
@@ -116,6 +115,6 @@
 }
 
 #[test]
-fn what_the_file_lacks_stays_unless_asked() {
+fn missing_entries_kept() {
     assert!(edits("", MissingEntries::Keep).is_empty());
 }
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,4 +1,4 @@
-//! The values of a file, each checked by itself.
+//! Values of a settings file, each parsed and checked by itself.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,40 +14,42 @@
 use crate::kind::Value;
 use crate::problem::Problem;
 
-/// What stands in a message in place of a secret.
-const HIDDEN: &str = "(hidden)";
+/// Text that messages show instead of a secret value.
+const SECRET_PLACEHOLDER: &str = "(hidden)";
 
-type Place = (&'static str, &'static str);
+type KeyPath = (&'static str, &'static str);
 
-/// `Values` are the values that could be read, given or by default.
+/// Values that could be parsed, from the file or by default.
 #[derive(Debug, Default)]
 pub(crate) struct Values {
-    values: HashMap<Place, Value>,
-    lines: HashMap<Place, usize>,
+    /// By section and key.
+    values: HashMap<KeyPath, Value>,
+    /// Line numbers of the keys that the file has, by section and key.
+    lines: HashMap<KeyPath, usize>,
 }
 
 impl Values {
-    /// Returns the values of a document, and a problem for each one that is wrong, missing,
-    /// repeated or not known.
+    /// Parses the values of a document, and returns a problem for each key that is invalid,
+    /// missing, duplicate or unknown.
     pub(crate) fn of(document: &Document) -> (Self, Vec<Problem>) {
         let mut values = Self::default();
         let mut problems = Vec::new();
-        let mut heads: HashMap<&str, usize> = HashMap::new();
+        let mut first_lines: HashMap<&str, usize> = HashMap::new();
         for section in &document.sections {
-            if let Some(first) = heads.insert(&section.name, section.line) {
+            if let Some(first) = first_lines.insert(&section.name, section.line) {
                 problems.push(Problem::of_section(
                     &section.name,
                     Some(section.line),
-                    format!("the section stands already at line {first}; it may stand once"),
+                    format!("duplicate section; it begins first at line {first}"),
                 ));
             }
-            values.take_section(section, &mut problems);
+            values.read_section(section, &mut problems);
         }
-        values.fill_in(&mut problems);
+        values.apply_defaults(&mut problems);
         (values, problems)
     }
 
-    fn take_section(&mut self, section: &Section, problems: &mut Vec<Problem>) {
+    fn read_section(&mut self, section: &Section, problems: &mut Vec<Problem>) {
         if !keys::is_section(&section.name) {
             let allowed = format!(
                 "unknown section; allowed are {}",
@@ -59,15 +61,15 @@
         }
         for entry in &section.entries {
             match keys::find(&section.name, &entry.key) {
-                Some(key) => self.take_entry(key, entry, problems),
+                Some(key) => self.read_entry(key, entry, problems),
                 None => problems.push(unknown_key(section, entry)),
             }
         }
     }
 
-    fn take_entry(&mut self, key: &Key, entry: &Entry, problems: &mut Vec<Problem>) {
+    fn read_entry(&mut self, key: &Key, entry: &Entry, problems: &mut Vec<Problem>) {
         let shown = if key.kind.is_secret() {
-            HIDDEN
+            SECRET_PLACEHOLDER
         } else {
             &entry.value
         };
@@ -80,25 +82,25 @@
                 allowed,
             )
         };
-        let place = (key.section, key.name);
-        if let Some(first) = self.lines.get(&place) {
-            let allowed = format!("the key stands already at line {first}; it may stand once");
+        let key_path = (key.section, key.name);
+        if let Some(first) = self.lines.get(&key_path) {
+            let allowed = format!("duplicate key; it is set first at line {first}");
             problems.push(problem(allowed));
             return;
         }
-        self.lines.insert(place, entry.line);
+        self.lines.insert(key_path, entry.line);
         match key.kind.read(&entry.value) {
             Some(value) => {
-                self.values.insert(place, value);
+                self.values.insert(key_path, value);
             }
             None => problems.push(problem(format!("allowed is {}", key.kind.allowed()))),
         }
     }
 
-    fn fill_in(&mut self, problems: &mut Vec<Problem>) {
+    fn apply_defaults(&mut self, problems: &mut Vec<Problem>) {
         for key in KEYS {
-            let place = (key.section, key.name);
-            if self.lines.contains_key(&place) {
+            let key_path = (key.section, key.name);
+            if self.lines.contains_key(&key_path) {
                 continue;
             }
             match key.default {
@@ -112,18 +114,18 @@
                 )),
                 DefaultValue::Text(text) => {
                     let value = key.kind.read(text).expect("each default is allowed");
-                    self.values.insert(place, value);
+                    self.values.insert(key_path, value);
                 }
             }
         }
     }
 
-    /// Returns the line at which a key was given, or none for a default.
+    /// Returns the line number of a key in the file, or `None` if its default applies.
     pub(crate) fn line(&self, section: &'static str, name: &'static str) -> Option<usize> {
         self.lines.get(&(section, name)).copied()
     }
 
-    /// Returns a number, or none if it could not be read or is unset.
+    /// Returns a number, or `None` if it is invalid or unset.
     pub(crate) fn number(&self, section: &'static str, name: &'static str) -> Option<u64> {
         match self.values.get(&(section, name)) {
             Some(Value::Number(number)) => Some(*number),
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Returns an address, or none if it could not be read.
+    /// Returns an address, or `None` if it is invalid or missing.
     pub(crate) fn address(&self, section: &'static str, name: &'static str) -> Option<SocketAddr> {
         match self.values.get(&(section, name)) {
             Some(Value::Address(address)) => Some(*address),
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Returns a text, or none if it could not be read or is unset.
+    /// Returns a text, or `None` if it is invalid, missing or unset.
     pub(crate) fn text(&self, section: &'static str, name: &'static str) -> Option<&str> {
         match self.values.get(&(section, name)) {
             Some(Value::Text(text)) => Some(text),
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Returns the shared key, or none if it could not be read.
+    /// Returns the shared secret key, or `None` if it is invalid or missing.
     pub(crate) fn cluster_key(&self) -> Option<&ClusterKey> {
         match self.values.get(&("peers", "cluster_key")) {
             Some(Value::Key(key)) => Some(key),
@@ -157,8 +159,8 @@
 }
 
 fn unknown_key(section: &Section, entry: &Entry) -> Problem {
-    // The value is not repeated: it may be the shared key below a name with a slip in it.
-    let known = keys::names_of(&section.name).join(", ");
+    // The value is not shown: it may be the cluster key behind a misspelt name.
+    let known = keys::key_names(&section.name).join(", ");
     Problem::of_key(
         &section.name,
         &entry.key,
--- a/crates/settings/tests/settings_page.rs
+++ b/crates/settings/tests/settings_page.rs
@@ -1,4 +1,4 @@
-//! The page of the settings names every key.
+//! Agreement between the settings keys and the rows of `docs/SETTINGS.md`.
 
 use std::fs;
 use std::path::Path;
@@ -7,11 +7,11 @@
 
 fn page() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
-    fs::read_to_string(path).expect("the page is there")
+    fs::read_to_string(path).expect("the page can be read")
 }
 
 #[test]
-fn page_has_the_row_of_every_key_in_its_section() {
+fn every_key_documented() {
     let page = page();
     let mut missing = Vec::new();
     for key in KEYS {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn page_has_no_row_of_a_key_that_is_gone() {
+fn no_extra_rows() {
     let rows = page()
         .lines()
         .filter(|line| line.starts_with("| `"))
--- a/crates/telemetry/tests/operations_page.rs
+++ b/crates/telemetry/tests/operations_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page says what each refusal means, and names metrics that exist.
+//! Agreement of `docs/OPERATIONS.md` with the refusal reasons and the metrics.
 
 use std::fs;
 use std::path::Path;
@@ -13,18 +13,18 @@
 
 fn page() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/OPERATIONS.md");
-    fs::read_to_string(path).expect("the page is there")
+    fs::read_to_string(path).expect("the page can be read")
 }
 
-fn section(head: &str) -> String {
+fn section(title: &str) -> String {
     let page = page();
-    let section = page.split(&format!("\n## {head}\n")).nth(1);
-    let section = section.expect("the section is there");
+    let section = page.split(&format!("\n## {title}\n")).nth(1);
+    let section = section.expect("the page has the section");
     section.split("\n## ").next().unwrap_or_default().to_owned()
 }
 
 #[test]
-fn page_has_a_row_for_every_refusal_reason() {
+fn refusal_reasons_documented() {
     let refusals = section("Refusals");
     for reason in RefusalReason::ALL {
         assert!(
@@ -34,15 +34,15 @@
     }
 }
 
-/// Returns metrics of which each family has a series; an empty family is not rendered.
-fn used_metrics() -> Metrics {
+/// Returns metrics with at least one series in each family, since empty families are not rendered.
+fn metrics_with_all_families() -> Metrics {
     let metrics = Metrics::new();
     let class = ClassName::new("quick");
     metrics.set_classes([&class]);
     metrics.set_groups([&GroupName::new("telaio")]);
     metrics.node().set_verdicts(["configured"]);
     metrics.node().set_peer_rejections(["bad_tag"]);
-    metrics.node().loaded(CacheTier::Disk, 1);
+    metrics.node().record_load(CacheTier::Disk, 1);
     metrics.observe(&ServingEvent::Answered {
         class: class.clone(),
         first_answer_ms: 1,
@@ -59,8 +59,8 @@
 }
 
 #[test]
-fn page_names_metrics_that_exist() {
-    let text = used_metrics().render();
+fn documented_metrics_exist() {
+    let text = metrics_with_all_families().render();
     let rows = section("What to watch");
     let rows = rows.lines().filter(|line| line.starts_with("| `"));
     let mut names = 0;
@@ -74,10 +74,10 @@
             let family = name.trim_end_matches("_total");
             assert!(
                 text.contains(&format!("# TYPE apricotdale_{family} ")),
-                "{name} is no metric"
+                "{name} is not a metric"
             );
             names += 1;
         }
     }
-    assert!(names >= 15, "only {names} metrics are named");
+    assert!(names >= 15, "only {names} metrics are documented");
 }
--- a/crates/telemetry/tests/serving_counts.rs
+++ b/crates/telemetry/tests/serving_counts.rs
@@ -1,4 +1,4 @@
-//! What each event of a request counts, and that callers can't add series.
+//! Effect of each serving event on the metrics, and the bound on the number of series.
 
 use apricotdale_core::engine::CacheTier;
 use apricotdale_core::names::ClassName;
@@ -82,7 +82,7 @@
     ServingEvent::InterToken { gap_us: 62_000 },
     "apricotdale_inter_token_seconds_bucket{le=\"0.062\"} 1".to_owned(),
 )]
-fn event_is_counted(#[case] event: ServingEvent, #[case] line: String) {
+fn event_counted(#[case] event: ServingEvent, #[case] line: String) {
     let metrics = metrics();
     metrics.observe(&event);
     let text = metrics.render();
@@ -93,14 +93,14 @@
 }
 
 #[test]
-fn state_of_the_daemon_is_shown() {
+fn daemon_state() {
     let metrics = metrics();
     let node = metrics.node();
     node.set_log_read_age_ms(2_500);
     node.set_draining(true);
     node.add_idle_accelerator_ms(1_500);
-    node.appended(StreamKind::Claims, AppendOutcome::Unknown);
-    node.loaded(CacheTier::Disk, 4_000);
+    node.record_append(StreamKind::Claims, AppendOutcome::Unknown);
+    node.record_load(CacheTier::Disk, 4_000);
     node.set_log_lines_dropped(5);
     node.set_log_lines_dropped(3);
     node.set_verdicts(["accepted"]);
@@ -124,11 +124,10 @@
     }
 }
 
-/// Symptom: the metrics of a VM grow by the hour until it runs out of memory. Sequence: a caller
-/// sends a new class with each request, and each is refused as unknown. Cause: what a caller wrote
-/// becomes a label.
+/// Guards against metrics that grow until the VM runs out of memory: a caller who sends a new class
+/// with each request must not add a series with each refusal.
 #[test]
-fn callers_can_not_add_series() {
+fn caller_adds_no_series() {
     let metrics = metrics();
     metrics.observe(&refused(Some("made-up"), Ran::NotRun));
     let before = metrics.render().lines().count();
@@ -139,7 +138,7 @@
 }
 
 #[test]
-fn classes_beyond_the_limit_share_a_series() {
+fn class_limit() {
     let metrics = Metrics::new();
     let classes: Vec<ClassName> = (0..200).map(|n| ClassName::from(format!("c{n}"))).collect();
     metrics.set_classes(&classes);
