--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -43,9 +43,9 @@
 /// Statuses that promise that the request has not run and will not.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// `Promise` is what the soak checks.
+/// `Invariant` is what the soak checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Invariant {
     /// A request that may run once runs at most once.
     RunsOnce,
     /// A refusal that says "not run" is true.
@@ -53,9 +53,9 @@
     /// A caller gets its own whole answer.
     OwnAnswer,
     /// Upstreams run only what callers sent, as they sent it.
-    AskedFor,
+    OnlySentRequests,
     /// One VM at a time gives orders.
-    OneGiver,
+    OneLeaseHolder,
     /// No engine is told to hold more than it can.
     FitsMemory,
     /// Each request has its final answer in time.
@@ -63,7 +63,7 @@
     /// A leaving upstream gets no new requests.
     Drained,
     /// A configuration is in force in time.
-    InForce,
+    ConfigurationInForce,
     /// A planned stop ends in time and cuts nothing.
     PlannedStop,
     /// After the last trouble every VM serves every kind of request.
@@ -74,34 +74,34 @@
     StopsCrashers,
     /// Only callers with a key that an organisation holds are served, and none of them is refused
     /// as unknown.
-    WhoMayAsk,
+    ValidKeyRequired,
     /// Upstreams are told the caller's organisation and no key.
-    OrganisationTold,
+    OrganisationForwarded,
     /// Upstreams run no more for an organisation than its limit allows.
     WithinLimits,
     /// No log line holds a key.
     KeysStaySecret,
 }
 
-impl Promise {
+impl Invariant {
     /// Returns the word for reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::RunsOnce => "runs once",
             Self::TrueRefusal => "true refusal",
             Self::OwnAnswer => "own answer",
-            Self::AskedFor => "asked for",
-            Self::OneGiver => "one giver",
+            Self::OnlySentRequests => "asked for",
+            Self::OneLeaseHolder => "one giver",
             Self::FitsMemory => "fits memory",
             Self::InTime => "in time",
             Self::Drained => "drained",
-            Self::InForce => "in force",
+            Self::ConfigurationInForce => "in force",
             Self::PlannedStop => "planned stop",
             Self::Recovers => "recovers",
             Self::StaysUp => "stays up",
             Self::StopsCrashers => "stops crashers",
-            Self::WhoMayAsk => "who may ask",
-            Self::OrganisationTold => "organisation told",
+            Self::ValidKeyRequired => "who may ask",
+            Self::OrganisationForwarded => "organisation told",
             Self::WithinLimits => "within limits",
             Self::KeysStaySecret => "keys stay secret",
         }
@@ -112,14 +112,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The promise.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// What was seen.
     pub detail: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.promise.as_str(), self.detail)
+        write!(formatter, "{}: {}", self.invariant.as_str(), self.detail)
     }
 }
 
@@ -186,18 +186,18 @@
                 || self.record.other_ids.contains(&run.id);
             if !known || !run.unchanged {
                 let detail = format!("{} at {}: known {known}", run.id, run.upstream);
-                found.push(violation(Promise::AskedFor, detail));
+                found.push(violation(Invariant::OnlySentRequests, detail));
             }
         }
         for attempt in self.attempts.values().filter(|it| !it.kind.is_repeatable()) {
             let ran = self.ran(&attempt.id);
             if ran > 1 {
                 let detail = format!("{} ran {ran} times", attempt.id);
-                found.push(violation(Promise::RunsOnce, detail));
+                found.push(violation(Invariant::RunsOnce, detail));
             }
             if ran > 0 && NOT_RUN.contains(&attempt.status()) {
                 let detail = format!("{} got {} and ran", attempt.id, attempt.status());
-                found.push(violation(Promise::TrueRefusal, detail));
+                found.push(violation(Invariant::TrueRefusal, detail));
             }
         }
     }
@@ -226,7 +226,7 @@
                      {body:?}",
                     attempt.id
                 );
-                found.push(violation(Promise::OwnAnswer, detail));
+                found.push(violation(Invariant::OwnAnswer, detail));
             }
         }
     }
@@ -263,11 +263,11 @@
         for (engine, effects) in &self.record.engines {
             if effects.overcommitted > 0 {
                 let detail = format!("{engine}: {} times", effects.overcommitted);
-                found.push(violation(Promise::FitsMemory, detail));
+                found.push(violation(Invariant::FitsMemory, detail));
             }
             if !effects.holders.is_sorted_by_key(|(fence, _)| *fence) {
                 let detail = format!("{engine} obeyed {:?}", effects.holders);
-                found.push(violation(Promise::OneGiver, detail));
+                found.push(violation(Invariant::OneLeaseHolder, detail));
             }
             for (fence, holder) in &effects.holders {
                 holders.entry(*fence).or_default().insert(holder);
@@ -275,7 +275,7 @@
         }
         for (fence, names) in holders.iter().filter(|(_, names)| names.len() > 1) {
             let detail = format!("fence {fence} was used by {names:?}");
-            found.push(violation(Promise::OneGiver, detail));
+            found.push(violation(Invariant::OneLeaseHolder, detail));
         }
     }
 
@@ -293,7 +293,7 @@
                     "{} at vm{}, sent at {} ms: {:?} after {took_ms} ms of {}",
                     attempt.id, attempt.vm, attempt.sent_ms, attempt.ending, attempt.patience_ms
                 );
-                found.push(violation(Promise::InTime, detail));
+                found.push(violation(Invariant::InTime, detail));
             }
         }
     }
@@ -322,7 +322,7 @@
                         run.upstream,
                         run.at_ms - drain.at_ms
                     );
-                    found.push(violation(Promise::Drained, detail));
+                    found.push(violation(Invariant::Drained, detail));
                 }
             }
         }
@@ -351,7 +351,7 @@
                     probe.sent_ms - probe.acknowledged_ms,
                     probe.exists
                 );
-                found.push(violation(Promise::InForce, detail));
+                found.push(violation(Invariant::ConfigurationInForce, detail));
             }
         }
     }
@@ -372,7 +372,7 @@
                 Some((ended_ms, Some(0))) if ended_ms <= until_ms => {}
                 ended => {
                     let detail = format!("vm{} told at {} ms: {ended:?}", stop.vm, stop.at_ms);
-                    found.push(violation(Promise::PlannedStop, detail));
+                    found.push(violation(Invariant::PlannedStop, detail));
                 }
             }
             let ended_ms = stop.ended.map_or(until_ms, |(at_ms, _)| at_ms);
@@ -390,12 +390,12 @@
                 };
                 if around && !has_end && self.ran(&attempt.id) > 0 && !is_excused {
                     let detail = format!("{} ran and was cut", attempt.id);
-                    found.push(violation(Promise::PlannedStop, detail));
+                    found.push(violation(Invariant::PlannedStop, detail));
                 }
             }
         }
         for end in &self.record.own_ends {
-            found.push(violation(Promise::StaysUp, end.clone()));
+            found.push(violation(Invariant::StaysUp, end.clone()));
         }
     }
 
@@ -414,7 +414,7 @@
         }
         for ((vm, kind), _) in served.iter().filter(|(_, served)| !**served) {
             let detail = format!("vm{vm} serves no {}", kind.as_str());
-            found.push(violation(Promise::Recovers, detail));
+            found.push(violation(Invariant::Recovers, detail));
         }
     }
 
@@ -446,7 +446,7 @@
                     "{body} reached engines {late} times later than {late_ms} ms; {} ended",
                     times.len()
                 );
-                found.push(violation(Promise::StopsCrashers, detail));
+                found.push(violation(Invariant::StopsCrashers, detail));
             }
         }
     }
@@ -467,6 +467,6 @@
     }
 }
 
-pub(crate) fn violation(promise: Promise, detail: String) -> Violation {
-    Violation { promise, detail }
+pub(crate) fn violation(invariant: Invariant, detail: String) -> Violation {
+    Violation { invariant, detail }
 }
--- a/crates/soak/src/organisation_checks.rs
+++ b/crates/soak/src/organisation_invariants.rs
@@ -5,7 +5,7 @@
 use crate::checks::CALM_BEFORE_MS;
 use crate::checks::CONFIGURATION_MS;
 use crate::checks::Checker;
-use crate::checks::Promise;
+use crate::checks::Invariant;
 use crate::checks::SLACK_MS;
 use crate::checks::Violation;
 use crate::checks::violation;
@@ -59,7 +59,7 @@
                     attempt.sent_ms,
                     attempt.status()
                 );
-                found.push(violation(Promise::WhoMayAsk, detail));
+                found.push(violation(Invariant::ValidKeyRequired, detail));
             }
         }
     }
@@ -99,7 +99,7 @@
                     "{} reached {} for {:?}, with a key: {}",
                     run.id, run.upstream, run.organisations, run.shows_key
                 );
-                found.push(violation(Promise::OrganisationTold, detail));
+                found.push(violation(Invariant::OrganisationForwarded, detail));
             }
         }
     }
@@ -116,7 +116,7 @@
         } in windows
         {
             let detail = format!("{organisation} ran {ran} of {most} from {from_ms} ms on");
-            found.push(violation(Promise::WithinLimits, detail));
+            found.push(violation(Invariant::WithinLimits, detail));
         }
     }
 
@@ -204,7 +204,7 @@
 
     pub fn secrets(&self, found: &mut Vec<Violation>) {
         for line in &self.record.key_lines {
-            found.push(violation(Promise::KeysStaySecret, line.clone()));
+            found.push(violation(Invariant::KeysStaySecret, line.clone()));
         }
     }
 }
--- a/crates/soak/tests/promise_checks.rs
+++ b/crates/soak/tests/invariant_checks.rs
@@ -7,9 +7,9 @@
 use apricotdale_soak::Crash;
 use apricotdale_soak::Disturbance;
 use apricotdale_soak::Ending;
+use apricotdale_soak::Invariant;
 use apricotdale_soak::Kind;
 use apricotdale_soak::Place;
-use apricotdale_soak::Promise;
 use apricotdale_soak::Record;
 use apricotdale_soak::Run;
 use apricotdale_standins::platform::AnswerFault;
@@ -17,29 +17,29 @@
 
 use support::PLAIN;
 use support::attempt;
+use support::broken_invariants;
 use support::disturbance;
 use support::effects;
-use support::promises;
 use support::run;
 use support::sound;
 
 #[test]
 fn sound_record() {
-    assert_eq!(promises(&sound()), Vec::new());
+    assert_eq!(broken_invariants(&sound()), Vec::new());
 }
 
 #[test]
 fn second_run() {
     let mut record = sound();
     record.runs.push(run("a"));
-    assert_eq!(promises(&record), vec![Promise::RunsOnce]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::RunsOnce]);
 }
 
 #[test]
 fn refused_and_run() {
     let mut record = sound();
     record.runs.push(run("b"));
-    assert_eq!(promises(&record), vec![Promise::TrueRefusal]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::TrueRefusal]);
 }
 
 #[rstest]
@@ -52,7 +52,10 @@
         unchanged,
         ..run(id)
     });
-    assert_eq!(promises(&record), vec![Promise::AskedFor]);
+    assert_eq!(
+        broken_invariants(&record),
+        vec![Invariant::OnlySentRequests]
+    );
 }
 
 #[rstest]
@@ -69,7 +72,7 @@
         signed,
         body: BodySeen::Plain { own: own_body },
     };
-    assert_eq!(promises(&record), vec![Promise::OwnAnswer]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::OwnAnswer]);
 }
 
 #[rstest]
@@ -78,14 +81,14 @@
 fn two_givers(#[case] holders: &[(u64, &str)]) {
     let mut record = sound();
     record.engines = vec![effects(holders)];
-    assert_eq!(promises(&record), vec![Promise::OneGiver]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::OneLeaseHolder]);
 }
 
 #[test]
 fn too_much_memory() {
     let mut record = sound();
     record.engines[0].1.overcommitted = 1;
-    assert_eq!(promises(&record), vec![Promise::FitsMemory]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::FitsMemory]);
 }
 
 #[rstest]
@@ -95,13 +98,13 @@
     let mut record = sound();
     record.attempts[1].ending = ending;
     record.attempts[1].ended_ms = ended_ms;
-    assert_eq!(promises(&record), vec![Promise::InTime]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::InTime]);
     // A VM that was killed meanwhile owes no answer.
     record.disturbances = vec![disturbance(Place::Vm(0), 9_000, 9_500)];
-    assert_eq!(promises(&record), Vec::new());
+    assert_eq!(broken_invariants(&record), Vec::new());
     // The store's troubles excuse nothing.
     record.disturbances = vec![disturbance(Place::Store, 9_000, 20_000)];
-    assert_eq!(promises(&record), vec![Promise::InTime]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::InTime]);
 }
 
 #[test]
@@ -109,9 +112,9 @@
     let mut record = sound();
     record.drains[0].upstream = "p-0".to_owned();
     record.drains[0].at_ms = 6_000;
-    assert!(promises(&record).contains(&Promise::Drained));
+    assert!(broken_invariants(&record).contains(&Invariant::Drained));
     record.disturbances = vec![disturbance(Place::Store, 5_000, 6_500)];
-    assert_eq!(promises(&record), Vec::new());
+    assert_eq!(broken_invariants(&record), Vec::new());
 }
 
 #[rstest]
@@ -126,9 +129,12 @@
         exists,
         status,
     }];
-    assert_eq!(promises(&record), vec![Promise::InForce]);
+    assert_eq!(
+        broken_invariants(&record),
+        vec![Invariant::ConfigurationInForce]
+    );
     record.probes[0].sent_ms = 6_900;
-    assert_eq!(promises(&record), Vec::new());
+    assert_eq!(broken_invariants(&record), Vec::new());
 }
 
 #[rstest]
@@ -139,7 +145,7 @@
 fn bad_stop(#[case] ended: Option<(u64, Option<i32>)>) {
     let mut record = sound();
     record.stops[0].ended = ended;
-    assert_eq!(promises(&record), vec![Promise::PlannedStop]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::PlannedStop]);
 }
 
 #[test]
@@ -151,7 +157,7 @@
         what: "stop".to_owned(),
         ..disturbance(Place::Vm(2), 9_000, 12_000)
     }];
-    assert_eq!(promises(&record), vec![Promise::PlannedStop]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::PlannedStop]);
 }
 
 #[test]
@@ -169,9 +175,9 @@
         what: "stop".to_owned(),
         ..disturbance(Place::Vm(2), 9_000, 12_000)
     }];
-    assert_eq!(promises(&record), [Promise::PlannedStop]);
+    assert_eq!(broken_invariants(&record), [Invariant::PlannedStop]);
     record.runs[0].fault = Some(AnswerFault::LargeCut);
-    assert_eq!(promises(&record), []);
+    assert_eq!(broken_invariants(&record), []);
 }
 
 #[test]
@@ -179,16 +185,16 @@
     let mut record = sound();
     record.last_attempts = vec![attempt("c", Kind::Look, 503), attempt("d", Kind::Look, 503)];
     record.runs.retain(|it| it.id != "c");
-    assert_eq!(promises(&record), vec![Promise::Recovers]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::Recovers]);
     record.last_attempts.push(attempt("e", Kind::Look, 200));
-    assert_eq!(promises(&record), Vec::new());
+    assert_eq!(broken_invariants(&record), Vec::new());
 }
 
 #[test]
 fn process_that_ended() {
     let mut record = sound();
     record.own_ends = vec!["vm1: exit status: 101".to_owned()];
-    assert_eq!(promises(&record), vec![Promise::StaysUp]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::StaysUp]);
 }
 
 /// Returns a record of a request under which three engines ended by 10 s, and which was sent again
@@ -217,15 +223,15 @@
 #[test]
 fn stopped_crasher_is_sound() {
     let record = crashers(&[10_500, 11_000, 12_000, 12_900, 13_500, 14_000, 15_000]);
-    assert_eq!(promises(&record), []);
+    assert_eq!(broken_invariants(&record), []);
 }
 
 #[test]
 fn crasher_that_goes_on() {
     let mut record = crashers(&[13_500, 14_000, 15_000, 16_000]);
-    assert_eq!(promises(&record), [Promise::StopsCrashers]);
+    assert_eq!(broken_invariants(&record), [Invariant::StopsCrashers]);
     record
         .disturbances
         .push(disturbance(Place::Vm(0), 12_000, 12_500));
-    assert_eq!(promises(&record), []);
+    assert_eq!(broken_invariants(&record), []);
 }
--- a/crates/soak/tests/organisation_promises.rs
+++ b/crates/soak/tests/organisation_records.rs
@@ -4,20 +4,20 @@
 
 use apricotdale_soak::Attempt;
 use apricotdale_soak::Disturbance;
+use apricotdale_soak::Invariant;
 use apricotdale_soak::Kind;
 use apricotdale_soak::LimitSeen;
 use apricotdale_soak::Place;
 use apricotdale_soak::Presented;
-use apricotdale_soak::Promise;
 use apricotdale_soak::Record;
 use apricotdale_soak::Run;
 use apricotdale_soak::fullest_window;
 use rstest::rstest;
 
 use support::attempt;
+use support::broken_invariants;
 use support::disturbance;
 use support::limit;
-use support::promises;
 use support::run;
 use support::sound;
 
@@ -30,21 +30,24 @@
     let mut record = sound();
     record.attempts[0].presented = presented;
     record.disturbances = vec![disturbance(Place::Vm(0), 0, 20_000)];
-    assert_eq!(promises(&record), vec![Promise::WhoMayAsk]);
+    assert_eq!(
+        broken_invariants(&record),
+        vec![Invariant::ValidKeyRequired]
+    );
 }
 
 /// Guards against a key that goes on after it was taken away, and nobody sees it.
 #[rstest]
 #[case::in_time(7_500, None, &[])]
-#[case::late(5_000, None, &[Promise::WhoMayAsk])]
+#[case::late(5_000, None, &[Invariant::ValidKeyRequired])]
 #[case::vm_disturbed(5_000, Some(Place::Vm(0)), &[])]
-#[case::vm_disturbed_later(3_000, Some(Place::Vm(0)), &[Promise::WhoMayAsk])]
-#[case::other_vm_disturbed(5_000, Some(Place::Vm(1)), &[Promise::WhoMayAsk])]
+#[case::vm_disturbed_later(3_000, Some(Place::Vm(0)), &[Invariant::ValidKeyRequired])]
+#[case::other_vm_disturbed(5_000, Some(Place::Vm(1)), &[Invariant::ValidKeyRequired])]
 #[case::store_disturbed(5_000, Some(Place::Store), &[])]
 fn run_with_taken_key(
     #[case] left_ms: u64,
     #[case] place: Option<Place>,
-    #[case] expected: &[Promise],
+    #[case] expected: &[Invariant],
 ) {
     let mut record = sound();
     record.last_attempts.clear();
@@ -55,14 +58,14 @@
         .map(|it| disturbance(it, 7_000, 7_500))
         .into_iter()
         .collect();
-    assert_eq!(promises(&record), expected);
+    assert_eq!(broken_invariants(&record), expected);
 }
 
 /// Guards against a set-back of the store that is taken for a broken promise.
 #[rstest]
 #[case::just_now(8_000, &[])]
-#[case::long_ago(5_000, &[Promise::WhoMayAsk])]
-fn taken_key_after_set_back(#[case] until_ms: u64, #[case] expected: &[Promise]) {
+#[case::long_ago(5_000, &[Invariant::ValidKeyRequired])]
+fn taken_key_after_set_back(#[case] until_ms: u64, #[case] expected: &[Invariant]) {
     let mut record = sound();
     record.last_attempts.clear();
     record.runs.truncate(1);
@@ -72,21 +75,21 @@
         what: "set back".to_owned(),
         ..disturbance(Place::Store, 4_000, until_ms)
     }];
-    assert_eq!(promises(&record), expected);
+    assert_eq!(broken_invariants(&record), expected);
 }
 
 /// Guards against a good key that is refused, and nobody sees it.
 #[rstest]
-#[case::first_key(0, None, Some(Place::Vm(0)), &[Promise::WhoMayAsk])]
+#[case::first_key(0, None, Some(Place::Vm(0)), &[Invariant::ValidKeyRequired])]
 #[case::new_key(9_000, None, None, &[])]
-#[case::added_key(5_000, None, None, &[Promise::WhoMayAsk])]
+#[case::added_key(5_000, None, None, &[Invariant::ValidKeyRequired])]
 #[case::added_key_disturbed(5_000, None, Some(Place::Vm(0)), &[])]
 #[case::leaving_key(0, Some(10_020), None, &[])]
 fn refused_with_key(
     #[case] acknowledged_ms: u64,
     #[case] leaving_ms: Option<u64>,
     #[case] place: Option<Place>,
-    #[case] expected: &[Promise],
+    #[case] expected: &[Invariant],
 ) {
     let mut record = sound();
     record.attempts[1] = attempt("b", Kind::Book, 401);
@@ -97,7 +100,7 @@
         .map(|it| disturbance(it, 7_000, 7_500))
         .into_iter()
         .collect();
-    assert_eq!(promises(&record), expected);
+    assert_eq!(broken_invariants(&record), expected);
 }
 
 /// Guards against an upstream that is told another organisation or a key, and nobody sees it.
@@ -110,7 +113,10 @@
     let mut record = sound();
     record.runs[0].organisations = organisations.iter().map(ToString::to_string).collect();
     record.runs[0].shows_key = shows_key;
-    assert_eq!(promises(&record), vec![Promise::OrganisationTold]);
+    assert_eq!(
+        broken_invariants(&record),
+        vec![Invariant::OrganisationForwarded]
+    );
 }
 
 /// Returns a record in which an organisation has a number of requests run, 10 ms apart from 10,000
@@ -137,17 +143,17 @@
 /// Guards against an organisation that gets more than its limit, and nobody sees it.
 #[rstest]
 #[case::within(5, vec![limit(0, 5)], None, &[])]
-#[case::beyond(6, vec![limit(0, 5)], None, &[Promise::WithinLimits])]
-#[case::beyond_disturbed(6, vec![limit(0, 5)], Some(Place::Store), &[Promise::WithinLimits])]
+#[case::beyond(6, vec![limit(0, 5)], None, &[Invariant::WithinLimits])]
+#[case::beyond_disturbed(6, vec![limit(0, 5)], Some(Place::Store), &[Invariant::WithinLimits])]
 #[case::raised(6, vec![limit(0, 5), limit(12_000, 6)], None, &[])]
 #[case::lowered_just_now(6, vec![limit(0, 6), limit(4_000, 5)], None, &[])]
-#[case::lowered(6, vec![limit(0, 6), limit(2_500, 5)], None, &[Promise::WithinLimits])]
+#[case::lowered(6, vec![limit(0, 6), limit(2_500, 5)], None, &[Invariant::WithinLimits])]
 #[case::lowered_disturbed(6, vec![limit(0, 6), limit(2_500, 5)], Some(Place::Vm(1)), &[])]
 fn beyond_limit(
     #[case] count: u64,
     #[case] limits: Vec<LimitSeen>,
     #[case] place: Option<Place>,
-    #[case] expected: &[Promise],
+    #[case] expected: &[Invariant],
 ) {
     let mut record = used(count);
     record.limits = limits;
@@ -155,7 +161,7 @@
         .map(|it| disturbance(it, 4_000, 4_500))
         .into_iter()
         .collect();
-    assert_eq!(promises(&record), expected);
+    assert_eq!(broken_invariants(&record), expected);
 }
 
 #[test]
@@ -172,7 +178,7 @@
     let mut record = used(5);
     record.limits = vec![limit(0, 5)];
     record.runs.push(run("u-0"));
-    assert_eq!(promises(&record), Vec::new());
+    assert_eq!(broken_invariants(&record), Vec::new());
 }
 
 /// Guards against a key in a log line that nobody sees.
@@ -180,5 +186,5 @@
 fn key_in_log() {
     let mut record = sound();
     record.key_lines.push("refused north-secret-0".to_owned());
-    assert_eq!(promises(&record), vec![Promise::KeysStaySecret]);
+    assert_eq!(broken_invariants(&record), vec![Invariant::KeysStaySecret]);
 }
--- a/crates/soak/tests/short_soak.rs
+++ b/crates/soak/tests/short_soak.rs
@@ -9,7 +9,7 @@
 #[rstest]
 #[case::kills_and_pauses(1, 0)]
 #[case::many_at_once(3, 3)]
-fn promises_are_kept(#[case] seed: u64, #[case] least_spoiled_rests: usize) {
+fn invariants_hold(#[case] seed: u64, #[case] least_spoiled_rests: usize) {
     let options = SoakOptions {
         length_ms: 7_000,
         ..SoakOptions::new(entry_program().expect("the program is built"), seed)
--- a/crates/soak/tests/stream_promises.rs
+++ b/crates/soak/tests/stream_records.rs
@@ -6,8 +6,8 @@
 use apricotdale_soak::BodySeen;
 use apricotdale_soak::Continued;
 use apricotdale_soak::Ending;
+use apricotdale_soak::Invariant;
 use apricotdale_soak::Kind;
-use apricotdale_soak::Promise;
 use apricotdale_soak::Record;
 use apricotdale_soak::Run;
 use apricotdale_soak::StreamSeen;
@@ -16,7 +16,7 @@
 use rstest::rstest;
 
 use support::attempt;
-use support::promises;
+use support::broken_invariants;
 use support::run;
 use support::sound;
 
@@ -70,7 +70,7 @@
 #[case::broken_at_once(0, false, String::new())]
 #[case::broken_behind_all(0, false, events(&[1, 2, 3, 4, 5, 6]))]
 fn sound_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
-    assert_eq!(promises(&stream(after_event, whole, &text)), []);
+    assert_eq!(broken_invariants(&stream(after_event, whole, &text)), []);
 }
 
 /// Guards against joined streams that look whole and aren't, and against parts that do not fit.
@@ -104,7 +104,7 @@
 #[case::other_content(0, true, "{\"text\":\"whole\"}".to_owned())]
 fn wrong_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
     let record = stream(after_event, whole, &text);
-    assert_eq!(promises(&record), [Promise::OwnAnswer]);
+    assert_eq!(broken_invariants(&record), [Invariant::OwnAnswer]);
 }
 
 /// Guards against an excuse for joined streams: only what an engine alone gives to a caller that
@@ -128,7 +128,7 @@
     let run = record.runs.last_mut().expect("a run");
     run.after_event = run_after;
     run.fault = Some(fault);
-    assert_eq!(promises(&record).is_empty(), is_excused);
+    assert_eq!(broken_invariants(&record).is_empty(), is_excused);
 }
 
 #[test]
--- a/crates/soak/tests/support/mod.rs
+++ b/crates/soak/tests/support/mod.rs
@@ -7,12 +7,12 @@
 use apricotdale_soak::Disturbance;
 use apricotdale_soak::Drain;
 use apricotdale_soak::Ending;
+use apricotdale_soak::Invariant;
 use apricotdale_soak::KeySeen;
 use apricotdale_soak::Kind;
 use apricotdale_soak::LimitSeen;
 use apricotdale_soak::Place;
 use apricotdale_soak::Presented;
-use apricotdale_soak::Promise;
 use apricotdale_soak::Record;
 use apricotdale_soak::Run;
 use apricotdale_soak::StopSeen;
@@ -117,6 +117,6 @@
     }
 }
 
-pub fn promises(record: &Record) -> Vec<Promise> {
-    check(record).into_iter().map(|it| it.promise).collect()
+pub fn broken_invariants(record: &Record) -> Vec<Invariant> {
+    check(record).into_iter().map(|it| it.invariant).collect()
 }
