--- a/crates/soak/src/asking.rs
+++ b/crates/soak/src/asking.rs
@@ -60,7 +60,7 @@
 pub(crate) const LAST_EVENT: &str = "Last-Event-Id";
 
 /// Sets the draws of keys apart from those of the callers.
-const KEYS_SEED: u64 = 0x6b65_7973_0000_0000;
+const KEY_SEED_MASK: u64 = 0x6b65_7973_0000_0000;
 
 /// The models that callers name.
 pub(crate) const MODELS: [&str; 4] = ["m0", "m1", "m2", "m3"];
@@ -100,7 +100,7 @@
     /// stands.
     pub fn go_on(&self, organisation: usize, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut key_random = ChaCha8Rng::seed_from_u64(seed ^ KEYS_SEED);
+        let mut key_random = ChaCha8Rng::seed_from_u64(seed ^ KEY_SEED_MASK);
         let mut kept: Option<(usize, SocketAddr, Caller)> = None;
         let mut rest: Option<Ask> = None;
         while !self.stopped.load(Ordering::Acquire) {
@@ -158,7 +158,7 @@
     /// Sends calls of an organisation at any VM until its burst or the soak ends.
     pub fn burst(&self, burst: &Burst, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut key_random = ChaCha8Rng::seed_from_u64(seed ^ KEYS_SEED);
+        let mut key_random = ChaCha8Rng::seed_from_u64(seed ^ KEY_SEED_MASK);
         let until_ms = self.clock.now_ms() + burst.for_ms;
         let mut kept: Option<(usize, SocketAddr, Caller)> = None;
         while !self.stopped.load(Ordering::Acquire) && self.clock.now_ms() < until_ms {
--- a/crates/soak/src/draws.rs
+++ b/crates/soak/src/draws.rs
@@ -12,6 +12,7 @@
 use apricotdale_standins::platform::StreamFault;
 
 use crate::asking::MODELS;
+use crate::fault::Trouble;
 use crate::keys::LIMITED;
 use crate::keys::STEADY;
 use crate::plan::Burst;
@@ -19,56 +20,55 @@
 use crate::plan::Crasher;
 use crate::plan::Planned;
 use crate::proxy::LinkFault;
-use crate::trouble::Trouble;
 
 /// The time before the first trouble, in which the VMs begin to serve.
-pub(crate) const LEAD_MS: u64 = 1_500;
+pub(crate) const WARM_UP_MS: u64 = 1_500;
 
 /// The time after the last trouble, in which its effects pass.
-pub(crate) const REST_MS: u64 = 3_500;
+pub(crate) const SETTLE_MS: u64 = 3_500;
 
 /// The mean time between the beginnings of two troubles.
-const GAP_MS: u64 = 900;
+const MEAN_FAULT_INTERVAL_MS: u64 = 900;
 
 /// The most callers whose requests end engines.
-const MOST_CRASHERS: usize = 3;
+const MAX_CRASHERS: usize = 3;
 
 /// Callers of one such request at a time.
-const MOST_COPIES: usize = 6;
+const MAX_COPIES: usize = 6;
 
 /// Sets the crashers' draws apart from those of the troubles.
-const CRASHERS_SEED: u64 = 0x6372_6173_6865_7273;
+const CRASHER_SEED_MASK: u64 = 0x6372_6173_6865_7273;
 
 /// The most set-backs of the store, and the longest that one takes.
-const MOST_SET_BACKS: usize = 2;
-const SET_BACK_MS: u64 = 6_000;
+const MAX_ROLLBACKS: usize = 2;
+const MAX_ROLLBACK_MS: u64 = 6_000;
 
 /// Sets their draws apart as well.
-const SET_BACKS_SEED: u64 = 0x7365_7462_6163_6b73;
+const ROLLBACK_SEED_MASK: u64 = 0x7365_7462_6163_6b73;
 
 /// The fewest and the most times at which engines fail behind each other's streams.
-const JOINS: RangeInclusive<usize> = 4..=8;
+const CONTINUATION_FAULT_COUNT: RangeInclusive<usize> = 4..=8;
 
 /// Sets their draws apart as well.
-const JOINS_SEED: u64 = 0x6a6f_696e_7321_0000;
+const CONTINUATION_SEED_MASK: u64 = 0x6a6f_696e_7321_0000;
 
 /// The fewest and the most changes of keys and limits.
-const KEY_CHANGES: RangeInclusive<usize> = 3..=6;
+const ORGANISATION_CHANGE_COUNT: RangeInclusive<usize> = 3..=6;
 
 /// The fewest and the most times at which an organisation sends many times its usual.
-const BURSTS: RangeInclusive<usize> = 1..=2;
+const BURST_COUNT: RangeInclusive<usize> = 1..=2;
 
 /// How long such a time is.
 const BURST_MS: Range<u64> = 800..3_000;
 
 /// The limits that the operators set, in requests a second.
-const RATES_PER_S: [u32; 4] = [8, 12, 18, 25];
+const RATE_LIMITS_PER_S: [u32; 4] = [8, 12, 18, 25];
 
 /// Sets their draws apart as well.
-const ORGANISATIONS_SEED: u64 = 0x6f72_6761_6e69_7361;
+const ORGANISATION_SEED_MASK: u64 = 0x6f72_6761_6e69_7361;
 
 /// How any stream is spoiled, also one that is begun, so that it must not look whole.
-const SPOILED_STREAMS: [StreamFault; 4] = [
+const FAULTY_STREAMS: [StreamFault; 4] = [
     StreamFault::InterimOnly,
     StreamFault::ClosedInside,
     StreamFault::EndsInside,
@@ -76,7 +76,7 @@
 ];
 
 /// What other engines answer while one cuts its streams.
-const AFTER_CUT: [AnswerFault; 10] = [
+const FAULTS_AFTER_CUT: [AnswerFault; 10] = [
     AnswerFault::TurnedAway,
     AnswerFault::Failed,
     AnswerFault::LostAnswer,
@@ -90,63 +90,65 @@
 ];
 
 /// Draws the troubles that come by chance, one after the other.
-pub(crate) fn draw_troubles(
+pub(crate) fn draw_random_faults(
     seed: u64,
     calm_from_ms: u64,
     vms: usize,
     engines: usize,
     upstreams: usize,
 ) -> Vec<Planned> {
-    let mut draw = Draw {
+    let mut draw = FaultGenerator {
         random: ChaCha8Rng::seed_from_u64(seed),
         vms,
         engines,
         upstreams,
     };
-    let mut troubles = Vec::new();
-    let mut at_ms = LEAD_MS;
+    let mut faults = Vec::new();
+    let mut at_ms = WARM_UP_MS;
     while at_ms < calm_from_ms {
         let trouble = draw.trouble(calm_from_ms - at_ms);
-        troubles.push(Planned { at_ms, trouble });
+        faults.push(Planned { at_ms, trouble });
         // Some come at the same moment, so that they overlap.
         if draw.random.random_ratio(2, 3) {
-            at_ms += draw.random.random_range(GAP_MS / 3..GAP_MS * 2);
+            at_ms += draw
+                .random
+                .random_range(MEAN_FAULT_INTERVAL_MS / 3..MEAN_FAULT_INTERVAL_MS * 2);
         }
     }
-    troubles
+    faults
 }
 
 /// Draws the crashers from a generator of their own, so that they change no plan of troubles.
 pub(crate) fn draw_crashers(seed: u64, calm_from_ms: u64) -> Vec<Crasher> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ CRASHERS_SEED);
-    let count = random.random_range(0..=MOST_CRASHERS);
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ CRASHER_SEED_MASK);
+    let count = random.random_range(0..=MAX_CRASHERS);
     (0..count)
         .map(|number| Crasher {
             // The engines end at once under the one mark and after some events under the other.
             body: format!("{}{number}", CRASH_MARKS[random.random_range(0..2)]),
             model: MODELS[random.random_range(0..2)],
-            at_ms: random.random_range(LEAD_MS..calm_from_ms.max(LEAD_MS + 1)),
+            at_ms: random.random_range(WARM_UP_MS..calm_from_ms.max(WARM_UP_MS + 1)),
             pause_ms: random.random_range(50..900),
             resumable: random.random_bool(0.5),
-            copies: random.random_range(1..=MOST_COPIES),
+            copies: random.random_range(1..=MAX_COPIES),
         })
         .collect()
 }
 
 /// Draws the times at which the store comes back from an older copy, from a generator of their own
 /// as well.
-pub(crate) fn draw_set_backs(seed: u64, calm_from_ms: u64) -> Vec<Planned> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ SET_BACKS_SEED);
-    let latest_ms = calm_from_ms.saturating_sub(SET_BACK_MS);
-    let count = random.random_range(0..=MOST_SET_BACKS);
+pub(crate) fn draw_rollbacks(seed: u64, calm_from_ms: u64) -> Vec<Planned> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ ROLLBACK_SEED_MASK);
+    let latest_ms = calm_from_ms.saturating_sub(MAX_ROLLBACK_MS);
+    let count = random.random_range(0..=MAX_ROLLBACKS);
     (0..count)
-        .filter(|_| latest_ms > LEAD_MS)
+        .filter(|_| latest_ms > WARM_UP_MS)
         .map(|_| Planned {
-            at_ms: random.random_range(LEAD_MS..latest_ms),
+            at_ms: random.random_range(WARM_UP_MS..latest_ms),
             trouble: Trouble::SetBack {
-                lost_ms: random.random_range(0..SET_BACK_MS / 2),
-                away_ms: random.random_range(50..SET_BACK_MS / 4),
-                again_ms: random.random_range(50..SET_BACK_MS / 4),
+                lost_ms: random.random_range(0..MAX_ROLLBACK_MS / 2),
+                away_ms: random.random_range(50..MAX_ROLLBACK_MS / 4),
+                again_ms: random.random_range(50..MAX_ROLLBACK_MS / 4),
             },
         })
         .collect()
@@ -154,16 +156,20 @@
 
 /// Draws the times at which engines fail behind each other's streams, from a generator of their own
 /// as well.
-pub(crate) fn draw_joins(seed: u64, calm_from_ms: u64, engines: usize) -> Vec<Planned> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ JOINS_SEED);
-    let count = random.random_range(JOINS);
+pub(crate) fn draw_continuation_faults(
+    seed: u64,
+    calm_from_ms: u64,
+    engines: usize,
+) -> Vec<Planned> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ CONTINUATION_SEED_MASK);
+    let count = random.random_range(CONTINUATION_FAULT_COUNT);
     (0..count)
         .map(|_| {
-            let at_ms = random.random_range(LEAD_MS..calm_from_ms.max(LEAD_MS + 1));
+            let at_ms = random.random_range(WARM_UP_MS..calm_from_ms.max(WARM_UP_MS + 1));
             let events = random.random_range(1..4);
             let rest = StreamFault::RESTS[random.random_range(0..StreamFault::RESTS.len())];
-            let stream = SPOILED_STREAMS[random.random_range(0..SPOILED_STREAMS.len())];
-            let other = AFTER_CUT[random.random_range(0..AFTER_CUT.len())];
+            let stream = FAULTY_STREAMS[random.random_range(0..FAULTY_STREAMS.len())];
+            let other = FAULTS_AFTER_CUT[random.random_range(0..FAULTS_AFTER_CUT.len())];
             let engine = random.random_range(0..engines.max(1));
             let count = random.random_range(2..8);
             let of_all = |fault| Trouble::EnginesAnswer { fault, count };
@@ -186,12 +192,12 @@
 
 /// Draws when an organisation sends more and what the operators change about organisations, from a
 /// generator of its own as well.
-pub(crate) fn draw_organisations(seed: u64, calm_from_ms: u64) -> (Vec<Burst>, Vec<Planned>) {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ ORGANISATIONS_SEED);
-    let until_ms = calm_from_ms.max(LEAD_MS + 1);
-    let bursts = (0..random.random_range(BURSTS))
+pub(crate) fn draw_organisation_events(seed: u64, calm_from_ms: u64) -> (Vec<Burst>, Vec<Planned>) {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ ORGANISATION_SEED_MASK);
+    let until_ms = calm_from_ms.max(WARM_UP_MS + 1);
+    let bursts = (0..random.random_range(BURST_COUNT))
         .map(|_| {
-            let at_ms = random.random_range(LEAD_MS..until_ms);
+            let at_ms = random.random_range(WARM_UP_MS..until_ms);
             Burst {
                 organisation: LIMITED,
                 at_ms,
@@ -201,16 +207,16 @@
             }
         })
         .collect();
-    let first_until_ms = LEAD_MS + (until_ms - LEAD_MS).div_ceil(2);
-    let changes = (0..random.random_range(KEY_CHANGES))
+    let first_until_ms = WARM_UP_MS + (until_ms - WARM_UP_MS).div_ceil(2);
+    let changes = (0..random.random_range(ORGANISATION_CHANGE_COUNT))
         .map(|number| {
             // The first comes early enough that it must be in force before the end.
             let at_ms = match number {
-                0 => random.random_range(LEAD_MS..first_until_ms),
-                _ => random.random_range(LEAD_MS..until_ms),
+                0 => random.random_range(WARM_UP_MS..first_until_ms),
+                _ => random.random_range(WARM_UP_MS..until_ms),
             };
             let organisation = random.random_range(0..STEADY);
-            let rate_per_s = RATES_PER_S[random.random_range(0..RATES_PER_S.len())];
+            let rate_per_s = RATE_LIMITS_PER_S[random.random_range(0..RATE_LIMITS_PER_S.len())];
             let trouble = match random.random_range(0..3) {
                 _ if number == 0 => Trouble::KeyTaken { organisation },
                 0 => Trouble::KeyAdded { organisation },
@@ -223,14 +229,14 @@
     (bursts, changes)
 }
 
-struct Draw {
+struct FaultGenerator {
     random: ChaCha8Rng,
     vms: usize,
     engines: usize,
     upstreams: usize,
 }
 
-impl Draw {
+impl FaultGenerator {
     fn trouble(&mut self, left_ms: u64) -> Trouble {
         let for_ms = self.random.random_range(200..3_000).min(left_ms);
         match self.random.random_range(0..24) {
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -88,13 +88,13 @@
 impl World {
     /// Starts engines again that ended by themselves, until nothing ends them any more: their
     /// entries lapse, and other runs join at their addresses.
-    pub fn mend_engines(self: &Arc<Self>, is_over: &AtomicBool) {
+    pub fn mend_engines(self: &Arc<Self>, is_finished: &AtomicBool) {
         let mut mended: Vec<usize> = Vec::new();
         let mut mends = Vec::new();
         let mut is_last = false;
         while !is_last {
             // What ended before it was over is seen by the look after.
-            is_last = is_over.load(Ordering::Acquire);
+            is_last = is_finished.load(Ordering::Acquire);
             pause(MEND_LOOK_MS);
             let ended: Vec<(usize, u64)> = {
                 let site = self.site.lock();
--- a/crates/soak/src/trouble.rs
+++ b/crates/soak/src/fault.rs
@@ -5,7 +5,7 @@
 
 use crate::proxy::LinkFault;
 use crate::record::Place;
-use crate::record::SET_BACK;
+use crate::record::ROLLBACK;
 
 /// `Trouble` is something that is done to the VMs from outside, or that their surroundings do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -172,7 +172,7 @@
             Self::Reload { .. } => "reload",
             Self::Store { .. } => "store",
             Self::Forget => "forget",
-            Self::SetBack { .. } => SET_BACK,
+            Self::SetBack { .. } => ROLLBACK,
             Self::StoreLink { .. } => "store link",
             Self::UpstreamLink { .. } => "upstream link",
             Self::Reset { .. } => "reset",
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -25,7 +25,7 @@
 use apricotdale_soak::fullest_window;
 
 /// The most soaks at once.
-const MOST_AT_ONCE: usize = 8;
+const MAX_PARALLEL_SOAKS: usize = 8;
 
 /// Runs entry VMs on loopback under random troubles and checks the promises
 #[derive(Clone, Debug, Bpaf)]
@@ -75,7 +75,7 @@
     let next = AtomicU64::new(arguments.seed);
     let broken = AtomicU64::new(0);
     let end = arguments.seed + arguments.seeds;
-    let workers = arguments.at_once.clamp(1, MOST_AT_ONCE);
+    let workers = arguments.at_once.clamp(1, MAX_PARALLEL_SOAKS);
     let outcome: Result<()> = thread::scope(|scope| {
         let work = || -> Result<()> {
             loop {
@@ -101,7 +101,7 @@
 
 fn print_plans(arguments: &Arguments) {
     for seed in arguments.seed..arguments.seed + arguments.seeds {
-        for planned in options(arguments, Path::new(""), seed).plan().troubles {
+        for planned in options(arguments, Path::new(""), seed).plan().faults {
             println!("seed {seed}, {} ms: {:?}", planned.at_ms, planned.trouble);
         }
     }
@@ -164,7 +164,7 @@
     for violation in violations {
         writeln!(file, "broken: {violation}")?;
     }
-    for planned in &soak.plan.troubles {
+    for planned in &soak.plan.faults {
         writeln!(file, "planned: {planned:?}")?;
     }
     for burst in &soak.plan.bursts {
--- a/crates/soak/src/organisation_invariants.rs
+++ b/crates/soak/src/organisation_invariants.rs
@@ -14,8 +14,8 @@
 use crate::record::LimitSeen;
 use crate::record::Place;
 use crate::record::Presented;
+use crate::record::ROLLBACK;
 use crate::record::Record;
-use crate::record::SET_BACK;
 
 /// `WindowUse` is what upstreams ran for an organisation with a limit in one of its windows.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -179,7 +179,7 @@
     fn known_ms(&self, vm: Option<usize>, acknowledged_ms: u64, until_ms: u64) -> u64 {
         let disturbances = || self.record.disturbances.iter();
         let begun_ms = disturbances()
-            .filter(|it| it.what == SET_BACK && it.from_ms <= until_ms)
+            .filter(|it| it.what == ROLLBACK && it.from_ms <= until_ms)
             .map(|it| it.until_ms)
             .fold(acknowledged_ms, u64::max);
         let mut delays: Vec<(u64, u64)> = disturbances()
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,13 +1,13 @@
 //! Which troubles come when.
 
-use crate::draws::LEAD_MS;
-use crate::draws::REST_MS;
+use crate::draws::SETTLE_MS;
+use crate::draws::WARM_UP_MS;
+use crate::draws::draw_continuation_faults;
 use crate::draws::draw_crashers;
-use crate::draws::draw_joins;
-use crate::draws::draw_organisations;
-use crate::draws::draw_set_backs;
-use crate::draws::draw_troubles;
-use crate::trouble::Trouble;
+use crate::draws::draw_organisation_events;
+use crate::draws::draw_random_faults;
+use crate::draws::draw_rollbacks;
+use crate::fault::Trouble;
 
 /// What the bodies hold of requests that end engines at once, and after some events.
 pub(crate) const CRASH_MARKS: [&str; 2] = ["ends-engine-", "ends-engine-late-"];
@@ -62,7 +62,7 @@
     /// Times in which an organisation sends more.
     pub bursts: Vec<Burst>,
     /// The troubles in order of time.
-    pub troubles: Vec<Planned>,
+    pub faults: Vec<Planned>,
     /// When the last one must have ended.
     pub calm_from_ms: u64,
     /// When the soak ends.
@@ -73,19 +73,19 @@
     /// Draws a plan for a number of VMs, engines and other upstreams. The numbers of the other
     /// upstreams follow those of the engines.
     pub fn draw(seed: u64, length_ms: u64, vms: usize, engines: usize, upstreams: usize) -> Self {
-        let calm_from_ms = length_ms.saturating_sub(REST_MS).max(LEAD_MS);
-        let mut troubles = draw_troubles(seed, calm_from_ms, vms, engines, upstreams);
-        troubles.extend(draw_set_backs(seed, calm_from_ms));
-        troubles.extend(draw_joins(seed, calm_from_ms, engines));
-        let (bursts, changes) = draw_organisations(seed, calm_from_ms);
-        troubles.extend(changes);
-        troubles.sort_by_key(|planned| planned.at_ms);
+        let calm_from_ms = length_ms.saturating_sub(SETTLE_MS).max(WARM_UP_MS);
+        let mut faults = draw_random_faults(seed, calm_from_ms, vms, engines, upstreams);
+        faults.extend(draw_rollbacks(seed, calm_from_ms));
+        faults.extend(draw_continuation_faults(seed, calm_from_ms, engines));
+        let (bursts, changes) = draw_organisation_events(seed, calm_from_ms);
+        faults.extend(changes);
+        faults.sort_by_key(|planned| planned.at_ms);
         Self {
             crashers: draw_crashers(seed, calm_from_ms),
             bursts,
-            troubles,
+            faults,
             calm_from_ms,
-            end_ms: calm_from_ms + REST_MS,
+            end_ms: calm_from_ms + SETTLE_MS,
         }
     }
 }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -9,7 +9,7 @@
 use crate::streams::BodySeen;
 
 /// What a disturbance is called by which the store has an older configuration.
-pub(crate) const SET_BACK: &str = "set back";
+pub(crate) const ROLLBACK: &str = "set back";
 
 /// `Kind` is what a request asks for, and so what may become of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -110,7 +110,7 @@
     ///
     /// [`Error::Io`] if something can't be started, [`Error::NotReady`].
     pub fn carry_out(options: &SoakOptions) -> Result<Self> {
-        Self::follow(options, options.plan())
+        Self::carry_out_plan(options, options.plan())
     }
 
     /// Carries a soak out with a plan other than that of its seed.
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// Those of [`Soak::carry_out`].
-    pub fn follow(options: &SoakOptions, plan: Plan) -> Result<Self> {
+    pub fn carry_out_plan(options: &SoakOptions, plan: Plan) -> Result<Self> {
         if !options.program.is_file() {
             return Err(Error::MissingProgram(options.program.clone()));
         }
@@ -141,7 +141,7 @@
         // The callers' last requests may end engines, too.
         let has_recovered = Arc::new(AtomicBool::new(false));
         let mending = start_mending(&world, &has_recovered);
-        carry_out_plan(clock, &world, &plan);
+        inject_planned_faults(clock, &world, &plan);
         thread::sleep(Duration::from_millis(1_000));
         asking.stopped.store(true, Ordering::Release);
         join(callers);
@@ -215,10 +215,10 @@
 }
 
 /// Carries the troubles out, each in a thread of its own, and waits until all are over.
-fn carry_out_plan(clock: Clock, world: &Arc<World>, plan: &Plan) {
+fn inject_planned_faults(clock: Clock, world: &Arc<World>, plan: &Plan) {
     let began_ms = clock.now_ms();
     let mut running = Vec::new();
-    for planned in &plan.troubles {
+    for planned in &plan.faults {
         clock.wait_until(began_ms + planned.at_ms);
         let ends = world.vms.own_ends();
         world.events.lock().own_ends.extend(ends);
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -26,6 +26,7 @@
 use crate::engines::EngineSlot;
 use crate::engines::engine_options;
 use crate::engines::join_engine;
+use crate::fault::Trouble;
 use crate::keys::Change;
 use crate::keys::KEY_MARK;
 use crate::keys::Keys;
@@ -37,7 +38,6 @@
 use crate::record::Place;
 use crate::record::Run;
 use crate::record::StopSeen;
-use crate::trouble::Trouble;
 use crate::vms::StopEnd;
 use crate::vms::Vms;
 
--- a/crates/soak/tests/late_crashers.rs
+++ b/crates/soak/tests/late_crashers.rs
@@ -22,7 +22,7 @@
     let plan = Plan {
         crashers: vec![crasher],
         bursts: Vec::new(),
-        troubles: Vec::new(),
+        faults: Vec::new(),
         calm_from_ms: 2_000,
         end_ms: 2_000,
     };
@@ -32,7 +32,7 @@
         callers: 2,
         ..SoakOptions::new(entry_program().expect("the program is built"), 1)
     };
-    let soak = Soak::follow(&options, plan).expect("the soak can be carried out");
+    let soak = Soak::carry_out_plan(&options, plan).expect("the soak can be carried out");
     assert!(soak.record.crashes.len() >= 2, "{:?}", soak.record.crashes);
     assert_eq!(check(&soak.record), []);
 }
--- a/crates/soak/tests/plan_seeds.rs
+++ b/crates/soak/tests/plan_seeds.rs
@@ -25,9 +25,9 @@
 fn troubles_come_in_order_and_end() {
     for seed in 0..200 {
         let plan = plan(seed);
-        assert!(!plan.troubles.is_empty());
-        assert!(plan.troubles.is_sorted_by_key(|planned| planned.at_ms));
-        assert!(plan.troubles.iter().all(|it| it.at_ms < plan.calm_from_ms));
+        assert!(!plan.faults.is_empty());
+        assert!(plan.faults.is_sorted_by_key(|planned| planned.at_ms));
+        assert!(plan.faults.iter().all(|it| it.at_ms < plan.calm_from_ms));
         assert_eq!(plan.end_ms, LENGTH_MS);
     }
 }
@@ -35,10 +35,8 @@
 #[test]
 fn some_come_at_once() {
     let overlapping = (0..200).filter(|seed| {
-        let troubles = plan(*seed).troubles;
-        troubles
-            .windows(2)
-            .any(|pair| pair[0].at_ms == pair[1].at_ms)
+        let faults = plan(*seed).faults;
+        faults.windows(2).any(|pair| pair[0].at_ms == pair[1].at_ms)
     });
     assert!(overlapping.count() > 100);
 }
@@ -47,7 +45,7 @@
 fn every_kind_comes() {
     let mut kinds = BTreeSet::new();
     for seed in 0..200 {
-        for planned in plan(seed).troubles {
+        for planned in plan(seed).faults {
             kinds.insert(format!("{:?}", discriminant(&planned.trouble)));
         }
     }
@@ -59,18 +57,13 @@
 fn every_spoiled_rest_comes() {
     let mut rests = BTreeSet::new();
     for seed in 0..200 {
-        rests.extend(
-            plan(seed)
-                .troubles
-                .iter()
-                .filter_map(|it| match it.trouble {
-                    Trouble::EnginesAnswer {
-                        fault: AnswerFault::CutThen { then, .. },
-                        ..
-                    } => Some(then),
-                    _ => None,
-                }),
-        );
+        rests.extend(plan(seed).faults.iter().filter_map(|it| match it.trouble {
+            Trouble::EnginesAnswer {
+                fault: AnswerFault::CutThen { then, .. },
+                ..
+            } => Some(then),
+            _ => None,
+        }));
     }
     assert_eq!(rests.len(), 16);
 }
