--- a/crates/soak/src/draws.rs
+++ b/crates/soak/src/draws.rs
@@ -11,15 +11,15 @@
 use apricotdale_standins::platform::StoreFault;
 use apricotdale_standins::platform::StreamFault;
 
-use crate::asking::MODELS;
 use crate::fault::Trouble;
-use crate::keys::LIMITED;
-use crate::keys::STEADY;
+use crate::keys::LIMITED_ORGANISATION;
+use crate::keys::STABLE_ORGANISATION;
 use crate::plan::Burst;
 use crate::plan::CRASH_MARKS;
 use crate::plan::Crasher;
 use crate::plan::Planned;
 use crate::proxy::LinkFault;
+use crate::workload::MODELS;
 
 /// The time before the first trouble, in which the VMs begin to serve.
 pub(crate) const WARM_UP_MS: u64 = 1_500;
@@ -199,7 +199,7 @@
         .map(|_| {
             let at_ms = random.random_range(WARM_UP_MS..until_ms);
             Burst {
-                organisation: LIMITED,
+                organisation: LIMITED_ORGANISATION,
                 at_ms,
                 for_ms: random.random_range(BURST_MS).min(until_ms - at_ms),
                 callers: random.random_range(3..7),
@@ -215,7 +215,7 @@
                 0 => random.random_range(WARM_UP_MS..first_until_ms),
                 _ => random.random_range(WARM_UP_MS..until_ms),
             };
-            let organisation = random.random_range(0..STEADY);
+            let organisation = random.random_range(0..STABLE_ORGANISATION);
             let rate_per_s = RATE_LIMITS_PER_S[random.random_range(0..RATE_LIMITS_PER_S.len())];
             let trouble = match random.random_range(0..3) {
                 _ if number == 0 => Trouble::KeyTaken { organisation },
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -10,13 +10,13 @@
 use apricotdale_standins::platform::EngineOptions;
 use apricotdale_standins::platform::Site;
 
-use crate::asking::MODELS;
 use crate::plan::CRASH_MARKS;
 use crate::proxy::Proxy;
 use crate::record::Crash;
 use crate::record::Disturbance;
 use crate::record::Drain;
 use crate::record::Place;
+use crate::workload::MODELS;
 use crate::world::World;
 use crate::world::pause;
 
--- a/crates/soak/src/keys.rs
+++ b/crates/soak/src/keys.rs
@@ -18,13 +18,13 @@
 pub(crate) const ORGANISATIONS: [&str; 3] = ["north", "south", "east"];
 
 /// The organisation with a limit.
-pub(crate) const LIMITED: usize = 0;
+pub(crate) const LIMITED_ORGANISATION: usize = 0;
 
 /// The organisation whose keys stay, and which has no limit.
-pub(crate) const STEADY: usize = 2;
+pub(crate) const STABLE_ORGANISATION: usize = 2;
 
 /// The limit at the start.
-const RATE_PER_S: u32 = 25;
+const INITIAL_RATE_PER_S: u32 = 25;
 
 /// The window in which the use of a limit is counted.
 pub(crate) const LIMIT_WINDOW_MS: u64 = 4_000;
@@ -33,7 +33,7 @@
 const LIMIT_OVER_PERCENT: u64 = 10;
 
 /// Keys of each organisation at the start.
-const FIRST_KEYS: usize = 2;
+const INITIAL_KEYS_PER_ORGANISATION: usize = 2;
 
 /// What every key holds, by which it is found where it must not be.
 pub(crate) const KEY_MARK: &str = "-secret-";
@@ -42,31 +42,31 @@
 const UNKNOWN_KEY: &str = "nobody-secret-0";
 
 /// Of a hundred requests, those without a key, with an unknown one, with two.
-const KEYLESS: u32 = 3;
-const UNKNOWN: u32 = 3;
-const DOUBLE: u32 = 2;
+const NO_KEY_PERCENT: u32 = 3;
+const UNKNOWN_KEY_PERCENT: u32 = 3;
+const TWO_KEYS_PERCENT: u32 = 2;
 
 /// One in so many requests carries a key that was taken away, where there is one.
-const TAKEN_ONE_IN: u32 = 8;
+const REVOKED_KEY_ONE_IN: u32 = 8;
 
 /// One in so many requests claims another organisation.
-const CLAIMS_ONE_IN: u32 = 8;
+const FALSE_CLAIM_ONE_IN: u32 = 8;
 
 /// `Keys` is what the operators have configured, and what callers know of it.
 pub(crate) struct Keys {
     clock: Clock,
-    held: Mutex<Held>,
+    held: Mutex<KeyState>,
 }
 
-struct Held {
+struct KeyState {
     keys: Vec<KeySeen>,
     limits: Vec<LimitSeen>,
     rate_per_s: u32,
 }
 
-/// `Change` is a change of organisations.
+/// `OrganisationChange` is a change of organisations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Change {
+pub(crate) enum OrganisationChange {
     /// A key is added.
     Add {
         /// The organisation.
@@ -87,7 +87,8 @@
 impl Keys {
     pub fn new(clock: Clock) -> Self {
         let organisations = 0..ORGANISATIONS.len();
-        let keys = organisations.flat_map(|it| std::iter::repeat_n(it, FIRST_KEYS));
+        let keys =
+            organisations.flat_map(|it| std::iter::repeat_n(it, INITIAL_KEYS_PER_ORGANISATION));
         let keys = keys.enumerate().map(|(number, organisation)| KeySeen {
             secret: secret(organisation, number),
             organisation: ORGANISATIONS[organisation].to_owned(),
@@ -97,10 +98,10 @@
         });
         Self {
             clock,
-            held: Mutex::new(Held {
+            held: Mutex::new(KeyState {
                 keys: keys.collect(),
-                limits: vec![limit(RATE_PER_S, 0, 0)],
-                rate_per_s: RATE_PER_S,
+                limits: vec![limit(INITIAL_RATE_PER_S, 0, 0)],
+                rate_per_s: INITIAL_RATE_PER_S,
             }),
         }
     }
@@ -117,23 +118,23 @@
     }
 
     /// Carries a change out with what writes organisations into the store.
-    pub fn change(&self, change: Change, write: impl FnOnce(&[SiteOrganisation])) {
+    pub fn change(&self, change: OrganisationChange, write: impl FnOnce(&[SiteOrganisation])) {
         let written_ms = self.clock.now_ms();
         let (organisations, added) = {
             let mut held = self.held.lock();
             let added = match change {
-                Change::Add { organisation } => Some(KeySeen {
+                OrganisationChange::Add { organisation } => Some(KeySeen {
                     secret: secret(organisation, held.keys.len()),
                     organisation: ORGANISATIONS[organisation].to_owned(),
                     acknowledged_ms: 0,
                     leaving_ms: None,
                     left_ms: None,
                 }),
-                Change::Take { organisation } => {
-                    held.begin_leaving(ORGANISATIONS[organisation], written_ms);
+                OrganisationChange::Take { organisation } => {
+                    held.begin_revoking(ORGANISATIONS[organisation], written_ms);
                     None
                 }
-                Change::Limit { rate_per_s } => {
+                OrganisationChange::Limit { rate_per_s } => {
                     held.rate_per_s = rate_per_s;
                     None
                 }
@@ -147,7 +148,7 @@
             acknowledged_ms,
             ..key
         }));
-        if let Change::Limit { rate_per_s } = change {
+        if let OrganisationChange::Limit { rate_per_s } = change {
             let limit = limit(rate_per_s, written_ms, acknowledged_ms);
             held.limits.push(limit);
         }
@@ -157,9 +158,12 @@
     }
 
     /// Returns a request with a key of the organisation that keeps its keys.
-    pub fn steady(&self, ask: &Ask) -> (Ask, Presented) {
+    pub fn with_stable_key(&self, ask: &Ask) -> (Ask, Presented) {
         let held = self.held.lock();
-        let key = held.of(ORGANISATIONS[STEADY]).next().unwrap_or_default();
+        let key = held
+            .of(ORGANISATIONS[STABLE_ORGANISATION])
+            .next()
+            .unwrap_or_default();
         (
             ask.clone().without_keys().with_key(&held.keys[key].secret),
             Presented::Key(key),
@@ -167,7 +171,7 @@
     }
 
     /// Returns a request as a caller of an organisation sends it, with or without a good key.
-    pub fn present(
+    pub fn with_drawn_key(
         &self,
         ask: &Ask,
         organisation: usize,
@@ -182,18 +186,20 @@
             .map(|(index, _)| index)
             .collect();
         let ask = ask.clone().without_keys();
-        let ask = match random.random_ratio(1, CLAIMS_ONE_IN) {
+        let ask = match random.random_ratio(1, FALSE_CLAIM_ONE_IN) {
             true => ask.claiming(ORGANISATIONS[(organisation + 1) % ORGANISATIONS.len()]),
             false => ask,
         };
-        let is_late = random.random_ratio(1, TAKEN_ONE_IN) && !taken.is_empty();
+        let is_late = random.random_ratio(1, REVOKED_KEY_ONE_IN) && !taken.is_empty();
         let from = if is_late { &taken } else { &kept };
         let key = from[random.random_range(0..from.len())];
         let secret = &held.keys[key].secret;
         match random.random_range(0..100) {
-            drawn if drawn < KEYLESS => (ask, Presented::None),
-            drawn if drawn < KEYLESS + UNKNOWN => (ask.with_key(UNKNOWN_KEY), Presented::Unknown),
-            drawn if drawn < KEYLESS + UNKNOWN + DOUBLE => {
+            drawn if drawn < NO_KEY_PERCENT => (ask, Presented::None),
+            drawn if drawn < NO_KEY_PERCENT + UNKNOWN_KEY_PERCENT => {
+                (ask.with_key(UNKNOWN_KEY), Presented::Unknown)
+            }
+            drawn if drawn < NO_KEY_PERCENT + UNKNOWN_KEY_PERCENT + TWO_KEYS_PERCENT => {
                 (ask.with_key(secret).with_key(secret), Presented::Several)
             }
             _ => (ask.with_key(secret), Presented::Key(key)),
@@ -201,7 +207,7 @@
     }
 }
 
-impl Held {
+impl KeyState {
     /// Returns the keys of an organisation that are not being taken away.
     fn of<'a>(&'a self, name: &'a str) -> impl Iterator<Item = usize> + 'a {
         let keys = self.keys.iter().enumerate();
@@ -209,7 +215,7 @@
             .map(|(index, _)| index)
     }
 
-    fn begin_leaving(&mut self, name: &str, at_ms: u64) {
+    fn begin_revoking(&mut self, name: &str, at_ms: u64) {
         let kept: Vec<usize> = self.of(name).collect();
         if let [oldest, _, ..] = kept[..] {
             self.keys[oldest].leaving_ms = Some(at_ms);
@@ -218,7 +224,9 @@
 
     fn organisations(&self, added: Option<&KeySeen>) -> Vec<SiteOrganisation> {
         let rate_per_s = f64::from(self.rate_per_s);
-        let limit = |index| (index == LIMITED).then(|| SiteLimit::requests(rate_per_s, rate_per_s));
+        let limit = |index| {
+            (index == LIMITED_ORGANISATION).then(|| SiteLimit::requests(rate_per_s, rate_per_s))
+        };
         let names = ORGANISATIONS.iter().enumerate();
         names
             .map(|(index, name)| SiteOrganisation {
@@ -257,7 +265,7 @@
     let burst = u64::from(rate_per_s);
     let in_window = burst * LIMIT_WINDOW_MS / 1_000 + burst;
     LimitSeen {
-        organisation: ORGANISATIONS[LIMITED].to_owned(),
+        organisation: ORGANISATIONS[LIMITED_ORGANISATION].to_owned(),
         written_ms,
         acknowledged_ms,
         most_in_window: (in_window * (100 + LIMIT_OVER_PERCENT) / 100) as usize,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -9,7 +9,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod asking;
 mod checks;
 mod clock;
 mod draws;
@@ -24,6 +23,7 @@
 mod soak;
 mod streams;
 mod vms;
+mod workload;
 mod world;
 
 pub use checks::Invariant;
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -12,8 +12,6 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::asking::Asking;
-use crate::asking::organisation_of;
 use crate::clock::Clock;
 use crate::errors::Error;
 use crate::errors::Result;
@@ -23,6 +21,8 @@
 use crate::record::Ending;
 use crate::record::Kind;
 use crate::record::Record;
+use crate::workload::Workload;
+use crate::workload::organisation_of;
 use crate::world::World;
 
 /// The file name of the VMs' program.
@@ -129,29 +129,29 @@
         if !world.vms.wait_ready(Duration::from_millis(READY_MS)) {
             return Err(Error::NotReady(READY_MS));
         }
-        let asking = Arc::new(Asking::new(
+        let workload = Arc::new(Workload::new(
             clock,
             world.vms.clone(),
             world.keys.clone(),
             World::stream_events(),
         ));
-        let callers = start_callers(options, &asking);
-        let crashers = start_crashers(options, &plan, &asking);
-        let bursts = start_bursts(options, &plan, &asking);
+        let callers = start_callers(options, &workload);
+        let crashers = start_crashers(options, &plan, &workload);
+        let bursts = start_bursts(options, &plan, &workload);
         // The callers' last requests may end engines, too.
         let has_recovered = Arc::new(AtomicBool::new(false));
         let mending = start_mending(&world, &has_recovered);
         inject_planned_faults(clock, &world, &plan);
         thread::sleep(Duration::from_millis(1_000));
-        asking.stopped.store(true, Ordering::Release);
+        workload.stopped.store(true, Ordering::Release);
         join(callers);
         join(crashers);
         join(bursts);
-        let last_attempts = recover(options, &asking);
+        let last_attempts = recover(options, &workload);
         has_recovered.store(true, Ordering::Release);
         join(vec![mending]);
         let lines = world.vms.lines();
-        let record = take_record(&world, &asking, last_attempts, &lines);
+        let record = take_record(&world, &workload, last_attempts, &lines);
         Ok(Self {
             plan,
             record,
@@ -161,39 +161,47 @@
 }
 
 /// Starts the callers whose requests end engines, each at its time.
-fn start_crashers(options: &SoakOptions, plan: &Plan, asking: &Arc<Asking>) -> Vec<JoinHandle<()>> {
-    let began_ms = asking.clock.now_ms();
+fn start_crashers(
+    options: &SoakOptions,
+    plan: &Plan,
+    workload: &Arc<Workload>,
+) -> Vec<JoinHandle<()>> {
+    let began_ms = workload.clock.now_ms();
     let crashers = plan.crashers.iter();
     let copies = crashers.flat_map(|crasher| std::iter::repeat_n(crasher.clone(), crasher.copies));
     copies
         .enumerate()
         .map(|(number, crasher)| {
-            let asking = asking.clone();
+            let workload = workload.clone();
             let seed = options.seed.wrapping_mul(1_000) + 900 + number as u64;
             thread::spawn(move || {
-                asking.clock.wait_until(began_ms + crasher.at_ms);
-                asking.crash(&crasher, seed);
+                workload.clock.wait_until(began_ms + crasher.at_ms);
+                workload.crash(&crasher, seed);
             })
         })
         .collect()
 }
 
 /// Starts the callers of each burst at its time.
-fn start_bursts(options: &SoakOptions, plan: &Plan, asking: &Arc<Asking>) -> Vec<JoinHandle<()>> {
-    let began_ms = asking.clock.now_ms();
+fn start_bursts(
+    options: &SoakOptions,
+    plan: &Plan,
+    workload: &Arc<Workload>,
+) -> Vec<JoinHandle<()>> {
+    let began_ms = workload.clock.now_ms();
     let bursts = plan.bursts.iter();
     let callers = bursts.flat_map(|burst| std::iter::repeat_n(burst.clone(), burst.callers));
     callers
         .enumerate()
         .map(|(number, burst)| {
-            let asking = asking.clone();
+            let workload = workload.clone();
             let seed = options
                 .seed
                 .wrapping_mul(1_000)
                 .wrapping_add(500 + number as u64);
             thread::spawn(move || {
-                asking.clock.wait_until(began_ms + burst.at_ms);
-                asking.burst(&burst, seed);
+                workload.clock.wait_until(began_ms + burst.at_ms);
+                workload.burst(&burst, seed);
             })
         })
         .collect()
@@ -204,12 +212,12 @@
     thread::spawn(move || world.mend_engines(&has_recovered))
 }
 
-fn start_callers(options: &SoakOptions, asking: &Arc<Asking>) -> Vec<JoinHandle<()>> {
+fn start_callers(options: &SoakOptions, workload: &Arc<Workload>) -> Vec<JoinHandle<()>> {
     (0..options.callers)
         .map(|caller| {
-            let asking = asking.clone();
+            let workload = workload.clone();
             let seed = options.seed.wrapping_mul(1_000).wrapping_add(caller as u64);
-            thread::spawn(move || asking.go_on(organisation_of(caller), seed))
+            thread::spawn(move || workload.run_caller(organisation_of(caller), seed))
         })
         .collect()
 }
@@ -237,16 +245,16 @@
 }
 
 /// Asks every VM for every kind of request until it is served or the time is over.
-fn recover(options: &SoakOptions, asking: &Asking) -> Vec<Attempt> {
+fn recover(options: &SoakOptions, workload: &Workload) -> Vec<Attempt> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let mut attempts = Vec::new();
-    let until_ms = asking.clock.now_ms() + RECOVERY_MS;
+    let until_ms = workload.clock.now_ms() + RECOVERY_MS;
     for vm in 0..options.vms {
         for kind in Kind::ALL {
             loop {
-                let request = asking.request(kind, &mut random);
-                let keyed = asking.keys.steady(&request);
-                let (attempt, _) = asking.attempt(vm, kind, &keyed, None, None);
+                let request = workload.request(kind, &mut random);
+                let keyed = workload.keys.with_stable_key(&request);
+                let (attempt, _) = workload.attempt(vm, kind, &keyed, None, None);
                 let is_served = matches!(
                     attempt.ending,
                     Ending::Answered {
@@ -256,7 +264,7 @@
                     }
                 );
                 attempts.push(attempt);
-                if is_served || asking.clock.now_ms() > until_ms {
+                if is_served || workload.clock.now_ms() > until_ms {
                     break;
                 }
                 thread::sleep(RECOVERY_PAUSE);
@@ -268,7 +276,7 @@
 
 fn take_record(
     world: &World,
-    asking: &Asking,
+    workload: &Workload,
     last_attempts: Vec<Attempt>,
     lines: &[(usize, Vec<String>)],
 ) -> Record {
@@ -280,14 +288,14 @@
     events.own_ends.extend(ends);
     events.own_ends.sort();
     events.own_ends.dedup();
-    let sent = asking.sent.lock();
+    let sent = workload.sent.lock();
     Record {
-        attempts: asking.attempts.lock().clone(),
+        attempts: workload.attempts.lock().clone(),
         last_attempts,
         runs: world.runs(|id| sent.get(id).cloned()),
         other_ids: events.probe_ids.iter().cloned().collect(),
         crashes: world.crashes(),
-        crasher_ids: asking.crasher_ids.lock().clone(),
+        crasher_ids: workload.crasher_ids.lock().clone(),
         engines: world.effects(),
         disturbances: events.disturbances.clone(),
         drains: events.drains.clone(),
--- a/crates/soak/src/asking.rs
+++ b/crates/soak/src/workload.rs
@@ -21,7 +21,7 @@
 use crate::clock::Clock;
 use crate::keys::Keys;
 use crate::keys::ORGANISATIONS;
-use crate::keys::STEADY;
+use crate::keys::STABLE_ORGANISATION;
 use crate::plan::Burst;
 use crate::plan::Crasher;
 use crate::record::Attempt;
@@ -33,31 +33,31 @@
 use crate::vms::Vms;
 
 /// How long a caller waits for its answer.
-pub(crate) const PATIENCE_MS: u64 = 3_000;
+pub(crate) const CALLER_TIMEOUT_MS: u64 = 3_000;
 
 /// How much longer a caller reads, to see an answer that comes too late.
-const OVERTIME_MS: u64 = 2_500;
+const LATE_ANSWER_READ_MS: u64 = 2_500;
 
 /// How long a new connection may take.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The pause after a connection that could not be opened.
-const UNSENT_PAUSE: Duration = Duration::from_millis(30);
+const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
 /// One in so many callers leaves before its answer.
-const LEAVES_ONE_IN: u32 = 25;
+const DISCONNECT_ONE_IN: u32 = 25;
 
 /// One in so many callers goes on with another VM on another connection.
-const MOVES_ONE_IN: u32 = 12;
+const CHANGE_VM_ONE_IN: u32 = 12;
 
 /// One in so many streams is the same as others.
-const SHARED_ONE_IN: u32 = 4;
+const SHARED_PROMPT_ONE_IN: u32 = 4;
 
 /// One in so many streams that broke off is resumed by its caller.
-const RESUMES_ONE_IN: u32 = 2;
+const RESUME_ONE_IN: u32 = 2;
 
 /// The header in which a caller names the last event that it has.
-pub(crate) const LAST_EVENT: &str = "Last-Event-Id";
+pub(crate) const LAST_EVENT_HEADER: &str = "Last-Event-Id";
 
 /// Sets the draws of keys apart from those of the callers.
 const KEY_SEED_MASK: u64 = 0x6b65_7973_0000_0000;
@@ -66,7 +66,7 @@
 pub(crate) const MODELS: [&str; 4] = ["m0", "m1", "m2", "m3"];
 
 /// What the callers share.
-pub(crate) struct Asking {
+pub(crate) struct Workload {
     pub clock: Clock,
     pub vms: Arc<Vms>,
     pub keys: Arc<Keys>,
@@ -81,7 +81,7 @@
     events: u64,
 }
 
-impl Asking {
+impl Workload {
     pub fn new(clock: Clock, vms: Arc<Vms>, keys: Arc<Keys>, events: u64) -> Self {
         Self {
             clock,
@@ -98,13 +98,13 @@
 
     /// Asks for an organisation until the soak ends, on a connection that is kept as long as it
     /// stands.
-    pub fn go_on(&self, organisation: usize, seed: u64) {
+    pub fn run_caller(&self, organisation: usize, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut key_random = ChaCha8Rng::seed_from_u64(seed ^ KEY_SEED_MASK);
         let mut kept: Option<(usize, SocketAddr, Caller)> = None;
         let mut rest: Option<Ask> = None;
         while !self.stopped.load(Ordering::Acquire) {
-            if random.random_ratio(1, MOVES_ONE_IN) {
+            if random.random_ratio(1, CHANGE_VM_ONE_IN) {
                 kept = None;
             }
             let vm = match &kept {
@@ -112,17 +112,19 @@
                 None => random.random_range(0..self.vms.len()),
             };
             let drawn = draw_kind(&mut random);
-            let leaves = random.random_ratio(1, LEAVES_ONE_IN);
+            let leaves = random.random_ratio(1, DISCONNECT_ONE_IN);
             let leaves_after_ms = leaves.then(|| random.random_range(1..60));
             let (kind, request) = match rest.take() {
                 Some(request) => (Kind::Quick, request),
                 None => (drawn, self.request(drawn, &mut random)),
             };
             let connection = kept.take().map(|(_, address, caller)| (address, caller));
-            let keyed = self.keys.present(&request, organisation, &mut key_random);
+            let keyed = self
+                .keys
+                .with_drawn_key(&request, organisation, &mut key_random);
             let (attempt, connection) = self.attempt(vm, kind, &keyed, connection, leaves_after_ms);
             if attempt.ending == Ending::Unsent {
-                thread::sleep(UNSENT_PAUSE);
+                thread::sleep(CONNECT_RETRY_PAUSE);
             }
             rest = self.rest(&attempt, &request, &mut random);
             self.attempts.lock().push(attempt);
@@ -144,11 +146,11 @@
             };
             let request = ask
                 .with_body(crasher.body.as_bytes())
-                .waiting_ms(PATIENCE_MS);
+                .waiting_ms(CALLER_TIMEOUT_MS);
             self.sent.lock().insert(id.clone(), request.clone());
             self.crasher_ids.lock().push((id, crasher.body.clone()));
             let vm = random.random_range(0..self.vms.len());
-            let keyed = self.keys.steady(&request);
+            let keyed = self.keys.with_stable_key(&request);
             let (attempt, _) = self.attempt(vm, kind, &keyed, None, None);
             self.attempts.lock().push(attempt);
             thread::sleep(Duration::from_millis(crasher.pause_ms));
@@ -173,7 +175,7 @@
             let request = self.request(kind, &mut random);
             let keyed = self
                 .keys
-                .present(&request, burst.organisation, &mut key_random);
+                .with_drawn_key(&request, burst.organisation, &mut key_random);
             let (attempt, connection) = self.attempt(vm, kind, &keyed, connection, None);
             self.attempts.lock().push(attempt);
             kept = connection.map(|(address, caller)| (vm, address, caller));
@@ -199,7 +201,7 @@
             after_event: after_event(request),
             sent_ms,
             ended_ms: self.clock.now_ms(),
-            patience_ms: PATIENCE_MS,
+            patience_ms: CALLER_TIMEOUT_MS,
             ending,
         };
         let Some((address, mut caller)) = self.connection(vm, kept) else {
@@ -220,7 +222,7 @@
                 let ending = self.ending(kind, request, &answer);
                 (attempt(ending), keeps.then_some((address, caller)))
             }
-            Err(_) => (attempt(not_http()), None),
+            Err(_) => (attempt(unparsable_answer()), None),
         }
     }
 
@@ -234,9 +236,11 @@
             return Some((address, caller));
         }
         let address = self.vms.callers(vm)?;
-        let caller = Caller::connect(address, CONNECT_PATIENCE).ok()?;
+        let caller = Caller::connect(address, CONNECT_TIMEOUT).ok()?;
         caller
-            .set_patience(Duration::from_millis(PATIENCE_MS + OVERTIME_MS))
+            .set_patience(Duration::from_millis(
+                CALLER_TIMEOUT_MS + LATE_ANSWER_READ_MS,
+            ))
             .ok()?;
         Some((address, caller))
     }
@@ -257,12 +261,12 @@
             Kind::Patient => Ask::patient(&id, model),
         };
         // Most streams are requests of their own; some are the same from many callers.
-        let is_own = kind.is_stream() && !random.random_ratio(1, SHARED_ONE_IN);
+        let is_own = kind.is_stream() && !random.random_ratio(1, SHARED_PROMPT_ONE_IN);
         let request = match is_own {
             true => request.with_body(format!("prompt of {id}").as_bytes()),
             false => request,
         };
-        let request = request.waiting_ms(PATIENCE_MS);
+        let request = request.waiting_ms(CALLER_TIMEOUT_MS);
         self.sent.lock().insert(id, request.clone());
         request
     }
@@ -278,7 +282,7 @@
             } if attempt.kind == Kind::Quick => stream.last_id()?,
             _ => return None,
         };
-        if last >= self.events || !random.random_ratio(1, RESUMES_ONE_IN) {
+        if last >= self.events || !random.random_ratio(1, RESUME_ONE_IN) {
             return None;
         }
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
@@ -286,8 +290,8 @@
             id: format!("r-{number}"),
             ..request.clone()
         };
-        rest.headers.retain(|(name, _)| name != LAST_EVENT);
-        let rest = rest.with(LAST_EVENT, &last.to_string());
+        rest.headers.retain(|(name, _)| name != LAST_EVENT_HEADER);
+        let rest = rest.with(LAST_EVENT_HEADER, &last.to_string());
         self.sent.lock().insert(rest.id.clone(), rest.clone());
         Some(rest)
     }
@@ -324,7 +328,7 @@
 /// Returns the last event that the caller of a request has; 0 if none.
 fn after_event(request: &Ask) -> u64 {
     let mut headers = request.headers.iter();
-    let named = headers.find(|(name, _)| name == LAST_EVENT);
+    let named = headers.find(|(name, _)| name == LAST_EVENT_HEADER);
     last_event(named.map(|(_, value)| value.as_str()))
 }
 
@@ -334,7 +338,7 @@
 }
 
 /// Returns the ending of an attempt that was answered with bytes that are no HTTP.
-fn not_http() -> Ending {
+fn unparsable_answer() -> Ending {
     Ending::Answered {
         status: 200,
         whole: false,
@@ -348,7 +352,7 @@
 /// served.
 pub(crate) fn organisation_of(caller: usize) -> usize {
     match caller % 4 {
-        3 => STEADY,
+        3 => STABLE_ORGANISATION,
         rest => rest % ORGANISATIONS.len(),
     }
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -18,18 +18,14 @@
 use nix::sys::signal::Signal;
 use parking_lot::Mutex;
 
-use crate::asking::LAST_EVENT;
-use crate::asking::MODELS;
-use crate::asking::PATIENCE_MS;
-use crate::asking::last_event;
 use crate::clock::Clock;
 use crate::engines::EngineSlot;
 use crate::engines::engine_options;
 use crate::engines::join_engine;
 use crate::fault::Trouble;
-use crate::keys::Change;
 use crate::keys::KEY_MARK;
 use crate::keys::Keys;
+use crate::keys::OrganisationChange;
 use crate::proxy::LinkFault;
 use crate::proxy::Proxy;
 use crate::record::ConfigurationProbe;
@@ -40,6 +36,10 @@
 use crate::record::StopSeen;
 use crate::vms::StopEnd;
 use crate::vms::Vms;
+use crate::workload::CALLER_TIMEOUT_MS;
+use crate::workload::LAST_EVENT_HEADER;
+use crate::workload::MODELS;
+use crate::workload::last_event;
 
 /// When a changed configuration is asked for: a little after it must be in force.
 const PROBE_AFTER_MS: u64 = 2_300;
@@ -101,7 +101,7 @@
             models: MODELS.iter().map(ToString::to_string).collect(),
             doors: vms,
             service_crash: None,
-            timeout_ms: 2 * PATIENCE_MS,
+            timeout_ms: 2 * CALLER_TIMEOUT_MS,
             announces: false,
         })?;
         let mut slots = Vec::new();
@@ -234,13 +234,17 @@
             Trouble::EngineDies { engine } => self.engine_dies(*engine),
             Trouble::EngineLeaves { engine, notice } => self.engine_leaves(*engine, *notice),
             Trouble::Configure => self.configure(),
-            Trouble::KeyAdded { organisation } => self.change_organisations(Change::Add {
-                organisation: *organisation,
-            }),
-            Trouble::KeyTaken { organisation } => self.change_organisations(Change::Take {
-                organisation: *organisation,
-            }),
-            Trouble::Limit { rate_per_s } => self.change_organisations(Change::Limit {
+            Trouble::KeyAdded { organisation } => {
+                self.change_organisations(OrganisationChange::Add {
+                    organisation: *organisation,
+                })
+            }
+            Trouble::KeyTaken { organisation } => {
+                self.change_organisations(OrganisationChange::Take {
+                    organisation: *organisation,
+                })
+            }
+            Trouble::Limit { rate_per_s } => self.change_organisations(OrganisationChange::Limit {
                 rate_per_s: *rate_per_s,
             }),
         }
@@ -261,7 +265,7 @@
                     organisations: run.organisations(),
                     shows_key: run.holds(KEY_MARK),
                     at_ms: self.clock.at_ms(run.at),
-                    after_event: last_event(run.header(LAST_EVENT)),
+                    after_event: last_event(run.header(LAST_EVENT_HEADER)),
                     fault: run.fault,
                     id: run.id,
                     upstream: upstream.to_owned(),
@@ -410,8 +414,8 @@
                 let sent_ms = self.clock.now_ms();
                 let id = format!("c-{route}-{vm}-{of}");
                 let target = format!("{}x", Site::extra_prefix(of));
-                let request = Ask::new("GET", &target, &id).waiting_ms(PATIENCE_MS);
-                let (request, _) = self.keys.steady(&request);
+                let request = Ask::new("GET", &target, &id).waiting_ms(CALLER_TIMEOUT_MS);
+                let (request, _) = self.keys.with_stable_key(&request);
                 let status = self.ask_once(vm, &request);
                 let mut events = self.events.lock();
                 events.probe_ids.push(id);
@@ -429,7 +433,7 @@
     }
 
     /// Writes a configuration with the route in force and other keys or limits.
-    fn change_organisations(&self, change: Change) {
+    fn change_organisations(&self, change: OrganisationChange) {
         let mut written = self.written.lock();
         written.version += 1;
         let (version, route) = (written.version, written.route);
@@ -440,7 +444,7 @@
     }
 
     fn ask_once(&self, vm: usize, request: &Ask) -> u16 {
-        let patience = Duration::from_millis(PATIENCE_MS);
+        let patience = Duration::from_millis(CALLER_TIMEOUT_MS);
         self.vms
             .callers(vm)
             .and_then(|address| Caller::connect(address, patience).ok())
