--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -18,30 +18,30 @@
 
 /// How long before a moment a VM must have been undisturbed for a promise with a time to hold. The
 /// users' rules give 3 to 4 s.
-pub(crate) const CALM_BEFORE_MS: u64 = 3_000;
+pub(crate) const UNDISTURBED_MS: u64 = 3_000;
 
 /// How long a leaving upstream may still get requests.
-const DRAIN_MS: u64 = 2_000;
+const DRAIN_DEADLINE_MS: u64 = 2_000;
 
 /// How long a configuration may take to be in force.
-pub(crate) const CONFIGURATION_MS: u64 = 2_000;
+pub(crate) const CONFIGURATION_DEADLINE_MS: u64 = 2_000;
 
 /// How long a planned stop may take.
-const STOP_MS: u64 = 8_000;
+const STOP_DEADLINE_MS: u64 = 8_000;
 
 /// How far a promise with a time may be missed here: a machine that also runs other things wakes
 /// processes late.
-pub(crate) const SLACK_MS: u64 = 1_000;
+pub(crate) const SCHEDULING_SLACK_MS: u64 = 1_000;
 
 /// Engines that may end under a request before it is stopped.
-const CRASHES: usize = 3;
+const CRASHES_BEFORE_BLOCK: usize = 3;
 
 /// How long after the last of these a VM may still send it, and how often it may be sent later.
-const STOP_CRASHER_MS: u64 = 3_000;
-const LATE_SENDS: usize = 3;
+const BLOCK_DEADLINE_MS: u64 = 3_000;
+const MAX_LATE_SENDS: usize = 3;
 
 /// Statuses that promise that the request has not run and will not.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// `Invariant` is what the soak checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -189,13 +189,13 @@
                 found.push(violation(Invariant::OnlySentRequests, detail));
             }
         }
-        for attempt in self.attempts.values().filter(|it| !it.kind.is_repeatable()) {
+        for attempt in self.attempts.values().filter(|it| !it.kind.may_run_again()) {
             let ran = self.ran(&attempt.id);
             if ran > 1 {
                 let detail = format!("{} ran {ran} times", attempt.id);
                 found.push(violation(Invariant::RunsOnce, detail));
             }
-            if ran > 0 && NOT_RUN.contains(&attempt.status()) {
+            if ran > 0 && NOT_RUN_STATUSES.contains(&attempt.status()) {
                 let detail = format!("{} got {} and ran", attempt.id, attempt.status());
                 found.push(violation(Invariant::TrueRefusal, detail));
             }
@@ -218,7 +218,7 @@
             let is_own = id.as_ref().is_none_or(|id| *id == attempt.id);
             let is_named = !is_success || (id.is_some() && *signed);
             let flaw = body.flaw(*whole).filter(|flaw| {
-                is_success && !(*whole && self.is_of_one_upstream(attempt, body, *flaw))
+                is_success && !(*whole && self.is_empty_resumption(attempt, body, *flaw))
             });
             if !is_own || !is_named || flaw.is_some() {
                 let detail = format!(
@@ -233,7 +233,7 @@
 
     /// Returns whether an upstream alone gave no events to a caller that resumed by itself, which no
     /// entry VM can tell from the end of the stream.
-    fn is_of_one_upstream(&self, attempt: &Attempt, body: &BodySeen, flaw: Flaw) -> bool {
+    fn is_empty_resumption(&self, attempt: &Attempt, body: &BodySeen, flaw: Flaw) -> bool {
         let has_events = match body {
             BodySeen::Plain { .. } => true,
             BodySeen::Stream(stream) => !stream.pieces.is_empty(),
@@ -281,12 +281,12 @@
 
     fn times(&self, found: &mut Vec<Violation>) {
         for attempt in &self.record.attempts {
-            let calm_from_ms = attempt.sent_ms.saturating_sub(CALM_BEFORE_MS);
+            let calm_from_ms = attempt.sent_ms.saturating_sub(UNDISTURBED_MS);
             if self.disturbs_vm(attempt.vm, calm_from_ms, attempt.ended_ms) {
                 continue;
             }
             let took_ms = attempt.ended_ms - attempt.sent_ms;
-            let is_late = took_ms > attempt.patience_ms + SLACK_MS;
+            let is_late = took_ms > attempt.patience_ms + SCHEDULING_SLACK_MS;
             let is_lost = attempt.ending == Ending::Unanswered && !attempt.kind.is_stream();
             if is_late || is_lost {
                 let detail = format!(
@@ -300,7 +300,7 @@
 
     fn drains(&self, found: &mut Vec<Violation>) {
         for drain in &self.record.drains {
-            let from_ms = drain.at_ms + DRAIN_MS + SLACK_MS;
+            let from_ms = drain.at_ms + DRAIN_DEADLINE_MS + SCHEDULING_SLACK_MS;
             let late = self
                 .record
                 .runs
@@ -310,11 +310,11 @@
                 let Some(attempt) = self.attempts.get(run.id.as_str()) else {
                     continue;
                 };
-                let calm_from_ms = drain.at_ms.saturating_sub(CALM_BEFORE_MS);
+                let calm_from_ms = drain.at_ms.saturating_sub(UNDISTURBED_MS);
                 let is_sent_later = attempt.sent_ms > from_ms;
                 if is_sent_later
                     && !self.disturbs_vm(attempt.vm, calm_from_ms, run.at_ms)
-                    && !self.disturbs_store(calm_from_ms, drain.at_ms + DRAIN_MS)
+                    && !self.disturbs_store(calm_from_ms, drain.at_ms + DRAIN_DEADLINE_MS)
                 {
                     let detail = format!(
                         "{} reached {} {} ms after its leaving",
@@ -330,8 +330,8 @@
 
     fn configurations(&self, found: &mut Vec<Violation>) {
         for probe in &self.record.probes {
-            let calm_from_ms = probe.acknowledged_ms.saturating_sub(CALM_BEFORE_MS);
-            let is_due = probe.sent_ms > probe.acknowledged_ms + CONFIGURATION_MS;
+            let calm_from_ms = probe.acknowledged_ms.saturating_sub(UNDISTURBED_MS);
+            let is_due = probe.sent_ms > probe.acknowledged_ms + CONFIGURATION_DEADLINE_MS;
             if !is_due
                 || self.disturbs_vm(probe.vm, calm_from_ms, probe.sent_ms)
                 || self.disturbs_store(calm_from_ms, probe.sent_ms)
@@ -358,12 +358,12 @@
 
     fn stops(&self, found: &mut Vec<Violation>) {
         for stop in &self.record.stops {
-            let until_ms = stop.at_ms + STOP_MS + SLACK_MS;
+            let until_ms = stop.at_ms + STOP_DEADLINE_MS + SCHEDULING_SLACK_MS;
             let is_disturbed = self.record.disturbances.iter().any(|it| {
                 it.place == Place::Vm(stop.vm)
                     && it.what != "stop"
                     && it.from_ms <= until_ms
-                    && it.until_ms + CALM_BEFORE_MS >= stop.at_ms
+                    && it.until_ms + UNDISTURBED_MS >= stop.at_ms
             });
             if is_disturbed {
                 continue;
@@ -394,7 +394,7 @@
                 }
             }
         }
-        for end in &self.record.own_ends {
+        for end in &self.record.unexpected_exits {
             found.push(violation(Invariant::StaysUp, end.clone()));
         }
     }
@@ -429,19 +429,19 @@
             .collect();
         for (body, times) in &mut crashes {
             times.sort_unstable();
-            let Some(third_ms) = times.get(CRASHES - 1) else {
+            let Some(third_ms) = times.get(CRASHES_BEFORE_BLOCK - 1) else {
                 continue;
             };
-            let late_ms = third_ms + STOP_CRASHER_MS;
+            let late_ms = third_ms + BLOCK_DEADLINE_MS;
             let late = self.record.runs.iter().filter(|run| {
                 let vm = self.attempts.get(run.id.as_str()).map(|it| it.vm);
-                let calm_from_ms = run.at_ms.saturating_sub(CALM_BEFORE_MS);
+                let calm_from_ms = run.at_ms.saturating_sub(UNDISTURBED_MS);
                 bodies.get(run.id.as_str()) == Some(body)
                     && run.at_ms > late_ms
                     && vm.is_some_and(|vm| !self.disturbs_vm(vm, calm_from_ms, run.at_ms))
             });
             let late = late.count();
-            if late > LATE_SENDS {
+            if late > MAX_LATE_SENDS {
                 let detail = format!(
                     "{body} reached engines {late} times later than {late_ms} ms; {} ended",
                     times.len()
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -21,23 +21,23 @@
 use crate::world::pause;
 
 /// How long the entry of a dead engine stays: three of its heartbeats.
-const LAPSE_MS: u64 = 1_500;
+const ENTRY_TTL_MS: u64 = 1_500;
 
 /// How long an engine goes on after it said that it leaves: long enough that a request which comes too
 /// late is served and seen.
-const LEAVE_MS: u64 = 5_000;
+const LEAVING_ENGINE_MS: u64 = 5_000;
 
 /// The time between two events of a stream, for the same reason.
-const GAP_MS: u64 = 20;
+const EVENT_INTERVAL_MS: u64 = 20;
 
 /// How long a request runs under which an engine ends, before its first event or before the end.
-const CRASH_MS: u64 = 60;
+const CRASH_DELAY_MS: u64 = 60;
 
 /// Events that some of these requests get before.
-const CRASH_EVENTS: u64 = 3;
+const EVENTS_BEFORE_CRASH: u64 = 3;
 
 /// How often engines are looked at whether they have ended by themselves.
-const MEND_LOOK_MS: u64 = 10;
+const CRASH_POLL_MS: u64 = 10;
 
 /// `EngineSlot` is an engine with the proxy through which the VMs reach it.
 pub(crate) struct EngineSlot {
@@ -49,7 +49,7 @@
 }
 
 /// Takes a slot whose engine ends now, unless it has ended already.
-fn take_down(engines: &mut [EngineSlot], number: usize) -> Option<(usize, Arc<Proxy>)> {
+fn mark_down(engines: &mut [EngineSlot], number: usize) -> Option<(usize, Arc<Proxy>)> {
     let slot = engines.get_mut(number).filter(|slot| !slot.is_down)?;
     slot.is_down = true;
     Some((slot.index, slot.proxy.clone()))
@@ -60,16 +60,16 @@
     let crash = |mark: &str, after_events| CrashTrigger {
         marker: mark.as_bytes().to_vec(),
         after_events,
-        after_ms: CRASH_MS,
+        after_ms: CRASH_DELAY_MS,
     };
     let [at_once, late] = CRASH_MARKS;
     EngineOptions {
         instance: name,
         models: models.iter().map(ToString::to_string).collect(),
         on_disk: MODELS.iter().map(ToString::to_string).collect(),
-        gap_ms: GAP_MS,
+        gap_ms: EVENT_INTERVAL_MS,
         // The first that matches counts.
-        crashes: vec![crash(late, CRASH_EVENTS), crash(at_once, 0)],
+        crashes: vec![crash(late, EVENTS_BEFORE_CRASH), crash(at_once, 0)],
         ..EngineOptions::default()
     }
 }
@@ -88,39 +88,41 @@
 impl World {
     /// Starts engines again that ended by themselves, until nothing ends them any more: their
     /// entries lapse, and other runs join at their addresses.
-    pub fn mend_engines(self: &Arc<Self>, is_finished: &AtomicBool) {
-        let mut mended: Vec<usize> = Vec::new();
-        let mut mends = Vec::new();
+    pub fn restart_crashed_engines(self: &Arc<Self>, is_finished: &AtomicBool) {
+        let mut handled: Vec<usize> = Vec::new();
+        let mut restarts = Vec::new();
         let mut is_last = false;
         while !is_last {
             // What ended before it was over is seen by the look after.
             is_last = is_finished.load(Ordering::Acquire);
-            pause(MEND_LOOK_MS);
+            pause(CRASH_POLL_MS);
             let ended: Vec<(usize, u64)> = {
                 let site = self.site.lock();
                 let engines = site.engines.iter().enumerate();
                 engines
-                    .filter(|(index, _)| !mended.contains(index))
+                    .filter(|(index, _)| !handled.contains(index))
                     .filter_map(|(index, it)| Some((index, self.clock.at_ms(it.crashed()?.0))))
                     .collect()
             };
             for (index, from_ms) in ended {
-                mended.push(index);
+                handled.push(index);
                 let world = self.clone();
-                mends.push(thread::spawn(move || world.mend_engine(index, from_ms)));
+                restarts.push(thread::spawn(move || {
+                    world.restart_crashed_engine(index, from_ms)
+                }));
             }
         }
-        for mend in mends {
+        for restart_thread in restarts {
             // A panic has been printed by its thread.
-            let _ = mend.join();
+            let _ = restart_thread.join();
         }
     }
 
-    fn mend_engine(&self, index: usize, from_ms: u64) {
+    fn restart_crashed_engine(&self, index: usize, from_ms: u64) {
         let slot = {
             let mut engines = self.engines.lock();
             let number = engines.iter().position(|slot| slot.index == index);
-            number.and_then(|number| Some((number, take_down(&mut engines, number)?.1)))
+            number.and_then(|number| Some((number, mark_down(&mut engines, number)?.1)))
         };
         // One that leaves or dies as planned is replaced there.
         let Some((number, proxy)) = slot else {
@@ -158,7 +160,7 @@
     }
 
     pub(crate) fn engine_dies(&self, number: usize) {
-        let Some((index, proxy)) = take_down(&mut self.engines.lock(), number) else {
+        let Some((index, proxy)) = mark_down(&mut self.engines.lock(), number) else {
             return;
         };
         proxy.go_down();
@@ -169,7 +171,7 @@
 
     /// Has the entry of an engine lapse that has ended, and another run join at its address.
     fn replace(&self, number: usize, index: usize, proxy: &Proxy) -> io::Result<()> {
-        pause(LAPSE_MS);
+        pause(ENTRY_TTL_MS);
         let mut engines = self.engines.lock();
         let mut site = self.site.lock();
         site.engines[index].withdraw();
@@ -206,7 +208,7 @@
             self.events.lock().drains.push(drain);
             old
         };
-        pause(LEAVE_MS);
+        pause(LEAVING_ENGINE_MS);
         let mut site = self.site.lock();
         site.engines[old.index].withdraw();
         site.stop_engine(old.index);
--- a/crates/soak/src/errors.rs
+++ b/crates/soak/src/errors.rs
@@ -26,7 +26,7 @@
 
 impl Error {
     /// Returns a function that says what an input or output error stopped.
-    pub(crate) fn doing(action: &'static str) -> impl Fn(io::Error) -> Self {
+    pub(crate) fn io_while(action: &'static str) -> impl Fn(io::Error) -> Self {
         move |source| Self::Io { action, source }
     }
 }
--- a/crates/soak/src/organisation_invariants.rs
+++ b/crates/soak/src/organisation_invariants.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use crate::checks::CALM_BEFORE_MS;
-use crate::checks::CONFIGURATION_MS;
+use crate::checks::CONFIGURATION_DEADLINE_MS;
 use crate::checks::Checker;
 use crate::checks::Invariant;
-use crate::checks::SLACK_MS;
+use crate::checks::SCHEDULING_SLACK_MS;
+use crate::checks::UNDISTURBED_MS;
 use crate::checks::Violation;
 use crate::checks::violation;
 use crate::keys::LIMIT_WINDOW_MS;
@@ -68,7 +68,7 @@
     fn runs_without_key(&self, attempt: &Attempt, key: usize, reached_ms: Option<u64>) -> bool {
         match (self.record.keys[key].left_ms, reached_ms) {
             (Some(left_ms), Some(reached_ms)) => {
-                attempt.sent_ms > self.known_ms(Some(attempt.vm), left_ms, reached_ms)
+                attempt.sent_ms > self.in_force_by_ms(Some(attempt.vm), left_ms, reached_ms)
             }
             _ => false,
         }
@@ -80,7 +80,9 @@
         let is_held = key.leaving_ms.is_none_or(|at_ms| attempt.ended_ms < at_ms);
         let is_known = match key.acknowledged_ms {
             0 => true,
-            at_ms => attempt.sent_ms > self.known_ms(Some(attempt.vm), at_ms, attempt.ended_ms),
+            at_ms => {
+                attempt.sent_ms > self.in_force_by_ms(Some(attempt.vm), at_ms, attempt.ended_ms)
+            }
         };
         attempt.status() == 401 && is_held && is_known
     }
@@ -129,7 +131,7 @@
             let mut times: Vec<(u64, u64)> = self
                 .attempts
                 .values()
-                .filter(|attempt| self.is_of(attempt, name))
+                .filter(|attempt| self.is_from(attempt, name))
                 .filter_map(|it| Some((it.sent_ms, self.first_run(&it.id)?.at_ms)))
                 .collect();
             times.sort_unstable();
@@ -148,7 +150,7 @@
         windows
     }
 
-    fn is_of(&self, attempt: &Attempt, organisation: &str) -> bool {
+    fn is_from(&self, attempt: &Attempt, organisation: &str) -> bool {
         match attempt.presented {
             Presented::Key(key) => self.record.keys[key].organisation == organisation,
             _ => false,
@@ -164,8 +166,8 @@
             .collect();
         let until_ms = from_ms + LIMIT_WINDOW_MS;
         let ends = limits.iter().skip(1).map(|next| {
-            let known_ms = self.known_ms(None, next.acknowledged_ms, until_ms);
-            Some(known_ms + LIMIT_WINDOW_MS)
+            let in_force_by_ms = self.in_force_by_ms(None, next.acknowledged_ms, until_ms);
+            Some(in_force_by_ms + LIMIT_WINDOW_MS)
         });
         let in_force = limits.iter().zip(ends.chain([None]));
         let in_force = in_force.filter(|(limit, end_ms)| {
@@ -176,7 +178,7 @@
 
     /// Returns when a VM, or every VM, must know a configuration: what disturbs it or the store
     /// before then puts that off, and a set-back of the store until a moment begins it anew.
-    fn known_ms(&self, vm: Option<usize>, acknowledged_ms: u64, until_ms: u64) -> u64 {
+    fn in_force_by_ms(&self, vm: Option<usize>, acknowledged_ms: u64, until_ms: u64) -> u64 {
         let disturbances = || self.record.disturbances.iter();
         let begun_ms = disturbances()
             .filter(|it| it.what == ROLLBACK && it.from_ms <= until_ms)
@@ -188,18 +190,19 @@
                 Place::Store => true,
                 Place::Upstreams => false,
             })
-            .map(|it| (it.from_ms, it.until_ms + CALM_BEFORE_MS))
+            .map(|it| (it.from_ms, it.until_ms + UNDISTURBED_MS))
             .filter(|(_, until_ms)| *until_ms >= begun_ms)
             .collect();
         delays.sort_unstable();
-        let known_ms = begun_ms + CONFIGURATION_MS + SLACK_MS;
+        let in_force_by_ms = begun_ms + CONFIGURATION_DEADLINE_MS + SCHEDULING_SLACK_MS;
         let delays = delays.into_iter();
-        delays.fold(known_ms, |known_ms, (from_ms, until_ms)| {
-            match from_ms <= known_ms {
-                true => known_ms.max(until_ms),
-                false => known_ms,
-            }
-        })
+        delays.fold(
+            in_force_by_ms,
+            |in_force_by_ms, (from_ms, until_ms)| match from_ms <= in_force_by_ms {
+                true => in_force_by_ms.max(until_ms),
+                false => in_force_by_ms,
+            },
+        )
     }
 
     pub fn secrets(&self, found: &mut Vec<Violation>) {
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -29,7 +29,7 @@
     pub const ALL: [Self; 4] = [Self::Look, Self::Book, Self::Quick, Self::Patient];
 
     /// Returns whether a request may run more than once.
-    pub fn is_repeatable(self) -> bool {
+    pub fn may_run_again(self) -> bool {
         matches!(self, Self::Look | Self::Quick)
     }
 
@@ -270,7 +270,7 @@
     /// Log lines of VMs that hold a key.
     pub key_lines: Vec<String>,
     /// VMs whose process ended by itself, with what is known of it.
-    pub own_ends: Vec<String>,
+    pub unexpected_exits: Vec<String>,
 }
 
 /// `Continued` counts streams that went on at another upstream behind events of the one before.
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -81,7 +81,7 @@
 ///
 /// [`Error::MissingProgram`] if it has not been built.
 pub fn entry_program() -> Result<PathBuf> {
-    let running = std::env::current_exe().map_err(Error::doing("finding the programs"))?;
+    let running = std::env::current_exe().map_err(Error::io_while("finding the programs"))?;
     let beside = running.with_file_name(ENTRY_PROGRAM);
     let above = running
         .parent()
@@ -124,7 +124,7 @@
         }
         let clock = Clock::start();
         let world = World::start(clock, options.program.clone(), options.vms, options.engines)
-            .map_err(Error::doing("starting the stand-ins and the VMs"))?;
+            .map_err(Error::io_while("starting the stand-ins and the VMs"))?;
         let world = Arc::new(world);
         if !world.vms.wait_ready(Duration::from_millis(READY_MS)) {
             return Err(Error::NotReady(READY_MS));
@@ -140,7 +140,7 @@
         let bursts = start_bursts(options, &plan, &workload);
         // The callers' last requests may end engines, too.
         let has_recovered = Arc::new(AtomicBool::new(false));
-        let mending = start_mending(&world, &has_recovered);
+        let restarts = start_engine_restarts(&world, &has_recovered);
         inject_planned_faults(clock, &world, &plan);
         thread::sleep(Duration::from_millis(1_000));
         workload.stopped.store(true, Ordering::Release);
@@ -149,9 +149,9 @@
         join(bursts);
         let last_attempts = recover(options, &workload);
         has_recovered.store(true, Ordering::Release);
-        join(vec![mending]);
+        join(vec![restarts]);
         let lines = world.vms.lines();
-        let record = take_record(&world, &workload, last_attempts, &lines);
+        let record = collect_record(&world, &workload, last_attempts, &lines);
         Ok(Self {
             plan,
             record,
@@ -207,9 +207,9 @@
         .collect()
 }
 
-fn start_mending(world: &Arc<World>, has_recovered: &Arc<AtomicBool>) -> JoinHandle<()> {
+fn start_engine_restarts(world: &Arc<World>, has_recovered: &Arc<AtomicBool>) -> JoinHandle<()> {
     let (world, has_recovered) = (world.clone(), has_recovered.clone());
-    thread::spawn(move || world.mend_engines(&has_recovered))
+    thread::spawn(move || world.restart_crashed_engines(&has_recovered))
 }
 
 fn start_callers(options: &SoakOptions, workload: &Arc<Workload>) -> Vec<JoinHandle<()>> {
@@ -228,8 +228,8 @@
     let mut running = Vec::new();
     for planned in &plan.faults {
         clock.wait_until(began_ms + planned.at_ms);
-        let ends = world.vms.own_ends();
-        world.events.lock().own_ends.extend(ends);
+        let ends = world.vms.unexpected_exits();
+        world.events.lock().unexpected_exits.extend(ends);
         let (world, trouble) = (world.clone(), planned.trouble.clone());
         running.push(thread::spawn(move || world.carry_out(&trouble)));
     }
@@ -274,7 +274,7 @@
     attempts
 }
 
-fn take_record(
+fn collect_record(
     world: &World,
     workload: &Workload,
     last_attempts: Vec<Attempt>,
@@ -283,11 +283,11 @@
     let (keys, limits) = world.keys.seen();
     let lines = lines.iter().flat_map(|(_, lines)| lines);
     let key_lines = lines.filter(|line| line.contains(KEY_MARK)).cloned();
-    let ends = world.vms.own_ends();
+    let ends = world.vms.unexpected_exits();
     let mut events = world.events.lock();
-    events.own_ends.extend(ends);
-    events.own_ends.sort();
-    events.own_ends.dedup();
+    events.unexpected_exits.extend(ends);
+    events.unexpected_exits.sort();
+    events.unexpected_exits.dedup();
     let sent = workload.sent.lock();
     Record {
         attempts: workload.attempts.lock().clone(),
@@ -304,6 +304,6 @@
         keys,
         limits,
         key_lines: key_lines.collect(),
-        own_ends: events.own_ends.clone(),
+        unexpected_exits: events.unexpected_exits.clone(),
     }
 }
--- a/crates/soak/src/streams.rs
+++ b/crates/soak/src/streams.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 /// The versions of weights that the engines name, and the words of their events.
-const MADE_BY: [(&str, &str); 2] = [("1", "piece"), ("2", "other piece")];
+const TEXT_BY_VERSION: [(&str, &str); 2] = [("1", "piece"), ("2", "other piece")];
 
 /// `Piece` is a whole event of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -153,7 +153,7 @@
         let id: u64 = id.parse().ok()?;
         (data == format!("data: {words} {id}")).then_some(Piece::Event { id, version })
     };
-    MADE_BY
+    TEXT_BY_VERSION
         .into_iter()
         .find_map(event)
         .unwrap_or(Piece::Foreign)
@@ -161,7 +161,7 @@
 
 /// Returns what the bytes behind the last whole event are, where a number is due.
 fn tail(rest: &str, next: u64) -> Tail {
-    let is_event = MADE_BY
+    let is_event = TEXT_BY_VERSION
         .iter()
         .any(|(_, words)| format!("id: {next}\ndata: {words} {next}\n").starts_with(rest));
     // Engines fill events that are too large to be held back with one letter.
--- a/crates/soak/src/vms.rs
+++ b/crates/soak/src/vms.rs
@@ -14,14 +14,14 @@
 use crate::keys::vm_settings;
 
 /// The pause between two looks at a process that ends or gets ready.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a VM may take to answer whether it is ready.
-const READY_PATIENCE: Duration = Duration::from_secs(2);
+const READY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// `StopEnd` is what became of a process that was told to stop.
+/// `StopOutcome` is what became of a process that was told to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StopEnd {
+pub(crate) enum StopOutcome {
     /// It ended by itself, with this code unless a signal ended it.
     Ended(Option<i32>),
     /// Somebody else killed it or saw its end.
@@ -35,7 +35,7 @@
     /// How often it was started.
     starts: u32,
     /// Whether the process was told to stop, so that its end is no surprise.
-    told_to_stop: bool,
+    stop_requested: bool,
     /// Log lines of runs that have ended.
     lines: Vec<String>,
 }
@@ -54,7 +54,7 @@
             Mutex::new(Slot {
                 process: None,
                 starts: 0,
-                told_to_stop: false,
+                stop_requested: false,
                 lines: Vec::new(),
             })
         };
@@ -83,7 +83,7 @@
         let process = VmProcess::start(&options)?;
         let mut slot = self.slots[vm].lock();
         slot.starts += 1;
-        slot.told_to_stop = false;
+        slot.stop_requested = false;
         slot.process = Some(process);
         Ok(())
     }
@@ -101,31 +101,31 @@
         let mut slot = self.slots[vm].lock();
         let process = slot.process.as_ref()?;
         process.signal(signal).ok()?;
-        slot.told_to_stop |= signal == Signal::SIGTERM;
+        slot.stop_requested |= signal == Signal::SIGTERM;
         Some(slot.starts)
     }
 
     /// Waits until a start of a VM has ended by itself.
-    pub fn wait_end(&self, vm: usize, start: u32, patience: Duration) -> StopEnd {
+    pub fn wait_for_exit(&self, vm: usize, start: u32, patience: Duration) -> StopOutcome {
         let until = Instant::now() + patience;
         while Instant::now() < until {
             let mut slot = self.slots[vm].lock();
             if slot.starts != start {
-                return StopEnd::Replaced;
+                return StopOutcome::Replaced;
             }
             let Some(process) = slot.process.as_mut() else {
-                return StopEnd::Replaced;
+                return StopOutcome::Replaced;
             };
             if let Ok(Some(status)) = process.try_wait() {
                 let lines = process.lines_with("");
                 slot.lines.extend(lines);
                 slot.process = None;
-                return StopEnd::Ended(status.code());
+                return StopOutcome::Ended(status.code());
             }
             drop(slot);
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(PROCESS_POLL_INTERVAL);
         }
-        StopEnd::StillRuns
+        StopOutcome::StillRuns
     }
 
     /// Returns where callers reach a VM, if its process runs.
@@ -142,23 +142,23 @@
                 // The address is asked without the lock: others may end the process meanwhile.
                 let ready = self.slots[vm].lock().process.as_ref().map(|it| it.ready);
                 let is_ready = ready.is_some_and(|address| {
-                    apricotdale_standins::platform::is_ready(address, READY_PATIENCE)
+                    apricotdale_standins::platform::is_ready(address, READY_TIMEOUT)
                 });
                 if is_ready {
                     return true;
                 }
-                std::thread::sleep(LOOK_EVERY);
+                std::thread::sleep(PROCESS_POLL_INTERVAL);
             }
             false
         })
     }
 
     /// Returns the VMs whose process has ended though nobody ended it, with their last lines.
-    pub fn own_ends(&self) -> Vec<String> {
+    pub fn unexpected_exits(&self) -> Vec<String> {
         let mut ends = Vec::new();
         for (vm, slot) in self.slots.iter().enumerate() {
             let mut slot = slot.lock();
-            if slot.told_to_stop {
+            if slot.stop_requested {
                 continue;
             }
             let Some(process) = slot.process.as_mut() else {
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -34,7 +34,7 @@
 use crate::record::Place;
 use crate::record::Run;
 use crate::record::StopSeen;
-use crate::vms::StopEnd;
+use crate::vms::StopOutcome;
 use crate::vms::Vms;
 use crate::workload::CALLER_TIMEOUT_MS;
 use crate::workload::LAST_EVENT_HEADER;
@@ -45,13 +45,13 @@
 const PROBE_AFTER_MS: u64 = 2_300;
 
 /// How long a planned stop is waited for.
-const STOP_PATIENCE: Duration = Duration::from_millis(10_000);
+const STOP_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 /// How long the plain service works on a call, so that some are in progress at each trouble.
-const WORK_MS: u64 = 40;
+const SERVICE_WORK_MS: u64 = 40;
 
 /// Instances of the plain service.
-const INSTANCES: usize = 2;
+const SERVICE_INSTANCES: usize = 2;
 
 /// What happened, as the troubles tell it.
 #[derive(Default)]
@@ -61,11 +61,11 @@
     pub probes: Vec<ConfigurationProbe>,
     pub probe_ids: Vec<String>,
     pub stops: Vec<StopSeen>,
-    pub own_ends: Vec<String>,
+    pub unexpected_exits: Vec<String>,
 }
 
 /// What the operators wrote last.
-struct Written {
+struct WrittenConfiguration {
     version: u64,
     /// The number of the route besides the first ones.
     route: u64,
@@ -80,7 +80,7 @@
     services: Vec<Proxy>,
     stores: Vec<Proxy>,
     pub keys: Arc<Keys>,
-    written: Mutex<Written>,
+    written: Mutex<WrittenConfiguration>,
     pub events: Mutex<Events>,
 }
 
@@ -96,8 +96,8 @@
         let mut site = Site::start(SiteOptions {
             tenants: Some(SiteOrganisation::list(&keys.organisations())),
             engines: Vec::new(),
-            instances: INSTANCES,
-            work_ms: WORK_MS,
+            instances: SERVICE_INSTANCES,
+            work_ms: SERVICE_WORK_MS,
             models: MODELS.iter().map(ToString::to_string).collect(),
             doors: vms,
             service_crash: None,
@@ -130,7 +130,7 @@
             services,
             stores,
             keys,
-            written: Mutex::new(Written {
+            written: Mutex::new(WrittenConfiguration {
                 version: 1,
                 route: 1,
             }),
@@ -146,7 +146,7 @@
     /// Carries a trouble out and returns when it is over.
     pub fn carry_out(&self, trouble: &Trouble) {
         let from_ms = self.clock.now_ms();
-        self.act(trouble);
+        self.apply(trouble);
         let until_ms = self.clock.now_ms();
         if let Some(place) = trouble.place() {
             self.events.lock().disturbances.push(Disturbance {
@@ -158,12 +158,12 @@
         }
     }
 
-    fn act(&self, trouble: &Trouble) {
+    fn apply(&self, trouble: &Trouble) {
         match trouble {
             Trouble::Kill { vm, down_ms } => {
                 self.vms.kill(*vm);
                 pause(*down_ms);
-                self.start_again(*vm);
+                self.restart_vm(*vm);
             }
             Trouble::KillAll { down_ms } => self.kill_all(*down_ms),
             Trouble::Pause { vm, for_ms } => {
@@ -177,9 +177,9 @@
                 self.vms.signal(*vm, Signal::SIGHUP);
             }
             Trouble::Store { vm, fault, for_ms } => {
-                self.fault_doors(*vm, *fault);
+                self.set_store_fault(*vm, *fault);
                 pause(*for_ms);
-                self.fault_doors(*vm, StoreFault::None);
+                self.set_store_fault(*vm, StoreFault::None);
             }
             Trouble::Forget => self.forget(),
             Trouble::SetBack {
@@ -207,30 +207,30 @@
                 upstream,
                 fault,
                 count,
-            } => self.spoil_answers(*upstream, *fault, *count),
+            } => self.queue_answer_faults(*upstream, *fault, *count),
             Trouble::EnginesAnswer { fault, count } => {
-                self.spoil_engines(*count, |_| *fault);
+                self.queue_engine_faults(*count, |_| *fault);
             }
             Trouble::CutBefore {
                 engine,
                 events,
                 then,
                 count,
-            } => self.spoil_engines(*count, |number| match number == *engine {
+            } => self.queue_engine_faults(*count, |number| match number == *engine {
                 true => AnswerFault::CutAfter { events: *events },
                 false => *then,
             }),
             Trouble::LargeCuts { count } => {
                 let engines = self.engines.lock().len();
-                for upstream in engines..engines + INSTANCES {
-                    self.spoil_answers(upstream, AnswerFault::LargeCut, *count);
+                for upstream in engines..engines + SERVICE_INSTANCES {
+                    self.queue_answer_faults(upstream, AnswerFault::LargeCut, *count);
                 }
             }
             Trouble::Orders {
                 engine,
                 late_ms,
                 count,
-            } => self.spoil_orders(*engine, *late_ms, *count),
+            } => self.queue_order_faults(*engine, *late_ms, *count),
             Trouble::EngineDies { engine } => self.engine_dies(*engine),
             Trouble::EngineLeaves { engine, notice } => self.engine_leaves(*engine, *notice),
             Trouble::Configure => self.configure(),
@@ -285,10 +285,10 @@
             .collect()
     }
 
-    fn start_again(&self, vm: usize) {
+    fn restart_vm(&self, vm: usize) {
         if let Err(error) = self.vms.restart(vm) {
             let end = format!("vm{vm} does not start: {error}");
-            self.events.lock().own_ends.push(end);
+            self.events.lock().unexpected_exits.push(end);
         }
     }
 
@@ -299,7 +299,7 @@
         }
         pause(down_ms);
         for vm in 0..self.vms.len() {
-            self.start_again(vm);
+            self.restart_vm(vm);
         }
         let until_ms = self.clock.now_ms();
         for vm in 0..self.vms.len() {
@@ -317,17 +317,17 @@
         let Some(start) = self.vms.signal(vm, Signal::SIGTERM) else {
             return;
         };
-        let ended = match self.vms.wait_end(vm, start, STOP_PATIENCE) {
-            StopEnd::Ended(code) => Some((self.clock.now_ms(), code)),
-            StopEnd::StillRuns => None,
-            StopEnd::Replaced => return,
+        let ended = match self.vms.wait_for_exit(vm, start, STOP_TIMEOUT) {
+            StopOutcome::Ended(code) => Some((self.clock.now_ms(), code)),
+            StopOutcome::StillRuns => None,
+            StopOutcome::Replaced => return,
         };
         let stop = StopSeen { vm, at_ms, ended };
         self.events.lock().stops.push(stop);
-        self.start_again(vm);
+        self.restart_vm(vm);
     }
 
-    fn fault_doors(&self, vm: Option<usize>, fault: StoreFault) {
+    fn set_store_fault(&self, vm: Option<usize>, fault: StoreFault) {
         let site = self.site.lock();
         for (index, door) in site.doors.iter().enumerate() {
             if vm.is_none_or(|vm| vm == index) {
@@ -343,42 +343,44 @@
     fn set_back(&self, lost_ms: u64, away_ms: u64, again_ms: u64) {
         let copy = self.site.lock().doors[0].copy();
         pause(lost_ms);
-        self.fault_doors(None, StoreFault::Busy);
+        self.set_store_fault(None, StoreFault::Busy);
         pause(away_ms);
         self.site.lock().doors[0].set_back(copy);
-        self.fault_doors(None, StoreFault::None);
+        self.set_store_fault(None, StoreFault::None);
         pause(again_ms);
         self.site.lock().write_again();
     }
 
-    fn with_proxy(&self, upstream: usize, act: impl Fn(&Proxy)) {
+    fn with_proxy(&self, upstream: usize, apply: impl Fn(&Proxy)) {
         let engines = self.engines.lock();
         match engines.get(upstream) {
-            Some(slot) => act(&slot.proxy),
-            None => act(&self.services[(upstream - engines.len()) % self.services.len()]),
+            Some(slot) => apply(&slot.proxy),
+            None => apply(&self.services[(upstream - engines.len()) % self.services.len()]),
         }
     }
 
-    fn spoil_answers(&self, upstream: usize, fault: AnswerFault, count: u32) {
+    fn queue_answer_faults(&self, upstream: usize, fault: AnswerFault, count: u32) {
         let engines = self.engines.lock();
         let site = self.site.lock();
         for _ in 0..count {
             match engines.get(upstream) {
                 Some(slot) => site.engines[slot.index].push_fault(fault),
-                None => site.services[(upstream - engines.len()) % INSTANCES].push_fault(fault),
+                None => {
+                    site.services[(upstream - engines.len()) % SERVICE_INSTANCES].push_fault(fault)
+                }
             }
         }
     }
 
     /// Spoils the next answers of every engine, each in its way.
-    fn spoil_engines(&self, count: u32, fault: impl Fn(usize) -> AnswerFault) {
+    fn queue_engine_faults(&self, count: u32, fault: impl Fn(usize) -> AnswerFault) {
         let engines = self.engines.lock().len();
         for number in 0..engines {
-            self.spoil_answers(number, fault(number), count);
+            self.queue_answer_faults(number, fault(number), count);
         }
     }
 
-    fn spoil_orders(&self, engine: usize, late_ms: Option<u64>, count: u32) {
+    fn queue_order_faults(&self, engine: usize, late_ms: Option<u64>, count: u32) {
         let fault = match late_ms {
             Some(after_ms) => OrderFault::Late { after_ms },
             None => OrderFault::LostAnswer,
--- a/crates/soak/tests/invariant_checks.rs
+++ b/crates/soak/tests/invariant_checks.rs
@@ -193,7 +193,7 @@
 #[test]
 fn process_that_ended() {
     let mut record = sound();
-    record.own_ends = vec!["vm1: exit status: 101".to_owned()];
+    record.unexpected_exits = vec!["vm1: exit status: 101".to_owned()];
     assert_eq!(broken_invariants(&record), vec![Invariant::StaysUp]);
 }
 
