--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -42,7 +42,7 @@
 pub use proxy::Proxy;
 pub use record::Attempt;
 pub use record::ConfigurationProbe;
-pub use record::Continued;
+pub use record::ContinuedStreams;
 pub use record::Crash;
 pub use record::Disturbance;
 pub use record::Drain;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -149,7 +149,7 @@
         record.attempts.len(),
         record.runs.len(),
         continued.streams,
-        continued.spoiled,
+        continued.faulty,
         continued.whole,
         resumed.count(),
         fullest.0,
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -24,13 +24,13 @@
 use socket2::Type;
 
 /// The stack of a thread that passes bytes on.
-const STACK_BYTES: usize = 128 * 1024;
+const THREAD_STACK_BYTES: usize = 128 * 1024;
 
 /// How often a connection on which nothing comes looks whether it is to be reset.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const RESET_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 128;
+const LISTEN_BACKLOG: i32 = 128;
 
 /// `LinkFault` is what happens to bytes on their way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -54,7 +54,7 @@
 }
 
 impl LinkFault {
-    fn holds_up(self, to_server: bool) -> bool {
+    fn blocks(self, to_server: bool) -> bool {
         match self {
             Self::Cut => true,
             Self::CutToServer => to_server,
@@ -65,7 +65,7 @@
 }
 
 /// A connection through the proxy.
-struct Passage {
+struct ProxiedConnection {
     /// Whether nothing passes any more, for good, though the connection stands.
     silent: AtomicBool,
     /// Whether it is to be reset.
@@ -81,7 +81,7 @@
     fault: Mutex<LinkFault>,
     changed: Condvar,
     target: Mutex<Option<SocketAddr>>,
-    passages: Mutex<Vec<Arc<Passage>>>,
+    connections: Mutex<Vec<Arc<ProxiedConnection>>>,
     stopped: AtomicBool,
     /// Whether nobody listens.
     down: AtomicBool,
@@ -91,9 +91,9 @@
 pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
-    accepting: Mutex<Option<JoinHandle<()>>>,
+    accept_thread: Mutex<Option<JoinHandle<()>>>,
     /// Holds the port while nobody listens.
-    held: Mutex<Option<Socket>>,
+    reserved_port: Mutex<Option<Socket>>,
 }
 
 impl Proxy {
@@ -107,12 +107,12 @@
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
         *shared.target.lock() = Some(target);
-        let accepting = listen(listener, shared.clone())?;
+        let accept_thread = listen(listener, shared.clone())?;
         Ok(Self {
             address,
             shared,
-            accepting: Mutex::new(Some(accepting)),
-            held: Mutex::default(),
+            accept_thread: Mutex::new(Some(accept_thread)),
+            reserved_port: Mutex::default(),
         })
     }
 
@@ -120,13 +120,13 @@
     pub fn go_down(&self) {
         self.shared.down.store(true, Ordering::Release);
         self.wake();
-        if let Some(accepting) = self.accepting.lock().take() {
+        if let Some(accept_thread) = self.accept_thread.lock().take() {
             // A panic has been printed by its thread.
-            let _ = accepting.join();
+            let _ = accept_thread.join();
         }
         self.reset_open();
         // Nobody else may take the port meanwhile.
-        *self.held.lock() = hold(self.address).ok();
+        *self.reserved_port.lock() = bind_without_listening(self.address).ok();
     }
 
     /// Listens again, in front of a server.
@@ -135,15 +135,15 @@
     ///
     /// Any of listening at the same address.
     pub fn come_up(&self, target: SocketAddr) -> io::Result<()> {
-        let held = self.held.lock().take();
-        let socket = match held {
+        let reserved_port = self.reserved_port.lock().take();
+        let socket = match reserved_port {
             Some(socket) => socket,
-            None => hold(self.address)?,
+            None => bind_without_listening(self.address)?,
         };
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         self.retarget(Some(target));
         self.shared.down.store(false, Ordering::Release);
-        *self.accepting.lock() = Some(listen(socket.into(), self.shared.clone())?);
+        *self.accept_thread.lock() = Some(listen(socket.into(), self.shared.clone())?);
         Ok(())
     }
 
@@ -170,17 +170,17 @@
 
     /// Resets the open connections.
     pub fn reset_open(&self) {
-        for passage in self.shared.passages.lock().drain(..) {
-            passage.reset.store(true, Ordering::Release);
-            passage.close();
+        for connection in self.shared.connections.lock().drain(..) {
+            connection.reset.store(true, Ordering::Release);
+            connection.close();
         }
         self.shared.changed.notify_all();
     }
 
     /// Has the open connections fall silent for good; new ones work.
     pub fn silence_open(&self) {
-        for passage in self.shared.passages.lock().iter() {
-            passage.silent.store(true, Ordering::Release);
+        for connection in self.shared.connections.lock().iter() {
+            connection.silent.store(true, Ordering::Release);
         }
     }
 }
@@ -194,7 +194,7 @@
 }
 
 /// Returns a socket at an address that does not listen: connections are refused.
-fn hold(address: SocketAddr) -> io::Result<Socket> {
+fn bind_without_listening(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
@@ -204,11 +204,11 @@
 fn listen(listener: TcpListener, shared: Arc<Shared>) -> io::Result<JoinHandle<()>> {
     thread::Builder::new()
         .name("proxy".to_owned())
-        .stack_size(STACK_BYTES)
+        .stack_size(THREAD_STACK_BYTES)
         .spawn(move || accept(&listener, &shared))
 }
 
-impl Passage {
+impl ProxiedConnection {
     fn is_reset(&self) -> bool {
         self.reset.load(Ordering::Acquire)
     }
@@ -241,35 +241,39 @@
             continue;
         };
         // A connection for which there are no threads is dropped, as a full server would do.
-        let _ = pass(client, server, shared);
+        let _ = forward_connection(client, server, shared);
     }
 }
 
-fn pass(client: TcpStream, server: TcpStream, shared: &Arc<Shared>) -> io::Result<()> {
+fn forward_connection(
+    client: TcpStream,
+    server: TcpStream,
+    shared: &Arc<Shared>,
+) -> io::Result<()> {
     for stream in [&client, &server] {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LOOK_EVERY))?;
+        stream.set_read_timeout(Some(RESET_POLL_INTERVAL))?;
     }
-    let passage = Arc::new(Passage {
+    let connection = Arc::new(ProxiedConnection {
         silent: AtomicBool::new(false),
         reset: AtomicBool::new(false),
         directions: AtomicUsize::new(2),
         client,
         server,
     });
-    shared.passages.lock().push(passage.clone());
+    shared.connections.lock().push(connection.clone());
     for to_server in [true, false] {
-        let (passage, shared) = (passage.clone(), shared.clone());
+        let (connection, shared) = (connection.clone(), shared.clone());
         thread::Builder::new()
             .name("proxy-pass".to_owned())
-            .stack_size(STACK_BYTES)
+            .stack_size(THREAD_STACK_BYTES)
             .spawn(move || {
-                pump(&passage, &shared, to_server);
-                let is_last = passage.directions.fetch_sub(1, Ordering::AcqRel) == 1;
-                if is_last || passage.is_reset() {
-                    passage.close();
-                    let mut passages = shared.passages.lock();
-                    passages.retain(|other| !Arc::ptr_eq(other, &passage));
+                forward_bytes(&connection, &shared, to_server);
+                let is_last = connection.directions.fetch_sub(1, Ordering::AcqRel) == 1;
+                if is_last || connection.is_reset() {
+                    connection.close();
+                    let mut connections = shared.connections.lock();
+                    connections.retain(|other| !Arc::ptr_eq(other, &connection));
                 }
             })?;
     }
@@ -277,47 +281,47 @@
 }
 
 /// Passes bytes on in one direction until the connection ends.
-fn pump(passage: &Passage, shared: &Shared, to_server: bool) {
+fn forward_bytes(connection: &ProxiedConnection, shared: &Shared, to_server: bool) {
     let (mut from, mut to) = match to_server {
-        true => (&passage.client, &passage.server),
-        false => (&passage.server, &passage.client),
+        true => (&connection.client, &connection.server),
+        false => (&connection.server, &connection.client),
     };
     let mut bytes = [0_u8; 16 * 1024];
-    while !passage.is_reset() {
+    while !connection.is_reset() {
         let count = match from.read(&mut bytes) {
             Ok(0) => break,
             Ok(count) => count,
             Err(error) if is_timeout(&error) => continue,
             Err(_) => {
-                passage.reset.store(true, Ordering::Release);
+                connection.reset.store(true, Ordering::Release);
                 return;
             }
         };
-        if passage.silent.load(Ordering::Acquire) {
+        if connection.silent.load(Ordering::Acquire) {
             continue;
         }
-        wait_for_link(passage, shared, to_server);
-        if !passage.is_reset() && to.write_all(&bytes[..count]).is_err() {
-            passage.reset.store(true, Ordering::Release);
+        wait_while_faulty(connection, shared, to_server);
+        if !connection.is_reset() && to.write_all(&bytes[..count]).is_err() {
+            connection.reset.store(true, Ordering::Release);
         }
     }
-    if !passage.is_reset() && !passage.silent.load(Ordering::Acquire) {
-        wait_for_link(passage, shared, to_server);
+    if !connection.is_reset() && !connection.silent.load(Ordering::Acquire) {
+        wait_while_faulty(connection, shared, to_server);
         // The other direction may go on: a client can end its side and still read.
         let _ = to.shutdown(Shutdown::Write);
     }
 }
 
-fn wait_for_link(passage: &Passage, shared: &Shared, to_server: bool) {
+fn wait_while_faulty(connection: &ProxiedConnection, shared: &Shared, to_server: bool) {
     let mut fault = shared.fault.lock();
     if let LinkFault::Delayed { by_ms } = *fault {
         let until = Instant::now() + Duration::from_millis(by_ms);
-        while !passage.is_reset() && Instant::now() < until {
+        while !connection.is_reset() && Instant::now() < until {
             shared.changed.wait_until(&mut fault, until);
         }
     }
-    while fault.holds_up(to_server) && !passage.is_reset() {
-        shared.changed.wait_for(&mut fault, LOOK_EVERY);
+    while fault.blocks(to_server) && !connection.is_reset() {
+        shared.changed.wait_for(&mut fault, RESET_POLL_INTERVAL);
     }
 }
 
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -273,25 +273,25 @@
     pub unexpected_exits: Vec<String>,
 }
 
-/// `Continued` counts streams that went on at another upstream behind events of the one before.
+/// `ContinuedStreams` counts streams that went on at another upstream behind events of the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Continued {
+pub struct ContinuedStreams {
     /// All of them.
     pub streams: usize,
     /// Those whose rest was spoiled.
-    pub spoiled: usize,
+    pub faulty: usize,
     /// Those that looked whole to their callers.
     pub whole: usize,
 }
 
 impl Record {
     /// Returns how many streams were played over several upstreams.
-    pub fn continued(&self) -> Continued {
+    pub fn continued(&self) -> ContinuedStreams {
         let mut runs: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
         for run in &self.runs {
             runs.entry(&run.id).or_default().push(run);
         }
-        let mut counts = Continued::default();
+        let mut counts = ContinuedStreams::default();
         for attempt in self.attempts.iter().chain(&self.last_attempts) {
             let runs = runs.get(attempt.id.as_str()).map_or(&[][..], Vec::as_slice);
             let rests: Vec<&&Run> = runs
@@ -301,7 +301,7 @@
                 .collect();
             let is_whole = matches!(attempt.ending, Ending::Answered { whole: true, .. });
             counts.streams += usize::from(!rests.is_empty());
-            counts.spoiled += usize::from(rests.iter().any(|run| run.fault.is_some()));
+            counts.faulty += usize::from(rests.iter().any(|run| run.fault.is_some()));
             counts.whole += usize::from(!rests.is_empty() && is_whole);
         }
         counts
--- a/crates/soak/tests/short_soak.rs
+++ b/crates/soak/tests/short_soak.rs
@@ -9,7 +9,7 @@
 #[rstest]
 #[case::kills_and_pauses(1, 0)]
 #[case::many_at_once(3, 3)]
-fn invariants_hold(#[case] seed: u64, #[case] least_spoiled_rests: usize) {
+fn invariants_hold(#[case] seed: u64, #[case] min_faulty_continuations: usize) {
     let options = SoakOptions {
         length_ms: 7_000,
         ..SoakOptions::new(entry_program().expect("the program is built"), seed)
@@ -24,5 +24,8 @@
         assert!(attempts.any(|it| it.status() == status), "no {status}");
     }
     let continued = soak.record.continued();
-    assert!(continued.spoiled >= least_spoiled_rests, "{continued:?}");
+    assert!(
+        continued.faulty >= min_faulty_continuations,
+        "{continued:?}"
+    );
 }
--- a/crates/soak/tests/stream_records.rs
+++ b/crates/soak/tests/stream_records.rs
@@ -4,7 +4,7 @@
 
 use apricotdale_soak::Attempt;
 use apricotdale_soak::BodySeen;
-use apricotdale_soak::Continued;
+use apricotdale_soak::ContinuedStreams;
 use apricotdale_soak::Ending;
 use apricotdale_soak::Invariant;
 use apricotdale_soak::Kind;
@@ -134,16 +134,16 @@
 #[test]
 fn streams_over_two_engines() {
     let mut record = stream(0, true, &events(&[1, 2, 3, 4, 5, 6]));
-    let continued = Continued {
+    let continued = ContinuedStreams {
         streams: 1,
-        spoiled: 0,
+        faulty: 0,
         whole: 1,
     };
     assert_eq!(record.continued(), continued);
     let last = record.runs.len() - 1;
     record.runs[last].fault = Some(AnswerFault::Failed);
-    assert_eq!(record.continued().spoiled, 1);
+    assert_eq!(record.continued().faulty, 1);
     // One that the caller resumed by itself, or that began anew elsewhere, was not joined.
     record.runs[last].after_event = 0;
-    assert_eq!(record.continued(), Continued::default());
+    assert_eq!(record.continued(), ContinuedStreams::default());
 }
