--- a/crates/soak/src/clock.rs
+++ b/crates/soak/src/clock.rs
@@ -1,34 +1,34 @@
-//! The soak's clock.
+//! Clock to which all times of a soak refer.
 
 use std::thread;
 use std::time::Duration;
 use std::time::Instant;
 
-/// `Clock` counts milliseconds since the soak began.
+/// Monotonic clock that counts milliseconds from the start of the soak.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     began: Instant,
 }
 
 impl Clock {
-    /// Returns a clock that begins now.
+    /// Returns a clock that reads 0 now.
     pub fn start() -> Self {
         Self {
             began: Instant::now(),
         }
     }
 
-    /// Returns the time now.
+    /// Returns the milliseconds since the start of the soak.
     pub fn now_ms(self) -> u64 {
         self.at_ms(Instant::now())
     }
 
-    /// Returns the time of an instant.
+    /// Converts an instant to milliseconds since the start; 0 if it is earlier.
     pub fn at_ms(self, instant: Instant) -> u64 {
         instant.saturating_duration_since(self.began).as_millis() as u64
     }
 
-    /// Waits until a time. The soak paces its callers and troubles by this; no verdict does.
+    /// Sleeps until a time. It only paces callers and faults: no check depends on its precision.
     pub fn wait_until(self, at_ms: u64) {
         let left_ms = at_ms.saturating_sub(self.now_ms());
         thread::sleep(Duration::from_millis(left_ms));
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,11 @@
-//! A randomized soak of entry VMs.
+//! Randomized soak test of entry VMs.
 //!
-//! Real processes of `apricotdale-entry` run on loopback before the stand-ins of the platform. A
-//! seeded [`Plan`] has processes killed, paused, stopped and restarted, links delayed, cut,
-//! silenced and reset by proxies, the store and the engines misbehave and the configuration change,
-//! in series and overlapping, while callers of several organisations go on asking. What callers and
-//! upstreams saw is a [`Record`], from which [`check`] tells which promises were broken.
+//! Real processes of `apricotdale-entry` run on loopback against stand-ins of the platform. A
+//! seeded [`Plan`] injects faults, one after another and overlapping, while callers of several
+//! organisations send requests: processes are killed, paused, stopped and restarted; proxies delay,
+//! cut, silence and reset links; the store and the engines fail; the configuration changes. What
+//! callers and upstreams observed is collected in a [`Record`], and [`check`] returns the
+//! invariants that it violates.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `soak`.
+//! Command line program `soak`: runs soaks for a range of seeds and reports violated invariants.
 
 #![forbid(unsafe_code)]
 
@@ -24,31 +24,31 @@
 use apricotdale_soak::entry_program;
 use apricotdale_soak::fullest_window;
 
-/// The most soaks at once.
+/// Upper bound of soaks that run in parallel, whatever `--at-once` asks for.
 const MAX_PARALLEL_SOAKS: usize = 8;
 
-/// Runs entry VMs on loopback under random troubles and checks the promises
+/// Runs entry VMs on loopback under random faults and checks the invariants
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
     /// The first seed
     #[bpaf(argument("SEED"), fallback(1), display_fallback)]
     seed: u64,
-    /// How many seeds
+    /// Number of consecutive seeds
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     seeds: u64,
-    /// How many soaks at once, 8 at the most
+    /// Number of soaks that run in parallel, at most 8
     #[bpaf(argument("N"), fallback(2), display_fallback)]
     at_once: usize,
-    /// Seconds of troubles in each
+    /// Length of each soak in seconds
     #[bpaf(argument("S"), fallback(12), display_fallback)]
     seconds: u64,
-    /// VMs in each
+    /// Number of VMs in each soak
     #[bpaf(argument("N"), fallback(3), display_fallback)]
     vms: usize,
-    /// Print what each seed would do, and do nothing
+    /// Print the faults planned for each seed without running a soak
     plan_only: bool,
-    /// Directory for plans, VMs' logs and what was seen
+    /// Directory for the plans, the VMs' logs and what callers and upstreams observed
     #[bpaf(argument("DIR"))]
     logs: Option<PathBuf>,
 }
@@ -69,11 +69,11 @@
     }
 }
 
-/// Carries the seeds out and returns how many broke a promise.
+/// Runs a soak for each seed and returns how many of them violated an invariant.
 fn soak(arguments: &Arguments) -> Result<u64> {
     let program = entry_program()?;
     let next = AtomicU64::new(arguments.seed);
-    let broken = AtomicU64::new(0);
+    let violated = AtomicU64::new(0);
     let end = arguments.seed + arguments.seeds;
     let workers = arguments.at_once.clamp(1, MAX_PARALLEL_SOAKS);
     let outcome: Result<()> = thread::scope(|scope| {
@@ -84,7 +84,7 @@
                     return Ok(());
                 }
                 if !soak_one(arguments, &program, seed)? {
-                    broken.fetch_add(1, Ordering::Relaxed);
+                    violated.fetch_add(1, Ordering::Relaxed);
                 }
             }
         };
@@ -94,9 +94,12 @@
             .try_for_each(|worker| worker.join().unwrap_or(Ok(())))
     });
     outcome?;
-    let broken = broken.load(Ordering::Relaxed);
-    println!("{} seeds, {broken} with a broken promise", arguments.seeds);
-    Ok(broken)
+    let violated = violated.load(Ordering::Relaxed);
+    println!(
+        "{} seeds, {violated} with a violated invariant",
+        arguments.seeds
+    );
+    Ok(violated)
 }
 
 fn print_plans(arguments: &Arguments) {
@@ -128,7 +131,7 @@
     }
     println!("seed {seed}: {}", summary(&soak.record, &violations));
     for violation in &violations {
-        println!("  seed {seed} broke {violation}");
+        println!("  seed {seed} violated {violation}");
     }
     Ok(violations.is_empty())
 }
@@ -143,8 +146,9 @@
     let resumed = record.attempts.iter().filter(|it| it.after_event > 0);
     let orders: usize = record.engines.iter().map(|(_, it)| it.holders.len()).sum();
     format!(
-        "{} troubles, {} requests by status {statuses:?}, {} runs, {orders} orders, {} streams over \
-         two engines ({} spoiled, {} whole), {} resumed by callers, {} of {} at most in a limit's window, {} broken",
+        "{} faults, {} requests by status {statuses:?}, {} runs, {orders} orders, {} streams over \
+         two engines ({} faulty, {} complete), {} resumed by callers, {} of {} requests in the \
+         fullest window of a limit, {} violations",
         record.disturbances.len(),
         record.attempts.len(),
         record.runs.len(),
@@ -162,7 +166,7 @@
     std::fs::create_dir_all(dir)?;
     let mut file = std::fs::File::create(dir.join("soak.txt"))?;
     for violation in violations {
-        writeln!(file, "broken: {violation}")?;
+        writeln!(file, "violated: {violation}")?;
     }
     for planned in &soak.plan.faults {
         writeln!(file, "planned: {planned:?}")?;
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! One soak, from its start to its record.
+//! Execution of one soak: start of the VMs, workload, faults, recovery and the resulting record.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -25,37 +25,36 @@
 use crate::workload::organisation_of;
 use crate::world::World;
 
-/// The file name of the VMs' program.
 const ENTRY_PROGRAM: &str = "apricotdale-entry";
 
-/// How long the VMs may take to get ready at the start.
+/// Time within which all VMs must be ready after the start.
 const READY_MS: u64 = 20_000;
 
-/// How long after the last trouble the VMs may take to serve everything again.
+/// Time after the last fault within which every VM must serve every kind of request again.
 const RECOVERY_MS: u64 = 12_000;
 
-/// The pause between two questions whether a VM serves a kind of request again.
+/// Pause between two recovery requests of the same kind to a VM.
 const RECOVERY_PAUSE: Duration = Duration::from_millis(100);
 
-/// `SoakOptions` is the size of a soak.
+/// Size of a soak and the seed from which it is drawn.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// The VMs' program.
+    /// Path of the program `apricotdale-entry`.
     pub program: PathBuf,
-    /// The seed of the plan and of the callers.
+    /// Seed of the plan and of the callers' requests.
     pub seed: u64,
-    /// How long troubles come.
+    /// Length of the plan in milliseconds, including the fault-free time at its start and end.
     pub length_ms: u64,
-    /// VMs.
+    /// Number of entry VMs.
     pub vms: usize,
-    /// Model engines.
+    /// Number of model engines at the start.
     pub engines: usize,
-    /// Callers at once.
+    /// Number of concurrent callers, besides those of bursts and crashers.
     pub callers: usize,
 }
 
 impl SoakOptions {
-    /// Returns a soak of the usual size: 3 VMs, 3 engines, 12 callers, 12 s.
+    /// Returns the options of a soak of default size: 3 VMs, 3 engines, 12 callers, 12 s.
     pub fn new(program: impl Into<PathBuf>, seed: u64) -> Self {
         Self {
             program: program.into(),
@@ -67,15 +66,15 @@
         }
     }
 
-    /// Returns what will happen.
+    /// Returns the plan drawn from the seed.
     pub fn plan(&self) -> Plan {
         let upstreams = self.engines + 2;
         Plan::draw(self.seed, self.length_ms, self.vms, self.engines, upstreams)
     }
 }
 
-/// Returns the VMs' program, which lies beside the running one. Cargo puts test programs one level
-/// below it.
+/// Returns the path of the entry VMs' program: beside the running program or one directory above,
+/// since Cargo puts test programs one level below the other programs.
 ///
 /// # Errors
 ///
@@ -93,27 +92,28 @@
         .ok_or(Error::MissingProgram(beside))
 }
 
-/// `Soak` is a soak that was carried out.
+/// Result of a soak that was carried out.
 pub struct Soak {
-    /// What was planned.
+    /// Plan that the soak followed.
     pub plan: Plan,
-    /// What was seen.
+    /// What callers and upstreams observed.
     pub record: Record,
-    /// The log lines of each VM.
+    /// Log lines of each VM, by the VM's number.
     pub lines: Vec<(usize, Vec<String>)>,
 }
 
 impl Soak {
-    /// Carries a soak out.
+    /// Carries out the soak that is drawn from the seed.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`] if something can't be started, [`Error::NotReady`].
+    /// [`Error::MissingProgram`] if the VMs' program is missing, [`Error::Io`] if a process or a
+    /// stand-in can't be started, [`Error::NotReady`] if the VMs do not become ready in time.
     pub fn carry_out(options: &SoakOptions) -> Result<Self> {
         Self::carry_out_plan(options, options.plan())
     }
 
-    /// Carries a soak out with a plan other than that of its seed.
+    /// Carries out a soak with a plan other than that of its seed.
     ///
     /// # Errors
     ///
@@ -138,7 +138,8 @@
         let callers = start_callers(options, &workload);
         let crashers = start_crashers(options, &plan, &workload);
         let bursts = start_bursts(options, &plan, &workload);
-        // The callers' last requests may end engines, too.
+        // Engines are restarted until the recovery is over: the callers' last requests may crash
+        // them, too.
         let has_recovered = Arc::new(AtomicBool::new(false));
         let restarts = start_engine_restarts(&world, &has_recovered);
         inject_planned_faults(clock, &world, &plan);
@@ -160,7 +161,7 @@
     }
 }
 
-/// Starts the callers whose requests end engines, each at its time.
+/// Starts the callers whose requests crash engines, each at its planned time.
 fn start_crashers(
     options: &SoakOptions,
     plan: &Plan,
@@ -182,7 +183,7 @@
         .collect()
 }
 
-/// Starts the callers of each burst at its time.
+/// Starts the callers of each burst at its planned time.
 fn start_bursts(
     options: &SoakOptions,
     plan: &Plan,
@@ -222,7 +223,7 @@
         .collect()
 }
 
-/// Carries the troubles out, each in a thread of its own, and waits until all are over.
+/// Injects the planned faults, each in a thread of its own, and waits until all have ended.
 fn inject_planned_faults(clock: Clock, world: &Arc<World>, plan: &Plan) {
     let began_ms = clock.now_ms();
     let mut running = Vec::new();
@@ -239,12 +240,12 @@
 
 fn join(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
-        // A panic has been printed by its thread; the soak tells what it saw without it.
+        // The thread has printed its panic; the record holds what was observed without it.
         let _ = thread.join();
     }
 }
 
-/// Asks every VM for every kind of request until it is served or the time is over.
+/// Sends every kind of request to every VM until it is served or `RECOVERY_MS` has passed.
 fn recover(options: &SoakOptions, workload: &Workload) -> Vec<Attempt> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let mut attempts = Vec::new();
