--- a/crates/soak/src/draws.rs
+++ b/crates/soak/src/draws.rs
@@ -1,4 +1,5 @@
-//! What a seed draws.
+//! Random draws of faults, crashers, bursts and changes of organisations from a seed. Each kind has
+//! a generator of its own, so that a change of one leaves the draws of the others as they are.
 
 use std::ops::Range;
 use std::ops::RangeInclusive;
@@ -21,53 +22,55 @@
 use crate::proxy::LinkFault;
 use crate::workload::MODELS;
 
-/// The time before the first trouble, in which the VMs begin to serve.
+/// Time before the first fault, in which the VMs begin to serve.
 pub(crate) const WARM_UP_MS: u64 = 1_500;
 
-/// The time after the last trouble, in which its effects pass.
+/// Time after the last fault, in which its effects pass.
 pub(crate) const SETTLE_MS: u64 = 3_500;
 
-/// The mean time between the beginnings of two troubles.
-const MEAN_FAULT_INTERVAL_MS: u64 = 900;
+/// Scale of the time between the starts of two random faults: 1/3 of it up to twice it.
+const FAULT_INTERVAL_MS: u64 = 900;
 
-/// The most callers whose requests end engines.
+/// Upper bound of different requests that crash engines.
 const MAX_CRASHERS: usize = 3;
 
-/// Callers of one such request at a time.
+/// Upper bound of concurrent callers that send the same such request.
 const MAX_COPIES: usize = 6;
 
-/// Sets the crashers' draws apart from those of the troubles.
+/// Mask that gives the draws of crashers a seed of their own.
 const CRASHER_SEED_MASK: u64 = 0x6372_6173_6865_7273;
 
-/// The most set-backs of the store, and the longest that one takes.
+/// Upper bound of rollbacks of the store.
 const MAX_ROLLBACKS: usize = 2;
+
+/// Upper bound of the duration of a rollback; none starts later than this before the last fault.
 const MAX_ROLLBACK_MS: u64 = 6_000;
 
-/// Sets their draws apart as well.
+/// Mask that gives the draws of rollbacks a seed of their own.
 const ROLLBACK_SEED_MASK: u64 = 0x7365_7462_6163_6b73;
 
-/// The fewest and the most times at which engines fail behind each other's streams.
+/// Number of faults that concern the continuation of a stream at another engine.
 const CONTINUATION_FAULT_COUNT: RangeInclusive<usize> = 4..=8;
 
-/// Sets their draws apart as well.
+/// Mask that gives the draws of continuation faults a seed of their own.
 const CONTINUATION_SEED_MASK: u64 = 0x6a6f_696e_7321_0000;
 
-/// The fewest and the most changes of keys and limits.
+/// Number of changes of keys and limits.
 const ORGANISATION_CHANGE_COUNT: RangeInclusive<usize> = 3..=6;
 
-/// The fewest and the most times at which an organisation sends many times its usual.
+/// Number of bursts of an organisation.
 const BURST_COUNT: RangeInclusive<usize> = 1..=2;
 
-/// How long such a time is.
+/// Duration of a burst.
 const BURST_MS: Range<u64> = 800..3_000;
 
-/// The limits that the operators set, in requests a second.
+/// Limits from which a change of a limit is drawn, in requests per second.
 const RATE_LIMITS_PER_S: [u32; 4] = [8, 12, 18, 25];
 
-/// Sets their draws apart as well.
+/// Mask that gives the draws of bursts and changes of organisations a seed of their own.
 const ORGANISATION_SEED_MASK: u64 = 0x6f72_6761_6e69_7361;
 
-/// How any stream is spoiled, also one that is begun, so that it must not look whole.
+/// Faults of a stream, from its start or resumed, after which it must not look complete.
 const FAULTY_STREAMS: [StreamFault; 4] = [
     StreamFault::InterimOnly,
     StreamFault::ClosedInside,
@@ -75,7 +78,7 @@
     StreamFault::OversizeClosedInside,
 ];
 
-/// What other engines answer while one cuts its streams.
+/// Faults of the other engines' answers while one engine cuts its streams.
 const FAULTS_AFTER_CUT: [AnswerFault; 10] = [
     AnswerFault::TurnedAway,
     AnswerFault::Failed,
@@ -89,7 +92,7 @@
     AnswerFault::Garbage,
 ];
 
-/// Draws the troubles that come by chance, one after the other.
+/// Draws the faults that occur at random times, in order of their start.
 pub(crate) fn draw_random_faults(
     seed: u64,
     calm_from_ms: u64,
@@ -108,23 +111,23 @@
     while at_ms < calm_from_ms {
         let trouble = draw.trouble(calm_from_ms - at_ms);
         faults.push(Planned { at_ms, trouble });
-        // Some come at the same moment, so that they overlap.
+        // One in three faults starts at the same time as the next, so that the two overlap.
         if draw.random.random_ratio(2, 3) {
             at_ms += draw
                 .random
-                .random_range(MEAN_FAULT_INTERVAL_MS / 3..MEAN_FAULT_INTERVAL_MS * 2);
+                .random_range(FAULT_INTERVAL_MS / 3..MEAN_FAULT_INTERVAL_MS * 2);
         }
     }
     faults
 }
 
-/// Draws the crashers from a generator of their own, so that they change no plan of troubles.
+/// Draws the callers whose requests crash engines.
 pub(crate) fn draw_crashers(seed: u64, calm_from_ms: u64) -> Vec<Crasher> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ CRASHER_SEED_MASK);
     let count = random.random_range(0..=MAX_CRASHERS);
     (0..count)
         .map(|number| Crasher {
-            // The engines end at once under the one mark and after some events under the other.
+            // One mark crashes engines before their first event, the other after some events.
             body: format!("{}{number}", CRASH_MARKS[random.random_range(0..2)]),
             model: MODELS[random.random_range(0..2)],
             at_ms: random.random_range(WARM_UP_MS..calm_from_ms.max(WARM_UP_MS + 1)),
@@ -135,8 +138,7 @@
         .collect()
 }
 
-/// Draws the times at which the store comes back from an older copy, from a generator of their own
-/// as well.
+/// Draws the rollbacks of the store to an older copy; none if the plan is too short for one.
 pub(crate) fn draw_rollbacks(seed: u64, calm_from_ms: u64) -> Vec<Planned> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ ROLLBACK_SEED_MASK);
     let latest_ms = calm_from_ms.saturating_sub(MAX_ROLLBACK_MS);
@@ -154,8 +156,7 @@
         .collect()
 }
 
-/// Draws the times at which engines fail behind each other's streams, from a generator of their own
-/// as well.
+/// Draws faults of streams that break off at one engine and continue at another.
 pub(crate) fn draw_continuation_faults(
     seed: u64,
     calm_from_ms: u64,
@@ -190,8 +191,7 @@
         .collect()
 }
 
-/// Draws when an organisation sends more and what the operators change about organisations, from a
-/// generator of its own as well.
+/// Draws the bursts of an organisation and the operators' changes of keys and limits.
 pub(crate) fn draw_organisation_events(seed: u64, calm_from_ms: u64) -> (Vec<Burst>, Vec<Planned>) {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ ORGANISATION_SEED_MASK);
     let until_ms = calm_from_ms.max(WARM_UP_MS + 1);
@@ -210,7 +210,8 @@
     let first_until_ms = WARM_UP_MS + (until_ms - WARM_UP_MS).div_ceil(2);
     let changes = (0..random.random_range(ORGANISATION_CHANGE_COUNT))
         .map(|number| {
-            // The first comes early enough that it must be in force before the end.
+            // The first change starts in the first half, so that it must be in force before the
+            // end.
             let at_ms = match number {
                 0 => random.random_range(WARM_UP_MS..first_until_ms),
                 _ => random.random_range(WARM_UP_MS..until_ms),
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is done to the VMs.
+//! Faults that a soak injects.
 
 use apricotdale_standins::platform::AnswerFault;
 use apricotdale_standins::platform::StoreFault;
@@ -7,162 +7,165 @@
 use crate::record::Place;
 use crate::record::ROLLBACK;
 
-/// `Trouble` is something that is done to the VMs from outside, or that their surroundings do.
+/// Fault or planned operation to which the VMs or their surroundings are exposed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Trouble {
-    /// A VM's process is killed, and started again after a time.
+    /// Kills a VM's process and restarts it later.
     Kill {
-        /// The VM.
+        /// Number of the VM.
         vm: usize,
-        /// The time.
+        /// Time from the kill to the restart.
         down_ms: u64,
     },
-    /// Every VM's process is killed, and started again after a time.
+    /// Kills every VM's process and restarts them later.
     KillAll {
-        /// The time.
+        /// Time from the kill to the restart.
         down_ms: u64,
     },
-    /// A VM's process stands still for a time.
+    /// Pauses a VM's process for a time.
     Pause {
-        /// The VM.
+        /// Number of the VM.
         vm: usize,
-        /// The time.
+        /// Duration of the fault.
         for_ms: u64,
     },
-    /// A VM is told to stop as planned, and is started again when it has ended.
+    /// Stops a VM as planned, with SIGTERM, and restarts it once its process has ended.
     Stop {
-        /// The VM.
+        /// Number of the VM.
         vm: usize,
     },
-    /// A VM is told to read its settings again.
+    /// Has a VM reload its settings.
     Reload {
-        /// The VM.
+        /// Number of the VM.
         vm: usize,
     },
-    /// The store treats the calls of some VMs badly for a time.
+    /// Has the store mistreat the calls of one VM or of all for a time.
     Store {
-        /// The VM, or all.
+        /// Number of the VM; none for all VMs.
         vm: Option<usize>,
-        /// How.
+        /// How the store treats the calls.
         fault: StoreFault,
-        /// The time.
+        /// Duration of the fault.
         for_ms: u64,
     },
-    /// The store deletes its history; the newest record of each key stays.
+    /// Has the store delete its history except the newest record of each key.
     Forget,
-    /// The store is away for all, and comes back from an older copy. Operators and upstreams write
-    /// theirs again.
+    /// Rolls the store back: it is unavailable for all VMs, then comes back from an older copy, and
+    /// later operators and upstreams write their records again.
     SetBack {
-        /// How old the copy is when the store goes away.
+        /// Age of the copy when the store becomes unavailable.
         lost_ms: u64,
-        /// How long it is away.
+        /// Time for which the store is unavailable.
         away_ms: u64,
-        /// How long after its return all is written again.
+        /// Time from the store's return until operators and upstreams write again.
         again_ms: u64,
     },
-    /// A VM's link to the store is spoiled for a time.
+    /// Disturbs the link of a VM to the store for a time.
     StoreLink {
-        /// The VM.
+        /// Number of the VM.
         vm: usize,
-        /// How.
+        /// What happens to the bytes on the link.
         fault: LinkFault,
-        /// The time.
+        /// Duration of the fault.
         for_ms: u64,
     },
-    /// An upstream's link is spoiled for a time.
+    /// Disturbs the link of all VMs to an upstream for a time.
     UpstreamLink {
-        /// The number of the upstream.
+        /// Index of the upstream: engines first, then instances of the plain service.
         upstream: usize,
-        /// How.
+        /// What happens to the bytes on the link.
         fault: LinkFault,
-        /// The time.
+        /// Duration of the fault.
         for_ms: u64,
     },
-    /// The open connections to an upstream are reset.
+    /// Resets the open connections to an upstream.
     Reset {
-        /// The number of the upstream.
+        /// Index of the upstream: engines first, then instances of the plain service.
         upstream: usize,
     },
-    /// The open connections of a VM to the store fall silent for good.
+    /// Has the open connections of a VM to the store carry no bytes any more, without closing them.
     Silence {
-        /// The VM.
+        /// Number of the VM.
         vm: usize,
     },
-    /// An upstream spoils its next answers.
+    /// Has an upstream send its next answers with a fault.
     Answers {
-        /// The number of the upstream.
+        /// Index of the upstream: engines first, then instances of the plain service.
         upstream: usize,
-        /// How.
+        /// Fault of the answers.
         fault: AnswerFault,
-        /// How many.
+        /// Number of answers that are affected.
         count: u32,
     },
-    /// Every engine spoils its next answers in the same way.
+    /// Has every engine send its next answers with the same fault.
     EnginesAnswer {
-        /// How.
+        /// Fault of the answers.
         fault: AnswerFault,
-        /// How many.
+        /// Number of answers that are affected.
         count: u32,
     },
-    /// An engine cuts its next streams, and the others spoil their answers in another way.
+    /// Has one engine cut its next streams, and the others send their next answers with another
+    /// fault.
     CutBefore {
-        /// The number of the engine.
+        /// Index of the engine in the soak's list.
         engine: usize,
-        /// Whole events before the cut.
+        /// Number of complete events before the cut.
         events: u64,
-        /// How the others spoil theirs.
+        /// Fault of the other engines' answers.
         then: AnswerFault,
-        /// How many of each.
+        /// Number of answers of each engine that are affected.
         count: u32,
     },
-    /// Every instance of the plain service breaks its next answers off after a large part.
+    /// Has every instance of the plain service break its next answers off after a large part.
     LargeCuts {
-        /// How many.
+        /// Number of answers that are affected.
         count: u32,
     },
-    /// An engine carries its next orders out late, or loses the answers to them.
+    /// Has an engine execute its next orders late, or lose the answers to them.
     Orders {
-        /// The number of the engine.
+        /// Index of the engine in the soak's list.
         engine: usize,
-        /// After how long it carries them out; at once with a lost answer if none.
+        /// Delay before the execution of each order; if none, it is executed at once and its answer
+        /// is lost.
         late_ms: Option<u64>,
-        /// How many.
+        /// Number of orders that are affected.
         count: u32,
     },
-    /// An engine's process dies. Its entry goes later, and another run of it joins at the same
-    /// address.
+    /// Ends an engine's process. Its entry is removed later, and a new incarnation joins at the
+    /// same address.
     EngineDies {
-        /// The number of the engine.
+        /// Index of the engine in the soak's list.
         engine: usize,
     },
-    /// An engine leaves as planned, and another joins.
+    /// Has an engine leave as planned and another join.
     EngineLeaves {
-        /// The number of the engine.
+        /// Index of the engine in the soak's list.
         engine: usize,
-        /// Whether it gives notice. Otherwise its entry is removed, and it serves on for a while.
+        /// Whether the engine sends a leave notice. Otherwise its entry is removed, and it goes on
+        /// serving for a while.
         notice: bool,
     },
-    /// The operators write a configuration with another route in place of the one before.
+    /// Has the operators write a configuration with a new route in place of the previous one.
     Configure,
-    /// The operators give an organisation one more key.
+    /// Has the operators add a key to an organisation.
     KeyAdded {
-        /// The number of the organisation.
+        /// Index of the organisation in the soak's list.
         organisation: usize,
     },
-    /// The operators take the oldest key of an organisation away, unless it is the only one.
+    /// Has the operators revoke the oldest key of an organisation, unless it is the only one.
     KeyTaken {
-        /// The number of the organisation.
+        /// Index of the organisation in the soak's list.
         organisation: usize,
     },
-    /// The operators set the limit of the organisation that has one.
+    /// Has the operators change the limit of the organisation that has one.
     Limit {
-        /// Requests a second, and the burst.
+        /// Rate in requests per second; the allowed burst is the same number of requests.
         rate_per_s: u32,
     },
 }
 
 impl Trouble {
-    /// Returns the word for reports.
+    /// Returns the name of the fault in reports.
     pub(crate) fn as_str(&self) -> &'static str {
         match self {
             Self::Kill { .. } => "kill",
@@ -191,8 +194,8 @@
         }
     }
 
-    /// Returns what it disturbs; none where everything is still owed, or where it is told by itself
-    /// for each VM.
+    /// Returns what the fault disturbs; none if all invariants must hold in spite of it, or if it
+    /// is recorded for each VM separately.
     pub(crate) fn place(&self) -> Option<Place> {
         match self {
             Self::Kill { vm, .. } | Self::Pause { vm, .. } | Self::Stop { vm } => {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which troubles come when.
+//! Plan of a soak: which faults and bursts occur at which time.
 
 use crate::draws::SETTLE_MS;
 use crate::draws::WARM_UP_MS;
@@ -9,69 +9,69 @@
 use crate::draws::draw_rollbacks;
 use crate::fault::Trouble;
 
-/// What the bodies hold of requests that end engines at once, and after some events.
+/// Prefixes of the bodies of requests that crash engines: before the first event of the answer, and
+/// after some events.
 pub(crate) const CRASH_MARKS: [&str; 2] = ["ends-engine-", "ends-engine-late-"];
 
-/// `Planned` is a trouble with its time.
+/// One planned fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Planned {
-    /// When it begins.
+    /// Start of the fault in milliseconds after the start of the plan.
     pub at_ms: u64,
-    /// What it is.
+    /// Fault to inject.
     pub trouble: Trouble,
 }
 
-/// `Crasher` is a caller whose request ends each engine that runs it, and who sends it again and
-/// again.
+/// Callers that send a request again and again which crashes every engine that runs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crasher {
-    /// The body, the same each time.
+    /// Body of the request, the same for each send and each caller.
     pub body: String,
-    /// The model.
+    /// Model that the request names.
     pub model: &'static str,
-    /// When it is sent first.
+    /// Time of the first send in milliseconds after the start of the plan.
     pub at_ms: u64,
-    /// The time between two sends.
+    /// Pause of each caller between two sends.
     pub pause_ms: u64,
-    /// Whether the request is a stream that may be resumed.
+    /// Whether the request is a stream that may be resumed; if not, it may run once.
     pub resumable: bool,
-    /// How many callers send it at a time.
+    /// Number of callers that send it concurrently.
     pub copies: usize,
 }
 
-/// `Burst` is a time in which an organisation sends many times its usual.
+/// Time in which additional callers send requests of one organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Burst {
-    /// The number of the organisation.
+    /// Index of the organisation in the soak's list.
     pub organisation: usize,
-    /// When it begins.
+    /// Start of the burst in milliseconds after the start of the plan.
     pub at_ms: u64,
-    /// How long it is.
+    /// Duration of the burst.
     pub for_ms: u64,
-    /// How many callers send.
+    /// Number of additional callers.
     pub callers: usize,
-    /// The time between two requests of each.
+    /// Pause of each caller between two requests.
     pub pause_ms: u64,
 }
 
-/// `Plan` is what happens in one soak.
+/// Everything that is done to the VMs in one soak, in milliseconds after its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Callers whose requests end engines.
+    /// Callers whose requests crash engines.
     pub crashers: Vec<Crasher>,
-    /// Times in which an organisation sends more.
+    /// Times in which an organisation has additional callers.
     pub bursts: Vec<Burst>,
-    /// The troubles in order of time.
+    /// Faults in order of their start.
     pub faults: Vec<Planned>,
-    /// When the last one must have ended.
+    /// End of the time in which faults start; faults with a duration drawn at random end by then.
     pub calm_from_ms: u64,
-    /// When the soak ends.
+    /// End of the plan, when its effects should have passed.
     pub end_ms: u64,
 }
 
 impl Plan {
-    /// Draws a plan for a number of VMs, engines and other upstreams. The numbers of the other
-    /// upstreams follow those of the engines.
+    /// Draws a plan from a seed. `upstreams` counts the engines and the instances of the plain
+    /// service; the engines have the lower indices.
     pub fn draw(seed: u64, length_ms: u64, vms: usize, engines: usize, upstreams: usize) -> Self {
         let calm_from_ms = length_ms.saturating_sub(SETTLE_MS).max(WARM_UP_MS);
         let mut faults = draw_random_faults(seed, calm_from_ms, vms, engines, upstreams);
