--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,4 +1,5 @@
-//! What callers and upstreams saw during a soak.
+//! Record of what callers and upstreams observed during a soak. All times are milliseconds since
+//! the start of the soak.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,27 +9,27 @@
 
 use crate::streams::BodySeen;
 
-/// What a disturbance is called by which the store has an older configuration.
+/// Name of the disturbance after which the store may hold an older configuration.
 pub(crate) const ROLLBACK: &str = "set back";
 
-/// `Kind` is what a request asks for, and so what may become of it.
+/// Kind of a request, which decides what may happen to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-    /// A call that may be repeated.
+    /// Call that may run more than once.
     Look,
-    /// A call that may run once.
+    /// Call that may run at most once.
     Book,
-    /// A stream that may be resumed.
+    /// Stream that may be resumed and run more than once.
     Quick,
-    /// A stream that may run once.
+    /// Stream that may run at most once.
     Patient,
 }
 
 impl Kind {
-    /// Every kind.
+    /// Every kind, in the order in which the recovery sends them.
     pub const ALL: [Self; 4] = [Self::Look, Self::Book, Self::Quick, Self::Patient];
 
-    /// Returns whether a request may run more than once.
+    /// Returns whether a request of this kind may run more than once.
     pub fn may_run_again(self) -> bool {
         matches!(self, Self::Look | Self::Quick)
     }
@@ -38,7 +39,7 @@
         matches!(self, Self::Quick | Self::Patient)
     }
 
-    /// Returns the word for reports.
+    /// Returns the name of the kind in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Look => "look",
@@ -49,96 +50,97 @@
     }
 }
 
-/// `Ending` is how an attempt ended for its caller.
+/// Outcome of an attempt for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// An answer came.
+    /// At least the head of an answer came.
     Answered {
-        /// Its status.
+        /// HTTP status; 200 for bytes that are no HTTP.
         status: u16,
-        /// Whether it came to its end as its head announced.
+        /// Whether the body came to the end that its head announced.
         whole: bool,
-        /// The request that it names.
+        /// Request ID that the answer names, if any.
         id: Option<String>,
-        /// Whether it carries an upstream's signature.
+        /// Whether the answer carries an upstream's signature.
         signed: bool,
-        /// The body, as far as it came.
+        /// Body as far as it came.
         body: BodySeen,
     },
-    /// The connection ended, or nothing came within the caller's patience.
+    /// The connection ended without an answer, or no head came before the caller stopped reading.
     Unanswered,
-    /// The connection could not be opened, or broke before the request was written.
+    /// The connection could not be opened, or failed before the request was written.
     Unsent,
-    /// The caller left before an answer.
+    /// The caller closed the connection before an answer.
     Left,
 }
 
-/// `Presented` is by which key a request says whose it is.
+/// Credentials that a request carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presented {
-    /// It carries none.
+    /// No key.
     None,
-    /// It carries one that no organisation ever held.
+    /// A key that no organisation ever held.
     Unknown,
-    /// It carries two.
+    /// Two keys.
     Several,
-    /// It carries the key with this index in [`Record::keys`].
+    /// The key with this index in [`Record::keys`].
     Key(usize),
 }
 
-/// `KeySeen` is a key that the operators gave to an organisation.
+/// Key that the operators configured for an organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeySeen {
-    /// The key.
+    /// Key itself.
     pub secret: String,
-    /// The organisation's name.
+    /// Name of the organisation.
     pub organisation: String,
-    /// When the configuration with it was acknowledged; 0 for the first one.
+    /// Time when the store acknowledged the first configuration with the key; 0 for keys of the
+    /// initial configuration.
     pub acknowledged_ms: u64,
-    /// When a configuration without it began to be written.
+    /// Time when the write of a configuration without the key began; none while it is configured.
     pub leaving_ms: Option<u64>,
-    /// When that was acknowledged.
+    /// Time when the store acknowledged that configuration.
     pub left_ms: Option<u64>,
 }
 
-/// `LimitSeen` is a limit that the operators gave to an organisation.
+/// Limit that the operators configured for an organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSeen {
-    /// The organisation's name.
+    /// Name of the organisation.
     pub organisation: String,
-    /// When its configuration began to be written.
+    /// Time when the write of the configuration began.
     pub written_ms: u64,
-    /// When that was acknowledged.
+    /// Time when the store acknowledged the configuration.
     pub acknowledged_ms: u64,
-    /// The most requests in any window, with what the users' bound adds to the limit.
+    /// Upper bound of requests in any window, with the overuse that users are promised at most.
     pub most_in_window: usize,
 }
 
-/// `Attempt` is one request of a caller.
+/// One request as a caller sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its identity.
+    /// Request ID, unique to the attempt.
     pub id: String,
-    /// What it asks for.
+    /// Kind of the request.
     pub kind: Kind,
-    /// The VM that it was sent to.
+    /// Number of the VM that it was sent to.
     pub vm: usize,
-    /// By which key.
+    /// Credentials that it carried.
     pub presented: Presented,
-    /// The last event that the caller had of an earlier attempt; 0 if it had none.
+    /// Last event ID that the caller had from an earlier attempt; 0 if it had none.
     pub after_event: u64,
-    /// When it was sent.
+    /// Time when it was sent.
     pub sent_ms: u64,
-    /// When its ending was known.
+    /// Time when its outcome was known.
     pub ended_ms: u64,
-    /// How long the caller waits.
+    /// Timeout that the caller names in the request, in milliseconds.
     pub patience_ms: u64,
-    /// How it ended.
+    /// Outcome for the caller.
     pub ending: Ending,
 }
 
 impl Attempt {
-    /// Returns the status of its answer; 0 if there was none.
+    /// Returns the HTTP status of the answer; 0 if there was none.
     pub fn status(&self) -> u16 {
         match self.ending {
             Ending::Answered { status, .. } => status,
@@ -147,145 +149,146 @@
     }
 }
 
-/// `Run` is a request as an upstream got it.
+/// One execution of a request, as the upstream received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// Its identity.
+    /// Request ID.
     pub id: String,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// When it came.
+    /// Time when the request reached the upstream.
     pub at_ms: u64,
-    /// Whether method, target and body are those of the request with this identity.
+    /// Whether method, target and body are those that the caller sent under this ID.
     pub unchanged: bool,
-    /// The event behind which it was to go on; 0 if it was to send all.
+    /// Event ID after which the upstream was to resume; 0 if it was to send all events.
     pub after_event: u64,
-    /// How its answer was spoiled, unless by its engine's end.
+    /// Injected fault of the answer, if any. A crash of the engine is not recorded here.
     pub fault: Option<AnswerFault>,
-    /// The organisations that the upstream was told.
+    /// Organisations that the request named to the upstream.
     pub organisations: Vec<String>,
-    /// Whether a key reached the upstream.
+    /// Whether a caller's key reached the upstream.
     pub shows_key: bool,
 }
 
-/// `Crash` is an engine that ended under a request.
+/// Crash of an engine while it ran a request that crashes engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The request's body, by which it is the same request again.
+    /// Body of the request, which identifies the same request across sends.
     pub body: String,
-    /// The engine.
+    /// Name of the engine.
     pub upstream: String,
-    /// When it ended.
+    /// Time of the crash.
     pub at_ms: u64,
 }
 
-/// `Place` is what a disturbance concerns.
+/// Part of the system that a disturbance concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// One VM's process, or its link to the store.
+    /// Process of the VM with this number.
     Vm(usize),
-    /// The store as all VMs see it.
+    /// Store or the links to it.
     Store,
-    /// Upstreams, their links and their answers.
+    /// Upstreams, the links to them and their answers.
     Upstreams,
 }
 
-/// `Disturbance` is a trouble as it was carried out.
+/// Fault as it was carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disturbance {
-    /// What was done.
+    /// Name of the fault.
     pub what: String,
-    /// What it concerns.
+    /// Part of the system that it concerns.
     pub place: Place,
-    /// When it began.
+    /// Time when the fault began.
     pub from_ms: u64,
-    /// When it ended.
+    /// Time when the fault ended.
     pub until_ms: u64,
 }
 
-/// `Drain` is an upstream's leaving as the store has acknowledged it.
+/// Planned departure of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// When.
+    /// Time when the store acknowledged the departure.
     pub at_ms: u64,
 }
 
-/// `ConfigurationProbe` is a question about the newest configuration.
+/// Request that shows whether a VM applies the newest configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationProbe {
-    /// The VM that was asked.
+    /// Number of the VM that was asked.
     pub vm: usize,
-    /// When the configuration was acknowledged.
+    /// Time when the store acknowledged the configuration.
     pub acknowledged_ms: u64,
-    /// When the VM was asked.
+    /// Time when the request was sent.
     pub sent_ms: u64,
-    /// Whether the route is part of the configuration.
+    /// Whether the route of the request is part of the configuration.
     pub exists: bool,
-    /// The status of the answer; 0 if there was none.
+    /// HTTP status of the answer; 0 if there was none.
     pub status: u16,
 }
 
-/// `StopSeen` is a planned stop of a VM.
+/// Planned stop of a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopSeen {
-    /// The VM.
+    /// Number of the VM.
     pub vm: usize,
-    /// When it was told.
+    /// Time when the VM got SIGTERM.
     pub at_ms: u64,
-    /// When its process had ended by itself, with its code; none if it did not in time.
+    /// Time when the process had exited, with its exit code (none if a signal ended it). None if it
+    /// did not exit in time.
     pub ended: Option<(u64, Option<i32>)>,
 }
 
-/// `Record` is everything that was seen.
+/// Everything that was observed in a soak.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
-    /// The callers' attempts.
+    /// Attempts of the callers while faults were injected.
     pub attempts: Vec<Attempt>,
-    /// The attempts after the last trouble, which every VM should serve.
+    /// Attempts after the last fault: each kind of request to each VM until it is served.
     pub last_attempts: Vec<Attempt>,
-    /// What upstreams ran.
+    /// Executions of requests at upstreams.
     pub runs: Vec<Run>,
-    /// Identities of questions that the soak asked besides the callers.
+    /// Request IDs of configuration probes.
     pub other_ids: BTreeSet<String>,
-    /// Requests with which engines ended, once for each copy.
+    /// Requests that were running when an engine crashed, one for each concurrent copy.
     pub crashes: Vec<Crash>,
-    /// Attempts of callers whose requests end engines, with the requests' bodies.
+    /// Request IDs and bodies of the requests that crash engines.
     pub crasher_ids: Vec<(String, String)>,
-    /// What engines were told, by engine.
+    /// Effects of orders on each engine, by the engine's name.
     pub engines: Vec<(String, EngineEffects)>,
-    /// The troubles.
+    /// Faults as they were carried out.
     pub disturbances: Vec<Disturbance>,
-    /// Upstreams that left.
+    /// Planned departures of upstreams.
     pub drains: Vec<Drain>,
-    /// Questions about configurations.
+    /// Probes of configurations.
     pub probes: Vec<ConfigurationProbe>,
-    /// Planned stops.
+    /// Planned stops of VMs.
     pub stops: Vec<StopSeen>,
-    /// Every key that was configured.
+    /// Every key that was configured, in order of its configuration.
     pub keys: Vec<KeySeen>,
-    /// Every limit that was configured, in order.
+    /// Every limit that was configured, in order of its configuration.
     pub limits: Vec<LimitSeen>,
-    /// Log lines of VMs that hold a key.
+    /// Log lines of VMs that contain a caller's key.
     pub key_lines: Vec<String>,
-    /// VMs whose process ended by itself, with what is known of it.
+    /// One line for each VM whose process exited or failed to start unexpectedly, with the reason.
     pub unexpected_exits: Vec<String>,
 }
 
-/// `ContinuedStreams` counts streams that went on at another upstream behind events of the one before.
+/// Counts of streams that a VM resumed at another upstream after events of an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ContinuedStreams {
-    /// All of them.
+    /// Number of such streams.
     pub streams: usize,
-    /// Those whose rest was spoiled.
+    /// Streams whose remainder was sent with a fault.
     pub faulty: usize,
-    /// Those that looked whole to their callers.
+    /// Streams that looked complete to their callers.
     pub whole: usize,
 }
 
 impl Record {
-    /// Returns how many streams were played over several upstreams.
+    /// Counts the streams that were assembled from several upstreams.
     pub fn continued(&self) -> ContinuedStreams {
         let mut runs: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
         for run in &self.runs {
@@ -294,15 +297,15 @@
         let mut counts = ContinuedStreams::default();
         for attempt in self.attempts.iter().chain(&self.last_attempts) {
             let runs = runs.get(attempt.id.as_str()).map_or(&[][..], Vec::as_slice);
-            let rests: Vec<&&Run> = runs
+            let resumed_runs: Vec<&&Run> = runs
                 .iter()
                 .filter(|run| run.after_event > attempt.after_event)
                 .filter(|run| runs.iter().any(|other| other.upstream != run.upstream))
                 .collect();
             let is_whole = matches!(attempt.ending, Ending::Answered { whole: true, .. });
-            counts.streams += usize::from(!rests.is_empty());
-            counts.faulty += usize::from(rests.iter().any(|run| run.fault.is_some()));
-            counts.whole += usize::from(!rests.is_empty() && is_whole);
+            counts.streams += usize::from(!resumed_runs.is_empty());
+            counts.faulty += usize::from(resumed_runs.iter().any(|run| run.fault.is_some()));
+            counts.whole += usize::from(!resumed_runs.is_empty() && is_whole);
         }
         counts
     }
--- a/crates/soak/src/streams.rs
+++ b/crates/soak/src/streams.rs
@@ -1,77 +1,77 @@
-//! Bodies as callers read them, and what is wrong with them.
+//! Bodies of answers as callers read them, and the flaws found in them.
 
 use std::collections::BTreeSet;
 
-/// The versions of weights that the engines name, and the words of their events.
+/// Versions of weights that the engines name, each with the text of its events.
 const TEXT_BY_VERSION: [(&str, &str); 2] = [("1", "piece"), ("2", "other piece")];
 
-/// `Piece` is a whole event of a stream.
+/// Complete event of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// An event as engines send it.
+    /// Event as engines send it.
     Event {
-        /// Its number.
+        /// Event ID.
         id: u64,
-        /// The version of the weights that made it.
+        /// Version of the weights that produced the event, known by its text.
         version: &'static str,
     },
-    /// Anything else.
+    /// Text that no engine sends as an event.
     Foreign,
 }
 
-/// `Tail` is what follows the last whole event of a stream.
+/// Bytes after the last complete event of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
-    /// Nothing.
+    /// No bytes.
     Nothing,
-    /// The beginning of the next event.
+    /// Beginning of the next event.
     Begun,
-    /// Anything else.
+    /// Bytes that do not begin the next event.
     Foreign,
 }
 
-/// `StreamSeen` is the body of a stream as far as its caller got it.
+/// Body of a stream as far as its caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamSeen {
-    /// The first event that the caller did not have.
+    /// ID of the first event that the caller did not have yet.
     pub first: u64,
-    /// The last event of a whole stream.
+    /// ID of the last event of a complete stream.
     pub last: u64,
-    /// The version of the weights that the head names.
+    /// Version of the weights that the head of the answer names.
     pub version: Option<String>,
-    /// The whole events.
+    /// Complete events.
     pub pieces: Vec<Piece>,
-    /// What follows them.
+    /// Bytes after the last complete event.
     pub tail: Tail,
 }
 
-/// `Flaw` is what is wrong with a body.
+/// What is wrong with a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
-    /// It holds what no upstream sends for the request.
+    /// The body contains bytes that no upstream sends for the request.
     Foreign,
-    /// It was made by two versions of the weights, or by another than its head names.
+    /// Events come from two versions of the weights, or from another than the head names.
     TwoVersions,
-    /// Events are missing between others.
+    /// An event is missing before another that came.
     Missing,
-    /// The caller had an event already.
+    /// An event came that the caller already had.
     Repeated,
-    /// Its events are not in order.
+    /// The event IDs are not in order.
     OutOfOrder,
-    /// It goes on behind the last event.
+    /// Events follow the last event of a complete stream.
     Beyond,
-    /// It looks whole, and ends in the middle of an event.
+    /// The stream looks complete but ends in the middle of an event.
     Unfinished,
-    /// It looks whole, and its last events are missing.
+    /// The stream looks complete but lacks its last events.
     Short,
 }
 
 impl StreamSeen {
-    /// Reads a body that should hold the events from `first` to `last`.
+    /// Parses a body that should contain the events with IDs from `first` to `last`.
     pub fn read(body: &str, first: u64, last: u64, version: Option<String>) -> Self {
         let mut blocks: Vec<&str> = body.split("\n\n").collect();
-        let rest = blocks.pop().unwrap_or_default();
-        let pieces: Vec<Piece> = blocks.into_iter().map(piece).collect();
+        let remainder = blocks.pop().unwrap_or_default();
+        let pieces: Vec<Piece> = blocks.into_iter().map(parse_piece).collect();
         let next = match pieces.last() {
             Some(Piece::Event { id, .. }) => id + 1,
             _ => first,
@@ -81,11 +81,11 @@
             last,
             version,
             pieces,
-            tail: tail(rest, next),
+            tail: classify_tail(remainder, next),
         }
     }
 
-    /// Returns the last event that the caller has now; none if it got no more.
+    /// Returns the ID of the last event that the body contains; none if it contains no event.
     pub fn last_id(&self) -> Option<u64> {
         match self.pieces.last() {
             Some(Piece::Event { id, .. }) => Some(*id),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns what is wrong with the stream, given whether it looks whole.
+    /// Returns the flaw of the stream, if any, given whether it looks complete to the caller.
     pub fn flaw(&self, whole: bool) -> Option<Flaw> {
         let mut ids = Vec::new();
         let mut versions: BTreeSet<&str> = BTreeSet::new();
@@ -107,16 +107,16 @@
         if !ids.is_empty() {
             versions.extend(self.version.as_deref());
         }
-        let given: BTreeSet<u64> = ids.iter().copied().collect();
+        let distinct: BTreeSet<u64> = ids.iter().copied().collect();
         let next = ids.last().map_or(self.first, |id| id + 1);
         let is_in_order = ids.is_sorted();
-        let is_repeated = given.len() < ids.len() || ids.iter().any(|id| *id < self.first);
+        let is_repeated = distinct.len() < ids.len() || ids.iter().any(|id| *id < self.first);
         match self.tail {
             _ if versions.len() > 1 => Some(Flaw::TwoVersions),
             _ if is_repeated => Some(Flaw::Repeated),
             _ if !is_in_order => Some(Flaw::OutOfOrder),
-            _ if given.last() > Some(&self.last) => Some(Flaw::Beyond),
-            _ if next - self.first > given.len() as u64 => Some(Flaw::Missing),
+            _ if distinct.last() > Some(&self.last) => Some(Flaw::Beyond),
+            _ if next - self.first > distinct.len() as u64 => Some(Flaw::Missing),
             Tail::Foreign => Some(Flaw::Foreign),
             Tail::Begun if whole => Some(Flaw::Unfinished),
             _ if whole && next <= self.last => Some(Flaw::Short),
@@ -125,20 +125,21 @@
     }
 }
 
-/// `BodySeen` is a body as far as its caller got it.
+/// Body of an answer as far as its caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodySeen {
-    /// That of a call.
+    /// Body of a call.
     Plain {
-        /// Whether it is what the upstream gives for the request.
+        /// Whether the body is what the upstream sends for this request, or the beginning of it if
+        /// the answer broke off.
         own: bool,
     },
-    /// That of a stream.
+    /// Body of a stream.
     Stream(StreamSeen),
 }
 
 impl BodySeen {
-    /// Returns what is wrong with the body, given whether it looks whole.
+    /// Returns the flaw of the body, if any, given whether it looks complete to the caller.
     pub fn flaw(&self, whole: bool) -> Option<Flaw> {
         match self {
             Self::Plain { own } => (!own).then_some(Flaw::Foreign),
@@ -147,7 +148,7 @@
     }
 }
 
-fn piece(block: &str) -> Piece {
+fn parse_piece(block: &str) -> Piece {
     let event = |(version, words): (&'static str, &str)| {
         let (id, data) = block.strip_prefix("id: ")?.split_once('\n')?;
         let id: u64 = id.parse().ok()?;
@@ -159,16 +160,16 @@
         .unwrap_or(Piece::Foreign)
 }
 
-/// Returns what the bytes behind the last whole event are, where a number is due.
-fn tail(rest: &str, next: u64) -> Tail {
+/// Classifies the bytes after the last complete event; `next` is the ID of the event that is due.
+fn classify_tail(remainder: &str, next: u64) -> Tail {
     let is_event = TEXT_BY_VERSION
         .iter()
-        .any(|(_, words)| format!("id: {next}\ndata: {words} {next}\n").starts_with(rest));
-    // Engines fill events that are too large to be held back with one letter.
-    let is_oversize = rest
+        .any(|(_, words)| format!("id: {next}\ndata: {words} {next}\n").starts_with(remainder));
+    // Engines fill an event that is too large to be buffered with one letter.
+    let is_oversize = remainder
         .strip_prefix(&format!("id: {next}\ndata: "))
         .is_some_and(|data| data.bytes().all(|byte| byte == b'x'));
-    match rest {
+    match remainder {
         "" => Tail::Nothing,
         _ if is_event || is_oversize => Tail::Begun,
         _ => Tail::Foreign,
