--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! Which promises were broken, from what callers and upstreams saw.
+//! Invariants of a soak and the check of a record against them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,75 +16,75 @@
 use crate::streams::BodySeen;
 use crate::streams::Flaw;
 
-/// How long before a moment a VM must have been undisturbed for a promise with a time to hold. The
-/// users' rules give 3 to 4 s.
+/// Time for which a VM must have been undisturbed before an invariant with a deadline applies to
+/// it. The rules for users allow 3 to 4 s.
 pub(crate) const UNDISTURBED_MS: u64 = 3_000;
 
-/// How long a leaving upstream may still get requests.
+/// Time after its leave notice within which an upstream may still get new requests.
 const DRAIN_DEADLINE_MS: u64 = 2_000;
 
-/// How long a configuration may take to be in force.
+/// Time within which a configuration must be in force once the store has acknowledged it.
 pub(crate) const CONFIGURATION_DEADLINE_MS: u64 = 2_000;
 
-/// How long a planned stop may take.
+/// Time within which a VM must have exited after SIGTERM.
 const STOP_DEADLINE_MS: u64 = 8_000;
 
-/// How far a promise with a time may be missed here: a machine that also runs other things wakes
-/// processes late.
+/// Tolerance of every deadline: a machine that runs other programs too wakes processes late.
 pub(crate) const SCHEDULING_SLACK_MS: u64 = 1_000;
 
-/// Engines that may end under a request before it is stopped.
+/// Number of engines that may crash under the same request before VMs must block it.
 const CRASHES_BEFORE_BLOCK: usize = 3;
 
-/// How long after the last of these a VM may still send it, and how often it may be sent later.
+/// Time after the last of these crashes within which VMs may still send the request.
 const BLOCK_DEADLINE_MS: u64 = 3_000;
+
+/// Number of sends of such a request that are tolerated later.
 const MAX_LATE_SENDS: usize = 3;
 
-/// Statuses that promise that the request has not run and will not.
+/// HTTP statuses that state that the request has not run and will not run.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// `Invariant` is what the soak checks.
+/// Property of the VMs that must hold whatever faults occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A request that may run once runs at most once.
+    /// A request that may run at most once does not run twice.
     RunsOnce,
-    /// A refusal that says "not run" is true.
+    /// A request refused with a status of `NOT_RUN_STATUSES` has not run.
     TrueRefusal,
-    /// A caller gets its own whole answer.
+    /// An answer that looks complete belongs to the caller's request and has no flaw.
     OwnAnswer,
-    /// Upstreams run only what callers sent, as they sent it.
+    /// Upstreams run only requests that callers sent, with method, target and body unchanged.
     OnlySentRequests,
-    /// One VM at a time gives orders.
+    /// Engines obey one lease holder at a time, with fencing tokens that never decrease.
     OneLeaseHolder,
-    /// No engine is told to hold more than it can.
+    /// No engine is ordered to load more than its memory holds.
     FitsMemory,
-    /// Each request has its final answer in time.
+    /// Each request gets its final answer within the caller's timeout.
     InTime,
-    /// A leaving upstream gets no new requests.
+    /// An upstream that has left gets no new requests.
     Drained,
-    /// A configuration is in force in time.
+    /// An acknowledged configuration is in force within its deadline.
     ConfigurationInForce,
-    /// A planned stop ends in time and cuts nothing.
+    /// A planned stop ends within its deadline and cuts off no request that runs.
     PlannedStop,
-    /// After the last trouble every VM serves every kind of request.
+    /// After the last fault every VM serves every kind of request again.
     Recovers,
-    /// No process ends by itself.
+    /// No process of a VM exits unless it is killed or stopped.
     StaysUp,
-    /// A request under which three engines ended soon reaches no more.
+    /// A request under which `CRASHES_BEFORE_BLOCK` engines crashed is soon sent to no more.
     StopsCrashers,
-    /// Only callers with a key that an organisation holds are served, and none of them is refused
-    /// as unknown.
+    /// Only callers with one configured key are served, and none of them gets status 401.
     ValidKeyRequired,
-    /// Upstreams are told the caller's organisation and no key.
+    /// Upstreams receive the name of the caller's organisation and no key.
     OrganisationForwarded,
-    /// Upstreams run no more for an organisation than its limit allows.
+    /// Upstreams run no more requests of an organisation than its limit allows.
     WithinLimits,
-    /// No log line holds a key.
+    /// No log line of a VM contains a key.
     KeysStaySecret,
 }
 
 impl Invariant {
-    /// Returns the word for reports.
+    /// Returns the name of the invariant in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::RunsOnce => "runs once",
@@ -108,12 +108,12 @@
     }
 }
 
-/// `Violation` is a broken promise.
+/// Violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
+    /// Invariant that does not hold.
     pub invariant: Invariant,
-    /// What was seen.
+    /// Observation that contradicts it, for the report.
     pub detail: String,
 }
 
@@ -123,27 +123,27 @@
     }
 }
 
-/// Returns the promises that were broken.
+/// Checks a record against every invariant and returns the violations found.
 pub fn check(record: &Record) -> Vec<Violation> {
     let checker = Checker::new(record);
     let mut found = Vec::new();
-    checker.runs(&mut found);
-    checker.answers(&mut found);
-    checker.orders(&mut found);
-    checker.times(&mut found);
-    checker.drains(&mut found);
-    checker.configurations(&mut found);
-    checker.stops(&mut found);
-    checker.recovery(&mut found);
-    checker.crashers(&mut found);
-    checker.keys(&mut found);
-    checker.organisations(&mut found);
-    checker.limits(&mut found);
-    checker.secrets(&mut found);
+    checker.check_runs(&mut found);
+    checker.check_answers(&mut found);
+    checker.check_orders(&mut found);
+    checker.check_deadlines(&mut found);
+    checker.check_drains(&mut found);
+    checker.check_configurations(&mut found);
+    checker.check_stops(&mut found);
+    checker.check_recovery(&mut found);
+    checker.check_crashers(&mut found);
+    checker.check_keys(&mut found);
+    checker.check_organisations(&mut found);
+    checker.check_limits(&mut found);
+    checker.check_secrets(&mut found);
     found
 }
 
-/// `Checker` holds a record with its requests by identity.
+/// Record with indices of its attempts and runs by request ID.
 pub(crate) struct Checker<'a> {
     pub record: &'a Record,
     pub attempts: BTreeMap<&'a str, &'a Attempt>,
@@ -176,11 +176,11 @@
         self.first_runs.get(id).copied()
     }
 
-    fn ran(&self, id: &str) -> usize {
+    fn run_count(&self, id: &str) -> usize {
         self.run_counts.get(id).copied().unwrap_or_default()
     }
 
-    fn runs(&self, found: &mut Vec<Violation>) {
+    fn check_runs(&self, found: &mut Vec<Violation>) {
         for run in &self.record.runs {
             let known = self.attempts.contains_key(run.id.as_str())
                 || self.record.other_ids.contains(&run.id);
@@ -190,7 +190,7 @@
             }
         }
         for attempt in self.attempts.values().filter(|it| !it.kind.may_run_again()) {
-            let ran = self.ran(&attempt.id);
+            let ran = self.run_count(&attempt.id);
             if ran > 1 {
                 let detail = format!("{} ran {ran} times", attempt.id);
                 found.push(violation(Invariant::RunsOnce, detail));
@@ -202,7 +202,7 @@
         }
     }
 
-    fn answers(&self, found: &mut Vec<Violation>) {
+    fn check_answers(&self, found: &mut Vec<Violation>) {
         for attempt in self.attempts.values() {
             let Ending::Answered {
                 status,
@@ -231,18 +231,18 @@
         }
     }
 
-    /// Returns whether an upstream alone gave no events to a caller that resumed by itself, which no
-    /// entry VM can tell from the end of the stream.
+    /// Returns whether a flaw comes from a single upstream that sent no events to a caller that
+    /// resumed the stream by itself. No entry VM can tell that from the end of the stream.
     fn is_empty_resumption(&self, attempt: &Attempt, body: &BodySeen, flaw: Flaw) -> bool {
         let has_events = match body {
             BodySeen::Plain { .. } => true,
             BodySeen::Stream(stream) => !stream.pieces.is_empty(),
         };
         let runs = self.record.runs.iter().filter(|it| it.id == attempt.id);
-        let mut given = runs.filter(|run| run.after_event == attempt.after_event);
+        let mut resumptions = runs.filter(|run| run.after_event == attempt.after_event);
         attempt.after_event > 0
             && !has_events
-            && given.any(|run| match run.fault {
+            && resumptions.any(|run| match run.fault {
                 Some(AnswerFault::CutThen { then, .. }) => match then {
                     StreamFault::Empty | StreamFault::NoContent => flaw == Flaw::Short,
                     StreamFault::OtherContent => flaw == Flaw::Foreign,
@@ -252,21 +252,21 @@
             })
     }
 
-    /// Returns whether an upstream broke its large answer to an attempt off.
+    /// Returns whether an upstream broke off a large answer to a request.
     fn is_large_cut(&self, id: &str) -> bool {
         let mut runs = self.record.runs.iter().filter(|run| run.id == id);
         runs.any(|run| run.fault == Some(AnswerFault::LargeCut))
     }
 
-    fn orders(&self, found: &mut Vec<Violation>) {
+    fn check_orders(&self, found: &mut Vec<Violation>) {
         let mut holders: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
         for (engine, effects) in &self.record.engines {
             if effects.overcommitted > 0 {
-                let detail = format!("{engine}: {} times", effects.overcommitted);
+                let detail = format!("{engine} was overcommitted {} times", effects.overcommitted);
                 found.push(violation(Invariant::FitsMemory, detail));
             }
             if !effects.holders.is_sorted_by_key(|(fence, _)| *fence) {
-                let detail = format!("{engine} obeyed {:?}", effects.holders);
+                let detail = format!("{engine} obeyed the holders {:?}", effects.holders);
                 found.push(violation(Invariant::OneLeaseHolder, detail));
             }
             for (fence, holder) in &effects.holders {
@@ -274,15 +274,15 @@
             }
         }
         for (fence, names) in holders.iter().filter(|(_, names)| names.len() > 1) {
-            let detail = format!("fence {fence} was used by {names:?}");
+            let detail = format!("fencing token {fence} was used by {names:?}");
             found.push(violation(Invariant::OneLeaseHolder, detail));
         }
     }
 
-    fn times(&self, found: &mut Vec<Violation>) {
+    fn check_deadlines(&self, found: &mut Vec<Violation>) {
         for attempt in &self.record.attempts {
-            let calm_from_ms = attempt.sent_ms.saturating_sub(UNDISTURBED_MS);
-            if self.disturbs_vm(attempt.vm, calm_from_ms, attempt.ended_ms) {
+            let undisturbed_from_ms = attempt.sent_ms.saturating_sub(UNDISTURBED_MS);
+            if self.disturbs_vm(attempt.vm, undisturbed_from_ms, attempt.ended_ms) {
                 continue;
             }
             let took_ms = attempt.ended_ms - attempt.sent_ms;
@@ -298,7 +298,7 @@
         }
     }
 
-    fn drains(&self, found: &mut Vec<Violation>) {
+    fn check_drains(&self, found: &mut Vec<Violation>) {
         for drain in &self.record.drains {
             let from_ms = drain.at_ms + DRAIN_DEADLINE_MS + SCHEDULING_SLACK_MS;
             let late = self
@@ -310,14 +310,14 @@
                 let Some(attempt) = self.attempts.get(run.id.as_str()) else {
                     continue;
                 };
-                let calm_from_ms = drain.at_ms.saturating_sub(UNDISTURBED_MS);
+                let undisturbed_from_ms = drain.at_ms.saturating_sub(UNDISTURBED_MS);
                 let is_sent_later = attempt.sent_ms > from_ms;
                 if is_sent_later
-                    && !self.disturbs_vm(attempt.vm, calm_from_ms, run.at_ms)
-                    && !self.disturbs_store(calm_from_ms, drain.at_ms + DRAIN_DEADLINE_MS)
+                    && !self.disturbs_vm(attempt.vm, undisturbed_from_ms, run.at_ms)
+                    && !self.disturbs_store(undisturbed_from_ms, drain.at_ms + DRAIN_DEADLINE_MS)
                 {
                     let detail = format!(
-                        "{} reached {} {} ms after its leaving",
+                        "{} reached {} {} ms after its departure",
                         run.id,
                         run.upstream,
                         run.at_ms - drain.at_ms
@@ -328,24 +328,24 @@
         }
     }
 
-    fn configurations(&self, found: &mut Vec<Violation>) {
+    fn check_configurations(&self, found: &mut Vec<Violation>) {
         for probe in &self.record.probes {
-            let calm_from_ms = probe.acknowledged_ms.saturating_sub(UNDISTURBED_MS);
+            let undisturbed_from_ms = probe.acknowledged_ms.saturating_sub(UNDISTURBED_MS);
             let is_due = probe.sent_ms > probe.acknowledged_ms + CONFIGURATION_DEADLINE_MS;
             if !is_due
-                || self.disturbs_vm(probe.vm, calm_from_ms, probe.sent_ms)
-                || self.disturbs_store(calm_from_ms, probe.sent_ms)
+                || self.disturbs_vm(probe.vm, undisturbed_from_ms, probe.sent_ms)
+                || self.disturbs_store(undisturbed_from_ms, probe.sent_ms)
             {
                 continue;
             }
-            // A call on a new route may still fail for an upstream's sake.
+            // A call on a new route may still fail because of an upstream.
             let is_right = match probe.exists {
                 true => probe.status != 404,
                 false => probe.status == 404,
             };
             if !is_right {
                 let detail = format!(
-                    "vm{} answered {} {} ms after the change, route there: {}",
+                    "vm{} answered {} {} ms after the change, route configured: {}",
                     probe.vm,
                     probe.status,
                     probe.sent_ms - probe.acknowledged_ms,
@@ -356,7 +356,7 @@
         }
     }
 
-    fn stops(&self, found: &mut Vec<Violation>) {
+    fn check_stops(&self, found: &mut Vec<Violation>) {
         for stop in &self.record.stops {
             let until_ms = stop.at_ms + STOP_DEADLINE_MS + SCHEDULING_SLACK_MS;
             let is_disturbed = self.record.disturbances.iter().any(|it| {
@@ -371,25 +371,26 @@
             match stop.ended {
                 Some((ended_ms, Some(0))) if ended_ms <= until_ms => {}
                 ended => {
-                    let detail = format!("vm{} told at {} ms: {ended:?}", stop.vm, stop.at_ms);
+                    let detail =
+                        format!("vm{} stopped at {} ms: exit {ended:?}", stop.vm, stop.at_ms);
                     found.push(violation(Invariant::PlannedStop, detail));
                 }
             }
             let ended_ms = stop.ended.map_or(until_ms, |(at_ms, _)| at_ms);
             for attempt in self.record.attempts.iter().filter(|it| it.vm == stop.vm) {
-                let around = attempt.sent_ms <= ended_ms && attempt.ended_ms >= stop.at_ms;
-                let has_end = !matches!(
+                let overlaps_stop = attempt.sent_ms <= ended_ms && attempt.ended_ms >= stop.at_ms;
+                let is_complete = !matches!(
                     attempt.ending,
                     Ending::Unanswered | Ending::Answered { whole: false, .. }
                 );
-                // A stream may also break off because its engine did, a large call because its
-                // upstream did.
+                // A stream may also break off because of its engine, and a large answer because of
+                // its upstream.
                 let is_excused = match attempt.kind.is_stream() {
                     true => self.disturbs(&Place::Upstreams, 0, attempt.ended_ms),
                     false => self.is_large_cut(&attempt.id),
                 };
-                if around && !has_end && self.ran(&attempt.id) > 0 && !is_excused {
-                    let detail = format!("{} ran and was cut", attempt.id);
+                if overlaps_stop && !is_complete && self.run_count(&attempt.id) > 0 && !is_excused {
+                    let detail = format!("{} ran and was cut off", attempt.id);
                     found.push(violation(Invariant::PlannedStop, detail));
                 }
             }
@@ -399,7 +400,7 @@
         }
     }
 
-    fn recovery(&self, found: &mut Vec<Violation>) {
+    fn check_recovery(&self, found: &mut Vec<Violation>) {
         let mut served: BTreeMap<(usize, Kind), bool> = BTreeMap::new();
         for attempt in &self.record.last_attempts {
             let is_served = matches!(
@@ -418,7 +419,7 @@
         }
     }
 
-    fn crashers(&self, found: &mut Vec<Violation>) {
+    fn check_crashers(&self, found: &mut Vec<Violation>) {
         let mut crashes: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
         for crash in &self.record.crashes {
             crashes.entry(&crash.body).or_default().push(crash.at_ms);
@@ -435,15 +436,15 @@
             let late_ms = third_ms + BLOCK_DEADLINE_MS;
             let late = self.record.runs.iter().filter(|run| {
                 let vm = self.attempts.get(run.id.as_str()).map(|it| it.vm);
-                let calm_from_ms = run.at_ms.saturating_sub(UNDISTURBED_MS);
+                let undisturbed_from_ms = run.at_ms.saturating_sub(UNDISTURBED_MS);
                 bodies.get(run.id.as_str()) == Some(body)
                     && run.at_ms > late_ms
-                    && vm.is_some_and(|vm| !self.disturbs_vm(vm, calm_from_ms, run.at_ms))
+                    && vm.is_some_and(|vm| !self.disturbs_vm(vm, undisturbed_from_ms, run.at_ms))
             });
-            let late = late.count();
-            if late > MAX_LATE_SENDS {
+            let late_sends = late.count();
+            if late_sends > MAX_LATE_SENDS {
                 let detail = format!(
-                    "{body} reached engines {late} times later than {late_ms} ms; {} ended",
+                    "{body} reached engines {late_sends} times later than {late_ms} ms; {} crashed",
                     times.len()
                 );
                 found.push(violation(Invariant::StopsCrashers, detail));
--- a/crates/soak/src/draws.rs
+++ b/crates/soak/src/draws.rs
@@ -115,7 +115,7 @@
         if draw.random.random_ratio(2, 3) {
             at_ms += draw
                 .random
-                .random_range(FAULT_INTERVAL_MS / 3..MEAN_FAULT_INTERVAL_MS * 2);
+                .random_range(FAULT_INTERVAL_MS / 3..FAULT_INTERVAL_MS * 2);
         }
     }
     faults
--- a/crates/soak/src/organisation_invariants.rs
+++ b/crates/soak/src/organisation_invariants.rs
@@ -1,4 +1,4 @@
-//! Which promises about organisations, their keys and limits were broken.
+//! Checks of the invariants about organisations, their keys and limits.
 
 use std::collections::BTreeSet;
 
@@ -17,21 +17,21 @@
 use crate::record::ROLLBACK;
 use crate::record::Record;
 
-/// `WindowUse` is what upstreams ran for an organisation with a limit in one of its windows.
+/// Use of an organisation's limit in one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WindowUse {
-    /// The organisation's name.
+    /// Name of the organisation.
     pub organisation: String,
-    /// When the window begins.
+    /// Start of the window in milliseconds since the start of the soak.
     pub from_ms: u64,
-    /// Requests that were sent and reached an upstream in it.
+    /// Number of requests that were sent and reached an upstream within the window.
     pub ran: usize,
-    /// The most that are allowed in it.
+    /// Number of requests that the limit allows in the window.
     pub most: usize,
 }
 
-/// Returns the window in which the greatest part of a limit was used, or the most beyond it; none
-/// if no organisation with a limit was served.
+/// Returns the window in which the greatest share of a limit was used; none if no organisation with
+/// a limit was served.
 pub fn fullest_window(record: &Record) -> Option<WindowUse> {
     let windows = Checker::new(record).windows();
     windows
@@ -40,7 +40,7 @@
 }
 
 impl Checker<'_> {
-    pub fn keys(&self, found: &mut Vec<Violation>) {
+    pub fn check_keys(&self, found: &mut Vec<Violation>) {
         for attempt in self.attempts.values() {
             let reached_ms = self.first_run(&attempt.id).map(|run| run.at_ms);
             let is_wrong = match attempt.presented {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns whether a request ran though its key had been taken away in time.
+    /// Returns whether a request ran although every VM had to know that its key was revoked.
     fn runs_without_key(&self, attempt: &Attempt, key: usize, reached_ms: Option<u64>) -> bool {
         match (self.record.keys[key].left_ms, reached_ms) {
             (Some(left_ms), Some(reached_ms)) => {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns whether a request was refused as unknown though its key was in force.
+    /// Returns whether a request got status 401 although its key was in force.
     fn is_refused_with_key(&self, attempt: &Attempt, key: usize) -> bool {
         let key = &self.record.keys[key];
         let is_held = key.leaving_ms.is_none_or(|at_ms| attempt.ended_ms < at_ms);
@@ -87,18 +87,18 @@
         attempt.status() == 401 && is_held && is_known
     }
 
-    pub fn organisations(&self, found: &mut Vec<Violation>) {
+    pub fn check_organisations(&self, found: &mut Vec<Violation>) {
         for run in &self.record.runs {
             let attempt = self.attempts.get(run.id.as_str());
-            let is_told = match attempt.map(|attempt| attempt.presented) {
+            let is_forwarded = match attempt.map(|attempt| attempt.presented) {
                 Some(Presented::Key(key)) => {
                     run.organisations == [self.record.keys[key].organisation.as_str()]
                 }
                 _ => true,
             };
-            if !is_told || run.shows_key {
+            if !is_forwarded || run.shows_key {
                 let detail = format!(
-                    "{} reached {} for {:?}, with a key: {}",
+                    "{} reached {} for {:?}, key forwarded: {}",
                     run.id, run.upstream, run.organisations, run.shows_key
                 );
                 found.push(violation(Invariant::OrganisationForwarded, detail));
@@ -106,7 +106,7 @@
         }
     }
 
-    pub fn limits(&self, found: &mut Vec<Violation>) {
+    pub fn check_limits(&self, found: &mut Vec<Violation>) {
         let mut windows = self.windows();
         windows.retain(|window| window.ran > window.most);
         windows.dedup_by(|next, first| next.organisation == first.organisation);
@@ -117,12 +117,15 @@
             most,
         } in windows
         {
-            let detail = format!("{organisation} ran {ran} of {most} from {from_ms} ms on");
+            let detail = format!(
+                "{organisation} ran {ran} requests of {most} in the window from {from_ms} ms"
+            );
             found.push(violation(Invariant::WithinLimits, detail));
         }
     }
 
-    /// Returns the windows that begin with a request of an organisation with a limit, in order.
+    /// Returns the windows that start with a request of an organisation with a limit, by
+    /// organisation and time.
     fn windows(&self) -> Vec<WindowUse> {
         let limits = self.record.limits.iter();
         let limited: BTreeSet<&str> = limits.map(|it| it.organisation.as_str()).collect();
@@ -157,8 +160,8 @@
         }
     }
 
-    /// Returns the most requests in a window that any limit in force during it allows. A lower
-    /// limit binds one window after every VM could know of it.
+    /// Returns the number of requests that the highest limit in force during a window allows. A
+    /// lower limit applies one window after every VM had to know it.
     fn most_in_window(&self, organisation: &str, from_ms: u64) -> Option<usize> {
         let limits = self.record.limits.iter();
         let limits: Vec<&LimitSeen> = limits
@@ -176,11 +179,12 @@
         in_force.map(|(limit, _)| limit.most_in_window).max()
     }
 
-    /// Returns when a VM, or every VM, must know a configuration: what disturbs it or the store
-    /// before then puts that off, and a set-back of the store until a moment begins it anew.
+    /// Returns when a configuration must be in force at a VM, or at every VM. A disturbance of the
+    /// VM or the store before then postpones it, and a rollback of the store that starts by
+    /// `until_ms` restarts the time.
     fn in_force_by_ms(&self, vm: Option<usize>, acknowledged_ms: u64, until_ms: u64) -> u64 {
         let disturbances = || self.record.disturbances.iter();
-        let begun_ms = disturbances()
+        let start_ms = disturbances()
             .filter(|it| it.what == ROLLBACK && it.from_ms <= until_ms)
             .map(|it| it.until_ms)
             .fold(acknowledged_ms, u64::max);
@@ -191,10 +195,10 @@
                 Place::Upstreams => false,
             })
             .map(|it| (it.from_ms, it.until_ms + UNDISTURBED_MS))
-            .filter(|(_, until_ms)| *until_ms >= begun_ms)
+            .filter(|(_, until_ms)| *until_ms >= start_ms)
             .collect();
         delays.sort_unstable();
-        let in_force_by_ms = begun_ms + CONFIGURATION_DEADLINE_MS + SCHEDULING_SLACK_MS;
+        let in_force_by_ms = start_ms + CONFIGURATION_DEADLINE_MS + SCHEDULING_SLACK_MS;
         let delays = delays.into_iter();
         delays.fold(
             in_force_by_ms,
@@ -205,7 +209,7 @@
         )
     }
 
-    pub fn secrets(&self, found: &mut Vec<Violation>) {
+    pub fn check_secrets(&self, found: &mut Vec<Violation>) {
         for line in &self.record.key_lines {
             found.push(violation(Invariant::KeysStaySecret, line.clone()));
         }
