--- a/crates/soak/src/keys.rs
+++ b/crates/soak/src/keys.rs
@@ -1,4 +1,4 @@
-//! Organisations of the soak, the keys that their callers present, and their limits.
+//! Organisations of the soak, with their keys and limits, and the keys that callers present.
 
 use std::collections::BTreeSet;
 
@@ -14,48 +14,51 @@
 use crate::record::LimitSeen;
 use crate::record::Presented;
 
-/// The names of the organisations. The first has a limit; the last keeps its keys.
+/// Names of the organisations. The first has a limit; the last keeps its keys.
 pub(crate) const ORGANISATIONS: [&str; 3] = ["north", "south", "east"];
 
-/// The organisation with a limit.
+/// Index of the organisation that has a limit.
 pub(crate) const LIMITED_ORGANISATION: usize = 0;
 
-/// The organisation whose keys stay, and which has no limit.
+/// Index of the organisation whose keys are never revoked and which has no limit.
 pub(crate) const STABLE_ORGANISATION: usize = 2;
 
-/// The limit at the start.
+/// Limit in the initial configuration, in requests per second.
 const INITIAL_RATE_PER_S: u32 = 25;
 
-/// The window in which the use of a limit is counted.
+/// Window in which the requests of an organisation are counted against its limit.
 pub(crate) const LIMIT_WINDOW_MS: u64 = 4_000;
 
-/// The part of a window's limit that may be used beyond it, in percent.
+/// Overuse of a window's limit that the VMs are configured to allow, in percent of the limit.
 const LIMIT_OVER_PERCENT: u64 = 10;
 
-/// Keys of each organisation at the start.
 const INITIAL_KEYS_PER_ORGANISATION: usize = 2;
 
-/// What every key holds, by which it is found where it must not be.
+/// Text that every key contains, by which keys are found where none may appear.
 pub(crate) const KEY_MARK: &str = "-secret-";
 
-/// A key that no organisation ever holds.
+/// Key that no organisation ever holds.
 const UNKNOWN_KEY: &str = "nobody-secret-0";
 
-/// Of a hundred requests, those without a key, with an unknown one, with two.
+/// Percentage of requests without a key.
 const NO_KEY_PERCENT: u32 = 3;
+
+/// Percentage of requests with a key that no organisation holds.
 const UNKNOWN_KEY_PERCENT: u32 = 3;
+
+/// Percentage of requests with two keys.
 const TWO_KEYS_PERCENT: u32 = 2;
 
-/// One in so many requests carries a key that was taken away, where there is one.
+/// One in this many requests carries a revoked key, if its organisation has one.
 const REVOKED_KEY_ONE_IN: u32 = 8;
 
-/// One in so many requests claims another organisation.
+/// One in this many requests names another organisation than that of its key.
 const FALSE_CLAIM_ONE_IN: u32 = 8;
 
-/// `Keys` is what the operators have configured, and what callers know of it.
+/// Keys and limits that the operators have configured, from which callers draw their keys.
 pub(crate) struct Keys {
     clock: Clock,
-    held: Mutex<KeyState>,
+    state: Mutex<KeyState>,
 }
 
 struct KeyState {
@@ -64,22 +67,22 @@
     rate_per_s: u32,
 }
 
-/// `OrganisationChange` is a change of organisations.
+/// Change of an organisation's keys or limit by the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrganisationChange {
-    /// A key is added.
+    /// Adds a key.
     Add {
-        /// The organisation.
+        /// Index of the organisation.
         organisation: usize,
     },
-    /// The oldest key is taken away, unless it is the only one.
+    /// Revokes the oldest key, unless it is the only one.
     Take {
-        /// The organisation.
+        /// Index of the organisation.
         organisation: usize,
     },
-    /// The limit is another.
+    /// Changes the limit of the organisation that has one.
     Limit {
-        /// Requests a second.
+        /// New limit in requests per second.
         rate_per_s: u32,
     },
 }
@@ -98,7 +101,7 @@
         });
         Self {
             clock,
-            held: Mutex::new(KeyState {
+            state: Mutex::new(KeyState {
                 keys: keys.collect(),
                 limits: vec![limit(INITIAL_RATE_PER_S, 0, 0)],
                 rate_per_s: INITIAL_RATE_PER_S,
@@ -106,82 +109,84 @@
         }
     }
 
-    /// Returns the organisations as they are configured.
+    /// Returns the organisations as the operators configure them now.
     pub fn organisations(&self) -> Vec<SiteOrganisation> {
-        self.held.lock().organisations(None)
+        self.state.lock().organisations(None)
     }
 
-    /// Returns every key and every limit that was configured.
+    /// Returns every key and every limit that was configured so far.
     pub fn seen(&self) -> (Vec<KeySeen>, Vec<LimitSeen>) {
-        let held = self.held.lock();
-        (held.keys.clone(), held.limits.clone())
+        let state = self.state.lock();
+        (state.keys.clone(), state.limits.clone())
     }
 
-    /// Carries a change out with what writes organisations into the store.
+    /// Applies a change: `write` writes the new organisations into the store, and returns once they
+    /// are acknowledged.
     pub fn change(&self, change: OrganisationChange, write: impl FnOnce(&[SiteOrganisation])) {
         let written_ms = self.clock.now_ms();
         let (organisations, added) = {
-            let mut held = self.held.lock();
+            let mut state = self.state.lock();
             let added = match change {
                 OrganisationChange::Add { organisation } => Some(KeySeen {
-                    secret: secret(organisation, held.keys.len()),
+                    secret: secret(organisation, state.keys.len()),
                     organisation: ORGANISATIONS[organisation].to_owned(),
                     acknowledged_ms: 0,
                     leaving_ms: None,
                     left_ms: None,
                 }),
                 OrganisationChange::Take { organisation } => {
-                    held.begin_revoking(ORGANISATIONS[organisation], written_ms);
+                    state.begin_revoking(ORGANISATIONS[organisation], written_ms);
                     None
                 }
                 OrganisationChange::Limit { rate_per_s } => {
-                    held.rate_per_s = rate_per_s;
+                    state.rate_per_s = rate_per_s;
                     None
                 }
             };
-            (held.organisations(added.as_ref()), added)
+            (state.organisations(added.as_ref()), added)
         };
         write(&organisations);
         let acknowledged_ms = self.clock.now_ms();
-        let mut held = self.held.lock();
-        held.keys.extend(added.map(|key| KeySeen {
+        let mut state = self.state.lock();
+        state.keys.extend(added.map(|key| KeySeen {
             acknowledged_ms,
             ..key
         }));
         if let OrganisationChange::Limit { rate_per_s } = change {
             let limit = limit(rate_per_s, written_ms, acknowledged_ms);
-            held.limits.push(limit);
+            state.limits.push(limit);
         }
-        let left = held.keys.iter_mut();
+        let left = state.keys.iter_mut();
         left.filter(|key| key.leaving_ms == Some(written_ms))
             .for_each(|key| key.left_ms = Some(acknowledged_ms));
     }
 
-    /// Returns a request with a key of the organisation that keeps its keys.
+    /// Returns a request with a key of the organisation whose keys are never revoked.
     pub fn with_stable_key(&self, ask: &Ask) -> (Ask, Presented) {
-        let held = self.held.lock();
-        let key = held
-            .of(ORGANISATIONS[STABLE_ORGANISATION])
+        let state = self.state.lock();
+        let key = state
+            .valid_keys(ORGANISATIONS[STABLE_ORGANISATION])
             .next()
             .unwrap_or_default();
         (
-            ask.clone().without_keys().with_key(&held.keys[key].secret),
+            ask.clone().without_keys().with_key(&state.keys[key].secret),
             Presented::Key(key),
         )
     }
 
-    /// Returns a request as a caller of an organisation sends it, with or without a good key.
+    /// Returns a request as a caller of an organisation sends it: with a valid key or with a
+    /// revoked, an unknown, two or no key, as drawn.
     pub fn with_drawn_key(
         &self,
         ask: &Ask,
         organisation: usize,
         random: &mut ChaCha8Rng,
     ) -> (Ask, Presented) {
-        let held = self.held.lock();
+        let state = self.state.lock();
         let name = ORGANISATIONS[organisation];
-        let kept: Vec<usize> = held.of(name).collect();
-        let keys = held.keys.iter().enumerate();
-        let taken: Vec<usize> = keys
+        let valid: Vec<usize> = state.valid_keys(name).collect();
+        let keys = state.keys.iter().enumerate();
+        let revoked: Vec<usize> = keys
             .filter(|(_, key)| key.organisation == name && key.leaving_ms.is_some())
             .map(|(index, _)| index)
             .collect();
@@ -190,10 +195,10 @@
             true => ask.claiming(ORGANISATIONS[(organisation + 1) % ORGANISATIONS.len()]),
             false => ask,
         };
-        let is_late = random.random_ratio(1, REVOKED_KEY_ONE_IN) && !taken.is_empty();
-        let from = if is_late { &taken } else { &kept };
+        let uses_revoked = random.random_ratio(1, REVOKED_KEY_ONE_IN) && !revoked.is_empty();
+        let from = if uses_revoked { &revoked } else { &valid };
         let key = from[random.random_range(0..from.len())];
-        let secret = &held.keys[key].secret;
+        let secret = &state.keys[key].secret;
         match random.random_range(0..100) {
             drawn if drawn < NO_KEY_PERCENT => (ask, Presented::None),
             drawn if drawn < NO_KEY_PERCENT + UNKNOWN_KEY_PERCENT => {
@@ -208,16 +213,16 @@
 }
 
 impl KeyState {
-    /// Returns the keys of an organisation that are not being taken away.
-    fn of<'a>(&'a self, name: &'a str) -> impl Iterator<Item = usize> + 'a {
+    /// Returns the indices of an organisation's keys whose revocation has not begun.
+    fn valid_keys<'a>(&'a self, name: &'a str) -> impl Iterator<Item = usize> + 'a {
         let keys = self.keys.iter().enumerate();
         keys.filter(move |(_, key)| key.organisation == name && key.leaving_ms.is_none())
             .map(|(index, _)| index)
     }
 
     fn begin_revoking(&mut self, name: &str, at_ms: u64) {
-        let kept: Vec<usize> = self.of(name).collect();
-        if let [oldest, _, ..] = kept[..] {
+        let valid: Vec<usize> = self.valid_keys(name).collect();
+        if let [oldest, _, ..] = valid[..] {
             self.keys[oldest].leaving_ms = Some(at_ms);
         }
     }
@@ -232,7 +237,7 @@
             .map(|(index, name)| SiteOrganisation {
                 name: (*name).to_owned(),
                 keys: self
-                    .of(name)
+                    .valid_keys(name)
                     .map(|key| self.keys[key].secret.clone())
                     .chain(
                         added
@@ -248,7 +253,7 @@
     }
 }
 
-/// Returns the settings of entry VMs about organisations.
+/// Returns the settings of the entry VMs for limits of organisations.
 pub(crate) fn vm_settings() -> String {
     format!(
         "[organisations]\nlimit_window_s = {}\nlimit_over = {}\nlimit_slack = 0\n",
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -177,7 +177,7 @@
             let seed = options.seed.wrapping_mul(1_000) + 900 + number as u64;
             thread::spawn(move || {
                 workload.clock.wait_until(began_ms + crasher.at_ms);
-                workload.crash(&crasher, seed);
+                workload.run_crasher(&crasher, seed);
             })
         })
         .collect()
@@ -202,7 +202,7 @@
                 .wrapping_add(500 + number as u64);
             thread::spawn(move || {
                 workload.clock.wait_until(began_ms + burst.at_ms);
-                workload.burst(&burst, seed);
+                workload.run_burst(&burst, seed);
             })
         })
         .collect()
@@ -253,7 +253,7 @@
     for vm in 0..options.vms {
         for kind in Kind::ALL {
             loop {
-                let request = workload.request(kind, &mut random);
+                let request = workload.new_request(kind, &mut random);
                 let keyed = workload.keys.with_stable_key(&request);
                 let (attempt, _) = workload.attempt(vm, kind, &keyed, None, None);
                 let is_served = matches!(
--- a/crates/soak/src/vms.rs
+++ b/crates/soak/src/vms.rs
@@ -129,7 +129,7 @@
     }
 
     /// Returns where callers reach a VM, if its process runs.
-    pub fn callers(&self, vm: usize) -> Option<SocketAddr> {
+    pub fn caller_address(&self, vm: usize) -> Option<SocketAddr> {
         let slot = self.slots[vm].lock();
         slot.process.as_ref().map(|process| process.callers)
     }
--- a/crates/soak/src/workload.rs
+++ b/crates/soak/src/workload.rs
@@ -1,4 +1,4 @@
-//! Callers that go on asking.
+//! Callers of the soak: what they send, how they read answers and how they resume streams.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,52 +32,51 @@
 use crate::streams::StreamSeen;
 use crate::vms::Vms;
 
-/// How long a caller waits for its answer.
+/// Timeout that a caller names in its request.
 pub(crate) const CALLER_TIMEOUT_MS: u64 = 3_000;
 
-/// How much longer a caller reads, to see an answer that comes too late.
+/// Time for which a caller reads beyond its timeout, so that late answers are recorded.
 const LATE_ANSWER_READ_MS: u64 = 2_500;
 
-/// How long a new connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The pause after a connection that could not be opened.
+/// Pause of a caller after a request that could not be sent.
 const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// One in so many callers leaves before its answer.
+/// One in this many requests is abandoned by its caller before the answer.
 const DISCONNECT_ONE_IN: u32 = 25;
 
-/// One in so many callers goes on with another VM on another connection.
+/// Before one in this many requests a caller closes its connection and draws a VM anew.
 const CHANGE_VM_ONE_IN: u32 = 12;
 
-/// One in so many streams is the same as others.
+/// One in this many streams has the same body as others.
 const SHARED_PROMPT_ONE_IN: u32 = 4;
 
-/// One in so many streams that broke off is resumed by its caller.
+/// One in this many streams that broke off is resumed by its caller.
 const RESUME_ONE_IN: u32 = 2;
 
-/// The header in which a caller names the last event that it has.
+/// Request header that names the last event ID which the caller has.
 pub(crate) const LAST_EVENT_HEADER: &str = "Last-Event-Id";
 
-/// Sets the draws of keys apart from those of the callers.
+/// Mask that gives the draws of keys a seed of their own.
 const KEY_SEED_MASK: u64 = 0x6b65_7973_0000_0000;
 
-/// The models that callers name.
+/// Models that callers name.
 pub(crate) const MODELS: [&str; 4] = ["m0", "m1", "m2", "m3"];
 
-/// What the callers share.
+/// State that the callers share, with what they sent and observed.
 pub(crate) struct Workload {
     pub clock: Clock,
     pub vms: Arc<Vms>,
     pub keys: Arc<Keys>,
     pub attempts: Mutex<Vec<Attempt>>,
-    /// What was sent under each identity.
+    /// Every request that was sent, by request ID.
     pub sent: Mutex<HashMap<String, Ask>>,
-    /// Identities of requests that end engines, with their bodies.
+    /// Request IDs and bodies of the requests that crash engines.
     pub crasher_ids: Mutex<Vec<(String, String)>>,
     pub stopped: AtomicBool,
     next_id: AtomicU64,
-    /// Events of a whole stream.
+    /// Number of events of a complete stream.
     events: u64,
 }
 
@@ -96,13 +95,13 @@
         }
     }
 
-    /// Asks for an organisation until the soak ends, on a connection that is kept as long as it
-    /// stands.
+    /// Sends requests of an organisation until the workload stops, on one connection as long as it
+    /// lasts.
     pub fn run_caller(&self, organisation: usize, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut key_random = ChaCha8Rng::seed_from_u64(seed ^ KEY_SEED_MASK);
         let mut kept: Option<(usize, SocketAddr, Caller)> = None;
-        let mut rest: Option<Ask> = None;
+        let mut resumption: Option<Ask> = None;
         while !self.stopped.load(Ordering::Acquire) {
             if random.random_ratio(1, CHANGE_VM_ONE_IN) {
                 kept = None;
@@ -114,9 +113,9 @@
             let drawn = draw_kind(&mut random);
             let leaves = random.random_ratio(1, DISCONNECT_ONE_IN);
             let leaves_after_ms = leaves.then(|| random.random_range(1..60));
-            let (kind, request) = match rest.take() {
+            let (kind, request) = match resumption.take() {
                 Some(request) => (Kind::Quick, request),
-                None => (drawn, self.request(drawn, &mut random)),
+                None => (drawn, self.new_request(drawn, &mut random)),
             };
             let connection = kept.take().map(|(_, address, caller)| (address, caller));
             let keyed = self
@@ -126,16 +125,16 @@
             if attempt.ending == Ending::Unsent {
                 thread::sleep(CONNECT_RETRY_PAUSE);
             }
-            rest = self.rest(&attempt, &request, &mut random);
+            resumption = self.resumption(&attempt, &request, &mut random);
             self.attempts.lock().push(attempt);
             kept = connection.map(|(address, caller)| (vm, address, caller));
             thread::sleep(Duration::from_millis(random.random_range(2..40)));
         }
     }
 
-    /// Sends a request that ends engines again and again until the soak ends, each time to another
-    /// VM and under another identity.
-    pub fn crash(&self, crasher: &Crasher, seed: u64) {
+    /// Sends a request that crashes engines again and again until the workload stops, each time to
+    /// a VM drawn at random and under a new request ID.
+    pub fn run_crasher(&self, crasher: &Crasher, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         while !self.stopped.load(Ordering::Acquire) {
             let number = self.next_id.fetch_add(1, Ordering::Relaxed);
@@ -157,8 +156,8 @@
         }
     }
 
-    /// Sends calls of an organisation at any VM until its burst or the soak ends.
-    pub fn burst(&self, burst: &Burst, seed: u64) {
+    /// Sends calls of an organisation to VMs drawn at random until the burst or the workload ends.
+    pub fn run_burst(&self, burst: &Burst, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut key_random = ChaCha8Rng::seed_from_u64(seed ^ KEY_SEED_MASK);
         let until_ms = self.clock.now_ms() + burst.for_ms;
@@ -172,7 +171,7 @@
                 true => Kind::Look,
                 false => Kind::Book,
             };
-            let request = self.request(kind, &mut random);
+            let request = self.new_request(kind, &mut random);
             let keyed = self
                 .keys
                 .with_drawn_key(&request, burst.organisation, &mut key_random);
@@ -183,7 +182,7 @@
         }
     }
 
-    /// Sends one request and returns what became of it, and the connection if it can be kept.
+    /// Sends one request and returns its outcome, and the connection if it can be reused.
     pub fn attempt(
         &self,
         vm: usize,
@@ -218,15 +217,16 @@
         match caller.answer() {
             Ok(answer) if answer.head.is_none() => (attempt(Ending::Unanswered), None),
             Ok(answer) => {
-                let keeps = !answer.closes();
+                let is_reusable = !answer.closes();
                 let ending = self.ending(kind, request, &answer);
-                (attempt(ending), keeps.then_some((address, caller)))
+                (attempt(ending), is_reusable.then_some((address, caller)))
             }
             Err(_) => (attempt(unparsable_answer()), None),
         }
     }
 
-    /// Returns the kept connection if it still stands, or else a new one.
+    /// Returns the kept connection if it is still open, or else a new one; none if the VM does not
+    /// run or refuses the connection.
     fn connection(
         &self,
         vm: usize,
@@ -235,7 +235,7 @@
         if let Some((address, caller)) = kept.filter(|(_, caller)| !caller.has_ended()) {
             return Some((address, caller));
         }
-        let address = self.vms.callers(vm)?;
+        let address = self.vms.caller_address(vm)?;
         let caller = Caller::connect(address, CONNECT_TIMEOUT).ok()?;
         caller
             .set_patience(Duration::from_millis(
@@ -245,8 +245,8 @@
         Some((address, caller))
     }
 
-    /// Returns a request of its own identity, by which its answer can be told from any other.
-    pub fn request(&self, kind: Kind, random: &mut ChaCha8Rng) -> Ask {
+    /// Returns a request with a new ID, from which its answer is recognised.
+    pub fn new_request(&self, kind: Kind, random: &mut ChaCha8Rng) -> Ask {
         let id = format!("a-{}", self.next_id.fetch_add(1, Ordering::Relaxed));
         let model = MODELS[random.random_range(0..MODELS.len())];
         let request = match kind {
@@ -260,9 +260,9 @@
             Kind::Quick => Ask::quick(&id, "m0"),
             Kind::Patient => Ask::patient(&id, model),
         };
-        // Most streams are requests of their own; some are the same from many callers.
-        let is_own = kind.is_stream() && !random.random_ratio(1, SHARED_PROMPT_ONE_IN);
-        let request = match is_own {
+        // Most streams have a body of their own; some have the same body as those of other callers.
+        let has_own_body = kind.is_stream() && !random.random_ratio(1, SHARED_PROMPT_ONE_IN);
+        let request = match has_own_body {
             true => request.with_body(format!("prompt of {id}").as_bytes()),
             false => request,
         };
@@ -271,8 +271,8 @@
         request
     }
 
-    /// Returns the request for the rest of a stream that broke off, if its caller resumes it.
-    fn rest(&self, attempt: &Attempt, request: &Ask, random: &mut ChaCha8Rng) -> Option<Ask> {
+    /// Returns the request for the remainder of a stream that broke off, if its caller resumes it.
+    fn resumption(&self, attempt: &Attempt, request: &Ask, random: &mut ChaCha8Rng) -> Option<Ask> {
         let last = match &attempt.ending {
             Ending::Answered {
                 status: 200,
@@ -286,14 +286,16 @@
             return None;
         }
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let mut rest = Ask {
+        let mut resumed = Ask {
             id: format!("r-{number}"),
             ..request.clone()
         };
-        rest.headers.retain(|(name, _)| name != LAST_EVENT_HEADER);
-        let rest = rest.with(LAST_EVENT_HEADER, &last.to_string());
-        self.sent.lock().insert(rest.id.clone(), rest.clone());
-        Some(rest)
+        resumed
+            .headers
+            .retain(|(name, _)| name != LAST_EVENT_HEADER);
+        let resumed = resumed.with(LAST_EVENT_HEADER, &last.to_string());
+        self.sent.lock().insert(resumed.id.clone(), resumed.clone());
+        Some(resumed)
     }
 
     fn ending(&self, kind: Kind, request: &Ask, answer: &Answer) -> Ending {
@@ -325,19 +327,19 @@
     }
 }
 
-/// Returns the last event that the caller of a request has; 0 if none.
+/// Returns the last event ID that a request says its caller has; 0 if it names none.
 fn after_event(request: &Ask) -> u64 {
     let mut headers = request.headers.iter();
     let named = headers.find(|(name, _)| name == LAST_EVENT_HEADER);
     last_event(named.map(|(_, value)| value.as_str()))
 }
 
-/// Returns the event that a header names; 0 if none.
+/// Parses the last event ID from a header value; 0 if it is absent or no number.
 pub(crate) fn last_event(header: Option<&str>) -> u64 {
     header.and_then(|id| id.parse().ok()).unwrap_or_default()
 }
 
-/// Returns the ending of an attempt that was answered with bytes that are no HTTP.
+/// Returns the outcome of an attempt that was answered with bytes that are no HTTP.
 fn unparsable_answer() -> Ending {
     Ending::Answered {
         status: 200,
@@ -348,12 +350,12 @@
     }
 }
 
-/// Returns the organisation of a caller: one in four has the limited one, so that most requests are
-/// served.
+/// Returns the organisation of a caller. Only one caller in four belongs to the organisation with a
+/// limit, so that most requests are served.
 pub(crate) fn organisation_of(caller: usize) -> usize {
     match caller % 4 {
         3 => STABLE_ORGANISATION,
-        rest => rest % ORGANISATIONS.len(),
+        index => index % ORGANISATIONS.len(),
     }
 }
 
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -448,7 +448,7 @@
     fn ask_once(&self, vm: usize, request: &Ask) -> u16 {
         let patience = Duration::from_millis(CALLER_TIMEOUT_MS);
         self.vms
-            .callers(vm)
+            .caller_address(vm)
             .and_then(|address| Caller::connect(address, patience).ok())
             .and_then(|mut caller| caller.ask(request).ok())
             .map_or(0, |answer| answer.status())
