--- a/crates/soak/src/vms.rs
+++ b/crates/soak/src/vms.rs
@@ -1,4 +1,4 @@
-//! The entry VMs' processes.
+//! Processes of the entry VMs: start, signals, ends and log lines.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,43 +13,43 @@
 
 use crate::keys::vm_settings;
 
-/// The pause between two looks at a process that ends or gets ready.
+/// Pause between two checks whether a process has exited or is ready.
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a VM may take to answer whether it is ready.
+/// Timeout of one readiness request.
 const READY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// `StopOutcome` is what became of a process that was told to stop.
+/// Outcome of a planned stop of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopOutcome {
-    /// It ended by itself, with this code unless a signal ended it.
+    /// The process exited, with this code unless a signal ended it.
     Ended(Option<i32>),
-    /// Somebody else killed it or saw its end.
+    /// Another fault killed or replaced the process meanwhile.
     Replaced,
-    /// It runs on.
+    /// The process was still running when the wait timed out.
     StillRuns,
 }
 
 struct Slot {
     process: Option<VmProcess>,
-    /// How often it was started.
+    /// Number of starts of the VM so far, which identifies its current process.
     starts: u32,
-    /// Whether the process was told to stop, so that its end is no surprise.
+    /// Whether the process got SIGTERM, so that its exit is expected.
     stop_requested: bool,
-    /// Log lines of runs that have ended.
+    /// Log lines of earlier processes of the VM.
     lines: Vec<String>,
 }
 
-/// `Vms` starts, signals and ends the VMs' processes.
+/// Processes of all VMs.
 pub(crate) struct Vms {
     program: PathBuf,
-    stores: Vec<SocketAddr>,
+    store_addresses: Vec<SocketAddr>,
     slots: Vec<Mutex<Slot>>,
 }
 
 impl Vms {
-    /// Starts one VM for each address at which the store is reached.
-    pub fn start(program: PathBuf, stores: Vec<SocketAddr>) -> io::Result<Self> {
+    /// Starts one VM for each address; at that address the VM reaches the store.
+    pub fn start(program: PathBuf, store_addresses: Vec<SocketAddr>) -> io::Result<Self> {
         let slot = || {
             Mutex::new(Slot {
                 process: None,
@@ -60,8 +60,8 @@
         };
         let vms = Self {
             program,
-            slots: stores.iter().map(|_| slot()).collect(),
-            stores,
+            slots: store_addresses.iter().map(|_| slot()).collect(),
+            store_addresses,
         };
         for vm in 0..vms.len() {
             vms.restart(vm)?;
@@ -73,12 +73,12 @@
         self.slots.len()
     }
 
-    /// Kills a VM's process where one runs, and starts another.
+    /// Kills a VM's process if one runs, and starts another.
     pub fn restart(&self, vm: usize) -> io::Result<()> {
         self.kill(vm);
         let options = VmOptions {
             more_settings: vm_settings(),
-            ..VmOptions::new(&self.program, &format!("vm{vm}"), self.stores[vm])
+            ..VmOptions::new(&self.program, &format!("vm{vm}"), self.store_addresses[vm])
         };
         let process = VmProcess::start(&options)?;
         let mut slot = self.slots[vm].lock();
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Kills a VM's process where one runs.
+    /// Kills a VM's process if one runs.
     pub fn kill(&self, vm: usize) {
         let mut slot = self.slots[vm].lock();
         if let Some(process) = slot.process.take() {
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Sends a signal to a VM's process where one runs. Returns the number of its start.
+    /// Sends a signal to a VM's process and returns the number of that process's start; none if no
+    /// process runs or the signal can't be sent.
     pub fn signal(&self, vm: usize, signal: Signal) -> Option<u32> {
         let mut slot = self.slots[vm].lock();
         let process = slot.process.as_ref()?;
@@ -105,9 +106,9 @@
         Some(slot.starts)
     }
 
-    /// Waits until a start of a VM has ended by itself.
-    pub fn wait_for_exit(&self, vm: usize, start: u32, patience: Duration) -> StopOutcome {
-        let until = Instant::now() + patience;
+    /// Waits until the process with this start number has exited.
+    pub fn wait_for_exit(&self, vm: usize, start: u32, timeout: Duration) -> StopOutcome {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             let mut slot = self.slots[vm].lock();
             if slot.starts != start {
@@ -128,18 +129,18 @@
         StopOutcome::StillRuns
     }
 
-    /// Returns where callers reach a VM, if its process runs.
+    /// Returns the address at which callers reach a VM; none if no process runs.
     pub fn caller_address(&self, vm: usize) -> Option<SocketAddr> {
         let slot = self.slots[vm].lock();
         slot.process.as_ref().map(|process| process.callers)
     }
 
-    /// Waits until every VM takes callers.
-    pub fn wait_ready(&self, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    /// Waits until every VM reports that it is ready; returns whether all did before the timeout.
+    pub fn wait_ready(&self, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         (0..self.len()).all(|vm| {
             while Instant::now() < until {
-                // The address is asked without the lock: others may end the process meanwhile.
+                // The request is sent without the lock held: others may end the process meanwhile.
                 let ready = self.slots[vm].lock().process.as_ref().map(|it| it.ready);
                 let is_ready = ready.is_some_and(|address| {
                     apricotdale_standins::platform::is_ready(address, READY_TIMEOUT)
@@ -153,7 +154,8 @@
         })
     }
 
-    /// Returns the VMs whose process has ended though nobody ended it, with their last lines.
+    /// Returns a line for each VM whose process exited without a kill or SIGTERM, with the exit
+    /// status and the last log line.
     pub fn unexpected_exits(&self) -> Vec<String> {
         let mut ends = Vec::new();
         for (vm, slot) in self.slots.iter().enumerate() {
@@ -172,7 +174,7 @@
         ends
     }
 
-    /// Returns every log line of every run of the VMs.
+    /// Returns the log lines of all processes of each VM, by the VM's number.
     pub fn lines(&self) -> Vec<(usize, Vec<String>)> {
         let lines = |slot: &Mutex<Slot>| {
             let slot = slot.lock();
