--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -1,4 +1,4 @@
-//! The soak's engines: how they end, leave and are replaced.
+//! Engines of the soak: how they join, crash, leave and are replaced.
 
 use std::io;
 use std::sync::Arc;
@@ -20,42 +20,46 @@
 use crate::world::World;
 use crate::world::pause;
 
-/// How long the entry of a dead engine stays: three of its heartbeats.
+/// Time after which the entry of a dead engine expires: three of its heartbeat intervals.
 const ENTRY_TTL_MS: u64 = 1_500;
 
-/// How long an engine goes on after it said that it leaves: long enough that a request which comes too
-/// late is served and seen.
+/// Time for which an engine runs on after its leave notice: long enough that a request which comes
+/// too late still runs and is recorded.
 const LEAVING_ENGINE_MS: u64 = 5_000;
 
-/// The time between two events of a stream, for the same reason.
+/// Time between two events of a stream: long enough that a request which comes too late is still
+/// running when it is recorded.
 const EVENT_INTERVAL_MS: u64 = 20;
 
-/// How long a request runs under which an engine ends, before its first event or before the end.
+/// Time for which a request that crashes engines runs before its first event, or before the crash if
+/// no event is sent.
 const CRASH_DELAY_MS: u64 = 60;
 
-/// Events that some of these requests get before.
+/// Number of events that a request with the late mark gets before the crash.
 const EVENTS_BEFORE_CRASH: u64 = 3;
 
-/// How often engines are looked at whether they have ended by themselves.
+/// Interval of the check whether engines have crashed.
 const CRASH_POLL_MS: u64 = 10;
 
-/// `EngineSlot` is an engine with the proxy through which the VMs reach it.
+/// One of the soak's engines and the proxy through which VMs reach it. When the engine is replaced,
+/// its successor takes over the slot.
 pub(crate) struct EngineSlot {
-    /// Its index in the site.
+    /// Index of the current engine among all engines that the site has started.
     pub index: usize,
     pub proxy: Arc<Proxy>,
-    /// Whether its engine has ended and another is about to take its place.
+    /// Whether the engine has ended and its successor has not joined yet.
     is_down: bool,
 }
 
-/// Takes a slot whose engine ends now, unless it has ended already.
+/// Marks the engine of a slot as ended and returns its index and its proxy; none if it had been
+/// marked already.
 fn mark_down(engines: &mut [EngineSlot], number: usize) -> Option<(usize, Arc<Proxy>)> {
     let slot = engines.get_mut(number).filter(|slot| !slot.is_down)?;
     slot.is_down = true;
     Some((slot.index, slot.proxy.clone()))
 }
 
-/// Returns what an engine of the soak is like.
+/// Returns the options of an engine of the soak that loads `models` at its start.
 pub(crate) fn engine_options(name: String, models: &[&str]) -> EngineOptions {
     let crash = |mark: &str, after_events| CrashTrigger {
         marker: mark.as_bytes().to_vec(),
@@ -68,7 +72,7 @@
         models: models.iter().map(ToString::to_string).collect(),
         on_disk: MODELS.iter().map(ToString::to_string).collect(),
         gap_ms: EVENT_INTERVAL_MS,
-        // The first that matches counts.
+        // The first mark that matches decides: the late one begins with the other.
         crashes: vec![crash(late, EVENTS_BEFORE_CRASH), crash(at_once, 0)],
         ..EngineOptions::default()
     }
@@ -86,14 +90,14 @@
 }
 
 impl World {
-    /// Starts engines again that ended by themselves, until nothing ends them any more: their
-    /// entries lapse, and other runs join at their addresses.
+    /// Replaces engines that crash until `is_finished` is set: their entries expire, and new
+    /// incarnations join at their addresses.
     pub fn restart_crashed_engines(self: &Arc<Self>, is_finished: &AtomicBool) {
         let mut handled: Vec<usize> = Vec::new();
         let mut restarts = Vec::new();
         let mut is_last = false;
         while !is_last {
-            // What ended before it was over is seen by the look after.
+            // One more check after the flag is set finds engines that crashed just before.
             is_last = is_finished.load(Ordering::Acquire);
             pause(CRASH_POLL_MS);
             let ended: Vec<(usize, u64)> = {
@@ -113,7 +117,7 @@
             }
         }
         for restart_thread in restarts {
-            // A panic has been printed by its thread.
+            // The thread has printed its panic.
             let _ = restart_thread.join();
         }
     }
@@ -124,7 +128,7 @@
             let number = engines.iter().position(|slot| slot.index == index);
             number.and_then(|number| Some((number, mark_down(&mut engines, number)?.1)))
         };
-        // One that leaves or dies as planned is replaced there.
+        // An engine that leaves or dies as planned is replaced by that fault.
         let Some((number, proxy)) = slot else {
             return;
         };
@@ -140,7 +144,7 @@
         });
     }
 
-    /// Returns the requests with which engines ended, once for each copy in progress there.
+    /// Returns the requests that crashed engines, one for each copy in progress at the crash.
     pub fn crashes(&self) -> Vec<Crash> {
         let site = self.site.lock();
         let engines = site.engines.iter();
@@ -165,11 +169,12 @@
         };
         proxy.go_down();
         self.site.lock().stop_engine(index);
-        // One that can't be replaced stays down.
+        // An engine that can't be replaced stays down.
         let _ = self.replace(number, index, &proxy);
     }
 
-    /// Has the entry of an engine lapse that has ended, and another run join at its address.
+    /// Removes the entry of an engine that has ended after its TTL, and starts a new incarnation at
+    /// its address.
     fn replace(&self, number: usize, index: usize, proxy: &Proxy) -> io::Result<()> {
         pause(ENTRY_TTL_MS);
         let mut engines = self.engines.lock();
