--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! The platform around the VMs, and the troubles.
+//! Platform around the VMs: stand-ins behind proxies, and the injection of faults into them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -41,19 +41,19 @@
 use crate::workload::MODELS;
 use crate::workload::last_event;
 
-/// When a changed configuration is asked for: a little after it must be in force.
+/// Time from the acknowledgement of a configuration to its probes: just after its deadline.
 const PROBE_AFTER_MS: u64 = 2_300;
 
-/// How long a planned stop is waited for.
+/// Time for which the exit of a stopped VM is awaited.
 const STOP_TIMEOUT: Duration = Duration::from_millis(10_000);
 
-/// How long the plain service works on a call, so that some are in progress at each trouble.
+/// Time that the plain service takes for a call, so that some are in progress at each fault.
 const SERVICE_WORK_MS: u64 = 40;
 
-/// Instances of the plain service.
+/// Number of instances of the plain service.
 const SERVICE_INSTANCES: usize = 2;
 
-/// What happened, as the troubles tell it.
+/// Part of the record that is written while faults are injected.
 #[derive(Default)]
 pub(crate) struct Events {
     pub disturbances: Vec<Disturbance>,
@@ -64,14 +64,15 @@
     pub unexpected_exits: Vec<String>,
 }
 
-/// What the operators wrote last.
+/// Configuration that the operators wrote last.
 struct WrittenConfiguration {
     version: u64,
-    /// The number of the route besides the first ones.
+    /// Number of the additional route; each probed configuration replaces it by the next.
     route: u64,
 }
 
-/// `World` is the platform's stand-ins with proxies in front of them.
+/// Everything around the callers: the VMs, and the platform's stand-ins with the proxies in front
+/// of them.
 pub(crate) struct World {
     pub(crate) clock: Clock,
     pub vms: Arc<Vms>,
@@ -138,12 +139,12 @@
         })
     }
 
-    /// Returns how many events a whole stream has.
+    /// Returns the number of events of a complete stream.
     pub fn stream_events() -> u64 {
         EngineOptions::default().events
     }
 
-    /// Carries a trouble out and returns when it is over.
+    /// Carries out a fault, waits until it has ended, and records what it disturbed.
     pub fn carry_out(&self, trouble: &Trouble) {
         let from_ms = self.clock.now_ms();
         self.apply(trouble);
@@ -181,12 +182,12 @@
                 pause(*for_ms);
                 self.set_store_fault(*vm, StoreFault::None);
             }
-            Trouble::Forget => self.forget(),
+            Trouble::Forget => self.drop_history(),
             Trouble::SetBack {
                 lost_ms,
                 away_ms,
                 again_ms,
-            } => self.set_back(*lost_ms, *away_ms, *again_ms),
+            } => self.roll_back(*lost_ms, *away_ms, *again_ms),
             Trouble::StoreLink { vm, fault, for_ms } => {
                 self.stores[*vm].set_fault(*fault);
                 pause(*for_ms);
@@ -250,7 +251,8 @@
         }
     }
 
-    /// Returns what the upstreams ran.
+    /// Returns the executions of requests at all upstreams. `sent` returns the request that callers
+    /// sent under an ID.
     pub fn runs(&self, sent: impl Fn(&str) -> Option<Ask>) -> Vec<Run> {
         let site = self.site.lock();
         let engines = site.engines.iter().map(|it| (it.name(), it.runs()));
@@ -276,7 +278,7 @@
         runs
     }
 
-    /// Returns what the engines were told.
+    /// Returns the effects of orders on each engine, by the engine's name.
     pub fn effects(&self) -> Vec<(String, apricotdale_standins::platform::EngineEffects)> {
         let site = self.site.lock();
         let engines = site.engines.iter();
@@ -287,8 +289,8 @@
 
     fn restart_vm(&self, vm: usize) {
         if let Err(error) = self.vms.restart(vm) {
-            let end = format!("vm{vm} does not start: {error}");
-            self.events.lock().unexpected_exits.push(end);
+            let exit = format!("vm{vm} did not start: {error}");
+            self.events.lock().unexpected_exits.push(exit);
         }
     }
 
@@ -336,11 +338,11 @@
         }
     }
 
-    fn forget(&self) {
+    fn drop_history(&self) {
         self.site.lock().forget_history();
     }
 
-    fn set_back(&self, lost_ms: u64, away_ms: u64, again_ms: u64) {
+    fn roll_back(&self, lost_ms: u64, away_ms: u64, again_ms: u64) {
         let copy = self.site.lock().doors[0].copy();
         pause(lost_ms);
         self.set_store_fault(None, StoreFault::Busy);
@@ -372,7 +374,8 @@
         }
     }
 
-    /// Spoils the next answers of every engine, each in its way.
+    /// Queues a fault for each of the next `count` answers of every engine; `fault` returns that of
+    /// the engine with a number.
     fn queue_engine_faults(&self, count: u32, fault: impl Fn(usize) -> AnswerFault) {
         let engines = self.engines.lock().len();
         for number in 0..engines {
@@ -392,8 +395,8 @@
         }
     }
 
-    /// Writes a configuration with a route of its own in place of the one before, and asks every
-    /// VM for both once it must be in force.
+    /// Writes a configuration with a new route in place of the previous one, and probes both routes
+    /// at every VM once the configuration must be in force.
     fn configure(&self) {
         let route = {
             let mut written = self.written.lock();
@@ -408,17 +411,17 @@
         let acknowledged_ms = self.clock.now_ms();
         self.clock.wait_until(acknowledged_ms + PROBE_AFTER_MS);
         for vm in 0..self.vms.len() {
-            for (of, exists) in [(route, true), (route - 1, false)] {
+            for (probed, exists) in [(route, true), (route - 1, false)] {
                 // A newer configuration may have replaced this one meanwhile.
                 if self.written.lock().route != route {
                     return;
                 }
                 let sent_ms = self.clock.now_ms();
-                let id = format!("c-{route}-{vm}-{of}");
-                let target = format!("{}x", Site::extra_prefix(of));
+                let id = format!("c-{route}-{vm}-{probed}");
+                let target = format!("{}x", Site::extra_prefix(probed));
                 let request = Ask::new("GET", &target, &id).waiting_ms(CALLER_TIMEOUT_MS);
                 let (request, _) = self.keys.with_stable_key(&request);
-                let status = self.ask_once(vm, &request);
+                let status = self.send_probe(vm, &request);
                 let mut events = self.events.lock();
                 events.probe_ids.push(id);
                 if status > 0 && self.written.lock().route == route {
@@ -434,7 +437,7 @@
         }
     }
 
-    /// Writes a configuration with the route in force and other keys or limits.
+    /// Writes a configuration with the current route and changed keys or limits.
     fn change_organisations(&self, change: OrganisationChange) {
         let mut written = self.written.lock();
         written.version += 1;
@@ -445,11 +448,11 @@
         });
     }
 
-    fn ask_once(&self, vm: usize, request: &Ask) -> u16 {
-        let patience = Duration::from_millis(CALLER_TIMEOUT_MS);
+    fn send_probe(&self, vm: usize, request: &Ask) -> u16 {
+        let timeout = Duration::from_millis(CALLER_TIMEOUT_MS);
         self.vms
             .caller_address(vm)
-            .and_then(|address| Caller::connect(address, patience).ok())
+            .and_then(|address| Caller::connect(address, timeout).ok())
             .and_then(|mut caller| caller.ask(request).ok())
             .map_or(0, |answer| answer.status())
     }
