--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that spoils the connections that go through it.
+//! TCP proxy on loopback that injects faults into the connections through it.
 
 use std::io;
 use std::io::Read;
@@ -23,33 +23,33 @@
 use socket2::Socket;
 use socket2::Type;
 
-/// The stack of a thread that passes bytes on.
+/// Stack size of each thread of the proxy; it needs little, and there are two for each connection.
 const THREAD_STACK_BYTES: usize = 128 * 1024;
 
-/// How often a connection on which nothing comes looks whether it is to be reset.
+/// Interval at which an idle connection checks whether it is to be reset.
 const RESET_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Connections that may wait to be accepted.
+/// Length of the accept queue when the proxy listens again.
 const LISTEN_BACKLOG: i32 = 128;
 
-/// `LinkFault` is what happens to bytes on their way.
+/// What happens to the bytes of connections through the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// They arrive.
+    /// Bytes are forwarded at once.
     #[default]
     None,
-    /// They arrive later.
+    /// Bytes are forwarded after a delay.
     Delayed {
-        /// By how much.
+        /// Delay of each piece that is read, in milliseconds.
         by_ms: u64,
     },
-    /// New connections are reset.
+    /// New connections are reset at once.
     Refused,
-    /// Bytes towards the server are held up until the fault ends.
+    /// Bytes towards the server are held back until the fault ends.
     CutToServer,
-    /// Bytes towards the client are held up until the fault ends.
+    /// Bytes towards the client are held back until the fault ends.
     CutToClient,
-    /// Both are held up.
+    /// Bytes in both directions are held back until the fault ends.
     Cut,
 }
 
@@ -64,13 +64,13 @@
     }
 }
 
-/// A connection through the proxy.
+/// One connection of a client through the proxy to the server.
 struct ProxiedConnection {
-    /// Whether nothing passes any more, for good, though the connection stands.
+    /// Whether bytes are discarded for the rest of the connection, which stays open.
     silent: AtomicBool,
-    /// Whether it is to be reset.
+    /// Whether the connection is to be reset.
     reset: AtomicBool,
-    /// Directions that still carry bytes.
+    /// Number of directions that have not ended.
     directions: AtomicUsize,
     client: TcpStream,
     server: TcpStream,
@@ -83,25 +83,25 @@
     target: Mutex<Option<SocketAddr>>,
     connections: Mutex<Vec<Arc<ProxiedConnection>>>,
     stopped: AtomicBool,
-    /// Whether nobody listens.
+    /// Whether the proxy does not listen.
     down: AtomicBool,
 }
 
-/// `Proxy` passes connections on to a server.
+/// Proxy that forwards connections to a server and injects faults into them.
 pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
     accept_thread: Mutex<Option<JoinHandle<()>>>,
-    /// Holds the port while nobody listens.
+    /// Socket that keeps the port reserved while the proxy does not listen.
     reserved_port: Mutex<Option<Socket>>,
 }
 
 impl Proxy {
-    /// Starts a proxy in front of a server.
+    /// Starts a proxy in front of a server, at a free port of loopback.
     ///
     /// # Errors
     ///
-    /// Any of listening on loopback.
+    /// Any error of listening on loopback or starting the thread.
     pub fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -116,24 +116,24 @@
         })
     }
 
-    /// Listens no more and resets the open connections, as when the server's process ends.
+    /// Stops listening and resets the open connections, as when the server's process ends.
     pub fn go_down(&self) {
         self.shared.down.store(true, Ordering::Release);
         self.wake();
         if let Some(accept_thread) = self.accept_thread.lock().take() {
-            // A panic has been printed by its thread.
+            // The thread has printed its panic.
             let _ = accept_thread.join();
         }
         self.reset_open();
-        // Nobody else may take the port meanwhile.
+        // No other program may take the port meanwhile.
         *self.reserved_port.lock() = bind_without_listening(self.address).ok();
     }
 
-    /// Listens again, in front of a server.
+    /// Listens again at the same address, in front of another server.
     ///
     /// # Errors
     ///
-    /// Any of listening at the same address.
+    /// Any error of listening at the address or starting the thread.
     pub fn come_up(&self, target: SocketAddr) -> io::Result<()> {
         let reserved_port = self.reserved_port.lock().take();
         let socket = match reserved_port {
@@ -147,22 +147,23 @@
         Ok(())
     }
 
-    /// Has the accepting thread look whether it is still to accept.
+    /// Connects to the proxy, so that the accept thread checks whether it is to end.
     fn wake(&self) {
         let _ = TcpStream::connect(self.address);
     }
 
-    /// Returns where clients connect.
+    /// Returns the address at which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Has new connections go to another server, or to none, by which they are reset.
+    /// Directs new connections to another server; without one they are reset.
     pub fn retarget(&self, target: Option<SocketAddr>) {
         *self.shared.target.lock() = target;
     }
 
-    /// Sets what happens to bytes from now on. What was held up goes on when the fault ends.
+    /// Sets what happens to bytes from now on. Bytes that were held back are forwarded when the
+    /// fault ends.
     pub fn set_fault(&self, fault: LinkFault) {
         *self.shared.fault.lock() = fault;
         self.shared.changed.notify_all();
@@ -177,7 +178,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// Has the open connections fall silent for good; new ones work.
+    /// Has the open connections carry no bytes any more, without closing them. New ones work.
     pub fn silence_open(&self) {
         for connection in self.shared.connections.lock().iter() {
             connection.silent.store(true, Ordering::Release);
@@ -193,7 +194,7 @@
     }
 }
 
-/// Returns a socket at an address that does not listen: connections are refused.
+/// Returns a socket bound to an address that does not listen, so that connections are refused.
 fn bind_without_listening(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -213,11 +214,12 @@
         self.reset.load(Ordering::Acquire)
     }
 
-    /// Ends both connections; with a reset, so that nobody takes the end for an orderly one.
+    /// Closes the connections to client and server: with a reset if it is to be reset, so that
+    /// neither takes the end for an orderly one.
     fn close(&self) {
         for stream in [&self.client, &self.server] {
             if self.is_reset() {
-                // A connection that has ended already takes no option any more.
+                // Setting the option fails on a connection that has ended already.
                 let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
             } else {
                 let _ = stream.shutdown(Shutdown::Both);
@@ -240,7 +242,7 @@
             let _ = SockRef::from(&client).set_linger(Some(Duration::ZERO));
             continue;
         };
-        // A connection for which there are no threads is dropped, as a full server would do.
+        // A connection for which no thread can be started is dropped, as by an overloaded server.
         let _ = forward_connection(client, server, shared);
     }
 }
@@ -280,7 +282,7 @@
     Ok(())
 }
 
-/// Passes bytes on in one direction until the connection ends.
+/// Forwards bytes in one direction until the connection ends.
 fn forward_bytes(connection: &ProxiedConnection, shared: &Shared, to_server: bool) {
     let (mut from, mut to) = match to_server {
         true => (&connection.client, &connection.server),
@@ -307,7 +309,7 @@
     }
     if !connection.is_reset() && !connection.silent.load(Ordering::Acquire) {
         wait_while_faulty(connection, shared, to_server);
-        // The other direction may go on: a client can end its side and still read.
+        // The other direction may continue: a client can close its side and still read.
         let _ = to.shutdown(Shutdown::Write);
     }
 }
