--- a/crates/soak/tests/invariant_checks.rs
+++ b/crates/soak/tests/invariant_checks.rs
@@ -15,29 +15,29 @@
 use apricotdale_standins::platform::AnswerFault;
 use rstest::rstest;
 
-use support::PLAIN;
+use support::PLAIN_BODY;
 use support::attempt;
 use support::broken_invariants;
 use support::disturbance;
 use support::effects;
 use support::run;
-use support::sound;
+use support::valid_record;
 
 #[test]
-fn sound_record() {
-    assert_eq!(broken_invariants(&sound()), Vec::new());
+fn valid_record_passes() {
+    assert_eq!(broken_invariants(&valid_record()), Vec::new());
 }
 
 #[test]
 fn second_run() {
-    let mut record = sound();
+    let mut record = valid_record();
     record.runs.push(run("a"));
     assert_eq!(broken_invariants(&record), vec![Invariant::RunsOnce]);
 }
 
 #[test]
-fn refused_and_run() {
-    let mut record = sound();
+fn refused_request_ran() {
+    let mut record = valid_record();
     record.runs.push(run("b"));
     assert_eq!(broken_invariants(&record), vec![Invariant::TrueRefusal]);
 }
@@ -45,8 +45,8 @@
 #[rstest]
 #[case::of_nobody("x", true)]
 #[case::changed("a", false)]
-fn run_not_asked_for(#[case] id: &str, #[case] unchanged: bool) {
-    let mut record = sound();
+fn unknown_run(#[case] id: &str, #[case] unchanged: bool) {
+    let mut record = valid_record();
     record.runs.retain(|it| it.id != id);
     record.runs.push(Run {
         unchanged,
@@ -64,7 +64,7 @@
 #[case::unsigned(Some("a"), false, true)]
 #[case::other_body(Some("a"), true, false)]
 fn wrong_answer(#[case] id: Option<&str>, #[case] signed: bool, #[case] own_body: bool) {
-    let mut record = sound();
+    let mut record = valid_record();
     record.attempts[0].ending = Ending::Answered {
         status: 200,
         whole: true,
@@ -78,24 +78,24 @@
 #[rstest]
 #[case::lower_fence(&[(4, "vm1"), (1, "vm0")])]
 #[case::shared_fence(&[(1, "vm0"), (1, "vm1")])]
-fn two_givers(#[case] holders: &[(u64, &str)]) {
-    let mut record = sound();
+fn two_lease_holders(#[case] holders: &[(u64, &str)]) {
+    let mut record = valid_record();
     record.engines = vec![effects(holders)];
     assert_eq!(broken_invariants(&record), vec![Invariant::OneLeaseHolder]);
 }
 
 #[test]
-fn too_much_memory() {
-    let mut record = sound();
+fn memory_overcommitted() {
+    let mut record = valid_record();
     record.engines[0].1.overcommitted = 1;
     assert_eq!(broken_invariants(&record), vec![Invariant::FitsMemory]);
 }
 
 #[rstest]
-#[case::late(Ending::Answered { status: 504, whole: true, id: None, signed: false, body: PLAIN }, 15_000)]
+#[case::late(Ending::Answered { status: 504, whole: true, id: None, signed: false, body: PLAIN_BODY }, 15_000)]
 #[case::lost(Ending::Unanswered, 10_050)]
-fn no_answer_in_time(#[case] ending: Ending, #[case] ended_ms: u64) {
-    let mut record = sound();
+fn late_answer(#[case] ending: Ending, #[case] ended_ms: u64) {
+    let mut record = valid_record();
     record.attempts[1].ending = ending;
     record.attempts[1].ended_ms = ended_ms;
     assert_eq!(broken_invariants(&record), vec![Invariant::InTime]);
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn request_after_leaving() {
-    let mut record = sound();
+fn request_after_departure() {
+    let mut record = valid_record();
     record.drains[0].upstream = "p-0".to_owned();
     record.drains[0].at_ms = 6_000;
     assert!(broken_invariants(&record).contains(&Invariant::Drained));
@@ -121,7 +121,7 @@
 #[case::not_there_yet(true, 404)]
 #[case::still_there(false, 200)]
 fn old_configuration(#[case] exists: bool, #[case] status: u16) {
-    let mut record = sound();
+    let mut record = valid_record();
     record.probes = vec![ConfigurationProbe {
         vm: 1,
         acknowledged_ms: 5_000,
@@ -142,15 +142,15 @@
 #[case::late(Some((19_000, Some(0))))]
 #[case::failed(Some((12_000, Some(1))))]
 #[case::by_signal(Some((12_000, None)))]
-fn bad_stop(#[case] ended: Option<(u64, Option<i32>)>) {
-    let mut record = sound();
+fn failed_stop(#[case] ended: Option<(u64, Option<i32>)>) {
+    let mut record = valid_record();
     record.stops[0].ended = ended;
     assert_eq!(broken_invariants(&record), vec![Invariant::PlannedStop]);
 }
 
 #[test]
-fn call_cut_by_a_stop() {
-    let mut record = sound();
+fn stop_cuts_call() {
+    let mut record = valid_record();
     record.attempts[0].vm = 2;
     record.attempts[0].ending = Ending::Unanswered;
     record.disturbances = vec![Disturbance {
@@ -161,15 +161,15 @@
 }
 
 #[test]
-fn large_call_cut_by_its_upstream() {
-    let mut record = sound();
+fn upstream_cuts_call() {
+    let mut record = valid_record();
     record.attempts[0].vm = 2;
     record.attempts[0].ending = Ending::Answered {
         status: 200,
         whole: false,
         id: Some("a".to_owned()),
         signed: true,
-        body: PLAIN,
+        body: PLAIN_BODY,
     };
     record.disturbances = vec![Disturbance {
         what: "stop".to_owned(),
@@ -182,7 +182,7 @@
 
 #[test]
 fn no_recovery() {
-    let mut record = sound();
+    let mut record = valid_record();
     record.last_attempts = vec![attempt("c", Kind::Look, 503), attempt("d", Kind::Look, 503)];
     record.runs.retain(|it| it.id != "c");
     assert_eq!(broken_invariants(&record), vec![Invariant::Recovers]);
@@ -191,16 +191,16 @@
 }
 
 #[test]
-fn process_that_ended() {
-    let mut record = sound();
+fn unexpected_exit() {
+    let mut record = valid_record();
     record.unexpected_exits = vec!["vm1: exit status: 101".to_owned()];
     assert_eq!(broken_invariants(&record), vec![Invariant::StaysUp]);
 }
 
 /// Returns a record of a request under which three engines ended by 10 s, and which was sent again
 /// at some times.
-fn crashers(sent_ms: &[u64]) -> Record {
-    let mut record = sound();
+fn crasher_record(sent_ms: &[u64]) -> Record {
+    let mut record = valid_record();
     record.crashes = [8_000, 9_000, 10_000]
         .map(|at_ms| Crash {
             body: "body".to_owned(),
@@ -221,14 +221,14 @@
 }
 
 #[test]
-fn stopped_crasher_is_sound() {
-    let record = crashers(&[10_500, 11_000, 12_000, 12_900, 13_500, 14_000, 15_000]);
+fn crasher_blocked() {
+    let record = crasher_record(&[10_500, 11_000, 12_000, 12_900, 13_500, 14_000, 15_000]);
     assert_eq!(broken_invariants(&record), []);
 }
 
 #[test]
-fn crasher_that_goes_on() {
-    let mut record = crashers(&[13_500, 14_000, 15_000, 16_000]);
+fn crasher_not_blocked() {
+    let mut record = crasher_record(&[13_500, 14_000, 15_000, 16_000]);
     assert_eq!(broken_invariants(&record), [Invariant::StopsCrashers]);
     record
         .disturbances
--- a/crates/soak/tests/late_crashers.rs
+++ b/crates/soak/tests/late_crashers.rs
@@ -10,7 +10,7 @@
 /// Guards against engines that stay away in the recovery: the second request waits for the engine
 /// that the first one ended, and ends the next when the callers have been told to stop.
 #[test]
-fn engine_comes_back_in_the_recovery() {
+fn engine_restarts_late() {
     let crasher = Crasher {
         body: "ends-engine-0".to_owned(),
         model: "m0",
--- a/crates/soak/tests/organisation_records.rs
+++ b/crates/soak/tests/organisation_records.rs
@@ -19,7 +19,7 @@
 use support::disturbance;
 use support::limit;
 use support::run;
-use support::sound;
+use support::valid_record;
 
 /// Guards against a caller without a good key who is served, and nobody sees it.
 #[rstest]
@@ -27,7 +27,7 @@
 #[case::unknown(Presented::Unknown)]
 #[case::several(Presented::Several)]
 fn run_without_key(#[case] presented: Presented) {
-    let mut record = sound();
+    let mut record = valid_record();
     record.attempts[0].presented = presented;
     record.disturbances = vec![disturbance(Place::Vm(0), 0, 20_000)];
     assert_eq!(
@@ -44,12 +44,12 @@
 #[case::vm_disturbed_later(3_000, Some(Place::Vm(0)), &[Invariant::ValidKeyRequired])]
 #[case::other_vm_disturbed(5_000, Some(Place::Vm(1)), &[Invariant::ValidKeyRequired])]
 #[case::store_disturbed(5_000, Some(Place::Store), &[])]
-fn run_with_taken_key(
+fn run_with_revoked_key(
     #[case] left_ms: u64,
     #[case] place: Option<Place>,
     #[case] expected: &[Invariant],
 ) {
-    let mut record = sound();
+    let mut record = valid_record();
     record.last_attempts.clear();
     record.runs.truncate(1);
     record.keys[0].leaving_ms = Some(left_ms);
@@ -65,8 +65,8 @@
 #[rstest]
 #[case::just_now(8_000, &[])]
 #[case::long_ago(5_000, &[Invariant::ValidKeyRequired])]
-fn taken_key_after_set_back(#[case] until_ms: u64, #[case] expected: &[Invariant]) {
-    let mut record = sound();
+fn key_after_rollback(#[case] until_ms: u64, #[case] expected: &[Invariant]) {
+    let mut record = valid_record();
     record.last_attempts.clear();
     record.runs.truncate(1);
     record.keys[0].leaving_ms = Some(3_000);
@@ -85,13 +85,13 @@
 #[case::added_key(5_000, None, None, &[Invariant::ValidKeyRequired])]
 #[case::added_key_disturbed(5_000, None, Some(Place::Vm(0)), &[])]
 #[case::leaving_key(0, Some(10_020), None, &[])]
-fn refused_with_key(
+fn valid_key_refused(
     #[case] acknowledged_ms: u64,
     #[case] leaving_ms: Option<u64>,
     #[case] place: Option<Place>,
     #[case] expected: &[Invariant],
 ) {
-    let mut record = sound();
+    let mut record = valid_record();
     record.attempts[1] = attempt("b", Kind::Book, 401);
     record.attempts[1].presented = Presented::Key(1);
     record.keys[1].acknowledged_ms = acknowledged_ms;
@@ -110,7 +110,7 @@
 #[case::two(&["north", "south"], false)]
 #[case::key(&["north"], true)]
 fn wrong_organisation(#[case] organisations: &[&str], #[case] shows_key: bool) {
-    let mut record = sound();
+    let mut record = valid_record();
     record.runs[0].organisations = organisations.iter().map(ToString::to_string).collect();
     record.runs[0].shows_key = shows_key;
     assert_eq!(
@@ -121,8 +121,8 @@
 
 /// Returns a record in which an organisation has a number of requests run, 10 ms apart from 10,000
 /// ms on.
-fn used(count: u64) -> Record {
-    let mut record = sound();
+fn record_of_runs(count: u64) -> Record {
+    let mut record = valid_record();
     record.attempts.clear();
     record.runs.clear();
     for number in 0..count {
@@ -149,13 +149,13 @@
 #[case::lowered_just_now(6, vec![limit(0, 6), limit(4_000, 5)], None, &[])]
 #[case::lowered(6, vec![limit(0, 6), limit(2_500, 5)], None, &[Invariant::WithinLimits])]
 #[case::lowered_disturbed(6, vec![limit(0, 6), limit(2_500, 5)], Some(Place::Vm(1)), &[])]
-fn beyond_limit(
+fn limit_exceeded(
     #[case] count: u64,
     #[case] limits: Vec<LimitSeen>,
     #[case] place: Option<Place>,
     #[case] expected: &[Invariant],
 ) {
-    let mut record = used(count);
+    let mut record = record_of_runs(count);
     record.limits = limits;
     record.disturbances = place
         .map(|it| disturbance(it, 4_000, 4_500))
@@ -165,8 +165,8 @@
 }
 
 #[test]
-fn fullest_window_is_told() {
-    let mut record = used(3);
+fn fullest_window_reported() {
+    let mut record = record_of_runs(3);
     record.limits = vec![limit(0, 5)];
     let window = fullest_window(&record).expect("a window");
     assert_eq!((window.from_ms, window.ran, window.most), (10_000, 3, 5));
@@ -174,8 +174,8 @@
 
 /// Guards against repeats of a request that count against its organisation's limit.
 #[test]
-fn repeat_counts_once() {
-    let mut record = used(5);
+fn retry_counts_once() {
+    let mut record = record_of_runs(5);
     record.limits = vec![limit(0, 5)];
     record.runs.push(run("u-0"));
     assert_eq!(broken_invariants(&record), Vec::new());
@@ -184,7 +184,7 @@
 /// Guards against a key in a log line that nobody sees.
 #[test]
 fn key_in_log() {
-    let mut record = sound();
+    let mut record = valid_record();
     record.key_lines.push("refused north-secret-0".to_owned());
     assert_eq!(broken_invariants(&record), vec![Invariant::KeysStaySecret]);
 }
--- a/crates/soak/tests/plan_seeds.rs
+++ b/crates/soak/tests/plan_seeds.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn troubles_come_in_order_and_end() {
+fn faults_in_order() {
     for seed in 0..200 {
         let plan = plan(seed);
         assert!(!plan.faults.is_empty());
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn some_come_at_once() {
+fn faults_overlap() {
     let overlapping = (0..200).filter(|seed| {
         let faults = plan(*seed).faults;
         faults.windows(2).any(|pair| pair[0].at_ms == pair[1].at_ms)
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn every_kind_comes() {
+fn every_fault_drawn() {
     let mut kinds = BTreeSet::new();
     for seed in 0..200 {
         for planned in plan(seed).faults {
@@ -54,10 +54,10 @@
 
 /// Guards against ways to spoil the rest of a stream that no plan has.
 #[test]
-fn every_spoiled_rest_comes() {
-    let mut rests = BTreeSet::new();
+fn every_remainder_drawn() {
+    let mut remainders = BTreeSet::new();
     for seed in 0..200 {
-        rests.extend(plan(seed).faults.iter().filter_map(|it| match it.trouble {
+        remainders.extend(plan(seed).faults.iter().filter_map(|it| match it.trouble {
             Trouble::EnginesAnswer {
                 fault: AnswerFault::CutThen { then, .. },
                 ..
@@ -65,5 +65,5 @@
             _ => None,
         }));
     }
-    assert_eq!(rests.len(), 16);
+    assert_eq!(remainders.len(), 16);
 }
--- a/crates/soak/tests/stream_records.rs
+++ b/crates/soak/tests/stream_records.rs
@@ -18,11 +18,11 @@
 use support::attempt;
 use support::broken_invariants;
 use support::run;
-use support::sound;
+use support::valid_record;
 
 /// Returns a record of a stream over two engines, of which the caller got some text.
-fn stream(after_event: u64, whole: bool, text: &str) -> Record {
-    let mut record = sound();
+fn stream_record(after_event: u64, whole: bool, text: &str) -> Record {
+    let mut record = valid_record();
     let first = after_event + 1;
     record.attempts.push(Attempt {
         after_event,
@@ -69,8 +69,11 @@
 #[case::broken_large(0, false, events(&[1, 2]) + "id: 3\ndata: xxxxxx")]
 #[case::broken_at_once(0, false, String::new())]
 #[case::broken_behind_all(0, false, events(&[1, 2, 3, 4, 5, 6]))]
-fn sound_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
-    assert_eq!(broken_invariants(&stream(after_event, whole, &text)), []);
+fn valid_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
+    assert_eq!(
+        broken_invariants(&stream_record(after_event, whole, &text)),
+        []
+    );
 }
 
 /// Guards against joined streams that look whole and aren't, and against parts that do not fit.
@@ -102,8 +105,8 @@
 #[case::failure_behind_and_broken(0, false, events(&[1, 2]) + "{\"error\":\"failed\"}")]
 #[case::part_of_an_event_between(0, false, "id: 1\nda".to_owned() + &events(&[1, 2]))]
 #[case::other_content(0, true, "{\"text\":\"whole\"}".to_owned())]
-fn wrong_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
-    let record = stream(after_event, whole, &text);
+fn flawed_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
+    let record = stream_record(after_event, whole, &text);
     assert_eq!(broken_invariants(&record), [Invariant::OwnAnswer]);
 }
 
@@ -116,14 +119,14 @@
 #[case::by_the_vm(0, 2, StreamFault::Empty, "", false)]
 #[case::by_the_vm_behind_a_caller(3, 5, StreamFault::Empty, "", false)]
 #[case::behind_events(3, 3, StreamFault::Empty, "id: 4\ndata: piece 4\n\n", false)]
-fn empty_rest(
+fn empty_remainder(
     #[case] after_event: u64,
     #[case] run_after: u64,
     #[case] then: StreamFault,
     #[case] text: &str,
     #[case] is_excused: bool,
 ) {
-    let mut record = stream(after_event, true, text);
+    let mut record = stream_record(after_event, true, text);
     let fault = AnswerFault::CutThen { events: 1, then };
     let run = record.runs.last_mut().expect("a run");
     run.after_event = run_after;
@@ -132,8 +135,8 @@
 }
 
 #[test]
-fn streams_over_two_engines() {
-    let mut record = stream(0, true, &events(&[1, 2, 3, 4, 5, 6]));
+fn continued_streams() {
+    let mut record = stream_record(0, true, &events(&[1, 2, 3, 4, 5, 6]));
     let continued = ContinuedStreams {
         streams: 1,
         faulty: 0,
--- a/crates/soak/tests/support/mod.rs
+++ b/crates/soak/tests/support/mod.rs
@@ -20,7 +20,7 @@
 use apricotdale_standins::platform::EngineEffects;
 
 /// A plain body as the upstream gives it.
-pub const PLAIN: BodySeen = BodySeen::Plain { own: true };
+pub const PLAIN_BODY: BodySeen = BodySeen::Plain { own: true };
 
 pub fn attempt(id: &str, kind: Kind, status: u16) -> Attempt {
     Attempt {
@@ -37,7 +37,7 @@
             whole: true,
             id: Some(id.to_owned()),
             signed: true,
-            body: PLAIN,
+            body: PLAIN_BODY,
         },
     }
 }
@@ -77,7 +77,7 @@
     }
 }
 
-pub fn sound() -> Record {
+pub fn valid_record() -> Record {
     Record {
         attempts: vec![attempt("a", Kind::Book, 200), attempt("b", Kind::Book, 503)],
         last_attempts: vec![attempt("c", Kind::Look, 200)],
