--- a/crates/soak/tests/invariant_checks.rs
+++ b/crates/soak/tests/invariant_checks.rs
@@ -1,4 +1,4 @@
-//! Each broken promise is found in a record that shows it, and none in a sound one.
+//! Each violated invariant is found in a record that shows it, and none in a valid record.
 
 mod support;
 
@@ -99,10 +99,10 @@
     record.attempts[1].ending = ending;
     record.attempts[1].ended_ms = ended_ms;
     assert_eq!(broken_invariants(&record), vec![Invariant::InTime]);
-    // A VM that was killed meanwhile owes no answer.
+    // A VM that was killed meanwhile need not answer.
     record.disturbances = vec![disturbance(Place::Vm(0), 9_000, 9_500)];
     assert_eq!(broken_invariants(&record), Vec::new());
-    // The store's troubles excuse nothing.
+    // A fault of the store excuses no late answer.
     record.disturbances = vec![disturbance(Place::Store, 9_000, 20_000)];
     assert_eq!(broken_invariants(&record), vec![Invariant::InTime]);
 }
@@ -197,8 +197,8 @@
     assert_eq!(broken_invariants(&record), vec![Invariant::StaysUp]);
 }
 
-/// Returns a record of a request under which three engines ended by 10 s, and which was sent again
-/// at some times.
+/// Returns a record of a request that has crashed three engines by 10 s and was sent again at the
+/// given times.
 fn crasher_record(sent_ms: &[u64]) -> Record {
     let mut record = valid_record();
     record.crashes = [8_000, 9_000, 10_000]
