--- a/crates/soak/tests/late_crashers.rs
+++ b/crates/soak/tests/late_crashers.rs
@@ -1,4 +1,4 @@
-//! Engines that end after the callers were told to stop.
+//! Engines that crash after the callers were stopped.
 
 use apricotdale_soak::Crasher;
 use apricotdale_soak::Plan;
@@ -7,8 +7,9 @@
 use apricotdale_soak::check;
 use apricotdale_soak::entry_program;
 
-/// Guards against engines that stay away in the recovery: the second request waits for the engine
-/// that the first one ended, and ends the next when the callers have been told to stop.
+/// Guards against crashed engines that are not replaced during the recovery: the second request
+/// waits for the successor of the engine that the first one crashed, and crashes that one after the
+/// callers were stopped.
 #[test]
 fn engine_restarts_late() {
     let crasher = Crasher {
