--- a/crates/soak/tests/organisation_records.rs
+++ b/crates/soak/tests/organisation_records.rs
@@ -1,4 +1,4 @@
-//! Records that break a promise about organisations, their keys or limits.
+//! Records that violate an invariant about organisations, their keys or limits.
 
 mod support;
 
@@ -21,7 +21,7 @@
 use support::run;
 use support::valid_record;
 
-/// Guards against a caller without a good key who is served, and nobody sees it.
+/// Guards against a check that misses a served caller without a valid key.
 #[rstest]
 #[case::none(Presented::None)]
 #[case::unknown(Presented::Unknown)]
@@ -36,7 +36,8 @@
     );
 }
 
-/// Guards against a key that goes on after it was taken away, and nobody sees it.
+/// Guards against a check that misses a request served with a revoked key, or that reports one while
+/// the VM may not know of the revocation yet.
 #[rstest]
 #[case::in_time(7_500, None, &[])]
 #[case::late(5_000, None, &[Invariant::ValidKeyRequired])]
@@ -61,7 +62,7 @@
     assert_eq!(broken_invariants(&record), expected);
 }
 
-/// Guards against a set-back of the store that is taken for a broken promise.
+/// Guards against a false violation after a rollback of the store, which may restore a revoked key.
 #[rstest]
 #[case::just_now(8_000, &[])]
 #[case::long_ago(5_000, &[Invariant::ValidKeyRequired])]
@@ -78,7 +79,8 @@
     assert_eq!(broken_invariants(&record), expected);
 }
 
-/// Guards against a good key that is refused, and nobody sees it.
+/// Guards against a check that misses a refused valid key, or that reports one which the VM may not
+/// know yet.
 #[rstest]
 #[case::first_key(0, None, Some(Place::Vm(0)), &[Invariant::ValidKeyRequired])]
 #[case::new_key(9_000, None, None, &[])]
@@ -103,7 +105,7 @@
     assert_eq!(broken_invariants(&record), expected);
 }
 
-/// Guards against an upstream that is told another organisation or a key, and nobody sees it.
+/// Guards against a check that misses an upstream which received another organisation or a key.
 #[rstest]
 #[case::another(&["south"], false)]
 #[case::none(&[], false)]
@@ -119,8 +121,8 @@
     );
 }
 
-/// Returns a record in which an organisation has a number of requests run, 10 ms apart from 10,000
-/// ms on.
+/// Returns a record in which upstreams ran `count` requests of an organisation, 10 ms apart from
+/// 10,000 ms on.
 fn record_of_runs(count: u64) -> Record {
     let mut record = valid_record();
     record.attempts.clear();
@@ -140,7 +142,8 @@
     record
 }
 
-/// Guards against an organisation that gets more than its limit, and nobody sees it.
+/// Guards against a check that misses an organisation above its limit, or that applies a new limit
+/// before every VM has to know it.
 #[rstest]
 #[case::within(5, vec![limit(0, 5)], None, &[])]
 #[case::beyond(6, vec![limit(0, 5)], None, &[Invariant::WithinLimits])]
@@ -172,7 +175,7 @@
     assert_eq!((window.from_ms, window.ran, window.most), (10_000, 3, 5));
 }
 
-/// Guards against repeats of a request that count against its organisation's limit.
+/// Guards against retries of a request that count against its organisation's limit.
 #[test]
 fn retry_counts_once() {
     let mut record = record_of_runs(5);
@@ -181,7 +184,7 @@
     assert_eq!(broken_invariants(&record), Vec::new());
 }
 
-/// Guards against a key in a log line that nobody sees.
+/// Guards against a check that misses a key in a log line.
 #[test]
 fn key_in_log() {
     let mut record = valid_record();
