--- a/crates/soak/tests/plan_seeds.rs
+++ b/crates/soak/tests/plan_seeds.rs
@@ -1,4 +1,4 @@
-//! Plans come from their seeds alone.
+//! Plans depend on their seeds alone and contain every fault.
 
 use std::collections::BTreeSet;
 use std::mem::discriminant;
@@ -52,7 +52,7 @@
     assert_eq!(kinds.len(), 23);
 }
 
-/// Guards against ways to spoil the rest of a stream that no plan has.
+/// Guards against faults of a stream's remainder that no plan contains.
 #[test]
 fn every_remainder_drawn() {
     let mut remainders = BTreeSet::new();
