--- a/crates/soak/tests/proxy_faults.rs
+++ b/crates/soak/tests/proxy_faults.rs
@@ -1,4 +1,4 @@
-//! What the proxy does to connections.
+//! Faults that the proxy injects into connections.
 
 use std::io::Read;
 use std::io::Write;
@@ -12,13 +12,13 @@
 use apricotdale_soak::Proxy;
 use rstest::rstest;
 
-/// How long something may take that should happen.
+/// Time within which an expected byte must arrive.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long nothing must come where nothing may.
+/// Time for which no byte may arrive on a blocked connection.
 const SILENCE_WAIT: Duration = Duration::from_millis(300);
 
-/// Starts a server that sends back what it gets, and a proxy in front of it.
+/// Starts a server that echoes every byte, and a proxy in front of it.
 fn echo_proxy() -> Proxy {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
