--- a/crates/soak/tests/short_soak.rs
+++ b/crates/soak/tests/short_soak.rs
@@ -1,4 +1,4 @@
-//! Short soaks with fixed seeds. Longer ones, with fresh seeds, are run by hand.
+//! Short soaks with fixed seeds. Longer soaks with other seeds are run with the program `soak`.
 
 use apricotdale_soak::Soak;
 use apricotdale_soak::SoakOptions;
@@ -18,7 +18,7 @@
     let violations = check(&soak.record);
     assert!(violations.is_empty(), "{violations:#?}\n{:#?}", soak.plan);
     assert!(soak.record.attempts.len() > 200);
-    // A soak in which nobody is refused a key or a limit has not played organisations.
+    // A soak without a refused key or an exceeded limit has not exercised organisations.
     for status in [401, 429] {
         let mut attempts = soak.record.attempts.iter();
         assert!(attempts.any(|it| it.status() == status), "no {status}");
