--- a/crates/soak/tests/stream_records.rs
+++ b/crates/soak/tests/stream_records.rs
@@ -1,4 +1,5 @@
-//! Records of streams over two engines: what looks whole is, and what fits is told from what does not.
+//! Records of streams over two engines: a stream that looks complete is complete, and each flaw of a
+//! joined stream is found.
 
 mod support;
 
@@ -20,7 +21,7 @@
 use support::run;
 use support::valid_record;
 
-/// Returns a record of a stream over two engines, of which the caller got some text.
+/// Returns a record of a stream over two engines whose caller received `text`.
 fn stream_record(after_event: u64, whole: bool, text: &str) -> Record {
     let mut record = valid_record();
     let first = after_event + 1;
@@ -35,7 +36,7 @@
         },
         ..attempt("s", Kind::Quick, 200)
     });
-    let rest = Run {
+    let resumed = Run {
         upstream: "i-1".to_owned(),
         after_event: after_event + 2,
         ..run("s")
@@ -44,7 +45,7 @@
         after_event,
         ..run("s")
     });
-    record.runs.push(rest);
+    record.runs.push(resumed);
     record
 }
 
@@ -55,7 +56,7 @@
         .collect()
 }
 
-/// Returns events of other weights.
+/// Returns events as engines with another version of the weights send them.
 fn other_events(ids: &[u64]) -> String {
     events(ids).replace("data: piece", "data: other piece")
 }
@@ -76,7 +77,8 @@
     );
 }
 
-/// Guards against joined streams that look whole and aren't, and against parts that do not fit.
+/// Guards against a check that misses an incomplete stream that looks complete, or a remainder that
+/// does not continue the first part.
 #[rstest]
 #[case::short(0, true, events(&[1, 2, 3]))]
 #[case::nothing(0, true, String::new())]
@@ -110,8 +112,8 @@
     assert_eq!(broken_invariants(&record), [Invariant::OwnAnswer]);
 }
 
-/// Guards against an excuse for joined streams: only what an engine alone gives to a caller that
-/// resumed by itself may hold no events.
+/// Guards against a check that excuses too much: an empty remainder is only excused if a single
+/// engine sent it to a caller that resumed the stream by itself.
 #[rstest]
 #[case::resumed(3, 3, StreamFault::Empty, "", true)]
 #[case::resumed_other_content(3, 3, StreamFault::OtherContent, "{\"text\":\"whole\"}", true)]
@@ -146,7 +148,7 @@
     let last = record.runs.len() - 1;
     record.runs[last].fault = Some(AnswerFault::Failed);
     assert_eq!(record.continued().faulty, 1);
-    // One that the caller resumed by itself, or that began anew elsewhere, was not joined.
+    // A stream that the caller resumed by itself, or that another engine began anew, is not joined.
     record.runs[last].after_event = 0;
     assert_eq!(record.continued(), ContinuedStreams::default());
 }
