--- a/crates/soak/tests/support/mod.rs
+++ b/crates/soak/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Records of soaks in which nothing is broken.
+//! Records of soaks that violate no invariant, and their parts.
 
 #![allow(dead_code)]
 
@@ -19,7 +19,7 @@
 use apricotdale_soak::check;
 use apricotdale_standins::platform::EngineEffects;
 
-/// A plain body as the upstream gives it.
+/// Body of a call as the upstream sends it.
 pub const PLAIN_BODY: BodySeen = BodySeen::Plain { own: true };
 
 pub fn attempt(id: &str, kind: Kind, status: u16) -> Attempt {
