--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -31,8 +31,8 @@
 /// running when it is recorded.
 const EVENT_INTERVAL_MS: u64 = 20;
 
-/// Time for which a request that crashes engines runs before its first event, or before the crash if
-/// no event is sent.
+/// Time for which a request that crashes engines runs before its first event, or before the crash
+/// if no event is sent.
 const CRASH_DELAY_MS: u64 = 60;
 
 /// Number of events that a request with the late mark gets before the crash.
--- a/crates/soak/tests/organisation_records.rs
+++ b/crates/soak/tests/organisation_records.rs
@@ -36,8 +36,8 @@
     );
 }
 
-/// Guards against a check that misses a request served with a revoked key, or that reports one while
-/// the VM may not know of the revocation yet.
+/// Guards against a check that misses a request served with a revoked key, or that reports one
+/// while the VM may not know of the revocation yet.
 #[rstest]
 #[case::in_time(7_500, None, &[])]
 #[case::late(5_000, None, &[Invariant::ValidKeyRequired])]
--- a/crates/soak/tests/stream_records.rs
+++ b/crates/soak/tests/stream_records.rs
@@ -1,5 +1,5 @@
-//! Records of streams over two engines: a stream that looks complete is complete, and each flaw of a
-//! joined stream is found.
+//! Records of streams over two engines: a stream that looks complete is complete, and each flaw of
+//! a joined stream is found.
 
 mod support;
 
