--- a/crates/launcher/src/answer.rs
+++ b/crates/launcher/src/answer.rs
@@ -181,9 +181,9 @@
     }
 }
 
-/// `StreamReading` is the reading of a stream of events.
+/// `StreamParser` is the reading of a stream of events.
 #[derive(Debug)]
-pub struct StreamReading {
+pub struct StreamParser {
     head: AnswerHead,
     events: u64,
     done: bool,
@@ -191,7 +191,7 @@
     foreign: Option<String>,
 }
 
-impl StreamReading {
+impl StreamParser {
     /// Returns the reading of a stream with the given beginning.
     pub fn new(head: AnswerHead) -> Self {
         Self {
--- a/crates/launcher/src/caller.rs
+++ b/crates/launcher/src/caller.rs
@@ -17,7 +17,7 @@
 
 use crate::answer::AnswerHead;
 use crate::answer::Outcome;
-use crate::answer::StreamReading;
+use crate::answer::StreamParser;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::http::agent;
@@ -225,7 +225,7 @@
 }
 
 fn read_stream(head: AnswerHead, mut body: impl BufRead, shared: &Shared) -> Outcome {
-    let mut reading = StreamReading::new(head);
+    let mut reading = StreamParser::new(head);
     let mut line = String::new();
     loop {
         line.clear();
--- a/crates/launcher/src/cluster/mod.rs
+++ b/crates/launcher/src/cluster/mod.rs
@@ -18,7 +18,7 @@
 use crate::cluster::options::ClusterOptions;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::poll::POLL_LIMIT;
+use crate::poll::MAX_POLLS;
 use crate::poll::poll_until;
 use crate::process::Exit;
 use crate::processes::Processes;
@@ -165,7 +165,7 @@
     /// `Error::GaveUp` if one has not.
     pub fn wait_in_force(&self, version: ConfigVersion) -> Result<()> {
         let condition = format!("version {version} is in force on all VMs");
-        poll_until(&condition, POLL_LIMIT, || {
+        poll_until(&condition, MAX_POLLS, || {
             for vm in self.running_vms() {
                 let config = self.admin(&vm.name)?.config();
                 let in_force = config.is_ok_and(|config| config.version >= version);
@@ -259,7 +259,7 @@
             let _ = self.processes.signal(&vm.name, Signal::SIGTERM);
         }
         for vm in self.running_vms() {
-            let _ = self.wait_exit(&vm.name, POLL_LIMIT);
+            let _ = self.wait_exit(&vm.name, MAX_POLLS);
         }
         self.processes.close();
     }
--- a/crates/launcher/src/cluster/start.rs
+++ b/crates/launcher/src/cluster/start.rs
@@ -23,7 +23,7 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::health::is_ready;
-use crate::poll::POLL_LIMIT;
+use crate::poll::MAX_POLLS;
 use crate::poll::poll_until;
 use crate::processes::Processes;
 use crate::programs::Program;
@@ -111,7 +111,7 @@
     pub fn wait_taking_requests(&self, vm: &str) -> Result<()> {
         let address = self.vm(vm)?.addresses.callers;
         let condition = format!("{vm} takes requests");
-        poll_until(&condition, POLL_LIMIT, || {
+        poll_until(&condition, MAX_POLLS, || {
             if let Some(exit) = self.poll_exit(vm)? {
                 let log = self.processes.log_tail(vm)?;
                 return Err(Error::NotReady {
--- a/crates/launcher/src/demo.rs
+++ b/crates/launcher/src/demo.rs
@@ -17,7 +17,7 @@
 use crate::cluster::records;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::poll::POLL_LIMIT;
+use crate::poll::MAX_POLLS;
 use crate::poll::poll_until;
 use crate::process::Exit;
 use crate::sample;
@@ -173,7 +173,7 @@
             format!("the stopping VM's stream: {whole}"),
             is_whole_stream(&whole),
         )?;
-        let exit = self.cluster.wait_exit(&drained.name, POLL_LIMIT)?;
+        let exit = self.cluster.wait_exit(&drained.name, MAX_POLLS)?;
         self.checks.check(
             format!("{} ended with {exit:?}", drained.name),
             exit == Exit::Code(0),
@@ -220,7 +220,7 @@
     /// carried out. A burst may lead to a second replica, which is still being loaded when the first
     /// one has answered all. More loads than decided are returned at once.
     fn settled_loads(&self, model: &str) -> Result<(usize, usize)> {
-        poll_until("every load decided is carried out", POLL_LIMIT, || {
+        poll_until("every load decided is carried out", MAX_POLLS, || {
             // The engines are asked first: a load decided in between does not count as carried out.
             let loads = self.loads(model)?;
             let decided = self.decided(model)?;
--- a/crates/launcher/src/entry_demo.rs
+++ b/crates/launcher/src/entry_demo.rs
@@ -22,7 +22,7 @@
 use crate::checks::Checks;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::poll::POLL_LIMIT;
+use crate::poll::MAX_POLLS;
 use crate::poll::poll_until;
 use crate::programs::Program;
 
@@ -108,7 +108,7 @@
 
     fn start_up(&mut self) -> Result<()> {
         for index in 0..VMS {
-            poll_until("every VM takes callers", POLL_LIMIT, || {
+            poll_until("every VM takes callers", MAX_POLLS, || {
                 Ok(self.vm(index)?.is_ready(PATIENCE).then_some(()))
             })?;
         }
@@ -209,7 +209,7 @@
         let mut caller = Caller::connect(self.vm(index)?.callers, PATIENCE)?;
         caller.send(&request.bytes())?;
         let id = request.id.clone();
-        poll_until("the stream has begun", POLL_LIMIT, || {
+        poll_until("the stream has begun", MAX_POLLS, || {
             let ran = self
                 .site
                 .engines
@@ -226,7 +226,7 @@
         let Some(mut vm) = self.vms[index].take() else {
             return Err(Error::NotRunning(format!("vm{index}")));
         };
-        let status = poll_until("the process ends", POLL_LIMIT, || Ok(vm.try_wait()?))?;
+        let status = poll_until("the process ends", MAX_POLLS, || Ok(vm.try_wait()?))?;
         self.checks
             .check(format!("vm{index} ended: {status}"), status.success())
     }
--- a/crates/launcher/src/entry_up.rs
+++ b/crates/launcher/src/entry_up.rs
@@ -16,7 +16,7 @@
 use signal_hook::iterator::Signals;
 
 use crate::errors::Result;
-use crate::poll::POLL_LIMIT;
+use crate::poll::MAX_POLLS;
 use crate::poll::poll_until;
 use crate::programs::Program;
 
@@ -92,7 +92,7 @@
             ..SiteOptions::default()
         })?;
         let vm = VmProcess::start(&VmOptions::new(&program, "vm0", site.door_addresses[0]))?;
-        poll_until("the VM takes callers", POLL_LIMIT, || {
+        poll_until("the VM takes callers", MAX_POLLS, || {
             Ok(vm.is_ready(PATIENCE).then_some(()))
         })?;
         let keys = organisations.map(|it| (it.name, it.keys.concat()));
--- a/crates/launcher/src/poll.rs
+++ b/crates/launcher/src/poll.rs
@@ -7,10 +7,10 @@
 use crate::errors::Result;
 
 /// The pause between two looks. It only spares the processor: no test may depend on its length.
-pub const POLL_PAUSE: Duration = Duration::from_millis(50);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The number of looks after which a condition that must come true is given up.
-pub const POLL_LIMIT: u32 = 600;
+pub const MAX_POLLS: u32 = 600;
 
 /// Looks until `look` returns a value and returns that.
 ///
@@ -26,7 +26,7 @@
         if let Some(value) = look()? {
             return Ok(value);
         }
-        thread::sleep(POLL_PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     Err(Error::GaveUp(condition.to_owned()))
 }
--- a/crates/launcher/src/processes.rs
+++ b/crates/launcher/src/processes.rs
@@ -13,7 +13,7 @@
 
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::poll::POLL_LIMIT;
+use crate::poll::MAX_POLLS;
 use crate::poll::poll_until;
 use crate::process::Exit;
 use crate::process::Launch;
@@ -109,7 +109,7 @@
         };
         // The signal is delivered later than it is sent. What the process does in between would
         // look as if it had been done by a frozen process.
-        poll_until(&format!("{name} stands still"), POLL_LIMIT, || {
+        poll_until(&format!("{name} stands still"), MAX_POLLS, || {
             Ok(stands_still(id)?.then_some(()))
         })
     }
--- a/crates/launcher/tests/answer_kinds.rs
+++ b/crates/launcher/tests/answer_kinds.rs
@@ -4,7 +4,7 @@
 
 use apricotdale_launcher::answer::AnswerHead;
 use apricotdale_launcher::answer::Outcome;
-use apricotdale_launcher::answer::StreamReading;
+use apricotdale_launcher::answer::StreamParser;
 
 const REFUSAL: &str = r#"{"type":"urn:apricotdale:refusal:upstream_lost","reason":"upstream_lost","ran":"unknown","error":{"code":"upstream_lost"}}"#;
 
@@ -17,7 +17,7 @@
 }
 
 fn outcome_of_stream(lines: &[&str], error: Option<&str>) -> Outcome {
-    let mut reading = StreamReading::new(head());
+    let mut reading = StreamParser::new(head());
     for line in lines {
         reading.take_line(line);
     }
--- a/crates/load-tool/src/load/client.rs
+++ b/crates/load-tool/src/load/client.rs
@@ -16,7 +16,7 @@
 
 use apricotdale_launcher::answer::AnswerHead;
 use apricotdale_launcher::answer::Outcome;
-use apricotdale_launcher::answer::StreamReading;
+use apricotdale_launcher::answer::StreamParser;
 
 use crate::load::answer_check::TokenCheck;
 use crate::load::answer_check::check_call;
@@ -192,7 +192,7 @@
         record: &mut Record,
     ) -> Ending {
         let mut check = TokenCheck::new(&head.request);
-        let mut reading = StreamReading::new(head);
+        let mut reading = StreamParser::new(head);
         let mut wrong = None;
         let mut last = None;
         let mut line = String::new();
--- a/crates/load-tool/src/load/run.rs
+++ b/crates/load-tool/src/load/run.rs
@@ -13,7 +13,7 @@
 use apricotdale_launcher::cluster::Cluster;
 use apricotdale_launcher::cluster::LOG;
 use apricotdale_launcher::cluster::options::ClusterOptions;
-use apricotdale_launcher::poll::POLL_LIMIT;
+use apricotdale_launcher::poll::MAX_POLLS;
 use apricotdale_launcher::poll::poll_until;
 use apricotdale_launcher::processes::Processes;
 use apricotdale_policy_replay::deployment::Deployment;
@@ -224,7 +224,7 @@
             return Err(Error::failed(format!("publishing: {outcome:?}")));
         };
         let condition = "the configuration is in force on all VMs";
-        let in_force = poll_until(condition, POLL_LIMIT, || {
+        let in_force = poll_until(condition, MAX_POLLS, || {
             for vm in &vms {
                 let config = cluster.admin(vm)?.config();
                 if config.is_ok_and(|config| config.version == version) {
--- a/crates/scenario/src/run/actions.rs
+++ b/crates/scenario/src/run/actions.rs
@@ -35,8 +35,8 @@
 use apricotdale_launcher::caller::CallerRequest;
 use apricotdale_launcher::cluster::LOG;
 use apricotdale_launcher::cluster::records;
-use apricotdale_launcher::poll::POLL_LIMIT;
-use apricotdale_launcher::poll::POLL_PAUSE;
+use apricotdale_launcher::poll::MAX_POLLS;
+use apricotdale_launcher::poll::POLL_INTERVAL;
 use apricotdale_launcher::poll::poll_until;
 use apricotdale_launcher::process::Exit;
 
@@ -80,7 +80,7 @@
     pub(super) fn alias(&mut self, alias: &Alias) -> Result<Option<String>> {
         let condition = format!("a load of {} is decided", alias.model);
         let log = self.cluster().standin(LOG)?;
-        let intent = poll_until(&condition, POLL_LIMIT, || {
+        let intent = poll_until(&condition, MAX_POLLS, || {
             // Several VMs may propose at once. Only the one whose intent was accepted has sent an
             // order.
             let decided = records::decided_loads(log)?;
@@ -136,7 +136,7 @@
             if !refused {
                 return Ok(Some(format!("whole at try {tries}")));
             }
-            thread::sleep(POLL_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         Err(Error::failed(format!(
             "{} was refused at every try",
@@ -170,7 +170,7 @@
 
     pub(super) fn await_exit(&mut self, name: &str, code: i32) -> Result<Option<String>> {
         let vm = self.resolve(name);
-        match self.cluster().wait_exit(&vm, POLL_LIMIT)? {
+        match self.cluster().wait_exit(&vm, MAX_POLLS)? {
             Exit::Code(found) if found == code => Ok(None),
             other => Err(Error::failed(format!("{vm} ended with {other:?}"))),
         }
--- a/crates/scenario/src/run/conditions.rs
+++ b/crates/scenario/src/run/conditions.rs
@@ -7,8 +7,8 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::run::world::World;
-use apricotdale_launcher::poll::POLL_LIMIT;
-use apricotdale_launcher::poll::POLL_PAUSE;
+use apricotdale_launcher::poll::MAX_POLLS;
+use apricotdale_launcher::poll::POLL_INTERVAL;
 
 impl World {
     pub(super) fn expect(&mut self, condition: &Condition) -> Result<Option<String>> {
@@ -25,7 +25,7 @@
         limit: Option<u32>,
     ) -> Result<Option<String>> {
         let mut last = String::new();
-        for poll in 1..=limit.unwrap_or(POLL_LIMIT) {
+        for poll in 1..=limit.unwrap_or(MAX_POLLS) {
             match self.measure(&condition.measure) {
                 Ok(found) if self.holds(condition.comparison, found) => {
                     return Ok(Some(format!("found {found} at poll {poll}")));
@@ -34,7 +34,7 @@
                 // A process that is being killed or restarted can't be asked for a while.
                 Err(error) => last = error.to_string(),
             }
-            thread::sleep(POLL_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         Err(Error::failed(last))
     }
@@ -45,7 +45,7 @@
             if !self.holds(condition.comparison, found) {
                 return Err(Error::failed(format!("found {found} at poll {poll}")));
             }
-            thread::sleep(POLL_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(None)
     }
