--- a/crates/scenario/src/ast.rs
+++ b/crates/scenario/src/ast.rs
@@ -46,9 +46,9 @@
     /// Gives a second name to a VM or an engine that only the running cluster knows.
     Alias(Alias),
     /// Sends requests and goes on.
-    Send(Send),
+    SendRequests(SendRequests),
     /// Sends a request, and again as long as it is refused as not run, until the whole answer came.
-    Insist(Send),
+    Insist(SendRequests),
     /// Waits until the answer of a request has begun.
     AwaitBegun(String),
     /// Waits until a VM's process has ended by itself with a code.
@@ -124,7 +124,7 @@
     /// The edit.
     pub edit: ConfigEdit,
     /// The VM at which it is published.
-    pub place: Place,
+    pub selector: VmSelector,
 }
 
 /// `Alias` is a second name for a VM or an engine.
@@ -147,9 +147,9 @@
     Engine,
 }
 
-/// `Place` is the VMs at which something is done.
+/// `VmSelector` is the VMs at which something is done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum VmSelector {
     /// Every VM that was not killed, frozen or told to stop.
     All,
     /// The first such VM that is not the named one.
@@ -158,15 +158,15 @@
     Vm(String),
 }
 
-/// `Send` is one request or several equal ones.
+/// `SendRequests` is one request or several equal ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct SendRequests {
     /// The name under which the requests are awaited.
     pub name: String,
     /// How many requests go to each place.
     pub count: u32,
     /// Where they go.
-    pub place: Place,
+    pub selector: VmSelector,
     /// What they ask for.
     pub work: Work,
     /// Their class, or none for the VM's default.
--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -10,20 +10,20 @@
 use crate::ast::AliasRole;
 use crate::ast::Condition;
 use crate::ast::Measure;
-use crate::ast::Place;
 use crate::ast::ProcessVerb;
 use crate::ast::Publication;
 use crate::ast::Scenario;
-use crate::ast::Send;
+use crate::ast::SendRequests;
 use crate::ast::Setup;
 use crate::ast::StandinKind;
 use crate::ast::Statement;
 use crate::ast::Step;
+use crate::ast::VmSelector;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::fault::fault_body;
 use crate::layout::Layout;
-use crate::layout::Member;
+use crate::layout::ProcessKind;
 
 /// Checks a scenario.
 ///
@@ -47,7 +47,7 @@
 }
 
 /// A fault of meaning, as a sentence.
-type Finding = std::result::Result<(), String>;
+type CheckResult = std::result::Result<(), String>;
 
 struct Checker {
     layout: Layout,
@@ -58,7 +58,7 @@
 }
 
 impl Checker {
-    fn step(&mut self, step: &Step) -> Finding {
+    fn step(&mut self, step: &Step) -> CheckResult {
         match &step.statement {
             Statement::Setup(_) | Statement::Start if self.started => {
                 Err("the cluster is started already".to_owned())
@@ -70,11 +70,11 @@
                 Ok(())
             }
             _ if !self.started => Err("the cluster is not started yet".to_owned()),
-            statement => self.running_step(statement),
+            statement => self.check_running_step(statement),
         }
     }
 
-    fn running_step(&mut self, statement: &Statement) -> Finding {
+    fn check_running_step(&mut self, statement: &Statement) -> CheckResult {
         match statement {
             Statement::Setup(_) | Statement::Start => Ok(()),
             Statement::Publish(publication) => self.publication(publication),
@@ -84,7 +84,7 @@
                 self.publication(right)
             }
             Statement::Alias(alias) => self.alias(alias),
-            Statement::Send(send) | Statement::Insist(send) => self.send(send),
+            Statement::SendRequests(send) | Statement::Insist(send) => self.send(send),
             Statement::AwaitBegun(name) | Statement::AwaitEnd(name, _) => self.request(name),
             Statement::AwaitExit(name, _) => self.vm(name),
             Statement::Fault(target, words) => self.fault(target, words),
@@ -97,11 +97,11 @@
         }
     }
 
-    fn publication(&self, publication: &Publication) -> Finding {
-        self.place(&publication.place)
+    fn publication(&self, publication: &Publication) -> CheckResult {
+        self.selector(&publication.selector)
     }
 
-    fn alias(&mut self, alias: &Alias) -> Finding {
+    fn alias(&mut self, alias: &Alias) -> CheckResult {
         if self.layout.find(&alias.name).is_some() {
             return Err(format!("{} is a name of the cluster", alias.name));
         }
@@ -109,8 +109,8 @@
         Ok(())
     }
 
-    fn send(&mut self, send: &Send) -> Finding {
-        self.place(&send.place)?;
+    fn send(&mut self, send: &SendRequests) -> CheckResult {
+        self.selector(&send.selector)?;
         if send.count == 0 {
             return Err("a burst needs a request".to_owned());
         }
@@ -120,23 +120,23 @@
         Ok(())
     }
 
-    fn fault(&self, target: &str, words: &[String]) -> Finding {
+    fn fault(&self, target: &str, words: &[String]) -> CheckResult {
         let kind = match (self.layout.find(target), self.aliases.get(target)) {
-            (Some(Member::Standin(kind)), _) => kind,
+            (Some(ProcessKind::Standin(kind)), _) => kind,
             (None, Some(AliasRole::Engine)) => StandinKind::Engine,
             _ => return Err(format!("there is no stand-in {target}")),
         };
         fault_body(kind, words).map(|_| ())
     }
 
-    fn process(&self, verb: ProcessVerb, name: &str) -> Finding {
+    fn process(&self, verb: ProcessVerb, name: &str) -> CheckResult {
         match verb {
             ProcessVerb::Kill | ProcessVerb::Freeze | ProcessVerb::Wake => self.any(name),
             ProcessVerb::Terminate | ProcessVerb::Restart => self.vm(name),
         }
     }
 
-    fn condition(&self, condition: &Condition) -> Finding {
+    fn condition(&self, condition: &Condition) -> CheckResult {
         match &condition.measure {
             Measure::Engine(_, on) | Measure::Model(_, _, on) => match on {
                 Some(engine) => self.engine(engine),
@@ -161,52 +161,51 @@
         }
     }
 
-    fn place(&self, place: &Place) -> Finding {
-        match place {
-            Place::All => Ok(()),
-            Place::Not(name) | Place::Vm(name) => self.vm(name),
+    fn selector(&self, selector: &VmSelector) -> CheckResult {
+        match selector {
+            VmSelector::All => Ok(()),
+            VmSelector::Not(name) | VmSelector::Vm(name) => self.vm(name),
         }
     }
 
-    fn request(&self, name: &str) -> Finding {
+    fn request(&self, name: &str) -> CheckResult {
         match self.requests.contains(name) {
             true => Ok(()),
             false => Err(format!("there is no request {name} before this line")),
         }
     }
 
-    fn vm(&self, name: &str) -> Finding {
+    fn vm(&self, name: &str) -> CheckResult {
         match (self.layout.find(name), self.aliases.get(name)) {
-            (Some(Member::Vm), _) | (None, Some(AliasRole::Proposer)) => Ok(()),
+            (Some(ProcessKind::Vm), _) | (None, Some(AliasRole::Proposer)) => Ok(()),
             _ => Err(format!("there is no VM {name}")),
         }
     }
 
-    fn engine(&self, name: &str) -> Finding {
+    fn engine(&self, name: &str) -> CheckResult {
         match (self.layout.find(name), self.aliases.get(name)) {
-            (Some(Member::Standin(StandinKind::Engine)), _) | (None, Some(AliasRole::Engine)) => {
-                Ok(())
-            }
+            (Some(ProcessKind::Standin(StandinKind::Engine)), _)
+            | (None, Some(AliasRole::Engine)) => Ok(()),
             _ => Err(format!("there is no engine {name}")),
         }
     }
 
-    fn upstream(&self, name: &str) -> Finding {
+    fn upstream(&self, name: &str) -> CheckResult {
         match self.layout.find(name) {
-            Some(Member::Standin(StandinKind::Service)) => Ok(()),
+            Some(ProcessKind::Standin(StandinKind::Service)) => Ok(()),
             _ => self
                 .engine(name)
                 .map_err(|_| format!("there is no upstream {name}")),
         }
     }
 
-    fn listed(&self, name: &str) -> Finding {
+    fn listed(&self, name: &str) -> CheckResult {
         self.vm(name)
             .or_else(|_| self.upstream(name))
             .map_err(|_| format!("the list has no {name}"))
     }
 
-    fn any(&self, name: &str) -> Finding {
+    fn any(&self, name: &str) -> CheckResult {
         match self.layout.find(name).is_some() || self.aliases.contains_key(name) {
             true => Ok(()),
             false => Err(format!("there is no process {name}")),
@@ -214,7 +213,7 @@
     }
 }
 
-fn check_setup(setup: &Setup) -> Finding {
+fn check_setup(setup: &Setup) -> CheckResult {
     match setup {
         Setup::Vms(0) => Err("a cluster needs a VM".to_owned()),
         Setup::Zones(zones) if zones.is_empty() => Err("a cluster needs a zone".to_owned()),
--- a/crates/scenario/src/layout.rs
+++ b/crates/scenario/src/layout.rs
@@ -23,9 +23,9 @@
     pub services: Vec<String>,
 }
 
-/// `Member` is what a process of the cluster is.
+/// `ProcessKind` is what a process of the cluster is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Member {
+pub enum ProcessKind {
     /// A VM with a daemon.
     Vm,
     /// A stand-in.
@@ -52,15 +52,15 @@
     }
 
     /// Returns what the process of a name is, or none if there is none.
-    pub fn find(&self, name: &str) -> Option<Member> {
+    pub fn find(&self, name: &str) -> Option<ProcessKind> {
         let has = |names: &[String]| names.iter().any(|other| other == name);
         match name {
-            LOG => Some(Member::Standin(StandinKind::Log)),
-            WEIGHTS => Some(Member::Standin(StandinKind::Weights)),
-            VM_LIST => Some(Member::Standin(StandinKind::VmList)),
-            _ if has(&self.vms) => Some(Member::Vm),
-            _ if has(&self.engines) => Some(Member::Standin(StandinKind::Engine)),
-            _ if has(&self.services) => Some(Member::Standin(StandinKind::Service)),
+            LOG => Some(ProcessKind::Standin(StandinKind::Log)),
+            WEIGHTS => Some(ProcessKind::Standin(StandinKind::Weights)),
+            VM_LIST => Some(ProcessKind::Standin(StandinKind::VmList)),
+            _ if has(&self.vms) => Some(ProcessKind::Vm),
+            _ if has(&self.engines) => Some(ProcessKind::Standin(StandinKind::Engine)),
+            _ if has(&self.services) => Some(ProcessKind::Standin(StandinKind::Service)),
             _ => None,
         }
     }
--- a/crates/scenario/src/main.rs
+++ b/crates/scenario/src/main.rs
@@ -53,9 +53,7 @@
     };
     let passed = match command {
         Command::Run { logs, files } => run_files(&files, logs.as_deref(), &interrupts),
-        Command::Check { files } => {
-            files.iter().filter(|file| !has_passed_check(file)).count() == 0
-        }
+        Command::Check { files } => files.iter().filter(|file| !passes_check(file)).count() == 0,
     };
     match passed {
         true => ExitCode::SUCCESS,
@@ -98,7 +96,7 @@
     run(&scenario, &options, &mut io::stdout(), prepare)
 }
 
-fn has_passed_check(file: &Path) -> bool {
+fn passes_check(file: &Path) -> bool {
     let checked = fs::read_to_string(file)
         .map_err(Into::into)
         .and_then(|text| parse(&text))
--- a/crates/scenario/src/parser/mod.rs
+++ b/crates/scenario/src/parser/mod.rs
@@ -31,7 +31,7 @@
 /// `Error::Syntax` and `Error::Meaning`, with the line and the column of the fault.
 pub fn parse(text: &str) -> Result<Scenario> {
     let mut files = Grammar::parse(Rule::scenario, text)
-        .map_err(|error| Error::Syntax(error.renamed_rules(words::expected_word).to_string()))?;
+        .map_err(|error| Error::Syntax(error.renamed_rules(words::rule_description).to_string()))?;
     let file = files.next().expect("the grammar has one file at its root");
     let mut title = String::new();
     let mut steps = Vec::new();
@@ -46,7 +46,7 @@
 }
 
 fn step(pair: Pair<'_, Rule>) -> Result<Step> {
-    let position = position_of(&pair);
+    let position = source_position(&pair);
     let text = pair.as_str().trim_end().to_owned();
     let statement = pair
         .into_inner()
@@ -55,11 +55,11 @@
     Ok(Step {
         position,
         text,
-        statement: statement_of(statement)?,
+        statement: parse_statement(statement)?,
     })
 }
 
-fn statement_of(pair: Pair<'_, Rule>) -> Result<Statement> {
+fn parse_statement(pair: Pair<'_, Rule>) -> Result<Statement> {
     let rule = pair.as_rule();
     match rule {
         Rule::start => Ok(Statement::Start),
@@ -70,7 +70,7 @@
         Rule::trim => Ok(Statement::Trim(Children::of(pair).text())),
         Rule::publish => setup::publish(pair),
         Rule::race => setup::race(pair),
-        Rule::request | Rule::burst => requests::send(pair).map(Statement::Send),
+        Rule::request | Rule::burst => requests::send(pair).map(Statement::SendRequests),
         Rule::insist => requests::send(pair).map(Statement::Insist),
         Rule::await_begun => Ok(Statement::AwaitBegun(Children::of(pair).text())),
         Rule::await_exit => requests::await_exit(pair),
@@ -120,7 +120,7 @@
     Ok(Statement::List(name, state))
 }
 
-fn position_of(pair: &Pair<'_, Rule>) -> Position {
+fn source_position(pair: &Pair<'_, Rule>) -> Position {
     let (line, column) = pair.line_col();
     Position { line, column }
 }
--- a/crates/scenario/src/parser/requests.rs
+++ b/crates/scenario/src/parser/requests.rs
@@ -3,10 +3,10 @@
 use pest::iterators::Pair;
 
 use crate::ast::Ending;
-use crate::ast::Place;
 use crate::ast::RefusalPattern;
-use crate::ast::Send;
+use crate::ast::SendRequests;
 use crate::ast::Statement;
+use crate::ast::VmSelector;
 use crate::ast::Work;
 use crate::errors::Result;
 use crate::parser::grammar::Rule;
@@ -14,15 +14,15 @@
 use crate::parser::words::inner_number;
 use crate::parser::words::inner_text;
 
-pub(super) fn send(pair: Pair<'_, Rule>) -> Result<Send> {
+pub(super) fn send(pair: Pair<'_, Rule>) -> Result<SendRequests> {
     let is_burst = pair.as_rule() == Rule::burst;
     let mut children = Children::of(pair);
     let name = children.text();
     let count = if is_burst { children.number()? } else { 1 };
-    let mut send = Send {
+    let mut send = SendRequests {
         name,
         count,
-        place: place(children.next()),
+        selector: selector(children.next()),
         work: work(children.next())?,
         class: None,
         timeout_ms: None,
@@ -42,13 +42,13 @@
 }
 
 /// Returns the place that an `at` tells.
-pub(super) fn place(pair: Pair<'_, Rule>) -> Place {
-    let place = Children::of(pair).next();
-    let kind = Children::of(place).next();
+pub(super) fn selector(pair: Pair<'_, Rule>) -> VmSelector {
+    let selector = Children::of(pair).next();
+    let kind = Children::of(selector).next();
     match kind.as_rule() {
-        Rule::all => Place::All,
-        Rule::not => Place::Not(inner_text(kind)),
-        _ => Place::Vm(kind.as_str().to_owned()),
+        Rule::all => VmSelector::All,
+        Rule::not => VmSelector::Not(inner_text(kind)),
+        _ => VmSelector::Vm(kind.as_str().to_owned()),
     }
 }
 
--- a/crates/scenario/src/parser/setup.rs
+++ b/crates/scenario/src/parser/setup.rs
@@ -3,14 +3,14 @@
 use pest::iterators::Pair;
 
 use crate::ast::EngineGroup;
-use crate::ast::Place;
 use crate::ast::Publication;
 use crate::ast::Setup;
 use crate::ast::StandinKind;
 use crate::ast::Statement;
+use crate::ast::VmSelector;
 use crate::errors::Result;
 use crate::parser::grammar::Rule;
-use crate::parser::requests::place;
+use crate::parser::requests::selector;
 use crate::parser::words::Children;
 use crate::parser::words::inner_number;
 use crate::parser::words::inner_text;
@@ -72,8 +72,8 @@
 pub(super) fn publish(pair: Pair<'_, Rule>) -> Result<Statement> {
     let mut children = Children::of(pair);
     let edit = edit(children.next())?;
-    let place = children.next_if(Rule::at).map_or(Place::All, place);
-    Ok(Statement::Publish(Publication { edit, place }))
+    let selector = children.next_if(Rule::at).map_or(VmSelector::All, selector);
+    Ok(Statement::Publish(Publication { edit, selector }))
 }
 
 pub(super) fn race(pair: Pair<'_, Rule>) -> Result<Statement> {
@@ -81,7 +81,7 @@
     let mut publication = || -> Result<Publication> {
         Ok(Publication {
             edit: edit(children.next())?,
-            place: place(children.next()),
+            selector: selector(children.next()),
         })
     };
     Ok(Statement::Race(publication()?, publication()?))
--- a/crates/scenario/src/parser/words.rs
+++ b/crates/scenario/src/parser/words.rs
@@ -8,7 +8,7 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::parser::grammar::Rule;
-use crate::parser::position_of;
+use crate::parser::source_position;
 
 /// `Children` is the parts of a pair, taken in order.
 pub(super) struct Children<'i> {
@@ -35,7 +35,7 @@
 
     /// Returns the next part as a number. The grammar must promise one.
     pub(super) fn number<T: FromStr>(&mut self) -> Result<T> {
-        number_of(&self.next())
+        parse_number(&self.next())
     }
 
     /// Returns the next part if it is of a rule.
@@ -74,14 +74,14 @@
 }
 
 /// Returns a part as a number.
-pub(super) fn number_of<T: FromStr>(pair: &Pair<'_, Rule>) -> Result<T> {
+pub(super) fn parse_number<T: FromStr>(pair: &Pair<'_, Rule>) -> Result<T> {
     let text = pair.as_str().trim();
     text.parse()
-        .map_err(|_| Error::meaning(position_of(pair), format!("{text} is too large")))
+        .map_err(|_| Error::meaning(source_position(pair), format!("{text} is too large")))
 }
 
 /// Returns what a syntax error calls a rule.
-pub(super) fn expected_word(rule: &Rule) -> String {
+pub(super) fn rule_description(rule: &Rule) -> String {
     match rule {
         Rule::EOI => "the end of the line".to_owned(),
         Rule::name => "a name".to_owned(),
--- a/crates/scenario/src/run/actions.rs
+++ b/crates/scenario/src/run/actions.rs
@@ -10,20 +10,20 @@
 use crate::ast::AliasRole;
 use crate::ast::Ending;
 use crate::ast::ListedState;
-use crate::ast::Place;
 use crate::ast::ProcessVerb;
 use crate::ast::Publication;
 use crate::ast::RefusalPattern;
-use crate::ast::Send;
+use crate::ast::SendRequests;
 use crate::ast::StandinKind;
+use crate::ast::VmSelector;
 use crate::ast::Work;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::fault::fault_body;
 use crate::layout;
 use crate::run::endings;
-use crate::run::world::Sent;
-use crate::run::world::World;
+use crate::run::execution::Execution;
+use crate::run::execution::SentRequest;
 use apricotdale_admin::AdminClient;
 use apricotdale_admin::PublishOutcome;
 use apricotdale_admin::PublishRequest;
@@ -41,14 +41,14 @@
 use apricotdale_launcher::process::Exit;
 
 /// The longest wait for an answer. It is a limit for failures only.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// The operators of a race.
 const RACE_OPERATORS: [&str; 2] = ["left", "right"];
 
-impl World {
+impl Execution {
     pub(super) fn publish(&mut self, publication: &Publication) -> Result<Option<String>> {
-        let vm = self.one_vm(&publication.place)?;
+        let vm = self.first_selected_vm(&publication.selector)?;
         let outcome = self
             .cluster()
             .publish(&vm, vec![publication.edit.clone()])?;
@@ -65,12 +65,16 @@
         left: &Publication,
         right: &Publication,
     ) -> Result<Option<String>> {
-        let left_admin = self.cluster().admin(&self.one_vm(&left.place)?)?;
-        let right_admin = self.cluster().admin(&self.one_vm(&right.place)?)?;
+        let left_admin = self
+            .cluster()
+            .admin(&self.first_selected_vm(&left.selector)?)?;
+        let right_admin = self
+            .cluster()
+            .admin(&self.first_selected_vm(&right.selector)?)?;
         let base_version = left_admin.config()?.version;
         let (left, right) = thread::scope(|scope| {
-            let left = scope.spawn(|| race_one(&left_admin, 0, base_version, &left.edit));
-            let right = scope.spawn(|| race_one(&right_admin, 1, base_version, &right.edit));
+            let left = scope.spawn(|| publish_edit(&left_admin, 0, base_version, &left.edit));
+            let right = scope.spawn(|| publish_edit(&right_admin, 1, base_version, &right.edit));
             (join(left), join(right))
         });
         self.race = vec![left?, right?];
@@ -99,35 +103,35 @@
         Ok(Some(note))
     }
 
-    pub(super) fn send(&mut self, send: &Send) -> Result<Option<String>> {
+    pub(super) fn send(&mut self, send: &SendRequests) -> Result<Option<String>> {
         let request = caller_request(send);
         let mut sent = Vec::new();
-        for vm in self.vms_of(&send.place)? {
+        for vm in self.selected_vms(&send.selector)? {
             for _ in 0..send.count {
-                sent.push(Sent {
+                sent.push(SentRequest {
                     vm: vm.name.clone(),
                     answer: caller::send(vm.addresses.callers, request.clone()),
                 });
             }
         }
-        let note = match send.place {
-            Place::Vm(_) => None,
+        let note = match send.selector {
+            VmSelector::Vm(_) => None,
             _ => Some(format!("{} requests", sent.len())),
         };
         self.requests.insert(send.name.clone(), sent);
         Ok(note)
     }
 
-    pub(super) fn insist(&mut self, send: &Send) -> Result<Option<String>> {
+    pub(super) fn insist(&mut self, send: &SendRequests) -> Result<Option<String>> {
         let started = Instant::now();
         let mut tries = 0;
-        while started.elapsed() < ANSWER_LIMIT {
+        while started.elapsed() < ANSWER_TIMEOUT {
             tries += 1;
             self.send(send)?;
             let mut refused = false;
             for sent in self.sent(&send.name) {
-                let outcome = sent.answer.wait_end(ANSWER_LIMIT)?;
-                refused |= endings::is_as_told(&outcome, &not_run());
+                let outcome = sent.answer.wait_end(ANSWER_TIMEOUT)?;
+                refused |= endings::matches_ending(&outcome, &refused_not_run());
                 if !refused && !outcome.is_whole() {
                     let detail = format!("{} at {}: {outcome}", send.name, sent.vm);
                     return Err(Error::failed(detail));
@@ -146,8 +150,8 @@
 
     pub(super) fn await_begun(&mut self, name: &str) -> Result<Option<String>> {
         for sent in self.sent(name) {
-            if sent.answer.wait_events(1, ANSWER_LIMIT)? == 0 {
-                let outcome = sent.answer.wait_end(ANSWER_LIMIT)?;
+            if sent.answer.wait_events(1, ANSWER_TIMEOUT)? == 0 {
+                let outcome = sent.answer.wait_end(ANSWER_TIMEOUT)?;
                 return Err(Error::failed(format!("{name} at {} {outcome}", sent.vm)));
             }
         }
@@ -157,8 +161,8 @@
     pub(super) fn await_end(&mut self, name: &str, ending: &Ending) -> Result<Option<String>> {
         let mut notes = Vec::new();
         for sent in self.sent(name) {
-            let outcome = sent.answer.wait_end(ANSWER_LIMIT)?;
-            if !endings::is_as_told(&outcome, ending) {
+            let outcome = sent.answer.wait_end(ANSWER_TIMEOUT)?;
+            if !endings::matches_ending(&outcome, ending) {
                 return Err(Error::failed(format!("{name} at {}: {outcome}", sent.vm)));
             }
             notes.push(outcome.to_string());
@@ -178,7 +182,7 @@
 
     pub(super) fn fault(&mut self, target: &str, words: &[String]) -> Result<Option<String>> {
         let name = self.resolve(target);
-        let body = fault_body(kind_of(&name), words).map_err(Error::failed)?;
+        let body = fault_body(standin_kind_of(&name), words).map_err(Error::failed)?;
         self.cluster().standin(&name)?.fault(&body)?;
         Ok(None)
     }
@@ -214,14 +218,14 @@
         Ok(None)
     }
 
-    fn one_vm(&self, place: &Place) -> Result<String> {
-        let vms = self.vms_of(place)?;
+    fn first_selected_vm(&self, selector: &VmSelector) -> Result<String> {
+        let vms = self.selected_vms(selector)?;
         let first = vms.first().ok_or_else(|| Error::failed("no VM runs"))?;
         Ok(first.name.clone())
     }
 }
 
-fn race_one(
+fn publish_edit(
     admin: &AdminClient,
     side: usize,
     base_version: ConfigVersion,
@@ -242,7 +246,7 @@
         .unwrap_or_else(|_| Err(Error::failed("a publisher panicked")))
 }
 
-fn caller_request(send: &Send) -> CallerRequest {
+fn caller_request(send: &SendRequests) -> CallerRequest {
     let mut request = match &send.work {
         Work::Completion {
             model,
@@ -268,14 +272,14 @@
 }
 
 /// Returns how a request ends that its caller may send again.
-fn not_run() -> Ending {
+fn refused_not_run() -> Ending {
     Ending::Refused(RefusalPattern {
         reason: None,
         ran: Some(Ran::NotRun.as_str().to_owned()),
     })
 }
 
-fn kind_of(name: &str) -> StandinKind {
+fn standin_kind_of(name: &str) -> StandinKind {
     match name {
         layout::LOG => StandinKind::Log,
         layout::WEIGHTS => StandinKind::Weights,
--- a/crates/scenario/src/run/conditions.rs
+++ b/crates/scenario/src/run/conditions.rs
@@ -6,11 +6,11 @@
 use crate::ast::Condition;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::run::world::World;
+use crate::run::execution::Execution;
 use apricotdale_launcher::poll::MAX_POLLS;
 use apricotdale_launcher::poll::POLL_INTERVAL;
 
-impl World {
+impl Execution {
     pub(super) fn expect(&mut self, condition: &Condition) -> Result<Option<String>> {
         let found = self.measure(&condition.measure)?;
         match self.holds(condition.comparison, found) {
--- a/crates/scenario/src/run/endings.rs
+++ b/crates/scenario/src/run/endings.rs
@@ -6,7 +6,7 @@
 use apricotdale_launcher::answer::RefusedAnswer;
 
 /// Returns whether a request ended as told.
-pub(super) fn is_as_told(outcome: &Outcome, ending: &Ending) -> bool {
+pub(super) fn matches_ending(outcome: &Outcome, ending: &Ending) -> bool {
     match (ending, outcome) {
         (Ending::Ended, _) => true,
         (Ending::Whole(None), outcome) => outcome.is_whole(),
--- a/crates/scenario/src/run/world.rs
+++ b/crates/scenario/src/run/execution.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::io::Write;
 
-use crate::ast::Place;
 use crate::ast::Statement;
+use crate::ast::VmSelector;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::run::Options;
@@ -17,25 +17,25 @@
 use apricotdale_launcher::processes::Processes;
 use apricotdale_launcher::standin::EngineEffects;
 
-/// `Sent` is a request that was sent.
+/// `SentRequest` is a request that was sent.
 #[derive(Clone, Debug)]
-pub(super) struct Sent {
+pub(super) struct SentRequest {
     /// The VM to which it went.
     pub(super) vm: String,
     /// Its answer.
     pub(super) answer: PendingAnswer,
 }
 
-/// `World` is what a run knows.
-pub(super) struct World {
+/// `Execution` is what a run knows.
+pub(super) struct Execution {
     options: ClusterOptions,
     cluster: Option<Cluster>,
-    pub(super) requests: BTreeMap<String, Vec<Sent>>,
+    pub(super) requests: BTreeMap<String, Vec<SentRequest>>,
     pub(super) aliases: BTreeMap<String, String>,
     pub(super) race: Vec<PublishOutcome>,
 }
 
-impl World {
+impl Execution {
     pub(super) fn new(options: Options) -> Self {
         let cluster_options = ClusterOptions {
             log_dir: options.log_dir,
@@ -69,7 +69,7 @@
             Statement::Publish(publication) => self.publish(publication),
             Statement::Race(left, right) => self.race(left, right),
             Statement::Alias(alias) => self.alias(alias),
-            Statement::Send(send) => self.send(send),
+            Statement::SendRequests(send) => self.send(send),
             Statement::Insist(send) => self.insist(send),
             Statement::AwaitBegun(name) => self.await_begun(name),
             Statement::AwaitExit(name, code) => self.await_exit(name, *code),
@@ -131,13 +131,13 @@
     }
 
     /// Returns the VMs of a place.
-    pub(super) fn vms_of(&self, place: &Place) -> Result<Vec<Vm>> {
+    pub(super) fn selected_vms(&self, selector: &VmSelector) -> Result<Vec<Vm>> {
         let running = self.cluster().running_vms();
-        match place {
-            Place::All if running.is_empty() => Err(Error::failed("no VM runs")),
-            Place::All => Ok(running.into_iter().cloned().collect()),
-            Place::Vm(name) => Ok(vec![self.cluster().vm(&self.resolve(name))?.clone()]),
-            Place::Not(name) => {
+        match selector {
+            VmSelector::All if running.is_empty() => Err(Error::failed("no VM runs")),
+            VmSelector::All => Ok(running.into_iter().cloned().collect()),
+            VmSelector::Vm(name) => Ok(vec![self.cluster().vm(&self.resolve(name))?.clone()]),
+            VmSelector::Not(name) => {
                 let excluded = self.resolve(name);
                 let other = running.into_iter().find(|vm| vm.name != excluded);
                 let other = other.ok_or_else(|| Error::failed("no other VM runs"))?;
@@ -147,7 +147,7 @@
     }
 
     /// Returns the requests of a name.
-    pub(super) fn sent(&self, name: &str) -> &[Sent] {
+    pub(super) fn sent(&self, name: &str) -> &[SentRequest] {
         self.requests
             .get(name)
             .expect("the check lets no unknown request be named")
--- a/crates/scenario/src/run/measures.rs
+++ b/crates/scenario/src/run/measures.rs
@@ -9,7 +9,7 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::run::endings;
-use crate::run::world::World;
+use crate::run::execution::Execution;
 use apricotdale_admin::ConfigView;
 use apricotdale_admin::MemberState;
 use apricotdale_admin::PublishOutcome;
@@ -25,7 +25,7 @@
 use apricotdale_launcher::standin::ServiceEffects;
 use apricotdale_launcher::standin::StandinClient;
 
-impl World {
+impl Execution {
     /// Returns the number that a measure has now.
     pub(super) fn measure(&self, measure: &Measure) -> Result<u64> {
         match measure {
@@ -202,7 +202,7 @@
             .iter()
             .filter_map(|sent| sent.answer.outcome());
         ended
-            .filter(|outcome| endings::is_as_told(outcome, ending))
+            .filter(|outcome| endings::matches_ending(outcome, ending))
             .count() as u64
     }
 
@@ -290,12 +290,12 @@
 
     fn race_outcomes(&self, accepted: bool) -> u64 {
         let outcomes = self.race.iter();
-        let as_told = outcomes.filter(|outcome| match outcome {
+        let matching = outcomes.filter(|outcome| match outcome {
             PublishOutcome::Accepted { .. } => accepted,
             PublishOutcome::Rejected { .. } => !accepted,
             PublishOutcome::Unknown { .. } => false,
         });
-        as_told.count() as u64
+        matching.count() as u64
     }
 }
 
--- a/crates/scenario/src/run/mod.rs
+++ b/crates/scenario/src/run/mod.rs
@@ -3,9 +3,9 @@
 mod actions;
 mod conditions;
 mod endings;
+mod execution;
 mod measures;
 mod setup;
-mod world;
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 use crate::check::check;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::run::world::World;
+use crate::run::execution::Execution;
 use apricotdale_launcher::processes::Processes;
 
 /// `Options` are the tunables of a run.
@@ -55,18 +55,18 @@
     prepare: impl Fn(&Processes),
 ) -> Result<Verdict> {
     check(scenario)?;
-    let mut world = World::new(options.clone());
+    let mut execution = Execution::new(options.clone());
     for step in &scenario.steps {
         let line = step.position.line;
         writeln!(transcript, "{line:>4}  {}", step.text)?;
         transcript.flush()?;
-        match world.step(&step.statement, &prepare) {
+        match execution.step(&step.statement, &prepare) {
             Ok(Some(note)) => writeln!(transcript, "      {note}")?,
             Ok(None) => {}
             Err(Error::Io(error)) => return Err(Error::Io(error)),
             Err(error) => {
                 writeln!(transcript, "      FAILED: {error}")?;
-                world.describe(transcript)?;
+                execution.describe(transcript)?;
                 return Ok(Verdict::Failed {
                     step: Box::new(step.clone()),
                     detail: error.to_string(),
--- a/crates/scenario/tests/parse_errors.rs
+++ b/crates/scenario/tests/parse_errors.rs
@@ -8,7 +8,7 @@
 
 const HEAD: &str = "scenario \"t\"\nvms 2\nengines planner-lm 1\nservice booking-app 1\nstart\n";
 
-fn fault_of(statement: &str) -> String {
+fn error_of(statement: &str) -> String {
     let text = format!("{HEAD}{statement}\n");
     let checked = parse(&text).and_then(|scenario| check(&scenario));
     match checked {
@@ -23,12 +23,8 @@
 #[case::missing_number("always overcommitted 0 for-polls soon", 6, 34)]
 #[case::open_text("expect calls \"POST /book 1", 6, 14)]
 #[case::words_left_over("kill vm1 now", 6, 10)]
-fn syntax_fault_has_line_and_column(
-    #[case] statement: &str,
-    #[case] line: usize,
-    #[case] column: usize,
-) {
-    let message = fault_of(statement);
+fn syntax_error_position(#[case] statement: &str, #[case] line: usize, #[case] column: usize) {
+    let message = error_of(statement);
     assert!(message.contains(&format!("{line}:{column}")), "{message}");
 }
 
@@ -43,13 +39,13 @@
 #[case::setup_after_start("vms 3", "the cluster is started already")]
 #[case::alias_of_known_name("let vm1 be proposer of m1", "vm1 is a name of the cluster")]
 #[case::result_without_race("expect race accepted 1", "there was no race")]
-fn meaningless_statement_is_told_with_its_line(#[case] statement: &str, #[case] detail: &str) {
-    assert_eq!(fault_of(statement), format!("line 6, column 1: {detail}"));
+fn meaning_error_position(#[case] statement: &str, #[case] detail: &str) {
+    assert_eq!(error_of(statement), format!("line 6, column 1: {detail}"));
 }
 
 #[test]
-fn number_too_large_is_told_with_its_column() {
-    let message = fault_of("expect overcommitted 99999999999999999999");
+fn oversized_number_position() {
+    let message = error_of("expect overcommitted 99999999999999999999");
     assert_eq!(
         message,
         "line 6, column 22: 99999999999999999999 is too large"
@@ -57,7 +53,7 @@
 }
 
 #[test]
-fn statement_before_start_is_refused() {
+fn statement_before_start() {
     let scenario = parse("scenario \"t\"\nvms 1\nkill vm1\n").expect("the form is right");
     assert!(matches!(check(&scenario), Err(Error::Meaning { .. })));
 }
--- a/crates/scenario/tests/parse_statements.rs
+++ b/crates/scenario/tests/parse_statements.rs
@@ -9,11 +9,11 @@
 use apricotdale_scenario::ast::Ending;
 use apricotdale_scenario::ast::Measure;
 use apricotdale_scenario::ast::ModelMeasure;
-use apricotdale_scenario::ast::Place;
 use apricotdale_scenario::ast::ProcessVerb;
 use apricotdale_scenario::ast::RefusalPattern;
-use apricotdale_scenario::ast::Send;
+use apricotdale_scenario::ast::SendRequests;
 use apricotdale_scenario::ast::Statement;
+use apricotdale_scenario::ast::VmSelector;
 use apricotdale_scenario::ast::Work;
 use apricotdale_scenario::fault::fault_body;
 use apricotdale_scenario::parser::parse;
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn request_has_all_its_options() {
+fn request_options() {
     let text = "request c1 at not vm2 call booking-app POST /book class quick timeout-ms 900 \
                 key k1 body \"{\\u007d\"";
-    let expected = Send {
+    let expected = SendRequests {
         name: "c1".to_owned(),
         count: 1,
-        place: Place::Not("vm2".to_owned()),
+        selector: VmSelector::Not("vm2".to_owned()),
         work: Work::Call {
             service: "booking-app".to_owned(),
             method: "POST".to_owned(),
@@ -50,7 +50,7 @@
         key: Some("k1".to_owned()),
         body: Some("{\\u007d".to_owned()),
     };
-    assert_eq!(statement(text), Statement::Send(expected));
+    assert_eq!(statement(text), Statement::SendRequests(expected));
 }
 
 #[rstest]
@@ -62,7 +62,7 @@
     refused("log_unavailable", "not_run")
 )]
 #[case("await r1 lost", Ending::Lost)]
-fn ending_says_what_must_come(#[case] text: &str, #[case] ending: Ending) {
+fn ending_patterns(#[case] text: &str, #[case] ending: Ending) {
     assert_eq!(
         statement(text),
         Statement::AwaitEnd("r1".to_owned(), ending)
@@ -74,7 +74,7 @@
 #[case("expect loads m1 at most 1", Comparison::AtMost(1))]
 #[case("expect loads m1 at least 1", Comparison::AtLeast(1))]
 #[case("expect loads m1 everywhere", Comparison::Everywhere)]
-fn condition_compares(#[case] text: &str, #[case] comparison: Comparison) {
+fn condition_comparisons(#[case] text: &str, #[case] comparison: Comparison) {
     let measure = Measure::Model(ModelMeasure::Loads, "m1".to_owned(), None);
     let condition = Condition {
         measure,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn race_has_two_edits_and_two_places() {
+fn race_statement() {
     let text = "race class quick answer-within-ms 1 at vm1 against remove class quick at vm2";
     let Statement::Race(left, right) = statement(text) else {
         panic!("it is a race");
@@ -94,13 +94,13 @@
         answer_within_ms: 1,
     };
     assert_eq!(left.edit, ConfigEdit::PutClass(class));
-    assert_eq!(left.place, Place::Vm("vm1".to_owned()));
+    assert_eq!(left.selector, VmSelector::Vm("vm1".to_owned()));
     assert_eq!(right.edit, ConfigEdit::RemoveClass("quick".into()));
-    assert_eq!(right.place, Place::Vm("vm2".to_owned()));
+    assert_eq!(right.selector, VmSelector::Vm("vm2".to_owned()));
 }
 
 #[test]
-fn process_verb_needs_its_own_word() {
+fn process_verb_boundary() {
     let verb = Statement::Process(ProcessVerb::Kill, "vm1".to_owned());
     assert_eq!(statement("kill vm1"), verb);
     assert!(parse("scenario \"t\"\nkillvm1\n").is_err());
@@ -111,7 +111,7 @@
 #[case("fault engine1 hold-orders true", r#"{"hold_orders":true}"#)]
 #[case("fault engine1 cut-stream-after 3", r#"{"cut_stream_after":3}"#)]
 #[case("fault engine1 answer-lost load", r#"{"answer_lost":"load"}"#)]
-fn fault_becomes_the_stand_ins_json(#[case] text: &str, #[case] json: &str) {
+fn fault_json(#[case] text: &str, #[case] json: &str) {
     let Statement::Fault(target, words) = statement(text) else {
         panic!("it is a fault");
     };
--- a/crates/scenario/tests/scenario_files.rs
+++ b/crates/scenario/tests/scenario_files.rs
@@ -16,7 +16,7 @@
 
 /// Holds all but one scenario back. Each starts a dozen processes, and the processor time of many
 /// at once would decide how long anything takes.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static SCENARIO_LOCK: Mutex<()> = Mutex::new(());
 
 #[test]
 fn daemon_is_built() {
@@ -26,7 +26,7 @@
 
 #[rstest]
 fn scenario_holds(#[files("../../scenarios/*.scenario")] file: PathBuf) {
-    let _turn = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let _turn = SCENARIO_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let verdict = run_file(&file);
     if let Err(report) = verdict {
         panic!("{report}");
