--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,7 +1,8 @@
-//! A small test language for scenarios, and their runner.
+//! Test language for scenarios, with its parser and its runner.
 //!
-//! A scenario starts real processes, drives them from the outside and counts effects at the
-//! stand-ins. `docs/SCENARIOS.md` describes the language.
+//! A scenario starts a cluster of real processes, sends requests, injects faults and checks
+//! conditions: effects counted by the stand-ins and state read from the VMs. The grammar is in
+//! `grammar.pest`; `docs/SCENARIOS.md` describes the language.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
