--- a/crates/scenario/src/main.rs
+++ b/crates/scenario/src/main.rs
@@ -1,4 +1,4 @@
-//! The `scenario` program: runs scenario files against the programs beside it.
+//! Command line program `scenario`: runs scenario files against the programs built beside it.
 
 #![forbid(unsafe_code)]
 
@@ -23,17 +23,17 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// Run scenario files and tell a verdict for each
+    /// Run scenario files and print a verdict for each
     #[bpaf(command("run"))]
     Run {
-        /// Directory for the processes' output, one below it for each scenario
+        /// Directory for the processes' output, with a subdirectory for each scenario
         #[bpaf(argument("DIR"))]
         logs: Option<PathBuf>,
         /// Scenario files
         #[bpaf(positional("FILE"), some("a scenario file is needed"))]
         files: Vec<PathBuf>,
     },
-    /// Check the form and the meaning of scenario files without running them
+    /// Check the syntax and the meaning of scenario files without running them
     #[bpaf(command("check"))]
     Check {
         /// Scenario files
