--- a/crates/scenario/src/layout.rs
+++ b/crates/scenario/src/layout.rs
@@ -1,34 +1,34 @@
-//! Which processes a scenario's cluster has, and their names.
+//! Names and kinds of the processes of a scenario's cluster.
 
 use crate::ast::Scenario;
 use crate::ast::Setup;
 use crate::ast::StandinKind;
 use crate::ast::Statement;
 
-/// The name of the log's stand-in.
+/// Name of the stand-in of the append-only log.
 pub const LOG: &str = "log";
-/// The name of the weight store's stand-in.
+/// Name of the stand-in of the weight store.
 pub const WEIGHTS: &str = "weights";
-/// The name of the stand-in of the list of VMs.
+/// Name of the stand-in of the VM list.
 pub const VM_LIST: &str = "vmlist";
 
-/// `Layout` is the names of a cluster's processes.
+/// Names of a cluster's processes, as its setup statements define them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Layout {
-    /// The VMs: `vm1`, `vm2` and so on.
+    /// Names of the VMs: `vm1`, `vm2` and so on.
     pub vms: Vec<String>,
-    /// The engines over all groups: `engine1`, `engine2` and so on.
+    /// Names of the engines, numbered over all groups: `engine1`, `engine2` and so on.
     pub engines: Vec<String>,
-    /// The instances over all plain services: `service1`, `service2` and so on.
+    /// Names of the instances, numbered over all plain services: `service1`, `service2` and so on.
     pub services: Vec<String>,
 }
 
-/// `ProcessKind` is what a process of the cluster is.
+/// Kind of a process of the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessKind {
-    /// A VM with a daemon.
+    /// Daemon of a VM.
     Vm,
-    /// A stand-in.
+    /// Stand-in of a part of the platform.
     Standin(StandinKind),
 }
 
@@ -51,7 +51,7 @@
         layout
     }
 
-    /// Returns what the process of a name is, or none if there is none.
+    /// Returns the kind of the process with a name; none if the cluster has no such process.
     pub fn find(&self, name: &str) -> Option<ProcessKind> {
         let has = |names: &[String]| names.iter().any(|other| other == name);
         match name {
