--- a/crates/scenario/src/errors.rs
+++ b/crates/scenario/src/errors.rs
@@ -1,42 +1,43 @@
-//! Errors of reading and running scenarios.
+//! Errors of parsing, checking and running scenarios.
 
 use thiserror::Error;
 
 use crate::ast::Position;
 
-/// `Result` is the result of reading or running a scenario.
+/// Result of parsing, checking or running a scenario.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what reading or running a scenario can fail with.
+/// Reason for which a scenario can't be parsed or checked, or a step of it fails.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The text is no scenario. The message shows the line and the column.
+    /// The text does not follow the grammar. The message shows the line and the column.
     #[error("{0}")]
     Syntax(String),
-    /// A statement is of the right form but makes no sense where it stands.
+    /// A statement follows the grammar but is invalid where it stands, for example because it names
+    /// an unknown process.
     #[error("line {}, column {}: {detail}", position.line, position.column)]
     Meaning {
-        /// Where.
+        /// Start of the statement or the word.
         position: Position,
-        /// Why.
+        /// Why the statement is invalid, as a sentence without a full stop.
         detail: String,
     },
-    /// A step did not come out as the scenario tells.
+    /// A step had another result than the scenario demands.
     #[error("{0}")]
     Failed(String),
-    /// A process or a stand-in could not be driven.
+    /// The launcher could not start, signal or query a process or a stand-in.
     #[error("{0}")]
     Launcher(#[from] apricotdale_launcher::Error),
-    /// A daemon's operators' interface failed.
-    #[error("operators' interface: {0}")]
+    /// A request to a daemon's admin interface failed.
+    #[error("admin interface: {0}")]
     Admin(#[from] apricotdale_admin::Error),
-    /// A file could not be read.
+    /// A file could not be read, or the transcript could not be written.
     #[error("input or output: {0}")]
     Io(#[from] std::io::Error),
 }
 
 impl Error {
-    /// Returns an [`Error::Meaning`].
+    /// Returns an [`Error::Meaning`] for the statement at a position.
     pub fn meaning(position: Position, detail: impl Into<String>) -> Self {
         Self::Meaning {
             position,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Returns an [`Error::Failed`].
+    /// Returns an [`Error::Failed`] with the result that was found.
     pub fn failed(detail: impl Into<String>) -> Self {
         Self::Failed(detail.into())
     }
