--- a/crates/scenario/src/fault.rs
+++ b/crates/scenario/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of stand-ins, from the words of a scenario to the stand-ins' own JSON.
+//! Conversion of the words of a `fault` statement into the JSON body that the stand-in expects.
 
 use serde_json::Map;
 use serde_json::Value;
@@ -6,7 +6,7 @@
 
 use crate::ast::StandinKind;
 
-/// What a stand-in with modes can be set to, besides `up`.
+/// Returns the modes that a kind of stand-in has; none for engines, whose faults have keys instead.
 fn modes(kind: StandinKind) -> &'static [&'static str] {
     match kind {
         StandinKind::Log => &["up", "down", "slow", "lost-answer"],
@@ -17,11 +17,11 @@
     }
 }
 
-/// Returns the body that sets a fault, or a sentence on what is wrong with the words.
+/// Returns the JSON body that sets a fault.
 ///
 /// # Errors
 ///
-/// A sentence, if the stand-in knows no such fault.
+/// A sentence about what is wrong, if the stand-in has no such fault.
 pub fn fault_body(kind: StandinKind, words: &[String]) -> Result<Value, String> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match (kind, words.as_slice()) {
