--- a/crates/scenario/src/check.rs
+++ b/crates/scenario/src/check.rs
@@ -1,7 +1,7 @@
-//! The check of a scenario's meaning before it runs: order of statements, and names.
+//! Check of a scenario before it runs: the order of its statements and the names in them.
 //!
-//! A misspelled name would otherwise show only when its step is reached, after the processes were
-//! started, or not at all where it makes a condition hold by itself.
+//! Without the check, a misspelled name would fail only when its step is reached, after the
+//! processes were started, or not at all if it makes a condition hold trivially.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,11 +25,11 @@
 use crate::layout::Layout;
 use crate::layout::ProcessKind;
 
-/// Checks a scenario.
+/// Checks the order of a scenario's statements and the names in them.
 ///
 /// # Errors
 ///
-/// `Error::Meaning` at the first statement that makes no sense.
+/// `Error::Meaning` for the first invalid statement.
 pub fn check(scenario: &Scenario) -> Result<()> {
     let mut checker = Checker {
         layout: Layout::of(scenario),
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// A fault of meaning, as a sentence.
+/// Result of checking one statement; the error is a sentence about what is wrong.
 type CheckResult = std::result::Result<(), String>;
 
 struct Checker {
