--- a/crates/scenario/src/ast.rs
+++ b/crates/scenario/src/ast.rs
@@ -1,352 +1,354 @@
-//! What a scenario file says, as typed values.
+//! Abstract syntax tree of a scenario file.
 
 use apricotdale_admin::MemberState;
 use apricotdale_core::config::ConfigEdit;
 
-/// `Scenario` is one scenario file.
+/// One scenario file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scenario {
-    /// What it is about.
+    /// Title in the file's first line.
     pub title: String,
-    /// Its statements, in order.
+    /// Statements in order.
     pub steps: Vec<Step>,
 }
 
-/// `Position` is a place in a scenario file, counted from one.
+/// Position in a scenario file, counted from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// The line.
+    /// Line number.
     pub line: usize,
-    /// The column.
+    /// Column number in characters.
     pub column: usize,
 }
 
-/// `Step` is one statement with its place.
+/// One statement with its position and its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Where the statement begins.
+    /// Start of the statement.
     pub position: Position,
-    /// The statement as it is written.
+    /// Statement as it is written in the file, for the transcript.
     pub text: String,
-    /// What it says.
+    /// Parsed statement.
     pub statement: Statement,
 }
 
-/// `Statement` is what one line says.
+/// Parsed content of one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// Describes the cluster, before it is started.
+    /// Describes a part of the cluster before the start.
     Setup(Setup),
-    /// Starts the cluster and waits until all of it is ready.
+    /// Starts the cluster and waits until all processes are ready.
     Start,
-    /// Publishes an edit of the configuration.
+    /// Publishes an edit of the configuration, which must be accepted.
     Publish(Publication),
-    /// Publishes two edits at the same time on the same base version.
+    /// Publishes two edits concurrently, based on the same version.
     Race(Publication, Publication),
-    /// Gives a second name to a VM or an engine that only the running cluster knows.
+    /// Gives a second name to a VM or an engine that is determined only while the cluster runs.
     Alias(Alias),
-    /// Sends requests and goes on.
+    /// Sends requests without waiting for their answers.
     SendRequests(SendRequests),
-    /// Sends a request, and again as long as it is refused as not run, until the whole answer came.
+    /// Sends requests, and sends them again as long as one is refused as not run, until every
+    /// answer is complete.
     Insist(SendRequests),
-    /// Waits until the answer of a request has begun.
+    /// Waits until the answers of the requests with a name have begun.
     AwaitBegun(String),
-    /// Waits until a VM's process has ended by itself with a code.
+    /// Waits until a VM's process has exited, which must be with this exit code.
     AwaitExit(String, i32),
-    /// Waits until requests have ended, which they must do as told.
+    /// Waits until the requests with a name have ended, all of them with this ending.
     AwaitEnd(String, Ending),
-    /// Sets a fault at a stand-in, in the stand-in's words.
+    /// Injects a fault, given by the words of the statement, into a stand-in.
     Fault(String, Vec<String>),
-    /// Trims a stream of the log to its end.
+    /// Trims all records of a stream of the log.
     Trim(String),
-    /// Does something to a process.
+    /// Kills, freezes, wakes, terminates or restarts a process.
     Process(ProcessVerb, String),
-    /// Changes the state of a VM on the platform's list.
+    /// Changes the state of a VM or an upstream on the platform's VM list.
     List(String, ListedState),
-    /// Checks a condition now.
+    /// Checks a condition once.
     Expect(Condition),
-    /// Waits until a condition holds, at most for a number of polls.
+    /// Waits until a condition holds, at most for a number of polls; if none, the default.
     Eventually(Condition, Option<u32>),
-    /// Checks that a condition holds at each of a number of polls.
+    /// Checks that a condition holds at each of a number of consecutive polls.
     Always(Condition, u32),
 }
 
-/// `Setup` is one line about the cluster.
+/// One setup statement about the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Setup {
-    /// The number of VMs.
+    /// Number of VMs.
     Vms(usize),
-    /// The availability zones, over which VMs and upstreams are spread in turn.
+    /// Availability zones, to which VMs and upstreams are assigned in turn.
     Zones(Vec<String>),
-    /// A group of engines.
+    /// Group of engines.
     Engines(EngineGroup),
-    /// A plain service and the number of its instances.
+    /// Name of a plain service and the number of its instances.
     Service(String, usize),
-    /// A setting of the daemons: section, key and value.
+    /// Setting of all daemons: section, key and value.
     Setting(String, String, String),
-    /// A flag of all stand-ins of one kind, without its dashes, and its value.
+    /// Command line flag of all stand-ins of one kind, without its dashes, and its value.
     Standin(StandinKind, String, String),
 }
 
-/// `EngineGroup` is a group of engines.
+/// Group of engines with the same options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineGroup {
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// How many engines it has.
+    /// Number of engines in the group.
     pub count: usize,
-    /// Whether they refuse old fencing numbers.
+    /// Whether the engines refuse orders with a fencing token lower than one they have seen.
     pub checks_fence: bool,
-    /// Accelerator memory, or none for the stand-in's own default.
+    /// Accelerator memory of each engine in bytes; none for the stand-in's default.
     pub memory_bytes: Option<u64>,
-    /// Places in the batch, or none for the stand-in's own default.
+    /// Slots in the batch of each engine; none for the stand-in's default.
     pub slots: Option<u32>,
 }
 
-/// `StandinKind` is a kind of stand-in.
+/// Kind of a stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StandinKind {
-    /// The append-only log.
+    /// Append-only log.
     Log,
-    /// The weight store.
+    /// Weight store.
     Weights,
-    /// The list of VMs.
+    /// VM list of the platform.
     VmList,
-    /// A model engine.
+    /// Model engine.
     Engine,
-    /// An instance of a plain service.
+    /// Instance of a plain service.
     Service,
 }
 
-/// `Publication` is an edit and where it is published.
+/// Edit of the configuration and the VM at which it is published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Publication {
-    /// The edit.
+    /// Edit to publish.
     pub edit: ConfigEdit,
-    /// The VM at which it is published.
+    /// VM at which it is published; the first one if several are selected.
     pub selector: VmSelector,
 }
 
-/// `Alias` is a second name for a VM or an engine.
+/// Second name for a VM or an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Alias {
-    /// The new name.
+    /// Second name.
     pub name: String,
-    /// What it stands for.
+    /// Process that the name stands for.
     pub role: AliasRole,
-    /// The model whose last decided load tells it.
+    /// Model whose last accepted load intent determines the process.
     pub model: String,
 }
 
-/// `AliasRole` is what an alias stands for.
+/// Role of a process in the last accepted load intent of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AliasRole {
-    /// The VM that proposed the model's last decided load, and so sends its order.
+    /// VM that proposed the intent and sends the load order.
     Proposer,
-    /// The engine of the model's last decided load.
+    /// Engine that is to load the model.
     Engine,
 }
 
-/// `VmSelector` is the VMs at which something is done.
+/// VMs to which a statement applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VmSelector {
-    /// Every VM that was not killed, frozen or told to stop.
+    /// Every running VM: not killed, frozen or terminated.
     All,
-    /// The first such VM that is not the named one.
+    /// First running VM that is not the named one.
     Not(String),
-    /// The named VM.
+    /// VM with this name, whether or not it runs.
     Vm(String),
 }
 
-/// `SendRequests` is one request or several equal ones.
+/// One request or several equal ones to each selected VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendRequests {
-    /// The name under which the requests are awaited.
+    /// Name by which later statements refer to the requests.
     pub name: String,
-    /// How many requests go to each place.
+    /// Number of requests to each selected VM.
     pub count: u32,
-    /// Where they go.
+    /// VMs to which the requests are sent.
     pub selector: VmSelector,
-    /// What they ask for.
+    /// Content of the requests.
     pub work: Work,
-    /// Their class, or none for the VM's default.
+    /// Request class; none for the VM's default class.
     pub class: Option<String>,
-    /// Their own timeout, or none for the class's target.
+    /// Timeout in milliseconds that the requests name; none to apply the class's target.
     pub timeout_ms: Option<u64>,
-    /// Their idempotency key.
+    /// Idempotency key, if any.
     pub key: Option<String>,
-    /// Their body, for calls.
+    /// Body of a call, if any; completions ignore it.
     pub body: Option<String>,
 }
 
-/// `Work` is what a request asks for.
+/// Content of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// A completion by a model.
+    /// Completion by a model.
     Completion {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// The length of the answer.
+        /// Number of tokens of the answer.
         tokens: u32,
-        /// Whether the answer is a stream.
+        /// Whether the answer is to be streamed.
         stream: bool,
     },
-    /// A call to a plain service.
+    /// Call to a plain service.
     Call {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The HTTP method.
+        /// HTTP method.
         method: String,
-        /// The path below the service.
+        /// Path below the service's prefix.
         path: String,
     },
 }
 
-/// `Ending` is how a request is to end.
+/// Pattern for the outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With its whole answer, of a status or of any status of success.
+    /// Complete answer, with this status or with any success status.
     Whole(Option<u16>),
-    /// With a refusal in place of an answer.
+    /// Refusal in place of an answer.
     Refused(RefusalPattern),
-    /// With an answer that begins and breaks off, recognisably.
+    /// Answer that begins and then breaks off in a way that the caller recognises.
     Cut(RefusalPattern),
-    /// Without an answer, or with a part of one, because its VM went away.
+    /// No answer, or an answer that breaks off without a refusal, since the VM is gone.
     Lost,
-    /// With its whole answer or with a refusal.
+    /// Complete answer with a success status, or a refusal.
     Answered,
-    /// In any way.
+    /// Any outcome.
     Ended,
 }
 
-/// `RefusalPattern` is what a refusal must say; what is none is not looked at.
+/// Pattern for a refusal. A field that is none matches every value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RefusalPattern {
-    /// The reason.
+    /// Machine-readable reason.
     pub reason: Option<String>,
-    /// Whether the request ran.
+    /// Whether the request ran: `not_run`, `ran` or `unknown`.
     pub ran: Option<String>,
 }
 
-/// `ProcessVerb` is what can be done to a process.
+/// Operation on a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessVerb {
-    /// Ends it at once, by SIGKILL.
+    /// Kills the process with SIGKILL.
     Kill,
-    /// Stops its time, by SIGSTOP.
+    /// Suspends the process with SIGSTOP.
     Freeze,
-    /// Lets a frozen one go on, by SIGCONT.
+    /// Resumes a frozen process with SIGCONT.
     Wake,
-    /// Asks it to end gracefully, by SIGTERM.
+    /// Has the process drain and exit, with SIGTERM.
     Terminate,
-    /// Kills it where it runs and starts it anew.
+    /// Kills the process if it runs, and starts it again.
     Restart,
 }
 
-/// `ListedState` is a state on the platform's list.
+/// State of an entry on the platform's VM list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// Runs.
+    /// The VM or upstream runs.
     Live,
-    /// Is being taken away.
+    /// The VM or upstream is being removed.
     Leaving,
-    /// Has been taken away.
+    /// The VM or upstream has been removed.
     Gone,
 }
 
-/// `Condition` compares a measure.
+/// Comparison of a measure with a number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
-    /// What is measured.
+    /// Number to read.
     pub measure: Measure,
-    /// With what it is compared.
+    /// Values for which the condition holds.
     pub comparison: Comparison,
 }
 
-/// `Comparison` is what a measure must be.
+/// Set of values that a measure may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
-    /// The number of VMs that run.
+    /// Exactly the number of running VMs.
     Everywhere,
-    /// This number or less.
+    /// At most this number.
     AtMost(u64),
-    /// This number or more.
+    /// At least this number.
     AtLeast(u64),
-    /// This number.
+    /// Exactly this number.
     Exactly(u64),
 }
 
-/// `Measure` is a number that can be read from the outside.
+/// Number that is read from the stand-ins, the log, the VMs or the callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Measure {
-    /// A sum over the engines, or the number of one.
+    /// Number counted by one engine, or its sum over all engines.
     Engine(EngineMeasure, Option<String>),
-    /// A number for a model, over the engines or for one.
+    /// Number that concerns a model, for one engine or over all engines.
     Model(ModelMeasure, String, Option<String>),
-    /// Calls that ran at the plain services, by method and path.
+    /// Calls with a method and path that ran at the plain services.
     Calls(String),
-    /// Calls that ran at the plain services under an idempotency key.
+    /// Calls with an idempotency key that ran at the plain services.
     KeyCalls(String),
-    /// How often the requests of a name were received by upstreams.
+    /// Number of times that upstreams ran the requests with a name.
     Runs(String),
-    /// How many of the requests of a name have ended as told.
+    /// Number of requests with a name that have ended with an ending.
     Endings(String, Ending),
-    /// How many publications of the last race were accepted.
+    /// Number of publications of the last race that were accepted.
     RaceAccepted,
-    /// How many publications of the last race were told that they lost.
+    /// Number of publications of the last race that were rejected.
     RaceRejected,
-    /// The VMs on which an edit is in force.
+    /// Number of running VMs on which an edit is in force.
     InForce(ConfigEdit),
-    /// The number of different versions in force on the VMs.
+    /// Number of different configuration versions in force on the running VMs.
     ConfigVersions,
-    /// How many VMs see another whose replayed state differs from theirs.
+    /// Number of pairs of a running VM and a member whose replayed state it finds to differ from
+    /// its own.
     Diverged,
-    /// The VMs that send new work to an upstream.
+    /// Number of running VMs that send new requests to an upstream.
     Accepting(String),
-    /// The requests that an upstream has received.
+    /// Number of requests that an upstream has received.
     Received(String),
-    /// The VMs that take requests.
+    /// Number of running VMs that report that they are ready.
     Ready,
-    /// The VMs that see another one in a state.
+    /// Number of other running VMs that see a VM in a state.
     Seen(String, MemberState),
-    /// The records of the control stream on which replay came to a verdict, by its code.
+    /// Number of records on the control stream whose replay gives the verdict with a code.
     Verdicts(String),
-    /// The requests in progress at a VM.
+    /// Number of requests in progress at a VM.
     InProgress(String),
-    /// The last records of a stream that no snapshot on the log covers.
+    /// Number of records at the end of a stream that no complete snapshot on the log covers.
     Unsnapshotted(String),
-    /// The value of a metric of one VM.
+    /// Sum of the samples of one VM's metrics whose name and labels begin with a text.
     Metric(String, String),
 }
 
-/// `EngineMeasure` is a number that engines count.
+/// Number that a stand-in engine counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineMeasure {
     /// Load orders received.
     LoadOrders,
     /// Unload orders received.
     UnloadOrders,
-    /// Orders refused.
+    /// Orders refused, whatever the reason.
     RefusedOrders,
-    /// How often more memory was held than there is.
+    /// Number of times that the resident models exceeded the memory.
     Overcommitted,
-    /// Memory held now.
+    /// Memory that resident models take now, in bytes.
     HeldBytes,
 }
 
-/// `ModelMeasure` is a number that tells of one model.
+/// Number that concerns one model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ModelMeasure {
-    /// Loads that took effect at the engines.
+    /// Loads that took effect on engines.
     Loads,
-    /// Engines on which it is loaded now.
+    /// Engines on which the model is loaded now.
     Loaded,
-    /// Engines on which it takes memory now.
+    /// Engines on which the model takes memory now, loaded or not.
     Resident,
     /// Load intents on the control stream that replay accepted.
     Decided,
     /// Load intents on the control stream, accepted or not.
     Proposed,
-    /// VMs that know a loaded replica.
+    /// Running VMs that see a loaded replica.
     Routable,
 }
