--- a/crates/scenario/src/parser/conditions.rs
+++ b/crates/scenario/src/parser/conditions.rs
@@ -1,4 +1,4 @@
-//! Statements that check conditions.
+//! Parsing of the statements that check conditions.
 
 use pest::iterators::Pair;
 
