--- a/crates/scenario/src/parser/grammar.rs
+++ b/crates/scenario/src/parser/grammar.rs
@@ -1,4 +1,4 @@
-//! The grammar as the parser library reads it.
+//! Parser generated from `grammar.pest`.
 
 use pest_derive::Parser;
 
