--- a/crates/scenario/src/parser/mod.rs
+++ b/crates/scenario/src/parser/mod.rs
@@ -1,4 +1,4 @@
-//! Reading of scenario files.
+//! Parser of scenario files.
 
 mod conditions;
 mod grammar;
@@ -24,11 +24,12 @@
 use crate::parser::words::Children;
 use crate::parser::words::inner_text;
 
-/// Returns the scenario that a text is.
+/// Parses the text of a scenario file.
 ///
 /// # Errors
 ///
-/// `Error::Syntax` and `Error::Meaning`, with the line and the column of the fault.
+/// `Error::Syntax` if the text does not follow the grammar, `Error::Meaning` if a number is too
+/// large, both with the line and the column.
 pub fn parse(text: &str) -> Result<Scenario> {
     let mut files = Grammar::parse(Rule::scenario, text)
         .map_err(|error| Error::Syntax(error.renamed_rules(words::rule_description).to_string()))?;
