--- a/crates/scenario/src/parser/requests.rs
+++ b/crates/scenario/src/parser/requests.rs
@@ -1,4 +1,4 @@
-//! Statements about requests and their ends.
+//! Parsing of the statements about requests and their endings.
 
 use pest::iterators::Pair;
 
@@ -41,7 +41,7 @@
     Ok(send)
 }
 
-/// Returns the place that an `at` tells.
+/// Parses the VMs that an `at` clause selects.
 pub(super) fn selector(pair: Pair<'_, Rule>) -> VmSelector {
     let selector = Children::of(pair).next();
     let kind = Children::of(selector).next();
