--- a/crates/scenario/src/parser/setup.rs
+++ b/crates/scenario/src/parser/setup.rs
@@ -1,4 +1,4 @@
-//! Statements about the cluster and its configuration.
+//! Parsing of the statements about the cluster and its configuration.
 
 use pest::iterators::Pair;
 
