--- a/crates/scenario/src/run/actions.rs
+++ b/crates/scenario/src/run/actions.rs
@@ -1,4 +1,4 @@
-//! Statements that do something.
+//! Execution of the statements that act on the cluster.
 
 use std::thread;
 use std::time::Duration;
@@ -40,10 +40,10 @@
 use apricotdale_launcher::poll::poll_until;
 use apricotdale_launcher::process::Exit;
 
-/// The longest wait for an answer. It is a limit for failures only.
+/// Upper bound of the wait for an answer, so that a run with a hanging request ends.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The operators of a race.
+/// Names of the two operators of a race.
 const RACE_OPERATORS: [&str; 2] = ["left", "right"];
 
 impl Execution {
@@ -85,14 +85,14 @@
         let condition = format!("a load of {} is decided", alias.model);
         let log = self.cluster().standin(LOG)?;
         let intent = poll_until(&condition, MAX_POLLS, || {
-            // Several VMs may propose at once. Only the one whose intent was accepted has sent an
-            // order.
+            // Several VMs may propose at the same time. Only the one whose intent was accepted has
+            // sent an order.
             let decided = records::decided_loads(log)?;
-            let mut of_model = records::load_intents(log)?
+            let mut intents = records::load_intents(log)?
                 .into_iter()
                 .filter(|(_, intent)| intent.model.as_str() == alias.model)
                 .filter(|(offset, _)| decided.contains(offset));
-            Ok(of_model.next_back().map(|(_, intent)| intent))
+            Ok(intents.next_back().map(|(_, intent)| intent))
         })?;
         let real = match alias.role {
             AliasRole::Proposer => intent.proposer.vm.to_string(),
@@ -124,26 +124,26 @@
 
     pub(super) fn insist(&mut self, send: &SendRequests) -> Result<Option<String>> {
         let started = Instant::now();
-        let mut tries = 0;
+        let mut attempts = 0;
         while started.elapsed() < ANSWER_TIMEOUT {
-            tries += 1;
+            attempts += 1;
             self.send(send)?;
-            let mut refused = false;
+            let mut is_refused = false;
             for sent in self.sent(&send.name) {
                 let outcome = sent.answer.wait_end(ANSWER_TIMEOUT)?;
-                refused |= endings::matches_ending(&outcome, &refused_not_run());
-                if !refused && !outcome.is_whole() {
+                is_refused |= endings::matches_ending(&outcome, &refused_not_run());
+                if !is_refused && !outcome.is_whole() {
                     let detail = format!("{} at {}: {outcome}", send.name, sent.vm);
                     return Err(Error::failed(detail));
                 }
             }
-            if !refused {
-                return Ok(Some(format!("whole at try {tries}")));
+            if !is_refused {
+                return Ok(Some(format!("complete at attempt {attempts}")));
             }
             thread::sleep(POLL_INTERVAL);
         }
         Err(Error::failed(format!(
-            "{} was refused at every try",
+            "{} was refused at every attempt",
             send.name
         )))
     }
@@ -176,7 +176,7 @@
         let vm = self.resolve(name);
         match self.cluster().wait_exit(&vm, MAX_POLLS)? {
             Exit::Code(found) if found == code => Ok(None),
-            other => Err(Error::failed(format!("{vm} ended with {other:?}"))),
+            other => Err(Error::failed(format!("{vm} exited with {other:?}"))),
         }
     }
 
@@ -271,7 +271,7 @@
     request
 }
 
-/// Returns how a request ends that its caller may send again.
+/// Returns the ending of a request that its caller may retry.
 fn refused_not_run() -> Ending {
     Ending::Refused(RefusalPattern {
         reason: None,
