--- a/crates/scenario/src/run/conditions.rs
+++ b/crates/scenario/src/run/conditions.rs
@@ -1,4 +1,4 @@
-//! Statements that check conditions.
+//! Execution of the statements that check conditions.
 
 use std::thread;
 
@@ -31,7 +31,7 @@
                     return Ok(Some(format!("found {found} at poll {poll}")));
                 }
                 Ok(found) => last = format!("found {found} at the last poll"),
-                // A process that is being killed or restarted can't be asked for a while.
+                // A process that is being killed or restarted can't be queried for a while.
                 Err(error) => last = error.to_string(),
             }
             thread::sleep(POLL_INTERVAL);
