--- a/crates/scenario/src/run/endings.rs
+++ b/crates/scenario/src/run/endings.rs
@@ -1,11 +1,11 @@
-//! Whether a request ended as told.
+//! Matching of the outcomes of requests with the endings that a scenario demands.
 
 use crate::ast::Ending;
 use crate::ast::RefusalPattern;
 use apricotdale_launcher::answer::Outcome;
 use apricotdale_launcher::answer::RefusedAnswer;
 
-/// Returns whether a request ended as told.
+/// Returns whether the outcome of a request matches an ending.
 pub(super) fn matches_ending(outcome: &Outcome, ending: &Ending) -> bool {
     match (ending, outcome) {
         (Ending::Ended, _) => true,
