--- a/crates/scenario/src/run/execution.rs
+++ b/crates/scenario/src/run/execution.rs
@@ -1,4 +1,4 @@
-//! What a run knows: the cluster, the requests under way, and second names.
+//! State of a run: the cluster, the requests that were sent, and aliases.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -17,16 +17,16 @@
 use apricotdale_launcher::processes::Processes;
 use apricotdale_launcher::standin::EngineEffects;
 
-/// `SentRequest` is a request that was sent.
+/// Request that was sent.
 #[derive(Clone, Debug)]
 pub(super) struct SentRequest {
-    /// The VM to which it went.
+    /// Name of the VM that it was sent to.
     pub(super) vm: String,
-    /// Its answer.
+    /// Answer, which may still be arriving.
     pub(super) answer: PendingAnswer,
 }
 
-/// `Execution` is what a run knows.
+/// State of a run, on which its steps are executed.
 pub(super) struct Execution {
     options: ClusterOptions,
     cluster: Option<Cluster>,
@@ -50,8 +50,7 @@
         }
     }
 
-    /// Does what a statement says and returns a note for the transcript, if there is something to
-    /// note.
+    /// Executes a statement and returns a note for the transcript, if any.
     pub(super) fn step(
         &mut self,
         statement: &Statement,
@@ -84,7 +83,8 @@
         }
     }
 
-    /// Writes what helps to find the cause of a failed step.
+    /// Writes the state of requests and engines and the ends of the VMs' logs, to help find the
+    /// cause of a failed step.
     pub(super) fn describe(&self, transcript: &mut dyn Write) -> Result<()> {
         let Some(cluster) = &self.cluster else {
             return Ok(());
@@ -92,7 +92,8 @@
         for (name, requests) in &self.requests {
             for sent in requests {
                 let outcome = sent.answer.outcome();
-                let outcome = outcome.map_or("under way".to_owned(), |outcome| outcome.to_string());
+                let outcome =
+                    outcome.map_or("in progress".to_owned(), |outcome| outcome.to_string());
                 writeln!(transcript, "      request {name} at {}: {outcome}", sent.vm)?;
             }
         }
@@ -115,22 +116,22 @@
     pub(super) fn cluster(&self) -> &Cluster {
         self.cluster
             .as_ref()
-            .expect("the check lets nothing else come before the start")
+            .expect("the check admits only setup statements before the start")
     }
 
     pub(super) fn cluster_mut(&mut self) -> &mut Cluster {
         self.cluster
             .as_mut()
-            .expect("the check lets nothing else come before the start")
+            .expect("the check admits only setup statements before the start")
     }
 
-    /// Returns the process that a name or a second name stands for.
+    /// Returns the name of the process that a name or an alias stands for.
     pub(super) fn resolve(&self, name: &str) -> String {
         let real = self.aliases.get(name);
         real.map_or_else(|| name.to_owned(), Clone::clone)
     }
 
-    /// Returns the VMs of a place.
+    /// Returns the VMs that a selector selects.
     pub(super) fn selected_vms(&self, selector: &VmSelector) -> Result<Vec<Vm>> {
         let running = self.cluster().running_vms();
         match selector {
@@ -146,10 +147,10 @@
         }
     }
 
-    /// Returns the requests of a name.
+    /// Returns the requests that were sent under a name.
     pub(super) fn sent(&self, name: &str) -> &[SentRequest] {
         self.requests
             .get(name)
-            .expect("the check lets no unknown request be named")
+            .expect("the check admits only names of earlier requests")
     }
 }
