--- a/crates/scenario/src/run/measures.rs
+++ b/crates/scenario/src/run/measures.rs
@@ -1,4 +1,4 @@
-//! Numbers that are read from the outside.
+//! Reading of the measures that conditions compare.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
 use apricotdale_launcher::standin::StandinClient;
 
 impl Execution {
-    /// Returns the number that a measure has now.
+    /// Returns the current value of a measure.
     pub(super) fn measure(&self, measure: &Measure) -> Result<u64> {
         match measure {
             Measure::Engine(measure, on) => self.engine_measure(*measure, on.as_deref()),
@@ -122,27 +122,27 @@
         }
     }
 
-    /// Returns the offsets of the load intents for a model.
+    /// Returns the offsets of the load intents for a model, on one engine or on any.
     fn proposed(&self, model: &str, on: Option<&str>) -> Result<Vec<u64>> {
         let on = on.map(|name| self.resolve(name));
         let intents = records::load_intents(self.cluster().standin(LOG)?)?;
         let offsets = intents.into_iter().filter(|(_, intent)| {
-            let is_there = on
+            let is_on_engine = on
                 .as_deref()
                 .is_none_or(|name| intent.engine.as_str() == name);
-            intent.model.as_str() == model && is_there
+            intent.model.as_str() == model && is_on_engine
         });
         Ok(offsets.map(|(offset, _)| offset).collect())
     }
 
-    /// Returns how many load intents for a model replay accepted.
+    /// Counts the load intents for a model that replay accepted.
     fn decided(&self, model: &str, on: Option<&str>) -> Result<u64> {
         let decided = records::decided_loads(self.cluster().standin(LOG)?)?;
         let proposed = self.proposed(model, on)?.into_iter();
         Ok(proposed.filter(|offset| decided.contains(offset)).count() as u64)
     }
 
-    /// Returns how many VMs know a loaded replica of a model.
+    /// Counts the running VMs that see a loaded replica of a model.
     fn routable(&self, model: &str, on: Option<&str>) -> Result<u64> {
         let on = on.map(|name| self.resolve(name));
         let mut vms = 0;
@@ -152,44 +152,44 @@
                 .models
                 .iter()
                 .filter(|line| line.model.as_str() == model);
-            let knows = lines.any(|line| {
+            let sees_replica = lines.any(|line| {
                 line.replicas.iter().any(|replica| {
-                    let is_there = on.as_deref().is_none_or(|on| replica.engine.as_str() == on);
-                    replica.state == ReplicaState::Loaded && is_there
+                    let is_on_engine = on.as_deref().is_none_or(|on| replica.engine.as_str() == on);
+                    replica.state == ReplicaState::Loaded && is_on_engine
                 })
             });
-            vms += u64::from(knows);
+            vms += u64::from(sees_replica);
         }
         Ok(vms)
     }
 
-    /// Returns how often the requests of a name were received by upstreams.
+    /// Counts how often upstreams ran the requests that were sent under a name.
     fn runs(&self, name: &str) -> Result<u64> {
-        let mut identities = BTreeSet::new();
+        let mut request_ids = BTreeSet::new();
         for sent in self.sent(name) {
             let outcome = sent.answer.outcome();
             let head = outcome.as_ref().and_then(|outcome| outcome.head());
             match head {
-                Some(head) if !head.request.is_empty() => identities.insert(head.request.clone()),
+                Some(head) if !head.request.is_empty() => request_ids.insert(head.request.clone()),
                 _ => {
                     return Err(Error::failed(format!(
-                        "the identity of {name} is not known"
+                        "the request ID of {name} is not known yet"
                     )));
                 }
             };
         }
-        let ours = |identity: &String| identities.contains(identity);
+        let is_ours = |request_id: &String| request_ids.contains(request_id);
         let engines = self.sum_engines(None, |effects| {
             let requests = effects.requests.iter();
             requests
-                .filter(|(identity, _)| ours(identity))
+                .filter(|(request_id, _)| is_ours(request_id))
                 .map(|(_, request)| request.runs)
                 .sum()
         })?;
         let services = self.sum_services(|effects| {
             let calls = effects.requests.iter();
             calls
-                .filter(|(identity, _)| ours(identity))
+                .filter(|(request_id, _)| is_ours(request_id))
                 .map(|(_, calls)| calls)
                 .sum()
         })?;
@@ -232,7 +232,7 @@
         Ok(diverged)
     }
 
-    /// Returns how many other VMs see a VM in a state.
+    /// Counts the other running VMs that see a VM in a state.
     fn seen(&self, vm: &str, state: MemberState) -> Result<u64> {
         let mut vms = 0;
         for other in self.cluster().running_vms() {
