--- a/crates/scenario/src/run/mod.rs
+++ b/crates/scenario/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Running a scenario against real processes.
+//! Execution of a scenario against real processes.
 
 mod actions;
 mod conditions;
@@ -18,36 +18,36 @@
 use crate::run::execution::Execution;
 use apricotdale_launcher::processes::Processes;
 
-/// `Options` are the tunables of a run.
+/// Options of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// The directory for the processes' output, or none for one that goes away with the run.
+    /// Directory for the processes' output; none for a temporary one that is deleted after the run.
     pub log_dir: Option<PathBuf>,
 }
 
-/// `Verdict` is how a run came out.
+/// Result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Every step came out as told.
+    /// Every step had the result that the scenario demands.
     Passed {
-        /// The number of steps.
+        /// Number of steps, including the setup statements.
         steps: usize,
     },
-    /// A step did not come out as told; those after it were not run.
+    /// A step had another result; those after it were not run.
     Failed {
-        /// The step.
+        /// Step that failed.
         step: Box<Step>,
-        /// What came out in place.
+        /// Result that was found instead.
         detail: String,
     },
 }
 
-/// Runs a scenario and writes each step and its result to the transcript. Each process is in the
-/// set that `prepare` is given before it starts, so that a signal's thread can end them.
+/// Runs a scenario and writes each step and its result to the transcript. `prepare` receives the
+/// set of child processes before the first one starts, so that a signal handler can end them all.
 ///
 /// # Errors
 ///
-/// `Error::Meaning` if a statement makes no sense, `Error::Io` if the transcript can't be written.
+/// `Error::Meaning` if a statement is invalid, `Error::Io` if the transcript can't be written.
 pub fn run(
     scenario: &Scenario,
     options: &Options,
