--- a/crates/scenario/src/run/setup.rs
+++ b/crates/scenario/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! From the lines about the cluster to the launcher's options.
+//! Conversion of setup statements into the launcher's options.
 
 use crate::ast::EngineGroup;
 use crate::ast::Setup;
@@ -9,7 +9,7 @@
 use apricotdale_launcher::cluster::options::UpstreamGroup;
 use apricotdale_launcher::programs::Program;
 
-/// Takes a line about the cluster into its options.
+/// Applies a setup statement to the options of the cluster.
 pub(super) fn add_setup(options: &mut ClusterOptions, setup: &Setup) {
     match setup {
         Setup::Vms(count) => options.vms = *count,
