--- a/crates/scenario/tests/parse_errors.rs
+++ b/crates/scenario/tests/parse_errors.rs
@@ -1,4 +1,4 @@
-//! What the parser and the check say of faulty files.
+//! Messages of the parser and the check about invalid files.
 
 use rstest::rstest;
 
@@ -12,7 +12,7 @@
     let text = format!("{HEAD}{statement}\n");
     let checked = parse(&text).and_then(|scenario| check(&scenario));
     match checked {
-        Ok(()) => "no fault".to_owned(),
+        Ok(()) => "no error".to_owned(),
         Err(error) => error.to_string(),
     }
 }
@@ -54,6 +54,6 @@
 
 #[test]
 fn statement_before_start() {
-    let scenario = parse("scenario \"t\"\nvms 1\nkill vm1\n").expect("the form is right");
+    let scenario = parse("scenario \"t\"\nvms 1\nkill vm1\n").expect("the syntax is valid");
     assert!(matches!(check(&scenario), Err(Error::Meaning { .. })));
 }
