--- a/crates/scenario/tests/parse_statements.rs
+++ b/crates/scenario/tests/parse_statements.rs
@@ -1,4 +1,4 @@
-//! What statements mean.
+//! Parsing of valid statements.
 
 use rstest::rstest;
 
@@ -20,7 +20,7 @@
 
 fn statement(text: &str) -> Statement {
     let file = format!("scenario \"t\"\n# A comment.\n\n{text} # another\n");
-    let mut scenario = parse(&file).expect("the statement is right");
+    let mut scenario = parse(&file).expect("the statement is valid");
     assert_eq!(scenario.steps.len(), 1);
     scenario.steps.remove(0).statement
 }
