--- a/crates/scenario/tests/scenario_files.rs
+++ b/crates/scenario/tests/scenario_files.rs
@@ -14,8 +14,8 @@
 use apricotdale_scenario::run::Verdict;
 use apricotdale_scenario::run::run;
 
-/// Holds all but one scenario back. Each starts a dozen processes, and the processor time of many
-/// at once would decide how long anything takes.
+/// Lets only one scenario run at a time. Each starts a dozen processes, and with several at once
+/// their durations would depend on the processor time left to each.
 static SCENARIO_LOCK: Mutex<()> = Mutex::new(());
 
 #[test]
@@ -26,14 +26,14 @@
 
 #[rstest]
 fn scenario_holds(#[files("../../scenarios/*.scenario")] file: PathBuf) {
-    let _turn = SCENARIO_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let _lock = SCENARIO_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let verdict = run_file(&file);
     if let Err(report) = verdict {
         panic!("{report}");
     }
 }
 
-/// Returns the whole transcript and the reason if the scenario does not hold.
+/// Runs a scenario file; the error holds the reason and the complete transcript.
 fn run_file(file: &Path) -> Result<(), String> {
     let text = fs::read_to_string(file).map_err(|error| error.to_string())?;
     let scenario = parse(&text).map_err(|error| error.to_string())?;
