--- a/crates/launcher/src/answer.rs
+++ b/crates/launcher/src/answer.rs
@@ -204,7 +204,7 @@
     }
 
     /// Takes in one line and returns whether it was an event of the answer.
-    pub fn take_line(&mut self, line: &str) -> bool {
+    pub fn parse_line(&mut self, line: &str) -> bool {
         let Some(data) = line.strip_prefix(DATA_PREFIX) else {
             return false;
         };
--- a/crates/launcher/src/caller.rs
+++ b/crates/launcher/src/caller.rs
@@ -231,7 +231,7 @@
         line.clear();
         match body.read_line(&mut line) {
             Ok(0) => return reading.end(None),
-            Ok(_) if reading.take_line(line.trim_end()) => shared.note_event(),
+            Ok(_) if reading.parse_line(line.trim_end()) => shared.note_event(),
             Ok(_) => {}
             Err(error) => return reading.end(Some(error.to_string())),
         }
--- a/crates/launcher/tests/answer_kinds.rs
+++ b/crates/launcher/tests/answer_kinds.rs
@@ -19,7 +19,7 @@
 fn outcome_of_stream(lines: &[&str], error: Option<&str>) -> Outcome {
     let mut reading = StreamParser::new(head());
     for line in lines {
-        reading.take_line(line);
+        reading.parse_line(line);
     }
     reading.end(error.map(str::to_owned))
 }
--- a/crates/load-tool/src/load/client.rs
+++ b/crates/load-tool/src/load/client.rs
@@ -201,7 +201,7 @@
             match body.read_line(&mut line) {
                 Ok(0) => break reading.end(None),
                 Err(error) => break reading.end(Some(error.to_string())),
-                Ok(_) if !reading.take_line(line.trim_end()) => continue,
+                Ok(_) if !reading.parse_line(line.trim_end()) => continue,
                 Ok(_) => {}
             }
             let now = self.clock.now();
