--- a/crates/launcher/src/answer.rs
+++ b/crates/launcher/src/answer.rs
@@ -90,8 +90,8 @@
         if let Some(refusal) = RefusedAnswer::parse(body) {
             return Self::Refused { head, refusal };
         }
-        match identity_of(body) {
-            Some(found) if !belongs(&found, &head) => Self::Crossed { head, found },
+        match request_id_of(body) {
+            Some(found) if !belongs_to_request(&found, &head) => Self::Crossed { head, found },
             _ => Self::Whole {
                 head,
                 events: 0,
@@ -217,7 +217,9 @@
             self.refusal = Some(refusal);
             return false;
         }
-        if let Some(found) = identity_of(data).filter(|found| !belongs(found, &self.head)) {
+        if let Some(found) =
+            request_id_of(data).filter(|found| !belongs_to_request(found, &self.head))
+        {
             self.foreign = Some(found);
         }
         self.events += 1;
@@ -248,12 +250,12 @@
 }
 
 /// Returns the identity that a JSON answer or event carries.
-fn identity_of(data: &str) -> Option<String> {
+fn request_id_of(data: &str) -> Option<String> {
     let value: Value = serde_json::from_str(data).ok()?;
     Some(value.get("id")?.as_str()?.to_owned())
 }
 
 /// Returns whether an identity is that of the request. An engine puts a prefix before it.
-fn belongs(identity: &str, head: &AnswerHead) -> bool {
-    head.request.is_empty() || identity.ends_with(&head.request)
+fn belongs_to_request(request_id: &str, head: &AnswerHead) -> bool {
+    head.request.is_empty() || request_id.ends_with(&head.request)
 }
--- a/crates/launcher/src/caller.rs
+++ b/crates/launcher/src/caller.rs
@@ -24,7 +24,7 @@
 
 /// The longest time that a caller waits for the end of any answer. It is far above every target and
 /// only ends a hanging test.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// The content type of a stream of events.
 const EVENT_STREAM: &str = "text/event-stream";
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// `Error::GaveUp` at the limit.
+    /// `Error::PollLimitReached` at the limit.
     pub fn wait_events(&self, count: u64, limit: Duration) -> Result<u64> {
         let progress = self.wait(limit, |progress| {
             progress.events >= count || progress.outcome.is_some()
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// `Error::GaveUp` at the limit.
+    /// `Error::PollLimitReached` at the limit.
     pub fn wait_end(&self, limit: Duration) -> Result<Outcome> {
         let progress = self.wait(limit, |progress| progress.outcome.is_some())?;
         Ok(progress.outcome.clone().expect("the request has ended"))
@@ -138,7 +138,7 @@
         while !holds(&progress) {
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Err(Error::GaveUp("the answer came".to_owned()));
+                return Err(Error::PollLimitReached("the answer came".to_owned()));
             }
             progress = self
                 .shared
@@ -158,7 +158,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn note_event(&self) {
+    fn record_event(&self) {
         self.lock().events += 1;
         self.changed.notify_all();
     }
@@ -208,7 +208,7 @@
     vm: SocketAddr,
     request: &CallerRequest,
 ) -> std::result::Result<Response<Body>, ureq::Error> {
-    let agent = agent(ANSWER_LIMIT);
+    let agent = agent(ANSWER_TIMEOUT);
     let mut builder = ureq::http::Request::builder()
         .method(request.method.as_str())
         .uri(format!("http://{vm}{}", request.path));
@@ -225,15 +225,15 @@
 }
 
 fn read_stream(head: AnswerHead, mut body: impl BufRead, shared: &Shared) -> Outcome {
-    let mut reading = StreamParser::new(head);
+    let mut parser = StreamParser::new(head);
     let mut line = String::new();
     loop {
         line.clear();
         match body.read_line(&mut line) {
-            Ok(0) => return reading.end(None),
-            Ok(_) if reading.parse_line(line.trim_end()) => shared.note_event(),
+            Ok(0) => return parser.end(None),
+            Ok(_) if parser.parse_line(line.trim_end()) => shared.record_event(),
             Ok(_) => {}
-            Err(error) => return reading.end(Some(error.to_string())),
+            Err(error) => return parser.end(Some(error.to_string())),
         }
     }
 }
--- a/crates/launcher/src/checks.rs
+++ b/crates/launcher/src/checks.rs
@@ -7,8 +7,8 @@
 /// `Checks` prints steps and checks, and keeps those that did not hold.
 pub struct Checks<'a> {
     out: &'a mut dyn Write,
-    held: usize,
-    broken: Vec<String>,
+    passed: usize,
+    failed: Vec<String>,
 }
 
 impl<'a> Checks<'a> {
@@ -16,8 +16,8 @@
     pub fn new(out: &'a mut dyn Write) -> Self {
         Self {
             out,
-            held: 0,
-            broken: Vec::new(),
+            passed: 0,
+            failed: Vec::new(),
         }
     }
 
@@ -50,8 +50,8 @@
         let word = if holds { "ok  " } else { "FAIL" };
         writeln!(self.out, "  {word} {text}")?;
         match holds {
-            true => self.held += 1,
-            false => self.broken.push(text),
+            true => self.passed += 1,
+            false => self.failed.push(text),
         }
         Ok(())
     }
@@ -62,11 +62,11 @@
     ///
     /// Any of printing.
     pub fn finish(self) -> Result<bool> {
-        let (held, broken) = (self.held, self.broken.len());
-        writeln!(self.out, "\n{held} checks held, {broken} did not")?;
-        for broken in &self.broken {
-            writeln!(self.out, "  did not hold: {broken}")?;
+        let (passed, failed) = (self.passed, self.failed.len());
+        writeln!(self.out, "\n{passed} checks held, {failed} did not")?;
+        for failed in &self.failed {
+            writeln!(self.out, "  did not hold: {failed}")?;
         }
-        Ok(self.broken.is_empty())
+        Ok(self.failed.is_empty())
     }
 }
--- a/crates/launcher/src/cluster/mod.rs
+++ b/crates/launcher/src/cluster/mod.rs
@@ -52,7 +52,7 @@
     cluster_key: String,
     standins: BTreeMap<String, StandinClient>,
     vms: BTreeMap<String, Vm>,
-    listing: Vec<VmEntry>,
+    listed_entries: Vec<VmEntry>,
 }
 
 /// `Vm` is a VM of a cluster.
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     ///
-    /// `Error::GaveUp` if one has not.
+    /// `Error::PollLimitReached` if one has not.
     pub fn wait_in_force(&self, version: ConfigVersion) -> Result<()> {
         let condition = format!("version {version} is in force on all VMs");
         poll_until(&condition, MAX_POLLS, || {
@@ -184,7 +184,7 @@
     /// `Error::UnknownName` if there is none of the name.
     pub fn kill(&mut self, name: &str) -> Result<()> {
         self.processes.kill(name)?;
-        self.note(name, VmCondition::Killed);
+        self.set_condition(name, VmCondition::Killed);
         Ok(())
     }
 
@@ -195,7 +195,7 @@
     /// `Error::NotRunning` if the process has ended.
     pub fn freeze(&mut self, name: &str) -> Result<()> {
         self.processes.freeze(name)?;
-        self.note(name, VmCondition::Frozen);
+        self.set_condition(name, VmCondition::Frozen);
         Ok(())
     }
 
@@ -206,7 +206,7 @@
     /// `Error::NotRunning` if the process has ended.
     pub fn wake(&mut self, name: &str) -> Result<()> {
         self.processes.signal(name, Signal::SIGCONT)?;
-        self.note(name, VmCondition::Running);
+        self.set_condition(name, VmCondition::Running);
         Ok(())
     }
 
@@ -217,7 +217,7 @@
     /// `Error::NotRunning` if the daemon has ended.
     pub fn terminate(&mut self, name: &str) -> Result<()> {
         self.processes.signal(name, Signal::SIGTERM)?;
-        self.note(name, VmCondition::Stopping);
+        self.set_condition(name, VmCondition::Stopping);
         Ok(())
     }
 
@@ -234,7 +234,7 @@
     ///
     /// # Errors
     ///
-    /// `Error::GaveUp` if it does not end within `limit` looks.
+    /// `Error::PollLimitReached` if it does not end within `limit` looks.
     pub fn wait_exit(&self, name: &str, limit: u32) -> Result<Exit> {
         poll_until(&format!("{name} has ended"), limit, || self.poll_exit(name))
     }
@@ -245,7 +245,10 @@
     ///
     /// `Error::UnknownName` if the list has no such entry, `Error::Failed` if the stand-in fails.
     pub fn list_state(&mut self, name: &str, state: VmState) -> Result<()> {
-        let entry = self.listing.iter_mut().find(|entry| entry.name == name);
+        let entry = self
+            .listed_entries
+            .iter_mut()
+            .find(|entry| entry.name == name);
         let entry = entry.ok_or_else(|| Error::UnknownName(name.to_owned()))?;
         entry.state = state;
         let change = json!({"name": name, "state": state});
@@ -272,7 +275,7 @@
             .collect()
     }
 
-    fn note(&mut self, name: &str, condition: VmCondition) {
+    fn set_condition(&mut self, name: &str, condition: VmCondition) {
         if let Some(vm) = self.vms.get_mut(name) {
             vm.condition = condition;
         }
--- a/crates/launcher/src/cluster/options.rs
+++ b/crates/launcher/src/cluster/options.rs
@@ -28,7 +28,7 @@
     /// The directory for the processes' output, or none for one that goes away with the cluster.
     pub log_dir: Option<PathBuf>,
     /// How long a process may take to get ready. It is a limit for failures only.
-    pub ready_limit: Duration,
+    pub ready_timeout: Duration,
 }
 
 /// `UpstreamGroup` is a group of equal upstreams.
@@ -74,7 +74,7 @@
             settings: Vec::new(),
             default_class: "quick".to_owned(),
             log_dir: None,
-            ready_limit: Duration::from_secs(60),
+            ready_timeout: Duration::from_secs(60),
         }
     }
 }
--- a/crates/launcher/src/cluster/settings_file.rs
+++ b/crates/launcher/src/cluster/settings_file.rs
@@ -9,9 +9,9 @@
 /// An address of which the operating system chooses the port.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// `DaemonFacts` is what the settings of one daemon are made from.
+/// `DaemonSettings` is what the settings of one daemon are made from.
 #[derive(Clone, Debug)]
-pub struct DaemonFacts<'a> {
+pub struct DaemonSettings<'a> {
     /// The VM.
     pub vm: &'a str,
     /// Its region.
@@ -31,9 +31,9 @@
 }
 
 /// Returns the text of a settings file. The given settings go before the ones made here.
-pub fn settings_text(facts: &DaemonFacts<'_>, overrides: &[Setting]) -> String {
+pub fn settings_text(daemon: &DaemonSettings<'_>, overrides: &[Setting]) -> String {
     let mut sections: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
-    for setting in own_settings(facts).iter().chain(overrides) {
+    for setting in generated_settings(daemon).iter().chain(overrides) {
         let section = sections.entry(setting.section.clone()).or_default();
         section.insert(setting.key.clone(), setting.value.clone());
     }
@@ -48,18 +48,18 @@
     text
 }
 
-fn own_settings(facts: &DaemonFacts<'_>) -> Vec<Setting> {
+fn generated_settings(daemon: &DaemonSettings<'_>) -> Vec<Setting> {
     vec![
-        Setting::new("vm", "name", facts.vm),
-        Setting::new("vm", "region", facts.region),
-        Setting::new("vm", "availability_zone", facts.zone),
+        Setting::new("vm", "name", daemon.vm),
+        Setting::new("vm", "region", daemon.region),
+        Setting::new("vm", "availability_zone", daemon.zone),
         Setting::new("listen", "callers", ANY_PORT),
         Setting::new("listen", "peers", ANY_PORT),
         Setting::new("listen", "admin", ANY_PORT),
-        Setting::new("platform", "log", facts.log),
-        Setting::new("platform", "weights", facts.weights),
-        Setting::new("platform", "vm_list", facts.vm_list),
-        Setting::new("peers", "cluster_key", facts.cluster_key),
-        Setting::new("callers", "default_class", facts.default_class),
+        Setting::new("platform", "log", daemon.log),
+        Setting::new("platform", "weights", daemon.weights),
+        Setting::new("platform", "vm_list", daemon.vm_list),
+        Setting::new("peers", "cluster_key", daemon.cluster_key),
+        Setting::new("callers", "default_class", daemon.default_class),
     ]
 }
--- a/crates/launcher/src/cluster/start.rs
+++ b/crates/launcher/src/cluster/start.rs
@@ -18,7 +18,7 @@
 use crate::cluster::options::ClusterOptions;
 use crate::cluster::options::Flag;
 use crate::cluster::options::UpstreamGroup;
-use crate::cluster::settings_file::DaemonFacts;
+use crate::cluster::settings_file::DaemonSettings;
 use crate::cluster::settings_file::settings_text;
 use crate::errors::Error;
 use crate::errors::Result;
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// `Error::MissingProgram` if a program has not been built, `Error::NotReady` if a process does
-    /// not get ready, `Error::GaveUp` if a VM does not take requests.
+    /// not get ready, `Error::PollLimitReached` if a VM does not take requests.
     pub fn start(options: ClusterOptions, prepare: impl FnOnce(&Processes)) -> Result<Self> {
         let directory = TempDir::with_prefix("apricotdale-")?;
         let log_dir = options.log_dir.clone();
@@ -71,7 +71,7 @@
             cluster_key: random_key(),
             standins: BTreeMap::new(),
             vms: BTreeMap::new(),
-            listing: Vec::new(),
+            listed_entries: Vec::new(),
         };
         cluster.start_platform()?;
         cluster.start_upstreams()?;
@@ -86,8 +86,8 @@
     ///
     /// As for [`Cluster::start`].
     pub fn restart(&mut self, vm: &str) -> Result<()> {
-        self.relaunch(vm)?;
-        self.wait_taking_requests(vm)
+        self.restart_without_waiting(vm)?;
+        self.wait_until_ready(vm)
     }
 
     /// Kills a VM's daemon where it still runs, starts it anew on new ports and lists it as live.
@@ -95,20 +95,20 @@
     /// # Errors
     ///
     /// As for [`Cluster::start`].
-    pub fn relaunch(&mut self, vm: &str) -> Result<()> {
+    pub fn restart_without_waiting(&mut self, vm: &str) -> Result<()> {
         self.vm(vm)?;
         self.kill(vm)?;
         self.launch_daemon(vm)?;
-        self.enter_vm(vm)?;
-        self.post_listing()
+        self.register_vm(vm)?;
+        self.post_vm_list()
     }
 
     /// Waits until a VM takes requests.
     ///
     /// # Errors
     ///
-    /// `Error::GaveUp` if it does not.
-    pub fn wait_taking_requests(&self, vm: &str) -> Result<()> {
+    /// `Error::PollLimitReached` if it does not.
+    pub fn wait_until_ready(&self, vm: &str) -> Result<()> {
         let address = self.vm(vm)?.addresses.callers;
         let condition = format!("{vm} takes requests");
         poll_until(&condition, MAX_POLLS, || {
@@ -133,14 +133,14 @@
             self.launch_standin(name, program, &[])?;
         }
         for name in [LOG, WEIGHTS, VM_LIST] {
-            self.enter_standin(name)?;
+            self.register_standin(name)?;
         }
         Ok(())
     }
 
     fn start_upstreams(&mut self) -> Result<()> {
-        let engines = numbered(ENGINE_PREFIX, &self.options.engine_groups);
-        let services = numbered(SERVICE_PREFIX, &self.options.services);
+        let engines = numbered_upstreams(ENGINE_PREFIX, &self.options.engine_groups);
+        let services = numbered_upstreams(SERVICE_PREFIX, &self.options.services);
         let weights = Flag::new("weights", self.address_of(WEIGHTS)?);
         for (name, group) in &engines {
             let mut flags = vec![Flag::new("name", name), weights.clone()];
@@ -151,12 +151,12 @@
             self.launch_standin(name, Program::Service, &group.flags)?;
         }
         for (index, (name, group)) in engines.iter().enumerate() {
-            self.enter_upstream(name, VmRole::Engine, &group.group, index)?;
+            self.register_upstream(name, VmRole::Engine, &group.group, index)?;
         }
         for (index, (name, group)) in services.iter().enumerate() {
-            self.enter_upstream(name, VmRole::Service, &group.group, index)?;
+            self.register_upstream(name, VmRole::Service, &group.group, index)?;
         }
-        self.post_listing()
+        self.post_vm_list()
     }
 
     fn start_vms(&mut self) -> Result<()> {
@@ -168,11 +168,11 @@
             self.launch_daemon(name)?;
         }
         for name in &names {
-            self.enter_vm(name)?;
+            self.register_vm(name)?;
         }
-        self.post_listing()?;
+        self.post_vm_list()?;
         for name in &names {
-            self.wait_taking_requests(name)?;
+            self.wait_until_ready(name)?;
         }
         Ok(())
     }
@@ -187,26 +187,29 @@
         self.processes.start(name, program, arguments)
     }
 
-    fn enter_standin(&mut self, name: &str) -> Result<SocketAddr> {
-        match self.processes.wait_ready(name, self.options.ready_limit)? {
+    fn register_standin(&mut self, name: &str) -> Result<SocketAddr> {
+        match self
+            .processes
+            .wait_ready(name, self.options.ready_timeout)?
+        {
             ReadyLine::Standin(address) => {
                 let client = StandinClient::new(address);
                 self.standins.insert(name.to_owned(), client);
                 Ok(address)
             }
-            ReadyLine::Daemon(_) => Err(self.strange_ready_line(name)?),
+            ReadyLine::Daemon(_) => Err(self.unexpected_ready_line(name)?),
         }
     }
 
-    fn enter_upstream(
+    fn register_upstream(
         &mut self,
         name: &str,
         role: VmRole,
         group: &str,
         index: usize,
     ) -> Result<()> {
-        let address = self.enter_standin(name)?;
-        self.listing.push(VmEntry {
+        let address = self.register_standin(name)?;
+        self.listed_entries.push(VmEntry {
             name: name.to_owned(),
             role,
             group: GroupName::new(group),
@@ -219,7 +222,7 @@
     }
 
     fn write_settings(&self, vm: &str, zone: &str) -> Result<()> {
-        let facts = DaemonFacts {
+        let daemon = DaemonSettings {
             vm,
             region: &self.options.region,
             zone,
@@ -229,7 +232,7 @@
             vm_list: self.address_of(VM_LIST)?,
             cluster_key: &self.cluster_key,
         };
-        let text = settings_text(&facts, &self.options.settings);
+        let text = settings_text(&daemon, &self.options.settings);
         fs::write(self.settings_path(vm), text)?;
         Ok(())
     }
@@ -239,12 +242,12 @@
         self.processes.start(vm, Program::Daemon, arguments)
     }
 
-    fn enter_vm(&mut self, name: &str) -> Result<()> {
-        let addresses = self.daemon_addresses(name, self.options.ready_limit)?;
+    fn register_vm(&mut self, name: &str) -> Result<()> {
+        let addresses = self.daemon_addresses(name, self.options.ready_timeout)?;
         let known = self.vms.get(name);
         let zone = known.map_or_else(|| self.zone(self.vms.len()), |vm| vm.zone.clone());
-        self.listing.retain(|entry| entry.name != name);
-        self.listing.push(VmEntry {
+        self.listed_entries.retain(|entry| entry.name != name);
+        self.listed_entries.push(VmEntry {
             name: name.to_owned(),
             role: VmRole::Entry,
             group: GroupName::new(VM_GROUP),
@@ -266,11 +269,11 @@
     fn daemon_addresses(&self, name: &str, limit: Duration) -> Result<DaemonAddresses> {
         match self.processes.wait_ready(name, limit)? {
             ReadyLine::Daemon(addresses) => Ok(addresses),
-            ReadyLine::Standin(_) => Err(self.strange_ready_line(name)?),
+            ReadyLine::Standin(_) => Err(self.unexpected_ready_line(name)?),
         }
     }
 
-    fn strange_ready_line(&self, name: &str) -> Result<Error> {
+    fn unexpected_ready_line(&self, name: &str) -> Result<Error> {
         Ok(Error::NotReady {
             name: name.to_owned(),
             detail: "its ready line is that of another program".to_owned(),
@@ -278,8 +281,9 @@
         })
     }
 
-    fn post_listing(&self) -> Result<()> {
-        self.standin(VM_LIST)?.post("/standin/vms", &self.listing)
+    fn post_vm_list(&self) -> Result<()> {
+        self.standin(VM_LIST)?
+            .post("/standin/vms", &self.listed_entries)
     }
 
     fn zone(&self, index: usize) -> String {
@@ -288,7 +292,7 @@
 }
 
 /// Returns each upstream's name with its group.
-fn numbered(prefix: &str, groups: &[UpstreamGroup]) -> Vec<(String, UpstreamGroup)> {
+fn numbered_upstreams(prefix: &str, groups: &[UpstreamGroup]) -> Vec<(String, UpstreamGroup)> {
     groups
         .iter()
         .flat_map(|group| std::iter::repeat_n(group, group.count))
--- a/crates/launcher/src/demo.rs
+++ b/crates/launcher/src/demo.rs
@@ -26,10 +26,10 @@
 use apricotdale_admin::PublishOutcome;
 
 /// The longest wait for an answer. It is a limit for failures only.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// The requests of the cold burst at each VM.
-const BURST: usize = 5;
+const REQUESTS_PER_VM: usize = 5;
 /// The length of a short answer.
 const SHORT_TOKENS: u32 = 8;
 /// The length of an answer that is still under way while VMs stop.
@@ -60,9 +60,9 @@
         self.cold_burst(sample::SLOT_PLANNER)?;
         self.cold_burst(sample::WEAR_REVIEW)?;
         self.streams()?;
-        self.repeated_call()?;
+        self.retried_call()?;
         self.drain_and_kill()?;
-        self.memory()?;
+        self.check_memory()?;
         self.checks.step("Stopping all processes")?;
         self.cluster.stop();
         self.checks.finish()
@@ -87,15 +87,15 @@
         self.checks.step(&format!(
             "A burst of requests at all VMs for {model}, which is not loaded"
         ))?;
-        let vms = self.running();
+        let vms = self.running_vms();
         let request = CallerRequest::completion(model, SHORT_TOKENS, false);
         let request = request.header("X-Request-Class", sample::REPLAN);
         let answers: Vec<PendingAnswer> = vms
             .iter()
-            .flat_map(|vm| std::iter::repeat_n(vm.addresses.callers, BURST))
+            .flat_map(|vm| std::iter::repeat_n(vm.addresses.callers, REQUESTS_PER_VM))
             .map(|address| caller::send(address, request.clone()))
             .collect();
-        let whole = self.count_whole(&answers)?;
+        let whole = self.count_complete(&answers)?;
         let sent = answers.len();
         self.checks.check(
             format!("{whole} of {sent} requests answered whole"),
@@ -110,29 +110,29 @@
 
     fn streams(&mut self) -> Result<()> {
         self.checks.step("A streamed answer through each VM")?;
-        for vm in self.running() {
+        for vm in self.running_vms() {
             let request = CallerRequest::completion(sample::SLOT_PLANNER, SHORT_TOKENS, true);
-            let outcome = caller::send(vm.addresses.callers, request).wait_end(ANSWER_LIMIT)?;
+            let outcome = caller::send(vm.addresses.callers, request).wait_end(ANSWER_TIMEOUT)?;
             self.checks.check(
                 format!("through {}: {outcome}", vm.name),
-                is_whole_stream(&outcome),
+                is_complete_stream(&outcome),
             )?;
         }
         Ok(())
     }
 
-    fn repeated_call(&mut self) -> Result<()> {
+    fn retried_call(&mut self) -> Result<()> {
         self.checks
             .step("A booking sent twice, at two VMs, under one idempotency key")?;
-        let vms = self.running();
+        let vms = self.running_vms();
         let body = Some("{\"lathe\":\"hall-b\"}".to_owned());
         let request = CallerRequest::service_call(sample::BOOKING, "POST", "/book", body);
         let request = request.header("Idempotency-Key", "booking-1");
         let first = caller::send(vms[0].addresses.callers, request.clone());
         let second = caller::send(vms[1].addresses.callers, request);
         let outcomes = [
-            first.wait_end(ANSWER_LIMIT)?,
-            second.wait_end(ANSWER_LIMIT)?,
+            first.wait_end(ANSWER_TIMEOUT)?,
+            second.wait_end(ANSWER_TIMEOUT)?,
         ];
         for (vm, outcome) in vms.iter().zip(&outcomes) {
             self.checks.note(&format!("at {}: {outcome}", vm.name))?;
@@ -146,18 +146,18 @@
     fn drain_and_kill(&mut self) -> Result<()> {
         self.checks
             .step("One VM stops as planned and one is killed, with streams under way on both")?;
-        let vms = self.running();
+        let vms = self.running_vms();
         let [drained, killed, other] = [&vms[1], &vms[2], &vms[0]];
         let request = CallerRequest::completion(sample::SLOT_PLANNER, LONG_TOKENS, true);
         let on_drained = caller::send(drained.addresses.callers, request.clone());
         let on_killed = caller::send(killed.addresses.callers, request);
-        let begun = on_drained.wait_events(1, ANSWER_LIMIT)? > 0
-            && on_killed.wait_events(1, ANSWER_LIMIT)? > 0;
+        let begun = on_drained.wait_events(1, ANSWER_TIMEOUT)? > 0
+            && on_killed.wait_events(1, ANSWER_TIMEOUT)? > 0;
         self.checks
             .check("both streams have begun".to_owned(), begun)?;
         self.cluster.terminate(&drained.name)?;
         self.cluster.kill(&killed.name)?;
-        let cut = on_killed.wait_end(ANSWER_LIMIT)?;
+        let cut = on_killed.wait_end(ANSWER_TIMEOUT)?;
         self.checks.check(
             format!("the killed VM's stream: {cut}"),
             matches!(cut, Outcome::Cut { .. }),
@@ -168,10 +168,10 @@
             format!("a request at {}: {elsewhere}", other.name),
             elsewhere.is_whole(),
         )?;
-        let whole = on_drained.wait_end(ANSWER_LIMIT)?;
+        let whole = on_drained.wait_end(ANSWER_TIMEOUT)?;
         self.checks.check(
             format!("the stopping VM's stream: {whole}"),
-            is_whole_stream(&whole),
+            is_complete_stream(&whole),
         )?;
         let exit = self.cluster.wait_exit(&drained.name, MAX_POLLS)?;
         self.checks.check(
@@ -185,7 +185,7 @@
         )
     }
 
-    fn memory(&mut self) -> Result<()> {
+    fn check_memory(&mut self) -> Result<()> {
         self.checks.step("The engines' own counts")?;
         let mut overcommitted = 0;
         for (_, engine) in self.cluster.engines() {
@@ -197,16 +197,16 @@
         )
     }
 
-    fn running(&self) -> Vec<Vm> {
+    fn running_vms(&self) -> Vec<Vm> {
         self.cluster.running_vms().into_iter().cloned().collect()
     }
 
     /// Waits for all answers, shows how many there are of each kind and returns how many are whole.
-    fn count_whole(&mut self, answers: &[PendingAnswer]) -> Result<usize> {
+    fn count_complete(&mut self, answers: &[PendingAnswer]) -> Result<usize> {
         let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
         let mut whole = 0;
         for answer in answers {
-            let outcome = answer.wait_end(ANSWER_LIMIT)?;
+            let outcome = answer.wait_end(ANSWER_TIMEOUT)?;
             whole += usize::from(outcome.is_whole());
             *kinds.entry(outcome.to_string()).or_default() += 1;
         }
@@ -256,6 +256,6 @@
     }
 }
 
-fn is_whole_stream(outcome: &Outcome) -> bool {
+fn is_complete_stream(outcome: &Outcome) -> bool {
     outcome.is_whole() && matches!(outcome, Outcome::Whole { events, .. } if *events > 0)
 }
--- a/crates/launcher/src/entry_demo.rs
+++ b/crates/launcher/src/entry_demo.rs
@@ -27,19 +27,19 @@
 use crate::programs::Program;
 
 /// How long an answer may take. It is a limit for failures only.
-const PATIENCE: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The VMs, each with a door of its own to the store.
-const VMS: usize = 3;
+const VM_COUNT: usize = 3;
 
 /// Events of a whole stream.
-const EVENTS: u64 = 40;
+const EVENTS_PER_STREAM: u64 = 40;
 
 /// The time between two of them, so that a stream is under way while its VM stops.
-const GAP_MS: u64 = 25;
+const EVENT_INTERVAL_MS: u64 = 25;
 
 /// The line of a VM that has taken the lease for orders.
-const GIVES_ORDERS: &str = "this VM gives orders";
+const LEASE_HOLDER_LINE: &str = "this VM gives orders";
 
 /// `EntryDemo` runs the demonstration.
 pub struct EntryDemo<'a> {
@@ -47,7 +47,7 @@
     /// None once a VM has been ended.
     vms: Vec<Option<VmProcess>>,
     checks: Checks<'a>,
-    asked: u64,
+    requests_sent: u64,
 }
 
 impl<'a> EntryDemo<'a> {
@@ -63,13 +63,13 @@
         let engine = |index: usize, model: &str| EngineOptions {
             instance: format!("i-{index}"),
             models: vec![model.to_owned()],
-            events: EVENTS,
-            gap_ms: GAP_MS,
+            events: EVENTS_PER_STREAM,
+            gap_ms: EVENT_INTERVAL_MS,
             ..EngineOptions::default()
         };
         let site = Site::start(SiteOptions {
             engines: vec![engine(0, "m0"), engine(1, "m0"), engine(2, "m1")],
-            doors: VMS,
+            doors: VM_COUNT,
             timeout_ms: 10_000,
             ..SiteOptions::default()
         })?;
@@ -82,7 +82,7 @@
             site,
             vms,
             checks,
-            asked: 0,
+            requests_sent: 0,
         })
     }
 
@@ -94,12 +94,12 @@
     pub fn run(mut self) -> Result<bool> {
         self.start_up()?;
         self.streams()?;
-        self.rare_model()?;
+        self.unloaded_model()?;
         self.lost_answers()?;
-        self.new_giver()?;
-        self.store_away()?;
+        self.replace_lease_holder()?;
+        self.store_outage()?;
         self.planned_stop()?;
-        self.orders()?;
+        self.check_orders()?;
         self.checks.step("Stopping all processes")?;
         self.vms.clear();
         self.site.stop();
@@ -107,32 +107,32 @@
     }
 
     fn start_up(&mut self) -> Result<()> {
-        for index in 0..VMS {
+        for index in 0..VM_COUNT {
             poll_until("every VM takes callers", MAX_POLLS, || {
-                Ok(self.vm(index)?.is_ready(PATIENCE).then_some(()))
+                Ok(self.vm(index)?.is_ready(ANSWER_TIMEOUT).then_some(()))
             })?;
         }
         self.checks
-            .check(format!("{VMS} VMs know the configuration"), true)
+            .check(format!("{VM_COUNT} VMs know the configuration"), true)
     }
 
     fn streams(&mut self) -> Result<()> {
         self.checks.step("A streamed answer through each VM")?;
-        for index in 0..VMS {
+        for index in 0..VM_COUNT {
             let answer = self.ask(index, |id| Ask::quick(id, "m0"))?;
-            let text = format!("through vm{index}: {}", shown(&answer));
-            self.checks.check(text, is_whole_stream(&answer))?;
+            let text = format!("through vm{index}: {}", describe(&answer));
+            self.checks.check(text, is_complete_stream(&answer))?;
         }
         Ok(())
     }
 
-    fn rare_model(&mut self) -> Result<()> {
+    fn unloaded_model(&mut self) -> Result<()> {
         self.checks
             .step("All VMs are asked at once for a model that no engine holds")?;
         let mut waiting = Vec::new();
-        for index in 0..VMS {
+        for index in 0..VM_COUNT {
             let request = Ask::patient(&self.next_id(), "m2");
-            let mut caller = Caller::connect(self.vm(index)?.callers, PATIENCE)?;
+            let mut caller = Caller::connect(self.vm(index)?.callers, ANSWER_TIMEOUT)?;
             waiting.push(thread::spawn(move || caller.ask(&request)));
         }
         let mut whole = 0;
@@ -140,7 +140,7 @@
             let answer = answer
                 .join()
                 .map_err(|_| Error::failed("asking", "the caller's thread panicked"))??;
-            whole += usize::from(is_whole_stream(&answer));
+            whole += usize::from(is_complete_stream(&answer));
         }
         let holding = self
             .site
@@ -149,64 +149,71 @@
             .filter(|it| it.serves("m2"))
             .count();
         self.checks.check(
-            format!("{whole} of {VMS} answered whole; {holding} engine holds it now"),
-            whole == VMS && holding == 1,
+            format!("{whole} of {VM_COUNT} answered whole; {holding} engine holds it now"),
+            whole == VM_COUNT && holding == 1,
         )
     }
 
     fn lost_answers(&mut self) -> Result<()> {
         self.checks
             .step("An instance of the service runs calls and loses their answers")?;
-        self.lose_next_answers();
+        self.lose_next_answer_of_all();
         let booked = self.ask(0, Ask::book)?;
-        let runs = self.runs_of_last();
+        let runs = self.runs_of_last_request();
         self.checks.check(
-            format!("a booking: {}, ran {runs} times", shown(&booked)),
+            format!("a booking: {}, ran {runs} times", describe(&booked)),
             booked.status() == 502 && runs == 1,
         )?;
-        self.take_lost_answers();
-        self.lose_next_answer();
+        self.discard_unused_faults();
+        self.lose_next_answer_of_first();
         let looked = self.ask(0, Ask::look)?;
-        let runs = self.runs_of_last();
+        let runs = self.runs_of_last_request();
         self.checks.check(
-            format!("a lookup: {}, ran {runs} times", shown(&looked)),
+            format!("a lookup: {}, ran {runs} times", describe(&looked)),
             looked.is_success() && runs <= 2,
         )
     }
 
-    fn new_giver(&mut self) -> Result<()> {
+    fn replace_lease_holder(&mut self) -> Result<()> {
         self.checks
             .step("The VM that gives orders is killed, and an adapter is asked for")?;
-        let giver = self.giver()?;
-        self.vms[giver] = None;
-        let other = (giver + 1) % VMS;
+        let lease_holder = self.lease_holder()?;
+        self.vms[lease_holder] = None;
+        let other = (lease_holder + 1) % VM_COUNT;
         let answer = self.ask(other, |id| Ask::patient(id, "m1/a1"))?;
         self.checks.check(
-            format!("vm{giver} killed; through vm{other}: {}", shown(&answer)),
-            is_whole_stream(&answer),
+            format!(
+                "vm{lease_holder} killed; through vm{other}: {}",
+                describe(&answer)
+            ),
+            is_complete_stream(&answer),
         )
     }
 
-    fn store_away(&mut self) -> Result<()> {
+    fn store_outage(&mut self) -> Result<()> {
         self.checks
             .step("The store goes away; loaded models and services are served")?;
-        self.fault_doors(StoreFault::Reset);
-        let index = self.running()?;
+        self.set_store_fault(StoreFault::Reset);
+        let index = self.first_running_vm()?;
         let stream = self.ask(index, |id| Ask::quick(id, "m0"))?;
         let call = self.ask(index, Ask::look)?;
-        self.fault_doors(StoreFault::None);
+        self.set_store_fault(StoreFault::None);
         self.checks.check(
-            format!("a stream: {}; a call: {}", shown(&stream), shown(&call)),
-            is_whole_stream(&stream) && call.is_success(),
+            format!(
+                "a stream: {}; a call: {}",
+                describe(&stream),
+                describe(&call)
+            ),
+            is_complete_stream(&stream) && call.is_success(),
         )
     }
 
     fn planned_stop(&mut self) -> Result<()> {
         self.checks
             .step("A VM stops as planned, with a stream under way")?;
-        let index = self.running()?;
+        let index = self.first_running_vm()?;
         let request = Ask::quick(&self.next_id(), "m0");
-        let mut caller = Caller::connect(self.vm(index)?.callers, PATIENCE)?;
+        let mut caller = Caller::connect(self.vm(index)?.callers, ANSWER_TIMEOUT)?;
         caller.send(&request.bytes())?;
         let id = request.id.clone();
         poll_until("the stream has begun", MAX_POLLS, || {
@@ -220,8 +227,8 @@
         self.vm(index)?.signal(Signal::SIGTERM)?;
         let answer = caller.answer()?;
         self.checks.check(
-            format!("its stream: {}", shown(&answer)),
-            is_whole_stream(&answer),
+            format!("its stream: {}", describe(&answer)),
+            is_complete_stream(&answer),
         )?;
         let Some(mut vm) = self.vms[index].take() else {
             return Err(Error::NotRunning(format!("vm{index}")));
@@ -231,7 +238,7 @@
             .check(format!("vm{index} ended: {status}"), status.success())
     }
 
-    fn orders(&mut self) -> Result<()> {
+    fn check_orders(&mut self) -> Result<()> {
         self.checks.step("What the engines were told")?;
         let mut overcommitted = 0;
         let mut holders: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
@@ -257,13 +264,13 @@
 
     fn ask(&mut self, vm: usize, request: impl FnOnce(&str) -> Ask) -> Result<Answer> {
         let request = request(&self.next_id());
-        let mut caller = Caller::connect(self.vm(vm)?.callers, PATIENCE)?;
+        let mut caller = Caller::connect(self.vm(vm)?.callers, ANSWER_TIMEOUT)?;
         Ok(caller.ask(&request)?)
     }
 
     fn next_id(&mut self) -> String {
-        self.asked += 1;
-        last_id(self.asked)
+        self.requests_sent += 1;
+        request_id(self.requests_sent)
     }
 
     fn vm(&self, index: usize) -> Result<&VmProcess> {
@@ -273,26 +280,26 @@
             .ok_or_else(|| Error::NotRunning(format!("vm{index}")))
     }
 
-    fn running(&self) -> Result<usize> {
+    fn first_running_vm(&self) -> Result<usize> {
         self.vms
             .iter()
             .position(Option::is_some)
             .ok_or_else(|| Error::NotRunning("every VM".to_owned()))
     }
 
-    fn giver(&self) -> Result<usize> {
-        let gives = |vm: &Option<VmProcess>| {
+    fn lease_holder(&self) -> Result<usize> {
+        let is_lease_holder = |vm: &Option<VmProcess>| {
             vm.as_ref()
-                .is_some_and(|vm| !vm.lines_with(GIVES_ORDERS).is_empty())
+                .is_some_and(|vm| !vm.lines_with(LEASE_HOLDER_LINE).is_empty())
         };
         self.vms
             .iter()
-            .position(gives)
+            .position(is_lease_holder)
             .ok_or_else(|| Error::UnknownName("VM that gives orders".to_owned()))
     }
 
-    fn runs_of_last(&self) -> usize {
-        let id = last_id(self.asked);
+    fn runs_of_last_request(&self) -> usize {
+        let id = request_id(self.requests_sent);
         let runs = |counts: std::collections::HashMap<String, usize>| {
             counts.get(&id).copied().unwrap_or_default()
         };
@@ -304,41 +311,41 @@
     }
 
     /// Has every instance lose its next answer, so that it does not matter which one is asked.
-    fn lose_next_answers(&self) {
+    fn lose_next_answer_of_all(&self) {
         for service in &self.site.services {
             service.push_fault(AnswerFault::LostAnswer);
         }
     }
 
     /// Takes back the faults that were not used.
-    fn take_lost_answers(&self) {
+    fn discard_unused_faults(&self) {
         for service in &self.site.services {
             service.clear_faults();
         }
     }
 
-    fn lose_next_answer(&self) {
+    fn lose_next_answer_of_first(&self) {
         if let Some(service) = self.site.services.first() {
             service.push_fault(AnswerFault::LostAnswer);
         }
     }
 
-    fn fault_doors(&self, fault: StoreFault) {
+    fn set_store_fault(&self, fault: StoreFault) {
         for door in &self.site.doors {
             door.set_fault(fault);
         }
     }
 }
 
-fn last_id(asked: u64) -> String {
-    format!("demo-{asked}")
+fn request_id(requests_sent: u64) -> String {
+    format!("demo-{requests_sent}")
 }
 
-fn is_whole_stream(answer: &Answer) -> bool {
-    answer.is_success() && answer.event_ids() == (1..=EVENTS).collect::<Vec<u64>>()
+fn is_complete_stream(answer: &Answer) -> bool {
+    answer.is_success() && answer.event_ids() == (1..=EVENTS_PER_STREAM).collect::<Vec<u64>>()
 }
 
-fn shown(answer: &Answer) -> String {
+fn describe(answer: &Answer) -> String {
     let events = answer.event_ids().len();
     match (answer.status(), answer.whole) {
         (0, _) => "no answer".to_owned(),
--- a/crates/launcher/src/entry_up.rs
+++ b/crates/launcher/src/entry_up.rs
@@ -21,10 +21,10 @@
 use crate::programs::Program;
 
 /// How long an answer may take. It is a limit for failures only.
-const PATIENCE: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// More than end under one request that crashes engines.
-const ENGINES: usize = 8;
+const ENGINE_COUNT: usize = 8;
 
 /// The body of a request under which an engine ends holds this.
 const CRASH_MARKER: &[u8] = b"crash";
@@ -55,7 +55,7 @@
     pub fn run(out: &mut dyn Write) -> Result<()> {
         let mut signals = Signals::new([SIGINT, SIGTERM])?;
         let running = Self::start()?;
-        running.tell(out)?;
+        running.write_addresses(out)?;
         signals.forever().next();
         drop(running.vm);
         running.site.stop();
@@ -86,14 +86,14 @@
             ..EngineOptions::default()
         };
         let site = Site::start(SiteOptions {
-            engines: (0..ENGINES).map(engine).collect(),
+            engines: (0..ENGINE_COUNT).map(engine).collect(),
             timeout_ms: 10_000,
             tenants: Some(SiteOrganisation::list(&organisations)),
             ..SiteOptions::default()
         })?;
         let vm = VmProcess::start(&VmOptions::new(&program, "vm0", site.door_addresses[0]))?;
         poll_until("the VM takes callers", MAX_POLLS, || {
-            Ok(vm.is_ready(PATIENCE).then_some(()))
+            Ok(vm.is_ready(ANSWER_TIMEOUT).then_some(()))
         })?;
         let keys = organisations.map(|it| (it.name, it.keys.concat()));
         Ok(Self {
@@ -104,7 +104,7 @@
     }
 
     /// Writes the keys, and last where callers connect.
-    fn tell(&self, out: &mut dyn Write) -> Result<()> {
+    fn write_addresses(&self, out: &mut dyn Write) -> Result<()> {
         for (name, key) in &self.keys {
             writeln!(out, "key {name} {key}")?;
         }
--- a/crates/launcher/src/errors.rs
+++ b/crates/launcher/src/errors.rs
@@ -31,7 +31,7 @@
     UnknownName(String),
     /// A condition did not come true within its limit.
     #[error("gave up waiting until {0}")]
-    GaveUp(String),
+    PollLimitReached(String),
     /// A stand-in, an admin address or `apricotctl` refused or could not be reached.
     #[error("{action} failed: {detail}")]
     Failed {
--- a/crates/launcher/src/metrics.rs
+++ b/crates/launcher/src/metrics.rs
@@ -11,7 +11,7 @@
 const METRICS_PATH: &str = "/metrics";
 
 /// The longest time that one reading may take.
-const READ_LIMIT: Duration = Duration::from_secs(5);
+const METRICS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Returns the sum of the samples whose name and labels begin with a text, as a whole number.
 ///
@@ -20,7 +20,7 @@
 /// `Error::Failed` if the VM can't be reached.
 pub fn metric_value(admin: SocketAddr, sample: &str) -> Result<u64> {
     let url = format!("http://{admin}{METRICS_PATH}");
-    let answer = agent(READ_LIMIT).get(&url).call();
+    let answer = agent(METRICS_TIMEOUT).get(&url).call();
     let text = answer.and_then(|mut answer| answer.body_mut().read_to_string());
     let text = text.map_err(|error| Error::failed(format!("GET {url}"), error))?;
     Ok(sum_of(&text, sample))
--- a/crates/launcher/src/poll.rs
+++ b/crates/launcher/src/poll.rs
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// `Error::GaveUp` after `limit` looks, and the first error of `look`.
+/// `Error::PollLimitReached` after `limit` looks, and the first error of `look`.
 pub fn poll_until<T>(
     condition: &str,
     limit: u32,
@@ -28,5 +28,5 @@
         }
         thread::sleep(POLL_INTERVAL);
     }
-    Err(Error::GaveUp(condition.to_owned()))
+    Err(Error::PollLimitReached(condition.to_owned()))
 }
--- a/crates/launcher/src/process.rs
+++ b/crates/launcher/src/process.rs
@@ -33,9 +33,9 @@
 /// How much of a process's log an error shows.
 const LOG_TAIL_LINES: usize = 20;
 
-/// `Launch` is what a process is started with.
+/// `LaunchOptions` is what a process is started with.
 #[derive(Clone, Debug)]
-pub struct Launch {
+pub struct LaunchOptions {
     /// The name under which the process is spoken of.
     pub name: String,
     /// The program.
@@ -45,7 +45,7 @@
     /// The directory into which its output is written.
     pub log_dir: PathBuf,
     /// Whether its output follows that of an earlier process of the name, or else replaces it.
-    pub keeps_log: bool,
+    pub appends_log: bool,
 }
 
 /// `Process` is a running child process. Dropping it kills the process and waits for its end.
@@ -55,7 +55,7 @@
     child: Child,
     log_path: PathBuf,
     ready: Receiver<ReadyLine>,
-    ended: Option<ExitStatus>,
+    exit_status: Option<ExitStatus>,
 }
 
 /// `Exit` is how a process ended.
@@ -74,10 +74,10 @@
     ///
     /// `Error::MissingProgram` if the program has not been built, `Error::Io` if it can't be
     /// started.
-    pub fn start(launch: &Launch) -> Result<Self> {
+    pub fn start(launch: &LaunchOptions) -> Result<Self> {
         let path = launch.program.path()?;
         let log_path = launch.log_dir.join(format!("{}.log", launch.name));
-        if !launch.keeps_log {
+        if !launch.appends_log {
             File::create(&log_path)?;
         }
         let log = File::options().create(true).append(true).open(&log_path)?;
@@ -98,7 +98,7 @@
             child,
             log_path,
             ready,
-            ended: None,
+            exit_status: None,
         })
     }
 
@@ -142,11 +142,11 @@
     ///
     /// `Error::Io` if the process can't be waited for.
     pub fn kill(&mut self) -> Result<()> {
-        if self.ended.is_some() {
+        if self.exit_status.is_some() {
             return Ok(());
         }
         self.child.kill()?;
-        self.ended = Some(self.child.wait()?);
+        self.exit_status = Some(self.child.wait()?);
         Ok(())
     }
 
@@ -156,10 +156,10 @@
     ///
     /// `Error::Io` if the process can't be waited for.
     pub fn poll_exit(&mut self) -> Result<Option<Exit>> {
-        if self.ended.is_none() {
-            self.ended = self.child.try_wait()?;
+        if self.exit_status.is_none() {
+            self.exit_status = self.child.try_wait()?;
         }
-        Ok(self.ended.map(exit_of))
+        Ok(self.exit_status.map(exit_of))
     }
 
     /// Returns the end of the process's log.
--- a/crates/launcher/src/processes.rs
+++ b/crates/launcher/src/processes.rs
@@ -16,7 +16,7 @@
 use crate::poll::MAX_POLLS;
 use crate::poll::poll_until;
 use crate::process::Exit;
-use crate::process::Launch;
+use crate::process::LaunchOptions;
 use crate::process::Process;
 use crate::programs::Program;
 use crate::ready::ReadyLine;
@@ -64,12 +64,12 @@
         {
             return Err(Error::failed(format!("starting {name}"), "it runs already"));
         }
-        let launch = Launch {
+        let launch = LaunchOptions {
             name: name.to_owned(),
             program,
             arguments,
             log_dir: self.log_dir.clone(),
-            keeps_log: table.processes.contains_key(name),
+            appends_log: table.processes.contains_key(name),
         };
         let process = Arc::new(Mutex::new(Process::start(&launch)?));
         table.processes.insert(name.to_owned(), process);
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// As for [`Process::signal`]; `Error::GaveUp` if the process does not stop.
+    /// As for [`Process::signal`]; `Error::PollLimitReached` if the process does not stop.
     pub fn freeze(&self, name: &str) -> Result<()> {
         let id = {
             let process = self.find(name)?;
@@ -110,7 +110,7 @@
         // The signal is delivered later than it is sent. What the process does in between would
         // look as if it had been done by a frozen process.
         poll_until(&format!("{name} stands still"), MAX_POLLS, || {
-            Ok(stands_still(id)?.then_some(()))
+            Ok(is_stopped(id)?.then_some(()))
         })
     }
 
@@ -177,7 +177,7 @@
 }
 
 /// Returns whether the operating system shows every thread of a process as stopped.
-fn stands_still(id: u32) -> Result<bool> {
+fn is_stopped(id: u32) -> Result<bool> {
     for task in fs::read_dir(format!("/proc/{id}/task"))? {
         let stat = fs::read_to_string(task?.path().join("stat"))?;
         // The state follows the program's name, which is in brackets and may hold any character.
--- a/crates/launcher/src/sample.rs
+++ b/crates/launcher/src/sample.rs
@@ -33,7 +33,7 @@
 
 const ENGINES_PER_GROUP: usize = 2;
 const BOOKING_INSTANCES: usize = 2;
-const ENGINE_BYTES: u64 = 80_000_000_000;
+const ENGINE_MEMORY_BYTES: u64 = 80_000_000_000;
 const MODEL_BYTES: u64 = 16_000_000_000;
 /// The full speed of one load, which makes a model's load take about a second.
 const WEIGHTS_BYTES_PER_S: u64 = 16_000_000_000;
@@ -83,7 +83,7 @@
         count: ENGINES_PER_GROUP,
         flags: vec![
             Flag::new("checks-fence", checks_fence),
-            Flag::new("capacity-bytes", ENGINE_BYTES),
+            Flag::new("capacity-bytes", ENGINE_MEMORY_BYTES),
         ],
     }
 }
--- a/crates/launcher/src/standin.rs
+++ b/crates/launcher/src/standin.rs
@@ -18,7 +18,7 @@
 use apricotdale_core::engine::EngineStatus;
 
 /// The longest time that one call to a stand-in may take.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// `EngineEffects` is what a stand-in engine counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
@@ -111,7 +111,7 @@
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            agent: agent(CALL_LIMIT),
+            agent: agent(CALL_TIMEOUT),
         }
     }
 
--- a/crates/launcher/tests/answer_kinds.rs
+++ b/crates/launcher/tests/answer_kinds.rs
@@ -17,11 +17,11 @@
 }
 
 fn outcome_of_stream(lines: &[&str], error: Option<&str>) -> Outcome {
-    let mut reading = StreamParser::new(head());
+    let mut parser = StreamParser::new(head());
     for line in lines {
-        reading.parse_line(line);
+        parser.parse_line(line);
     }
-    reading.end(error.map(str::to_owned))
+    parser.end(error.map(str::to_owned))
 }
 
 fn kind(outcome: &Outcome) -> &'static str {
@@ -42,7 +42,7 @@
 #[case::foreign_event(
     &[r#"data: {"id":"cmpl-req-7"}"#, r#"data: {"id":"cmpl-req-8"}"#, "data: [DONE]"],
     None, "crossed")]
-fn stream_is_whole_only_with_its_last_event(
+fn stream_completeness(
     #[case] lines: &[&str],
     #[case] error: Option<&str>,
     #[case] expected: &str,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn cut_stream_carries_its_refusal() {
+fn cut_stream_refusal() {
     let event = format!("data: {REFUSAL}");
     let lines = [r#"data: {"id":"cmpl-req-7"}"#, "event: error", &event];
     let outcome = outcome_of_stream(&lines, None);
@@ -69,6 +69,6 @@
 #[case::answer_of_another_request(r#"{"id":"cmpl-req-8"}"#, "crossed")]
 #[case::refusal(REFUSAL, "refused")]
 #[case::upstreams_own_error(r#"{"error":{"code":"full"}}"#, "whole")]
-fn body_is_told_by_its_content(#[case] body: &str, #[case] expected: &str) {
+fn body_kinds(#[case] body: &str, #[case] expected: &str) {
     assert_eq!(kind(&Outcome::of_body(head(), body)), expected);
 }
--- a/crates/launcher/tests/child_processes.rs
+++ b/crates/launcher/tests/child_processes.rs
@@ -13,7 +13,7 @@
 use apricotdale_launcher::programs::Program;
 
 /// A limit for failures only.
-const LIMIT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Fixture {
     processes: Processes,
@@ -27,7 +27,7 @@
         .start("service1", Program::Service, Vec::new())
         .expect("the stand-in is built; run `make build`");
     processes
-        .wait_ready("service1", LIMIT)
+        .wait_ready("service1", READY_TIMEOUT)
         .expect("the stand-in gets ready");
     Fixture {
         processes,
@@ -47,7 +47,7 @@
 /// Symptom: stand-ins keep running after a failed test, and hold ports and memory. Sequence: a
 /// test ends by a panic. Cause: nobody waits for the children's end.
 #[test]
-fn closing_ends_all_processes() {
+fn closing_ends_children() {
     let fixture = with_service();
     let id = fixture.processes.id("service1").expect("it was started");
     assert!(exists(id));
@@ -58,7 +58,7 @@
 /// Symptom: one child outlives the launcher. Sequence: a signal's thread ends all children while
 /// another thread starts one more. Cause: the newcomer is not in the table yet.
 #[test]
-fn nothing_starts_after_closing() {
+fn start_after_closing() {
     let fixture = with_service();
     fixture.processes.close();
     let started = fixture
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn frozen_process_stands_still_and_can_be_killed() {
+fn frozen_process_killed() {
     let fixture = with_service();
     let id = fixture.processes.id("service1").expect("it was started");
     fixture.processes.freeze("service1").expect("it runs");
@@ -81,7 +81,7 @@
 /// Symptom: a stranger's process gets a signal. Sequence: a child ends, and the system gives its
 /// number to another process. Cause: the number of an ended child is used.
 #[test]
-fn ended_process_is_not_signalled() {
+fn ended_process_signalled() {
     let fixture = with_service();
     fixture.processes.kill("service1").expect("it runs");
     let sent = fixture.processes.signal("service1", Signal::SIGTERM);
@@ -89,14 +89,14 @@
 }
 
 #[test]
-fn process_that_ends_early_is_told_with_its_log() {
+fn early_exit_log() {
     let directory = TempDir::new().expect("a directory can be made");
     let processes = Processes::new(directory.path());
     let flags = vec!["--no-such-flag".into()];
     processes
         .start("log", Program::Log, flags)
         .expect("the stand-in is built; run `make build`");
-    let ready = processes.wait_ready("log", LIMIT);
+    let ready = processes.wait_ready("log", READY_TIMEOUT);
     let Err(Error::NotReady { log, .. }) = ready else {
         panic!("it can't get ready with a flag that it does not know");
     };
--- a/crates/launcher/tests/up_ends.rs
+++ b/crates/launcher/tests/launcher_shutdown.rs
@@ -67,7 +67,7 @@
 #[rstest]
 #[case::terminated(Signal::SIGTERM)]
 #[case::interrupted(Signal::SIGINT)]
-fn signal_ends_the_launcher_with_all_its_children(#[case] signal: Signal) {
+fn signal_ends_children(#[case] signal: Signal) {
     let mut up = Up::start();
     assert_eq!(up.ready_lines.len(), VMS, "run `make build` first");
     for line in &up.ready_lines {
--- a/crates/launcher/tests/ready_lines.rs
+++ b/crates/launcher/tests/ready_lines.rs
@@ -10,13 +10,13 @@
 }
 
 #[test]
-fn standin_tells_one_address() {
+fn standin_address() {
     let line = ReadyLine::parse("listening 127.0.0.1:4000");
     assert_eq!(line, Some(ReadyLine::Standin(address("127.0.0.1:4000"))));
 }
 
 #[test]
-fn daemon_tells_three_addresses_in_any_order() {
+fn daemon_addresses() {
     let text = "listening peers=127.0.0.1:4001 admin=127.0.0.1:4002 callers=127.0.0.1:4000";
     let expected = DaemonAddresses {
         callers: address("127.0.0.1:4000"),
@@ -31,6 +31,6 @@
 #[case::no_address("listening")]
 #[case::no_port("listening 127.0.0.1")]
 #[case::address_missing("listening callers=127.0.0.1:4000 peers=127.0.0.1:4001")]
-fn other_line_is_not_taken_for_ready(#[case] text: &str) {
+fn other_lines(#[case] text: &str) {
     assert_eq!(ReadyLine::parse(text), None);
 }
