--- a/crates/launcher/src/caller.rs
+++ b/crates/launcher/src/caller.rs
@@ -17,7 +17,7 @@
 
 use crate::answer::AnswerHead;
 use crate::answer::Outcome;
-use crate::answer::StreamReading;
+use crate::answer::StreamParser;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::http::agent;
@@ -225,13 +225,13 @@
 }
 
 fn read_stream(head: AnswerHead, mut body: impl BufRead, shared: &Shared) -> Outcome {
-    let mut reading = StreamReading::new(head);
+    let mut reading = StreamParser::new(head);
     let mut line = String::new();
     loop {
         line.clear();
         match body.read_line(&mut line) {
             Ok(0) => return reading.end(None),
-            Ok(_) if reading.take_line(line.trim_end()) => shared.note_event(),
+            Ok(_) if reading.parse_line(line.trim_end()) => shared.note_event(),
             Ok(_) => {}
             Err(error) => return reading.end(Some(error.to_string())),
         }
--- a/crates/scenario/src/run/actions.rs
+++ b/crates/scenario/src/run/actions.rs
@@ -1,4 +1,4 @@
-//! Statements that do something.
+//! Execution of the statements that act on the cluster.
 
 use std::thread;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use crate::ast::AliasRole;
 use crate::ast::Ending;
 use crate::ast::ListedState;
-use crate::ast::Place;
 use crate::ast::ProcessVerb;
 use crate::ast::Publication;
 use crate::ast::RefusalPattern;
-use crate::ast::Send;
+use crate::ast::SendRequests;
 use crate::ast::StandinKind;
+use crate::ast::VmSelector;
 use crate::ast::Work;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::fault::fault_body;
 use crate::layout;
 use crate::run::endings;
-use crate::run::world::Sent;
-use crate::run::world::World;
+use crate::run::execution::Execution;
+use crate::run::execution::SentRequest;
 use apricotdale_admin::AdminClient;
 use apricotdale_admin::PublishOutcome;
 use apricotdale_admin::PublishRequest;
@@ -35,20 +35,20 @@
 use apricotdale_launcher::caller::CallerRequest;
 use apricotdale_launcher::cluster::LOG;
 use apricotdale_launcher::cluster::records;
-use apricotdale_launcher::poll::POLL_LIMIT;
-use apricotdale_launcher::poll::POLL_PAUSE;
+use apricotdale_launcher::poll::MAX_POLLS;
+use apricotdale_launcher::poll::POLL_INTERVAL;
 use apricotdale_launcher::poll::poll_until;
 use apricotdale_launcher::process::Exit;
 
-/// The longest wait for an answer. It is a limit for failures only.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+/// Upper bound of the wait for an answer, so that a run with a hanging request ends.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The operators of a race.
+/// Names of the two operators of a race.
 const RACE_OPERATORS: [&str; 2] = ["left", "right"];
 
-impl World {
+impl Execution {
     pub(super) fn publish(&mut self, publication: &Publication) -> Result<Option<String>> {
-        let vm = self.one_vm(&publication.place)?;
+        let vm = self.first_selected_vm(&publication.selector)?;
         let outcome = self
             .cluster()
             .publish(&vm, vec![publication.edit.clone()])?;
@@ -65,12 +65,16 @@
         left: &Publication,
         right: &Publication,
     ) -> Result<Option<String>> {
-        let left_admin = self.cluster().admin(&self.one_vm(&left.place)?)?;
-        let right_admin = self.cluster().admin(&self.one_vm(&right.place)?)?;
+        let left_admin = self
+            .cluster()
+            .admin(&self.first_selected_vm(&left.selector)?)?;
+        let right_admin = self
+            .cluster()
+            .admin(&self.first_selected_vm(&right.selector)?)?;
         let base_version = left_admin.config()?.version;
         let (left, right) = thread::scope(|scope| {
-            let left = scope.spawn(|| race_one(&left_admin, 0, base_version, &left.edit));
-            let right = scope.spawn(|| race_one(&right_admin, 1, base_version, &right.edit));
+            let left = scope.spawn(|| publish_edit(&left_admin, 0, base_version, &left.edit));
+            let right = scope.spawn(|| publish_edit(&right_admin, 1, base_version, &right.edit));
             (join(left), join(right))
         });
         self.race = vec![left?, right?];
@@ -80,15 +84,15 @@
     pub(super) fn alias(&mut self, alias: &Alias) -> Result<Option<String>> {
         let condition = format!("a load of {} is decided", alias.model);
         let log = self.cluster().standin(LOG)?;
-        let intent = poll_until(&condition, POLL_LIMIT, || {
-            // Several VMs may propose at once. Only the one whose intent was accepted has sent an
-            // order.
+        let intent = poll_until(&condition, MAX_POLLS, || {
+            // Several VMs may propose at the same time. Only the one whose intent was accepted has
+            // sent an order.
             let decided = records::decided_loads(log)?;
-            let mut of_model = records::load_intents(log)?
+            let mut intents = records::load_intents(log)?
                 .into_iter()
                 .filter(|(_, intent)| intent.model.as_str() == alias.model)
                 .filter(|(offset, _)| decided.contains(offset));
-            Ok(of_model.next_back().map(|(_, intent)| intent))
+            Ok(intents.next_back().map(|(_, intent)| intent))
         })?;
         let real = match alias.role {
             AliasRole::Proposer => intent.proposer.vm.to_string(),
@@ -99,55 +103,55 @@
         Ok(Some(note))
     }
 
-    pub(super) fn send(&mut self, send: &Send) -> Result<Option<String>> {
+    pub(super) fn send(&mut self, send: &SendRequests) -> Result<Option<String>> {
         let request = caller_request(send);
         let mut sent = Vec::new();
-        for vm in self.vms_of(&send.place)? {
+        for vm in self.selected_vms(&send.selector)? {
             for _ in 0..send.count {
-                sent.push(Sent {
+                sent.push(SentRequest {
                     vm: vm.name.clone(),
                     answer: caller::send(vm.addresses.callers, request.clone()),
                 });
             }
         }
-        let note = match send.place {
-            Place::Vm(_) => None,
+        let note = match send.selector {
+            VmSelector::Vm(_) => None,
             _ => Some(format!("{} requests", sent.len())),
         };
         self.requests.insert(send.name.clone(), sent);
         Ok(note)
     }
 
-    pub(super) fn insist(&mut self, send: &Send) -> Result<Option<String>> {
+    pub(super) fn insist(&mut self, send: &SendRequests) -> Result<Option<String>> {
         let started = Instant::now();
-        let mut tries = 0;
-        while started.elapsed() < ANSWER_LIMIT {
-            tries += 1;
+        let mut attempts = 0;
+        while started.elapsed() < ANSWER_TIMEOUT {
+            attempts += 1;
             self.send(send)?;
-            let mut refused = false;
+            let mut is_refused = false;
             for sent in self.sent(&send.name) {
-                let outcome = sent.answer.wait_end(ANSWER_LIMIT)?;
-                refused |= endings::is_as_told(&outcome, &not_run());
-                if !refused && !outcome.is_whole() {
+                let outcome = sent.answer.wait_end(ANSWER_TIMEOUT)?;
+                is_refused |= endings::matches_ending(&outcome, &refused_not_run());
+                if !is_refused && !outcome.is_whole() {
                     let detail = format!("{} at {}: {outcome}", send.name, sent.vm);
                     return Err(Error::failed(detail));
                 }
             }
-            if !refused {
-                return Ok(Some(format!("whole at try {tries}")));
+            if !is_refused {
+                return Ok(Some(format!("complete at attempt {attempts}")));
             }
-            thread::sleep(POLL_PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         Err(Error::failed(format!(
-            "{} was refused at every try",
+            "{} was refused at every attempt",
             send.name
         )))
     }
 
     pub(super) fn await_begun(&mut self, name: &str) -> Result<Option<String>> {
         for sent in self.sent(name) {
-            if sent.answer.wait_events(1, ANSWER_LIMIT)? == 0 {
-                let outcome = sent.answer.wait_end(ANSWER_LIMIT)?;
+            if sent.answer.wait_events(1, ANSWER_TIMEOUT)? == 0 {
+                let outcome = sent.answer.wait_end(ANSWER_TIMEOUT)?;
                 return Err(Error::failed(format!("{name} at {} {outcome}", sent.vm)));
             }
         }
@@ -157,8 +161,8 @@
     pub(super) fn await_end(&mut self, name: &str, ending: &Ending) -> Result<Option<String>> {
         let mut notes = Vec::new();
         for sent in self.sent(name) {
-            let outcome = sent.answer.wait_end(ANSWER_LIMIT)?;
-            if !endings::is_as_told(&outcome, ending) {
+            let outcome = sent.answer.wait_end(ANSWER_TIMEOUT)?;
+            if !endings::matches_ending(&outcome, ending) {
                 return Err(Error::failed(format!("{name} at {}: {outcome}", sent.vm)));
             }
             notes.push(outcome.to_string());
@@ -170,15 +174,15 @@
 
     pub(super) fn await_exit(&mut self, name: &str, code: i32) -> Result<Option<String>> {
         let vm = self.resolve(name);
-        match self.cluster().wait_exit(&vm, POLL_LIMIT)? {
+        match self.cluster().wait_exit(&vm, MAX_POLLS)? {
             Exit::Code(found) if found == code => Ok(None),
-            other => Err(Error::failed(format!("{vm} ended with {other:?}"))),
+            other => Err(Error::failed(format!("{vm} exited with {other:?}"))),
         }
     }
 
     pub(super) fn fault(&mut self, target: &str, words: &[String]) -> Result<Option<String>> {
         let name = self.resolve(target);
-        let body = fault_body(kind_of(&name), words).map_err(Error::failed)?;
+        let body = fault_body(standin_kind_of(&name), words).map_err(Error::failed)?;
         self.cluster().standin(&name)?.fault(&body)?;
         Ok(None)
     }
@@ -214,14 +218,14 @@
         Ok(None)
     }
 
-    fn one_vm(&self, place: &Place) -> Result<String> {
-        let vms = self.vms_of(place)?;
+    fn first_selected_vm(&self, selector: &VmSelector) -> Result<String> {
+        let vms = self.selected_vms(selector)?;
         let first = vms.first().ok_or_else(|| Error::failed("no VM runs"))?;
         Ok(first.name.clone())
     }
 }
 
-fn race_one(
+fn publish_edit(
     admin: &AdminClient,
     side: usize,
     base_version: ConfigVersion,
@@ -242,7 +246,7 @@
         .unwrap_or_else(|_| Err(Error::failed("a publisher panicked")))
 }
 
-fn caller_request(send: &Send) -> CallerRequest {
+fn caller_request(send: &SendRequests) -> CallerRequest {
     let mut request = match &send.work {
         Work::Completion {
             model,
@@ -267,15 +271,15 @@
     request
 }
 
-/// Returns how a request ends that its caller may send again.
-fn not_run() -> Ending {
+/// Returns the ending of a request that its caller may retry.
+fn refused_not_run() -> Ending {
     Ending::Refused(RefusalPattern {
         reason: None,
         ran: Some(Ran::NotRun.as_str().to_owned()),
     })
 }
 
-fn kind_of(name: &str) -> StandinKind {
+fn standin_kind_of(name: &str) -> StandinKind {
     match name {
         layout::LOG => StandinKind::Log,
         layout::WEIGHTS => StandinKind::Weights,
--- a/crates/scenario/src/run/world.rs
+++ b/crates/scenario/src/run/execution.rs
@@ -1,10 +1,10 @@
-//! What a run knows: the cluster, the requests under way, and second names.
+//! State of a run: the cluster, the requests that were sent, and aliases.
 
 use std::collections::BTreeMap;
 use std::io::Write;
 
-use crate::ast::Place;
 use crate::ast::Statement;
+use crate::ast::VmSelector;
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::run::Options;
@@ -17,25 +17,25 @@
 use apricotdale_launcher::processes::Processes;
 use apricotdale_launcher::standin::EngineEffects;
 
-/// `Sent` is a request that was sent.
+/// Request that was sent.
 #[derive(Clone, Debug)]
-pub(super) struct Sent {
-    /// The VM to which it went.
+pub(super) struct SentRequest {
+    /// Name of the VM that it was sent to.
     pub(super) vm: String,
-    /// Its answer.
+    /// Answer, which may still be arriving.
     pub(super) answer: PendingAnswer,
 }
 
-/// `World` is what a run knows.
-pub(super) struct World {
+/// State of a run, on which its steps are executed.
+pub(super) struct Execution {
     options: ClusterOptions,
     cluster: Option<Cluster>,
-    pub(super) requests: BTreeMap<String, Vec<Sent>>,
+    pub(super) requests: BTreeMap<String, Vec<SentRequest>>,
     pub(super) aliases: BTreeMap<String, String>,
     pub(super) race: Vec<PublishOutcome>,
 }
 
-impl World {
+impl Execution {
     pub(super) fn new(options: Options) -> Self {
         let cluster_options = ClusterOptions {
             log_dir: options.log_dir,
@@ -50,8 +50,7 @@
         }
     }
 
-    /// Does what a statement says and returns a note for the transcript, if there is something to
-    /// note.
+    /// Executes a statement and returns a note for the transcript, if any.
     pub(super) fn step(
         &mut self,
         statement: &Statement,
@@ -69,7 +68,7 @@
             Statement::Publish(publication) => self.publish(publication),
             Statement::Race(left, right) => self.race(left, right),
             Statement::Alias(alias) => self.alias(alias),
-            Statement::Send(send) => self.send(send),
+            Statement::SendRequests(send) => self.send(send),
             Statement::Insist(send) => self.insist(send),
             Statement::AwaitBegun(name) => self.await_begun(name),
             Statement::AwaitExit(name, code) => self.await_exit(name, *code),
@@ -84,7 +83,8 @@
         }
     }
 
-    /// Writes what helps to find the cause of a failed step.
+    /// Writes the state of requests and engines and the ends of the VMs' logs, to help find the
+    /// cause of a failed step.
     pub(super) fn describe(&self, transcript: &mut dyn Write) -> Result<()> {
         let Some(cluster) = &self.cluster else {
             return Ok(());
@@ -92,7 +92,8 @@
         for (name, requests) in &self.requests {
             for sent in requests {
                 let outcome = sent.answer.outcome();
-                let outcome = outcome.map_or("under way".to_owned(), |outcome| outcome.to_string());
+                let outcome =
+                    outcome.map_or("in progress".to_owned(), |outcome| outcome.to_string());
                 writeln!(transcript, "      request {name} at {}: {outcome}", sent.vm)?;
             }
         }
@@ -115,29 +116,29 @@
     pub(super) fn cluster(&self) -> &Cluster {
         self.cluster
             .as_ref()
-            .expect("the check lets nothing else come before the start")
+            .expect("the check admits only setup statements before the start")
     }
 
     pub(super) fn cluster_mut(&mut self) -> &mut Cluster {
         self.cluster
             .as_mut()
-            .expect("the check lets nothing else come before the start")
+            .expect("the check admits only setup statements before the start")
     }
 
-    /// Returns the process that a name or a second name stands for.
+    /// Returns the name of the process that a name or an alias stands for.
     pub(super) fn resolve(&self, name: &str) -> String {
         let real = self.aliases.get(name);
         real.map_or_else(|| name.to_owned(), Clone::clone)
     }
 
-    /// Returns the VMs of a place.
-    pub(super) fn vms_of(&self, place: &Place) -> Result<Vec<Vm>> {
+    /// Returns the VMs that a selector selects.
+    pub(super) fn selected_vms(&self, selector: &VmSelector) -> Result<Vec<Vm>> {
         let running = self.cluster().running_vms();
-        match place {
-            Place::All if running.is_empty() => Err(Error::failed("no VM runs")),
-            Place::All => Ok(running.into_iter().cloned().collect()),
-            Place::Vm(name) => Ok(vec![self.cluster().vm(&self.resolve(name))?.clone()]),
-            Place::Not(name) => {
+        match selector {
+            VmSelector::All if running.is_empty() => Err(Error::failed("no VM runs")),
+            VmSelector::All => Ok(running.into_iter().cloned().collect()),
+            VmSelector::Vm(name) => Ok(vec![self.cluster().vm(&self.resolve(name))?.clone()]),
+            VmSelector::Not(name) => {
                 let excluded = self.resolve(name);
                 let other = running.into_iter().find(|vm| vm.name != excluded);
                 let other = other.ok_or_else(|| Error::failed("no other VM runs"))?;
@@ -146,10 +147,10 @@
         }
     }
 
-    /// Returns the requests of a name.
-    pub(super) fn sent(&self, name: &str) -> &[Sent] {
+    /// Returns the requests that were sent under a name.
+    pub(super) fn sent(&self, name: &str) -> &[SentRequest] {
         self.requests
             .get(name)
-            .expect("the check lets no unknown request be named")
+            .expect("the check admits only names of earlier requests")
     }
 }
--- a/crates/scenario/src/run/mod.rs
+++ b/crates/scenario/src/run/mod.rs
@@ -1,11 +1,11 @@
-//! Running a scenario against real processes.
+//! Execution of a scenario against real processes.
 
 mod actions;
 mod conditions;
 mod endings;
+mod execution;
 mod measures;
 mod setup;
-mod world;
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -15,39 +15,39 @@
 use crate::check::check;
 use crate::errors::Error;
 use crate::errors::Result;
-use crate::run::world::World;
+use crate::run::execution::Execution;
 use apricotdale_launcher::processes::Processes;
 
-/// `Options` are the tunables of a run.
+/// Options of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// The directory for the processes' output, or none for one that goes away with the run.
+    /// Directory for the processes' output; none for a temporary one that is deleted after the run.
     pub log_dir: Option<PathBuf>,
 }
 
-/// `Verdict` is how a run came out.
+/// Result of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Every step came out as told.
+    /// Every step had the result that the scenario demands.
     Passed {
-        /// The number of steps.
+        /// Number of steps, including the setup statements.
         steps: usize,
     },
-    /// A step did not come out as told; those after it were not run.
+    /// A step had another result; those after it were not run.
     Failed {
-        /// The step.
+        /// Step that failed.
         step: Box<Step>,
-        /// What came out in place.
+        /// Result that was found instead.
         detail: String,
     },
 }
 
-/// Runs a scenario and writes each step and its result to the transcript. Each process is in the
-/// set that `prepare` is given before it starts, so that a signal's thread can end them.
+/// Runs a scenario and writes each step and its result to the transcript. `prepare` receives the
+/// set of child processes before the first one starts, so that a signal handler can end them all.
 ///
 /// # Errors
 ///
-/// `Error::Meaning` if a statement makes no sense, `Error::Io` if the transcript can't be written.
+/// `Error::Meaning` if a statement is invalid, `Error::Io` if the transcript can't be written.
 pub fn run(
     scenario: &Scenario,
     options: &Options,
@@ -55,18 +55,18 @@
     prepare: impl Fn(&Processes),
 ) -> Result<Verdict> {
     check(scenario)?;
-    let mut world = World::new(options.clone());
+    let mut execution = Execution::new(options.clone());
     for step in &scenario.steps {
         let line = step.position.line;
         writeln!(transcript, "{line:>4}  {}", step.text)?;
         transcript.flush()?;
-        match world.step(&step.statement, &prepare) {
+        match execution.step(&step.statement, &prepare) {
             Ok(Some(note)) => writeln!(transcript, "      {note}")?,
             Ok(None) => {}
             Err(Error::Io(error)) => return Err(Error::Io(error)),
             Err(error) => {
                 writeln!(transcript, "      FAILED: {error}")?;
-                world.describe(transcript)?;
+                execution.describe(transcript)?;
                 return Ok(Verdict::Failed {
                     step: Box::new(step.clone()),
                     detail: error.to_string(),
--- /dev/null
+++ b/crates/soak/src/fault.rs
@@ -0,0 +1,226 @@
+//! Faults that a soak injects.
+
+use apricotdale_standins::platform::AnswerFault;
+use apricotdale_standins::platform::StoreFault;
+
+use crate::proxy::LinkFault;
+use crate::record::Place;
+use crate::record::ROLLBACK;
+
+/// Fault or planned operation to which the VMs or their surroundings are exposed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Trouble {
+    /// Kills a VM's process and restarts it later.
+    Kill {
+        /// Number of the VM.
+        vm: usize,
+        /// Time from the kill to the restart.
+        down_ms: u64,
+    },
+    /// Kills every VM's process and restarts them later.
+    KillAll {
+        /// Time from the kill to the restart.
+        down_ms: u64,
+    },
+    /// Pauses a VM's process for a time.
+    Pause {
+        /// Number of the VM.
+        vm: usize,
+        /// Duration of the fault.
+        for_ms: u64,
+    },
+    /// Stops a VM as planned, with SIGTERM, and restarts it once its process has ended.
+    Stop {
+        /// Number of the VM.
+        vm: usize,
+    },
+    /// Has a VM reload its settings.
+    Reload {
+        /// Number of the VM.
+        vm: usize,
+    },
+    /// Has the store mistreat the calls of one VM or of all for a time.
+    Store {
+        /// Number of the VM; none for all VMs.
+        vm: Option<usize>,
+        /// How the store treats the calls.
+        fault: StoreFault,
+        /// Duration of the fault.
+        for_ms: u64,
+    },
+    /// Has the store delete its history except the newest record of each key.
+    Forget,
+    /// Rolls the store back: it is unavailable for all VMs, then comes back from an older copy, and
+    /// later operators and upstreams write their records again.
+    SetBack {
+        /// Age of the copy when the store becomes unavailable.
+        lost_ms: u64,
+        /// Time for which the store is unavailable.
+        away_ms: u64,
+        /// Time from the store's return until operators and upstreams write again.
+        again_ms: u64,
+    },
+    /// Disturbs the link of a VM to the store for a time.
+    StoreLink {
+        /// Number of the VM.
+        vm: usize,
+        /// What happens to the bytes on the link.
+        fault: LinkFault,
+        /// Duration of the fault.
+        for_ms: u64,
+    },
+    /// Disturbs the link of all VMs to an upstream for a time.
+    UpstreamLink {
+        /// Index of the upstream: engines first, then instances of the plain service.
+        upstream: usize,
+        /// What happens to the bytes on the link.
+        fault: LinkFault,
+        /// Duration of the fault.
+        for_ms: u64,
+    },
+    /// Resets the open connections to an upstream.
+    Reset {
+        /// Index of the upstream: engines first, then instances of the plain service.
+        upstream: usize,
+    },
+    /// Has the open connections of a VM to the store carry no bytes any more, without closing them.
+    Silence {
+        /// Number of the VM.
+        vm: usize,
+    },
+    /// Has an upstream send its next answers with a fault.
+    Answers {
+        /// Index of the upstream: engines first, then instances of the plain service.
+        upstream: usize,
+        /// Fault of the answers.
+        fault: AnswerFault,
+        /// Number of answers that are affected.
+        count: u32,
+    },
+    /// Has every engine send its next answers with the same fault.
+    EnginesAnswer {
+        /// Fault of the answers.
+        fault: AnswerFault,
+        /// Number of answers that are affected.
+        count: u32,
+    },
+    /// Has one engine cut its next streams, and the others send their next answers with another
+    /// fault.
+    CutBefore {
+        /// Index of the engine in the soak's list.
+        engine: usize,
+        /// Number of complete events before the cut.
+        events: u64,
+        /// Fault of the other engines' answers.
+        then: AnswerFault,
+        /// Number of answers of each engine that are affected.
+        count: u32,
+    },
+    /// Has every instance of the plain service break its next answers off after a large part.
+    LargeCuts {
+        /// Number of answers that are affected.
+        count: u32,
+    },
+    /// Has an engine execute its next orders late, or lose the answers to them.
+    Orders {
+        /// Index of the engine in the soak's list.
+        engine: usize,
+        /// Delay before the execution of each order; if none, it is executed at once and its answer
+        /// is lost.
+        late_ms: Option<u64>,
+        /// Number of orders that are affected.
+        count: u32,
+    },
+    /// Ends an engine's process. Its entry is removed later, and a new incarnation joins at the
+    /// same address.
+    EngineDies {
+        /// Index of the engine in the soak's list.
+        engine: usize,
+    },
+    /// Has an engine leave as planned and another join.
+    EngineLeaves {
+        /// Index of the engine in the soak's list.
+        engine: usize,
+        /// Whether the engine sends a leave notice. Otherwise its entry is removed, and it goes on
+        /// serving for a while.
+        notice: bool,
+    },
+    /// Has the operators write a configuration with a new route in place of the previous one.
+    Configure,
+    /// Has the operators add a key to an organisation.
+    KeyAdded {
+        /// Index of the organisation in the soak's list.
+        organisation: usize,
+    },
+    /// Has the operators revoke the oldest key of an organisation, unless it is the only one.
+    KeyTaken {
+        /// Index of the organisation in the soak's list.
+        organisation: usize,
+    },
+    /// Has the operators change the limit of the organisation that has one.
+    Limit {
+        /// Rate in requests per second; the allowed burst is the same number of requests.
+        rate_per_s: u32,
+    },
+}
+
+impl Trouble {
+    /// Returns the name of the fault in reports.
+    pub(crate) fn as_str(&self) -> &'static str {
+        match self {
+            Self::Kill { .. } => "kill",
+            Self::KillAll { .. } => "kill all",
+            Self::Pause { .. } => "pause",
+            Self::Stop { .. } => "stop",
+            Self::Reload { .. } => "reload",
+            Self::Store { .. } => "store",
+            Self::Forget => "forget",
+            Self::SetBack { .. } => ROLLBACK,
+            Self::StoreLink { .. } => "store link",
+            Self::UpstreamLink { .. } => "upstream link",
+            Self::Reset { .. } => "reset",
+            Self::Silence { .. } => "silence",
+            Self::Answers { .. } => "answers",
+            Self::EnginesAnswer { .. } => "engines answer",
+            Self::CutBefore { .. } => "cut before",
+            Self::LargeCuts { .. } => "large cuts",
+            Self::Orders { .. } => "orders",
+            Self::EngineDies { .. } => "engine dies",
+            Self::EngineLeaves { .. } => "engine leaves",
+            Self::Configure => "configure",
+            Self::KeyAdded { .. } => "key added",
+            Self::KeyTaken { .. } => "key taken",
+            Self::Limit { .. } => "limit",
+        }
+    }
+
+    /// Returns what the fault disturbs; none if all invariants must hold in spite of it, or if it
+    /// is recorded for each VM separately.
+    pub(crate) fn place(&self) -> Option<Place> {
+        match self {
+            Self::Kill { vm, .. } | Self::Pause { vm, .. } | Self::Stop { vm } => {
+                Some(Place::Vm(*vm))
+            }
+            Self::KillAll { .. }
+            | Self::Reload { .. }
+            | Self::Configure
+            | Self::KeyAdded { .. }
+            | Self::KeyTaken { .. }
+            | Self::Limit { .. } => None,
+            Self::Store { .. }
+            | Self::Forget
+            | Self::SetBack { .. }
+            | Self::StoreLink { .. }
+            | Self::Silence { .. } => Some(Place::Store),
+            Self::UpstreamLink { .. }
+            | Self::Reset { .. }
+            | Self::Answers { .. }
+            | Self::EnginesAnswer { .. }
+            | Self::CutBefore { .. }
+            | Self::LargeCuts { .. }
+            | Self::Orders { .. }
+            | Self::EngineDies { .. }
+            | Self::EngineLeaves { .. } => Some(Place::Upstreams),
+        }
+    }
+}
--- a/crates/soak/src/keys.rs
+++ b/crates/soak/src/keys.rs
@@ -1,4 +1,4 @@
-//! Organisations of the soak, the keys that their callers present, and their limits.
+//! Organisations of the soak, with their keys and limits, and the keys that callers present.
 
 use std::collections::BTreeSet;
 
@@ -14,72 +14,75 @@
 use crate::record::LimitSeen;
 use crate::record::Presented;
 
-/// The names of the organisations. The first has a limit; the last keeps its keys.
+/// Names of the organisations. The first has a limit; the last keeps its keys.
 pub(crate) const ORGANISATIONS: [&str; 3] = ["north", "south", "east"];
 
-/// The organisation with a limit.
-pub(crate) const LIMITED: usize = 0;
+/// Index of the organisation that has a limit.
+pub(crate) const LIMITED_ORGANISATION: usize = 0;
 
-/// The organisation whose keys stay, and which has no limit.
-pub(crate) const STEADY: usize = 2;
+/// Index of the organisation whose keys are never revoked and which has no limit.
+pub(crate) const STABLE_ORGANISATION: usize = 2;
 
-/// The limit at the start.
-const RATE_PER_S: u32 = 25;
+/// Limit in the initial configuration, in requests per second.
+const INITIAL_RATE_PER_S: u32 = 25;
 
-/// The window in which the use of a limit is counted.
+/// Window in which the requests of an organisation are counted against its limit.
 pub(crate) const LIMIT_WINDOW_MS: u64 = 4_000;
 
-/// The part of a window's limit that may be used beyond it, in percent.
+/// Overuse of a window's limit that the VMs are configured to allow, in percent of the limit.
 const LIMIT_OVER_PERCENT: u64 = 10;
 
-/// Keys of each organisation at the start.
-const FIRST_KEYS: usize = 2;
+const INITIAL_KEYS_PER_ORGANISATION: usize = 2;
 
-/// What every key holds, by which it is found where it must not be.
+/// Text that every key contains, by which keys are found where none may appear.
 pub(crate) const KEY_MARK: &str = "-secret-";
 
-/// A key that no organisation ever holds.
+/// Key that no organisation ever holds.
 const UNKNOWN_KEY: &str = "nobody-secret-0";
 
-/// Of a hundred requests, those without a key, with an unknown one, with two.
-const KEYLESS: u32 = 3;
-const UNKNOWN: u32 = 3;
-const DOUBLE: u32 = 2;
+/// Percentage of requests without a key.
+const NO_KEY_PERCENT: u32 = 3;
 
-/// One in so many requests carries a key that was taken away, where there is one.
-const TAKEN_ONE_IN: u32 = 8;
+/// Percentage of requests with a key that no organisation holds.
+const UNKNOWN_KEY_PERCENT: u32 = 3;
 
-/// One in so many requests claims another organisation.
-const CLAIMS_ONE_IN: u32 = 8;
+/// Percentage of requests with two keys.
+const TWO_KEYS_PERCENT: u32 = 2;
 
-/// `Keys` is what the operators have configured, and what callers know of it.
+/// One in this many requests carries a revoked key, if its organisation has one.
+const REVOKED_KEY_ONE_IN: u32 = 8;
+
+/// One in this many requests names another organisation than that of its key.
+const FALSE_CLAIM_ONE_IN: u32 = 8;
+
+/// Keys and limits that the operators have configured, from which callers draw their keys.
 pub(crate) struct Keys {
     clock: Clock,
-    held: Mutex<Held>,
+    state: Mutex<KeyState>,
 }
 
-struct Held {
+struct KeyState {
     keys: Vec<KeySeen>,
     limits: Vec<LimitSeen>,
     rate_per_s: u32,
 }
 
-/// `Change` is a change of organisations.
+/// Change of an organisation's keys or limit by the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Change {
-    /// A key is added.
+pub(crate) enum OrganisationChange {
+    /// Adds a key.
     Add {
-        /// The organisation.
+        /// Index of the organisation.
         organisation: usize,
     },
-    /// The oldest key is taken away, unless it is the only one.
+    /// Revokes the oldest key, unless it is the only one.
     Take {
-        /// The organisation.
+        /// Index of the organisation.
         organisation: usize,
     },
-    /// The limit is another.
+    /// Changes the limit of the organisation that has one.
     Limit {
-        /// Requests a second.
+        /// New limit in requests per second.
         rate_per_s: u32,
     },
 }
@@ -87,7 +90,8 @@
 impl Keys {
     pub fn new(clock: Clock) -> Self {
         let organisations = 0..ORGANISATIONS.len();
-        let keys = organisations.flat_map(|it| std::iter::repeat_n(it, FIRST_KEYS));
+        let keys =
+            organisations.flat_map(|it| std::iter::repeat_n(it, INITIAL_KEYS_PER_ORGANISATION));
         let keys = keys.enumerate().map(|(number, organisation)| KeySeen {
             secret: secret(organisation, number),
             organisation: ORGANISATIONS[organisation].to_owned(),
@@ -97,103 +101,110 @@
         });
         Self {
             clock,
-            held: Mutex::new(Held {
+            state: Mutex::new(KeyState {
                 keys: keys.collect(),
-                limits: vec![limit(RATE_PER_S, 0, 0)],
-                rate_per_s: RATE_PER_S,
+                limits: vec![limit(INITIAL_RATE_PER_S, 0, 0)],
+                rate_per_s: INITIAL_RATE_PER_S,
             }),
         }
     }
 
-    /// Returns the organisations as they are configured.
+    /// Returns the organisations as the operators configure them now.
     pub fn organisations(&self) -> Vec<SiteOrganisation> {
-        self.held.lock().organisations(None)
+        self.state.lock().organisations(None)
     }
 
-    /// Returns every key and every limit that was configured.
+    /// Returns every key and every limit that was configured so far.
     pub fn seen(&self) -> (Vec<KeySeen>, Vec<LimitSeen>) {
-        let held = self.held.lock();
-        (held.keys.clone(), held.limits.clone())
+        let state = self.state.lock();
+        (state.keys.clone(), state.limits.clone())
     }
 
-    /// Carries a change out with what writes organisations into the store.
-    pub fn change(&self, change: Change, write: impl FnOnce(&[SiteOrganisation])) {
+    /// Applies a change: `write` writes the new organisations into the store, and returns once they
+    /// are acknowledged.
+    pub fn change(&self, change: OrganisationChange, write: impl FnOnce(&[SiteOrganisation])) {
         let written_ms = self.clock.now_ms();
         let (organisations, added) = {
-            let mut held = self.held.lock();
+            let mut state = self.state.lock();
             let added = match change {
-                Change::Add { organisation } => Some(KeySeen {
-                    secret: secret(organisation, held.keys.len()),
+                OrganisationChange::Add { organisation } => Some(KeySeen {
+                    secret: secret(organisation, state.keys.len()),
                     organisation: ORGANISATIONS[organisation].to_owned(),
                     acknowledged_ms: 0,
                     leaving_ms: None,
                     left_ms: None,
                 }),
-                Change::Take { organisation } => {
-                    held.begin_leaving(ORGANISATIONS[organisation], written_ms);
+                OrganisationChange::Take { organisation } => {
+                    state.begin_revoking(ORGANISATIONS[organisation], written_ms);
                     None
                 }
-                Change::Limit { rate_per_s } => {
-                    held.rate_per_s = rate_per_s;
+                OrganisationChange::Limit { rate_per_s } => {
+                    state.rate_per_s = rate_per_s;
                     None
                 }
             };
-            (held.organisations(added.as_ref()), added)
+            (state.organisations(added.as_ref()), added)
         };
         write(&organisations);
         let acknowledged_ms = self.clock.now_ms();
-        let mut held = self.held.lock();
-        held.keys.extend(added.map(|key| KeySeen {
+        let mut state = self.state.lock();
+        state.keys.extend(added.map(|key| KeySeen {
             acknowledged_ms,
             ..key
         }));
-        if let Change::Limit { rate_per_s } = change {
+        if let OrganisationChange::Limit { rate_per_s } = change {
             let limit = limit(rate_per_s, written_ms, acknowledged_ms);
-            held.limits.push(limit);
+            state.limits.push(limit);
         }
-        let left = held.keys.iter_mut();
+        let left = state.keys.iter_mut();
         left.filter(|key| key.leaving_ms == Some(written_ms))
             .for_each(|key| key.left_ms = Some(acknowledged_ms));
     }
 
-    /// Returns a request with a key of the organisation that keeps its keys.
-    pub fn steady(&self, ask: &SiteRequest) -> (SiteRequest, Presented) {
-        let held = self.held.lock();
-        let key = held.of(ORGANISATIONS[STEADY]).next().unwrap_or_default();
+    /// Returns a request with a key of the organisation whose keys are never revoked.
+    pub fn with_stable_key(&self, ask: &SiteRequest) -> (SiteRequest, Presented) {
+        let state = self.state.lock();
+        let key = state
+            .valid_keys(ORGANISATIONS[STABLE_ORGANISATION])
+            .next()
+            .unwrap_or_default();
         (
-            ask.clone().without_keys().with_key(&held.keys[key].secret),
+            ask.clone().without_keys().with_key(&state.keys[key].secret),
             Presented::Key(key),
         )
     }
 
-    /// Returns a request as a caller of an organisation sends it, with or without a good key.
-    pub fn present(
+    /// Returns a request as a caller of an organisation sends it: with a valid key or with a
+    /// revoked, an unknown, two or no key, as drawn.
+    pub fn with_drawn_key(
         &self,
         ask: &SiteRequest,
         organisation: usize,
         random: &mut ChaCha8Rng,
     ) -> (SiteRequest, Presented) {
-        let held = self.held.lock();
+        let state = self.state.lock();
         let name = ORGANISATIONS[organisation];
-        let kept: Vec<usize> = held.of(name).collect();
-        let keys = held.keys.iter().enumerate();
-        let taken: Vec<usize> = keys
+        let valid: Vec<usize> = state.valid_keys(name).collect();
+        let keys = state.keys.iter().enumerate();
+        let revoked: Vec<usize> = keys
             .filter(|(_, key)| key.organisation == name && key.leaving_ms.is_some())
             .map(|(index, _)| index)
             .collect();
         let ask = ask.clone().without_keys();
-        let ask = match random.random_ratio(1, CLAIMS_ONE_IN) {
+        let ask = match random.random_ratio(1, FALSE_CLAIM_ONE_IN) {
             true => ask.claiming(ORGANISATIONS[(organisation + 1) % ORGANISATIONS.len()]),
             false => ask,
         };
-        let is_late = random.random_ratio(1, TAKEN_ONE_IN) && !taken.is_empty();
-        let from = if is_late { &taken } else { &kept };
+        let uses_revoked = random.random_ratio(1, REVOKED_KEY_ONE_IN) && !revoked.is_empty();
+        let from = if uses_revoked { &revoked } else { &valid };
         let key = from[random.random_range(0..from.len())];
-        let secret = &held.keys[key].secret;
+        let secret = &state.keys[key].secret;
         match random.random_range(0..100) {
-            drawn if drawn < KEYLESS => (ask, Presented::None),
-            drawn if drawn < KEYLESS + UNKNOWN => (ask.with_key(UNKNOWN_KEY), Presented::Unknown),
-            drawn if drawn < KEYLESS + UNKNOWN + DOUBLE => {
+            drawn if drawn < NO_KEY_PERCENT => (ask, Presented::None),
+            drawn if drawn < NO_KEY_PERCENT + UNKNOWN_KEY_PERCENT => {
+                (ask.with_key(UNKNOWN_KEY), Presented::Unknown)
+            }
+            drawn if drawn < NO_KEY_PERCENT + UNKNOWN_KEY_PERCENT + TWO_KEYS_PERCENT => {
                 (ask.with_key(secret).with_key(secret), Presented::Several)
             }
             _ => (ask.with_key(secret), Presented::Key(key)),
@@ -201,30 +212,32 @@
     }
 }
 
-impl Held {
-    /// Returns the keys of an organisation that are not being taken away.
-    fn of<'a>(&'a self, name: &'a str) -> impl Iterator<Item = usize> + 'a {
+impl KeyState {
+    /// Returns the indices of an organisation's keys whose revocation has not begun.
+    fn valid_keys<'a>(&'a self, name: &'a str) -> impl Iterator<Item = usize> + 'a {
         let keys = self.keys.iter().enumerate();
         keys.filter(move |(_, key)| key.organisation == name && key.leaving_ms.is_none())
             .map(|(index, _)| index)
     }
 
-    fn begin_leaving(&mut self, name: &str, at_ms: u64) {
-        let kept: Vec<usize> = self.of(name).collect();
-        if let [oldest, _, ..] = kept[..] {
+    fn begin_revoking(&mut self, name: &str, at_ms: u64) {
+        let valid: Vec<usize> = self.valid_keys(name).collect();
+        if let [oldest, _, ..] = valid[..] {
             self.keys[oldest].leaving_ms = Some(at_ms);
         }
     }
 
     fn organisations(&self, added: Option<&KeySeen>) -> Vec<SiteOrganisation> {
         let rate_per_s = f64::from(self.rate_per_s);
-        let limit = |index| (index == LIMITED).then(|| SiteLimit::requests(rate_per_s, rate_per_s));
+        let limit = |index| {
+            (index == LIMITED_ORGANISATION).then(|| SiteLimit::requests(rate_per_s, rate_per_s))
+        };
         let names = ORGANISATIONS.iter().enumerate();
         names
             .map(|(index, name)| SiteOrganisation {
                 name: (*name).to_owned(),
                 keys: self
-                    .of(name)
+                    .valid_keys(name)
                     .map(|key| self.keys[key].secret.clone())
                     .chain(
                         added
@@ -240,7 +253,7 @@
     }
 }
 
-/// Returns the settings of entry VMs about organisations.
+/// Returns the settings of the entry VMs for limits of organisations.
 pub(crate) fn vm_settings() -> String {
     format!(
         "[organisations]\nlimit_window_s = {}\nlimit_over = {}\nlimit_slack = 0\n",
@@ -257,7 +270,7 @@
     let burst = u64::from(rate_per_s);
     let in_window = burst * LIMIT_WINDOW_MS / 1_000 + burst;
     LimitSeen {
-        organisation: ORGANISATIONS[LIMITED].to_owned(),
+        organisation: ORGANISATIONS[LIMITED_ORGANISATION].to_owned(),
         written_ms,
         acknowledged_ms,
         most_in_window: (in_window * (100 + LIMIT_OVER_PERCENT) / 100) as usize,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,38 +1,40 @@
-//! A randomized soak of entry VMs.
+//! Randomized soak test of entry VMs.
 //!
-//! Real processes of `apricotdale-entry` run on loopback before the stand-ins of the platform. A
-//! seeded [`Plan`] has processes killed, paused, stopped and restarted, links delayed, cut,
-//! silenced and reset by proxies, the store and the engines misbehave and the configuration change,
-//! in series and overlapping, while callers of several organisations go on asking. What callers and
-//! upstreams saw is a [`Record`], from which [`check`] tells which promises were broken.
+//! Real processes of `apricotdale-entry` run on loopback against stand-ins of the platform. A
+//! seeded [`Plan`] injects faults, one after another and overlapping, while callers of several
+//! organisations send requests: processes are killed, paused, stopped and restarted; proxies delay,
+//! cut, silence and reset links; the store and the engines fail; the configuration changes. What
+//! callers and upstreams observed is collected in a [`Record`], and [`check`] returns the
+//! invariants that it violates.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod asking;
 mod checks;
 mod clock;
 mod draws;
 mod engines;
 mod errors;
+mod fault;
 mod keys;
-mod organisation_checks;
+mod organisation_invariants;
 mod plan;
 mod proxy;
 mod record;
 mod soak;
 mod streams;
-mod trouble;
 mod vms;
+mod workload;
 mod world;
 
-pub use checks::Promise;
+pub use checks::Invariant;
 pub use checks::Violation;
 pub use checks::check;
 pub use errors::Error;
 pub use errors::Result;
-pub use organisation_checks::WindowUse;
-pub use organisation_checks::fullest_window;
+pub use fault::Trouble;
+pub use organisation_invariants::WindowUse;
+pub use organisation_invariants::fullest_window;
 pub use plan::Burst;
 pub use plan::Crasher;
 pub use plan::Plan;
@@ -41,7 +43,7 @@
 pub use proxy::Proxy;
 pub use record::Attempt;
 pub use record::ConfigurationProbe;
-pub use record::Continued;
+pub use record::ContinuedStreams;
 pub use record::Crash;
 pub use record::Disturbance;
 pub use record::Drain;
@@ -62,4 +64,3 @@
 pub use streams::Piece;
 pub use streams::StreamSeen;
 pub use streams::Tail;
-pub use trouble::Trouble;
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! One soak, from its start to its record.
+//! Execution of one soak: start of the VMs, workload, faults, recovery and the resulting record.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -12,8 +12,6 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::asking::Asking;
-use crate::asking::organisation_of;
 use crate::clock::Clock;
 use crate::errors::Error;
 use crate::errors::Result;
@@ -23,39 +21,40 @@
 use crate::record::Ending;
 use crate::record::Kind;
 use crate::record::Record;
+use crate::workload::Workload;
+use crate::workload::organisation_of;
 use crate::world::World;
 
-/// The file name of the VMs' program.
 const ENTRY_PROGRAM: &str = "apricotdale-entry";
 
-/// How long the VMs may take to get ready at the start.
+/// Time within which all VMs must be ready after the start.
 const READY_MS: u64 = 20_000;
 
-/// How long after the last trouble the VMs may take to serve everything again.
+/// Time after the last fault within which every VM must serve every kind of request again.
 const RECOVERY_MS: u64 = 12_000;
 
-/// The pause between two questions whether a VM serves a kind of request again.
+/// Pause between two recovery requests of the same kind to a VM.
 const RECOVERY_PAUSE: Duration = Duration::from_millis(100);
 
-/// `SoakOptions` is the size of a soak.
+/// Size of a soak and the seed from which it is drawn.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// The VMs' program.
+    /// Path of the program `apricotdale-entry`.
     pub program: PathBuf,
-    /// The seed of the plan and of the callers.
+    /// Seed of the plan and of the callers' requests.
     pub seed: u64,
-    /// How long troubles come.
+    /// Length of the plan in milliseconds, including the fault-free time at its start and end.
     pub length_ms: u64,
-    /// VMs.
+    /// Number of entry VMs.
     pub vms: usize,
-    /// Model engines.
+    /// Number of model engines at the start.
     pub engines: usize,
-    /// Callers at once.
+    /// Number of concurrent callers, besides those of bursts and crashers.
     pub callers: usize,
 }
 
 impl SoakOptions {
-    /// Returns a soak of the usual size: 3 VMs, 3 engines, 12 callers, 12 s.
+    /// Returns the options of a soak of default size: 3 VMs, 3 engines, 12 callers, 12 s.
     pub fn new(program: impl Into<PathBuf>, seed: u64) -> Self {
         Self {
             program: program.into(),
@@ -67,21 +66,21 @@
         }
     }
 
-    /// Returns what will happen.
+    /// Returns the plan drawn from the seed.
     pub fn plan(&self) -> Plan {
         let upstreams = self.engines + 2;
         Plan::draw(self.seed, self.length_ms, self.vms, self.engines, upstreams)
     }
 }
 
-/// Returns the VMs' program, which lies beside the running one. Cargo puts test programs one level
-/// below it.
+/// Returns the path of the entry VMs' program: beside the running program or one directory above,
+/// since Cargo puts test programs one level below the other programs.
 ///
 /// # Errors
 ///
 /// [`Error::MissingProgram`] if it has not been built.
 pub fn entry_program() -> Result<PathBuf> {
-    let running = std::env::current_exe().map_err(Error::doing("finding the programs"))?;
+    let running = std::env::current_exe().map_err(Error::io_while("finding the programs"))?;
     let beside = running.with_file_name(ENTRY_PROGRAM);
     let above = running
         .parent()
@@ -93,65 +92,67 @@
         .ok_or(Error::MissingProgram(beside))
 }
 
-/// `Soak` is a soak that was carried out.
+/// Result of a soak that was carried out.
 pub struct Soak {
-    /// What was planned.
+    /// Plan that the soak followed.
     pub plan: Plan,
-    /// What was seen.
+    /// What callers and upstreams observed.
     pub record: Record,
-    /// The log lines of each VM.
+    /// Log lines of each VM, by the VM's number.
     pub lines: Vec<(usize, Vec<String>)>,
 }
 
 impl Soak {
-    /// Carries a soak out.
+    /// Carries out the soak that is drawn from the seed.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`] if something can't be started, [`Error::NotReady`].
+    /// [`Error::MissingProgram`] if the VMs' program is missing, [`Error::Io`] if a process or a
+    /// stand-in can't be started, [`Error::NotReady`] if the VMs do not become ready in time.
     pub fn carry_out(options: &SoakOptions) -> Result<Self> {
-        Self::follow(options, options.plan())
+        Self::carry_out_plan(options, options.plan())
     }
 
-    /// Carries a soak out with a plan other than that of its seed.
+    /// Carries out a soak with a plan other than that of its seed.
     ///
     /// # Errors
     ///
     /// Those of [`Soak::carry_out`].
-    pub fn follow(options: &SoakOptions, plan: Plan) -> Result<Self> {
+    pub fn carry_out_plan(options: &SoakOptions, plan: Plan) -> Result<Self> {
         if !options.program.is_file() {
             return Err(Error::MissingProgram(options.program.clone()));
         }
         let clock = Clock::start();
         let world = World::start(clock, options.program.clone(), options.vms, options.engines)
-            .map_err(Error::doing("starting the stand-ins and the VMs"))?;
+            .map_err(Error::io_while("starting the stand-ins and the VMs"))?;
         let world = Arc::new(world);
         if !world.vms.wait_ready(Duration::from_millis(READY_MS)) {
             return Err(Error::NotReady(READY_MS));
         }
-        let asking = Arc::new(Asking::new(
+        let workload = Arc::new(Workload::new(
             clock,
             world.vms.clone(),
             world.keys.clone(),
             World::stream_events(),
         ));
-        let callers = start_callers(options, &asking);
-        let crashers = start_crashers(options, &plan, &asking);
-        let bursts = start_bursts(options, &plan, &asking);
-        // The callers' last requests may end engines, too.
+        let callers = start_callers(options, &workload);
+        let crashers = start_crashers(options, &plan, &workload);
+        let bursts = start_bursts(options, &plan, &workload);
+        // Engines are restarted until the recovery is over: the callers' last requests may crash
+        // them, too.
         let has_recovered = Arc::new(AtomicBool::new(false));
-        let mending = start_mending(&world, &has_recovered);
-        carry_out_plan(clock, &world, &plan);
+        let restarts = start_engine_restarts(&world, &has_recovered);
+        inject_planned_faults(clock, &world, &plan);
         thread::sleep(Duration::from_millis(1_000));
-        asking.stopped.store(true, Ordering::Release);
+        workload.stopped.store(true, Ordering::Release);
         join(callers);
         join(crashers);
         join(bursts);
-        let last_attempts = recover(options, &asking);
+        let last_attempts = recover(options, &workload);
         has_recovered.store(true, Ordering::Release);
-        join(vec![mending]);
+        join(vec![restarts]);
         let lines = world.vms.lines();
-        let record = take_record(&world, &asking, last_attempts, &lines);
+        let record = collect_record(&world, &workload, last_attempts, &lines);
         Ok(Self {
             plan,
             record,
@@ -160,68 +161,76 @@
     }
 }
 
-/// Starts the callers whose requests end engines, each at its time.
-fn start_crashers(options: &SoakOptions, plan: &Plan, asking: &Arc<Asking>) -> Vec<JoinHandle<()>> {
-    let began_ms = asking.clock.now_ms();
+/// Starts the callers whose requests crash engines, each at its planned time.
+fn start_crashers(
+    options: &SoakOptions,
+    plan: &Plan,
+    workload: &Arc<Workload>,
+) -> Vec<JoinHandle<()>> {
+    let began_ms = workload.clock.now_ms();
     let crashers = plan.crashers.iter();
     let copies = crashers.flat_map(|crasher| std::iter::repeat_n(crasher.clone(), crasher.copies));
     copies
         .enumerate()
         .map(|(number, crasher)| {
-            let asking = asking.clone();
+            let workload = workload.clone();
             let seed = options.seed.wrapping_mul(1_000) + 900 + number as u64;
             thread::spawn(move || {
-                asking.clock.wait_until(began_ms + crasher.at_ms);
-                asking.crash(&crasher, seed);
+                workload.clock.wait_until(began_ms + crasher.at_ms);
+                workload.run_crasher(&crasher, seed);
             })
         })
         .collect()
 }
 
-/// Starts the callers of each burst at its time.
-fn start_bursts(options: &SoakOptions, plan: &Plan, asking: &Arc<Asking>) -> Vec<JoinHandle<()>> {
-    let began_ms = asking.clock.now_ms();
+/// Starts the callers of each burst at its planned time.
+fn start_bursts(
+    options: &SoakOptions,
+    plan: &Plan,
+    workload: &Arc<Workload>,
+) -> Vec<JoinHandle<()>> {
+    let began_ms = workload.clock.now_ms();
     let bursts = plan.bursts.iter();
     let callers = bursts.flat_map(|burst| std::iter::repeat_n(burst.clone(), burst.callers));
     callers
         .enumerate()
         .map(|(number, burst)| {
-            let asking = asking.clone();
+            let workload = workload.clone();
             let seed = options
                 .seed
                 .wrapping_mul(1_000)
                 .wrapping_add(500 + number as u64);
             thread::spawn(move || {
-                asking.clock.wait_until(began_ms + burst.at_ms);
-                asking.burst(&burst, seed);
+                workload.clock.wait_until(began_ms + burst.at_ms);
+                workload.run_burst(&burst, seed);
             })
         })
         .collect()
 }
 
-fn start_mending(world: &Arc<World>, has_recovered: &Arc<AtomicBool>) -> JoinHandle<()> {
+fn start_engine_restarts(world: &Arc<World>, has_recovered: &Arc<AtomicBool>) -> JoinHandle<()> {
     let (world, has_recovered) = (world.clone(), has_recovered.clone());
-    thread::spawn(move || world.mend_engines(&has_recovered))
+    thread::spawn(move || world.restart_crashed_engines(&has_recovered))
 }
 
-fn start_callers(options: &SoakOptions, asking: &Arc<Asking>) -> Vec<JoinHandle<()>> {
+fn start_callers(options: &SoakOptions, workload: &Arc<Workload>) -> Vec<JoinHandle<()>> {
     (0..options.callers)
         .map(|caller| {
-            let asking = asking.clone();
+            let workload = workload.clone();
             let seed = options.seed.wrapping_mul(1_000).wrapping_add(caller as u64);
-            thread::spawn(move || asking.go_on(organisation_of(caller), seed))
+            thread::spawn(move || workload.run_caller(organisation_of(caller), seed))
         })
         .collect()
 }
 
-/// Carries the troubles out, each in a thread of its own, and waits until all are over.
-fn carry_out_plan(clock: Clock, world: &Arc<World>, plan: &Plan) {
+/// Injects the planned faults, each in a thread of its own, and waits until all have ended.
+fn inject_planned_faults(clock: Clock, world: &Arc<World>, plan: &Plan) {
     let began_ms = clock.now_ms();
     let mut running = Vec::new();
-    for planned in &plan.troubles {
+    for planned in &plan.faults {
         clock.wait_until(began_ms + planned.at_ms);
-        let ends = world.vms.own_ends();
-        world.events.lock().own_ends.extend(ends);
+        let ends = world.vms.unexpected_exits();
+        world.events.lock().unexpected_exits.extend(ends);
         let (world, trouble) = (world.clone(), planned.trouble.clone());
         running.push(thread::spawn(move || world.carry_out(&trouble)));
     }
@@ -231,22 +240,22 @@
 
 fn join(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
-        // A panic has been printed by its thread; the soak tells what it saw without it.
+        // The thread has printed its panic; the record holds what was observed without it.
         let _ = thread.join();
     }
 }
 
-/// Asks every VM for every kind of request until it is served or the time is over.
-fn recover(options: &SoakOptions, asking: &Asking) -> Vec<Attempt> {
+/// Sends every kind of request to every VM until it is served or `RECOVERY_MS` has passed.
+fn recover(options: &SoakOptions, workload: &Workload) -> Vec<Attempt> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let mut attempts = Vec::new();
-    let until_ms = asking.clock.now_ms() + RECOVERY_MS;
+    let until_ms = workload.clock.now_ms() + RECOVERY_MS;
     for vm in 0..options.vms {
         for kind in Kind::ALL {
             loop {
-                let request = asking.request(kind, &mut random);
-                let keyed = asking.keys.steady(&request);
-                let (attempt, _) = asking.attempt(vm, kind, &keyed, None, None);
+                let request = workload.new_request(kind, &mut random);
+                let keyed = workload.keys.with_stable_key(&request);
+                let (attempt, _) = workload.attempt(vm, kind, &keyed, None, None);
                 let is_served = matches!(
                     attempt.ending,
                     Ending::Answered {
@@ -256,7 +265,7 @@
                     }
                 );
                 attempts.push(attempt);
-                if is_served || asking.clock.now_ms() > until_ms {
+                if is_served || workload.clock.now_ms() > until_ms {
                     break;
                 }
                 thread::sleep(RECOVERY_PAUSE);
@@ -266,28 +275,28 @@
     attempts
 }
 
-fn take_record(
+fn collect_record(
     world: &World,
-    asking: &Asking,
+    workload: &Workload,
     last_attempts: Vec<Attempt>,
     lines: &[(usize, Vec<String>)],
 ) -> Record {
     let (keys, limits) = world.keys.seen();
     let lines = lines.iter().flat_map(|(_, lines)| lines);
     let key_lines = lines.filter(|line| line.contains(KEY_MARK)).cloned();
-    let ends = world.vms.own_ends();
+    let ends = world.vms.unexpected_exits();
     let mut events = world.events.lock();
-    events.own_ends.extend(ends);
-    events.own_ends.sort();
-    events.own_ends.dedup();
-    let sent = asking.sent.lock();
+    events.unexpected_exits.extend(ends);
+    events.unexpected_exits.sort();
+    events.unexpected_exits.dedup();
+    let sent = workload.sent.lock();
     Record {
-        attempts: asking.attempts.lock().clone(),
+        attempts: workload.attempts.lock().clone(),
         last_attempts,
         runs: world.runs(|id| sent.get(id).cloned()),
         other_ids: events.probe_ids.iter().cloned().collect(),
         crashes: world.crashes(),
-        crasher_ids: asking.crasher_ids.lock().clone(),
+        crasher_ids: workload.crasher_ids.lock().clone(),
         engines: world.effects(),
         disturbances: events.disturbances.clone(),
         drains: events.drains.clone(),
@@ -296,6 +305,6 @@
         keys,
         limits,
         key_lines: key_lines.collect(),
-        own_ends: events.own_ends.clone(),
+        unexpected_exits: events.unexpected_exits.clone(),
     }
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! The platform around the VMs, and the troubles.
+//! Platform around the VMs: stand-ins behind proxies, and the injection of faults into them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,17 +18,14 @@
 use nix::sys::signal::Signal;
 use parking_lot::Mutex;
 
-use crate::asking::LAST_EVENT;
-use crate::asking::MODELS;
-use crate::asking::PATIENCE_MS;
-use crate::asking::last_event;
 use crate::clock::Clock;
 use crate::engines::EngineSlot;
 use crate::engines::engine_options;
 use crate::engines::join_engine;
-use crate::keys::Change;
+use crate::fault::Trouble;
 use crate::keys::KEY_MARK;
 use crate::keys::Keys;
+use crate::keys::OrganisationChange;
 use crate::proxy::LinkFault;
 use crate::proxy::Proxy;
 use crate::record::ConfigurationProbe;
@@ -37,23 +34,26 @@
 use crate::record::Place;
 use crate::record::Run;
 use crate::record::StopSeen;
-use crate::trouble::Trouble;
-use crate::vms::StopEnd;
+use crate::vms::StopOutcome;
 use crate::vms::Vms;
+use crate::workload::CALLER_TIMEOUT_MS;
+use crate::workload::LAST_EVENT_HEADER;
+use crate::workload::MODELS;
+use crate::workload::last_event;
 
-/// When a changed configuration is asked for: a little after it must be in force.
+/// Time from the acknowledgement of a configuration to its probes: just after its deadline.
 const PROBE_AFTER_MS: u64 = 2_300;
 
-/// How long a planned stop is waited for.
-const STOP_PATIENCE: Duration = Duration::from_millis(10_000);
+/// Time for which the exit of a stopped VM is awaited.
+const STOP_TIMEOUT: Duration = Duration::from_millis(10_000);
 
-/// How long the plain service works on a call, so that some are in progress at each trouble.
-const WORK_MS: u64 = 40;
+/// Time that the plain service takes for a call, so that some are in progress at each fault.
+const SERVICE_WORK_MS: u64 = 40;
 
-/// Instances of the plain service.
-const INSTANCES: usize = 2;
+/// Number of instances of the plain service.
+const SERVICE_INSTANCES: usize = 2;
 
-/// What happened, as the troubles tell it.
+/// Part of the record that is written while faults are injected.
 #[derive(Default)]
 pub(crate) struct Events {
     pub disturbances: Vec<Disturbance>,
@@ -61,17 +61,18 @@
     pub probes: Vec<ConfigurationProbe>,
     pub probe_ids: Vec<String>,
     pub stops: Vec<StopSeen>,
-    pub own_ends: Vec<String>,
+    pub unexpected_exits: Vec<String>,
 }
 
-/// What the operators wrote last.
-struct Written {
+/// Configuration that the operators wrote last.
+struct WrittenConfiguration {
     version: u64,
-    /// The number of the route besides the first ones.
+    /// Number of the additional route; each probed configuration replaces it by the next.
     route: u64,
 }
 
-/// `World` is the platform's stand-ins with proxies in front of them.
+/// Everything around the callers: the VMs, and the platform's stand-ins with the proxies in front
+/// of them.
 pub(crate) struct World {
     pub(crate) clock: Clock,
     pub vms: Arc<Vms>,
@@ -80,7 +81,7 @@
     services: Vec<Proxy>,
     stores: Vec<Proxy>,
     pub keys: Arc<Keys>,
-    written: Mutex<Written>,
+    written: Mutex<WrittenConfiguration>,
     pub events: Mutex<Events>,
 }
 
@@ -96,12 +97,12 @@
         let mut site = Site::start(SiteOptions {
             tenants: Some(SiteOrganisation::list(&keys.organisations())),
             engines: Vec::new(),
-            instances: INSTANCES,
-            work_ms: WORK_MS,
+            instances: SERVICE_INSTANCES,
+            work_ms: SERVICE_WORK_MS,
             models: MODELS.iter().map(ToString::to_string).collect(),
             store_endpoints: vms,
             service_crash: None,
-            timeout_ms: 2 * PATIENCE_MS,
+            timeout_ms: 2 * CALLER_TIMEOUT_MS,
             announces: false,
         })?;
         let mut slots = Vec::new();
@@ -130,7 +131,7 @@
             services,
             stores,
             keys,
-            written: Mutex::new(Written {
+            written: Mutex::new(WrittenConfiguration {
                 version: 1,
                 route: 1,
             }),
@@ -138,15 +139,15 @@
         })
     }
 
-    /// Returns how many events a whole stream has.
+    /// Returns the number of events of a complete stream.
     pub fn stream_events() -> u64 {
         EngineOptions::default().events
     }
 
-    /// Carries a trouble out and returns when it is over.
+    /// Carries out a fault, waits until it has ended, and records what it disturbed.
     pub fn carry_out(&self, trouble: &Trouble) {
         let from_ms = self.clock.now_ms();
-        self.act(trouble);
+        self.apply(trouble);
         let until_ms = self.clock.now_ms();
         if let Some(place) = trouble.place() {
             self.events.lock().disturbances.push(Disturbance {
@@ -158,12 +159,12 @@
         }
     }
 
-    fn act(&self, trouble: &Trouble) {
+    fn apply(&self, trouble: &Trouble) {
         match trouble {
             Trouble::Kill { vm, down_ms } => {
                 self.vms.kill(*vm);
                 pause(*down_ms);
-                self.start_again(*vm);
+                self.restart_vm(*vm);
             }
             Trouble::KillAll { down_ms } => self.kill_all(*down_ms),
             Trouble::Pause { vm, for_ms } => {
@@ -177,11 +178,11 @@
                 self.vms.signal(*vm, Signal::SIGHUP);
             }
             Trouble::Store { vm, fault, for_ms } => {
-                self.fault_doors(*vm, *fault);
+                self.set_store_fault(*vm, *fault);
                 pause(*for_ms);
-                self.fault_doors(*vm, StoreFault::None);
+                self.set_store_fault(*vm, StoreFault::None);
             }
-            Trouble::Forget => self.forget(),
+            Trouble::Forget => self.drop_history(),
             Trouble::SetBack {
                 lost_ms,
                 away_ms,
@@ -207,46 +208,51 @@
                 upstream,
                 fault,
                 count,
-            } => self.spoil_answers(*upstream, *fault, *count),
+            } => self.queue_answer_faults(*upstream, *fault, *count),
             Trouble::EnginesAnswer { fault, count } => {
-                self.spoil_engines(*count, |_| *fault);
+                self.queue_engine_faults(*count, |_| *fault);
             }
             Trouble::CutBefore {
                 engine,
                 events,
                 then,
                 count,
-            } => self.spoil_engines(*count, |number| match number == *engine {
+            } => self.queue_engine_faults(*count, |number| match number == *engine {
                 true => AnswerFault::CutAfter { events: *events },
                 false => *then,
             }),
             Trouble::LargeCuts { count } => {
                 let engines = self.engines.lock().len();
-                for upstream in engines..engines + INSTANCES {
-                    self.spoil_answers(upstream, AnswerFault::LargeCut, *count);
+                for upstream in engines..engines + SERVICE_INSTANCES {
+                    self.queue_answer_faults(upstream, AnswerFault::LargeCut, *count);
                 }
             }
             Trouble::Orders {
                 engine,
                 late_ms,
                 count,
-            } => self.spoil_orders(*engine, *late_ms, *count),
+            } => self.queue_order_faults(*engine, *late_ms, *count),
             Trouble::EngineDies { engine } => self.engine_dies(*engine),
             Trouble::EngineLeaves { engine, notice } => self.engine_leaves(*engine, *notice),
             Trouble::Configure => self.configure(),
-            Trouble::KeyAdded { organisation } => self.change_organisations(Change::Add {
-                organisation: *organisation,
-            }),
-            Trouble::KeyTaken { organisation } => self.change_organisations(Change::Take {
-                organisation: *organisation,
-            }),
-            Trouble::Limit { rate_per_s } => self.change_organisations(Change::Limit {
+            Trouble::KeyAdded { organisation } => {
+                self.change_organisations(OrganisationChange::Add {
+                    organisation: *organisation,
+                })
+            }
+            Trouble::KeyTaken { organisation } => {
+                self.change_organisations(OrganisationChange::Take {
+                    organisation: *organisation,
+                })
+            }
+            Trouble::Limit { rate_per_s } => self.change_organisations(OrganisationChange::Limit {
                 rate_per_s: *rate_per_s,
             }),
         }
     }
 
-    /// Returns what the upstreams ran.
+    /// Returns the executions of requests at all upstreams. `sent` returns the request that callers
+    /// sent under an ID.
     pub fn runs(&self, sent: impl Fn(&str) -> Option<SiteRequest>) -> Vec<Run> {
         let site = self.site.lock();
         let engines = site.engines.iter().map(|it| (it.name(), it.runs()));
@@ -261,7 +267,7 @@
                     organisations: run.organisations(),
                     shows_key: run.holds(KEY_MARK),
                     at_ms: self.clock.at_ms(run.at),
-                    after_event: last_event(run.header(LAST_EVENT)),
+                    after_event: last_event(run.header(LAST_EVENT_HEADER)),
                     fault: run.fault,
                     id: run.id,
                     upstream: upstream.to_owned(),
@@ -272,7 +278,7 @@
         runs
     }
 
-    /// Returns what the engines were told.
+    /// Returns the effects of orders on each engine, by the engine's name.
     pub fn effects(&self) -> Vec<(String, apricotdale_standins::platform::EngineEffects)> {
         let site = self.site.lock();
         let engines = site.engines.iter();
@@ -281,10 +287,10 @@
             .collect()
     }
 
-    fn start_again(&self, vm: usize) {
+    fn restart_vm(&self, vm: usize) {
         if let Err(error) = self.vms.restart(vm) {
-            let end = format!("vm{vm} does not start: {error}");
-            self.events.lock().own_ends.push(end);
+            let exit = format!("vm{vm} did not start: {error}");
+            self.events.lock().unexpected_exits.push(exit);
         }
     }
 
@@ -295,7 +301,7 @@
         }
         pause(down_ms);
         for vm in 0..self.vms.len() {
-            self.start_again(vm);
+            self.restart_vm(vm);
         }
         let until_ms = self.clock.now_ms();
         for vm in 0..self.vms.len() {
@@ -313,17 +319,17 @@
         let Some(start) = self.vms.signal(vm, Signal::SIGTERM) else {
             return;
         };
-        let ended = match self.vms.wait_end(vm, start, STOP_PATIENCE) {
-            StopEnd::Ended(code) => Some((self.clock.now_ms(), code)),
-            StopEnd::StillRuns => None,
-            StopEnd::Replaced => return,
+        let ended = match self.vms.wait_for_exit(vm, start, STOP_TIMEOUT) {
+            StopOutcome::Ended(code) => Some((self.clock.now_ms(), code)),
+            StopOutcome::StillRuns => None,
+            StopOutcome::Replaced => return,
         };
         let stop = StopSeen { vm, at_ms, ended };
         self.events.lock().stops.push(stop);
-        self.start_again(vm);
+        self.restart_vm(vm);
     }
 
-    fn fault_doors(&self, vm: Option<usize>, fault: StoreFault) {
+    fn set_store_fault(&self, vm: Option<usize>, fault: StoreFault) {
         let site = self.site.lock();
         for (index, endpoint) in site.store_endpoints.iter().enumerate() {
             if vm.is_none_or(|vm| vm == index) {
@@ -332,49 +338,52 @@
         }
     }
 
-    fn forget(&self) {
+    fn drop_history(&self) {
         self.site.lock().trim_history();
     }
 
     fn roll_back(&self, lost_ms: u64, away_ms: u64, again_ms: u64) {
         let copy = self.site.lock().store_endpoints[0].snapshot();
         pause(lost_ms);
-        self.fault_doors(None, StoreFault::Busy);
+        self.set_store_fault(None, StoreFault::Busy);
         pause(away_ms);
         self.site.lock().store_endpoints[0].roll_back(copy);
-        self.fault_doors(None, StoreFault::None);
+        self.set_store_fault(None, StoreFault::None);
         pause(again_ms);
         self.site.lock().rewrite_entries();
     }
 
-    fn with_proxy(&self, upstream: usize, act: impl Fn(&Proxy)) {
+    fn with_proxy(&self, upstream: usize, apply: impl Fn(&Proxy)) {
         let engines = self.engines.lock();
         match engines.get(upstream) {
-            Some(slot) => act(&slot.proxy),
-            None => act(&self.services[(upstream - engines.len()) % self.services.len()]),
+            Some(slot) => apply(&slot.proxy),
+            None => apply(&self.services[(upstream - engines.len()) % self.services.len()]),
         }
     }
 
-    fn spoil_answers(&self, upstream: usize, fault: AnswerFault, count: u32) {
+    fn queue_answer_faults(&self, upstream: usize, fault: AnswerFault, count: u32) {
         let engines = self.engines.lock();
         let site = self.site.lock();
         for _ in 0..count {
             match engines.get(upstream) {
                 Some(slot) => site.engines[slot.index].push_fault(fault),
-                None => site.services[(upstream - engines.len()) % INSTANCES].push_fault(fault),
+                None => {
+                    site.services[(upstream - engines.len()) % SERVICE_INSTANCES].push_fault(fault)
+                }
             }
         }
     }
 
-    /// Spoils the next answers of every engine, each in its way.
-    fn spoil_engines(&self, count: u32, fault: impl Fn(usize) -> AnswerFault) {
+    /// Queues a fault for each of the next `count` answers of every engine; `fault` returns that of
+    /// the engine with a number.
+    fn queue_engine_faults(&self, count: u32, fault: impl Fn(usize) -> AnswerFault) {
         let engines = self.engines.lock().len();
         for number in 0..engines {
-            self.spoil_answers(number, fault(number), count);
+            self.queue_answer_faults(number, fault(number), count);
         }
     }
 
-    fn spoil_orders(&self, engine: usize, late_ms: Option<u64>, count: u32) {
+    fn queue_order_faults(&self, engine: usize, late_ms: Option<u64>, count: u32) {
         let fault = match late_ms {
             Some(after_ms) => OrderFault::Late { after_ms },
             None => OrderFault::LostAnswer,
@@ -386,8 +395,8 @@
         }
     }
 
-    /// Writes a configuration with a route of its own in place of the one before, and asks every
-    /// VM for both once it must be in force.
+    /// Writes a configuration with a new route in place of the previous one, and probes both routes
+    /// at every VM once the configuration must be in force.
     fn configure(&self) {
         let route = {
             let mut written = self.written.lock();
@@ -402,17 +411,18 @@
         let acknowledged_ms = self.clock.now_ms();
         self.clock.wait_until(acknowledged_ms + PROBE_AFTER_MS);
         for vm in 0..self.vms.len() {
-            for (of, exists) in [(route, true), (route - 1, false)] {
+            for (probed, exists) in [(route, true), (route - 1, false)] {
                 // A newer configuration may have replaced this one meanwhile.
                 if self.written.lock().route != route {
                     return;
                 }
                 let sent_ms = self.clock.now_ms();
-                let id = format!("c-{route}-{vm}-{of}");
-                let target = format!("{}x", Site::extra_prefix(of));
-                let request = SiteRequest::new("GET", &target, &id).with_timeout_ms(PATIENCE_MS);
-                let (request, _) = self.keys.steady(&request);
-                let status = self.ask_once(vm, &request);
+                let id = format!("c-{route}-{vm}-{probed}");
+                let target = format!("{}x", Site::extra_prefix(probed));
+                let request =
+                    SiteRequest::new("GET", &target, &id).with_timeout_ms(CALLER_TIMEOUT_MS);
+                let (request, _) = self.keys.with_stable_key(&request);
+                let status = self.send_probe(vm, &request);
                 let mut events = self.events.lock();
                 events.probe_ids.push(id);
                 if status > 0 && self.written.lock().route == route {
@@ -428,8 +438,8 @@
         }
     }
 
-    /// Writes a configuration with the route in force and other keys or limits.
-    fn change_organisations(&self, change: Change) {
+    /// Writes a configuration with the current route and changed keys or limits.
+    fn change_organisations(&self, change: OrganisationChange) {
         let mut written = self.written.lock();
         written.version += 1;
         let (version, route) = (written.version, written.route);
@@ -439,11 +449,11 @@
         });
     }
 
-    fn ask_once(&self, vm: usize, request: &SiteRequest) -> u16 {
-        let patience = Duration::from_millis(PATIENCE_MS);
+    fn send_probe(&self, vm: usize, request: &SiteRequest) -> u16 {
+        let timeout = Duration::from_millis(CALLER_TIMEOUT_MS);
         self.vms
-            .callers(vm)
-            .and_then(|address| Caller::connect(address, patience).ok())
+            .caller_address(vm)
+            .and_then(|address| Caller::connect(address, timeout).ok())
             .and_then(|mut caller| caller.ask(request).ok())
             .map_or(0, |answer| answer.status())
     }
--- a/crates/soak/tests/late_crashers.rs
+++ b/crates/soak/tests/late_crashers.rs
@@ -1,4 +1,4 @@
-//! Engines that end after the callers were told to stop.
+//! Engines that crash after the callers were stopped.
 
 use apricotdale_soak::Crasher;
 use apricotdale_soak::Plan;
@@ -7,10 +7,11 @@
 use apricotdale_soak::check;
 use apricotdale_soak::entry_program;
 
-/// Guards against engines that stay away in the recovery: the second request waits for the engine
-/// that the first one ended, and ends the next when the callers have been told to stop.
+/// Guards against crashed engines that are not replaced during the recovery: the second request
+/// waits for the successor of the engine that the first one crashed, and crashes that one after the
+/// callers were stopped.
 #[test]
-fn engine_comes_back_in_the_recovery() {
+fn engine_restarts_late() {
     let crasher = Crasher {
         body: "ends-engine-0".to_owned(),
         model: "m0",
@@ -22,7 +23,7 @@
     let plan = Plan {
         crashers: vec![crasher],
         bursts: Vec::new(),
-        troubles: Vec::new(),
+        faults: Vec::new(),
         calm_from_ms: 2_000,
         end_ms: 2_000,
     };
@@ -32,7 +33,7 @@
         callers: 2,
         ..SoakOptions::new(entry_program().expect("the program is built"), 1)
     };
-    let soak = Soak::follow(&options, plan).expect("the soak can be carried out");
+    let soak = Soak::carry_out_plan(&options, plan).expect("the soak can be carried out");
     assert!(soak.record.crashes.len() >= 2, "{:?}", soak.record.crashes);
     assert_eq!(check(&soak.record), []);
 }
--- a/crates/soak/tests/plan_seeds.rs
+++ b/crates/soak/tests/plan_seeds.rs
@@ -1,4 +1,4 @@
-//! Plans come from their seeds alone.
+//! Plans depend on their seeds alone and contain every fault.
 
 use std::collections::BTreeSet;
 use std::mem::discriminant;
@@ -22,55 +22,48 @@
 }
 
 #[test]
-fn troubles_come_in_order_and_end() {
+fn faults_in_order() {
     for seed in 0..200 {
         let plan = plan(seed);
-        assert!(!plan.troubles.is_empty());
-        assert!(plan.troubles.is_sorted_by_key(|planned| planned.at_ms));
-        assert!(plan.troubles.iter().all(|it| it.at_ms < plan.calm_from_ms));
+        assert!(!plan.faults.is_empty());
+        assert!(plan.faults.is_sorted_by_key(|planned| planned.at_ms));
+        assert!(plan.faults.iter().all(|it| it.at_ms < plan.calm_from_ms));
         assert_eq!(plan.end_ms, LENGTH_MS);
     }
 }
 
 #[test]
-fn some_come_at_once() {
+fn faults_overlap() {
     let overlapping = (0..200).filter(|seed| {
-        let troubles = plan(*seed).troubles;
-        troubles
-            .windows(2)
-            .any(|pair| pair[0].at_ms == pair[1].at_ms)
+        let faults = plan(*seed).faults;
+        faults.windows(2).any(|pair| pair[0].at_ms == pair[1].at_ms)
     });
     assert!(overlapping.count() > 100);
 }
 
 #[test]
-fn every_kind_comes() {
+fn every_fault_drawn() {
     let mut kinds = BTreeSet::new();
     for seed in 0..200 {
-        for planned in plan(seed).troubles {
+        for planned in plan(seed).faults {
             kinds.insert(format!("{:?}", discriminant(&planned.trouble)));
         }
     }
     assert_eq!(kinds.len(), 23);
 }
 
-/// Guards against ways to spoil the rest of a stream that no plan has.
+/// Guards against faults of a stream's remainder that no plan contains.
 #[test]
-fn every_spoiled_rest_comes() {
-    let mut rests = BTreeSet::new();
+fn every_remainder_drawn() {
+    let mut remainders = BTreeSet::new();
     for seed in 0..200 {
-        rests.extend(
-            plan(seed)
-                .troubles
-                .iter()
-                .filter_map(|it| match it.trouble {
-                    Trouble::EnginesAnswer {
-                        fault: AnswerFault::CutThen { then, .. },
-                        ..
-                    } => Some(then),
-                    _ => None,
-                }),
-        );
+        remainders.extend(plan(seed).faults.iter().filter_map(|it| match it.trouble {
+            Trouble::EnginesAnswer {
+                fault: AnswerFault::CutThen { then, .. },
+                ..
+            } => Some(then),
+            _ => None,
+        }));
     }
-    assert_eq!(rests.len(), 16);
+    assert_eq!(remainders.len(), 16);
 }
--- a/crates/soak/tests/short_soak.rs
+++ b/crates/soak/tests/short_soak.rs
@@ -1,4 +1,4 @@
-//! Short soaks with fixed seeds. Longer ones, with fresh seeds, are run by hand.
+//! Short soaks with fixed seeds. Longer soaks with other seeds are run with the program `soak`.
 
 use apricotdale_soak::Soak;
 use apricotdale_soak::SoakOptions;
@@ -9,7 +9,7 @@
 #[rstest]
 #[case::kills_and_pauses(1, 0)]
 #[case::many_at_once(3, 3)]
-fn promises_are_kept(#[case] seed: u64, #[case] least_spoiled_rests: usize) {
+fn invariants_hold(#[case] seed: u64, #[case] min_faulty_continuations: usize) {
     let options = SoakOptions {
         length_ms: 7_000,
         ..SoakOptions::new(entry_program().expect("the program is built"), seed)
@@ -18,11 +18,14 @@
     let violations = check(&soak.record);
     assert!(violations.is_empty(), "{violations:#?}\n{:#?}", soak.plan);
     assert!(soak.record.attempts.len() > 200);
-    // A soak in which nobody is refused a key or a limit has not played organisations.
+    // A soak without a refused key or an exceeded limit has not exercised organisations.
     for status in [401, 429] {
         let mut attempts = soak.record.attempts.iter();
         assert!(attempts.any(|it| it.status() == status), "no {status}");
     }
     let continued = soak.record.continued();
-    assert!(continued.spoiled >= least_spoiled_rests, "{continued:?}");
+    assert!(
+        continued.faulty >= min_faulty_continuations,
+        "{continued:?}"
+    );
 }
--- a/crates/soak/tests/stream_promises.rs
+++ b/crates/soak/tests/stream_records.rs
@@ -1,13 +1,14 @@
-//! Records of streams over two engines: what looks whole is, and what fits is told from what does not.
+//! Records of streams over two engines: a stream that looks complete is complete, and each flaw of
+//! a joined stream is found.
 
 mod support;
 
 use apricotdale_soak::Attempt;
 use apricotdale_soak::BodySeen;
-use apricotdale_soak::Continued;
+use apricotdale_soak::ContinuedStreams;
 use apricotdale_soak::Ending;
+use apricotdale_soak::Invariant;
 use apricotdale_soak::Kind;
-use apricotdale_soak::Promise;
 use apricotdale_soak::Record;
 use apricotdale_soak::Run;
 use apricotdale_soak::StreamSeen;
@@ -16,13 +17,13 @@
 use rstest::rstest;
 
 use support::attempt;
-use support::promises;
+use support::broken_invariants;
 use support::run;
-use support::sound;
+use support::valid_record;
 
-/// Returns a record of a stream over two engines, of which the caller got some text.
-fn stream(after_event: u64, whole: bool, text: &str) -> Record {
-    let mut record = sound();
+/// Returns a record of a stream over two engines whose caller received `text`.
+fn stream_record(after_event: u64, whole: bool, text: &str) -> Record {
+    let mut record = valid_record();
     let first = after_event + 1;
     record.attempts.push(Attempt {
         after_event,
@@ -35,7 +36,7 @@
         },
         ..attempt("s", Kind::Quick, 200)
     });
-    let rest = Run {
+    let resumed = Run {
         upstream: "i-1".to_owned(),
         after_event: after_event + 2,
         ..run("s")
@@ -44,7 +45,7 @@
         after_event,
         ..run("s")
     });
-    record.runs.push(rest);
+    record.runs.push(resumed);
     record
 }
 
@@ -55,7 +56,7 @@
         .collect()
 }
 
-/// Returns events of other weights.
+/// Returns events as engines with another version of the weights send them.
 fn other_events(ids: &[u64]) -> String {
     events(ids).replace("data: piece", "data: other piece")
 }
@@ -69,11 +70,15 @@
 #[case::broken_large(0, false, events(&[1, 2]) + "id: 3\ndata: xxxxxx")]
 #[case::broken_at_once(0, false, String::new())]
 #[case::broken_behind_all(0, false, events(&[1, 2, 3, 4, 5, 6]))]
-fn sound_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
-    assert_eq!(promises(&stream(after_event, whole, &text)), []);
+fn valid_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
+    assert_eq!(
+        broken_invariants(&stream_record(after_event, whole, &text)),
+        []
+    );
 }
 
-/// Guards against joined streams that look whole and aren't, and against parts that do not fit.
+/// Guards against a check that misses an incomplete stream that looks complete, or a remainder that
+/// does not continue the first part.
 #[rstest]
 #[case::short(0, true, events(&[1, 2, 3]))]
 #[case::nothing(0, true, String::new())]
@@ -102,13 +107,13 @@
 #[case::failure_behind_and_broken(0, false, events(&[1, 2]) + "{\"error\":\"failed\"}")]
 #[case::part_of_an_event_between(0, false, "id: 1\nda".to_owned() + &events(&[1, 2]))]
 #[case::other_content(0, true, "{\"text\":\"whole\"}".to_owned())]
-fn wrong_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
-    let record = stream(after_event, whole, &text);
-    assert_eq!(promises(&record), [Promise::OwnAnswer]);
+fn flawed_stream(#[case] after_event: u64, #[case] whole: bool, #[case] text: String) {
+    let record = stream_record(after_event, whole, &text);
+    assert_eq!(broken_invariants(&record), [Invariant::OwnAnswer]);
 }
 
-/// Guards against an excuse for joined streams: only what an engine alone gives to a caller that
-/// resumed by itself may hold no events.
+/// Guards against a check that excuses too much: an empty remainder is only excused if a single
+/// engine sent it to a caller that resumed the stream by itself.
 #[rstest]
 #[case::resumed(3, 3, StreamFault::Empty, "", true)]
 #[case::resumed_other_content(3, 3, StreamFault::OtherContent, "{\"text\":\"whole\"}", true)]
@@ -116,34 +121,34 @@
 #[case::by_the_vm(0, 2, StreamFault::Empty, "", false)]
 #[case::by_the_vm_behind_a_caller(3, 5, StreamFault::Empty, "", false)]
 #[case::behind_events(3, 3, StreamFault::Empty, "id: 4\ndata: piece 4\n\n", false)]
-fn empty_rest(
+fn empty_remainder(
     #[case] after_event: u64,
     #[case] run_after: u64,
     #[case] then: StreamFault,
     #[case] text: &str,
     #[case] is_excused: bool,
 ) {
-    let mut record = stream(after_event, true, text);
+    let mut record = stream_record(after_event, true, text);
     let fault = AnswerFault::CutThen { events: 1, then };
     let run = record.runs.last_mut().expect("a run");
     run.after_event = run_after;
     run.fault = Some(fault);
-    assert_eq!(promises(&record).is_empty(), is_excused);
+    assert_eq!(broken_invariants(&record).is_empty(), is_excused);
 }
 
 #[test]
-fn streams_over_two_engines() {
-    let mut record = stream(0, true, &events(&[1, 2, 3, 4, 5, 6]));
-    let continued = Continued {
+fn continued_streams() {
+    let mut record = stream_record(0, true, &events(&[1, 2, 3, 4, 5, 6]));
+    let continued = ContinuedStreams {
         streams: 1,
-        spoiled: 0,
+        faulty: 0,
         whole: 1,
     };
     assert_eq!(record.continued(), continued);
     let last = record.runs.len() - 1;
     record.runs[last].fault = Some(AnswerFault::Failed);
-    assert_eq!(record.continued().spoiled, 1);
-    // One that the caller resumed by itself, or that began anew elsewhere, was not joined.
+    assert_eq!(record.continued().faulty, 1);
+    // A stream that the caller resumed by itself, or that another engine began anew, is not joined.
     record.runs[last].after_event = 0;
-    assert_eq!(record.continued(), Continued::default());
+    assert_eq!(record.continued(), ContinuedStreams::default());
 }
--- a/crates/soak/tests/support/mod.rs
+++ b/crates/soak/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Records of soaks in which nothing is broken.
+//! Records of soaks that violate no invariant, and their parts.
 
 #![allow(dead_code)]
 
@@ -7,20 +7,20 @@
 use apricotdale_soak::Disturbance;
 use apricotdale_soak::Drain;
 use apricotdale_soak::Ending;
+use apricotdale_soak::Invariant;
 use apricotdale_soak::KeySeen;
 use apricotdale_soak::Kind;
 use apricotdale_soak::LimitSeen;
 use apricotdale_soak::Place;
 use apricotdale_soak::Presented;
-use apricotdale_soak::Promise;
 use apricotdale_soak::Record;
 use apricotdale_soak::Run;
 use apricotdale_soak::StopSeen;
 use apricotdale_soak::check;
 use apricotdale_standins::platform::EngineEffects;
 
-/// A plain body as the upstream gives it.
-pub const PLAIN: BodySeen = BodySeen::Plain { own: true };
+/// Body of a call as the upstream sends it.
+pub const PLAIN_BODY: BodySeen = BodySeen::Plain { own: true };
 
 pub fn attempt(id: &str, kind: Kind, status: u16) -> Attempt {
     Attempt {
@@ -37,7 +37,7 @@
             whole: true,
             id: Some(id.to_owned()),
             signed: true,
-            body: PLAIN,
+            body: PLAIN_BODY,
         },
     }
 }
@@ -77,7 +77,7 @@
     }
 }
 
-pub fn sound() -> Record {
+pub fn valid_record() -> Record {
     Record {
         attempts: vec![attempt("a", Kind::Book, 200), attempt("b", Kind::Book, 503)],
         last_attempts: vec![attempt("c", Kind::Look, 200)],
@@ -117,6 +117,6 @@
     }
 }
 
-pub fn promises(record: &Record) -> Vec<Promise> {
-    check(record).into_iter().map(|it| it.promise).collect()
+pub fn broken_invariants(record: &Record) -> Vec<Invariant> {
+    check(record).into_iter().map(|it| it.invariant).collect()
 }
