--- a/crates/load-tool/src/errors.rs
+++ b/crates/load-tool/src/errors.rs
@@ -2,25 +2,26 @@
 
 use thiserror::Error;
 
-/// `Result` is the result of a measurement.
+/// Result of a measurement step.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why a measurement could not be made.
+/// Reason why a measurement could not be made.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The processes could not be started or steered.
+    /// A process could not be started, stopped or reached through the launcher.
     #[error(transparent)]
     Launcher(#[from] apricotdale_launcher::Error),
-    /// The system's accounts of a process can't be read.
+    /// The statistics that the kernel keeps in `/proc` can't be read, for instance because the
+    /// process has ended.
     #[error("reading the system's accounts: {0}")]
     Accounts(#[from] procfs::ProcError),
-    /// Something did not come within its limit.
+    /// A step of the measurement failed; the text says which one and why.
     #[error("{0}")]
     Failed(String),
 }
 
 impl Error {
-    /// Returns an [`Error::Failed`].
+    /// Returns an [`Error::Failed`] with the given text.
     pub fn failed(detail: impl Into<String>) -> Self {
         Self::Failed(detail.into())
     }
