--- a/crates/load-tool/src/lib.rs
+++ b/crates/load-tool/src/lib.rs
@@ -1,7 +1,8 @@
-//! Measures real processes: fleets of growing size, overhead, and load.
+//! Measures real processes: fleets of growing size, the overhead of a VM, and a whole deployment
+//! under load.
 //!
 //! Every measurement starts its own stand-ins and daemons on loopback through the launcher crate,
-//! is bounded in time and number of processes, and stops all it started.
+//! is bounded in time and in the number of processes, and stops every process that it started.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
