--- a/crates/load-tool/src/fleet.rs
+++ b/crates/load-tool/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What a daemon's control work costs in fleets of growing size.
+//! Cost of a daemon's control work in fleets of growing size.
 
 use std::thread;
 use std::time::Duration;
@@ -16,29 +16,29 @@
 use crate::process_cost::loopback_bytes;
 use crate::process_cost::process_cost;
 
-/// How long a fleet runs before it is measured, so that heartbeats and reports have settled.
+/// Time before the measurement begins, in which heartbeats and engine reports reach a steady rate.
 const SETTLE: Duration = Duration::from_secs(8);
 
-/// `FleetPoint` is what was measured of one fleet, as means over its VMs.
+/// Figures measured of one fleet without callers, most of them means over its VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetPoint {
-    /// VMs.
+    /// Number of VMs, each with one daemon.
     pub vms: usize,
-    /// Processor time of a daemon, in percent of a core.
+    /// Mean processor time of a daemon, in percent of one core.
     pub cpu_percent: f64,
-    /// Resident memory of a daemon, in MB.
+    /// Mean resident memory of a daemon at the end of the measurement, in MB.
     pub resident_mb: f64,
-    /// Threads of a daemon.
+    /// Mean number of threads of a daemon at the end of the measurement.
     pub threads: f64,
-    /// Bytes a second over the loopback interface, divided by the VMs.
+    /// Bytes per second over the loopback interface, divided by the number of VMs.
     pub bytes_per_s: f64,
-    /// Reads of the log a second, divided by the VMs.
+    /// Reads of the log per second, divided by the number of VMs.
     pub log_reads_per_s: f64,
-    /// Appends to the log a second by the whole fleet.
+    /// Appends to the log per second by all VMs together.
     pub log_appends_per_s: f64,
 }
 
-/// `Accounts` is one reading of all accounts.
+/// Counters of all daemons, the loopback interface and the log, read at one moment.
 struct Accounts {
     at: Instant,
     costs: Vec<ProcessCost>,
@@ -46,12 +46,12 @@
     log: LogEffects,
 }
 
-/// Starts a fleet without callers, measures it for a time, and stops it. The processes are shown to
-/// `prepare` before they start.
+/// Starts a fleet without callers, measures it for `duration`, and stops it. `prepare` receives
+/// the handle of the processes before any of them starts.
 ///
 /// # Errors
 ///
-/// If the fleet can't be started or a daemon ends.
+/// If the fleet can't be started or a daemon ends before the measurement does.
 pub fn measure(
     vms: usize,
     duration: Duration,
