--- a/crates/load-tool/src/process_cost.rs
+++ b/crates/load-tool/src/process_cost.rs
@@ -1,4 +1,4 @@
-//! What the system says that processes and the loopback interface have used.
+//! Resources used by processes and the loopback interface, as read from `/proc`.
 
 use procfs::Current;
 use procfs::LoadAverage;
@@ -6,25 +6,24 @@
 
 use crate::errors::Result;
 
-/// The loopback interface.
 const LOOPBACK: &str = "lo";
 
-/// `ProcessCost` is what one process has used so far.
+/// Resources used by one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessCost {
-    /// Processor time, in seconds.
+    /// Processor time in user and kernel mode since the process started, in seconds.
     pub cpu_s: f64,
-    /// Resident memory, in bytes.
+    /// Resident memory now, in bytes.
     pub resident_bytes: u64,
-    /// Threads.
+    /// Number of threads now.
     pub threads: i64,
 }
 
-/// Returns what a process has used so far.
+/// Returns the resources used by the process with the given ID.
 ///
 /// # Errors
 ///
-/// If the process has ended.
+/// If the process has ended or its statistics can't be read.
 pub fn process_cost(id: u32) -> Result<ProcessCost> {
     let stat = Process::new(id as i32)?.stat()?;
     let ticks = (stat.utime + stat.stime) as f64;
@@ -35,22 +34,23 @@
     })
 }
 
-/// Returns the bytes that have crossed the loopback interface, headers included. All processes of
-/// the machine count, so a measurement needs a quiet machine.
+/// Returns the bytes received on the loopback interface since boot, headers included, or 0 without
+/// such an interface. The traffic of all processes counts, so the machine must be otherwise idle.
 ///
 /// # Errors
 ///
-/// If the system's accounts can't be read.
+/// If the statistics of the network interfaces can't be read.
 pub fn loopback_bytes() -> Result<u64> {
     let devices = procfs::net::dev_status()?;
     Ok(devices.get(LOOPBACK).map_or(0, |device| device.recv_bytes))
 }
 
-/// Returns the machine's load average over one minute, which belongs beside each figure.
+/// Returns the machine's load average over one minute, printed beside the figures because a busy
+/// machine distorts them.
 ///
 /// # Errors
 ///
-/// If the system's accounts can't be read.
+/// If the load average can't be read.
 pub fn load_average() -> Result<f32> {
     Ok(LoadAverage::current()?.one)
 }
