--- a/crates/load-tool/src/line_fit.rs
+++ b/crates/load-tool/src/line_fit.rs
@@ -1,18 +1,19 @@
-//! A straight line through measured points.
+//! Least-squares line through measured points.
 
-/// `LineFit` is the least-squares line through some points.
+/// Least-squares line through a set of points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LineFit {
-    /// The growth per unit of x.
+    /// Growth of y per unit of x.
     pub slope: f64,
-    /// The value at x = 0.
+    /// Value of y at x = 0.
     pub intercept: f64,
-    /// The share of the variance that the line explains, from 0 to 1.
+    /// Coefficient of determination: the share of the variance of y that the line explains, 0 to 1.
+    /// It is 1 if y is constant.
     pub r2: f64,
 }
 
 impl LineFit {
-    /// Returns the line through the points, or none with fewer than two different x.
+    /// Returns the line through points `(x, y)`, or none if fewer than two of the x differ.
     pub fn through(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -44,7 +45,7 @@
         })
     }
 
-    /// Returns the line's value.
+    /// Returns the line's value at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
