--- a/crates/load-tool/src/bin/fleet-slopes.rs
+++ b/crates/load-tool/src/bin/fleet-slopes.rs
@@ -1,4 +1,4 @@
-//! `fleet-slopes` measures what a daemon's control work costs in fleets of growing size.
+//! Measures the cost of a daemon's control work in fleets of growing size.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use apricotdale_load_tool::line_fit::LineFit;
 use apricotdale_load_tool::process_cost::load_average;
 
-/// One measured figure of a fleet.
+/// Reads one figure from the measurements of a fleet.
 type Figure = fn(&FleetPoint) -> f64;
 
-/// The figures through which a line is fitted, by name.
+/// Figures through which a line is fitted, with their printed names.
 const FIGURES: &[(&str, Figure)] = &[
     ("cpu_percent_of_core", |point| point.cpu_percent),
     ("resident_mb", |point| point.resident_mb),
@@ -27,18 +27,18 @@
     }),
 ];
 
-/// Starts fleets of daemons without callers, one after the other, and fits lines through what a
-/// daemon costs.
+/// Starts fleets of daemons without callers, one after the other, and fits a line to each cost of
+/// a daemon by the number of VMs.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
-    /// The numbers of VMs, separated by commas.
+    /// Numbers of VMs to measure, separated by commas.
     #[bpaf(argument("N,N,…"), fallback("3,6,12,24,48".to_owned()))]
     vms: String,
-    /// How long each fleet is measured.
+    /// Seconds for which each fleet is measured.
     #[bpaf(argument("SECONDS"), fallback(20))]
     seconds: u64,
-    /// The size to which the lines are drawn out.
+    /// Number of VMs for which the fitted lines predict the costs.
     #[bpaf(argument("N"), fallback(410))]
     target: u32,
 }
