--- a/crates/load-tool/src/bin/load-run.rs
+++ b/crates/load-tool/src/bin/load-run.rs
@@ -1,5 +1,5 @@
-//! `load-run` drives a deployment's size on real processes, with the baseline policies and with
-//! those in use, and compares them.
+//! Runs a scaled-down deployment under load on real processes, once with the baseline policies and
+//! once with the default ones, and compares the two.
 
 #![forbid(unsafe_code)]
 
@@ -23,7 +23,7 @@
 
 const BYTES_PER_MB: f64 = 1e6;
 
-/// Drives real processes by a seeded schedule, once with each set of policies
+/// Sends a seeded schedule of requests to real processes, once with each set of policies
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
@@ -33,31 +33,31 @@
         fallback(PathBuf::from("crates/policy-replay/deployments/scaravilli.ini"))
     )]
     deployment: PathBuf,
-    /// Cases: usual, overload, vm-killed, log-outage; all of them if none is given
+    /// Cases to run: usual, overload, vm-killed, log-outage; all of them if none is given
     #[bpaf(argument("NAME"), many)]
     case: Vec<Case>,
     /// Seed of the trace, the schedule and the policies
     #[bpaf(argument("N"), fallback(LoadOptions::default().seed), display_fallback)]
     seed: u64,
-    /// Entry VMs
+    /// Number of entry VMs
     #[bpaf(argument("N"), fallback(LoadOptions::default().vms), display_fallback)]
     vms: usize,
-    /// By how much all that a request takes is shorter than in the deployment
+    /// Factor by which run times, load times and class targets are shorter than in the deployment
     #[bpaf(argument("X"), fallback(LoadOptions::default().speed), display_fallback)]
     speed: f64,
-    /// By how much more often requests arrive besides
+    /// Factor by which requests arrive more often, on top of the speed
     #[bpaf(argument("X"), fallback(LoadOptions::default().compression), display_fallback)]
     compression: f64,
-    /// Seconds before the measured ones
+    /// Seconds of warm-up before the measurement
     #[bpaf(argument("S"), fallback(LoadOptions::default().warm_up.as_secs()), display_fallback)]
     warm_up: u64,
-    /// Seconds that are measured
+    /// Seconds of the measurement
     #[bpaf(argument("S"), fallback(LoadOptions::default().measured.as_secs()), display_fallback)]
     seconds: u64,
-    /// Most requests in progress at once
+    /// Maximum number of requests in progress at once
     #[bpaf(argument("N"), fallback(LoadOptions::default().client_threads), display_fallback)]
     clients: usize,
-    /// Directory for the processes' output
+    /// Directory for the output of the processes
     #[bpaf(argument("DIR"))]
     logs: Option<PathBuf>,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Runs all cases and returns whether what must never happen did not happen.
+/// Runs the cases, prints the results, and returns whether no run violated an invariant.
 fn compare(arguments: &Arguments) -> Result<bool> {
     let deployment = Deployment::read(&arguments.deployment);
     let deployment = deployment.map_err(|error| Error::failed(error.to_string()))?;
