--- a/crates/load-tool/src/bin/overhead.rs
+++ b/crates/load-tool/src/bin/overhead.rs
@@ -1,4 +1,5 @@
-//! `overhead` measures what a VM adds to a request, against the stand-in engine asked directly.
+//! Measures the latency that a VM adds to a request, compared with direct requests to the stand-in
+//! engine.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -14,20 +15,21 @@
 use apricotdale_load_tool::overhead::Way;
 use apricotdale_load_tool::process_cost::load_average;
 
-/// How long the first request may take, which waits for the model's load.
+/// Timeout of the first request, which waits until an engine has loaded the model.
 const WARM_UP_MS: u64 = 60_000;
 
-/// The percentiles that are printed.
+/// Percentiles printed for each kind of latency.
 const PERCENTILES: &[f64] = &[50.0, 95.0, 99.0];
 
-/// Measures the time that a VM adds to whole and streamed requests. Both ways are asked in turn.
+/// Measures the latency that a VM adds to unstreamed and streamed requests. Requests alternate
+/// between the direct route and the route through the VM.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
-    /// Pairs of requests on each way.
+    /// Number of unstreamed and of streamed requests on each route.
     #[bpaf(argument("N"), fallback(300))]
     requests: u32,
-    /// Tokens of an answer.
+    /// Number of tokens in an answer.
     #[bpaf(argument("N"), fallback(16))]
     tokens: u32,
 }
