--- a/crates/load-tool/src/load/mod.rs
+++ b/crates/load-tool/src/load/mod.rs
@@ -1,9 +1,9 @@
-//! Load on a whole deployment of real processes, driven open-loop and measured from the outside.
+//! Load test of a deployment of real processes, open-loop and measured from the callers' side.
 //!
-//! Models, requests and their times are those of the policy replay's trace. The requests leave by
-//! schedule, whatever became of earlier ones, and every wait is counted from the scheduled arrival.
-//! A client that sends its next request only after an answer would send least while the system is
-//! slowest, and its latencies would look good.
+//! Models, requests and arrival times come from the policy replay's trace. Requests are sent at
+//! their scheduled times whether or not earlier ones have been answered, and every latency counts
+//! from the scheduled arrival. A closed-loop client, which sends its next request only after an
+//! answer, would send least while the system is slowest and would understate the latencies.
 
 pub mod answer_check;
 pub mod balancer;
