--- a/crates/load-tool/src/load/case.rs
+++ b/crates/load-tool/src/load/case.rs
@@ -1,4 +1,4 @@
-//! The cases of a load run: what goes wrong, and when.
+//! Cases of a load run: the faults and load surges it injects, and when.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -10,49 +10,50 @@
 use crate::errors::Error;
 use crate::load::scale::Scale;
 
-/// The part of the measured time in which callers ask for too much.
+/// Begin and end of the load surge, as shares of the measured time.
 const CROWD_SHARES: (f64, f64) = (1.0 / 3.0, 2.0 / 3.0);
 
-/// When the other faults come, as a share of the measured time.
+/// Time at which all other faults begin, as a share of the measured time.
 const FAULT_SHARE: f64 = 0.4;
 
-/// How long a killed VM is away.
+/// Time from the kill of a VM to its restart.
 pub const KILLED_FOR: Duration = Duration::from_secs(5);
 
-/// How long the log is down.
+/// Time for which the log is unavailable.
 pub const OUTAGE: Duration = Duration::from_secs(10);
 
-/// `Case` is one case of a load run.
+/// Scenario of a load run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// Nothing goes wrong.
+    /// No fault and no load surge.
     Usual,
-    /// For a third of the time callers ask for twice the work that the engines can do besides.
+    /// For the middle third of the measured time, callers request twice the work that all engines
+    /// can do, in addition to the usual requests.
     Overload,
-    /// One VM is killed, and started anew after a while.
+    /// One VM is killed and restarted 5 s later.
     VmKilled,
-    /// The log is down for a while.
+    /// The log is unavailable for 10 s.
     LogOutage,
 }
 
-/// `Fault` is what is done to the processes.
+/// Fault injected into the processes, or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// One VM is killed.
+    /// Kills one VM.
     KillVm,
-    /// It is started anew.
+    /// Restarts the killed VM.
     RestartVm,
-    /// The log goes down.
+    /// Makes the log unavailable.
     LogDown,
-    /// The log is up again.
+    /// Makes the log available again.
     LogUp,
 }
 
 impl Case {
-    /// Lists the cases.
+    /// All cases, in the order in which they run.
     pub const ALL: [Self; 4] = [Self::Usual, Self::Overload, Self::VmKilled, Self::LogOutage];
 
-    /// Returns the case's name.
+    /// Returns the name on the command line and in the output.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Usual => "usual",
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Returns the crowd of the case, in the trace's time. The stand-in engines are not slower with
-    /// a full batch, so that all their places count.
+    /// Returns the load surge of the case, with times of the trace, or none. Its work rate counts
+    /// all slots of all engines, since the stand-in engines don't slow down with a full batch.
     pub fn crowd(self, deployment: &Deployment, scale: &Scale) -> Option<Crowd> {
         if self != Self::Overload {
             return None;
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Returns the faults of the case and when they come.
+    /// Returns the faults of the case with their times since the start of the run.
     pub fn faults(self, scale: &Scale) -> Vec<(Duration, Fault)> {
         let begin = scale.moment(FAULT_SHARE);
         match self {
