--- a/crates/load-tool/src/load/effects.rs
+++ b/crates/load-tool/src/load/effects.rs
@@ -1,4 +1,5 @@
-//! What must never happen, counted from the stand-ins' side and the callers'.
+//! Violations of the system's invariants, counted from the effects on stand-ins and from the
+//! callers' records.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,53 +20,53 @@
 use crate::load::schedule::Planned;
 use crate::load::schedule::Work;
 
-/// `Effects` is what the stand-ins count at the end of a run.
+/// Effects counted by the stand-ins until the end of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Effects {
-    /// Those of each engine.
+    /// Effects on each engine.
     pub engines: Vec<EngineEffects>,
-    /// Those of each instance of the service.
+    /// Effects on each instance of the plain service.
     pub services: Vec<ServiceEffects>,
-    /// Loads that the tool itself ordered before the run, by model.
+    /// Number of loads that the load tool itself ordered before the run, by model.
     pub loads_before: BTreeMap<String, u64>,
-    /// Loads that replay of the control stream accepted, by model.
+    /// Number of loads accepted by replay of the control stream, by model.
     pub decided: BTreeMap<String, u64>,
 }
 
-/// `KilledVm` is a VM that was killed during the run.
+/// VM killed during the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KilledVm {
-    /// Its index.
+    /// Index of the VM.
     pub vm: usize,
-    /// When it still ran.
+    /// Time just before the kill, since the start of the run.
     pub from: Duration,
-    /// When it had ended.
+    /// Time at which the process had ended, since the start of the run.
     pub to: Duration,
 }
 
-/// `Violations` counts what must never happen.
+/// Number of violations of each invariant. All of them are zero in a correct run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
-    /// Cut orders that ran more than once.
+    /// Cut orders that a service executed more than once.
     pub calls_run_again: u64,
-    /// Loads that were begun without room for them.
+    /// Loads that an engine began without enough free memory.
     pub overcommitted: u64,
-    /// Loads that engines carried out beyond those decided.
+    /// Loads executed by engines beyond those accepted by replay of the control stream.
     pub loads_above_decided: u64,
-    /// Answers that began and were not whole.
+    /// Answers that began and ended incomplete.
     pub answers_cut: u64,
-    /// Answers with a part that is not the request's own.
+    /// Answers with a part that belongs to another request, or with a part missing.
     pub answers_foreign: u64,
-    /// Requests that ended without an answer or a refusal.
+    /// Requests that ended with neither an answer nor a refusal.
     pub answers_missing: u64,
-    /// Requests refused as not run that ran.
+    /// Requests refused with the statement that they did not run, although they did.
     pub untrue_refusals: u64,
-    /// Answers that are neither successes nor refusals, though no upstream sends such ones.
+    /// Answers that are neither successes nor refusals by the system; no stand-in sends these.
     pub answers_strange: u64,
 }
 
 impl Effects {
-    /// Reads what the stand-ins of a cluster count.
+    /// Reads the counts from the stand-ins and the control stream of a cluster.
     ///
     /// # Errors
     ///
@@ -85,12 +86,12 @@
         })
     }
 
-    /// Returns the loads that were decided.
+    /// Returns the number of loads accepted by replay of the control stream.
     pub fn decided_loads(&self) -> u64 {
         self.decided.values().sum()
     }
 
-    /// Returns the loads that engines carried out during the run.
+    /// Returns the number of loads that engines executed during the run, without those before it.
     pub fn loads_done(&self) -> u64 {
         let before: u64 = self.loads_before.values().sum();
         self.loads().values().sum::<u64>().saturating_sub(before)
@@ -102,7 +103,7 @@
 }
 
 impl Violations {
-    /// Counts the violations of a run.
+    /// Counts the violations of a run. Answers lost with the killed VM are none.
     pub fn count(
         effects: &Effects,
         schedule: &[Planned],
@@ -129,7 +130,7 @@
         counted
     }
 
-    /// Returns each count with its name.
+    /// Returns each count with its printed name.
     pub fn entries(&self) -> [(&'static str, u64); 8] {
         [
             ("calls_run_again", self.calls_run_again),
@@ -143,13 +144,14 @@
         ]
     }
 
-    /// Returns whether nothing was counted.
+    /// Returns whether there are no violations.
     pub fn none(&self) -> bool {
         self.entries().iter().all(|(_, count)| *count == 0)
     }
 }
 
-/// Returns whether the VM that was killed took a request's answer with it, which no VM can prevent.
+/// Returns whether an answer was lost because its VM was killed while the request was in progress
+/// there. No software on the VM can prevent that.
 pub fn is_lost_with(record: &Record, killed: Option<KilledVm>) -> bool {
     let was_there = |killed: KilledVm| {
         record.vm == killed.vm && record.sent <= killed.to && record.ended >= killed.from
@@ -157,7 +159,7 @@
     record.ending.is_lost() && killed.is_some_and(was_there)
 }
 
-/// Returns the loads that each engine carried out so far, by model.
+/// Returns the number of loads that the engines have executed so far, by model.
 ///
 /// # Errors
 ///
