--- a/crates/load-tool/src/load/record.rs
+++ b/crates/load-tool/src/load/record.rs
@@ -1,62 +1,63 @@
-//! What became of one request.
+//! Record of one request as its caller saw it.
 
 use std::time::Duration;
 
 use apricotdale_launcher::answer::RefusedAnswer;
 
-/// `Record` is what became of one request, with times since the beginning of the run.
+/// Outcome of one request for its caller. Times count from the start of the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The request, by its index in the schedule.
+    /// Index of the request in the schedule.
     pub planned: usize,
-    /// The index of the VM that took it, or of the last one tried.
+    /// Index of the VM that accepted the connection, or of the last one tried if none did.
     pub vm: usize,
-    /// When it was sent.
+    /// Time at which the request was sent first.
     pub sent: Duration,
-    /// When its answer began: the first event of a stream, the whole of any other answer.
+    /// Time at which the first event of a stream or the complete unstreamed answer arrived; none
+    /// if there was no such event or answer.
     pub first: Option<Duration>,
-    /// When it ended.
+    /// Time at which the answer, or the attempt to get one, ended.
     pub ended: Duration,
-    /// The times between two events, in microseconds.
+    /// Times between consecutive events of a stream, in microseconds.
     pub gaps_us: Vec<u32>,
-    /// The identity that the VM gave it, or empty.
+    /// Request ID assigned by the VM, or empty if no answer carried one.
     pub identity: String,
-    /// The engine that answered, as far as the answer says.
+    /// Engine that answered, or none if the answer does not name it.
     pub engine: Option<String>,
-    /// How often it was sent again by its caller, after an answer that was lost.
+    /// Number of times that the caller sent the request again because the answer was lost.
     pub repeats: u32,
-    /// When a refusal said to come back.
+    /// Delay after which a refusal allows a retry; none if there was no refusal or it names none.
     pub retry_after: Option<Duration>,
-    /// Whether its caller had been refused before and came back.
+    /// Whether this request is the retry of a caller that was refused before.
     pub is_return: bool,
-    /// How it ended.
+    /// How the request ended.
     pub ending: Ending,
 }
 
-/// `Ending` is how a request ended for its caller.
+/// End of a request as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer came, and all of it is the request's own.
+    /// The answer is complete, and all of it belongs to the request.
     Whole,
-    /// The request was refused in place of an answer.
+    /// The request was refused before any part of an answer.
     Refused(RefusedAnswer),
-    /// The answer began and did not end whole.
+    /// The answer began and ended incomplete; holds the reason.
     Cut(String),
-    /// A part of the answer is not the request's own, or is missing.
+    /// A part of the answer belongs to another request or is missing; holds the mismatch.
     Foreign(String),
-    /// No answer began.
+    /// No answer began; holds the error.
     NoAnswer(String),
-    /// An answer came that is neither a success nor a refusal of the system's own.
+    /// The answer is neither a success nor a refusal by the system; holds its HTTP status.
     Strange(u16),
 }
 
 impl Ending {
-    /// Returns whether the connection ended before the answer did.
+    /// Returns whether the connection ended before the answer was complete.
     pub fn is_lost(&self) -> bool {
         matches!(self, Self::Cut(_) | Self::NoAnswer(_))
     }
 
-    /// Returns the refusal, if it is one.
+    /// Returns the refusal, or none if the request was not refused.
     pub fn refusal(&self) -> Option<&RefusedAnswer> {
         match self {
             Self::Refused(refusal) => Some(refusal),
