--- a/crates/load-tool/src/load/client.rs
+++ b/crates/load-tool/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One caller's request: sent to a VM, its answer read, timed and checked.
+//! Client that sends a request to a VM and reads, times and checks the answer.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -28,32 +28,32 @@
 use crate::load::schedule::Planned;
 use crate::load::schedule::Work;
 
-/// The longest time that a caller waits for the end of an answer. It is far above every target and
-/// only ends a hanging run.
+/// Timeout of a complete answer. It is far above every class target and only ends a request that
+/// hangs.
 const ANSWER_LIMIT: Duration = Duration::from_secs(120);
 
-/// How often a caller sends a cut order again whose answer was lost, and the pause before that.
+/// Limit and pause for sending a cut order with an idempotency key again after a lost answer.
 const MOST_REPEATS: u32 = 100;
 const REPEAT_PAUSE: Duration = Duration::from_millis(100);
 
-/// The length of the prompts' common beginnings, which is beyond what engines cache.
+/// Length of the common prefixes of prompts in characters, beyond the prefix that engines cache.
 const PREFIX_LENGTH: usize = 300;
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// `Catalog` is the names that requests carry, by index.
+/// Names that requests carry, by their index in the trace or deployment.
 #[derive(Clone, Debug)]
 pub struct Catalog {
-    /// The models.
+    /// Names of the models.
     pub models: Vec<String>,
-    /// The classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// The plain service.
+    /// Name of the plain service.
     pub service: String,
 }
 
-/// `Client` sends requests. Each has a connection of its own, so that the end of a VM is seen by
-/// the requests that are in progress there and by no other.
+/// Client that opens a connection for each request, so that the death of a VM affects only the
+/// requests in progress there.
 #[derive(Clone, Debug)]
 pub struct Client {
     agent: Agent,
@@ -65,7 +65,7 @@
 type Sent = Result<Response<Body>, ureq::Error>;
 
 impl Client {
-    /// Returns a client.
+    /// Returns a client that sends to the VMs of `balancer` and takes times from `clock`.
     pub fn new(balancer: Arc<Balancer>, clock: RunClock, catalog: Arc<Catalog>) -> Self {
         let agent = Agent::config_builder()
             .proxy(None)
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Sends a request and returns what became of it. A cut order under a key whose answer was lost
-    /// is sent again under its key, as its caller would.
+    /// Sends a request and returns its record. A cut order with an idempotency key is sent again
+    /// under the same key if its answer is lost, as a real caller would do.
     pub fn send(&self, index: usize, planned: &Planned) -> Record {
         let mut record = self.send_once(index, planned, planned.vm);
         while must_repeat(planned, &record) {
@@ -245,7 +245,7 @@
     }
 }
 
-/// Returns how a request ended, after what its answer looks like and what its content says.
+/// Returns how a request ended, from the framing of its answer and from the check of its content.
 fn ending_of(
     outcome: Outcome,
     wrong: Option<String>,
@@ -271,7 +271,7 @@
     }
 }
 
-/// Returns the path of a call to the service, below it.
+/// Returns the path of a call below the service, or an empty one for a completion.
 fn call_path(work: &Work) -> String {
     match work {
         Work::Completion { .. } => String::new(),
@@ -280,7 +280,7 @@
     }
 }
 
-/// Returns the name under which a stand-in service counts a call.
+/// Returns the name under which a stand-in service counts a call, or an empty one for a completion.
 pub fn call_name(work: &Work) -> String {
     match work {
         Work::Completion { .. } => String::new(),
@@ -289,7 +289,7 @@
     }
 }
 
-/// Returns the idempotency key of a cut order.
+/// Returns the idempotency key under which a cut order is sent.
 pub fn idempotency_key(order: u64) -> String {
     format!("cut-order-{order}")
 }
@@ -310,7 +310,7 @@
     record.repeats < MOST_REPEATS && (record.ending.is_lost() || (record.repeats > 0 && still_runs))
 }
 
-/// Returns whether a request certainly reached nobody.
+/// Returns whether a request certainly reached no VM, so that it may go to another one.
 fn never_connected(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(error) => error.kind() == ErrorKind::ConnectionRefused,
@@ -319,7 +319,7 @@
     }
 }
 
-/// Returns when a refusal says to come back.
+/// Returns the delay after which a refusal allows a retry, or none if the body names none.
 fn retry_after(body: &str) -> Option<Duration> {
     let problem: Value = serde_json::from_str(body).ok()?;
     let after_ms = problem["retry_after_ms"].as_u64()?;
