--- a/crates/load-tool/src/load/timeline.rs
+++ b/crates/load-tool/src/load/timeline.rs
@@ -1,33 +1,33 @@
-//! Which models engines held over a run, and what was in use of that.
+//! Models held by the engines over the time of a run, and how long their memory was idle.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// `Held` is a model in an engine's memory.
+/// Model in an engine's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Whether it can serve.
+    /// Whether the model can serve; false while it loads or unloads.
     pub loaded: bool,
-    /// The memory it takes.
+    /// Memory that the model occupies on the engine, in bytes.
     pub bytes: u64,
 }
 
-/// `Use` is a stretch of time in which a request was on a model at an engine.
+/// Interval in which a request occupied a model on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Use {
-    /// The engine.
+    /// Name of the engine.
     pub engine: String,
-    /// The model, and the adapter's base if it is one.
+    /// Names of the requested model and, if that is an adapter, of its base.
     pub models: Vec<String>,
-    /// When it began.
+    /// Begin of the interval, since the start of the run.
     pub from: Duration,
-    /// When it ended.
+    /// End of the interval, since the start of the run.
     pub to: Duration,
 }
 
-/// `Timeline` is what each engine held from when on.
+/// Models held by each engine, with the time of each change since the start of the run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Timeline {
     engines: BTreeMap<String, Vec<(Duration, Vec<Held>)>>,
@@ -35,7 +35,8 @@
 }
 
 impl Timeline {
-    /// Notes what an engine holds at a moment. The moments of one engine must not go back.
+    /// Records the models that an engine holds at time `at`. The times of one engine must not
+    /// decrease.
     pub fn note(&mut self, at: Duration, engine: &str, held: Vec<Held>) {
         self.end = self.end.max(at);
         let states = self.engines.entry(engine.to_owned()).or_default();
@@ -44,13 +45,13 @@
         }
     }
 
-    /// Returns the last moment that was noted.
+    /// Returns the latest recorded time of any engine.
     pub fn end(&self) -> Duration {
         self.end
     }
 
-    /// Returns the first moment from a given one on at which an engine could serve a model, or none
-    /// if there is no such moment.
+    /// Returns the first time from `from` on at which an engine could serve a model, or none if no
+    /// engine could until the end.
     pub fn first_loaded(&self, model: &str, from: Duration) -> Option<Duration> {
         let spans = self.engines.keys().flat_map(|engine| self.spans(engine));
         spans
@@ -59,8 +60,8 @@
             .min()
     }
 
-    /// Returns for how long accelerators held models that no request was on, weighted by the share
-    /// of an accelerator's memory, between two moments.
+    /// Returns how long engines held models that served no request between `from` and `to`, each
+    /// model weighted by the share of `capacity_bytes` that it occupies.
     pub fn idle(
         &self,
         uses: &[Use],
@@ -87,7 +88,8 @@
         Duration::from_secs_f64(idle_s)
     }
 
-    /// Returns the stretches of time in which an engine held each model in the same way.
+    /// Returns the intervals in which the engine's set of held models did not change, one for each
+    /// model in the set.
     fn spans(&self, engine: &str) -> impl Iterator<Item = (Duration, Duration, &Held)> {
         let states = self.engines.get(engine).map_or(&[][..], Vec::as_slice);
         let ends = states.iter().skip(1).map(|(at, _)| *at).chain([self.end]);
@@ -98,7 +100,7 @@
     }
 }
 
-/// Returns how much time the stretches cover together.
+/// Returns the total time covered by the intervals, counting overlaps once.
 fn covered(mut stretches: Vec<(Duration, Duration)>) -> Duration {
     stretches.sort();
     let mut covered = Duration::ZERO;
