--- a/crates/load-tool/src/load/host_caches.rs
+++ b/crates/load-tool/src/load/host_caches.rs
@@ -1,4 +1,4 @@
-//! Checkpoints on the engines' hosts at the beginning of a run.
+//! Checkpoints in the disk caches of the engines' hosts at the start of a run.
 
 use std::thread;
 use std::time::Duration;
@@ -19,22 +19,23 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// What the seed is mixed with, so that the hosts are not drawn like the schedule.
+/// Constant mixed into the seed, so that these draws are independent of the schedule's.
 const SEED_MIX: u64 = 0xcac4e;
 
-/// By how much the weight store is made faster while the caches are filled.
+/// Factor on the weight store's transfer times while the caches are filled.
 const FILLING_FACTOR: f64 = 1e-6;
 
-/// How often a load is tried that the store's rate limit refuses, and the pause between two tries.
+/// Limit and pause for repeating a load that the weight store's rate limit refuses.
 const TRIES: u32 = 100;
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// Puts the checkpoint of each model that is not only in the store onto the disk of one host, as
-/// the policy replay does, and returns how many. The engines begin a new run after that.
+/// Puts the checkpoint of each model that is not in the weight store only onto the disk of one
+/// host, as the policy replay does, and returns how many there were. Restarts all engines after
+/// that.
 ///
 /// # Errors
 ///
-/// If an engine does not take the orders.
+/// If a stand-in can't be reached, or an engine keeps refusing the orders.
 pub fn fill(cluster: &Cluster, trace: &Trace, seed: u64) -> Result<usize> {
     let mut source = ChaCha8Rng::seed_from_u64(seed ^ SEED_MIX);
     let engines = cluster.engines();
@@ -48,7 +49,7 @@
     }
     weights.fault(&json!({"mode": "up"}))?;
     for (_, engine) in engines {
-        // A new run forgets the checkpoints in memory and keeps those on disk.
+        // A restarted engine loses the checkpoints in memory and keeps those on disk.
         engine.fault(&json!({"restart": true}))?;
     }
     Ok(filled)
@@ -59,7 +60,7 @@
         let fence = engine.engine_status()?.highest_fence;
         let load = LoadOrder {
             model: model.model.clone(),
-            // The base does not matter to the host, and would have to be loaded first.
+            // Loading without the base caches the same checkpoint, and the base need not be loaded.
             base: None,
             bytes: model.bytes,
             fence,
