--- a/crates/load-tool/src/load/report.rs
+++ b/crates/load-tool/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The lines that are printed.
+//! Printed comparison of two runs of a case.
 
 use apricotdale_policy_replay::compare::Line;
 
@@ -6,7 +6,7 @@
 use crate::load::measures::Results;
 use crate::load::run::RunReport;
 
-/// Returns a line for each measure of a case, each for both sets of policies.
+/// Returns a line for each measure of a case, with the values under both sets of policies.
 pub fn comparison(
     deployment: &str,
     case: Case,
@@ -36,15 +36,15 @@
         .collect()
 }
 
-/// Returns the results with the counts of what must never happen behind them.
+/// Returns the results, followed by the number of violations of each invariant.
 fn with_effects(report: &RunReport) -> Results {
     let effects = report.violations.entries().into_iter();
     let effects = effects.map(|(name, count)| (format!("effects.{name}"), count as f64));
     report.results.iter().cloned().chain(effects).collect()
 }
 
-/// Returns the names of two sets of results, in the order of the first as far as it goes. A reason
-/// of refusals may be in one of them only.
+/// Returns the names in either set of results, in the order of `before`; names only in `after`
+/// follow their predecessor there. A refusal reason may occur in only one of the sets.
 fn names(before: &Results, after: &Results) -> Vec<String> {
     let mut names: Vec<String> = before.iter().map(|(name, _)| name.clone()).collect();
     for (index, (name, _)) in after.iter().enumerate() {
