--- a/crates/load-tool/src/load/returning.rs
+++ b/crates/load-tool/src/load/returning.rs
@@ -1,20 +1,20 @@
-//! Which refused callers come back, and when.
+//! Retries by callers that were refused.
 
 use std::time::Duration;
 
 use crate::load::record::Record;
 use crate::load::scale::Scale;
 
-/// What a refusal says of a request that did not run.
+/// Value of a refusal's `ran` for a request that did not run.
 pub const NOT_RUN: &str = "not_run";
 
-/// When a refused caller comes back if the refusal does not say, in the deployment's time, as in the
-/// policy replay.
+/// Retry delay of a caller if the refusal names none, in the deployment's time and as in the policy
+/// replay.
 const RETURN_MS: u64 = 5_000;
 
-/// `Returning` decides which refused callers come back. As in the policy replay every other one
-/// does, once, when the refusal said. Its second try is not measured, but it shows the system that
-/// the model is still asked for.
+/// Rule by which refused callers retry. As in the policy replay, every other caller retries once,
+/// after the delay named by the refusal. The retry is not measured, but it shows the system that
+/// there is still demand for the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Returning {
     unsaid: Duration,
@@ -22,7 +22,7 @@
 }
 
 impl Returning {
-    /// Returns the decision for a run.
+    /// Returns the rule for a run with the given scale.
     pub fn new(scale: &Scale) -> Self {
         Self {
             unsaid: Duration::from_millis(scale.time_ms(RETURN_MS)),
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Returns when the caller of a request comes back, or none if it does not.
+    /// Returns when the caller of a request retries, since the start of the run. None if it does
+    /// not: the request was not refused or may have run, or the retry would be after the run.
     pub fn moment(&self, record: &Record) -> Option<Duration> {
         let refusal = record.ending.refusal()?;
         if refusal.ran != NOT_RUN || !record.planned.is_multiple_of(2) {
