--- a/crates/load-tool/src/load/run.rs
+++ b/crates/load-tool/src/load/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts the processes, sends the schedule, sets the faults, measures.
+//! One load run: starts the processes, sends the schedule, injects the faults and measures.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -55,39 +55,41 @@
 use crate::load::watch::Watched;
 use crate::process_cost::load_average;
 
-/// The VM that is killed in the case of that name.
+/// Index of the VM killed in the case `vm-killed`.
 const KILLED_VM: usize = 1;
 
-/// A request that is sent later than this counts as late.
+/// Delay beyond which a request counts as sent late.
 const TOLERATED_DELAY: Duration = Duration::from_millis(20);
 
-/// How many bad endings a report shows.
+/// Maximum number of different bad endings in a report.
 const SHOWN_ENDINGS: usize = 5;
 
-/// `RunReport` is what a run gave.
+/// Outcome of one run.
 #[derive(Clone, Debug)]
 pub struct RunReport {
-    /// What was measured.
+    /// Measured values.
     pub results: Results,
-    /// What must never happen.
+    /// Number of violations of each invariant.
     pub violations: Violations,
-    /// Some of the endings that count among the violations.
+    /// Some of the endings that are neither complete answers nor refusals, with their counts. They
+    /// include answers lost with a killed VM, which are no violations.
     pub bad_endings: Vec<String>,
-    /// The models that were asked for and never loaded, with the requests that waited in vain.
+    /// Models that were requested but not loaded before the end, with the number of measured
+    /// requests that found them not loaded.
     pub never_loaded: BTreeMap<String, u32>,
-    /// How far the tool fell behind its schedule.
+    /// Delay of the load tool itself against its schedule.
     pub lateness: Lateness,
-    /// Requests sent, the warm-up's included.
+    /// Number of requests sent, with those of the warm-up and retries by callers.
     pub sent: usize,
-    /// The machine's load average over one minute, before the run and at its end.
+    /// Load average of the machine over one minute, before and after the run.
     pub load_average: (f32, f32),
-    /// What was seen of the processes.
+    /// Peak resident memory of all processes together, in bytes.
     pub most_resident_bytes: u64,
-    /// The most processes at once.
+    /// Peak number of processes, the load tool included.
     pub most_processes: usize,
 }
 
-/// `Run` is one run of a case.
+/// One run of a case, with its requests drawn in advance.
 #[derive(Debug)]
 pub struct Run<'a> {
     deployment: &'a Deployment,
@@ -98,14 +100,14 @@
     schedule: Arc<Vec<Planned>>,
 }
 
-/// `Happened` is what the faults' side of a run brings.
+/// Counts and faults collected by the thread that injects the faults.
 #[derive(Debug, Default)]
 struct Happened {
     counts: DaemonCounts,
     killed: Option<KilledVm>,
 }
 
-/// `Step` is what the faults' side does at a moment.
+/// Action of the thread that injects the faults.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     BeginMeasuring,
@@ -114,7 +116,7 @@
 }
 
 impl<'a> Run<'a> {
-    /// Returns a run whose requests are drawn and not sent yet.
+    /// Draws the requests of a run without sending any.
     pub fn new(deployment: &'a Deployment, options: &'a LoadOptions, case: Case) -> Self {
         let scale = Scale::new(options);
         let until_ms = scale.trace_at_ms(1.0) as u64;
@@ -131,12 +133,12 @@
         }
     }
 
-    /// Carries out the run with a set of policies. The processes are shown to `prepare` before they
-    /// start.
+    /// Executes the run with a set of policies. `prepare` receives the handle of the processes
+    /// before any of them starts.
     ///
     /// # Errors
     ///
-    /// If the processes can't be started or read, or take too much memory.
+    /// If the processes can't be started or reached, or use more than half of the machine's memory.
     pub fn carry_out(
         &self,
         policies: PolicyChoice,
@@ -237,7 +239,7 @@
         Ok(in_force?)
     }
 
-    /// Sends the schedule, and sets the faults beside that.
+    /// Sends the schedule and injects the faults at the same time.
     fn send_and_disturb(
         &self,
         cluster: &mut Cluster,
@@ -312,7 +314,7 @@
         let vm = &names[KILLED_VM % names.len()];
         match fault {
             Fault::KillVm => {
-                // What the killed process has counted ends with it.
+                // The counters of the process are lost when it is killed.
                 happened.counts += DaemonCounts::read(cluster, vm)?;
                 let from = clock.now();
                 cluster.kill(vm)?;
@@ -346,7 +348,7 @@
     }
 }
 
-/// Returns some of the endings that are neither whole answers nor refusals, each with its number.
+/// Returns some of the endings that are neither complete answers nor refusals, with their counts.
 fn bad_endings(records: &[Record]) -> Vec<String> {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for record in records {
