--- a/crates/load-tool/src/load/daemon_counts.rs
+++ b/crates/load-tool/src/load/daemon_counts.rs
@@ -1,4 +1,4 @@
-//! What the daemons of a run count themselves.
+//! Counters read from the metrics of a run's daemons.
 
 use std::ops::AddAssign;
 
@@ -10,17 +10,17 @@
 const RETRIES: &str = "apricotdale_retry_decisions_total{decision=\"retry\"";
 const IDLE: &str = "apricotdale_idle_accelerator_seconds_total";
 
-/// `DaemonCounts` is what daemons have counted, added up.
+/// Sums of counters over daemons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DaemonCounts {
-    /// Tries at upstreams that were repeated.
+    /// Number of decisions to retry a failed attempt at an upstream.
     pub retries: u64,
-    /// Seconds during which an engine held a model and served nobody.
+    /// Seconds during which an engine held a model and served no request.
     pub idle_engine_s: u64,
 }
 
 impl DaemonCounts {
-    /// Reads the counts of one VM.
+    /// Reads the counters of one VM's daemon.
     ///
     /// # Errors
     ///
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Reads the counts of all VMs.
+    /// Reads the counters of all VMs' daemons and adds them up.
     ///
     /// # Errors
     ///
