--- a/crates/load-tool/src/load/schedule.rs
+++ b/crates/load-tool/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! Which requests a run sends, when and where, drawn from a seed before the run begins.
+//! Schedule of a run's requests, drawn from a seed before the run begins.
 
 use std::time::Duration;
 
@@ -13,71 +13,71 @@
 use crate::load::options::LoadOptions;
 use crate::load::scale::Scale;
 
-/// What the schedule's own draws mix into the seed, so that they are not those of the trace.
+/// Constant mixed into the seed, so that these draws are independent of the trace's.
 const SEED_MIX: u64 = 0x10ad;
 
-/// The time between two tokens of an answer, in the deployment's time.
+/// Time between two tokens of an answer, in the deployment's time.
 pub const TOKEN_GAP_MS: u64 = 50;
 
-/// Share of the calls to models whose answers are no streams.
+/// Share of completions whose answers are not streamed.
 const WHOLE_SHARE: f64 = 0.2;
 
-/// Shares of the calls to the plain service. The rest are cut orders without a key.
+/// Shares of the calls to the plain service. The remainder are cut orders without a key.
 const LOOK_SHARE: f64 = 0.6;
 const KEYED_SHARE: f64 = 0.25;
 
-/// Share of the cut orders under a key that their caller sends twice, at two VMs.
+/// Share of the cut orders with a key that their caller sends twice, to two VMs.
 const REPEATED_SHARE: f64 = 0.4;
 
-/// How long after the first one a repeated cut order is sent, at most.
+/// Maximum delay of the duplicate of a cut order after the first one.
 const REPEAT_WITHIN: Duration = Duration::from_millis(400);
 
-/// `Work` is what a request asks for.
+/// Operation that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// An answer of a model.
+    /// A completion by a model.
     Completion {
-        /// The model, by its index in the trace.
+        /// Index of the model in the trace.
         model: usize,
-        /// Which of its prompts' prefixes the prompt begins with.
+        /// Number of the common prefix with which the prompt begins.
         prefix: u64,
-        /// The length of the answer.
+        /// Length of the answer, in tokens.
         tokens: u32,
-        /// Whether the answer is a stream.
+        /// Whether the answer is streamed.
         stream: bool,
     },
-    /// A look at the shelf, which may be repeated.
+    /// A lookup of a bundle on the shelf, which is idempotent.
     Look {
-        /// The number of the bundle.
+        /// Number of the bundle.
         bundle: u64,
     },
-    /// A cut order, which must not run twice.
+    /// A cut order, which must not be executed twice.
     CutOrder {
-        /// The number of the order.
+        /// Number of the order.
         order: u64,
-        /// Whether it is sent under an idempotency key.
+        /// Whether the order is sent with an idempotency key.
         keyed: bool,
     },
 }
 
-/// `Planned` is one request of the schedule.
+/// Request of the schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Planned {
-    /// When it is sent.
+    /// Scheduled time of sending, since the start of the run.
     pub at: Duration,
-    /// The index of the VM that it is sent to.
+    /// Index of the VM that the request is sent to first.
     pub vm: usize,
-    /// The index of its class.
+    /// Index of the request class in the deployment.
     pub class: usize,
-    /// Its caller.
+    /// Number of the caller.
     pub caller: u32,
-    /// What it asks for.
+    /// Operation that the request asks for.
     pub work: Work,
-    /// Whether it is a cut order that its caller has sent already.
+    /// Whether the request is a caller's duplicate of a cut order that is also in the schedule.
     pub is_repetition: bool,
 }
 
-/// Returns the requests of a run in order of time.
+/// Returns the requests of a run, ordered by time.
 pub fn schedule(trace: &Trace, scale: &Scale, options: &LoadOptions) -> Vec<Planned> {
     let mut source = ChaCha8Rng::seed_from_u64(options.seed ^ SEED_MIX);
     let mut planned = Vec::new();
@@ -121,13 +121,13 @@
     }
 }
 
-/// Returns the length of an answer that runs as long as the trace says.
+/// Returns the number of tokens that takes an engine as long to generate as the trace says.
 fn tokens(request: &TraceRequest) -> u32 {
     let after_first_ms = request.run_ms.saturating_sub(request.first_token_ms);
     u32::try_from(after_first_ms / TOKEN_GAP_MS + 1).unwrap_or(u32::MAX)
 }
 
-/// Returns the same request once more at another VM, for some of the orders under a key.
+/// Draws whether a cut order with a key is sent twice, and returns the duplicate for another VM.
 fn repetition(first: &Planned, vms: usize, source: &mut ChaCha8Rng) -> Option<Planned> {
     let repeats = matches!(first.work, Work::CutOrder { keyed: true, .. });
     if !repeats || !source.random_bool(REPEATED_SHARE) {
