--- a/crates/load-tool/src/load/balancer.rs
+++ b/crates/load-tool/src/load/balancer.rs
@@ -1,24 +1,25 @@
-//! The platform's balancer, as far as a caller needs it.
+//! Simulation of the platform's load balancer within the load tool.
 
 use std::net::SocketAddr;
 use std::sync::RwLock;
 
-/// `Balancer` knows where the VMs are. It does not know which of them runs: a connection that is
-/// refused goes to the next VM.
+/// Addresses of the VMs. There are no health checks: a client whose connection is refused goes to
+/// the next VM.
 #[derive(Debug)]
 pub struct Balancer {
     addresses: RwLock<Vec<SocketAddr>>,
 }
 
 impl Balancer {
-    /// Returns a balancer over VMs in the given order.
+    /// Returns a balancer of the VMs at the given addresses.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         Self {
             addresses: RwLock::new(addresses),
         }
     }
 
-    /// Returns the VMs to try for a request, in order, with their indexes.
+    /// Returns the indexes and addresses of all VMs, in the order in which to try them, from VM
+    /// `first` on.
     pub fn route(&self, first: usize) -> Vec<(usize, SocketAddr)> {
         let addresses = self.addresses.read().expect("no holder of the lock panics");
         let count = addresses.len();
@@ -27,7 +28,7 @@
             .collect()
     }
 
-    /// Notes that a VM is at another address from now on.
+    /// Replaces the address of a VM, after its restart.
     pub fn replace(&self, vm: usize, address: SocketAddr) {
         let mut addresses = self
             .addresses
