--- a/crates/load-tool/src/overhead.rs
+++ b/crates/load-tool/src/overhead.rs
@@ -1,4 +1,5 @@
-//! What a VM adds to a request and to a streamed event, against the same engine asked directly.
+//! Latency that a VM adds to a request and to a streamed event, compared with direct requests to
+//! the same engine.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -12,33 +13,32 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The longest time that is told apart, in microseconds.
+/// Upper bound of the histograms; longer times are recorded as this one.
 const MOST_US: u64 = 60_000_000;
 
-/// How long one request may take.
 const REQUEST_LIMIT: Duration = Duration::from_secs(30);
 
-/// `Timings` are the times of one way to the engine, in microseconds.
+/// Latencies of the requests sent over one route, in microseconds.
 pub struct Timings {
-    /// From sending a whole (not streamed) request to its whole answer.
+    /// From sending an unstreamed request to the end of its answer.
     pub whole_us: Histogram<u64>,
-    /// From sending a streamed request to its first event.
+    /// From sending a streamed request to the first event of its answer.
     pub first_event_us: Histogram<u64>,
-    /// Between two events of a stream.
+    /// Between two consecutive events of a stream.
     pub gap_us: Histogram<u64>,
 }
 
-/// `Way` is one way to the engine.
+/// Route to the engine, either direct or through a VM.
 pub struct Way {
     agent: Agent,
     url: String,
     model: String,
-    /// What was measured.
+    /// Latencies recorded so far.
     pub timings: Timings,
 }
 
 impl Way {
-    /// Returns a way to the given address.
+    /// Returns a route to the engine or VM at `address`, for requests to `model`.
     pub fn new(address: SocketAddr, model: &str) -> Self {
         let config = Agent::config_builder()
             .timeout_global(Some(REQUEST_LIMIT))
@@ -58,11 +58,12 @@
         }
     }
 
-    /// Sends one whole request and one streamed one and notes their times.
+    /// Sends one unstreamed and one streamed request for `tokens` tokens each and records their
+    /// latencies.
     ///
     /// # Errors
     ///
-    /// If one of them is not answered whole.
+    /// If one of them is refused or its answer is incomplete.
     pub fn measure(&mut self, tokens: u32) -> Result<()> {
         self.measure_whole(tokens)?;
         self.measure_stream(tokens)
