--- a/crates/load-tool/src/load/answer_check.rs
+++ b/crates/load-tool/src/load/answer_check.rs
@@ -1,12 +1,12 @@
-//! Whether an answer is whole and the request's own.
+//! Checks that an answer is complete and belongs to its request.
 //!
-//! A stand-in engine writes the request's identity and a running number into each token, and a
-//! stand-in service the call into its answer. So a caller sees a token of another request, a
-//! missing one and one that came twice, also where the envelope of the answer is right.
+//! A stand-in engine puts the request's ID and a sequence number into each token, and a stand-in
+//! service puts the call into its answer. A caller can therefore detect missing tokens, duplicate
+//! tokens and tokens of another request, even if the answer's headers are right.
 
 use serde_json::Value;
 
-/// `TokenCheck` follows the tokens of one answer.
+/// Check of the tokens of one answer.
 #[derive(Clone, Debug)]
 pub struct TokenCheck {
     identity: String,
@@ -15,7 +15,7 @@
 }
 
 impl TokenCheck {
-    /// Returns the check of an answer to the request with the given identity.
+    /// Returns the check of an answer to the request with ID `identity`, as in `X-Request-Id`.
     pub fn new(identity: &str) -> Self {
         Self {
             identity: identity.to_owned(),
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Takes in the data of an event, or the body of an answer that is no stream, and returns what
-    /// is wrong with it.
+    /// Checks the next data of an answer: those of one event, or the whole body if the answer is
+    /// not streamed. Fails if they are no JSON or hold anything but the next tokens of the request.
     pub fn take(&mut self, data: &str) -> Result<(), String> {
         let body: Value = serde_json::from_str(data).map_err(|error| error.to_string())?;
         if let Some(engine) = body["system_fingerprint"].as_str() {
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Returns what is wrong with an answer that has ended, of which so many tokens were asked.
+    /// Fails if an answer that has ended has more or fewer tokens than the request asked for.
     pub fn end(&self, tokens: u32) -> Result<(), String> {
         if self.next == tokens {
             return Ok(());
@@ -51,13 +51,13 @@
         Err(format!("{} tokens in place of {tokens}", self.next))
     }
 
-    /// Returns the engine that answered.
+    /// Returns the engine that answered, or none if no part of the answer has named it.
     pub fn engine(&self) -> Option<&str> {
         self.engine.as_deref()
     }
 }
 
-/// Returns what is wrong with the body of a service's answer to a call.
+/// Checks the body of a service's answer. Fails unless it names the call that was made.
 pub fn check_call(call: &str, body: &str) -> Result<(), String> {
     let answer: Value = serde_json::from_str(body).map_err(|error| error.to_string())?;
     let answered = answer["call"].as_str().unwrap_or_default();
