--- a/crates/load-tool/src/load/drive.rs
+++ b/crates/load-tool/src/load/drive.rs
@@ -1,4 +1,4 @@
-//! Sends the requests of a schedule at their times.
+//! Open-loop driver, which sends the requests of a schedule at their times.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -18,12 +18,13 @@
 use crate::load::returning::Returning;
 use crate::load::schedule::Planned;
 
-/// The stack of a client's thread.
+/// Stack size of a client thread, of which a run has more than a thousand by default.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Sends each request of the schedule at its time and returns the records, in order of the
-/// schedule, once all have ended. No request waits for another's answer as long as a client's
-/// thread is free; a request that had to wait for one shows that by the time at which it was sent.
+/// Sends each request of the schedule at its time, and returns the records in the order of the
+/// schedule once all requests have ended. A request is sent without regard to the answers of
+/// others as long as one of the `threads` client threads is idle. Otherwise it waits for a thread,
+/// which shows in the record's time of sending. Stops early once `stop` is set.
 ///
 /// # Errors
 ///
@@ -65,7 +66,7 @@
     Ok(records)
 }
 
-/// `Worker` is what one thread of the clients works with.
+/// State of one client thread.
 struct Worker {
     client: Client,
     clock: RunClock,
@@ -80,7 +81,7 @@
         started.map_err(|error| Error::failed(format!("starting a client: {error}")))
     }
 
-    /// Sends a request, and once more if its caller comes back.
+    /// Sends a request, and once more if its caller retries after a refusal.
     fn send(&self, index: usize) -> Vec<Record> {
         let planned = &self.schedule[index];
         let first = self.client.send(index, planned);
@@ -96,16 +97,16 @@
     }
 }
 
-/// `Lateness` is by how much the tool itself fell behind its schedule.
+/// Delay of the load tool itself against its schedule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lateness {
-    /// The largest delay of a request.
+    /// Longest delay of a request.
     pub largest: Duration,
-    /// Requests that were sent late.
+    /// Number of requests that were sent later than tolerated.
     pub late: usize,
 }
 
-/// Returns by how much requests were sent after their times.
+/// Returns how late the requests were sent. Retries by callers don't count.
 pub fn lateness(schedule: &[Planned], records: &[Record], tolerated: Duration) -> Lateness {
     let mut lateness = Lateness::default();
     for record in records.iter().filter(|record| !record.is_return) {
