--- a/crates/load-tool/src/load/cluster_options.rs
+++ b/crates/load-tool/src/load/cluster_options.rs
@@ -1,4 +1,4 @@
-//! The processes and the configuration of a run, after a deployment.
+//! Processes and configuration of a run, derived from a deployment.
 
 use std::collections::BTreeMap;
 
@@ -21,42 +21,42 @@
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// The path below the service whose calls may be repeated.
+/// Path below the service whose calls are idempotent.
 pub const SHELF: &str = "/shelf";
 
-/// One in so many engines obeys old fencing numbers; the others refuse them.
+/// Of so many engines, one accepts stale fencing tokens; the others refuse them.
 const OBEYING_ONE_IN: usize = 3;
 
-/// How old an engine's report and the list of VMs are when they are read, in the deployment's time.
+/// Age of engine reports and of the VM list when they are read, in the deployment's time.
 const LAG_MS: u64 = 1_000;
 
-/// How often engines and the list of VMs are read, in the deployment's time.
+/// Interval of reading the engine reports and the VM list, in the deployment's time.
 const READ_INTERVAL_MS: u64 = 1_000;
 
-/// The shortest interval that the daemon's settings allow.
+/// Lower bound of these intervals in the daemon's settings.
 const LEAST_INTERVAL_MS: u64 = 100;
 
-/// How long connecting to an upstream may take, as in Scaravilli's settings. Connecting is no
-/// faster in a run than in the deployment.
+/// Timeout for connecting to an upstream, as in Scaravilli's settings. It is not divided by the
+/// speed, since connecting is no faster in a run than in the deployment.
 const CONNECT_TIMEOUT_MS: u64 = 300;
 
-/// Prompt prefixes that one engine keeps, as in the policy replay.
+/// Number of prompt prefixes cached by one engine, as in the policy replay.
 const PREFIXES: usize = 48;
 
-/// One in so many cache events is lost.
+/// Of so many cache events, one is lost.
 const CACHE_GAP_EVERY: u64 = 10;
 
-/// `PolicyChoice` is the set of policies that the daemons of a run decide with.
+/// Set of policies used by the daemons of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyChoice {
-    /// Those kept for comparison.
+    /// Baseline policies, which serve for comparison.
     Baseline,
-    /// Those in use, by the daemon's defaults.
+    /// Default policies of the daemon.
     Chosen,
 }
 
 impl PolicyChoice {
-    /// Returns its name.
+    /// Returns the name in the output.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Baseline => "baseline",
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the processes of a run.
+/// Returns the processes of a run with their flags and settings.
 pub fn cluster_options(
     deployment: &Deployment,
     scale: &Scale,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Returns the edits that configure classes, models and the service.
+/// Returns the edits that configure the classes, the models of the trace and the service.
 pub fn edits(deployment: &Deployment, trace: &Trace, scale: &Scale) -> Vec<ConfigEdit> {
     let classes = deployment.classes.iter().map(|class| {
         ConfigEdit::PutClass(ClassTarget {
@@ -157,7 +157,7 @@
     let tokens_per_s = scale.rate(MS_PER_S / TOKEN_GAP_MS as f64);
     vec![
         Flag::new("checks-fence", checks_fence),
-        // An engine that refuses what does not fit would hide a wrong decision.
+        // A refusal of loads that exceed the memory would hide a wrong placement decision.
         Flag::new("overcommit-check", false),
         Flag::new("capacity-bytes", engines.capacity_bytes),
         Flag::new("slots", engines.slots),
@@ -193,8 +193,8 @@
     ]
 }
 
-/// Returns the speed at which a model of mean size loads as long as in the deployment. The
-/// stand-ins know no fixed part of a load's time.
+/// Returns the bandwidth at which a model of mean size loads in the same time as in the deployment.
+/// It includes the fixed latency of a load, which the stand-ins don't simulate.
 fn bytes_per_s(deployment: &Deployment, scale: &Scale, tier: CacheTier) -> u64 {
     let sizes = &deployment.models.sizes_bytes;
     let mean_bytes = sizes.iter().sum::<u64>() / sizes.len() as u64;
