--- a/crates/load-tool/src/load/options.rs
+++ b/crates/load-tool/src/load/options.rs
@@ -1,28 +1,27 @@
-//! What a load run is made of.
+//! Options of a load run.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// `LoadOptions` are the tunables of a load run.
+/// Options of a load run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadOptions {
-    /// The seed of the trace, of the schedule and of the policies.
+    /// Seed of the trace, the schedule and the policies.
     pub seed: u64,
-    /// Entry VMs.
+    /// Number of entry VMs.
     pub vms: usize,
-    /// By how much all that a request takes is shorter than in the deployment: run times, load
-    /// times and class targets.
+    /// Factor by which run times, load times and class targets are shorter than in the deployment.
     pub speed: f64,
-    /// By how much more often requests arrive and models wake up, besides `speed`.
+    /// Factor by which requests arrive and models become active more often, on top of `speed`.
     pub compression: f64,
-    /// How long requests are sent before any is measured.
+    /// Time for which requests are sent before the measurement.
     pub warm_up: Duration,
-    /// How long requests are sent that are measured.
+    /// Time for which requests are sent and measured.
     pub measured: Duration,
-    /// The most requests that the clients have in progress at once, each in a thread.
+    /// Maximum number of requests in progress at once, each in a thread of its own.
     pub client_threads: usize,
-    /// The directory for the processes' output, below it one for each run, or none for one that
-    /// goes away with the run.
+    /// Directory for the output of the processes, with a directory for each run; none for a
+    /// temporary one that is deleted after the run.
     pub log_dir: Option<PathBuf>,
 }
 
