--- a/crates/load-tool/src/load/measures.rs
+++ b/crates/load-tool/src/load/measures.rs
@@ -1,4 +1,4 @@
-//! What a run measures, under the names that the policy replay prints.
+//! Results of a run, under the names that the policy replay prints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,34 +24,34 @@
 const MS_PER_S: f64 = 1_000.0;
 const US_PER_MS: f64 = 1_000.0;
 
-/// The longest time that is told apart, in microseconds.
+/// Upper bound of the histograms; longer times are recorded as this one.
 const LONGEST_US: u64 = 600_000_000;
 
-/// By how much an answer or refusal may come after its target before it counts as overdue. It
-/// covers the way of the answer and the machine's own delays.
+/// Delay after the class target from which an answer or refusal counts as overdue. It allows for
+/// the transfer of the answer and for scheduling delays of the machine.
 const OVERDUE_AFTER: Duration = Duration::from_millis(250);
 
-/// `RunData` is all that was collected of a run.
+/// Data collected during a run.
 #[derive(Clone, Debug)]
 pub struct RunData {
-    /// The requests that were planned.
+    /// Requests of the schedule.
     pub schedule: Vec<Planned>,
-    /// What became of them.
+    /// Records of the requests that were sent, retries by callers included.
     pub records: Vec<Record>,
-    /// What engines held.
+    /// Models held by the engines.
     pub timeline: Timeline,
-    /// What the stand-ins count.
+    /// Effects counted by the stand-ins.
     pub effects: Effects,
-    /// What the daemons counted during the measured time.
+    /// Counters of the daemons, as increases during the measured time.
     pub counts: DaemonCounts,
-    /// The VM that was killed.
+    /// VM killed during the run, or none.
     pub killed: Option<KilledVm>,
 }
 
-/// `Results` are the results of a run by name, in the order in which they are printed.
+/// Values of a run with their names, in the order in which they are printed.
 pub type Results = Vec<(String, f64)>;
 
-/// `Measuring` works out the results of a run.
+/// Evaluation of a run's data.
 pub struct Measuring<'a> {
     deployment: &'a Deployment,
     trace: &'a Trace,
@@ -60,7 +60,7 @@
 }
 
 impl<'a> Measuring<'a> {
-    /// Returns the measuring of a run.
+    /// Returns the evaluation of a run's data.
     pub fn new(
         deployment: &'a Deployment,
         trace: &'a Trace,
@@ -75,13 +75,14 @@
         }
     }
 
-    /// Returns the violations of a run, its warm-up included.
+    /// Counts the violations during the run, its warm-up included.
     pub fn violations(&self) -> Violations {
         let data = self.data;
         Violations::count(&data.effects, &data.schedule, &data.records, data.killed)
     }
 
-    /// Returns the results.
+    /// Returns the values measured without the warm-up, but for `loads_decided` and `loads_done`,
+    /// which count the whole run.
     pub fn results(&self) -> Results {
         let mut results = Vec::new();
         self.add_cold_starts(&mut results);
@@ -106,7 +107,7 @@
         results
     }
 
-    /// Returns the records of the measured requests, without their callers' second tries.
+    /// Returns the measured requests: no warm-up, no duplicates, no retries after a refusal.
     fn measured(&self) -> impl Iterator<Item = (&Planned, &Record)> {
         let from = self.scale.moment(0.0);
         let records = self.data.records.iter();
@@ -117,8 +118,8 @@
             })
     }
 
-    /// Returns the models that were asked for and not loaded before the end, and how many requests
-    /// waited for each in vain.
+    /// Returns the models that were requested but not loaded before the end, with the number of
+    /// measured requests that found them not loaded.
     pub fn never_loaded(&self) -> BTreeMap<&str, u32> {
         let mut models = BTreeMap::new();
         for (model, _, loaded) in self.cold_starts() {
@@ -129,8 +130,8 @@
         models
     }
 
-    /// Returns the requests for models that no engine could serve when they arrived: the model, the
-    /// arrival, and when an engine could serve it.
+    /// Returns the requests for models that no engine could serve on arrival: the model, the time
+    /// of arrival, and the time from which an engine could serve it (none: not before the end).
     fn cold_starts(&self) -> impl Iterator<Item = (&str, Duration, Option<Duration>)> {
         let asked = self
             .measured()
@@ -145,8 +146,8 @@
             .filter(|(_, at, loaded)| *loaded != Some(*at))
     }
 
-    /// Adds how long requests had to wait for a load, refused or not. A wait that had not ended at
-    /// the end of the run counts up to there.
+    /// Adds the waits of requests for the load of their model, whether or not they were refused. A
+    /// wait that lasts beyond the end of the run counts up to the end.
     fn add_cold_starts(&self, results: &mut Results) {
         let end = self.data.timeline.end();
         let mut waits = histogram();
@@ -193,7 +194,8 @@
         add(results, "idle_engine_hours_by_daemons", hours(counted));
     }
 
-    /// Returns when requests were on engines: from the time at which the prompt was taken up.
+    /// Returns the intervals in which requests occupied engines. The interval of a stream begins
+    /// with the prefill, as estimated from the first token.
     fn uses(&self) -> Vec<Use> {
         let first_token_ms = self.deployment.classes[0].first_token_ms;
         let prefill = Duration::from_millis(self.scale.time_ms(first_token_ms));
@@ -275,7 +277,7 @@
     histogram.value_at_quantile(quantile) as f64 / US_PER_MS
 }
 
-/// Returns a time in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn in_ms(time: Duration) -> f64 {
     time.as_secs_f64() * MS_PER_S
 }
