--- a/crates/load-tool/src/load/watch.rs
+++ b/crates/load-tool/src/load/watch.rs
@@ -1,4 +1,4 @@
-//! Watches engines and processes while a run goes on.
+//! Sampling of engines and processes during a run.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -22,49 +22,49 @@
 use crate::load::timeline::Timeline;
 use crate::process_cost::process_cost;
 
-/// How often the engines are read.
+/// Interval of sampling the engines.
 const INTERVAL: Duration = Duration::from_millis(100);
 
-/// In one of so many rounds the processes' memory is added up.
+/// Of so many rounds of sampling, one also samples the memory of the processes.
 const MEMORY_EVERY: u32 = 10;
 
-/// `Watched` is what was seen of a run from the outside.
+/// Values sampled during a run.
 #[derive(Clone, Debug, Default)]
 pub struct Watched {
-    /// What the engines held.
+    /// Models held by the engines.
     pub timeline: Timeline,
-    /// The most resident memory of all processes together, in bytes.
+    /// Peak resident memory of all processes together, in bytes.
     pub most_resident_bytes: u64,
-    /// The most processes that ran at once, the tool included.
+    /// Peak number of processes, the load tool included.
     pub most_processes: usize,
 }
 
-/// `Watch` is a thread that watches.
+/// Thread that samples engines and processes until it is stopped.
 #[derive(Debug)]
 pub struct Watch {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Watched>,
 }
 
-/// `WatchParts` is what a watch looks at.
+/// Engines and processes to sample.
 #[derive(Debug)]
 pub struct WatchParts {
-    /// The engines, by name.
+    /// Clients of the engines, with their names.
     pub engines: Vec<(String, StandinClient)>,
-    /// All processes.
+    /// All processes of the run.
     pub processes: Processes,
-    /// The clock of the run.
+    /// Clock of the run.
     pub clock: RunClock,
-    /// Set when the processes take more than half of the machine's memory.
+    /// Set once the processes use more than half of the machine's memory.
     pub too_much: Arc<AtomicBool>,
 }
 
 impl Watch {
-    /// Starts watching.
+    /// Starts the thread.
     ///
     /// # Errors
     ///
-    /// If the machine's memory can't be read.
+    /// If the machine's memory size can't be read.
     pub fn start(parts: WatchParts) -> Result<Self> {
         let limit_bytes = Meminfo::current()?.mem_total / 2;
         let stop = Arc::new(AtomicBool::new(false));
@@ -73,7 +73,7 @@
         Ok(Self { stop, thread })
     }
 
-    /// Stops watching and returns what was seen.
+    /// Stops the thread and returns the sampled values.
     ///
     /// # Errors
     ///
@@ -90,7 +90,7 @@
     let mut round = 0;
     while !stop.load(Ordering::Relaxed) {
         for (name, engine) in &parts.engines {
-            // An engine that can't be read for once is read again in the next round.
+            // An engine that can't be read is read again in the next round.
             if let Ok(status) = engine.engine_status() {
                 let held = held(&status);
                 watched.timeline.note(parts.clock.now(), name, held);
@@ -122,7 +122,7 @@
         .iter()
         .filter_map(|name| parts.processes.id(name).ok());
     let ids = ids.chain([std::process::id()]);
-    // A process that has just been killed has no cost any more.
+    // The cost of a process that has just been killed can't be read.
     let costs: Vec<u64> = ids
         .filter_map(|id| process_cost(id).ok())
         .map(|cost| cost.resident_bytes)
