--- a/crates/load-tool/src/bin/fleet-slopes.rs
+++ b/crates/load-tool/src/bin/fleet-slopes.rs
@@ -81,7 +81,7 @@
             .iter()
             .map(|point| (point.vms as f64, figure(point)))
             .collect();
-        if let Some(line) = LineFit::through(&xy) {
+        if let Some(line) = LineFit::fit(&xy) {
             println!(
                 "slope={name} per=vm value={:.4} intercept={:.4} r2={:.3} at_{}={:.2}",
                 line.slope,
--- a/crates/load-tool/src/bin/load-run.rs
+++ b/crates/load-tool/src/bin/load-run.rs
@@ -93,23 +93,26 @@
         [] => Case::ALL.to_vec(),
         cases => cases.to_vec(),
     };
-    let mut held = true;
+    let mut invariants_held = true;
     for case in cases {
         let run = Run::new(&deployment, &options, case);
-        let carry_out = |policies: PolicyChoice| {
-            let report = run.carry_out(policies, |processes| interrupts.watch(processes))?;
+        let execute = |policies: PolicyChoice| {
+            let report = run.execute(policies, |processes| interrupts.watch(processes))?;
             print_run(&deployment.name, case, policies, &report);
             Ok::<_, Error>(report)
         };
-        let baseline = carry_out(PolicyChoice::Baseline)?;
-        let chosen = carry_out(PolicyChoice::Chosen)?;
+        let baseline = execute(PolicyChoice::Baseline)?;
+        let chosen = execute(PolicyChoice::Chosen)?;
         for line in report::comparison(&deployment.name, case, &baseline, &chosen) {
             println!("{line}");
         }
-        held &= baseline.violations.none() && chosen.violations.none();
+        invariants_held &= baseline.violations.is_empty() && chosen.violations.is_empty();
     }
-    println!("effects={}", if held { "none" } else { "VIOLATED" });
-    Ok(held)
+    println!(
+        "effects={}",
+        if invariants_held { "none" } else { "VIOLATED" }
+    );
+    Ok(invariants_held)
 }
 
 fn print_run(deployment: &str, case: Case, policies: PolicyChoice, report: &RunReport) {
@@ -121,8 +124,8 @@
         report.sent,
         report.lateness.late,
         in_ms(report.lateness.largest),
-        report.most_processes,
-        report.most_resident_bytes as f64 / BYTES_PER_MB,
+        report.peak_processes,
+        report.peak_resident_bytes as f64 / BYTES_PER_MB,
         report.load_average.0,
         report.load_average.1,
     );
--- a/crates/load-tool/src/bin/overhead.rs
+++ b/crates/load-tool/src/bin/overhead.rs
@@ -12,11 +12,11 @@
 use apricotdale_launcher::cluster::Cluster;
 use apricotdale_launcher::interrupts::Interrupts;
 use apricotdale_launcher::sample;
-use apricotdale_load_tool::overhead::Way;
+use apricotdale_load_tool::overhead::Route;
 use apricotdale_load_tool::process_cost::load_average;
 
 /// Timeout of the first request, which waits until an engine has loaded the model.
-const WARM_UP_MS: u64 = 60_000;
+const FIRST_REQUEST_TIMEOUT_MS: u64 = 60_000;
 
 /// Percentiles printed for each kind of latency.
 const PERCENTILES: &[f64] = &[50.0, 95.0, 99.0];
@@ -52,7 +52,7 @@
     let warm = CallerRequest::completion(sample::SLOT_PLANNER, 1, false);
     let warm = call(
         callers,
-        &warm.header("X-Request-Timeout-Ms", WARM_UP_MS.to_string()),
+        &warm.header("X-Request-Timeout-Ms", FIRST_REQUEST_TIMEOUT_MS.to_string()),
     );
     if !warm.is_whole() {
         return Err(format!("the first request: {warm:?}").into());
@@ -68,36 +68,36 @@
         .iter()
         .find(|(_, engine)| engine.engine_status().is_ok_and(|it| holds(&it)));
     let engine = engine.ok_or("no engine holds the model")?.1.address();
-    let mut direct = Way::new(engine, sample::SLOT_PLANNER);
-    let mut through = Way::new(callers, sample::SLOT_PLANNER);
+    let mut direct = Route::new(engine, sample::SLOT_PLANNER);
+    let mut via_vm = Route::new(callers, sample::SLOT_PLANNER);
     for _ in 0..arguments.requests {
         direct.measure(arguments.tokens)?;
-        through.measure(arguments.tokens)?;
+        via_vm.measure(arguments.tokens)?;
     }
-    let (direct, through) = (direct.timings, through.timings);
-    report("whole", &direct.whole_us, &through.whole_us);
+    let (direct, via_vm) = (direct.timings, via_vm.timings);
+    report("whole", &direct.complete_us, &via_vm.complete_us);
     report(
         "first_event",
         &direct.first_event_us,
-        &through.first_event_us,
+        &via_vm.first_event_us,
     );
-    report("event_gap", &direct.gap_us, &through.gap_us);
+    report("event_gap", &direct.gap_us, &via_vm.gap_us);
     cluster.stop();
     println!("load_average={:.2}", load_average()?);
     Ok(())
 }
 
-fn report(name: &str, direct: &Histogram<u64>, through: &Histogram<u64>) {
+fn report(name: &str, direct: &Histogram<u64>, via_vm: &Histogram<u64>) {
     for percentile in PERCENTILES {
         let direct_ms = ms(direct, *percentile);
-        let through_ms = ms(through, *percentile);
+        let via_vm_ms = ms(via_vm, *percentile);
         println!(
             "overhead={name} percentile={percentile} direct_ms={:.3} through_vm_ms={:.3} \
              added_ms={:.3} samples={}",
             direct_ms,
-            through_ms,
-            through_ms - direct_ms,
-            through.len(),
+            via_vm_ms,
+            via_vm_ms - direct_ms,
+            via_vm.len(),
         );
     }
 }
--- a/crates/load-tool/src/errors.rs
+++ b/crates/load-tool/src/errors.rs
@@ -14,7 +14,7 @@
     /// The statistics that the kernel keeps in `/proc` can't be read, for instance because the
     /// process has ended.
     #[error("reading the system's accounts: {0}")]
-    Accounts(#[from] procfs::ProcError),
+    Statistics(#[from] procfs::ProcError),
     /// A step of the measurement failed; the text says which one and why.
     #[error("{0}")]
     Failed(String),
--- a/crates/load-tool/src/fleet.rs
+++ b/crates/load-tool/src/fleet.rs
@@ -17,7 +17,7 @@
 use crate::process_cost::process_cost;
 
 /// Time before the measurement begins, in which heartbeats and engine reports reach a steady rate.
-const SETTLE: Duration = Duration::from_secs(8);
+const SETTLING_TIME: Duration = Duration::from_secs(8);
 
 /// Figures measured of one fleet without callers, most of them means over its VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,7 +39,7 @@
 }
 
 /// Counters of all daemons, the loopback interface and the log, read at one moment.
-struct Accounts {
+struct UsageReading {
     at: Instant,
     costs: Vec<ProcessCost>,
     loopback_bytes: u64,
@@ -67,20 +67,20 @@
         .first()
         .ok_or_else(|| Error::failed("a fleet needs a VM"))?;
     cluster.publish(first, sample::edits())?;
-    thread::sleep(SETTLE);
-    let before = read(&cluster, &names)?;
+    thread::sleep(SETTLING_TIME);
+    let before = read_usage(&cluster, &names)?;
     thread::sleep(duration);
-    let after = read(&cluster, &names)?;
+    let after = read_usage(&cluster, &names)?;
     cluster.stop();
     Ok(point(vms, &before, &after))
 }
 
-fn read(cluster: &Cluster, names: &[String]) -> Result<Accounts> {
+fn read_usage(cluster: &Cluster, names: &[String]) -> Result<UsageReading> {
     let mut costs = Vec::new();
     for name in names {
         costs.push(process_cost(cluster.processes().id(name)?)?);
     }
-    Ok(Accounts {
+    Ok(UsageReading {
         at: Instant::now(),
         costs,
         loopback_bytes: loopback_bytes()?,
@@ -88,7 +88,7 @@
     })
 }
 
-fn point(vms: usize, before: &Accounts, after: &Accounts) -> FleetPoint {
+fn point(vms: usize, before: &UsageReading, after: &UsageReading) -> FleetPoint {
     let passed_s = (after.at - before.at).as_secs_f64();
     let count = vms as f64;
     let cpu_s: f64 = after.costs.iter().map(|cost| cost.cpu_s).sum::<f64>()
--- a/crates/load-tool/src/line_fit.rs
+++ b/crates/load-tool/src/line_fit.rs
@@ -14,29 +14,29 @@
 
 impl LineFit {
     /// Returns the line through points `(x, y)`, or none if fewer than two of the x differ.
-    pub fn through(points: &[(f64, f64)]) -> Option<Self> {
+    pub fn fit(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        if points.len() < 2 || spread_x == 0.0 {
+        let variation_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        if points.len() < 2 || variation_x == 0.0 {
             return None;
         }
-        let together: f64 = points
+        let covariation: f64 = points
             .iter()
             .map(|(x, y)| (x - mean_x) * (y - mean_y))
             .sum();
-        let slope = together / spread_x;
+        let slope = covariation / variation_x;
         let intercept = mean_y - slope * mean_x;
-        let spread_y: f64 = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
-        let left: f64 = points
+        let variation_y: f64 = points.iter().map(|(_, y)| (y - mean_y).powi(2)).sum();
+        let residual: f64 = points
             .iter()
             .map(|(x, y)| (y - intercept - slope * x).powi(2))
             .sum();
-        let r2 = if spread_y == 0.0 {
+        let r2 = if variation_y == 0.0 {
             1.0
         } else {
-            1.0 - left / spread_y
+            1.0 - residual / variation_y
         };
         Some(Self {
             slope,
--- a/crates/load-tool/src/load/answer_check.rs
+++ b/crates/load-tool/src/load/answer_check.rs
@@ -26,7 +26,7 @@
 
     /// Checks the next data of an answer: those of one event, or the whole body if the answer is
     /// not streamed. Fails if they are no JSON or hold anything but the next tokens of the request.
-    pub fn take(&mut self, data: &str) -> Result<(), String> {
+    pub fn verify(&mut self, data: &str) -> Result<(), String> {
         let body: Value = serde_json::from_str(data).map_err(|error| error.to_string())?;
         if let Some(engine) = body["system_fingerprint"].as_str() {
             self.engine = Some(engine.to_owned());
@@ -44,7 +44,7 @@
     }
 
     /// Fails if an answer that has ended has more or fewer tokens than the request asked for.
-    pub fn end(&self, tokens: u32) -> Result<(), String> {
+    pub fn verify_end(&self, tokens: u32) -> Result<(), String> {
         if self.next == tokens {
             return Ok(());
         }
--- a/crates/load-tool/src/load/case.rs
+++ b/crates/load-tool/src/load/case.rs
@@ -11,16 +11,16 @@
 use crate::load::scale::Scale;
 
 /// Begin and end of the load surge, as shares of the measured time.
-const CROWD_SHARES: (f64, f64) = (1.0 / 3.0, 2.0 / 3.0);
+const SURGE_WINDOW: (f64, f64) = (1.0 / 3.0, 2.0 / 3.0);
 
 /// Time at which all other faults begin, as a share of the measured time.
-const FAULT_SHARE: f64 = 0.4;
+const FAULT_BEGIN: f64 = 0.4;
 
 /// Time from the kill of a VM to its restart.
-pub const KILLED_FOR: Duration = Duration::from_secs(5);
+pub const VM_DOWNTIME: Duration = Duration::from_secs(5);
 
 /// Time for which the log is unavailable.
-pub const OUTAGE: Duration = Duration::from_secs(10);
+pub const LOG_DOWNTIME: Duration = Duration::from_secs(10);
 
 /// Scenario of a load run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,24 +69,27 @@
         if self != Self::Overload {
             return None;
         }
-        let places = deployment.engines.count as f64 * f64::from(deployment.engines.slots);
+        let slots = deployment.engines.count as f64 * f64::from(deployment.engines.slots);
         Some(Crowd {
-            from_ms: scale.trace_at_ms(CROWD_SHARES.0) as u64,
-            to_ms: scale.trace_at_ms(CROWD_SHARES.1) as u64,
-            work_rate: OVERLOAD_FACTOR * places / scale.compression(),
+            from_ms: scale.trace_at_ms(SURGE_WINDOW.0) as u64,
+            to_ms: scale.trace_at_ms(SURGE_WINDOW.1) as u64,
+            work_rate: OVERLOAD_FACTOR * slots / scale.compression(),
         })
     }
 
     /// Returns the faults of the case with their times since the start of the run.
     pub fn faults(self, scale: &Scale) -> Vec<(Duration, Fault)> {
-        let begin = scale.moment(FAULT_SHARE);
+        let begin = scale.moment(FAULT_BEGIN);
         match self {
             Self::Usual | Self::Overload => Vec::new(),
             Self::VmKilled => vec![
                 (begin, Fault::KillVm),
-                (begin + KILLED_FOR, Fault::RestartVm),
+                (begin + VM_DOWNTIME, Fault::RestartVm),
+            ],
+            Self::LogOutage => vec![
+                (begin, Fault::LogDown),
+                (begin + LOG_DOWNTIME, Fault::LogUp),
             ],
-            Self::LogOutage => vec![(begin, Fault::LogDown), (begin + OUTAGE, Fault::LogUp)],
         }
     }
 }
--- a/crates/load-tool/src/load/client.rs
+++ b/crates/load-tool/src/load/client.rs
@@ -25,16 +25,16 @@
 use crate::load::cluster_options::SHELF;
 use crate::load::record::Ending;
 use crate::load::record::Record;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 use crate::load::schedule::Work;
 
 /// Timeout of a complete answer. It is far above every class target and only ends a request that
 /// hangs.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Limit and pause for sending a cut order with an idempotency key again after a lost answer.
-const MOST_REPEATS: u32 = 100;
-const REPEAT_PAUSE: Duration = Duration::from_millis(100);
+const MAX_RESENDS: u32 = 100;
+const RESEND_PAUSE: Duration = Duration::from_millis(100);
 
 /// Length of the common prefixes of prompts in characters, beyond the prefix that engines cache.
 const PREFIX_LENGTH: usize = 300;
@@ -72,7 +72,7 @@
             .max_idle_connections(0)
             .http_status_as_error(false)
             .no_delay(true)
-            .timeout_global(Some(ANSWER_LIMIT))
+            .timeout_global(Some(ANSWER_TIMEOUT))
             .build()
             .into();
         Self {
@@ -85,21 +85,21 @@
 
     /// Sends a request and returns its record. A cut order with an idempotency key is sent again
     /// under the same key if its answer is lost, as a real caller would do.
-    pub fn send(&self, index: usize, planned: &Planned) -> Record {
+    pub fn send(&self, index: usize, planned: &PlannedRequest) -> Record {
         let mut record = self.send_once(index, planned, planned.vm);
-        while must_repeat(planned, &record) {
-            thread::sleep(REPEAT_PAUSE);
+        while must_resend(planned, &record) {
+            thread::sleep(RESEND_PAUSE);
             let again = self.send_once(index, planned, record.vm + 1);
             record = Record {
                 sent: record.sent,
-                repeats: record.repeats + 1,
+                resends: record.resends + 1,
                 ..again
             };
         }
         record
     }
 
-    fn send_once(&self, index: usize, planned: &Planned, first_vm: usize) -> Record {
+    fn send_once(&self, index: usize, planned: &PlannedRequest, first_vm: usize) -> Record {
         let mut record = Record {
             planned: index,
             vm: first_vm,
@@ -109,9 +109,9 @@
             gaps_us: Vec::new(),
             identity: String::new(),
             engine: None,
-            repeats: 0,
+            resends: 0,
             retry_after: None,
-            is_return: false,
+            is_caller_retry: false,
             ending: Ending::NoAnswer("no VM accepts connections".to_owned()),
         };
         for (vm, address) in self.balancer.route(first_vm) {
@@ -127,7 +127,7 @@
         record
     }
 
-    fn start(&self, vm: SocketAddr, planned: &Planned) -> Sent {
+    fn start(&self, vm: SocketAddr, planned: &PlannedRequest) -> Sent {
         let class = &self.catalog.classes[planned.class];
         let service = &self.catalog.service;
         let url = |path: &str| format!("http://{vm}{path}");
@@ -149,7 +149,7 @@
                 let request = request.header("X-Request-Class", class);
                 request.header("X-Caller", caller).send_json(body)
             }
-            Work::Look { .. } => {
+            Work::ShelfLookup { .. } => {
                 let path = format!("/services/{service}{}", call_path(&planned.work));
                 let request = self.agent.get(url(&path));
                 let request = request.header("X-Request-Class", class);
@@ -169,7 +169,7 @@
         }
     }
 
-    fn read(&self, response: Response<Body>, planned: &Planned, record: &mut Record) {
+    fn read(&self, response: Response<Body>, planned: &PlannedRequest, record: &mut Record) {
         let head = AnswerHead {
             status: response.status().as_u16(),
             content_type: header(&response, "content-type"),
@@ -180,7 +180,7 @@
         record.ending = if head.content_type.starts_with(EVENT_STREAM) {
             self.read_stream(head, body, planned, record)
         } else {
-            self.read_whole(head, body, planned, record)
+            self.read_complete(head, body, planned, record)
         };
     }
 
@@ -188,12 +188,12 @@
         &self,
         head: AnswerHead,
         mut body: impl BufRead,
-        planned: &Planned,
+        planned: &PlannedRequest,
         record: &mut Record,
     ) -> Ending {
         let mut check = TokenCheck::new(&head.request);
         let mut reading = StreamReading::new(head);
-        let mut wrong = None;
+        let mut mismatch = None;
         let mut last = None;
         let mut line = String::new();
         let outcome = loop {
@@ -211,17 +211,19 @@
             }
             last = Some(now);
             let data = line.trim_start_matches("data:").trim();
-            wrong = wrong.or(check.take(data).err());
+            mismatch = mismatch.or(check.verify(data).err());
         };
         record.engine = check.engine().map(str::to_owned);
-        ending_of(outcome, wrong, || check.end(tokens(&planned.work)))
+        ending_of(outcome, mismatch, || {
+            check.verify_end(tokens(&planned.work))
+        })
     }
 
-    fn read_whole(
+    fn read_complete(
         &self,
         head: AnswerHead,
         mut body: impl Read,
-        planned: &Planned,
+        planned: &PlannedRequest,
         record: &mut Record,
     ) -> Ending {
         let mut bytes = Vec::new();
@@ -236,7 +238,9 @@
             record.first = Some(self.clock.now());
         }
         let checked = || match &planned.work {
-            Work::Completion { tokens, .. } => check.take(&text).and_then(|()| check.end(*tokens)),
+            Work::Completion { tokens, .. } => {
+                check.verify(&text).and_then(|()| check.verify_end(*tokens))
+            }
             work => check_call(&call_name(work), &text),
         };
         let ending = ending_of(outcome, None, checked);
@@ -248,12 +252,12 @@
 /// Returns how a request ended, from the framing of its answer and from the check of its content.
 fn ending_of(
     outcome: Outcome,
-    wrong: Option<String>,
+    mismatch: Option<String>,
     end_check: impl FnOnce() -> Result<(), String>,
 ) -> Ending {
     match outcome {
         Outcome::Crossed { found, .. } => Ending::Foreign(format!("identity {found}")),
-        _ if wrong.is_some() => Ending::Foreign(wrong.unwrap_or_default()),
+        _ if mismatch.is_some() => Ending::Foreign(mismatch.unwrap_or_default()),
         Outcome::Refused { refusal, .. } => Ending::Refused(refusal),
         Outcome::Cut {
             refusal: Some(refusal),
@@ -275,7 +279,7 @@
 fn call_path(work: &Work) -> String {
     match work {
         Work::Completion { .. } => String::new(),
-        Work::Look { bundle } => format!("{SHELF}/{bundle}"),
+        Work::ShelfLookup { bundle } => format!("{SHELF}/{bundle}"),
         Work::CutOrder { order, .. } => format!("/cut-orders/{order}"),
     }
 }
@@ -284,7 +288,7 @@
 pub fn call_name(work: &Work) -> String {
     match work {
         Work::Completion { .. } => String::new(),
-        Work::Look { .. } => format!("GET {}", call_path(work)),
+        Work::ShelfLookup { .. } => format!("GET {}", call_path(work)),
         Work::CutOrder { .. } => format!("POST {}", call_path(work)),
     }
 }
@@ -297,17 +301,17 @@
 fn tokens(work: &Work) -> u32 {
     match work {
         Work::Completion { tokens, .. } => *tokens,
-        Work::Look { .. } | Work::CutOrder { .. } => 0,
+        Work::ShelfLookup { .. } | Work::CutOrder { .. } => 0,
     }
 }
 
-fn must_repeat(planned: &Planned, record: &Record) -> bool {
+fn must_resend(planned: &PlannedRequest, record: &Record) -> bool {
     if !matches!(planned.work, Work::CutOrder { keyed: true, .. }) {
         return false;
     }
     let refusal = record.ending.refusal();
     let still_runs = refusal.is_some_and(|refusal| refusal.reason == "key_in_progress");
-    record.repeats < MOST_REPEATS && (record.ending.is_lost() || (record.repeats > 0 && still_runs))
+    record.resends < MAX_RESENDS && (record.ending.is_lost() || (record.resends > 0 && still_runs))
 }
 
 /// Returns whether a request certainly reached no VM, so that it may go to another one.
--- a/crates/load-tool/src/load/cluster_options.rs
+++ b/crates/load-tool/src/load/cluster_options.rs
@@ -25,7 +25,7 @@
 pub const SHELF: &str = "/shelf";
 
 /// Of so many engines, one accepts stale fencing tokens; the others refuse them.
-const OBEYING_ONE_IN: usize = 3;
+const ENGINES_PER_UNFENCED: usize = 3;
 
 /// Age of engine reports and of the VM list when they are read, in the deployment's time.
 const LAG_MS: u64 = 1_000;
@@ -34,17 +34,17 @@
 const READ_INTERVAL_MS: u64 = 1_000;
 
 /// Lower bound of these intervals in the daemon's settings.
-const LEAST_INTERVAL_MS: u64 = 100;
+const MIN_INTERVAL_MS: u64 = 100;
 
 /// Timeout for connecting to an upstream, as in Scaravilli's settings. It is not divided by the
 /// speed, since connecting is no faster in a run than in the deployment.
 const CONNECT_TIMEOUT_MS: u64 = 300;
 
 /// Number of prompt prefixes cached by one engine, as in the policy replay.
-const PREFIXES: usize = 48;
+const PREFIXES_PER_ENGINE: usize = 48;
 
 /// Of so many cache events, one is lost.
-const CACHE_GAP_EVERY: u64 = 10;
+const CACHE_EVENTS_PER_GAP: u64 = 10;
 
 /// Set of policies used by the daemons of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -84,7 +84,7 @@
     options: &LoadOptions,
     policies: PolicyChoice,
 ) -> ClusterOptions {
-    let interval_ms = scale.time_ms(READ_INTERVAL_MS).max(LEAST_INTERVAL_MS);
+    let interval_ms = scale.time_ms(READ_INTERVAL_MS).max(MIN_INTERVAL_MS);
     let mut settings = policies.settings();
     settings.extend([
         Setting::new("policies", "seed", options.seed),
@@ -139,8 +139,11 @@
 }
 
 fn engine_groups(deployment: &Deployment, scale: &Scale) -> Vec<UpstreamGroup> {
-    let obeying = deployment.engines.count / OBEYING_ONE_IN;
-    let counts = [(true, deployment.engines.count - obeying), (false, obeying)];
+    let unfenced = deployment.engines.count / ENGINES_PER_UNFENCED;
+    let counts = [
+        (true, deployment.engines.count - unfenced),
+        (false, unfenced),
+    ];
     counts
         .into_iter()
         .map(|(checks_fence, count)| UpstreamGroup {
@@ -163,10 +166,10 @@
         Flag::new("slots", engines.slots),
         Flag::new("tokens-per-s", tokens_per_s as u32),
         Flag::new("prefill-ms", scale.time_ms(first_token_ms)),
-        Flag::new("prefixes", PREFIXES),
+        Flag::new("prefixes", PREFIXES_PER_ENGINE),
         Flag::new("report-lag-ms", scale.time_ms(LAG_MS)),
         Flag::new("cache-lag-ms", scale.time_ms(LAG_MS)),
-        Flag::new("cache-gap-every", CACHE_GAP_EVERY),
+        Flag::new("cache-gap-every", CACHE_EVENTS_PER_GAP),
         Flag::new("memory-cache-bytes", engines.host_memory_bytes),
         Flag::new("disk-cache-bytes", engines.host_disk_bytes),
         Flag::new(
--- a/crates/load-tool/src/load/daemon_counts.rs
+++ b/crates/load-tool/src/load/daemon_counts.rs
@@ -7,8 +7,8 @@
 
 use crate::errors::Result;
 
-const RETRIES: &str = "apricotdale_retry_decisions_total{decision=\"retry\"";
-const IDLE: &str = "apricotdale_idle_accelerator_seconds_total";
+const RETRIES_METRIC: &str = "apricotdale_retry_decisions_total{decision=\"retry\"";
+const IDLE_SECONDS_METRIC: &str = "apricotdale_idle_accelerator_seconds_total";
 
 /// Sums of counters over daemons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -28,8 +28,8 @@
     pub fn read(cluster: &Cluster, vm: &str) -> Result<Self> {
         let admin = cluster.vm(vm)?.addresses.admin;
         Ok(Self {
-            retries: metric_value(admin, RETRIES)?,
-            idle_engine_s: metric_value(admin, IDLE)?,
+            retries: metric_value(admin, RETRIES_METRIC)?,
+            idle_engine_s: metric_value(admin, IDLE_SECONDS_METRIC)?,
         })
     }
 
--- a/crates/load-tool/src/load/drive.rs
+++ b/crates/load-tool/src/load/driver.rs
@@ -12,11 +12,11 @@
 
 use crate::errors::Error;
 use crate::errors::Result;
+use crate::load::caller_retries::CallerRetries;
 use crate::load::client::Client;
 use crate::load::clock::RunClock;
 use crate::load::record::Record;
-use crate::load::returning::Returning;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 
 /// Stack size of a client thread, of which a run has more than a thousand by default.
 const STACK_BYTES: usize = 256 * 1024;
@@ -32,8 +32,8 @@
 pub fn drive(
     client: &Client,
     clock: RunClock,
-    schedule: &Arc<Vec<Planned>>,
-    returning: Returning,
+    schedule: &Arc<Vec<PlannedRequest>>,
+    caller_retries: CallerRetries,
     threads: usize,
     stop: &AtomicBool,
 ) -> Result<Vec<Record>> {
@@ -44,7 +44,7 @@
                 client: client.clone(),
                 clock,
                 schedule: Arc::clone(schedule),
-                returning,
+                caller_retries,
             };
             worker.start(receiver.clone())
         })
@@ -70,8 +70,8 @@
 struct Worker {
     client: Client,
     clock: RunClock,
-    schedule: Arc<Vec<Planned>>,
-    returning: Returning,
+    schedule: Arc<Vec<PlannedRequest>>,
+    caller_retries: CallerRetries,
 }
 
 impl Worker {
@@ -85,12 +85,12 @@
     fn send(&self, index: usize) -> Vec<Record> {
         let planned = &self.schedule[index];
         let first = self.client.send(index, planned);
-        let Some(moment) = self.returning.moment(&first) else {
+        let Some(retry_at) = self.caller_retries.retry_at(&first) else {
             return vec![first];
         };
-        self.clock.wait_until(moment);
+        self.clock.wait_until(retry_at);
         let second = Record {
-            is_return: true,
+            is_caller_retry: true,
             ..self.client.send(index, planned)
         };
         vec![first, second]
@@ -107,9 +107,9 @@
 }
 
 /// Returns how late the requests were sent. Retries by callers don't count.
-pub fn lateness(schedule: &[Planned], records: &[Record], tolerated: Duration) -> Lateness {
+pub fn lateness(schedule: &[PlannedRequest], records: &[Record], tolerated: Duration) -> Lateness {
     let mut lateness = Lateness::default();
-    for record in records.iter().filter(|record| !record.is_return) {
+    for record in records.iter().filter(|record| !record.is_caller_retry) {
         let delay = record.sent.saturating_sub(schedule[record.planned].at);
         lateness.largest = lateness.largest.max(delay);
         lateness.late += usize::from(delay > tolerated);
--- a/crates/load-tool/src/load/effects.rs
+++ b/crates/load-tool/src/load/effects.rs
@@ -12,12 +12,12 @@
 use apricotdale_launcher::standin::ServiceEffects;
 
 use crate::errors::Result;
+use crate::load::caller_retries::NOT_RUN;
 use crate::load::client::call_name;
 use crate::load::client::idempotency_key;
 use crate::load::record::Ending;
 use crate::load::record::Record;
-use crate::load::returning::NOT_RUN;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 use crate::load::schedule::Work;
 
 /// Effects counted by the stand-ins until the end of a run.
@@ -30,7 +30,7 @@
     /// Number of loads that the load tool itself ordered before the run, by model.
     pub loads_before: BTreeMap<String, u64>,
     /// Number of loads accepted by replay of the control stream, by model.
-    pub decided: BTreeMap<String, u64>,
+    pub loads_decided: BTreeMap<String, u64>,
 }
 
 /// VM killed during the run.
@@ -82,13 +82,13 @@
             engines,
             services,
             loads_before,
-            decided: decided(cluster)?,
+            loads_decided: loads_decided(cluster)?,
         })
     }
 
     /// Returns the number of loads accepted by replay of the control stream.
     pub fn decided_loads(&self) -> u64 {
-        self.decided.values().sum()
+        self.loads_decided.values().sum()
     }
 
     /// Returns the number of loads that engines executed during the run, without those before it.
@@ -106,7 +106,7 @@
     /// Counts the violations of a run. Answers lost with the killed VM are none.
     pub fn count(
         effects: &Effects,
-        schedule: &[Planned],
+        schedule: &[PlannedRequest],
         records: &[Record],
         killed: Option<KilledVm>,
     ) -> Self {
@@ -119,7 +119,7 @@
         };
         for record in records {
             match &record.ending {
-                _ if is_lost_with(record, killed) => {}
+                _ if is_lost_with_vm(record, killed) => {}
                 Ending::Cut(_) => counted.answers_cut += 1,
                 Ending::Foreign(_) => counted.answers_foreign += 1,
                 Ending::NoAnswer(_) => counted.answers_missing += 1,
@@ -145,14 +145,14 @@
     }
 
     /// Returns whether there are no violations.
-    pub fn none(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.entries().iter().all(|(_, count)| *count == 0)
     }
 }
 
 /// Returns whether an answer was lost because its VM was killed while the request was in progress
 /// there. No software on the VM can prevent that.
-pub fn is_lost_with(record: &Record, killed: Option<KilledVm>) -> bool {
+pub fn is_lost_with_vm(record: &Record, killed: Option<KilledVm>) -> bool {
     let was_there = |killed: KilledVm| {
         record.vm == killed.vm && record.sent <= killed.to && record.ended >= killed.from
     };
@@ -164,7 +164,7 @@
 /// # Errors
 ///
 /// If an engine can't be reached.
-pub fn loads_so_far(cluster: &Cluster) -> Result<BTreeMap<String, u64>> {
+pub fn loads_by_model(cluster: &Cluster) -> Result<BTreeMap<String, u64>> {
     let engines = engine_effects(cluster)?;
     Ok(sums(engines.iter().flat_map(|engine| &engine.loads)))
 }
@@ -177,19 +177,19 @@
     Ok(effects)
 }
 
-fn decided(cluster: &Cluster) -> Result<BTreeMap<String, u64>> {
+fn loads_decided(cluster: &Cluster) -> Result<BTreeMap<String, u64>> {
     let log = cluster.standin(LOG)?;
-    let decided = records::decided_loads(log)?;
+    let loads_decided = records::decided_loads(log)?;
     let mut counts = BTreeMap::new();
     for (offset, intent) in records::load_intents(log)? {
-        if decided.contains(&offset) {
+        if loads_decided.contains(&offset) {
             *counts.entry(intent.model.to_string()).or_default() += 1;
         }
     }
     Ok(counts)
 }
 
-fn calls_run_again(effects: &Effects, schedule: &[Planned]) -> u64 {
+fn calls_run_again(effects: &Effects, schedule: &[PlannedRequest]) -> u64 {
     let by_call = sums(effects.services.iter().flat_map(|one| &one.calls));
     let by_key = sums(effects.services.iter().flat_map(|one| &one.keys));
     let mut calls = BTreeSet::new();
@@ -209,8 +209,8 @@
 fn loads_above_decided(effects: &Effects) -> u64 {
     let loads = effects.loads();
     let above = loads.iter().map(|(model, loads)| {
-        let known = count(&effects.loads_before, model) + count(&effects.decided, model);
-        loads.saturating_sub(known)
+        let expected = count(&effects.loads_before, model) + count(&effects.loads_decided, model);
+        loads.saturating_sub(expected)
     });
     above.sum()
 }
--- a/crates/load-tool/src/load/host_caches.rs
+++ b/crates/load-tool/src/load/host_caches.rs
@@ -20,14 +20,14 @@
 use crate::errors::Result;
 
 /// Constant mixed into the seed, so that these draws are independent of the schedule's.
-const SEED_MIX: u64 = 0xcac4e;
+const SEED_SALT: u64 = 0xcac4e;
 
 /// Factor on the weight store's transfer times while the caches are filled.
-const FILLING_FACTOR: f64 = 1e-6;
+const FILL_TIME_FACTOR: f64 = 1e-6;
 
 /// Limit and pause for repeating a load that the weight store's rate limit refuses.
-const TRIES: u32 = 100;
-const PAUSE: Duration = Duration::from_millis(50);
+const MAX_ATTEMPTS: u32 = 100;
+const ATTEMPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Puts the checkpoint of each model that is not in the weight store only onto the disk of one
 /// host, as the policy replay does, and returns how many there were. Restarts all engines after
@@ -37,10 +37,10 @@
 ///
 /// If a stand-in can't be reached, or an engine keeps refusing the orders.
 pub fn fill(cluster: &Cluster, trace: &Trace, seed: u64) -> Result<usize> {
-    let mut source = ChaCha8Rng::seed_from_u64(seed ^ SEED_MIX);
+    let mut source = ChaCha8Rng::seed_from_u64(seed ^ SEED_SALT);
     let engines = cluster.engines();
     let weights = cluster.standin(WEIGHTS)?;
-    weights.fault(&json!({"mode": "slow", "factor": FILLING_FACTOR}))?;
+    weights.fault(&json!({"mode": "slow", "factor": FILL_TIME_FACTOR}))?;
     let mut filled = 0;
     for model in trace.models.iter().filter(|model| !model.remote_only) {
         let (_, engine) = engines[source.random_range(0..engines.len())];
@@ -56,7 +56,7 @@
 }
 
 fn put_on_host(engine: &StandinClient, model: &TraceModel) -> Result<()> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let fence = engine.engine_status()?.highest_fence;
         let load = LoadOrder {
             model: model.model.clone(),
@@ -73,7 +73,7 @@
         if loaded.is_ok() && engine.post("/orders/unload", &unload).is_ok() {
             return Ok(());
         }
-        thread::sleep(PAUSE);
+        thread::sleep(ATTEMPT_PAUSE);
     }
     let detail = format!("{} could not be put onto a host", model.model);
     Err(Error::failed(detail))
--- a/crates/load-tool/src/load/measures.rs
+++ b/crates/load-tool/src/load/measures.rs
@@ -12,30 +12,30 @@
 use crate::load::effects::Effects;
 use crate::load::effects::KilledVm;
 use crate::load::effects::Violations;
-use crate::load::effects::is_lost_with;
+use crate::load::effects::is_lost_with_vm;
 use crate::load::record::Record;
 use crate::load::scale::Scale;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 use crate::load::schedule::Work;
+use crate::load::timeline::Occupancy;
 use crate::load::timeline::Timeline;
-use crate::load::timeline::Use;
 
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 const MS_PER_S: f64 = 1_000.0;
 const US_PER_MS: f64 = 1_000.0;
 
 /// Upper bound of the histograms; longer times are recorded as this one.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_RECORDED_US: u64 = 600_000_000;
 
 /// Delay after the class target from which an answer or refusal counts as overdue. It allows for
 /// the transfer of the answer and for scheduling delays of the machine.
-const OVERDUE_AFTER: Duration = Duration::from_millis(250);
+const OVERDUE_TOLERANCE: Duration = Duration::from_millis(250);
 
 /// Data collected during a run.
 #[derive(Clone, Debug)]
 pub struct RunData {
     /// Requests of the schedule.
-    pub schedule: Vec<Planned>,
+    pub schedule: Vec<PlannedRequest>,
     /// Records of the requests that were sent, retries by callers included.
     pub records: Vec<Record>,
     /// Models held by the engines.
@@ -52,14 +52,14 @@
 pub type Results = Vec<(String, f64)>;
 
 /// Evaluation of a run's data.
-pub struct Measuring<'a> {
+pub struct Evaluation<'a> {
     deployment: &'a Deployment,
     trace: &'a Trace,
     scale: &'a Scale,
     data: &'a RunData,
 }
 
-impl<'a> Measuring<'a> {
+impl<'a> Evaluation<'a> {
     /// Returns the evaluation of a run's data.
     pub fn new(
         deployment: &'a Deployment,
@@ -108,13 +108,13 @@
     }
 
     /// Returns the measured requests: no warm-up, no duplicates, no retries after a refusal.
-    fn measured(&self) -> impl Iterator<Item = (&Planned, &Record)> {
+    fn measured(&self) -> impl Iterator<Item = (&PlannedRequest, &Record)> {
         let from = self.scale.moment(0.0);
         let records = self.data.records.iter();
         records
             .map(|record| (&self.data.schedule[record.planned], record))
             .filter(move |(planned, record)| {
-                planned.at >= from && !planned.is_repetition && !record.is_return
+                planned.at >= from && !planned.is_duplicate && !record.is_caller_retry
             })
     }
 
@@ -139,7 +139,7 @@
                 Work::Completion { model, .. } => {
                     Some((self.trace.models[model].model.as_str(), planned.at))
                 }
-                Work::Look { .. } | Work::CutOrder { .. } => None,
+                Work::ShelfLookup { .. } | Work::CutOrder { .. } => None,
             });
         asked
             .map(|(model, at)| (model, at, self.data.timeline.first_loaded(model, at)))
@@ -183,7 +183,7 @@
 
     fn add_idle(&self, results: &mut Results) {
         let idle = self.data.timeline.idle(
-            &self.uses(),
+            &self.occupancies(),
             self.deployment.engines.capacity_bytes,
             self.scale.moment(0.0),
             self.scale.moment(1.0),
@@ -196,7 +196,7 @@
 
     /// Returns the intervals in which requests occupied engines. The interval of a stream begins
     /// with the prefill, as estimated from the first token.
-    fn uses(&self) -> Vec<Use> {
+    fn occupancies(&self) -> Vec<Occupancy> {
         let first_token_ms = self.deployment.classes[0].first_token_ms;
         let prefill = Duration::from_millis(self.scale.time_ms(first_token_ms));
         let used = self.data.records.iter().filter_map(|record| {
@@ -212,7 +212,7 @@
             let model = &self.trace.models[model];
             let base = model.base.map(|base| &self.trace.models[base].model);
             let models = std::iter::once(&model.model).chain(base);
-            Some(Use {
+            Some(Occupancy {
                 engine,
                 models: models.map(ToString::to_string).collect(),
                 from,
@@ -237,8 +237,8 @@
             if let Some(refusal) = one.ending.refusal() {
                 *refused.entry(refusal.reason.as_str()).or_default() += 1;
             }
-            overdue += u32::from(one.first.unwrap_or(one.ended) > due + OVERDUE_AFTER);
-            lost += u32::from(is_lost_with(one, self.data.killed));
+            overdue += u32::from(one.first.unwrap_or(one.ended) > due + OVERDUE_TOLERANCE);
+            lost += u32::from(is_lost_with_vm(one, self.data.killed));
         }
         let share = |part: u32, whole: u32| f64::from(part) / f64::from(whole.max(1));
         for (index, class) in classes.iter().enumerate() {
@@ -265,11 +265,11 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_US, 3).expect("three digits up to ten minutes are valid")
+    Histogram::new_with_max(MAX_RECORDED_US, 3).expect("three digits up to ten minutes are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
-    let us = u64::try_from(time.as_micros()).unwrap_or(LONGEST_US);
+    let us = u64::try_from(time.as_micros()).unwrap_or(MAX_RECORDED_US);
     histogram.saturating_record(us);
 }
 
--- a/crates/load-tool/src/load/mod.rs
+++ b/crates/load-tool/src/load/mod.rs
@@ -7,21 +7,21 @@
 
 pub mod answer_check;
 pub mod balancer;
+pub mod caller_retries;
 pub mod case;
 pub mod client;
 pub mod clock;
 pub mod cluster_options;
 pub mod daemon_counts;
-pub mod drive;
+pub mod driver;
 pub mod effects;
 pub mod host_caches;
 pub mod measures;
+pub mod monitor;
 pub mod options;
 pub mod record;
 pub mod report;
-pub mod returning;
 pub mod run;
 pub mod scale;
 pub mod schedule;
 pub mod timeline;
-pub mod watch;
--- a/crates/load-tool/src/load/watch.rs
+++ b/crates/load-tool/src/load/monitor.rs
@@ -18,37 +18,37 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::load::clock::RunClock;
-use crate::load::timeline::Held;
+use crate::load::timeline::HeldModel;
 use crate::load::timeline::Timeline;
 use crate::process_cost::process_cost;
 
 /// Interval of sampling the engines.
-const INTERVAL: Duration = Duration::from_millis(100);
+const SAMPLING_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Of so many rounds of sampling, one also samples the memory of the processes.
-const MEMORY_EVERY: u32 = 10;
+const ROUNDS_PER_MEMORY_SAMPLE: u32 = 10;
 
 /// Values sampled during a run.
 #[derive(Clone, Debug, Default)]
-pub struct Watched {
+pub struct Samples {
     /// Models held by the engines.
     pub timeline: Timeline,
     /// Peak resident memory of all processes together, in bytes.
-    pub most_resident_bytes: u64,
+    pub peak_resident_bytes: u64,
     /// Peak number of processes, the load tool included.
-    pub most_processes: usize,
+    pub peak_processes: usize,
 }
 
 /// Thread that samples engines and processes until it is stopped.
 #[derive(Debug)]
-pub struct Watch {
+pub struct Monitor {
     stop: Arc<AtomicBool>,
-    thread: JoinHandle<Watched>,
+    thread: JoinHandle<Samples>,
 }
 
 /// Engines and processes to sample.
 #[derive(Debug)]
-pub struct WatchParts {
+pub struct MonitorTargets {
     /// Clients of the engines, with their names.
     pub engines: Vec<(String, StandinClient)>,
     /// All processes of the run.
@@ -56,20 +56,20 @@
     /// Clock of the run.
     pub clock: RunClock,
     /// Set once the processes use more than half of the machine's memory.
-    pub too_much: Arc<AtomicBool>,
+    pub memory_exceeded: Arc<AtomicBool>,
 }
 
-impl Watch {
+impl Monitor {
     /// Starts the thread.
     ///
     /// # Errors
     ///
     /// If the machine's memory size can't be read.
-    pub fn start(parts: WatchParts) -> Result<Self> {
+    pub fn start(targets: MonitorTargets) -> Result<Self> {
         let limit_bytes = Meminfo::current()?.mem_total / 2;
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = Arc::clone(&stop);
-        let thread = thread::spawn(move || watch(&parts, limit_bytes, &stopped));
+        let thread = thread::spawn(move || monitor(&targets, limit_bytes, &stopped));
         Ok(Self { stop, thread })
     }
 
@@ -78,37 +78,39 @@
     /// # Errors
     ///
     /// If the thread panicked.
-    pub fn end(self) -> Result<Watched> {
+    pub fn end(self) -> Result<Samples> {
         self.stop.store(true, Ordering::Relaxed);
-        let watched = self.thread.join();
-        watched.map_err(|_| Error::failed("the watch panicked"))
+        let samples = self.thread.join();
+        samples.map_err(|_| Error::failed("the watch panicked"))
     }
 }
 
-fn watch(parts: &WatchParts, limit_bytes: u64, stop: &AtomicBool) -> Watched {
-    let mut watched = Watched::default();
+fn monitor(targets: &MonitorTargets, limit_bytes: u64, stop: &AtomicBool) -> Samples {
+    let mut samples = Samples::default();
     let mut round = 0;
     while !stop.load(Ordering::Relaxed) {
-        for (name, engine) in &parts.engines {
+        for (name, engine) in &targets.engines {
             // An engine that can't be read is read again in the next round.
             if let Ok(status) = engine.engine_status() {
-                let held = held(&status);
-                watched.timeline.note(parts.clock.now(), name, held);
+                let held_models = held_models(&status);
+                samples
+                    .timeline
+                    .record(targets.clock.now(), name, held_models);
             }
         }
-        if round % MEMORY_EVERY == 0 {
-            note_memory(parts, limit_bytes, &mut watched);
+        if round % ROUNDS_PER_MEMORY_SAMPLE == 0 {
+            sample_memory(targets, limit_bytes, &mut samples);
         }
         round += 1;
-        thread::sleep(INTERVAL);
+        thread::sleep(SAMPLING_INTERVAL);
     }
-    watched
+    samples
 }
 
-fn held(status: &EngineStatus) -> Vec<Held> {
+fn held_models(status: &EngineStatus) -> Vec<HeldModel> {
     let residents = status.residents.iter();
     residents
-        .map(|resident| Held {
+        .map(|resident| HeldModel {
             model: resident.model.to_string(),
             loaded: resident.residency == Residency::Loaded,
             bytes: resident.bytes,
@@ -116,11 +118,11 @@
         .collect()
 }
 
-fn note_memory(parts: &WatchParts, limit_bytes: u64, watched: &mut Watched) {
-    let names = parts.processes.names();
+fn sample_memory(targets: &MonitorTargets, limit_bytes: u64, samples: &mut Samples) {
+    let names = targets.processes.names();
     let ids = names
         .iter()
-        .filter_map(|name| parts.processes.id(name).ok());
+        .filter_map(|name| targets.processes.id(name).ok());
     let ids = ids.chain([std::process::id()]);
     // The cost of a process that has just been killed can't be read.
     let costs: Vec<u64> = ids
@@ -128,9 +130,9 @@
         .map(|cost| cost.resident_bytes)
         .collect();
     let resident_bytes = costs.iter().sum();
-    watched.most_resident_bytes = watched.most_resident_bytes.max(resident_bytes);
-    watched.most_processes = watched.most_processes.max(costs.len());
+    samples.peak_resident_bytes = samples.peak_resident_bytes.max(resident_bytes);
+    samples.peak_processes = samples.peak_processes.max(costs.len());
     if resident_bytes > limit_bytes {
-        parts.too_much.store(true, Ordering::Relaxed);
+        targets.memory_exceeded.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/load-tool/src/load/record.rs
+++ b/crates/load-tool/src/load/record.rs
@@ -25,11 +25,11 @@
     /// Engine that answered, or none if the answer does not name it.
     pub engine: Option<String>,
     /// Number of times that the caller sent the request again because the answer was lost.
-    pub repeats: u32,
+    pub resends: u32,
     /// Delay after which a refusal allows a retry; none if there was no refusal or it names none.
     pub retry_after: Option<Duration>,
     /// Whether this request is the retry of a caller that was refused before.
-    pub is_return: bool,
+    pub is_caller_retry: bool,
     /// How the request ended.
     pub ending: Ending,
 }
--- a/crates/load-tool/src/load/report.rs
+++ b/crates/load-tool/src/load/report.rs
@@ -13,13 +13,13 @@
     baseline: &RunReport,
     chosen: &RunReport,
 ) -> Vec<String> {
-    let (before, after) = (with_effects(baseline), with_effects(chosen));
-    names(&before, &after)
+    let (baseline_results, chosen_results) = (with_effects(baseline), with_effects(chosen));
+    names(&baseline_results, &chosen_results)
         .into_iter()
         .map(|name| {
             let line = Line {
-                baseline: value(&before, &name),
-                chosen: value(&after, &name),
+                baseline: value(&baseline_results, &name),
+                chosen: value(&chosen_results, &name),
                 measure: name,
                 timeout_ms: 0,
             };
@@ -43,17 +43,22 @@
     report.results.iter().cloned().chain(effects).collect()
 }
 
-/// Returns the names in either set of results, in the order of `before`; names only in `after`
+/// Returns the names in either set of results, in the order of `baseline_results`; names only in `chosen_results`
 /// follow their predecessor there. A refusal reason may occur in only one of the sets.
-fn names(before: &Results, after: &Results) -> Vec<String> {
-    let mut names: Vec<String> = before.iter().map(|(name, _)| name.clone()).collect();
-    for (index, (name, _)) in after.iter().enumerate() {
+fn names(baseline_results: &Results, chosen_results: &Results) -> Vec<String> {
+    let mut names: Vec<String> = baseline_results
+        .iter()
+        .map(|(name, _)| name.clone())
+        .collect();
+    for (index, (name, _)) in chosen_results.iter().enumerate() {
         if names.contains(name) {
             continue;
         }
-        let previous = index.checked_sub(1).map(|previous| &after[previous].0);
-        let place = previous.and_then(|previous| names.iter().position(|name| name == previous));
-        names.insert(place.map_or(0, |place| place + 1), name.clone());
+        let previous = index
+            .checked_sub(1)
+            .map(|previous| &chosen_results[previous].0);
+        let position = previous.and_then(|previous| names.iter().position(|name| name == previous));
+        names.insert(position.map_or(0, |position| position + 1), name.clone());
     }
     names
 }
--- a/crates/load-tool/src/load/run.rs
+++ b/crates/load-tool/src/load/run.rs
@@ -23,6 +23,7 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::load::balancer::Balancer;
+use crate::load::caller_retries::CallerRetries;
 use crate::load::case::Case;
 use crate::load::case::Fault;
 use crate::load::client::Catalog;
@@ -32,27 +33,26 @@
 use crate::load::cluster_options::cluster_options;
 use crate::load::cluster_options::edits;
 use crate::load::daemon_counts::DaemonCounts;
-use crate::load::drive::Lateness;
-use crate::load::drive::drive;
-use crate::load::drive::lateness;
+use crate::load::driver::Lateness;
+use crate::load::driver::drive;
+use crate::load::driver::lateness;
 use crate::load::effects::Effects;
 use crate::load::effects::KilledVm;
 use crate::load::effects::Violations;
-use crate::load::effects::loads_so_far;
+use crate::load::effects::loads_by_model;
 use crate::load::host_caches;
-use crate::load::measures::Measuring;
+use crate::load::measures::Evaluation;
 use crate::load::measures::Results;
 use crate::load::measures::RunData;
+use crate::load::monitor::Monitor;
+use crate::load::monitor::MonitorTargets;
+use crate::load::monitor::Samples;
 use crate::load::options::LoadOptions;
 use crate::load::record::Ending;
 use crate::load::record::Record;
-use crate::load::returning::Returning;
 use crate::load::scale::Scale;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 use crate::load::schedule::schedule;
-use crate::load::watch::Watch;
-use crate::load::watch::WatchParts;
-use crate::load::watch::Watched;
 use crate::process_cost::load_average;
 
 /// Index of the VM killed in the case `vm-killed`.
@@ -62,7 +62,7 @@
 const TOLERATED_DELAY: Duration = Duration::from_millis(20);
 
 /// Maximum number of different bad endings in a report.
-const SHOWN_ENDINGS: usize = 5;
+const MAX_SHOWN_ENDINGS: usize = 5;
 
 /// Outcome of one run.
 #[derive(Clone, Debug)]
@@ -84,9 +84,9 @@
     /// Load average of the machine over one minute, before and after the run.
     pub load_average: (f32, f32),
     /// Peak resident memory of all processes together, in bytes.
-    pub most_resident_bytes: u64,
+    pub peak_resident_bytes: u64,
     /// Peak number of processes, the load tool included.
-    pub most_processes: usize,
+    pub peak_processes: usize,
 }
 
 /// One run of a case, with its requests drawn in advance.
@@ -97,12 +97,12 @@
     case: Case,
     scale: Scale,
     trace: Trace,
-    schedule: Arc<Vec<Planned>>,
+    schedule: Arc<Vec<PlannedRequest>>,
 }
 
 /// Counts and faults collected by the thread that injects the faults.
 #[derive(Debug, Default)]
-struct Happened {
+struct InjectionOutcome {
     counts: DaemonCounts,
     killed: Option<KilledVm>,
 }
@@ -139,7 +139,7 @@
     /// # Errors
     ///
     /// If the processes can't be started or reached, or use more than half of the machine's memory.
-    pub fn carry_out(
+    pub fn execute(
         &self,
         policies: PolicyChoice,
         prepare: impl FnOnce(&Processes),
@@ -154,13 +154,13 @@
         host_caches::fill(&cluster, &self.trace, self.options.seed)?;
         self.set_service_times(&cluster)?;
         self.publish(&cluster)?;
-        let loads_before = loads_so_far(&cluster)?;
-        let too_much = Arc::new(AtomicBool::new(false));
+        let loads_before = loads_by_model(&cluster)?;
+        let memory_exceeded = Arc::new(AtomicBool::new(false));
         let clock = RunClock::start();
-        let watch = Watch::start(watch_parts(&cluster, clock, &too_much))?;
-        let (records, happened) = self.send_and_disturb(&mut cluster, clock, &too_much)?;
-        let watched = watch.end()?;
-        if too_much.load(Ordering::Relaxed) {
+        let monitor = Monitor::start(monitor_targets(&cluster, clock, &memory_exceeded))?;
+        let (records, outcome) = self.send_with_faults(&mut cluster, clock, &memory_exceeded)?;
+        let samples = monitor.end()?;
+        if memory_exceeded.load(Ordering::Relaxed) {
             return Err(Error::failed("the processes took half of the memory"));
         }
         let load_after = load_average()?;
@@ -168,9 +168,9 @@
         cluster.stop();
         Ok(self.report(
             records,
-            happened,
+            outcome,
             effects,
-            watched,
+            samples,
             (load_before, load_after),
         ))
     }
@@ -178,25 +178,25 @@
     fn report(
         &self,
         records: Vec<Record>,
-        happened: Happened,
+        outcome: InjectionOutcome,
         effects: Effects,
-        watched: Watched,
+        samples: Samples,
         load_average: (f32, f32),
     ) -> RunReport {
         let data = RunData {
             schedule: self.schedule.to_vec(),
             records,
-            timeline: watched.timeline,
+            timeline: samples.timeline,
             effects,
-            counts: happened.counts,
-            killed: happened.killed,
+            counts: outcome.counts,
+            killed: outcome.killed,
         };
-        let measuring = Measuring::new(self.deployment, &self.trace, &self.scale, &data);
+        let evaluation = Evaluation::new(self.deployment, &self.trace, &self.scale, &data);
         RunReport {
-            results: measuring.results(),
-            violations: measuring.violations(),
+            results: evaluation.results(),
+            violations: evaluation.violations(),
             bad_endings: bad_endings(&data.records),
-            never_loaded: measuring
+            never_loaded: evaluation
                 .never_loaded()
                 .into_iter()
                 .map(|(model, requests)| (model.to_owned(), requests))
@@ -204,8 +204,8 @@
             lateness: lateness(&data.schedule, &data.records, TOLERATED_DELAY),
             sent: data.records.len(),
             load_average,
-            most_resident_bytes: watched.most_resident_bytes,
-            most_processes: watched.most_processes,
+            peak_resident_bytes: samples.peak_resident_bytes,
+            peak_processes: samples.peak_processes,
         }
     }
 
@@ -240,12 +240,12 @@
     }
 
     /// Sends the schedule and injects the faults at the same time.
-    fn send_and_disturb(
+    fn send_with_faults(
         &self,
         cluster: &mut Cluster,
         clock: RunClock,
-        too_much: &AtomicBool,
-    ) -> Result<(Vec<Record>, Happened)> {
+        memory_exceeded: &AtomicBool,
+    ) -> Result<(Vec<Record>, InjectionOutcome)> {
         let mut addresses = Vec::new();
         for vm in cluster.vm_names() {
             addresses.push(cluster.vm(&vm)?.addresses.callers);
@@ -253,14 +253,22 @@
         let balancer = Arc::new(Balancer::new(addresses));
         let client = Client::new(Arc::clone(&balancer), clock, Arc::new(self.catalog()));
         let threads = self.options.client_threads;
-        let returning = Returning::new(&self.scale);
+        let caller_retries = CallerRetries::new(&self.scale);
         thread::scope(|scope| {
-            let driver =
-                scope.spawn(|| drive(&client, clock, &self.schedule, returning, threads, too_much));
-            let happened = self.disturb(cluster, clock, &balancer);
+            let driver = scope.spawn(|| {
+                drive(
+                    &client,
+                    clock,
+                    &self.schedule,
+                    caller_retries,
+                    threads,
+                    memory_exceeded,
+                )
+            });
+            let outcome = self.run_steps(cluster, clock, &balancer);
             let records = driver.join();
             let records = records.map_err(|_| Error::failed("the driver panicked"))?;
-            Ok((records?, happened?))
+            Ok((records?, outcome?))
         })
     }
 
@@ -274,12 +282,12 @@
         }
     }
 
-    fn disturb(
+    fn run_steps(
         &self,
         cluster: &mut Cluster,
         clock: RunClock,
         balancer: &Balancer,
-    ) -> Result<Happened> {
+    ) -> Result<InjectionOutcome> {
         let mut steps = vec![
             (self.scale.moment(0.0), Step::BeginMeasuring),
             (self.scale.moment(1.0), Step::EndMeasuring),
@@ -287,38 +295,38 @@
         let faults = self.case.faults(&self.scale).into_iter();
         steps.extend(faults.map(|(at, fault)| (at, Step::Fault(fault))));
         steps.sort_by_key(|(at, _)| *at);
-        let mut happened = Happened::default();
+        let mut outcome = InjectionOutcome::default();
         let mut before = DaemonCounts::default();
         for (at, step) in steps {
             clock.wait_until(at);
             match step {
                 Step::BeginMeasuring => before = DaemonCounts::read_all(cluster)?,
-                Step::EndMeasuring => happened.counts += DaemonCounts::read_all(cluster)?,
-                Step::Fault(fault) => self.set(fault, cluster, clock, balancer, &mut happened)?,
+                Step::EndMeasuring => outcome.counts += DaemonCounts::read_all(cluster)?,
+                Step::Fault(fault) => self.inject(fault, cluster, clock, balancer, &mut outcome)?,
             }
         }
-        happened.counts.retries -= before.retries;
-        happened.counts.idle_engine_s -= before.idle_engine_s;
-        Ok(happened)
+        outcome.counts.retries -= before.retries;
+        outcome.counts.idle_engine_s -= before.idle_engine_s;
+        Ok(outcome)
     }
 
-    fn set(
+    fn inject(
         &self,
         fault: Fault,
         cluster: &mut Cluster,
         clock: RunClock,
         balancer: &Balancer,
-        happened: &mut Happened,
+        outcome: &mut InjectionOutcome,
     ) -> Result<()> {
         let names = cluster.vm_names();
         let vm = &names[KILLED_VM % names.len()];
         match fault {
             Fault::KillVm => {
                 // The counters of the process are lost when it is killed.
-                happened.counts += DaemonCounts::read(cluster, vm)?;
+                outcome.counts += DaemonCounts::read(cluster, vm)?;
                 let from = clock.now();
                 cluster.kill(vm)?;
-                happened.killed = Some(KilledVm {
+                outcome.killed = Some(KilledVm {
                     vm: KILLED_VM % names.len(),
                     from,
                     to: clock.now(),
@@ -336,15 +344,19 @@
     }
 }
 
-fn watch_parts(cluster: &Cluster, clock: RunClock, too_much: &Arc<AtomicBool>) -> WatchParts {
+fn monitor_targets(
+    cluster: &Cluster,
+    clock: RunClock,
+    memory_exceeded: &Arc<AtomicBool>,
+) -> MonitorTargets {
     let engines = cluster.engines().into_iter();
-    WatchParts {
+    MonitorTargets {
         engines: engines
             .map(|(name, engine)| (name.to_owned(), engine.clone()))
             .collect(),
         processes: cluster.processes().clone(),
         clock,
-        too_much: Arc::clone(too_much),
+        memory_exceeded: Arc::clone(memory_exceeded),
     }
 }
 
@@ -356,7 +368,7 @@
             *counts.entry(format!("{:?}", record.ending)).or_default() += 1;
         }
     }
-    let shown = counts.into_iter().take(SHOWN_ENDINGS);
+    let shown = counts.into_iter().take(MAX_SHOWN_ENDINGS);
     shown
         .map(|(ending, count)| format!("{count} x {ending}"))
         .collect()
--- a/crates/load-tool/src/load/schedule.rs
+++ b/crates/load-tool/src/load/schedule.rs
@@ -14,23 +14,23 @@
 use crate::load::scale::Scale;
 
 /// Constant mixed into the seed, so that these draws are independent of the trace's.
-const SEED_MIX: u64 = 0x10ad;
+const SEED_SALT: u64 = 0x10ad;
 
 /// Time between two tokens of an answer, in the deployment's time.
 pub const TOKEN_GAP_MS: u64 = 50;
 
 /// Share of completions whose answers are not streamed.
-const WHOLE_SHARE: f64 = 0.2;
+const UNSTREAMED_SHARE: f64 = 0.2;
 
 /// Shares of the calls to the plain service. The remainder are cut orders without a key.
-const LOOK_SHARE: f64 = 0.6;
+const LOOKUP_SHARE: f64 = 0.6;
 const KEYED_SHARE: f64 = 0.25;
 
 /// Share of the cut orders with a key that their caller sends twice, to two VMs.
-const REPEATED_SHARE: f64 = 0.4;
+const DUPLICATE_SHARE: f64 = 0.4;
 
 /// Maximum delay of the duplicate of a cut order after the first one.
-const REPEAT_WITHIN: Duration = Duration::from_millis(400);
+const MAX_DUPLICATE_DELAY: Duration = Duration::from_millis(400);
 
 /// Operation that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
         stream: bool,
     },
     /// A lookup of a bundle on the shelf, which is idempotent.
-    Look {
+    ShelfLookup {
         /// Number of the bundle.
         bundle: u64,
     },
@@ -62,7 +62,7 @@
 
 /// Request of the schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedRequest {
     /// Scheduled time of sending, since the start of the run.
     pub at: Duration,
     /// Index of the VM that the request is sent to first.
@@ -74,26 +74,26 @@
     /// Operation that the request asks for.
     pub work: Work,
     /// Whether the request is a caller's duplicate of a cut order that is also in the schedule.
-    pub is_repetition: bool,
+    pub is_duplicate: bool,
 }
 
 /// Returns the requests of a run, ordered by time.
-pub fn schedule(trace: &Trace, scale: &Scale, options: &LoadOptions) -> Vec<Planned> {
-    let mut source = ChaCha8Rng::seed_from_u64(options.seed ^ SEED_MIX);
+pub fn schedule(trace: &Trace, scale: &Scale, options: &LoadOptions) -> Vec<PlannedRequest> {
+    let mut source = ChaCha8Rng::seed_from_u64(options.seed ^ SEED_SALT);
     let mut planned = Vec::new();
     for (number, request) in trace.requests.iter().enumerate() {
         let Some(at) = scale.arrival(request.at_ms) else {
             continue;
         };
-        let first = Planned {
+        let first = PlannedRequest {
             at,
             vm: source.random_range(0..options.vms),
             class: request.class,
             caller: request.caller,
             work: work(request, number as u64, &mut source),
-            is_repetition: false,
+            is_duplicate: false,
         };
-        planned.extend(repetition(&first, options.vms, &mut source));
+        planned.extend(duplicate(&first, options.vms, &mut source));
         planned.push(first);
     }
     planned.sort_by_key(|planned| planned.at);
@@ -106,15 +106,15 @@
             model,
             prefix: request.prefix_hash,
             tokens: tokens(request),
-            stream: !source.random_bool(WHOLE_SHARE),
+            stream: !source.random_bool(UNSTREAMED_SHARE),
         },
         Target::Service => {
             let drawn: f64 = source.random();
             match drawn {
-                _ if drawn < LOOK_SHARE => Work::Look { bundle: number },
+                _ if drawn < LOOKUP_SHARE => Work::ShelfLookup { bundle: number },
                 _ => Work::CutOrder {
                     order: number,
-                    keyed: drawn < LOOK_SHARE + KEYED_SHARE,
+                    keyed: drawn < LOOKUP_SHARE + KEYED_SHARE,
                 },
             }
         }
@@ -128,16 +128,20 @@
 }
 
 /// Draws whether a cut order with a key is sent twice, and returns the duplicate for another VM.
-fn repetition(first: &Planned, vms: usize, source: &mut ChaCha8Rng) -> Option<Planned> {
-    let repeats = matches!(first.work, Work::CutOrder { keyed: true, .. });
-    if !repeats || !source.random_bool(REPEATED_SHARE) {
+fn duplicate(
+    first: &PlannedRequest,
+    vms: usize,
+    source: &mut ChaCha8Rng,
+) -> Option<PlannedRequest> {
+    let is_eligible = matches!(first.work, Work::CutOrder { keyed: true, .. });
+    if !is_eligible || !source.random_bool(DUPLICATE_SHARE) {
         return None;
     }
-    let after = REPEAT_WITHIN.mul_f64(source.random());
-    Some(Planned {
+    let after = MAX_DUPLICATE_DELAY.mul_f64(source.random());
+    Some(PlannedRequest {
         at: first.at + after,
         vm: (first.vm + 1) % vms,
-        is_repetition: true,
+        is_duplicate: true,
         ..first.clone()
     })
 }
--- a/crates/load-tool/src/load/timeline.rs
+++ b/crates/load-tool/src/load/timeline.rs
@@ -5,7 +5,7 @@
 
 /// Model in an engine's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldModel {
     /// Name of the model.
     pub model: String,
     /// Whether the model can serve; false while it loads or unloads.
@@ -16,7 +16,7 @@
 
 /// Interval in which a request occupied a model on an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Use {
+pub struct Occupancy {
     /// Name of the engine.
     pub engine: String,
     /// Names of the requested model and, if that is an adapter, of its base.
@@ -30,14 +30,14 @@
 /// Models held by each engine, with the time of each change since the start of the run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Timeline {
-    engines: BTreeMap<String, Vec<(Duration, Vec<Held>)>>,
+    engines: BTreeMap<String, Vec<(Duration, Vec<HeldModel>)>>,
     end: Duration,
 }
 
 impl Timeline {
     /// Records the models that an engine holds at time `at`. The times of one engine must not
     /// decrease.
-    pub fn note(&mut self, at: Duration, engine: &str, held: Vec<Held>) {
+    pub fn record(&mut self, at: Duration, engine: &str, held: Vec<HeldModel>) {
         self.end = self.end.max(at);
         let states = self.engines.entry(engine.to_owned()).or_default();
         if states.last().is_none_or(|(_, last)| *last != held) {
@@ -64,14 +64,17 @@
     /// model weighted by the share of `capacity_bytes` that it occupies.
     pub fn idle(
         &self,
-        uses: &[Use],
+        occupancies: &[Occupancy],
         capacity_bytes: u64,
         from: Duration,
         to: Duration,
     ) -> Duration {
         let mut idle_s = 0.0;
         for engine in self.engines.keys() {
-            let of_engine: Vec<&Use> = uses.iter().filter(|one| one.engine == *engine).collect();
+            let of_engine: Vec<&Occupancy> = occupancies
+                .iter()
+                .filter(|one| one.engine == *engine)
+                .collect();
             for (begin, end, held) in self.spans(engine) {
                 let (begin, end) = (begin.max(from), end.min(to));
                 if begin >= end {
@@ -90,7 +93,7 @@
 
     /// Returns the intervals in which the engine's set of held models did not change, one for each
     /// model in the set.
-    fn spans(&self, engine: &str) -> impl Iterator<Item = (Duration, Duration, &Held)> {
+    fn spans(&self, engine: &str) -> impl Iterator<Item = (Duration, Duration, &HeldModel)> {
         let states = self.engines.get(engine).map_or(&[][..], Vec::as_slice);
         let ends = states.iter().skip(1).map(|(at, _)| *at).chain([self.end]);
         states.iter().zip(ends).flat_map(|((begin, held), end)| {
--- a/crates/load-tool/src/overhead.rs
+++ b/crates/load-tool/src/overhead.rs
@@ -14,14 +14,14 @@
 use crate::errors::Result;
 
 /// Upper bound of the histograms; longer times are recorded as this one.
-const MOST_US: u64 = 60_000_000;
+const MAX_RECORDED_US: u64 = 60_000_000;
 
-const REQUEST_LIMIT: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Latencies of the requests sent over one route, in microseconds.
 pub struct Timings {
     /// From sending an unstreamed request to the end of its answer.
-    pub whole_us: Histogram<u64>,
+    pub complete_us: Histogram<u64>,
     /// From sending a streamed request to the first event of its answer.
     pub first_event_us: Histogram<u64>,
     /// Between two consecutive events of a stream.
@@ -29,7 +29,7 @@
 }
 
 /// Route to the engine, either direct or through a VM.
-pub struct Way {
+pub struct Route {
     agent: Agent,
     url: String,
     model: String,
@@ -37,21 +37,22 @@
     pub timings: Timings,
 }
 
-impl Way {
+impl Route {
     /// Returns a route to the engine or VM at `address`, for requests to `model`.
     pub fn new(address: SocketAddr, model: &str) -> Self {
         let config = Agent::config_builder()
-            .timeout_global(Some(REQUEST_LIMIT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .http_status_as_error(true)
             .no_delay(true)
             .build();
-        let histogram = || Histogram::new_with_max(MOST_US, 3).expect("the bounds are constants");
+        let histogram =
+            || Histogram::new_with_max(MAX_RECORDED_US, 3).expect("the bounds are constants");
         Self {
             agent: config.into(),
             url: format!("http://{address}/v1/completions"),
             model: model.to_owned(),
             timings: Timings {
-                whole_us: histogram(),
+                complete_us: histogram(),
                 first_event_us: histogram(),
                 gap_us: histogram(),
             },
@@ -65,7 +66,7 @@
     ///
     /// If one of them is refused or its answer is incomplete.
     pub fn measure(&mut self, tokens: u32) -> Result<()> {
-        self.measure_whole(tokens)?;
+        self.measure_complete(tokens)?;
         self.measure_stream(tokens)
     }
 
@@ -75,7 +76,7 @@
         })
     }
 
-    fn measure_whole(&mut self, tokens: u32) -> Result<()> {
+    fn measure_complete(&mut self, tokens: u32) -> Result<()> {
         let began = Instant::now();
         let answer = self
             .agent
@@ -83,7 +84,7 @@
             .send_json(self.body(tokens, false));
         let body = answer.and_then(|mut answer| answer.body_mut().read_to_string());
         body.map_err(|error| Error::failed(format!("whole request: {error}")))?;
-        note(&mut self.timings.whole_us, began);
+        record_elapsed(&mut self.timings.complete_us, began);
         Ok(())
     }
 
@@ -99,8 +100,8 @@
             let line = line.map_err(|error| Error::failed(format!("stream: {error}")))?;
             match line.strip_prefix("data: ") {
                 Some("[DONE]") => return Ok(()),
-                Some(_) if events == 0 => note(&mut self.timings.first_event_us, last),
-                Some(_) => note(&mut self.timings.gap_us, last),
+                Some(_) if events == 0 => record_elapsed(&mut self.timings.first_event_us, last),
+                Some(_) => record_elapsed(&mut self.timings.gap_us, last),
                 None => continue,
             }
             events += 1;
@@ -112,7 +113,7 @@
     }
 }
 
-fn note(histogram: &mut Histogram<u64>, since: Instant) {
-    let us = u64::try_from(since.elapsed().as_micros()).unwrap_or(MOST_US);
+fn record_elapsed(histogram: &mut Histogram<u64>, since: Instant) {
+    let us = u64::try_from(since.elapsed().as_micros()).unwrap_or(MAX_RECORDED_US);
     histogram.saturating_record(us);
 }
--- a/crates/load-tool/tests/line_fit.rs
+++ b/crates/load-tool/tests/line_fit.rs
@@ -14,7 +14,7 @@
     #[case] intercept: f64,
     #[case] r2: f64,
 ) {
-    let line = LineFit::through(points).expect("the points have different x");
+    let line = LineFit::fit(points).expect("the points have different x");
     let expected = [slope, intercept, r2, intercept + 10.0 * slope];
     let found = [line.slope, line.intercept, line.r2, line.at(10.0)];
     for (found, expected) in found.iter().zip(expected) {
@@ -27,5 +27,5 @@
 #[case::one_point(&[(1.0, 3.0)])]
 #[case::one_x(&[(1.0, 3.0), (1.0, 5.0)])]
 fn there_is_no_line_through_fewer_than_two_x(#[case] points: &[(f64, f64)]) {
-    assert_eq!(LineFit::through(points), None);
+    assert_eq!(LineFit::fit(points), None);
 }
--- a/crates/load-tool/tests/load_schedule.rs
+++ b/crates/load-tool/tests/load_schedule.rs
@@ -7,7 +7,7 @@
 use apricotdale_load_tool::load::case::Case;
 use apricotdale_load_tool::load::options::LoadOptions;
 use apricotdale_load_tool::load::scale::Scale;
-use apricotdale_load_tool::load::schedule::Planned;
+use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
 use apricotdale_load_tool::load::schedule::schedule;
 use apricotdale_policy_replay::deployment::Deployment;
@@ -19,7 +19,7 @@
         .expect("the deployment can be read")
 }
 
-fn planned(case: Case, seed: u64) -> Vec<Planned> {
+fn planned(case: Case, seed: u64) -> Vec<PlannedRequest> {
     let deployment = deployment();
     let options = LoadOptions {
         seed,
@@ -54,7 +54,7 @@
             work,
             Work::Completion { stream: false, .. }
         )));
-        assert!(is(|work| matches!(work, Work::Look { .. })));
+        assert!(is(|work| matches!(work, Work::ShelfLookup { .. })));
         assert!(is(|work| matches!(
             work,
             Work::CutOrder { keyed: true, .. }
@@ -69,7 +69,7 @@
 #[test]
 fn an_order_is_repeated_only_under_its_key_by_its_caller_at_another_vm() {
     let planned = planned(Case::Usual, 1);
-    let mut orders: BTreeMap<u64, Vec<&Planned>> = BTreeMap::new();
+    let mut orders: BTreeMap<u64, Vec<&PlannedRequest>> = BTreeMap::new();
     for one in &planned {
         if let Work::CutOrder { order, .. } = one.work {
             orders.entry(order).or_default().push(one);
@@ -85,7 +85,7 @@
         assert_eq!(first.work, second.work);
         assert_eq!(first.caller, second.caller);
         assert_ne!(first.vm, second.vm);
-        assert!(!first.is_repetition && second.is_repetition);
+        assert!(!first.is_duplicate && second.is_duplicate);
     }
 }
 
@@ -102,14 +102,14 @@
         inside
             .map(|one| match one.work {
                 Work::Completion { tokens, .. } => f64::from(tokens) * token_s,
-                Work::Look { .. } | Work::CutOrder { .. } => 0.0,
+                Work::ShelfLookup { .. } | Work::CutOrder { .. } => 0.0,
             })
             .sum()
     };
-    let places = deployment.engines.count as f64 * f64::from(deployment.engines.slots);
+    let slots = deployment.engines.count as f64 * f64::from(deployment.engines.slots);
     let added = (work_s(Case::Overload) - work_s(Case::Usual)) / (to - from).as_secs_f64();
     // The trace draws each request's time, so that the sum is near the mean only.
-    let times = added / places;
+    let times = added / slots;
     assert!((1.6..2.4).contains(&times), "{times} times the places");
 }
 
--- a/crates/load-tool/tests/model_timeline.rs
+++ b/crates/load-tool/tests/model_timeline.rs
@@ -4,9 +4,9 @@
 
 use rstest::rstest;
 
-use apricotdale_load_tool::load::timeline::Held;
+use apricotdale_load_tool::load::timeline::HeldModel;
+use apricotdale_load_tool::load::timeline::Occupancy;
 use apricotdale_load_tool::load::timeline::Timeline;
-use apricotdale_load_tool::load::timeline::Use;
 
 const CAPACITY: u64 = 40;
 
@@ -14,8 +14,8 @@
     Duration::from_secs(seconds)
 }
 
-fn held(model: &str, loaded: bool) -> Held {
-    Held {
+fn held(model: &str, loaded: bool) -> HeldModel {
+    HeldModel {
         model: model.to_owned(),
         loaded,
         bytes: 10,
@@ -25,19 +25,19 @@
 /// Engine e1 loads m1 from 10 s on, holds it from 20 s to 60 s; e2 holds m1 from 40 s on.
 fn timeline() -> Timeline {
     let mut timeline = Timeline::default();
-    timeline.note(at(0), "e1", Vec::new());
-    timeline.note(at(10), "e1", vec![held("m1", false)]);
-    timeline.note(at(20), "e1", vec![held("m1", true)]);
-    timeline.note(at(30), "e1", vec![held("m1", true)]);
-    timeline.note(at(60), "e1", Vec::new());
-    timeline.note(at(0), "e2", Vec::new());
-    timeline.note(at(40), "e2", vec![held("m1", true)]);
-    timeline.note(at(80), "e2", vec![held("m1", true)]);
+    timeline.record(at(0), "e1", Vec::new());
+    timeline.record(at(10), "e1", vec![held("m1", false)]);
+    timeline.record(at(20), "e1", vec![held("m1", true)]);
+    timeline.record(at(30), "e1", vec![held("m1", true)]);
+    timeline.record(at(60), "e1", Vec::new());
+    timeline.record(at(0), "e2", Vec::new());
+    timeline.record(at(40), "e2", vec![held("m1", true)]);
+    timeline.record(at(80), "e2", vec![held("m1", true)]);
     timeline
 }
 
-fn used(engine: &str, models: &[&str], from: u64, to: u64) -> Use {
-    Use {
+fn used(engine: &str, models: &[&str], from: u64, to: u64) -> Occupancy {
+    Occupancy {
         engine: engine.to_owned(),
         models: models.iter().map(|model| (*model).to_owned()).collect(),
         from: at(from),
@@ -70,8 +70,11 @@
 #[case::by_an_adapter(&[used("e1", &["a1", "m1"], 20, 30)], 80)]
 #[case::another_model(&[used("e1", &["m2"], 20, 30)], 90)]
 #[case::on_another_engine(&[used("e3", &["m1"], 20, 30)], 90)]
-fn memory_is_idle_while_no_request_is_on_the_model(#[case] uses: &[Use], #[case] held_s: u64) {
-    let idle = timeline().idle(uses, CAPACITY, at(0), at(80));
+fn memory_is_idle_while_no_request_is_on_the_model(
+    #[case] occupancies: &[Occupancy],
+    #[case] held_s: u64,
+) {
+    let idle = timeline().idle(occupancies, CAPACITY, at(0), at(80));
     assert_eq!(idle, at(held_s) / 4);
 }
 
--- a/crates/load-tool/tests/open_loop.rs
+++ b/crates/load-tool/tests/open_loop.rs
@@ -15,17 +15,17 @@
 use std::time::Duration;
 
 use apricotdale_load_tool::load::balancer::Balancer;
+use apricotdale_load_tool::load::caller_retries::CallerRetries;
 use apricotdale_load_tool::load::client::Catalog;
 use apricotdale_load_tool::load::client::Client;
 use apricotdale_load_tool::load::clock::RunClock;
-use apricotdale_load_tool::load::drive::drive;
-use apricotdale_load_tool::load::drive::lateness;
+use apricotdale_load_tool::load::driver::drive;
+use apricotdale_load_tool::load::driver::lateness;
 use apricotdale_load_tool::load::options::LoadOptions;
 use apricotdale_load_tool::load::record::Ending;
 use apricotdale_load_tool::load::record::Record;
-use apricotdale_load_tool::load::returning::Returning;
 use apricotdale_load_tool::load::scale::Scale;
-use apricotdale_load_tool::load::schedule::Planned;
+use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
 
 /// Starts a VM that hands each request's first line and headers to `answer`, with the connection.
@@ -85,14 +85,14 @@
     Client::new(Arc::new(Balancer::new(vms)), clock, Arc::new(catalog))
 }
 
-fn order(order: u64, keyed: bool, at: Duration) -> Planned {
-    Planned {
+fn order(order: u64, keyed: bool, at: Duration) -> PlannedRequest {
+    PlannedRequest {
         at,
         vm: 0,
         class: 0,
         caller: 0,
         work: Work::CutOrder { order, keyed },
-        is_repetition: false,
+        is_duplicate: false,
     }
 }
 
@@ -104,8 +104,8 @@
     let crossing =
         start_vm(|_, connection| answer_call("GET /services/bancone/shelf/2", connection));
     let client = client(vec![crossing], clock);
-    let look = |bundle| Planned {
-        work: Work::Look { bundle },
+    let look = |bundle| PlannedRequest {
+        work: Work::ShelfLookup { bundle },
         ..order(0, false, Duration::ZERO)
     };
     let other = client.send(0, &look(1));
@@ -137,9 +137,9 @@
     let schedule = (0..REQUESTS).map(|number| order(number as u64, false, Duration::ZERO));
     let schedule = Arc::new(schedule.collect::<Vec<_>>());
     let stop = AtomicBool::new(false);
-    let returning = Returning::new(&Scale::new(&LoadOptions::default()));
+    let caller_retries = CallerRetries::new(&Scale::new(&LoadOptions::default()));
     let client = client(vec![vm], clock);
-    let records = drive(&client, clock, &schedule, returning, REQUESTS, &stop);
+    let records = drive(&client, clock, &schedule, caller_retries, REQUESTS, &stop);
     let records = records.expect("the clients work");
     assert_eq!(records.len(), REQUESTS);
     assert!(records.iter().all(|record| record.ending == Ending::Whole));
@@ -157,9 +157,9 @@
         gaps_us: Vec::new(),
         identity: String::new(),
         engine: None,
-        repeats: 0,
+        resends: 0,
         retry_after: None,
-        is_return: false,
+        is_caller_retry: false,
         ending: Ending::Whole,
     };
     let late = |tolerated_ms| {
@@ -200,7 +200,7 @@
 fn a_lost_order_is_sent_again_under_its_key() {
     let (record, received) = send_and_lose(true);
     assert_eq!(record.ending, Ending::Whole);
-    assert_eq!(record.repeats, 1);
+    assert_eq!(record.resends, 1);
     assert_eq!(received.len(), 1);
     assert!(
         received[0]
--- a/crates/load-tool/tests/refused_callers.rs
+++ b/crates/load-tool/tests/refused_callers.rs
@@ -15,22 +15,22 @@
 
 use apricotdale_launcher::answer::RefusedAnswer;
 use apricotdale_load_tool::load::balancer::Balancer;
+use apricotdale_load_tool::load::caller_retries::CallerRetries;
 use apricotdale_load_tool::load::client::Catalog;
 use apricotdale_load_tool::load::client::Client;
 use apricotdale_load_tool::load::clock::RunClock;
-use apricotdale_load_tool::load::drive::drive;
+use apricotdale_load_tool::load::driver::drive;
 use apricotdale_load_tool::load::options::LoadOptions;
 use apricotdale_load_tool::load::record::Ending;
 use apricotdale_load_tool::load::record::Record;
-use apricotdale_load_tool::load::returning::Returning;
 use apricotdale_load_tool::load::scale::Scale;
-use apricotdale_load_tool::load::schedule::Planned;
+use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
 
 const REFUSAL: &str = r#"{"type":"urn:apricotdale:refusal:overloaded","reason":"overloaded","ran":"not_run","retry_after_ms":10}"#;
 
-fn returning() -> Returning {
-    Returning::new(&Scale::new(&LoadOptions {
+fn caller_retries() -> CallerRetries {
+    CallerRetries::new(&Scale::new(&LoadOptions {
         speed: 4.0,
         warm_up: Duration::from_secs(10),
         measured: Duration::from_secs(50),
@@ -48,9 +48,9 @@
         gaps_us: Vec::new(),
         identity: String::new(),
         engine: None,
-        repeats: 0,
+        resends: 0,
         retry_after: retry_after_ms.map(Duration::from_millis),
-        is_return: false,
+        is_caller_retry: false,
         ending: Ending::Refused(RefusedAnswer {
             reason: "overloaded".to_owned(),
             ran: ran.to_owned(),
@@ -73,7 +73,7 @@
 ) {
     let record = refused(planned, ended_ms, ran, retry_after_ms);
     let expected = expected_ms.map(Duration::from_millis);
-    assert_eq!(returning().moment(&record), expected);
+    assert_eq!(caller_retries().retry_at(&record), expected);
 }
 
 #[test]
@@ -82,7 +82,7 @@
         ending: Ending::Whole,
         ..refused(2, 1_000, "not_run", Some(300))
     };
-    assert_eq!(returning().moment(&record), None);
+    assert_eq!(caller_retries().retry_at(&record), None);
 }
 
 /// Starts a VM that refuses its first request and answers every later one.
@@ -125,7 +125,7 @@
     };
     let balancer = Arc::new(Balancer::new(vec![start_vm()]));
     let client = Client::new(balancer, clock, Arc::new(catalog));
-    let planned = Planned {
+    let planned = PlannedRequest {
         at: Duration::ZERO,
         vm: 0,
         class: 0,
@@ -134,17 +134,17 @@
             order: 1,
             keyed: false,
         },
-        is_repetition: false,
+        is_duplicate: false,
     };
     let stop = AtomicBool::new(false);
     let schedule = Arc::new(vec![planned]);
-    let records = drive(&client, clock, &schedule, returning(), 1, &stop);
+    let records = drive(&client, clock, &schedule, caller_retries(), 1, &stop);
     let records = records.expect("the client works");
     let [first, second] = &records[..] else {
         panic!("{} records", records.len());
     };
     assert_eq!(first.retry_after, Some(Duration::from_millis(10)));
-    assert!(first.ending.refusal().is_some() && !first.is_return);
+    assert!(first.ending.refusal().is_some() && !first.is_caller_retry);
     assert_eq!(second.ending, Ending::Whole);
-    assert!(second.is_return);
+    assert!(second.is_caller_retry);
 }
--- a/crates/load-tool/tests/run_effects.rs
+++ b/crates/load-tool/tests/run_effects.rs
@@ -15,7 +15,7 @@
 use apricotdale_load_tool::load::effects::Violations;
 use apricotdale_load_tool::load::record::Ending;
 use apricotdale_load_tool::load::record::Record;
-use apricotdale_load_tool::load::schedule::Planned;
+use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
 
 const ORDER: Work = Work::CutOrder {
@@ -27,14 +27,14 @@
     Duration::from_millis(time)
 }
 
-fn planned(work: Work) -> Planned {
-    Planned {
+fn planned(work: Work) -> PlannedRequest {
+    PlannedRequest {
         at: ms(0),
         vm: 0,
         class: 0,
         caller: 0,
         work,
-        is_repetition: false,
+        is_duplicate: false,
     }
 }
 
@@ -49,9 +49,9 @@
         gaps_us: Vec::new(),
         identity: "req-1".to_owned(),
         engine: None,
-        repeats: 0,
+        resends: 0,
         retry_after: None,
-        is_return: false,
+        is_caller_retry: false,
         ending,
     }
 }
@@ -96,9 +96,9 @@
         engines: vec![engine(&[("m1", 2)], 0), engine(&[("m1", 1)], 0)],
         services: vec![service(&[("POST /cut-orders/1", 1)], &[("cut-order-1", 1)])],
         loads_before: counts(&[("m1", 1)]),
-        decided: counts(&[("m1", 2)]),
+        loads_decided: counts(&[("m1", 2)]),
     };
-    assert!(violations(&effects, ORDER, Ending::Whole).none());
+    assert!(violations(&effects, ORDER, Ending::Whole).is_empty());
 }
 
 #[rstest]
@@ -135,7 +135,7 @@
 ) {
     let effects = Effects {
         engines: engines.to_vec(),
-        decided: counts(&[("m1", 2)]),
+        loads_decided: counts(&[("m1", 2)]),
         ..Effects::default()
     };
     let found = violations(&effects, ORDER, Ending::Whole);
--- a/crates/load-tool/tests/run_measures.rs
+++ b/crates/load-tool/tests/run_measures.rs
@@ -9,15 +9,15 @@
 use apricotdale_load_tool::load::daemon_counts::DaemonCounts;
 use apricotdale_load_tool::load::effects::Effects;
 use apricotdale_load_tool::load::effects::KilledVm;
-use apricotdale_load_tool::load::measures::Measuring;
+use apricotdale_load_tool::load::measures::Evaluation;
 use apricotdale_load_tool::load::measures::RunData;
 use apricotdale_load_tool::load::options::LoadOptions;
 use apricotdale_load_tool::load::record::Ending;
 use apricotdale_load_tool::load::record::Record;
 use apricotdale_load_tool::load::scale::Scale;
-use apricotdale_load_tool::load::schedule::Planned;
+use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
-use apricotdale_load_tool::load::timeline::Held;
+use apricotdale_load_tool::load::timeline::HeldModel;
 use apricotdale_load_tool::load::timeline::Timeline;
 use apricotdale_policy_replay::deployment::Deployment;
 use apricotdale_policy_replay::trace::trace;
@@ -30,8 +30,8 @@
     Duration::from_millis(time)
 }
 
-fn planned(at_ms: u64) -> Planned {
-    Planned {
+fn planned(at_ms: u64) -> PlannedRequest {
+    PlannedRequest {
         at: ms(at_ms),
         vm: 0,
         class: 0,
@@ -42,7 +42,7 @@
             tokens: 3,
             stream: true,
         },
-        is_repetition: false,
+        is_duplicate: false,
     }
 }
 
@@ -57,9 +57,9 @@
         gaps_us: vec![12_000, 13_000],
         identity: "req-1".to_owned(),
         engine: Some("engine1".to_owned()),
-        repeats: 0,
+        resends: 0,
         retry_after: None,
-        is_return: false,
+        is_caller_retry: false,
         ending: Ending::Whole,
     }
 }
@@ -75,7 +75,7 @@
     }
 }
 
-fn data(planned: Planned, records: Vec<Record>) -> RunData {
+fn data(planned: PlannedRequest, records: Vec<Record>) -> RunData {
     RunData {
         schedule: vec![planned],
         records,
@@ -99,7 +99,7 @@
     };
     let trace = trace(&deployment, 1, 1, None);
     let scale = Scale::new(&options);
-    let results = Measuring::new(&deployment, &trace, &scale, data).results();
+    let results = Evaluation::new(&deployment, &trace, &scale, data).results();
     names.map(|name| {
         let found = results.iter().find(|(known, _)| known == name);
         found.map_or(0.0, |(_, value)| *value)
@@ -132,7 +132,7 @@
 fn a_refused_caller_s_second_try_is_not_measured() {
     let first = refused(&record(1));
     let second = Record {
-        is_return: true,
+        is_caller_retry: true,
         ..record(1)
     };
     let data = data(planned(ARRIVAL_MS), vec![first, second]);
@@ -148,9 +148,9 @@
 #[rstest]
 #[case::measured(planned(ARRIVAL_MS), 1.0)]
 #[case::in_the_warm_up(planned(WARM_UP_MS - 1), 0.0)]
-#[case::sent_already(Planned { is_repetition: true, ..planned(ARRIVAL_MS) }, 0.0)]
+#[case::sent_already(PlannedRequest { is_duplicate: true, ..planned(ARRIVAL_MS) }, 0.0)]
 fn only_first_sendings_after_the_warm_up_are_measured(
-    #[case] planned: Planned,
+    #[case] planned: PlannedRequest,
     #[case] expected: f64,
 ) {
     let data = data(planned, vec![record(1)]);
@@ -177,7 +177,7 @@
 #[test]
 fn a_cold_start_counts_though_the_request_was_refused() {
     let mut data = data(planned(ARRIVAL_MS), vec![refused(&record(1))]);
-    let held = Held {
+    let held = HeldModel {
         model: "model-000".to_owned(),
         loaded: true,
         bytes: 1,
@@ -187,16 +187,16 @@
         "cold_start_share",
         "cold_starts_never_loaded",
     ];
-    data.timeline.note(ms(0), "engine1", Vec::new());
+    data.timeline.record(ms(0), "engine1", Vec::new());
     data.timeline
-        .note(ms(ARRIVAL_MS + 4_000), "engine1", Vec::new());
+        .record(ms(ARRIVAL_MS + 4_000), "engine1", Vec::new());
     let [wait_ms, share, never] = results(&data, names);
     assert!((wait_ms - 4_000.0).abs() < 5.0, "{wait_ms}");
     assert_eq!([share, never], [1.0, 1.0]);
     data.timeline
-        .note(ms(ARRIVAL_MS + 5_000), "engine1", vec![held.clone()]);
+        .record(ms(ARRIVAL_MS + 5_000), "engine1", vec![held.clone()]);
     data.timeline
-        .note(ms(ARRIVAL_MS + 6_000), "engine1", vec![held]);
+        .record(ms(ARRIVAL_MS + 6_000), "engine1", vec![held]);
     let [wait_ms, share, never] = results(&data, names);
     assert!((wait_ms - 5_000.0).abs() < 5.0, "{wait_ms}");
     assert_eq!([share, never], [1.0, 0.0]);
--- a/crates/load-tool/tests/token_check.rs
+++ b/crates/load-tool/tests/token_check.rs
@@ -15,8 +15,8 @@
 /// Returns whether three tokens were accepted as the answer to a request for three.
 fn accepted(texts: &[&str]) -> bool {
     let mut check = TokenCheck::new(IDENTITY);
-    let taken = texts.iter().all(|text| check.take(&event(text)).is_ok());
-    taken && check.end(3).is_ok()
+    let taken = texts.iter().all(|text| check.verify(&event(text)).is_ok());
+    taken && check.verify_end(3).is_ok()
 }
 
 #[rstest]
@@ -37,7 +37,7 @@
 fn the_answer_names_its_engine() {
     let mut check = TokenCheck::new(IDENTITY);
     assert_eq!(check.engine(), None);
-    check.take(&event("tok-req-7-0 ")).expect("its own token");
+    check.verify(&event("tok-req-7-0 ")).expect("its own token");
     assert_eq!(check.engine(), Some("e1"));
 }
 
--- a/crates/slopes/src/slope.rs
+++ b/crates/slopes/src/slope.rs
@@ -73,7 +73,7 @@
         for size in sizes {
             points.push((*size as f64, cost(*size)?));
         }
-        let line = LineFit::through(&points).ok_or(Error::TooFewPoints(name))?;
+        let line = LineFit::fit(&points).ok_or(Error::TooFewPoints(name))?;
         Ok(Self {
             name,
             unit,
