--- a/crates/load-tool/src/bin/overhead.rs
+++ b/crates/load-tool/src/bin/overhead.rs
@@ -55,7 +55,7 @@
         &warm.header("X-Request-Timeout-Ms", FIRST_REQUEST_TIMEOUT_MS.to_string()),
     );
     if !warm.is_whole() {
-        return Err(format!("the first request: {warm:?}").into());
+        return Err(format!("the first request got no complete answer: {warm:?}").into());
     }
     let holds = |status: &apricotdale_core::engine::EngineStatus| {
         status
