--- a/crates/load-tool/src/errors.rs
+++ b/crates/load-tool/src/errors.rs
@@ -13,7 +13,7 @@
     Launcher(#[from] apricotdale_launcher::Error),
     /// The statistics that the kernel keeps in `/proc` can't be read, for instance because the
     /// process has ended.
-    #[error("reading the system's accounts: {0}")]
+    #[error("reading process and system statistics: {0}")]
     Statistics(#[from] procfs::ProcError),
     /// A step of the measurement failed; the text says which one and why.
     #[error("{0}")]
