--- a/crates/load-tool/src/fleet.rs
+++ b/crates/load-tool/src/fleet.rs
@@ -65,7 +65,7 @@
     let names = cluster.vm_names();
     let first = names
         .first()
-        .ok_or_else(|| Error::failed("a fleet needs a VM"))?;
+        .ok_or_else(|| Error::failed("a fleet needs at least one VM"))?;
     cluster.publish(first, sample::edits())?;
     thread::sleep(SETTLING_TIME);
     let before = read_usage(&cluster, &names)?;
