--- a/crates/load-tool/src/load/case.rs
+++ b/crates/load-tool/src/load/case.rs
@@ -100,6 +100,6 @@
     fn from_str(text: &str) -> Result<Self, Error> {
         let mut cases = Self::ALL.into_iter();
         let found = cases.find(|case| case.as_str() == text);
-        found.ok_or_else(|| Error::failed(format!("there is no case {text}")))
+        found.ok_or_else(|| Error::failed(format!("unknown case {text}")))
     }
 }
