--- a/crates/load-tool/src/load/driver.rs
+++ b/crates/load-tool/src/load/driver.rs
@@ -54,13 +54,15 @@
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        sender.send(index).expect("the workers hold the receiver");
+        sender
+            .send(index)
+            .expect("the receiver lives until all workers have ended");
     }
     drop(sender);
     let mut records = Vec::new();
     for worker in workers {
         let ended = worker.join();
-        records.extend(ended.map_err(|_| Error::failed("a client panicked"))?);
+        records.extend(ended.map_err(|_| Error::failed("a client thread panicked"))?);
     }
     records.sort_by_key(|record| record.planned);
     Ok(records)
@@ -78,7 +80,7 @@
     fn start(self, due: Receiver<usize>) -> Result<JoinHandle<Vec<Record>>> {
         let work = move || due.iter().flat_map(|index| self.send(index)).collect();
         let started = thread::Builder::new().stack_size(STACK_BYTES).spawn(work);
-        started.map_err(|error| Error::failed(format!("starting a client: {error}")))
+        started.map_err(|error| Error::failed(format!("starting a client thread: {error}")))
     }
 
     /// Sends a request, and once more if its caller retries after a refusal.
