--- a/crates/load-tool/src/load/host_caches.rs
+++ b/crates/load-tool/src/load/host_caches.rs
@@ -75,6 +75,6 @@
         }
         thread::sleep(ATTEMPT_PAUSE);
     }
-    let detail = format!("{} could not be put onto a host", model.model);
+    let detail = format!("{} could not be cached on a host", model.model);
     Err(Error::failed(detail))
 }
