--- a/crates/load-tool/src/load/monitor.rs
+++ b/crates/load-tool/src/load/monitor.rs
@@ -81,7 +81,7 @@
     pub fn end(self) -> Result<Samples> {
         self.stop.store(true, Ordering::Relaxed);
         let samples = self.thread.join();
-        samples.map_err(|_| Error::failed("the watch panicked"))
+        samples.map_err(|_| Error::failed("the monitor thread panicked"))
     }
 }
 
