--- a/crates/load-tool/src/load/run.rs
+++ b/crates/load-tool/src/load/run.rs
@@ -161,7 +161,9 @@
         let (records, outcome) = self.send_with_faults(&mut cluster, clock, &memory_exceeded)?;
         let samples = monitor.end()?;
         if memory_exceeded.load(Ordering::Relaxed) {
-            return Err(Error::failed("the processes took half of the memory"));
+            return Err(Error::failed(
+                "the processes used more than half of the machine's memory",
+            ));
         }
         let load_after = load_average()?;
         let effects = Effects::read(&cluster, loads_before)?;
@@ -223,7 +225,9 @@
         let edits = edits(self.deployment, &self.trace, &self.scale);
         let outcome = cluster.publish(&vms[0], edits)?;
         let PublishOutcome::Accepted { version } = outcome else {
-            return Err(Error::failed(format!("publishing: {outcome:?}")));
+            return Err(Error::failed(format!(
+                "the configuration was not accepted: {outcome:?}"
+            )));
         };
         let condition = "the configuration is in force on all VMs";
         let in_force = poll_until(condition, POLL_LIMIT, || {
@@ -267,7 +271,7 @@
             });
             let outcome = self.run_steps(cluster, clock, &balancer);
             let records = driver.join();
-            let records = records.map_err(|_| Error::failed("the driver panicked"))?;
+            let records = records.map_err(|_| Error::failed("the driver thread panicked"))?;
             Ok((records?, outcome?))
         })
     }
