--- a/crates/load-tool/src/overhead.rs
+++ b/crates/load-tool/src/overhead.rs
@@ -83,7 +83,7 @@
             .post(&self.url)
             .send_json(self.body(tokens, false));
         let body = answer.and_then(|mut answer| answer.body_mut().read_to_string());
-        body.map_err(|error| Error::failed(format!("whole request: {error}")))?;
+        body.map_err(|error| Error::failed(format!("unstreamed request: {error}")))?;
         record_elapsed(&mut self.timings.complete_us, began);
         Ok(())
     }
@@ -94,10 +94,10 @@
             .agent
             .post(&self.url)
             .send_json(self.body(tokens, true));
-        let answer = answer.map_err(|error| Error::failed(format!("stream: {error}")))?;
+        let answer = answer.map_err(|error| Error::failed(format!("streamed request: {error}")))?;
         let mut events = 0;
         for line in BufReader::new(answer.into_body().into_reader()).lines() {
-            let line = line.map_err(|error| Error::failed(format!("stream: {error}")))?;
+            let line = line.map_err(|error| Error::failed(format!("streamed request: {error}")))?;
             match line.strip_prefix("data: ") {
                 Some("[DONE]") => return Ok(()),
                 Some(_) if events == 0 => record_elapsed(&mut self.timings.first_event_us, last),
@@ -108,7 +108,7 @@
             last = Instant::now();
         }
         Err(Error::failed(format!(
-            "the stream was cut after {events} events"
+            "the stream ended early, after {events} events"
         )))
     }
 }
