--- a/crates/load-tool/tests/line_fit.rs
+++ b/crates/load-tool/tests/line_fit.rs
@@ -8,7 +8,7 @@
 #[case::exact(&[(1.0, 3.0), (2.0, 5.0), (4.0, 9.0)], 2.0, 1.0, 1.0)]
 #[case::flat(&[(1.0, 3.0), (2.0, 3.0)], 0.0, 3.0, 1.0)]
 #[case::scattered(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)], 0.5, 0.5, 0.25)]
-fn the_line_has_least_squares(
+fn least_squares_line(
     #[case] points: &[(f64, f64)],
     #[case] slope: f64,
     #[case] intercept: f64,
@@ -26,6 +26,6 @@
 #[case::no_point(&[])]
 #[case::one_point(&[(1.0, 3.0)])]
 #[case::one_x(&[(1.0, 3.0), (1.0, 5.0)])]
-fn there_is_no_line_through_fewer_than_two_x(#[case] points: &[(f64, f64)]) {
+fn too_few_points(#[case] points: &[(f64, f64)]) {
     assert_eq!(LineFit::fit(points), None);
 }
--- a/crates/load-tool/tests/load_schedule.rs
+++ b/crates/load-tool/tests/load_schedule.rs
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_requests_each_time() {
+fn same_seed_repeats() {
     assert_eq!(planned(Case::Usual, 1), planned(Case::Usual, 1));
     assert_ne!(planned(Case::Usual, 1), planned(Case::Usual, 2));
 }
 
 #[test]
-fn requests_of_all_kinds_go_to_all_vms_in_order_of_time() {
+fn all_kinds_everywhere() {
     let options = LoadOptions::default();
     let planned = planned(Case::Usual, 1);
     assert!(planned.is_sorted_by_key(|one| one.at));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_order_is_repeated_only_under_its_key_by_its_caller_at_another_vm() {
+fn duplicates_keep_key() {
     let planned = planned(Case::Usual, 1);
     let mut orders: BTreeMap<u64, Vec<&PlannedRequest>> = BTreeMap::new();
     for one in &planned {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_crowd_asks_for_twice_what_the_engines_can_do_beside_the_usual() {
+fn surge_doubles_capacity() {
     let deployment = deployment();
     let options = LoadOptions::default();
     let scale = Scale::new(&options);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn times_of_requests_are_divided_alike() {
+fn times_scale_evenly() {
     let options = LoadOptions {
         speed: 4.0,
         compression: 5.0,
--- a/crates/load-tool/tests/model_timeline.rs
+++ b/crates/load-tool/tests/model_timeline.rs
@@ -52,7 +52,7 @@
 #[case::on_another_engine("m1", 70, Some(70))]
 #[case::after_the_end("m1", 80, None)]
 #[case::another_model("m2", 5, None)]
-fn a_cold_start_lasts_until_some_engine_can_serve(
+fn cold_start_end(
     #[case] model: &str,
     #[case] from: u64,
     #[case] expected: Option<u64>,
@@ -70,7 +70,7 @@
 #[case::by_an_adapter(&[used("e1", &["a1", "m1"], 20, 30)], 80)]
 #[case::another_model(&[used("e1", &["m2"], 20, 30)], 90)]
 #[case::on_another_engine(&[used("e3", &["m1"], 20, 30)], 90)]
-fn memory_is_idle_while_no_request_is_on_the_model(
+fn unused_memory_idle(
     #[case] occupancies: &[Occupancy],
     #[case] held_s: u64,
 ) {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn idle_time_counts_between_two_moments_only() {
+fn idle_within_interval() {
     let idle = timeline().idle(&[], CAPACITY, at(50), at(70));
     assert_eq!(idle, (at(10) + at(20)) / 4);
 }
--- a/crates/load-tool/tests/open_loop.rs
+++ b/crates/load-tool/tests/open_loop.rs
@@ -99,7 +99,7 @@
 /// Symptom: a shop page shows another bundle's stock. Sequence: two looks at the shelf, whose answers
 /// come crossed. Cause: a service's answer carries no identity but the call that it answers.
 #[test]
-fn the_answer_to_another_look_is_foreign() {
+fn crossed_lookup_detected() {
     let clock = RunClock::start();
     let crossing =
         start_vm(|_, connection| answer_call("GET /services/bancone/shelf/2", connection));
@@ -126,7 +126,7 @@
 /// Symptom: a run looks fast while the VMs stand still. Sequence: a client sends its next request
 /// only after an answer, so that a VM that answers nobody is asked once. Cause: a closed loop.
 #[test]
-fn a_vm_that_answers_nobody_gets_all_requests_all_the_same() {
+fn unanswered_vm_loaded() {
     const REQUESTS: usize = 8;
     let all_there = Arc::new(Barrier::new(REQUESTS));
     let vm = start_vm(move |head, connection| {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_request_that_had_to_wait_for_a_client_counts_as_late() {
+fn queued_request_late() {
     let schedule = [order(1, false, Duration::from_millis(30))];
     let record = Record {
         planned: 0,
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_refused_connection_goes_to_the_next_vm() {
+fn refused_connection_rerouted() {
     let clock = RunClock::start();
     let client = client(vec![nobody(), start_vm(answer_call)], clock);
     let record = client.send(0, &order(1, false, Duration::ZERO));
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_lost_order_is_sent_again_under_its_key() {
+fn lost_order_resent() {
     let (record, received) = send_and_lose(true);
     assert_eq!(record.ending, Ending::Whole);
     assert_eq!(record.resends, 1);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_lost_order_without_a_key_is_not_sent_again() {
+fn unkeyed_order_not_resent() {
     let (record, received) = send_and_lose(false);
     assert!(matches!(record.ending, Ending::NoAnswer(_)));
     assert_eq!(received, Vec::<String>::new());
--- a/crates/load-tool/tests/refused_callers.rs
+++ b/crates/load-tool/tests/refused_callers.rs
@@ -64,7 +64,7 @@
 #[case::every_other_one_only(3, 1_000, "not_run", Some(300), None)]
 #[case::not_if_it_may_have_run(2, 1_000, "unknown", Some(300), None)]
 #[case::not_after_the_end(2, 59_900, "not_run", Some(300), None)]
-fn a_refused_caller_comes_back(
+fn refused_caller_retries(
     #[case] planned: usize,
     #[case] ended_ms: u64,
     #[case] ran: &str,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_answered_caller_does_not_come_back() {
+fn answered_caller_stays() {
     let record = Record {
         ending: Ending::Whole,
         ..refused(2, 1_000, "not_run", Some(300))
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn the_second_try_is_recorded_beside_the_first() {
+fn retry_recorded_separately() {
     let clock = RunClock::start();
     let catalog = Catalog {
         models: Vec::new(),
--- a/crates/load-tool/tests/run_effects.rs
+++ b/crates/load-tool/tests/run_effects.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn nothing_is_counted_of_a_run_without_violations() {
+fn clean_run_counts() {
     let effects = Effects {
         engines: vec![engine(&[("m1", 2)], 0), engine(&[("m1", 1)], 0)],
         services: vec![service(&[("POST /cut-orders/1", 1)], &[("cut-order-1", 1)])],
@@ -109,7 +109,7 @@
 )]
 #[case::under_one_key(&[service(&[], &[("cut-order-1", 2)])], 1)]
 #[case::a_look_at_the_shelf(&[service(&[("GET /shelf/1", 9)], &[])], 0)]
-fn an_order_that_ran_more_than_once_is_counted(
+fn repeated_execution_counted(
     #[case] services: &[ServiceEffects],
     #[case] expected: u64,
 ) {
@@ -128,7 +128,7 @@
 #[case::one_more_than_decided(&[engine(&[("m1", 2)], 0), engine(&[("m1", 1)], 0)], 1, 0)]
 #[case::one_that_was_never_decided(&[engine(&[("m2", 1)], 0)], 1, 0)]
 #[case::without_room(&[engine(&[], 3), engine(&[], 1)], 0, 4)]
-fn loads_beyond_decisions_and_memory_are_counted(
+fn excess_loads_counted(
     #[case] engines: &[EngineEffects],
     #[case] above_decided: u64,
     #[case] overcommitted: u64,
@@ -147,7 +147,7 @@
 #[case::not_run_but_at_an_engine("not_run", true, 1)]
 #[case::not_run_and_nowhere("not_run", false, 0)]
 #[case::unknown_and_at_an_engine("unknown", true, 0)]
-fn a_refusal_that_says_not_run_must_be_true(
+fn untrue_refusal_counted(
     #[case] ran: &str,
     #[case] at_engine: bool,
     #[case] expected: u64,
@@ -177,7 +177,7 @@
 #[case::foreign(Ending::Foreign(String::new()), [0, 1, 0, 0])]
 #[case::missing(Ending::NoAnswer(String::new()), [0, 0, 1, 0])]
 #[case::strange(Ending::Strange(500), [0, 0, 0, 1])]
-fn answers_that_are_not_whole_are_counted(#[case] ending: Ending, #[case] expected: [u64; 4]) {
+fn bad_endings_counted(#[case] ending: Ending, #[case] expected: [u64; 4]) {
     let found = violations(&Effects::default(), ORDER, ending);
     let counted = [
         found.answers_cut,
@@ -194,7 +194,7 @@
 #[case::ended_before(0, 300, 310, Ending::Cut(String::new()), 1)]
 #[case::sent_after(0, 50, 60, Ending::Cut(String::new()), 1)]
 #[case::foreign_all_the_same(0, 150, 160, Ending::Foreign(String::new()), 1)]
-fn only_answers_in_progress_at_a_killed_vm_may_be_lost(
+fn killed_vm_losses(
     #[case] vm: usize,
     #[case] from: u64,
     #[case] to: u64,
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn loads_of_the_filling_of_caches_are_not_loads_of_the_run() {
+fn cache_fill_excluded() {
     let effects = Effects {
         engines: vec![engine(&[("m1", 2)], 0), engine(&[("m1", 1), ("m2", 4)], 0)],
         loads_before: counts(&[("m1", 1), ("m2", 1)]),
--- a/crates/load-tool/tests/run_measures.rs
+++ b/crates/load-tool/tests/run_measures.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn first_tokens_count_from_the_scheduled_arrival() {
+fn latency_from_schedule() {
     let data = data(planned(ARRIVAL_MS), vec![record(100)]);
     let [first_ms, gap_ms] = results(&data, ["first_token_p95_ms", "inter_token_p95_ms"]);
     assert!((first_ms - 100.0).abs() < 1.0, "{first_ms}");
@@ -118,7 +118,7 @@
 #[case::in_time(QUICK_TARGET_MS, 1.0, 0.0)]
 #[case::too_late(QUICK_TARGET_MS + 1, 0.0, 0.0)]
 #[case::long_after(QUICK_TARGET_MS + 1_000, 0.0, 1.0)]
-fn an_answer_meets_its_target_or_not(
+fn target_met_share(
     #[case] first_ms: u64,
     #[case] met: f64,
     #[case] overdue: f64,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_refused_caller_s_second_try_is_not_measured() {
+fn caller_retries_excluded() {
     let first = refused(&record(1));
     let second = Record {
         is_caller_retry: true,
@@ -149,7 +149,7 @@
 #[case::measured(planned(ARRIVAL_MS), 1.0)]
 #[case::in_the_warm_up(planned(WARM_UP_MS - 1), 0.0)]
 #[case::sent_already(PlannedRequest { is_duplicate: true, ..planned(ARRIVAL_MS) }, 0.0)]
-fn only_first_sendings_after_the_warm_up_are_measured(
+fn warm_up_excluded(
     #[case] planned: PlannedRequest,
     #[case] expected: f64,
 ) {
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn what_a_killed_vm_took_with_it_is_told() {
+fn killed_vm_losses() {
     let lost = Record {
         first: None,
         ending: Ending::NoAnswer(String::new()),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_cold_start_counts_though_the_request_was_refused() {
+fn refused_cold_start() {
     let mut data = data(planned(ARRIVAL_MS), vec![refused(&record(1))]);
     let held = HeldModel {
         model: "model-000".to_owned(),
--- a/crates/load-tool/tests/token_check.rs
+++ b/crates/load-tool/tests/token_check.rs
@@ -29,12 +29,12 @@
 #[case::of_another_request(&["tok-req-7-0 ", "tok-req-8-1 ", "tok-req-7-2 "], false)]
 #[case::cut_within_a_token(&["tok-req-7-0 ", "tok-req-7-1 ", "tok-req-"], false)]
 #[case::nothing(&[], false)]
-fn only_all_own_tokens_in_order_are_whole(#[case] texts: &[&str], #[case] expected: bool) {
+fn tokens_complete_ordered(#[case] texts: &[&str], #[case] expected: bool) {
     assert_eq!(accepted(texts), expected);
 }
 
 #[test]
-fn the_answer_names_its_engine() {
+fn answer_names_engine() {
     let mut check = TokenCheck::new(IDENTITY);
     assert_eq!(check.engine(), None);
     check.verify(&event("tok-req-7-0 ")).expect("its own token");
@@ -46,6 +46,6 @@
 #[case::of_another_call(r#"{"call":"POST /cut-orders/2","count":1}"#, false)]
 #[case::no_answer_of_a_service("{}", false)]
 #[case::cut(r#"{"call":"POST /cut-ord"#, false)]
-fn a_service_answers_the_call_that_was_made(#[case] body: &str, #[case] expected: bool) {
+fn service_call_matches(#[case] body: &str, #[case] expected: bool) {
     assert_eq!(check_call("POST /cut-orders/1", body).is_ok(), expected);
 }
