--- a/crates/load-tool/tests/load_schedule.rs
+++ b/crates/load-tool/tests/load_schedule.rs
@@ -1,4 +1,4 @@
-//! The requests that a run sends, before any is sent.
+//! Schedule of a load run: determinism, kinds of requests, duplicates, load surge and time scale.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -108,7 +108,7 @@
     };
     let slots = deployment.engines.count as f64 * f64::from(deployment.engines.slots);
     let added = (work_s(Case::Overload) - work_s(Case::Usual)) / (to - from).as_secs_f64();
-    // The trace draws each request's time, so that the sum is near the mean only.
+    // Run times are drawn, so the sum is only near its mean.
     let times = added / slots;
     assert!((1.6..2.4).contains(&times), "{times} times the places");
 }
