--- a/crates/load-tool/tests/open_loop.rs
+++ b/crates/load-tool/tests/open_loop.rs
@@ -1,4 +1,4 @@
-//! Requests leave by their schedule, to a VM that takes them, and say how late they left.
+//! Requests are sent by their schedule, to a VM that accepts connections, and late ones count.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -28,7 +28,7 @@
 use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
 
-/// Starts a VM that hands each request's first line and headers to `answer`, with the connection.
+/// Starts a VM that passes the head of each request and its connection to `answer`.
 fn start_vm(answer: impl Fn(&str, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
@@ -43,7 +43,7 @@
     address
 }
 
-/// Reads a request with its body, so that closing the connection does not reset it.
+/// Reads a request with its body, since closing a connection with unread data would reset it.
 fn read_request(connection: &TcpStream) -> String {
     let mut reader = BufReader::new(connection);
     let mut head = String::new();
@@ -96,8 +96,8 @@
     }
 }
 
-/// Symptom: a shop page shows another bundle's stock. Sequence: two looks at the shelf, whose answers
-/// come crossed. Cause: a service's answer carries no identity but the call that it answers.
+/// Guards against a shop page that shows another bundle's stock. Answers of a service carry no
+/// request ID, so two crossed answers differ only in the call that they name.
 #[test]
 fn crossed_lookup_detected() {
     let clock = RunClock::start();
@@ -117,14 +117,14 @@
     assert_eq!(client.send(0, &look(2)).ending, Ending::Whole);
 }
 
-/// Returns an address at which nobody listens.
+/// Returns an address at which no process listens.
 fn nobody() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     listener.local_addr().expect("it is bound")
 }
 
-/// Symptom: a run looks fast while the VMs stand still. Sequence: a client sends its next request
-/// only after an answer, so that a VM that answers nobody is asked once. Cause: a closed loop.
+/// Guards against a closed loop, in which a VM that answers no request would get only one and the
+/// run would look fast. The VM here answers only when all requests have arrived.
 #[test]
 fn unanswered_vm_loaded() {
     const REQUESTS: usize = 8;
@@ -180,8 +180,8 @@
     assert_eq!(record.vm, 1);
 }
 
-/// Sends an order of which the first VM loses the answer, and returns its record and the requests
-/// that the second VM got.
+/// Sends an order to a VM that loses the answer. Returns the record of the order and the requests
+/// received by a second VM.
 fn send_and_lose(keyed: bool) -> (Record, Vec<String>) {
     let clock = RunClock::start();
     let losing = start_vm(|_, connection| drop(connection));
