--- a/crates/load-tool/tests/refused_callers.rs
+++ b/crates/load-tool/tests/refused_callers.rs
@@ -1,4 +1,4 @@
-//! Refused callers that come back.
+//! Retries by callers that were refused.
 
 use std::io::BufRead;
 use std::io::BufReader;
