--- a/crates/load-tool/tests/run_effects.rs
+++ b/crates/load-tool/tests/run_effects.rs
@@ -1,4 +1,4 @@
-//! What must never happen is counted when it does.
+//! Violations of the system's invariants are counted, and nothing else.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A request that VM 0 took at 100 ms and that ended at 200 ms.
+/// Returns the record of a request that was sent to VM 0 at 100 ms and ended at 200 ms.
 fn record(ending: Ending) -> Record {
     Record {
         planned: 0,
