--- a/crates/load-tool/tests/run_measures.rs
+++ b/crates/load-tool/tests/run_measures.rs
@@ -1,4 +1,4 @@
-//! What is measured of a run's records.
+//! Results computed from the records of a run.
 
 use std::path::Path;
 use std::time::Duration;
@@ -46,7 +46,8 @@
     }
 }
 
-/// A request that was sent 5 ms late and whose first token came so long after its arrival.
+/// Returns the record of a request sent 5 ms late, with the first token `first_ms` after its
+/// scheduled arrival.
 fn record(first_ms: u64) -> Record {
     Record {
         planned: 0,
@@ -86,7 +87,7 @@
     }
 }
 
-/// Returns the results with the given names; zero for one that is not there.
+/// Returns the results with the given names, and zero for a name without a result.
 fn results<const N: usize>(data: &RunData, names: [&str; N]) -> [f64; N] {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deployment = Deployment::read(&folder.join("../policy-replay/deployments/scaravilli.ini"))
