--- a/crates/load-tool/tests/token_check.rs
+++ b/crates/load-tool/tests/token_check.rs
@@ -1,4 +1,4 @@
-//! Whether a caller sees that an answer is not whole or not its own.
+//! Detection of answers that are incomplete or belong to another request.
 
 use rstest::rstest;
 use serde_json::json;
@@ -12,7 +12,7 @@
     json!({"id": "cmpl-req-7", "system_fingerprint": "e1", "choices": [{"text": text}]}).to_string()
 }
 
-/// Returns whether three tokens were accepted as the answer to a request for three.
+/// Returns whether the texts are accepted as the answer to a request for three tokens.
 fn accepted(texts: &[&str]) -> bool {
     let mut check = TokenCheck::new(IDENTITY);
     let taken = texts.iter().all(|text| check.verify(&event(text)).is_ok());
