--- a/crates/load-tool/tests/model_timeline.rs
+++ b/crates/load-tool/tests/model_timeline.rs
@@ -1,4 +1,4 @@
-//! What engines held over a run: cold starts and idle accelerators.
+//! Cold starts and idle memory, from the models that engines hold over a run.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Engine e1 loads m1 from 10 s on, holds it from 20 s to 60 s; e2 holds m1 from 40 s on.
+/// Engine e1 loads m1 from 10 s on and can serve it from 20 s to 60 s; e2 can from 40 s to 80 s.
 fn timeline() -> Timeline {
     let mut timeline = Timeline::default();
     timeline.record(at(0), "e1", Vec::new());
@@ -60,7 +60,7 @@
     assert_eq!(timeline().first_loaded(model, at(from)), expected.map(at));
 }
 
-/// m1 takes a quarter of an accelerator for 50 s on e1, its load included, and for 40 s on e2.
+/// m1 occupies a quarter of an accelerator for 50 s on e1, its load included, and 40 s on e2.
 #[rstest]
 #[case::never_used(&[], 90)]
 #[case::used_for_a_while(&[used("e1", &["m1"], 20, 30)], 80)]
