--- a/crates/load-tool/tests/line_fit.rs
+++ b/crates/load-tool/tests/line_fit.rs
@@ -1,4 +1,4 @@
-//! A straight line through measured points.
+//! Least-squares line through measured points.
 
 use rstest::rstest;
 
