--- a/crates/load-tool/tests/load_schedule.rs
+++ b/crates/load-tool/tests/load_schedule.rs
@@ -110,7 +110,7 @@
     let added = (work_s(Case::Overload) - work_s(Case::Usual)) / (to - from).as_secs_f64();
     // Run times are drawn, so the sum is only near its mean.
     let times = added / slots;
-    assert!((1.6..2.4).contains(&times), "{times} times the places");
+    assert!((1.6..2.4).contains(&times), "{times} times the slots");
 }
 
 #[test]
