--- a/crates/load-tool/tests/model_timeline.rs
+++ b/crates/load-tool/tests/model_timeline.rs
@@ -52,11 +52,7 @@
 #[case::on_another_engine("m1", 70, Some(70))]
 #[case::after_the_end("m1", 80, None)]
 #[case::another_model("m2", 5, None)]
-fn cold_start_end(
-    #[case] model: &str,
-    #[case] from: u64,
-    #[case] expected: Option<u64>,
-) {
+fn cold_start_end(#[case] model: &str, #[case] from: u64, #[case] expected: Option<u64>) {
     assert_eq!(timeline().first_loaded(model, at(from)), expected.map(at));
 }
 
@@ -70,10 +66,7 @@
 #[case::by_an_adapter(&[used("e1", &["a1", "m1"], 20, 30)], 80)]
 #[case::another_model(&[used("e1", &["m2"], 20, 30)], 90)]
 #[case::on_another_engine(&[used("e3", &["m1"], 20, 30)], 90)]
-fn unused_memory_idle(
-    #[case] occupancies: &[Occupancy],
-    #[case] held_s: u64,
-) {
+fn unused_memory_idle(#[case] occupancies: &[Occupancy], #[case] held_s: u64) {
     let idle = timeline().idle(occupancies, CAPACITY, at(0), at(80));
     assert_eq!(idle, at(held_s) / 4);
 }
--- a/crates/load-tool/tests/refused_callers.rs
+++ b/crates/load-tool/tests/refused_callers.rs
@@ -59,9 +59,9 @@
 }
 
 #[rstest]
-#[case::when_the_refusal_says(2, 1_000, "not_run", Some(300), Some(1_300))]
-#[case::after_a_while_if_it_does_not_say(2, 1_000, "not_run", None, Some(2_250))]
-#[case::every_other_one_only(3, 1_000, "not_run", Some(300), None)]
+#[case::delay_of_the_refusal(2, 1_000, "not_run", Some(300), Some(1_300))]
+#[case::default_delay(2, 1_000, "not_run", None, Some(2_250))]
+#[case::odd_index_never(3, 1_000, "not_run", Some(300), None)]
 #[case::not_if_it_may_have_run(2, 1_000, "unknown", Some(300), None)]
 #[case::not_after_the_end(2, 59_900, "not_run", Some(300), None)]
 fn refused_caller_retries(
--- a/crates/load-tool/tests/run_effects.rs
+++ b/crates/load-tool/tests/run_effects.rs
@@ -108,11 +108,8 @@
     1
 )]
 #[case::under_one_key(&[service(&[], &[("cut-order-1", 2)])], 1)]
-#[case::a_look_at_the_shelf(&[service(&[("GET /shelf/1", 9)], &[])], 0)]
-fn repeated_execution_counted(
-    #[case] services: &[ServiceEffects],
-    #[case] expected: u64,
-) {
+#[case::a_shelf_lookup(&[service(&[("GET /shelf/1", 9)], &[])], 0)]
+fn repeated_execution_counted(#[case] services: &[ServiceEffects], #[case] expected: u64) {
     let effects = Effects {
         services: services.to_vec(),
         ..Effects::default()
@@ -147,11 +144,7 @@
 #[case::not_run_but_at_an_engine("not_run", true, 1)]
 #[case::not_run_and_nowhere("not_run", false, 0)]
 #[case::unknown_and_at_an_engine("unknown", true, 0)]
-fn untrue_refusal_counted(
-    #[case] ran: &str,
-    #[case] at_engine: bool,
-    #[case] expected: u64,
-) {
+fn untrue_refusal_counted(#[case] ran: &str, #[case] at_engine: bool, #[case] expected: u64) {
     let seen = EngineRequest {
         model: "m1".to_owned(),
         state: RequestState::Cancelled,
@@ -193,7 +186,7 @@
 #[case::at_another_vm(1, 150, 160, Ending::Cut(String::new()), 1)]
 #[case::ended_before(0, 300, 310, Ending::Cut(String::new()), 1)]
 #[case::sent_after(0, 50, 60, Ending::Cut(String::new()), 1)]
-#[case::foreign_all_the_same(0, 150, 160, Ending::Foreign(String::new()), 1)]
+#[case::foreign_still_counts(0, 150, 160, Ending::Foreign(String::new()), 1)]
 fn killed_vm_losses(
     #[case] vm: usize,
     #[case] from: u64,
--- a/crates/load-tool/tests/run_measures.rs
+++ b/crates/load-tool/tests/run_measures.rs
@@ -119,11 +119,7 @@
 #[case::in_time(QUICK_TARGET_MS, 1.0, 0.0)]
 #[case::too_late(QUICK_TARGET_MS + 1, 0.0, 0.0)]
 #[case::long_after(QUICK_TARGET_MS + 1_000, 0.0, 1.0)]
-fn target_met_share(
-    #[case] first_ms: u64,
-    #[case] met: f64,
-    #[case] overdue: f64,
-) {
+fn target_met_share(#[case] first_ms: u64, #[case] met: f64, #[case] overdue: f64) {
     let data = data(planned(ARRIVAL_MS), vec![record(first_ms)]);
     let names = ["met_share.quick", "met_share", "overdue_share"];
     assert_eq!(results(&data, names), [met, met, overdue]);
@@ -149,11 +145,8 @@
 #[rstest]
 #[case::measured(planned(ARRIVAL_MS), 1.0)]
 #[case::in_the_warm_up(planned(WARM_UP_MS - 1), 0.0)]
-#[case::sent_already(PlannedRequest { is_duplicate: true, ..planned(ARRIVAL_MS) }, 0.0)]
-fn warm_up_excluded(
-    #[case] planned: PlannedRequest,
-    #[case] expected: f64,
-) {
+#[case::duplicate(PlannedRequest { is_duplicate: true, ..planned(ARRIVAL_MS) }, 0.0)]
+fn measured_requests_only(#[case] planned: PlannedRequest, #[case] expected: f64) {
     let data = data(planned, vec![record(1)]);
     assert_eq!(results(&data, ["requests"]), [expected]);
 }
