--- a/crates/slopes/src/errors.rs
+++ b/crates/slopes/src/errors.rs
@@ -1,46 +1,46 @@
-//! Errors of measuring.
+//! Errors of the slope measurements.
 
 use thiserror::Error;
 
-/// `Result` is the result of measuring.
+/// Result of a measurement step.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what measuring can fail with.
+/// Reason why a measurement failed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// No part has this name.
+    /// The command line names a part that the catalogue does not have.
     #[error("no part is called {name}; there are: {known}")]
     UnknownPart {
-        /// The name.
+        /// Name on the command line.
         name: String,
-        /// The names that are known.
+        /// Names of all parts, separated by commas.
         known: String,
     },
-    /// A line needs at least two different sizes.
+    /// A slope was measured at fewer than two different sizes, through which no line can be fitted.
     #[error("{0} was measured at fewer than two sizes")]
     TooFewPoints(&'static str),
-    /// The system's accounts or a socket failed.
+    /// A file or socket failed.
     #[error("system: {0}")]
     System(#[from] std::io::Error),
-    /// The process's memory could not be read.
+    /// The memory of the process can't be read from `/proc`.
     #[error("memory: {0}")]
     Memory(#[from] procfs::ProcError),
-    /// Peers could not be set up.
+    /// The link or server for peer messages could not be started.
     #[error("peers: {0}")]
     Peers(#[from] apricotdale_peer::Error),
-    /// A policy could not be built.
+    /// A policy could not be created.
     #[error("policy: {0}")]
     Policy(String),
-    /// A call that is measured failed.
+    /// A measured call failed.
     #[error("call: {0}")]
     Call(#[from] apricotdale_core::Error),
-    /// The table could not be written.
+    /// The CSV table could not be written.
     #[error("table: {0}")]
     Table(#[from] csv::Error),
 }
 
 impl Error {
-    /// Returns an [`Error::Policy`].
+    /// Returns an [`Error::Policy`] with the text of `source`.
     pub(crate) fn policy(source: impl std::fmt::Display) -> Self {
         Self::Policy(source.to_string())
     }
