--- a/crates/slopes/src/fleet.rs
+++ b/crates/slopes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A control state that is filled record by record, as the control stream would.
+//! Control state that is filled by applying records, as replay of the control stream does.
 
 use apricotdale_core::config::ConfigChange;
 use apricotdale_core::config::ConfigEdit;
@@ -27,10 +27,10 @@
 const MODEL_BYTES: u64 = 1 << 30;
 const BOOT: BootId = BootId(1);
 
-/// `Fleet` is a control state of one VM, engines, models and replicas.
+/// Control state with one VM and a given number of engines, models and replicas.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The state.
+    /// Control state after the records applied so far.
     pub state: ControlState,
     sequence: u64,
     models: usize,
@@ -55,14 +55,14 @@
 }
 
 impl Fleet {
-    /// Applies a record at the next offset and returns the offset.
+    /// Applies a record at the next offset and returns that offset.
     pub fn append(&mut self, record: &ControlRecord) -> Offset {
         let offset = self.state.next_offset();
         self.state.apply(offset, 1_000 + offset.0, &record.encode());
         offset
     }
 
-    /// Adds models until there are so many.
+    /// Configures further models until there are `models` in total.
     pub fn grow_models(&mut self, models: usize) {
         let edits: Vec<ConfigEdit> = (self.models..models).map(put_model).collect();
         let change = ConfigChange {
@@ -75,7 +75,7 @@
         self.models = models;
     }
 
-    /// Adds engines until there are so many.
+    /// Adds further engines until there are `engines` in total, each by its first observation.
     pub fn grow_engines(&mut self, engines: usize) {
         for engine in self.engines..engines {
             let record = self.observation(engine, 1);
@@ -84,7 +84,8 @@
         self.engines = engines;
     }
 
-    /// Loads one more replica of the models on the engines, in turn.
+    /// Loads replica `number`. Consecutive numbers go round the models and the engines, so that
+    /// models and engines have about the same number of replicas each.
     pub fn load(&mut self, number: usize) {
         let model = model_name(number % self.models);
         let engine = engine_name((number + number / self.models) % self.engines);
@@ -109,7 +110,7 @@
         self.append(&ControlRecord::LoadSettled(settlement));
     }
 
-    /// Returns an observation of an engine as this state expects it.
+    /// Returns an observation of an engine that confirms the replicas of this state.
     pub fn observation(&mut self, engine: usize, sequence: u64) -> ControlRecord {
         let engine = engine_name(engine);
         let residents = self.state.replicas_on(&engine).map(resident).collect();
@@ -137,17 +138,17 @@
     }
 }
 
-/// Returns the name of a model.
+/// Returns the name of the model with this number.
 pub fn model_name(number: usize) -> ModelName {
     ModelName::new(format!("planner-lm-depot-{number:04}"))
 }
 
-/// Returns the name of an engine.
+/// Returns the name of the engine with this number.
 pub fn engine_name(number: usize) -> UpstreamName {
     UpstreamName::new(format!("planner-lm-{number:03}"))
 }
 
-/// Returns the edit that puts a model.
+/// Returns the edit that configures the model with this number.
 pub fn put_model(number: usize) -> ConfigEdit {
     ConfigEdit::PutModel(ModelSpec {
         model: model_name(number),
