--- a/crates/slopes/src/memory.rs
+++ b/crates/slopes/src/memory.rs
@@ -1,7 +1,7 @@
-//! Memory by engines, models, replicas, keys and connections to peers.
+//! Memory by the number of engines, models, replicas, keys.
 //!
-//! What a series has freed would hide the growth of the next one, so each keeps what it built until
-//! the process ends, and this part is the first of the catalogue.
+//! The allocator would reuse memory freed by one series for the next and so hide its growth. Each
+//! series therefore leaks what it built, and this part is the first in the catalogue.
 
 use apricotdale_state::ClaimTable;
 use apricotdale_state::claims::ClaimOptions;
@@ -18,11 +18,11 @@
 const REPLICAS: &[usize] = &[1_200, 2_400, 4_800, 9_600];
 const KEYS: &[usize] = &[5_000, 10_000, 20_000, 40_000];
 
-/// Measures memory.
+/// Measures the resident memory by engines, models, replicas and keys.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// [`Error::Memory`](crate::Error::Memory) if the resident memory can't be read.
 pub fn memory() -> Result<Vec<Slope>> {
     Ok(vec![engines()?, models()?, replicas()?, keys()?])
 }
