--- a/crates/slopes/src/meter.rs
+++ b/crates/slopes/src/meter.rs
@@ -1,4 +1,4 @@
-//! Reading what the process used.
+//! Processor time and memory used by this process.
 
 use cpu_time::ProcessTime;
 use cpu_time::ThreadTime;
@@ -6,10 +6,10 @@
 
 use crate::errors::Result;
 
-/// How many times each point is measured. The least counts.
+/// Number of times that each point is measured; the minimum counts.
 const ROUNDS: usize = 5;
 
-/// Returns the least processor time of this thread that a piece of work took, in microseconds.
+/// Returns the minimum processor time of this thread over several runs of `work`, in microseconds.
 pub fn thread_us(mut work: impl FnMut()) -> f64 {
     least(|| {
         let begun = ThreadTime::now();
@@ -18,19 +18,20 @@
     })
 }
 
-/// Returns the processor time of this thread that a piece of work took, in microseconds, for work
-/// that can't be done twice alike.
+/// Returns the processor time of this thread for one run of `work`, in microseconds; for work that
+/// changes its own input and can't be repeated.
 pub fn thread_once_us(work: impl FnOnce()) -> f64 {
     let begun = ThreadTime::now();
     work();
     begun.elapsed().as_secs_f64() * 1e6
 }
 
-/// Returns the least processor time of the process that a piece of work took, in microseconds.
+/// Returns the minimum processor time of all threads of the process over several runs of `work`, in
+/// microseconds.
 ///
 /// # Errors
 ///
-/// The work's error.
+/// The last error of `work`.
 pub fn process_us(mut work: impl FnMut() -> Result<()>) -> Result<f64> {
     let mut outcome = Ok(());
     let us = least(|| {
@@ -48,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Memory`](crate::Error::Memory) if the system does not tell.
+/// [`Error::Memory`](crate::Error::Memory) if it can't be read from `/proc`.
 pub fn resident_bytes() -> Result<f64> {
     let pages = Process::myself()?.statm()?.resident;
     Ok((pages * procfs::page_size()) as f64)
