--- a/crates/slopes/src/policies.rs
+++ b/crates/slopes/src/policies.rs
@@ -1,4 +1,4 @@
-//! Decisions of routing by candidates and of admission by waiting requests.
+//! Cost of routing decisions by candidates, and of admission by waiting requests.
 
 use std::net::SocketAddr;
 
@@ -29,11 +29,11 @@
 const SLOTS: u32 = 32;
 const MODEL: &str = "planner-lm";
 
-/// Measures the first registered policy of each kind, which is the default one.
+/// Measures the default policy of each kind, which is the first one registered.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// [`Error::Policy`] if a policy can't be created.
 pub fn policies() -> Result<Vec<Slope>> {
     Ok(vec![
         Slope::measure(
@@ -53,7 +53,8 @@
     ])
 }
 
-/// Returns the time of one choice with the events of its sending and end.
+/// Returns the time of one routing decision among `count` candidates, including the events that
+/// report the request as sent and ended.
 fn route_us(count: usize) -> Result<f64> {
     let options = apricotdale_routing::Options {
         own_zone: Some(ZoneName::new("zone-0")),
@@ -89,7 +90,7 @@
     Ok(all_us / DECISIONS as f64)
 }
 
-/// Returns the time of one arrival and one end while so many requests wait.
+/// Returns the time to handle one arrival and one ended request while `waiting` requests wait.
 fn admit_us(waiting: usize) -> Result<f64> {
     let options = apricotdale_admission::Options {
         max_waiting: 20_000,
