--- a/crates/slopes/src/peers.rs
+++ b/crates/slopes/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between peers: their codec, their size, and a round trip over nng.
+//! Peer messages: cost of their codec, their size, and round trips over nng.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 const VM: &str = "vm-hall-a-17";
 const TIMEOUT_MS: u64 = 10_000;
 
-/// `Answers` answers heartbeats with heartbeats.
+/// Handler that answers each heartbeat with the same heartbeat.
 struct Answers;
 
 impl PeerHandler for Answers {
@@ -53,11 +53,11 @@
     }
 }
 
-/// Measures the codec by models and engines in a message.
+/// Measures the time to encode and verify messages and their size, by messages, models and engines.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// If the cluster key is invalid.
 pub fn codec() -> Result<Vec<Slope>> {
     let key = key()?;
     let encoded = |request: PeerRequest| frame::encode_request(&key, &envelope(request));
@@ -143,12 +143,12 @@
     ])
 }
 
-/// Measures round trips over nng by heartbeats, and memory by connections. Both ends run in this
-/// process, so a daemon that asks, or answers, pays about half.
+/// Measures round trips over nng by heartbeats, and memory by connections. Both ends are in this
+/// process, so a daemon, which is one end, needs about half.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// If a server can't be started, a heartbeat gets no reply, or the memory can't be read.
 pub fn exchange() -> Result<Vec<Slope>> {
     let counters = Arc::new(PeerCounters::default());
     let server = server(&counters)?;
