--- a/crates/slopes/src/records.rs
+++ b/crates/slopes/src/records.rs
@@ -1,4 +1,4 @@
-//! Control records, their replay, digests and snapshots.
+//! Cost of control records, of their replay, of digests and of snapshots.
 
 use std::hint::black_box;
 
@@ -19,11 +19,12 @@
 const ENGINES: usize = 600;
 const CODED: usize = 200;
 
-/// Measures the codec by records and by residents of one record.
+/// Measures the time to encode and decode control records and their size, by records and by the
+/// residents in an observation.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// [`Error::TooFewPoints`](crate::Error::TooFewPoints), which the constant sizes rule out.
 pub fn codec() -> Result<Vec<Slope>> {
     Ok(vec![
         Slope::measure(
@@ -79,11 +80,11 @@
     ])
 }
 
-/// Measures replay by records, and what a whole state costs by its replicas.
+/// Measures replay by records, and digests and snapshots by the replicas of the control state.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// [`Error::TooFewPoints`](crate::Error::TooFewPoints), which the constant sizes rule out.
 pub fn replay() -> Result<Vec<Slope>> {
     Ok(vec![
         Slope::measure(
@@ -139,7 +140,7 @@
     ])
 }
 
-/// Returns an observation of an engine with so many models.
+/// Returns an observation of an engine with `residents` models.
 fn observation(residents: usize) -> ControlRecord {
     let mut fleet = Fleet::default();
     fleet.grow_models(residents);
@@ -150,7 +151,8 @@
     fleet.observation(0, 3)
 }
 
-/// Returns a state of the design's engines with so many replicas.
+/// Returns a control state with `replicas` replicas on the number of engines that the system is
+/// designed for.
 pub fn filled(replicas: usize) -> Fleet {
     let mut fleet = Fleet::default();
     fleet.grow_models(MODELS);
@@ -165,8 +167,9 @@
     Section::of_control(Lineage::default(), &fleet.state)
 }
 
-/// Returns the time to decode and apply so many observations at the design's size. Each round needs
-/// records that the state has not seen, so the rounds use growing sequences.
+/// Returns the minimum time to decode and apply `records` observations to a control state of the
+/// size that the system is designed for. The state ignores sequence numbers that it has applied, so
+/// each round uses higher ones.
 fn replay_us(records: usize) -> f64 {
     let mut fleet = filled(2_400);
     let mut sequence = 2;
