--- a/crates/slopes/src/settings.rs
+++ b/crates/slopes/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reading settings.
+//! Cost of reading settings.
 
 use std::hint::black_box;
 
@@ -11,11 +11,11 @@
 
 const SECTIONS: &[usize] = &[100, 700, 1_400, 2_800];
 
-/// Measures the INI reader by the sections of a file, such as one with all adapters.
+/// Measures the INI reader by the number of sections, of which a file has one for each adapter.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// [`Error::TooFewPoints`](crate::Error::TooFewPoints), which the constant sizes rule out.
 pub fn settings() -> Result<Vec<Slope>> {
     Ok(vec![Slope::measure(
         "ini_read",
