--- a/crates/slopes/src/slope.rs
+++ b/crates/slopes/src/slope.rs
@@ -1,4 +1,4 @@
-//! What one more item costs.
+//! Costs at growing sizes, the line through them, and their output.
 
 use std::fmt;
 use std::io::Write;
@@ -10,17 +10,17 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// `Unit` is the unit of a cost.
+/// Unit of a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     /// Microseconds of processor time.
     CpuMicroseconds,
-    /// Bytes of resident memory, of a message or of a snapshot.
+    /// Bytes of resident memory, of messages or of a snapshot.
     Bytes,
 }
 
 impl Unit {
-    /// Returns the unit's symbol.
+    /// Returns the symbol in the output.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::CpuMicroseconds => "us",
@@ -29,22 +29,22 @@
     }
 }
 
-/// `Slope` is a cost measured at growing sizes, with the line through it.
+/// Costs measured at growing sizes, with the line through them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slope {
-    /// What is measured.
+    /// Name of the cost in the output.
     pub name: &'static str,
-    /// The unit of the cost.
+    /// Unit of the cost.
     pub unit: Unit,
-    /// What the sizes count.
+    /// Kind of item that the sizes count, such as `engine`.
     pub per: &'static str,
-    /// The sizes with their costs.
+    /// Sizes, each with the cost measured there.
     pub points: Vec<(f64, f64)>,
-    /// The line.
+    /// Least-squares line through the points.
     pub line: LineFit,
 }
 
-/// `Row` is a slope in the table.
+/// Row of the CSV table; the field names are the column names.
 #[derive(Serialize)]
 struct Row<'a> {
     slope: &'a str,
@@ -57,11 +57,11 @@
 }
 
 impl Slope {
-    /// Measures a cost at each size and fits the line.
+    /// Measures the cost at each size with `cost`, and fits the line.
     ///
     /// # Errors
     ///
-    /// The measure's error, or [`Error::TooFewPoints`].
+    /// An error of `cost`, or [`Error::TooFewPoints`] for fewer than two different sizes.
     pub fn measure(
         name: &'static str,
         unit: Unit,
@@ -106,11 +106,11 @@
     }
 }
 
-/// Writes slopes as a CSV table.
+/// Writes the slopes as a CSV table with a head line.
 ///
 /// # Errors
 ///
-/// [`Error::Table`] if it can't be written.
+/// [`Error::Table`] or [`Error::System`] if the table can't be written.
 pub fn write_table(slopes: &[Slope], out: impl Write) -> Result<()> {
     let mut table = csv::Writer::from_writer(out);
     for slope in slopes {
