--- a/crates/slopes/src/catalogue.rs
+++ b/crates/slopes/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The parts that can be measured.
+//! Catalogue of the parts of the system whose costs can be measured.
 
 use crate::adapters;
 use crate::claims;
@@ -11,17 +11,17 @@
 use crate::settings;
 use crate::slope::Slope;
 
-/// `Part` is a part that can be measured.
+/// Part of the system whose costs can be measured.
 #[derive(Clone, Copy, Debug)]
 pub struct Part {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Measures it.
+    /// Measures the slopes of the part.
     pub measure: fn() -> Result<Vec<Slope>>,
 }
 
-/// Lists the parts in the order in which they are measured. Memory comes first, since memory that
-/// other parts have freed would hide its growth.
+/// All parts, in the order in which they are measured. Memory comes first, since memory freed by
+/// other parts would be reused and hide the growth.
 pub const PARTS: &[Part] = &[
     Part {
         name: "memory",
@@ -61,11 +61,11 @@
     },
 ];
 
-/// Returns the parts of the given names, in the order of the list, or all for no name.
+/// Returns the parts with the given names in the order of [`PARTS`], or all parts for no names.
 ///
 /// # Errors
 ///
-/// [`Error::UnknownPart`] for a name that no part has.
+/// [`Error::UnknownPart`] for a name that is not in the catalogue.
 pub fn parts(names: &[String]) -> Result<Vec<Part>> {
     let known = |name: &str| PARTS.iter().any(|part| part.name == name);
     if let Some(name) = names.iter().find(|name| !known(name)) {
