--- a/crates/slopes/src/claims.rs
+++ b/crates/slopes/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claim batches and the table of claims.
+//! Cost of claim batches and of the claim table.
 
 use std::hint::black_box;
 
@@ -20,14 +20,14 @@
 const KEYS: &[usize] = &[2_500, 5_000, 10_000, 20_000];
 const CODED: usize = 200;
 
-/// The entries of the batches by which tables are filled.
+/// Number of entries in each batch with which tables are filled.
 pub const BATCH_ENTRIES: usize = 8;
 
-/// Measures batches by their entries, and the table by its keys.
+/// Measures claim batches by their entries, and replay into the claim table by its keys.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// [`Error::TooFewPoints`](crate::Error::TooFewPoints), which the constant sizes rule out.
 pub fn claims() -> Result<Vec<Slope>> {
     Ok(vec![
         Slope::measure("claim_batch_size", Unit::Bytes, "entry", BATCH, |entries| {
@@ -69,7 +69,7 @@
     ])
 }
 
-/// Applies batches at the end of a table.
+/// Applies batches to a table at its next offsets.
 pub fn fill(table: &mut ClaimTable, payloads: &[Vec<u8>]) {
     for payload in payloads {
         let offset = table.next_offset();
@@ -78,7 +78,7 @@
     }
 }
 
-/// Returns the batches that claim so many keys.
+/// Returns encoded batches that claim `keys` keys, rounded down to whole batches.
 pub fn claim_payloads(keys: usize) -> Vec<Vec<u8>> {
     let batches = 0..keys / BATCH_ENTRIES;
     batches
@@ -86,7 +86,7 @@
         .collect()
 }
 
-/// Returns the batches that claim and then finish so many keys.
+/// Returns encoded batches that claim and then finish `keys` keys, rounded down to whole batches.
 fn payloads(keys: usize) -> Vec<Vec<u8>> {
     let finished = (0..keys / BATCH_ENTRIES).map(|number| finishes(number).encode());
     claim_payloads(keys).into_iter().chain(finished).collect()
