--- a/crates/slopes/src/canned.rs
+++ b/crates/slopes/src/canned.rs
@@ -1,4 +1,4 @@
-//! A server that answers every request alike and counts bytes.
+//! HTTP server that sends the same answer to every request and counts the bytes of both.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -17,20 +17,21 @@
 
 const LENGTH: &str = "content-length:";
 
-/// `CannedServer` answers until the process ends.
+/// Server that runs until the process ends.
 #[derive(Debug)]
 pub struct CannedServer {
-    /// Where it listens.
+    /// Address on loopback at which the server listens.
     pub address: SocketAddr,
     bytes: Arc<AtomicU64>,
 }
 
 impl CannedServer {
-    /// Starts a server that gives the same status line and body to every request.
+    /// Starts a server that answers every request with the status line text `status`, such as
+    /// `200 OK`, and `body`.
     ///
     /// # Errors
     ///
-    /// [`Error::System`](crate::Error::System) if there is no port.
+    /// [`Error::System`](crate::Error::System) if no port can be bound.
     pub fn start(status: &str, body: &str) -> Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -48,13 +49,13 @@
         Ok(Self { address, bytes })
     }
 
-    /// Returns the bytes that it has read and written, without the headers of TCP and IP.
+    /// Returns the bytes of HTTP read and written so far, without the headers of TCP and IP.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::SeqCst)
     }
 }
 
-/// Answers the requests of one connection until it is closed.
+/// Answers the requests on one connection until it is closed.
 fn answer_all(mut stream: TcpStream, answer: &[u8], counted: &AtomicU64) {
     let Ok(reading) = stream.try_clone() else {
         return;
