--- a/crates/slopes/src/adapters.rs
+++ b/crates/slopes/src/adapters.rs
@@ -1,7 +1,7 @@
-//! Calls to the platform and to engines over HTTP: processor time of the caller, and bytes.
+//! Calls to the platform and to engines over HTTP: the caller's processor time, and bytes.
 //!
-//! Bytes are those of HTTP. Below it, a call on a connection of its own takes about ten packets of
-//! 40 to 60 bytes of headers, a read on a kept one about three.
+//! The bytes are those of HTTP. TCP and IP add 40 to 60 bytes of headers for each packet: about ten
+//! packets for a call on a new connection, about three for a read on a persistent one.
 
 use apricotdale_adapters::Adapters;
 use apricotdale_adapters::Options;
@@ -30,11 +30,11 @@
 
 type Call = fn(&Adapters, &CannedServer) -> apricotdale_core::Result<()>;
 
-/// Measures calls by their number.
+/// Measures processor time and bytes by the number of calls.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// If a server can't be started or a call fails.
 pub fn adapters() -> Result<Vec<Slope>> {
     let mut slopes = Vec::new();
     slopes.extend(pair(
