--- a/crates/slopes/src/bin/slopes.rs
+++ b/crates/slopes/src/bin/slopes.rs
@@ -1,4 +1,4 @@
-//! `slopes` measures how the cost of each part grows.
+//! Measures how the costs of the system's parts grow with their size.
 
 use std::fs::File;
 use std::path::PathBuf;
@@ -11,14 +11,15 @@
 use apricotdale_slopes::catalogue;
 use apricotdale_slopes::slope;
 
-/// Measures how the cost of each part grows with what it holds, and prints one line a slope.
+/// Measures how the cost of each part of the system grows with its size, and prints a line for each
+/// slope.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
-    /// Also writes a table to this file.
+    /// File to which the slopes are written as a CSV table, besides the printed lines.
     #[bpaf(argument("FILE"))]
     csv: Option<PathBuf>,
-    /// The parts to measure; all by default.
+    /// Names of the parts to measure; all parts by default.
     #[bpaf(positional("PART"))]
     parts: Vec<String>,
 }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Prints the machine's load, which belongs beside each figure.
+/// Prints the load average, since a busy machine distorts the measurements.
 fn print_load(when: &str) {
     if let Ok(load) = load_average() {
         println!("load_average_at_{when}={load:.2}");
