--- a/crates/slopes/tests/slope_lines.rs
+++ b/crates/slopes/tests/slope_lines.rs
@@ -1,4 +1,4 @@
-//! Lines, tables and the catalogue.
+//! Printed lines and CSV table of slopes, and the catalogue of parts.
 
 use rstest::rstest;
 
