--- a/crates/slopes/src/lib.rs
+++ b/crates/slopes/src/lib.rs
@@ -1,12 +1,14 @@
-//! Measures how the cost of each part grows, and fits lines through it.
+//! Measures how the cost of each part of the system grows with its size, and fits lines through the
+//! measurements.
 //!
-//! Each module measures one part with its real logic and codecs at growing sizes; [`catalogue`]
-//! lists them. A [`Slope`] is what one more item costs. `docs/CAPACITY.md` multiplies slopes by the
-//! size that the system is designed for.
+//! Each module measures one part, with its real logic and codecs, at growing sizes; [`catalogue`]
+//! lists the parts. A [`Slope`] tells the cost of one more item. Multiplied by the size of a
+//! deployment, the slopes give its capacity needs.
 //!
-//! Processor time is that of the measuring thread, or of the process where other threads take part,
-//! so that other processes of a busy machine do not count; they still slow caches down, so each
-//! point is the least of several rounds. Memory is the growth of the resident set.
+//! Processor time is that of the measuring thread, or of the whole process if other threads take
+//! part, so that other processes on a busy machine don't count. They still evict data from the
+//! processor's caches, so each point is the minimum of several rounds. Memory is the resident set
+//! of the process.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
