--- a/crates/load-tool/src/load/options.rs
+++ b/crates/load-tool/src/load/options.rs
@@ -1,9 +1,9 @@
-//! Options of a load run.
+//! Options of a load run, with their defaults.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Options of a load run.
+/// Size, duration and time scale of a load run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadOptions {
     /// Seed of the trace, the schedule and the policies.
