--- a/crates/load-tool/src/load/case.rs
+++ b/crates/load-tool/src/load/case.rs
@@ -5,7 +5,7 @@
 
 use apricotdale_policy_replay::case::OVERLOAD_FACTOR;
 use apricotdale_policy_replay::deployment::Deployment;
-use apricotdale_policy_replay::trace::Crowd;
+use apricotdale_policy_replay::trace::LoadSurge;
 
 use crate::errors::Error;
 use crate::load::scale::Scale;
@@ -65,12 +65,12 @@
 
     /// Returns the load surge of the case, with times of the trace, or none. Its work rate counts
     /// all slots of all engines, since the stand-in engines don't slow down with a full batch.
-    pub fn crowd(self, deployment: &Deployment, scale: &Scale) -> Option<Crowd> {
+    pub fn surge(self, deployment: &Deployment, scale: &Scale) -> Option<LoadSurge> {
         if self != Self::Overload {
             return None;
         }
         let slots = deployment.engines.count as f64 * f64::from(deployment.engines.slots);
-        Some(Crowd {
+        Some(LoadSurge {
             from_ms: scale.trace_at_ms(SURGE_WINDOW.0) as u64,
             to_ms: scale.trace_at_ms(SURGE_WINDOW.1) as u64,
             work_rate: OVERLOAD_FACTOR * slots / scale.compression(),
--- a/crates/load-tool/src/load/cluster_options.rs
+++ b/crates/load-tool/src/load/cluster_options.rs
@@ -201,6 +201,6 @@
 fn bytes_per_s(deployment: &Deployment, scale: &Scale, tier: CacheTier) -> u64 {
     let sizes = &deployment.models.sizes_bytes;
     let mean_bytes = sizes.iter().sum::<u64>() / sizes.len() as u64;
-    let load_s = deployment.load_times.whole_ms(tier, mean_bytes) as f64 / MS_PER_S;
+    let load_s = deployment.load_times.total_ms(tier, mean_bytes) as f64 / MS_PER_S;
     scale.rate(mean_bytes as f64 / load_s) as u64
 }
--- a/crates/load-tool/src/load/run.rs
+++ b/crates/load-tool/src/load/run.rs
@@ -120,8 +120,8 @@
     pub fn new(deployment: &'a Deployment, options: &'a LoadOptions, case: Case) -> Self {
         let scale = Scale::new(options);
         let until_ms = scale.trace_at_ms(1.0) as u64;
-        let crowd = case.crowd(deployment, &scale);
-        let trace = trace(deployment, options.seed, until_ms, crowd);
+        let surge = case.surge(deployment, &scale);
+        let trace = trace(deployment, options.seed, until_ms, surge);
         let schedule = Arc::new(schedule(&trace, &scale, options));
         Self {
             deployment,
--- a/crates/load-tool/tests/load_schedule.rs
+++ b/crates/load-tool/tests/load_schedule.rs
@@ -26,9 +26,9 @@
         ..LoadOptions::default()
     };
     let scale = Scale::new(&options);
-    let crowd = case.crowd(&deployment, &scale);
+    let surge = case.surge(&deployment, &scale);
     let until_ms = scale.trace_at_ms(1.0) as u64;
-    let trace = trace(&deployment, seed, until_ms, crowd);
+    let trace = trace(&deployment, seed, until_ms, surge);
     schedule(&trace, &scale, &options)
 }
 
--- a/crates/policy-replay/src/case.rs
+++ b/crates/policy-replay/src/case.rs
@@ -2,7 +2,7 @@
 
 use crate::deployment::Deployment;
 use crate::fleet::full_rate;
-use crate::trace::Crowd;
+use crate::trace::LoadSurge;
 
 const MINUTE_MS: u64 = 60_000;
 const HOUR_MS: u64 = 60 * MINUTE_MS;
@@ -94,9 +94,9 @@
     }
 
     /// Returns the crowd of the case.
-    pub fn crowd(self, deployment: &Deployment) -> Option<Crowd> {
+    pub fn surge(self, deployment: &Deployment) -> Option<LoadSurge> {
         match self {
-            Self::Overload => Some(Crowd {
+            Self::Overload => Some(LoadSurge {
                 from_ms: FAULT_MS,
                 to_ms: FAULT_MS + 30 * MINUTE_MS,
                 work_rate: OVERLOAD_FACTOR * full_rate(&deployment.engines),
--- a/crates/policy-replay/src/compare.rs
+++ b/crates/policy-replay/src/compare.rs
@@ -194,7 +194,7 @@
                 deployment,
                 options.seed,
                 case.until_ms(),
-                case.crowd(deployment),
+                case.surge(deployment),
             );
             (deployment, case, trace)
         })
--- a/crates/policy-replay/src/deployment.rs
+++ b/crates/policy-replay/src/deployment.rs
@@ -129,7 +129,7 @@
     /// The same for models that are always awake.
     pub hot_gap_median_ms: f64,
     /// Most requests of the burst with which a model wakes up.
-    pub burst_most: u32,
+    pub max_burst: u32,
     /// Callers.
     pub callers: u32,
 }
@@ -165,7 +165,7 @@
     }
 
     /// Returns how long an undisturbed load from a tier takes.
-    pub fn whole_ms(&self, tier: CacheTier, bytes: u64) -> u64 {
+    pub fn total_ms(&self, tier: CacheTier, bytes: u64) -> u64 {
         let (fixed_ms, sized_ms) = self.parts_ms(tier, bytes);
         (fixed_ms + sized_ms) as u64
     }
@@ -279,7 +279,7 @@
         regular_share: value(ini, "activity", "regular_share")?,
         gap_median_ms: value(ini, "activity", "gap_median_ms")?,
         hot_gap_median_ms: value(ini, "activity", "hot_gap_median_ms")?,
-        burst_most: value(ini, "activity", "burst_most")?,
+        max_burst: value(ini, "activity", "burst_most")?,
         callers: value(ini, "activity", "callers")?,
     })
 }
--- a/crates/policy-replay/src/floors.rs
+++ b/crates/policy-replay/src/floors.rs
@@ -22,7 +22,7 @@
         let until_ms = busy_until_ms[model].get_or_insert(0);
         if request.at_ms > *until_ms && request.at_ms >= from_ms {
             let bytes = trace.models[model].bytes;
-            let load_ms = deployment.load_times.whole_ms(CacheTier::Memory, bytes);
+            let load_ms = deployment.load_times.total_ms(CacheTier::Memory, bytes);
             let held_ms = load_ms.min(request.at_ms - *until_ms);
             idle_ms += held_ms as f64 * bytes as f64 / deployment.engines.capacity_bytes as f64;
         }
--- a/crates/policy-replay/src/trace.rs
+++ b/crates/policy-replay/src/trace.rs
@@ -50,7 +50,7 @@
 const PREFIXES: u64 = 6;
 
 /// Models that a crowd calls.
-const CROWD_MODELS: usize = 10;
+const SURGE_MODELS: usize = 10;
 
 /// `Habit` is how a model is called.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -113,9 +113,9 @@
     pub run_ms: u64,
 }
 
-/// `Crowd` is a stretch of time in which the work exceeds what the engines can do.
+/// `LoadSurge` is a stretch of time in which the work exceeds what the engines can do.
 #[derive(Clone, Copy, Debug)]
-pub struct Crowd {
+pub struct LoadSurge {
     /// When it starts.
     pub from_ms: u64,
     /// When it ends.
@@ -134,7 +134,7 @@
 }
 
 /// Returns the trace of a deployment from midnight to `until_ms`.
-pub fn trace(deployment: &Deployment, seed: u64, until_ms: u64, crowd: Option<Crowd>) -> Trace {
+pub fn trace(deployment: &Deployment, seed: u64, until_ms: u64, surge: Option<LoadSurge>) -> Trace {
     let mut source = ChaCha8Rng::seed_from_u64(seed);
     let models = models(deployment, &mut source);
     let mut requests = Vec::new();
@@ -150,8 +150,8 @@
         );
     }
     requests.extend(service_requests(deployment, seed, until_ms as f64));
-    if let Some(crowd) = crowd {
-        requests.extend(crowd_requests(deployment, &models, seed, crowd));
+    if let Some(surge) = surge {
+        requests.extend(surge_requests(deployment, &models, seed, surge));
     }
     requests.retain(|request| request.at_ms < until_ms);
     requests.sort_by_key(|request| request.at_ms);
@@ -253,7 +253,7 @@
     source: &mut ChaCha8Rng,
 ) -> Vec<f64> {
     let phase_ms = source.random::<f64>() * period_ms;
-    let size = source.random_range(1..=deployment.activity.burst_most);
+    let size = source.random_range(1..=deployment.activity.max_burst);
     let mut times = Vec::new();
     let mut at_ms = phase_ms;
     while at_ms < until_ms {
@@ -282,7 +282,7 @@
     while at_ms < until_ms {
         if is_awake {
             let end_ms = at_ms + draw::exponential(source, awake_ms);
-            let size = source.random_range(1..=activity.burst_most);
+            let size = source.random_range(1..=activity.max_burst);
             times.extend((0..size).map(|_| at_ms + source.random::<f64>() * BURST_MS));
             times.extend(stretch(model.gap_ms, at_ms, end_ms.min(until_ms), source));
             at_ms = end_ms;
@@ -339,11 +339,11 @@
         .collect()
 }
 
-fn crowd_requests(
+fn surge_requests(
     deployment: &Deployment,
     models: &[TraceModel],
     seed: u64,
-    crowd: Crowd,
+    surge: LoadSurge,
 ) -> Vec<TraceRequest> {
     let mut source = ChaCha8Rng::seed_from_u64(seed ^ 0xc20d);
     let share: f64 = deployment.classes.iter().map(|class| class.share).sum();
@@ -352,11 +352,11 @@
         .iter()
         .map(|class| class.share / share * class.run_ms as f64)
         .sum();
-    let gap_ms = work_ms / crowd.work_rate;
+    let gap_ms = work_ms / surge.work_rate;
     let mut requests = Vec::new();
-    let mut at_ms = crowd.from_ms as f64;
-    while at_ms < crowd.to_ms as f64 {
-        let called = source.random_range(0..CROWD_MODELS.min(models.len()));
+    let mut at_ms = surge.from_ms as f64;
+    while at_ms < surge.to_ms as f64 {
+        let called = source.random_range(0..SURGE_MODELS.min(models.len()));
         let mut made = request(deployment, called, &models[called], at_ms, &mut source);
         made.class = class(deployment, &mut source);
         let table = &deployment.classes[made.class];
--- a/crates/policy-replay/src/world/mod.rs
+++ b/crates/policy-replay/src/world/mod.rs
@@ -246,11 +246,11 @@
     }
 
     fn prepare(&mut self) {
-        if let Some(crowd) = self.case.crowd(self.deployment) {
+        if let Some(surge) = self.case.surge(self.deployment) {
             let table = &self.deployment.engines;
             let places = table.count as u64 * u64::from(table.slots);
             self.measures
-                .watch_goodput(crowd.from_ms, crowd.to_ms, places);
+                .watch_goodput(surge.from_ms, surge.to_ms, places);
         }
         for request in &self.trace.requests {
             let ticket = self.requests.len() as u64;
--- a/crates/policy-replay/src/world/placing.rs
+++ b/crates/policy-replay/src/world/placing.rs
@@ -396,7 +396,7 @@
             .filter(|engine| engine.listed)
             .map(|engine| {
                 let tier = engine.cache.tier(model);
-                self.deployment.load_times.whole_ms(tier, table.bytes)
+                self.deployment.load_times.total_ms(tier, table.bytes)
             })
             .min()
             .unwrap_or(0);
--- a/crates/policy-replay/tests/same_run.rs
+++ b/crates/policy-replay/tests/same_run.rs
@@ -16,7 +16,7 @@
 use support::small;
 
 fn run(deployment: &Deployment, case: Case, set: PolicySet) -> Results {
-    let trace = trace(deployment, 1, case.until_ms(), case.crowd(deployment));
+    let trace = trace(deployment, 1, case.until_ms(), case.surge(deployment));
     let world = World::new(deployment, &trace, case, set).unwrap();
     world.run().results()
 }
