--- a/crates/slopes/src/adapters.rs
+++ b/crates/slopes/src/adapters.rs
@@ -16,16 +16,16 @@
 use crate::slope::Unit;
 
 const CALLS: &[usize] = &[100, 200, 400, 800];
-const LOAD: &str = r#"{"as_of_ms":1790000000000,"running":12,"waiting":3,"slots":32,
+const LOAD_BODY: &str = r#"{"as_of_ms":1790000000000,"running":12,"waiting":3,"slots":32,
     "checkpoints":[{"model":"planner-lm-depot-0001","tier":"memory"}]}"#;
-const STATUS: &str = r#"{"boot":4,"sequence":9,"capacity_bytes":80000000000,"checks_fence":true,
+const STATUS_BODY: &str = r#"{"boot":4,"sequence":9,"capacity_bytes":80000000000,"checks_fence":true,
     "highest_fence":123456,"residents":[
     {"model":"planner-lm-depot-0001","residency":"loaded","bytes":17000000000,"fence":123450},
     {"model":"planner-lm-depot-0002","residency":"loaded","bytes":17000000000,"fence":123451},
     {"model":"planner-lm-depot-0003","residency":"loaded","bytes":17000000000,"fence":123452},
     {"model":"planner-lm-depot-0004","residency":"loaded","bytes":17000000000,"fence":123456}]}"#;
-const EMPTY_READ: &str = r#"{"first":123000,"end":123456,"records":[]}"#;
-const APPENDED: &str = r#"{"offset":123456}"#;
+const EMPTY_READ_BODY: &str = r#"{"first":123000,"end":123456,"records":[]}"#;
+const APPENDED_BODY: &str = r#"{"offset":123456}"#;
 const RECORD_BYTES: usize = 300;
 
 type Call = fn(&Adapters, &CannedServer) -> apricotdale_core::Result<()>;
@@ -37,34 +37,39 @@
 /// If a server can't be started or a call fails.
 pub fn adapters() -> Result<Vec<Slope>> {
     let mut slopes = Vec::new();
-    slopes.extend(pair(
+    slopes.extend(measure_call(
         ["log_append", "log_append_bytes"],
         "201 Created",
-        APPENDED,
+        APPENDED_BODY,
         append,
     )?);
-    slopes.extend(pair(
+    slopes.extend(measure_call(
         ["log_empty_read", "log_empty_read_bytes"],
         "200 OK",
-        EMPTY_READ,
+        EMPTY_READ_BODY,
         read,
     )?);
-    slopes.extend(pair(
+    slopes.extend(measure_call(
         ["engine_status", "engine_status_bytes"],
         "200 OK",
-        STATUS,
+        STATUS_BODY,
         status,
     )?);
-    slopes.extend(pair(
+    slopes.extend(measure_call(
         ["engine_load", "engine_load_bytes"],
         "200 OK",
-        LOAD,
+        LOAD_BODY,
         load,
     )?);
     Ok(slopes)
 }
 
-fn pair(names: [&'static str; 2], answer: &str, body: &str, call: Call) -> Result<[Slope; 2]> {
+fn measure_call(
+    names: [&'static str; 2],
+    answer: &str,
+    body: &str,
+    call: Call,
+) -> Result<[Slope; 2]> {
     let server = CannedServer::start(answer, body)?;
     let address = server.address;
     let adapters = http_adapters(&Options::at(address, address, address));
--- a/crates/slopes/src/catalogue.rs
+++ b/crates/slopes/src/catalogue.rs
@@ -75,6 +75,7 @@
             known: known.join(", "),
         });
     }
-    let asked = |part: &&Part| names.is_empty() || names.iter().any(|name| name == part.name);
-    Ok(PARTS.iter().filter(asked).copied().collect())
+    let is_requested =
+        |part: &&Part| names.is_empty() || names.iter().any(|name| name == part.name);
+    Ok(PARTS.iter().filter(is_requested).copied().collect())
 }
--- a/crates/slopes/src/claims.rs
+++ b/crates/slopes/src/claims.rs
@@ -16,9 +16,9 @@
 use crate::slope::Slope;
 use crate::slope::Unit;
 
-const BATCH: &[usize] = &[1, 4, 16, 64];
+const BATCH_SIZES: &[usize] = &[1, 4, 16, 64];
 const KEYS: &[usize] = &[2_500, 5_000, 10_000, 20_000];
-const CODED: usize = 200;
+const CODEC_RUNS: usize = 200;
 
 /// Number of entries in each batch with which tables are filled.
 pub const BATCH_ENTRIES: usize = 8;
@@ -30,16 +30,20 @@
 /// [`Error::TooFewPoints`](crate::Error::TooFewPoints), which the constant sizes rule out.
 pub fn claims() -> Result<Vec<Slope>> {
     Ok(vec![
-        Slope::measure("claim_batch_size", Unit::Bytes, "entry", BATCH, |entries| {
-            Ok(batch(0, entries).encode().len() as f64)
-        })?,
+        Slope::measure(
+            "claim_batch_size",
+            Unit::Bytes,
+            "entry",
+            BATCH_SIZES,
+            |entries| Ok(claim_batch(0, entries).encode().len() as f64),
+        )?,
         Slope::measure(
             "claim_batch_encode",
             Unit::CpuMicroseconds,
             "entry",
-            BATCH,
+            BATCH_SIZES,
             |entries| {
-                let batch = batch(0, entries);
+                let batch = claim_batch(0, entries);
                 Ok(each_us(|| {
                     black_box(black_box(&batch).encode());
                 }))
@@ -49,28 +53,28 @@
             "claim_batch_decode",
             Unit::CpuMicroseconds,
             "entry",
-            BATCH,
+            BATCH_SIZES,
             |entries| {
-                let payload = batch(0, entries).encode();
+                let payload = claim_batch(0, entries).encode();
                 Ok(each_us(|| {
                     black_box(ClaimBatch::decode(black_box(&payload)));
                 }))
             },
         )?,
         Slope::measure("claim_replay", Unit::CpuMicroseconds, "key", KEYS, |keys| {
-            let payloads = payloads(keys);
-            let mut least_us = f64::INFINITY;
+            let payloads = claim_and_finish_payloads(keys);
+            let mut min_us = f64::INFINITY;
             for _ in 0..3 {
                 let mut table = ClaimTable::new(ClaimOptions::default());
-                least_us = least_us.min(thread_once_us(|| fill(&mut table, &payloads)));
+                min_us = min_us.min(thread_once_us(|| apply_batches(&mut table, &payloads)));
             }
-            Ok(least_us)
+            Ok(min_us)
         })?,
     ])
 }
 
 /// Applies batches to a table at its next offsets.
-pub fn fill(table: &mut ClaimTable, payloads: &[Vec<u8>]) {
+pub fn apply_batches(table: &mut ClaimTable, payloads: &[Vec<u8>]) {
     for payload in payloads {
         let offset = table.next_offset();
         let verdicts = table.apply(offset, 1_000 + offset.0, payload);
@@ -82,17 +86,17 @@
 pub fn claim_payloads(keys: usize) -> Vec<Vec<u8>> {
     let batches = 0..keys / BATCH_ENTRIES;
     batches
-        .map(|number| batch(number, BATCH_ENTRIES).encode())
+        .map(|number| claim_batch(number, BATCH_ENTRIES).encode())
         .collect()
 }
 
 /// Returns encoded batches that claim and then finish `keys` keys, rounded down to whole batches.
-fn payloads(keys: usize) -> Vec<Vec<u8>> {
-    let finished = (0..keys / BATCH_ENTRIES).map(|number| finishes(number).encode());
+fn claim_and_finish_payloads(keys: usize) -> Vec<Vec<u8>> {
+    let finished = (0..keys / BATCH_ENTRIES).map(|number| finish_batch(number).encode());
     claim_payloads(keys).into_iter().chain(finished).collect()
 }
 
-fn batch(number: usize, entries: usize) -> ClaimBatch {
+fn claim_batch(number: usize, entries: usize) -> ClaimBatch {
     let claim = |entry: usize| {
         let key = number * entries + entry;
         ClaimRecord::Claim(Claim {
@@ -108,7 +112,7 @@
     }
 }
 
-fn finishes(number: usize) -> ClaimBatch {
+fn finish_batch(number: usize) -> ClaimBatch {
     let finish = |entry: usize| {
         let key = number * BATCH_ENTRIES + entry;
         ClaimRecord::Finish(Finish {
@@ -125,9 +129,9 @@
 
 fn each_us(mut work: impl FnMut()) -> f64 {
     let all_us = thread_us(|| {
-        for _ in 0..CODED {
+        for _ in 0..CODEC_RUNS {
             work();
         }
     });
-    all_us / CODED as f64
+    all_us / CODEC_RUNS as f64
 }
--- a/crates/slopes/src/fleet.rs
+++ b/crates/slopes/src/fleet.rs
@@ -63,7 +63,7 @@
     }
 
     /// Configures further models until there are `models` in total.
-    pub fn grow_models(&mut self, models: usize) {
+    pub fn add_models_up_to(&mut self, models: usize) {
         let edits: Vec<ConfigEdit> = (self.models..models).map(put_model).collect();
         let change = ConfigChange {
             change_id: models as u64,
@@ -76,7 +76,7 @@
     }
 
     /// Adds further engines until there are `engines` in total, each by its first observation.
-    pub fn grow_engines(&mut self, engines: usize) {
+    pub fn add_engines_up_to(&mut self, engines: usize) {
         for engine in self.engines..engines {
             let record = self.observation(engine, 1);
             self.append(&record);
--- a/crates/slopes/src/memory.rs
+++ b/crates/slopes/src/memory.rs
@@ -29,8 +29,8 @@
 
 fn engines() -> Result<Slope> {
     let mut fleet = Fleet::default();
-    let slope = grow("engine_memory", "engine", ENGINES, |engines| {
-        fleet.grow_engines(engines);
+    let slope = measure_growth("engine_memory", "engine", ENGINES, |engines| {
+        fleet.add_engines_up_to(engines);
     });
     std::mem::forget(fleet);
     slope
@@ -38,8 +38,8 @@
 
 fn models() -> Result<Slope> {
     let mut fleet = Fleet::default();
-    let slope = grow("model_memory", "model", MODELS, |models| {
-        fleet.grow_models(models);
+    let slope = measure_growth("model_memory", "model", MODELS, |models| {
+        fleet.add_models_up_to(models);
     });
     std::mem::forget(fleet);
     slope
@@ -47,10 +47,10 @@
 
 fn replicas() -> Result<Slope> {
     let mut fleet = Fleet::default();
-    fleet.grow_models(360);
-    fleet.grow_engines(600);
+    fleet.add_models_up_to(360);
+    fleet.add_engines_up_to(600);
     let mut loaded = 0;
-    let slope = grow("replica_memory", "replica", REPLICAS, |replicas| {
+    let slope = measure_growth("replica_memory", "replica", REPLICAS, |replicas| {
         for number in loaded..replicas {
             fleet.load(number);
         }
@@ -67,23 +67,23 @@
     });
     let payloads = claims::claim_payloads(40_000);
     let mut filled = 0;
-    let slope = grow("claim_key_memory", "key", KEYS, |keys| {
+    let slope = measure_growth("claim_key_memory", "key", KEYS, |keys| {
         let batches = keys / claims::BATCH_ENTRIES;
-        claims::fill(&mut table, &payloads[filled..batches]);
+        claims::apply_batches(&mut table, &payloads[filled..batches]);
         filled = batches;
     });
     std::mem::forget(table);
     slope
 }
 
-fn grow(
+fn measure_growth(
     name: &'static str,
     per: &'static str,
     sizes: &[usize],
-    mut to: impl FnMut(usize),
+    mut grow_to: impl FnMut(usize),
 ) -> Result<Slope> {
     Slope::measure(name, Unit::Bytes, per, sizes, |size| {
-        to(size);
+        grow_to(size);
         resident_bytes()
     })
 }
--- a/crates/slopes/src/meter.rs
+++ b/crates/slopes/src/meter.rs
@@ -11,7 +11,7 @@
 
 /// Returns the minimum processor time of this thread over several runs of `work`, in microseconds.
 pub fn thread_us(mut work: impl FnMut()) -> f64 {
-    least(|| {
+    min_over_rounds(|| {
         let begun = ThreadTime::now();
         work();
         begun.elapsed().as_secs_f64()
@@ -34,7 +34,7 @@
 /// The last error of `work`.
 pub fn process_us(mut work: impl FnMut() -> Result<()>) -> Result<f64> {
     let mut outcome = Ok(());
-    let us = least(|| {
+    let us = min_over_rounds(|| {
         let begun = ProcessTime::now();
         let worked = work();
         if worked.is_err() {
@@ -55,7 +55,7 @@
     Ok((pages * procfs::page_size()) as f64)
 }
 
-fn least(mut seconds: impl FnMut() -> f64) -> f64 {
+fn min_over_rounds(mut seconds: impl FnMut() -> f64) -> f64 {
     let rounds = (0..ROUNDS).map(|_| seconds() * 1e6);
     rounds.fold(f64::INFINITY, f64::min)
 }
--- a/crates/slopes/src/peers.rs
+++ b/crates/slopes/src/peers.rs
@@ -37,14 +37,14 @@
 const ENGINES: &[usize] = &[1, 10, 50, 200];
 const HEARTBEATS: &[usize] = &[250, 500, 1_000, 2_000];
 const PEERS: &[usize] = &[16, 32, 64, 128];
-const CODED: usize = 500;
+const CODEC_RUNS: usize = 500;
 const VM: &str = "vm-hall-a-17";
 const TIMEOUT_MS: u64 = 10_000;
 
 /// Handler that answers each heartbeat with the same heartbeat.
-struct Answers;
+struct EchoHandler;
 
-impl PeerHandler for Answers {
+impl PeerHandler for EchoHandler {
     fn answer(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Heartbeat(heartbeat) => PeerReply::Heartbeat(heartbeat),
@@ -212,7 +212,7 @@
     Ok(PeerServer::start(
         &options,
         key()?,
-        Arc::new(Answers),
+        Arc::new(EchoHandler),
         counters.clone(),
     )?)
 }
@@ -285,5 +285,5 @@
 }
 
 fn each_us(work: impl FnMut()) -> f64 {
-    times_us(CODED, work) / CODED as f64
+    times_us(CODEC_RUNS, work) / CODEC_RUNS as f64
 }
--- a/crates/slopes/src/records.rs
+++ b/crates/slopes/src/records.rs
@@ -17,7 +17,7 @@
 const REPLICAS: &[usize] = &[300, 600, 1_200, 2_400];
 const MODELS: usize = 360;
 const ENGINES: usize = 600;
-const CODED: usize = 200;
+const CODEC_RUNS: usize = 200;
 
 /// Measures the time to encode and decode control records and their size, by records and by the
 /// residents in an observation.
@@ -70,11 +70,11 @@
             |residents| {
                 let payload = observation(residents).encode();
                 let all_us = thread_us(|| {
-                    for _ in 0..CODED {
+                    for _ in 0..CODEC_RUNS {
                         black_box(ControlRecord::decode(black_box(&payload)));
                     }
                 });
-                Ok(all_us / CODED as f64)
+                Ok(all_us / CODEC_RUNS as f64)
             },
         )?,
     ])
@@ -100,7 +100,7 @@
             "replica",
             REPLICAS,
             |replicas| {
-                let fleet = filled(replicas);
+                let fleet = fleet_with_replicas(replicas);
                 Ok(thread_us(|| {
                     black_box(fleet.state.digest_now());
                 }))
@@ -111,7 +111,7 @@
             Unit::Bytes,
             "replica",
             REPLICAS,
-            |replicas| Ok(section(&filled(replicas)).bytes.len() as f64),
+            |replicas| Ok(section(&fleet_with_replicas(replicas)).bytes.len() as f64),
         )?,
         Slope::measure(
             "snapshot_encode",
@@ -119,7 +119,7 @@
             "replica",
             REPLICAS,
             |replicas| {
-                let fleet = filled(replicas);
+                let fleet = fleet_with_replicas(replicas);
                 Ok(thread_us(|| {
                     black_box(section(&fleet));
                 }))
@@ -131,7 +131,7 @@
             "replica",
             REPLICAS,
             |replicas| {
-                let section = section(&filled(replicas));
+                let section = section(&fleet_with_replicas(replicas));
                 Ok(thread_us(|| {
                     black_box(section.control().is_ok());
                 }))
@@ -143,8 +143,8 @@
 /// Returns an observation of an engine with `residents` models.
 fn observation(residents: usize) -> ControlRecord {
     let mut fleet = Fleet::default();
-    fleet.grow_models(residents);
-    fleet.grow_engines(1);
+    fleet.add_models_up_to(residents);
+    fleet.add_engines_up_to(1);
     for number in 0..residents {
         fleet.load(number);
     }
@@ -153,10 +153,10 @@
 
 /// Returns a control state with `replicas` replicas on the number of engines that the system is
 /// designed for.
-pub fn filled(replicas: usize) -> Fleet {
+pub fn fleet_with_replicas(replicas: usize) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.grow_models(MODELS);
-    fleet.grow_engines(ENGINES);
+    fleet.add_models_up_to(MODELS);
+    fleet.add_engines_up_to(ENGINES);
     for number in 0..replicas {
         fleet.load(number);
     }
@@ -171,9 +171,9 @@
 /// size that the system is designed for. The state ignores sequence numbers that it has applied, so
 /// each round uses higher ones.
 fn replay_us(records: usize) -> f64 {
-    let mut fleet = filled(2_400);
+    let mut fleet = fleet_with_replicas(2_400);
     let mut sequence = 2;
-    let mut least_us = f64::INFINITY;
+    let mut min_us = f64::INFINITY;
     for _ in 0..3 {
         sequence += records as u64;
         let payloads: Vec<Vec<u8>> = (0..records)
@@ -189,7 +189,7 @@
                 black_box(fleet.state.apply(offset, 1_000 + offset.0, &payload));
             }
         });
-        least_us = least_us.min(us);
+        min_us = min_us.min(us);
     }
-    least_us
+    min_us
 }
--- a/crates/slopes/tests/slope_lines.rs
+++ b/crates/slopes/tests/slope_lines.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn line_tells_slope_and_intercept() {
+fn line_format() {
     let slope = doubled(&[1, 2, 4]).expect("three sizes");
     let expected = "slope=doubled unit=B per=item value=2.0000 intercept=3.000 r2=1.0000 \
         points=1:5.000,2:7.000,4:11.000";
@@ -25,7 +25,7 @@
 #[case::none(&[])]
 #[case::one(&[7])]
 #[case::same(&[7, 7])]
-fn one_size_is_no_line(#[case] sizes: &[usize]) {
+fn too_few_sizes(#[case] sizes: &[usize]) {
     assert!(matches!(
         doubled(sizes),
         Err(Error::TooFewPoints("doubled"))
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn table_has_a_row_for_each_slope() {
+fn table_rows() {
     let slopes = vec![doubled(&[1, 2]).expect("two sizes"); 2];
     let mut table = Vec::new();
     write_table(&slopes, &mut table).expect("a table in memory");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn parts_are_found_by_name() {
+fn parts_by_name() {
     let all = catalogue::parts(&[]).expect("all parts");
     assert_eq!(all.len(), catalogue::PARTS.len());
     let two = ["settings".to_owned(), "memory".to_owned()];
