--- a/crates/slopes/src/claims.rs
+++ b/crates/slopes/src/claims.rs
@@ -78,7 +78,7 @@
     for payload in payloads {
         let offset = table.next_offset();
         let verdicts = table.apply(offset, 1_000 + offset.0, payload);
-        black_box(verdicts.expect("the payload is a batch and the next one"));
+        black_box(verdicts.expect("the payload is a claim batch at the next offset"));
     }
 }
 
--- a/crates/slopes/src/errors.rs
+++ b/crates/slopes/src/errors.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Error)]
 pub enum Error {
     /// The command line names a part that the catalogue does not have.
-    #[error("no part is called {name}; there are: {known}")]
+    #[error("unknown part {name}; the parts are: {known}")]
     UnknownPart {
         /// Name on the command line.
         name: String,
@@ -17,10 +17,10 @@
         known: String,
     },
     /// A slope was measured at fewer than two different sizes, through which no line can be fitted.
-    #[error("{0} was measured at fewer than two sizes")]
+    #[error("{0} was measured at fewer than two different sizes")]
     TooFewPoints(&'static str),
     /// A file or socket failed.
-    #[error("system: {0}")]
+    #[error("file or socket: {0}")]
     System(#[from] std::io::Error),
     /// The memory of the process can't be read from `/proc`.
     #[error("memory: {0}")]
