--- a/crates/policy-replay/src/case.rs
+++ b/crates/policy-replay/src/case.rs
@@ -1,4 +1,4 @@
-//! The cases: what goes wrong, and when.
+//! Cases of the replay: their faults and load surges, and when.
 
 use crate::deployment::Deployment;
 use crate::fleet::full_rate;
@@ -7,55 +7,56 @@
 const MINUTE_MS: u64 = 60_000;
 const HOUR_MS: u64 = 60 * MINUTE_MS;
 
-/// When what a case is about begins: noon, the policies having learned since midnight.
+/// Time at which faults and load surges begin: noon, so that policies have learned since midnight.
 const FAULT_MS: u64 = 12 * HOUR_MS;
 
-/// How much slower the weight store is in the case of that name.
+/// Factor by which the weight store is slower in the case `slow-store`.
 pub const SLOW_STORE_FACTOR: f64 = 5.0;
 
-/// The work that callers ask for in the case of overload, as a multiple of what all engines can do.
+/// Work requested additionally in the case `overload`, as a multiple of what all engines can do.
 pub const OVERLOAD_FACTOR: f64 = 2.0;
 
-/// `Case` is one case of the replay.
+/// Scenario of the replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// Nothing goes wrong.
+    /// No fault and no load surge.
     Usual,
-    /// For half an hour callers ask for twice the work that the engines can do.
+    /// For half an hour, callers request twice the work that all engines can do, in addition to
+    /// the usual requests.
     Overload,
-    /// For two hours the weight store is five times slower.
+    /// For two hours, the weight store is five times slower.
     SlowStore,
-    /// One availability zone is lost, and comes back empty after an hour.
+    /// One availability zone is lost, and is back without models and caches after an hour.
     ZoneLost,
-    /// For ten minutes nothing can be appended to the log.
+    /// For ten minutes, no record can be appended to the log.
     LogOutage,
-    /// All VMs restart at once and have learned nothing.
+    /// All VMs restart at once, with policies that have learned nothing.
     Restart,
 }
 
-/// `Fault` is a change of the surroundings at a moment.
+/// Change of the simulated environment: a fault or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The weight store becomes slower.
+    /// The weight store becomes slow.
     StoreSlow,
-    /// The weight store is as fast as usual again.
+    /// The weight store is back at its usual speed.
     StoreUsual,
-    /// The engines of the first zone are gone.
+    /// The engines and service instances of the first zone fail.
     ZoneGone,
-    /// The platform's list shows that they are gone.
+    /// The VM list no longer shows the failed engines and instances.
     ZoneUnlisted,
-    /// They are back, empty.
+    /// The failed engines and instances are back, without models and caches.
     ZoneBack,
-    /// Nothing can be appended to the log.
+    /// Appends to the log fail from now on.
     LogDown,
-    /// The log works again.
+    /// Appends to the log succeed again.
     LogUp,
     /// All VMs restart.
     Restart,
 }
 
 impl Case {
-    /// Lists the cases.
+    /// All cases, in the order in which they run.
     pub const ALL: [Self; 6] = [
         Self::Usual,
         Self::Overload,
@@ -65,7 +66,7 @@
         Self::Restart,
     ];
 
-    /// Returns the case's name.
+    /// Returns the name on the command line and in the output.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Usual => "usual",
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Returns when measuring starts. The time before lets the policies learn.
+    /// Returns the time at which the measurement starts, since midnight of the first day. The
+    /// policies learn before that.
     pub fn measured_from_ms(self) -> u64 {
         match self {
             Self::Usual => 12 * HOUR_MS,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Returns when the case ends.
+    /// Returns the time at which the case ends, since midnight of the first day.
     pub fn until_ms(self) -> u64 {
         match self {
             Self::Usual => 36 * HOUR_MS,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Returns the crowd of the case.
+    /// Returns the load surge of the case, or none.
     pub fn surge(self, deployment: &Deployment) -> Option<LoadSurge> {
         match self {
             Self::Overload => Some(LoadSurge {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Returns the faults of the case and when they come.
+    /// Returns the faults of the case with their times, since midnight of the first day.
     pub fn faults(self) -> Vec<(u64, Fault)> {
         let start_ms = FAULT_MS;
         match self {
