--- a/crates/policy-replay/src/errors.rs
+++ b/crates/policy-replay/src/errors.rs
@@ -4,40 +4,40 @@
 
 use thiserror::Error;
 
-/// `Result` is the result of a step of the replay.
+/// Result of a step of the replay.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what stops the replay before or after it has run.
+/// Reason why the replay could not run or its results could not be written.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// A deployment's file can't be read.
+    /// The file of a deployment or its folder can't be read or parsed.
     #[error("{path}: {detail}")]
     Unreadable {
-        /// The file.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of reading or parsing.
         detail: String,
     },
-    /// A key of a deployment's file is missing or has no usable value.
+    /// A key in the file of a deployment is missing, or its value is invalid.
     #[error("[{section}] {key}: {detail}")]
     Key {
-        /// The section.
+        /// Section of the key.
         section: String,
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// What is wrong with it.
+        /// Reason why the value can't be used.
         detail: String,
     },
-    /// No policy of this name.
+    /// No policy is registered under this name.
     #[error("no policy is called {0}")]
     UnknownPolicy(String),
-    /// A result can't be written.
+    /// The results can't be written; holds the error.
     #[error("can't write the results: {0}")]
     Unwritable(String),
 }
 
 impl Error {
-    /// Returns an [`Error::Key`].
+    /// Returns an [`Error::Key`] for a key of a section.
     pub fn key(section: &str, key: &str, detail: impl Into<String>) -> Self {
         Self::Key {
             section: section.to_owned(),
