--- a/crates/load-tool/src/bin/load-run.rs
+++ b/crates/load-tool/src/bin/load-run.rs
@@ -1,5 +1,5 @@
-//! `load-run` drives a deployment's size on real processes, with the baseline policies and with
-//! those in use, and compares them.
+//! Runs a scaled-down deployment under load on real processes, once with the baseline policies and
+//! once with the default ones, and compares the two.
 
 #![forbid(unsafe_code)]
 
@@ -23,7 +23,7 @@
 
 const BYTES_PER_MB: f64 = 1e6;
 
-/// Drives real processes by a seeded schedule, once with each set of policies
+/// Sends a seeded schedule of requests to real processes, once with each set of policies
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
@@ -33,31 +33,31 @@
         fallback(PathBuf::from("crates/policy-replay/deployments/scaravilli.ini"))
     )]
     deployment: PathBuf,
-    /// Cases: usual, overload, vm-killed, log-outage; all of them if none is given
+    /// Cases to run: usual, overload, vm-killed, log-outage; all of them if none is given
     #[bpaf(argument("NAME"), many)]
     case: Vec<Case>,
     /// Seed of the trace, the schedule and the policies
     #[bpaf(argument("N"), fallback(LoadOptions::default().seed), display_fallback)]
     seed: u64,
-    /// Entry VMs
+    /// Number of entry VMs
     #[bpaf(argument("N"), fallback(LoadOptions::default().vms), display_fallback)]
     vms: usize,
-    /// By how much all that a request takes is shorter than in the deployment
+    /// Factor by which run times, load times and class targets are shorter than in the deployment
     #[bpaf(argument("X"), fallback(LoadOptions::default().speed), display_fallback)]
     speed: f64,
-    /// By how much more often requests arrive besides
+    /// Factor by which requests arrive more often, on top of the speed
     #[bpaf(argument("X"), fallback(LoadOptions::default().compression), display_fallback)]
     compression: f64,
-    /// Seconds before the measured ones
+    /// Seconds of warm-up before the measurement
     #[bpaf(argument("S"), fallback(LoadOptions::default().warm_up.as_secs()), display_fallback)]
     warm_up: u64,
-    /// Seconds that are measured
+    /// Seconds of the measurement
     #[bpaf(argument("S"), fallback(LoadOptions::default().measured.as_secs()), display_fallback)]
     seconds: u64,
-    /// Most requests in progress at once
+    /// Maximum number of requests in progress at once
     #[bpaf(argument("N"), fallback(LoadOptions::default().client_threads), display_fallback)]
     clients: usize,
-    /// Directory for the processes' output
+    /// Directory for the output of the processes
     #[bpaf(argument("DIR"))]
     logs: Option<PathBuf>,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Runs all cases and returns whether what must never happen did not happen.
+/// Runs the cases, prints the results, and returns whether no run violated an invariant.
 fn compare(arguments: &Arguments) -> Result<bool> {
     let deployment = Deployment::read(&arguments.deployment);
     let deployment = deployment.map_err(|error| Error::failed(error.to_string()))?;
@@ -93,23 +93,26 @@
         [] => Case::ALL.to_vec(),
         cases => cases.to_vec(),
     };
-    let mut held = true;
+    let mut invariants_held = true;
     for case in cases {
         let run = Run::new(&deployment, &options, case);
-        let carry_out = |policies: PolicyChoice| {
-            let report = run.carry_out(policies, |processes| interrupts.watch(processes))?;
+        let execute = |policies: PolicyChoice| {
+            let report = run.execute(policies, |processes| interrupts.watch(processes))?;
             print_run(&deployment.name, case, policies, &report);
             Ok::<_, Error>(report)
         };
-        let baseline = carry_out(PolicyChoice::Baseline)?;
-        let chosen = carry_out(PolicyChoice::Chosen)?;
+        let baseline = execute(PolicyChoice::Baseline)?;
+        let chosen = execute(PolicyChoice::Chosen)?;
         for line in report::comparison(&deployment.name, case, &baseline, &chosen) {
             println!("{line}");
         }
-        held &= baseline.violations.none() && chosen.violations.none();
+        invariants_held &= baseline.violations.is_empty() && chosen.violations.is_empty();
     }
-    println!("effects={}", if held { "none" } else { "VIOLATED" });
-    Ok(held)
+    println!(
+        "effects={}",
+        if invariants_held { "none" } else { "VIOLATED" }
+    );
+    Ok(invariants_held)
 }
 
 fn print_run(deployment: &str, case: Case, policies: PolicyChoice, report: &RunReport) {
@@ -121,8 +124,8 @@
         report.sent,
         report.lateness.late,
         in_ms(report.lateness.largest),
-        report.most_processes,
-        report.most_resident_bytes as f64 / BYTES_PER_MB,
+        report.peak_processes,
+        report.peak_resident_bytes as f64 / BYTES_PER_MB,
         report.load_average.0,
         report.load_average.1,
     );
--- a/crates/load-tool/src/load/client.rs
+++ b/crates/load-tool/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One caller's request: sent to a VM, its answer read, timed and checked.
+//! Client that sends a request to a VM and reads, times and checks the answer.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -25,35 +25,35 @@
 use crate::load::cluster_options::SHELF;
 use crate::load::record::Ending;
 use crate::load::record::Record;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 use crate::load::schedule::Work;
 
-/// The longest time that a caller waits for the end of an answer. It is far above every target and
-/// only ends a hanging run.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+/// Timeout of a complete answer. It is far above every class target and only ends a request that
+/// hangs.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// How often a caller sends a cut order again whose answer was lost, and the pause before that.
-const MOST_REPEATS: u32 = 100;
-const REPEAT_PAUSE: Duration = Duration::from_millis(100);
+/// Limit and pause for sending a cut order with an idempotency key again after a lost answer.
+const MAX_RESENDS: u32 = 100;
+const RESEND_PAUSE: Duration = Duration::from_millis(100);
 
-/// The length of the prompts' common beginnings, which is beyond what engines cache.
+/// Length of the common prefixes of prompts in characters, beyond the prefix that engines cache.
 const PREFIX_LENGTH: usize = 300;
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// `Catalog` is the names that requests carry, by index.
+/// Names that requests carry, by their index in the trace or deployment.
 #[derive(Clone, Debug)]
 pub struct Catalog {
-    /// The models.
+    /// Names of the models.
     pub models: Vec<String>,
-    /// The classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// The plain service.
+    /// Name of the plain service.
     pub service: String,
 }
 
-/// `Client` sends requests. Each has a connection of its own, so that the end of a VM is seen by
-/// the requests that are in progress there and by no other.
+/// Client that opens a connection for each request, so that the death of a VM affects only the
+/// requests in progress there.
 #[derive(Clone, Debug)]
 pub struct Client {
     agent: Agent,
@@ -65,14 +65,14 @@
 type Sent = Result<Response<Body>, ureq::Error>;
 
 impl Client {
-    /// Returns a client.
+    /// Returns a client that sends to the VMs of `balancer` and takes times from `clock`.
     pub fn new(balancer: Arc<Balancer>, clock: RunClock, catalog: Arc<Catalog>) -> Self {
         let agent = Agent::config_builder()
             .proxy(None)
             .max_idle_connections(0)
             .http_status_as_error(false)
             .no_delay(true)
-            .timeout_global(Some(ANSWER_LIMIT))
+            .timeout_global(Some(ANSWER_TIMEOUT))
             .build()
             .into();
         Self {
@@ -83,23 +83,23 @@
         }
     }
 
-    /// Sends a request and returns what became of it. A cut order under a key whose answer was lost
-    /// is sent again under its key, as its caller would.
-    pub fn send(&self, index: usize, planned: &Planned) -> Record {
+    /// Sends a request and returns its record. A cut order with an idempotency key is sent again
+    /// under the same key if its answer is lost, as a real caller would do.
+    pub fn send(&self, index: usize, planned: &PlannedRequest) -> Record {
         let mut record = self.send_once(index, planned, planned.vm);
-        while must_repeat(planned, &record) {
-            thread::sleep(REPEAT_PAUSE);
+        while must_resend(planned, &record) {
+            thread::sleep(RESEND_PAUSE);
             let again = self.send_once(index, planned, record.vm + 1);
             record = Record {
                 sent: record.sent,
-                repeats: record.repeats + 1,
+                resends: record.resends + 1,
                 ..again
             };
         }
         record
     }
 
-    fn send_once(&self, index: usize, planned: &Planned, first_vm: usize) -> Record {
+    fn send_once(&self, index: usize, planned: &PlannedRequest, first_vm: usize) -> Record {
         let mut record = Record {
             planned: index,
             vm: first_vm,
@@ -109,9 +109,9 @@
             gaps_us: Vec::new(),
             identity: String::new(),
             engine: None,
-            repeats: 0,
+            resends: 0,
             retry_after: None,
-            is_return: false,
+            is_caller_retry: false,
             ending: Ending::NoAnswer("no VM accepts connections".to_owned()),
         };
         for (vm, address) in self.balancer.route(first_vm) {
@@ -127,7 +127,7 @@
         record
     }
 
-    fn start(&self, vm: SocketAddr, planned: &Planned) -> Sent {
+    fn start(&self, vm: SocketAddr, planned: &PlannedRequest) -> Sent {
         let class = &self.catalog.classes[planned.class];
         let service = &self.catalog.service;
         let url = |path: &str| format!("http://{vm}{path}");
@@ -149,7 +149,7 @@
                 let request = request.header("X-Request-Class", class);
                 request.header("X-Caller", caller).send_json(body)
             }
-            Work::Look { .. } => {
+            Work::ShelfLookup { .. } => {
                 let path = format!("/services/{service}{}", call_path(&planned.work));
                 let request = self.agent.get(url(&path));
                 let request = request.header("X-Request-Class", class);
@@ -169,7 +169,7 @@
         }
     }
 
-    fn read(&self, response: Response<Body>, planned: &Planned, record: &mut Record) {
+    fn read(&self, response: Response<Body>, planned: &PlannedRequest, record: &mut Record) {
         let head = AnswerHead {
             status: response.status().as_u16(),
             content_type: header(&response, "content-type"),
@@ -180,7 +180,7 @@
         record.ending = if head.content_type.starts_with(EVENT_STREAM) {
             self.read_stream(head, body, planned, record)
         } else {
-            self.read_whole(head, body, planned, record)
+            self.read_complete(head, body, planned, record)
         };
     }
 
@@ -188,12 +188,12 @@
         &self,
         head: AnswerHead,
         mut body: impl BufRead,
-        planned: &Planned,
+        planned: &PlannedRequest,
         record: &mut Record,
     ) -> Ending {
         let mut check = TokenCheck::new(&head.request);
         let mut reading = StreamParser::new(head);
-        let mut wrong = None;
+        let mut mismatch = None;
         let mut last = None;
         let mut line = String::new();
         let outcome = loop {
@@ -211,17 +211,19 @@
             }
             last = Some(now);
             let data = line.trim_start_matches("data:").trim();
-            wrong = wrong.or(check.take(data).err());
+            mismatch = mismatch.or(check.verify(data).err());
         };
         record.engine = check.engine().map(str::to_owned);
-        ending_of(outcome, wrong, || check.end(tokens(&planned.work)))
+        ending_of(outcome, mismatch, || {
+            check.verify_end(tokens(&planned.work))
+        })
     }
 
-    fn read_whole(
+    fn read_complete(
         &self,
         head: AnswerHead,
         mut body: impl Read,
-        planned: &Planned,
+        planned: &PlannedRequest,
         record: &mut Record,
     ) -> Ending {
         let mut bytes = Vec::new();
@@ -236,7 +238,9 @@
             record.first = Some(self.clock.now());
         }
         let checked = || match &planned.work {
-            Work::Completion { tokens, .. } => check.take(&text).and_then(|()| check.end(*tokens)),
+            Work::Completion { tokens, .. } => {
+                check.verify(&text).and_then(|()| check.verify_end(*tokens))
+            }
             work => check_call(&call_name(work), &text),
         };
         let ending = ending_of(outcome, None, checked);
@@ -245,15 +249,15 @@
     }
 }
 
-/// Returns how a request ended, after what its answer looks like and what its content says.
+/// Returns how a request ended, from the framing of its answer and from the check of its content.
 fn ending_of(
     outcome: Outcome,
-    wrong: Option<String>,
+    mismatch: Option<String>,
     end_check: impl FnOnce() -> Result<(), String>,
 ) -> Ending {
     match outcome {
         Outcome::Crossed { found, .. } => Ending::Foreign(format!("identity {found}")),
-        _ if wrong.is_some() => Ending::Foreign(wrong.unwrap_or_default()),
+        _ if mismatch.is_some() => Ending::Foreign(mismatch.unwrap_or_default()),
         Outcome::Refused { refusal, .. } => Ending::Refused(refusal),
         Outcome::Cut {
             refusal: Some(refusal),
@@ -271,25 +275,25 @@
     }
 }
 
-/// Returns the path of a call to the service, below it.
+/// Returns the path of a call below the service, or an empty one for a completion.
 fn call_path(work: &Work) -> String {
     match work {
         Work::Completion { .. } => String::new(),
-        Work::Look { bundle } => format!("{SHELF}/{bundle}"),
+        Work::ShelfLookup { bundle } => format!("{SHELF}/{bundle}"),
         Work::CutOrder { order, .. } => format!("/cut-orders/{order}"),
     }
 }
 
-/// Returns the name under which a stand-in service counts a call.
+/// Returns the name under which a stand-in service counts a call, or an empty one for a completion.
 pub fn call_name(work: &Work) -> String {
     match work {
         Work::Completion { .. } => String::new(),
-        Work::Look { .. } => format!("GET {}", call_path(work)),
+        Work::ShelfLookup { .. } => format!("GET {}", call_path(work)),
         Work::CutOrder { .. } => format!("POST {}", call_path(work)),
     }
 }
 
-/// Returns the idempotency key of a cut order.
+/// Returns the idempotency key under which a cut order is sent.
 pub fn idempotency_key(order: u64) -> String {
     format!("cut-order-{order}")
 }
@@ -297,20 +301,20 @@
 fn tokens(work: &Work) -> u32 {
     match work {
         Work::Completion { tokens, .. } => *tokens,
-        Work::Look { .. } | Work::CutOrder { .. } => 0,
+        Work::ShelfLookup { .. } | Work::CutOrder { .. } => 0,
     }
 }
 
-fn must_repeat(planned: &Planned, record: &Record) -> bool {
+fn must_resend(planned: &PlannedRequest, record: &Record) -> bool {
     if !matches!(planned.work, Work::CutOrder { keyed: true, .. }) {
         return false;
     }
     let refusal = record.ending.refusal();
     let still_runs = refusal.is_some_and(|refusal| refusal.reason == "key_in_progress");
-    record.repeats < MOST_REPEATS && (record.ending.is_lost() || (record.repeats > 0 && still_runs))
+    record.resends < MAX_RESENDS && (record.ending.is_lost() || (record.resends > 0 && still_runs))
 }
 
-/// Returns whether a request certainly reached nobody.
+/// Returns whether a request certainly reached no VM, so that it may go to another one.
 fn never_connected(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(error) => error.kind() == ErrorKind::ConnectionRefused,
@@ -319,7 +323,7 @@
     }
 }
 
-/// Returns when a refusal says to come back.
+/// Returns the delay after which a refusal allows a retry, or none if the body names none.
 fn retry_after(body: &str) -> Option<Duration> {
     let problem: Value = serde_json::from_str(body).ok()?;
     let after_ms = problem["retry_after_ms"].as_u64()?;
--- a/crates/load-tool/src/load/cluster_options.rs
+++ b/crates/load-tool/src/load/cluster_options.rs
@@ -1,4 +1,4 @@
-//! The processes and the configuration of a run, after a deployment.
+//! Processes and configuration of a run, derived from a deployment.
 
 use std::collections::BTreeMap;
 
@@ -21,42 +21,42 @@
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// The path below the service whose calls may be repeated.
+/// Path below the service whose calls are idempotent.
 pub const SHELF: &str = "/shelf";
 
-/// One in so many engines obeys old fencing numbers; the others refuse them.
-const OBEYING_ONE_IN: usize = 3;
+/// Of so many engines, one accepts stale fencing tokens; the others refuse them.
+const ENGINES_PER_UNFENCED: usize = 3;
 
-/// How old an engine's report and the list of VMs are when they are read, in the deployment's time.
+/// Age of engine reports and of the VM list when they are read, in the deployment's time.
 const LAG_MS: u64 = 1_000;
 
-/// How often engines and the list of VMs are read, in the deployment's time.
+/// Interval of reading the engine reports and the VM list, in the deployment's time.
 const READ_INTERVAL_MS: u64 = 1_000;
 
-/// The shortest interval that the daemon's settings allow.
-const LEAST_INTERVAL_MS: u64 = 100;
+/// Lower bound of these intervals in the daemon's settings.
+const MIN_INTERVAL_MS: u64 = 100;
 
-/// How long connecting to an upstream may take, as in Scaravilli's settings. Connecting is no
-/// faster in a run than in the deployment.
+/// Timeout for connecting to an upstream, as in Scaravilli's settings. It is not divided by the
+/// speed, since connecting is no faster in a run than in the deployment.
 const CONNECT_TIMEOUT_MS: u64 = 300;
 
-/// Prompt prefixes that one engine keeps, as in the policy replay.
-const PREFIXES: usize = 48;
+/// Number of prompt prefixes cached by one engine, as in the policy replay.
+const PREFIXES_PER_ENGINE: usize = 48;
 
-/// One in so many cache events is lost.
-const CACHE_GAP_EVERY: u64 = 10;
+/// Of so many cache events, one is lost.
+const CACHE_EVENTS_PER_GAP: u64 = 10;
 
-/// `PolicyChoice` is the set of policies that the daemons of a run decide with.
+/// Set of policies used by the daemons of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyChoice {
-    /// Those kept for comparison.
+    /// Baseline policies, which serve for comparison.
     Baseline,
-    /// Those in use, by the daemon's defaults.
+    /// Default policies of the daemon.
     Chosen,
 }
 
 impl PolicyChoice {
-    /// Returns its name.
+    /// Returns the name in the output.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Baseline => "baseline",
@@ -77,14 +77,14 @@
     }
 }
 
-/// Returns the processes of a run.
+/// Returns the processes of a run with their flags and settings.
 pub fn cluster_options(
     deployment: &Deployment,
     scale: &Scale,
     options: &LoadOptions,
     policies: PolicyChoice,
 ) -> ClusterOptions {
-    let interval_ms = scale.time_ms(READ_INTERVAL_MS).max(LEAST_INTERVAL_MS);
+    let interval_ms = scale.time_ms(READ_INTERVAL_MS).max(MIN_INTERVAL_MS);
     let mut settings = policies.settings();
     settings.extend([
         Setting::new("policies", "seed", options.seed),
@@ -115,7 +115,7 @@
     }
 }
 
-/// Returns the edits that configure classes, models and the service.
+/// Returns the edits that configure the classes, the models of the trace and the service.
 pub fn edits(deployment: &Deployment, trace: &Trace, scale: &Scale) -> Vec<ConfigEdit> {
     let classes = deployment.classes.iter().map(|class| {
         ConfigEdit::PutClass(ClassTarget {
@@ -139,8 +139,11 @@
 }
 
 fn engine_groups(deployment: &Deployment, scale: &Scale) -> Vec<UpstreamGroup> {
-    let obeying = deployment.engines.count / OBEYING_ONE_IN;
-    let counts = [(true, deployment.engines.count - obeying), (false, obeying)];
+    let unfenced = deployment.engines.count / ENGINES_PER_UNFENCED;
+    let counts = [
+        (true, deployment.engines.count - unfenced),
+        (false, unfenced),
+    ];
     counts
         .into_iter()
         .map(|(checks_fence, count)| UpstreamGroup {
@@ -157,16 +160,16 @@
     let tokens_per_s = scale.rate(MS_PER_S / TOKEN_GAP_MS as f64);
     vec![
         Flag::new("checks-fence", checks_fence),
-        // An engine that refuses what does not fit would hide a wrong decision.
+        // A refusal of loads that exceed the memory would hide a wrong placement decision.
         Flag::new("overcommit-check", false),
         Flag::new("capacity-bytes", engines.capacity_bytes),
         Flag::new("slots", engines.slots),
         Flag::new("tokens-per-s", tokens_per_s as u32),
         Flag::new("prefill-ms", scale.time_ms(first_token_ms)),
-        Flag::new("prefixes", PREFIXES),
+        Flag::new("prefixes", PREFIXES_PER_ENGINE),
         Flag::new("report-lag-ms", scale.time_ms(LAG_MS)),
         Flag::new("cache-lag-ms", scale.time_ms(LAG_MS)),
-        Flag::new("cache-gap-every", CACHE_GAP_EVERY),
+        Flag::new("cache-gap-every", CACHE_EVENTS_PER_GAP),
         Flag::new("memory-cache-bytes", engines.host_memory_bytes),
         Flag::new("disk-cache-bytes", engines.host_disk_bytes),
         Flag::new(
@@ -193,11 +196,11 @@
     ]
 }
 
-/// Returns the speed at which a model of mean size loads as long as in the deployment. The
-/// stand-ins know no fixed part of a load's time.
+/// Returns the bandwidth at which a model of mean size loads in the same time as in the deployment.
+/// It includes the fixed latency of a load, which the stand-ins don't simulate.
 fn bytes_per_s(deployment: &Deployment, scale: &Scale, tier: CacheTier) -> u64 {
     let sizes = &deployment.models.sizes_bytes;
     let mean_bytes = sizes.iter().sum::<u64>() / sizes.len() as u64;
-    let load_s = deployment.load_times.whole_ms(tier, mean_bytes) as f64 / MS_PER_S;
+    let load_s = deployment.load_times.total_ms(tier, mean_bytes) as f64 / MS_PER_S;
     scale.rate(mean_bytes as f64 / load_s) as u64
 }
--- a/crates/load-tool/src/load/daemon_counts.rs
+++ b/crates/load-tool/src/load/daemon_counts.rs
@@ -1,4 +1,4 @@
-//! What the daemons of a run count themselves.
+//! Counters read from the metrics of a run's daemons.
 
 use std::ops::AddAssign;
 
@@ -7,20 +7,20 @@
 
 use crate::errors::Result;
 
-const RETRIES: &str = "apricotdale_retry_decisions_total{decision=\"retry\"";
-const IDLE: &str = "apricotdale_idle_accelerator_seconds_total";
+const RETRIES_METRIC: &str = "apricotdale_retry_decisions_total{decision=\"retry\"";
+const IDLE_SECONDS_METRIC: &str = "apricotdale_idle_accelerator_seconds_total";
 
-/// `DaemonCounts` is what daemons have counted, added up.
+/// Sums of counters over daemons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DaemonCounts {
-    /// Tries at upstreams that were repeated.
+    /// Number of decisions to retry a failed attempt at an upstream.
     pub retries: u64,
-    /// Seconds during which an engine held a model and served nobody.
+    /// Seconds during which an engine held a model and served no request.
     pub idle_engine_s: u64,
 }
 
 impl DaemonCounts {
-    /// Reads the counts of one VM.
+    /// Reads the counters of one VM's daemon.
     ///
     /// # Errors
     ///
@@ -28,12 +28,12 @@
     pub fn read(cluster: &Cluster, vm: &str) -> Result<Self> {
         let admin = cluster.vm(vm)?.addresses.admin;
         Ok(Self {
-            retries: metric_value(admin, RETRIES)?,
-            idle_engine_s: metric_value(admin, IDLE)?,
+            retries: metric_value(admin, RETRIES_METRIC)?,
+            idle_engine_s: metric_value(admin, IDLE_SECONDS_METRIC)?,
         })
     }
 
-    /// Reads the counts of all VMs.
+    /// Reads the counters of all VMs' daemons and adds them up.
     ///
     /// # Errors
     ///
--- a/crates/load-tool/src/load/drive.rs
+++ b/crates/load-tool/src/load/driver.rs
@@ -1,4 +1,4 @@
-//! Sends the requests of a schedule at their times.
+//! Open-loop driver, which sends the requests of a schedule at their times.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -12,18 +12,19 @@
 
 use crate::errors::Error;
 use crate::errors::Result;
+use crate::load::caller_retries::CallerRetries;
 use crate::load::client::Client;
 use crate::load::clock::RunClock;
 use crate::load::record::Record;
-use crate::load::returning::Returning;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 
-/// The stack of a client's thread.
+/// Stack size of a client thread, of which a run has more than a thousand by default.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Sends each request of the schedule at its time and returns the records, in order of the
-/// schedule, once all have ended. No request waits for another's answer as long as a client's
-/// thread is free; a request that had to wait for one shows that by the time at which it was sent.
+/// Sends each request of the schedule at its time, and returns the records in the order of the
+/// schedule once all requests have ended. A request is sent without regard to the answers of
+/// others as long as one of the `threads` client threads is idle. Otherwise it waits for a thread,
+/// which shows in the record's time of sending. Stops early once `stop` is set.
 ///
 /// # Errors
 ///
@@ -31,8 +32,8 @@
 pub fn drive(
     client: &Client,
     clock: RunClock,
-    schedule: &Arc<Vec<Planned>>,
-    returning: Returning,
+    schedule: &Arc<Vec<PlannedRequest>>,
+    caller_retries: CallerRetries,
     threads: usize,
     stop: &AtomicBool,
 ) -> Result<Vec<Record>> {
@@ -43,7 +44,7 @@
                 client: client.clone(),
                 clock,
                 schedule: Arc::clone(schedule),
-                returning,
+                caller_retries,
             };
             worker.start(receiver.clone())
         })
@@ -53,62 +54,64 @@
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        sender.send(index).expect("the workers hold the receiver");
+        sender
+            .send(index)
+            .expect("the receiver lives until all workers have ended");
     }
     drop(sender);
     let mut records = Vec::new();
     for worker in workers {
         let ended = worker.join();
-        records.extend(ended.map_err(|_| Error::failed("a client panicked"))?);
+        records.extend(ended.map_err(|_| Error::failed("a client thread panicked"))?);
     }
     records.sort_by_key(|record| record.planned);
     Ok(records)
 }
 
-/// `Worker` is what one thread of the clients works with.
+/// State of one client thread.
 struct Worker {
     client: Client,
     clock: RunClock,
-    schedule: Arc<Vec<Planned>>,
-    returning: Returning,
+    schedule: Arc<Vec<PlannedRequest>>,
+    caller_retries: CallerRetries,
 }
 
 impl Worker {
     fn start(self, due: Receiver<usize>) -> Result<JoinHandle<Vec<Record>>> {
         let work = move || due.iter().flat_map(|index| self.send(index)).collect();
         let started = thread::Builder::new().stack_size(STACK_BYTES).spawn(work);
-        started.map_err(|error| Error::failed(format!("starting a client: {error}")))
+        started.map_err(|error| Error::failed(format!("starting a client thread: {error}")))
     }
 
-    /// Sends a request, and once more if its caller comes back.
+    /// Sends a request, and once more if its caller retries after a refusal.
     fn send(&self, index: usize) -> Vec<Record> {
         let planned = &self.schedule[index];
         let first = self.client.send(index, planned);
-        let Some(moment) = self.returning.moment(&first) else {
+        let Some(retry_at) = self.caller_retries.retry_at(&first) else {
             return vec![first];
         };
-        self.clock.wait_until(moment);
+        self.clock.wait_until(retry_at);
         let second = Record {
-            is_return: true,
+            is_caller_retry: true,
             ..self.client.send(index, planned)
         };
         vec![first, second]
     }
 }
 
-/// `Lateness` is by how much the tool itself fell behind its schedule.
+/// Delay of the load tool itself against its schedule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lateness {
-    /// The largest delay of a request.
+    /// Longest delay of a request.
     pub largest: Duration,
-    /// Requests that were sent late.
+    /// Number of requests that were sent later than tolerated.
     pub late: usize,
 }
 
-/// Returns by how much requests were sent after their times.
-pub fn lateness(schedule: &[Planned], records: &[Record], tolerated: Duration) -> Lateness {
+/// Returns how late the requests were sent. Retries by callers don't count.
+pub fn lateness(schedule: &[PlannedRequest], records: &[Record], tolerated: Duration) -> Lateness {
     let mut lateness = Lateness::default();
-    for record in records.iter().filter(|record| !record.is_return) {
+    for record in records.iter().filter(|record| !record.is_caller_retry) {
         let delay = record.sent.saturating_sub(schedule[record.planned].at);
         lateness.largest = lateness.largest.max(delay);
         lateness.late += usize::from(delay > tolerated);
--- a/crates/load-tool/src/load/effects.rs
+++ b/crates/load-tool/src/load/effects.rs
@@ -1,4 +1,5 @@
-//! What must never happen, counted from the stand-ins' side and the callers'.
+//! Violations of the system's invariants, counted from the effects on stand-ins and from the
+//! callers' records.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,61 +12,61 @@
 use apricotdale_launcher::standin::ServiceEffects;
 
 use crate::errors::Result;
+use crate::load::caller_retries::NOT_RUN;
 use crate::load::client::call_name;
 use crate::load::client::idempotency_key;
 use crate::load::record::Ending;
 use crate::load::record::Record;
-use crate::load::returning::NOT_RUN;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 use crate::load::schedule::Work;
 
-/// `Effects` is what the stand-ins count at the end of a run.
+/// Effects counted by the stand-ins until the end of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Effects {
-    /// Those of each engine.
+    /// Effects on each engine.
     pub engines: Vec<EngineEffects>,
-    /// Those of each instance of the service.
+    /// Effects on each instance of the plain service.
     pub services: Vec<ServiceEffects>,
-    /// Loads that the tool itself ordered before the run, by model.
+    /// Number of loads that the load tool itself ordered before the run, by model.
     pub loads_before: BTreeMap<String, u64>,
-    /// Loads that replay of the control stream accepted, by model.
-    pub decided: BTreeMap<String, u64>,
+    /// Number of loads accepted by replay of the control stream, by model.
+    pub loads_decided: BTreeMap<String, u64>,
 }
 
-/// `KilledVm` is a VM that was killed during the run.
+/// VM killed during the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KilledVm {
-    /// Its index.
+    /// Index of the VM.
     pub vm: usize,
-    /// When it still ran.
+    /// Time just before the kill, since the start of the run.
     pub from: Duration,
-    /// When it had ended.
+    /// Time at which the process had ended, since the start of the run.
     pub to: Duration,
 }
 
-/// `Violations` counts what must never happen.
+/// Number of violations of each invariant. All of them are zero in a correct run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
-    /// Cut orders that ran more than once.
+    /// Cut orders that a service executed more than once.
     pub calls_run_again: u64,
-    /// Loads that were begun without room for them.
+    /// Loads that an engine began without enough free memory.
     pub overcommitted: u64,
-    /// Loads that engines carried out beyond those decided.
+    /// Loads executed by engines beyond those accepted by replay of the control stream.
     pub loads_above_decided: u64,
-    /// Answers that began and were not whole.
+    /// Answers that began and ended incomplete.
     pub answers_cut: u64,
-    /// Answers with a part that is not the request's own.
+    /// Answers with a part that belongs to another request, or with a part missing.
     pub answers_foreign: u64,
-    /// Requests that ended without an answer or a refusal.
+    /// Requests that ended with neither an answer nor a refusal.
     pub answers_missing: u64,
-    /// Requests refused as not run that ran.
+    /// Requests refused with the statement that they did not run, although they did.
     pub untrue_refusals: u64,
-    /// Answers that are neither successes nor refusals, though no upstream sends such ones.
+    /// Answers that are neither successes nor refusals by the system; no stand-in sends these.
     pub answers_strange: u64,
 }
 
 impl Effects {
-    /// Reads what the stand-ins of a cluster count.
+    /// Reads the counts from the stand-ins and the control stream of a cluster.
     ///
     /// # Errors
     ///
@@ -81,16 +82,16 @@
             engines,
             services,
             loads_before,
-            decided: decided(cluster)?,
+            loads_decided: loads_decided(cluster)?,
         })
     }
 
-    /// Returns the loads that were decided.
+    /// Returns the number of loads accepted by replay of the control stream.
     pub fn decided_loads(&self) -> u64 {
-        self.decided.values().sum()
+        self.loads_decided.values().sum()
     }
 
-    /// Returns the loads that engines carried out during the run.
+    /// Returns the number of loads that engines executed during the run, without those before it.
     pub fn loads_done(&self) -> u64 {
         let before: u64 = self.loads_before.values().sum();
         self.loads().values().sum::<u64>().saturating_sub(before)
@@ -102,10 +103,10 @@
 }
 
 impl Violations {
-    /// Counts the violations of a run.
+    /// Counts the violations of a run. Answers lost with the killed VM are none.
     pub fn count(
         effects: &Effects,
-        schedule: &[Planned],
+        schedule: &[PlannedRequest],
         records: &[Record],
         killed: Option<KilledVm>,
     ) -> Self {
@@ -118,7 +119,7 @@
         };
         for record in records {
             match &record.ending {
-                _ if is_lost_with(record, killed) => {}
+                _ if is_lost_with_vm(record, killed) => {}
                 Ending::Cut(_) => counted.answers_cut += 1,
                 Ending::Foreign(_) => counted.answers_foreign += 1,
                 Ending::NoAnswer(_) => counted.answers_missing += 1,
@@ -129,7 +130,7 @@
         counted
     }
 
-    /// Returns each count with its name.
+    /// Returns each count with its printed name.
     pub fn entries(&self) -> [(&'static str, u64); 8] {
         [
             ("calls_run_again", self.calls_run_again),
@@ -143,26 +144,27 @@
         ]
     }
 
-    /// Returns whether nothing was counted.
-    pub fn none(&self) -> bool {
+    /// Returns whether there are no violations.
+    pub fn is_empty(&self) -> bool {
         self.entries().iter().all(|(_, count)| *count == 0)
     }
 }
 
-/// Returns whether the VM that was killed took a request's answer with it, which no VM can prevent.
-pub fn is_lost_with(record: &Record, killed: Option<KilledVm>) -> bool {
+/// Returns whether an answer was lost because its VM was killed while the request was in progress
+/// there. No software on the VM can prevent that.
+pub fn is_lost_with_vm(record: &Record, killed: Option<KilledVm>) -> bool {
     let was_there = |killed: KilledVm| {
         record.vm == killed.vm && record.sent <= killed.to && record.ended >= killed.from
     };
     record.ending.is_lost() && killed.is_some_and(was_there)
 }
 
-/// Returns the loads that each engine carried out so far, by model.
+/// Returns the number of loads that the engines have executed so far, by model.
 ///
 /// # Errors
 ///
 /// If an engine can't be reached.
-pub fn loads_so_far(cluster: &Cluster) -> Result<BTreeMap<String, u64>> {
+pub fn loads_by_model(cluster: &Cluster) -> Result<BTreeMap<String, u64>> {
     let engines = engine_effects(cluster)?;
     Ok(sums(engines.iter().flat_map(|engine| &engine.loads)))
 }
@@ -175,19 +177,19 @@
     Ok(effects)
 }
 
-fn decided(cluster: &Cluster) -> Result<BTreeMap<String, u64>> {
+fn loads_decided(cluster: &Cluster) -> Result<BTreeMap<String, u64>> {
     let log = cluster.standin(LOG)?;
-    let decided = records::decided_loads(log)?;
+    let loads_decided = records::decided_loads(log)?;
     let mut counts = BTreeMap::new();
     for (offset, intent) in records::load_intents(log)? {
-        if decided.contains(&offset) {
+        if loads_decided.contains(&offset) {
             *counts.entry(intent.model.to_string()).or_default() += 1;
         }
     }
     Ok(counts)
 }
 
-fn calls_run_again(effects: &Effects, schedule: &[Planned]) -> u64 {
+fn calls_run_again(effects: &Effects, schedule: &[PlannedRequest]) -> u64 {
     let by_call = sums(effects.services.iter().flat_map(|one| &one.calls));
     let by_key = sums(effects.services.iter().flat_map(|one| &one.keys));
     let mut calls = BTreeSet::new();
@@ -207,8 +209,8 @@
 fn loads_above_decided(effects: &Effects) -> u64 {
     let loads = effects.loads();
     let above = loads.iter().map(|(model, loads)| {
-        let known = count(&effects.loads_before, model) + count(&effects.decided, model);
-        loads.saturating_sub(known)
+        let expected = count(&effects.loads_before, model) + count(&effects.loads_decided, model);
+        loads.saturating_sub(expected)
     });
     above.sum()
 }
--- a/crates/load-tool/src/load/report.rs
+++ b/crates/load-tool/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The lines that are printed.
+//! Printed comparison of two runs of a case.
 
 use apricotdale_policy_replay::compare::Line;
 
@@ -6,20 +6,20 @@
 use crate::load::measures::Results;
 use crate::load::run::RunReport;
 
-/// Returns a line for each measure of a case, each for both sets of policies.
+/// Returns a line for each measure of a case, with the values under both sets of policies.
 pub fn comparison(
     deployment: &str,
     case: Case,
     baseline: &RunReport,
     chosen: &RunReport,
 ) -> Vec<String> {
-    let (before, after) = (with_effects(baseline), with_effects(chosen));
-    names(&before, &after)
+    let (baseline_results, chosen_results) = (with_effects(baseline), with_effects(chosen));
+    names(&baseline_results, &chosen_results)
         .into_iter()
         .map(|name| {
             let line = Line {
-                baseline: value(&before, &name),
-                chosen: value(&after, &name),
+                baseline: value(&baseline_results, &name),
+                chosen: value(&chosen_results, &name),
                 measure: name,
                 timeout_ms: 0,
             };
@@ -36,24 +36,29 @@
         .collect()
 }
 
-/// Returns the results with the counts of what must never happen behind them.
+/// Returns the results, followed by the number of violations of each invariant.
 fn with_effects(report: &RunReport) -> Results {
     let effects = report.violations.entries().into_iter();
     let effects = effects.map(|(name, count)| (format!("effects.{name}"), count as f64));
     report.results.iter().cloned().chain(effects).collect()
 }
 
-/// Returns the names of two sets of results, in the order of the first as far as it goes. A reason
-/// of refusals may be in one of them only.
-fn names(before: &Results, after: &Results) -> Vec<String> {
-    let mut names: Vec<String> = before.iter().map(|(name, _)| name.clone()).collect();
-    for (index, (name, _)) in after.iter().enumerate() {
+/// Returns the names in either set of results, in the order of `baseline_results`; names only in `chosen_results`
+/// follow their predecessor there. A refusal reason may occur in only one of the sets.
+fn names(baseline_results: &Results, chosen_results: &Results) -> Vec<String> {
+    let mut names: Vec<String> = baseline_results
+        .iter()
+        .map(|(name, _)| name.clone())
+        .collect();
+    for (index, (name, _)) in chosen_results.iter().enumerate() {
         if names.contains(name) {
             continue;
         }
-        let previous = index.checked_sub(1).map(|previous| &after[previous].0);
-        let place = previous.and_then(|previous| names.iter().position(|name| name == previous));
-        names.insert(place.map_or(0, |place| place + 1), name.clone());
+        let previous = index
+            .checked_sub(1)
+            .map(|previous| &chosen_results[previous].0);
+        let position = previous.and_then(|previous| names.iter().position(|name| name == previous));
+        names.insert(position.map_or(0, |position| position + 1), name.clone());
     }
     names
 }
--- a/crates/load-tool/src/load/run.rs
+++ b/crates/load-tool/src/load/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts the processes, sends the schedule, sets the faults, measures.
+//! One load run: starts the processes, sends the schedule, injects the faults and measures.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,6 +23,7 @@
 use crate::errors::Error;
 use crate::errors::Result;
 use crate::load::balancer::Balancer;
+use crate::load::caller_retries::CallerRetries;
 use crate::load::case::Case;
 use crate::load::case::Fault;
 use crate::load::client::Catalog;
@@ -32,62 +33,63 @@
 use crate::load::cluster_options::cluster_options;
 use crate::load::cluster_options::edits;
 use crate::load::daemon_counts::DaemonCounts;
-use crate::load::drive::Lateness;
-use crate::load::drive::drive;
-use crate::load::drive::lateness;
+use crate::load::driver::Lateness;
+use crate::load::driver::drive;
+use crate::load::driver::lateness;
 use crate::load::effects::Effects;
 use crate::load::effects::KilledVm;
 use crate::load::effects::Violations;
-use crate::load::effects::loads_so_far;
+use crate::load::effects::loads_by_model;
 use crate::load::host_caches;
-use crate::load::measures::Measuring;
+use crate::load::measures::Evaluation;
 use crate::load::measures::Results;
 use crate::load::measures::RunData;
+use crate::load::monitor::Monitor;
+use crate::load::monitor::MonitorTargets;
+use crate::load::monitor::Samples;
 use crate::load::options::LoadOptions;
 use crate::load::record::Ending;
 use crate::load::record::Record;
-use crate::load::returning::Returning;
 use crate::load::scale::Scale;
-use crate::load::schedule::Planned;
+use crate::load::schedule::PlannedRequest;
 use crate::load::schedule::schedule;
-use crate::load::watch::Watch;
-use crate::load::watch::WatchParts;
-use crate::load::watch::Watched;
 use crate::process_cost::load_average;
 
-/// The VM that is killed in the case of that name.
+/// Index of the VM killed in the case `vm-killed`.
 const KILLED_VM: usize = 1;
 
-/// A request that is sent later than this counts as late.
+/// Delay beyond which a request counts as sent late.
 const TOLERATED_DELAY: Duration = Duration::from_millis(20);
 
-/// How many bad endings a report shows.
-const SHOWN_ENDINGS: usize = 5;
+/// Maximum number of different bad endings in a report.
+const MAX_SHOWN_ENDINGS: usize = 5;
 
-/// `RunReport` is what a run gave.
+/// Outcome of one run.
 #[derive(Clone, Debug)]
 pub struct RunReport {
-    /// What was measured.
+    /// Measured values.
     pub results: Results,
-    /// What must never happen.
+    /// Number of violations of each invariant.
     pub violations: Violations,
-    /// Some of the endings that count among the violations.
+    /// Some of the endings that are neither complete answers nor refusals, with their counts. They
+    /// include answers lost with a killed VM, which are no violations.
     pub bad_endings: Vec<String>,
-    /// The models that were asked for and never loaded, with the requests that waited in vain.
+    /// Models that were requested but not loaded before the end, with the number of measured
+    /// requests that found them not loaded.
     pub never_loaded: BTreeMap<String, u32>,
-    /// How far the tool fell behind its schedule.
+    /// Delay of the load tool itself against its schedule.
     pub lateness: Lateness,
-    /// Requests sent, the warm-up's included.
+    /// Number of requests sent, with those of the warm-up and retries by callers.
     pub sent: usize,
-    /// The machine's load average over one minute, before the run and at its end.
+    /// Load average of the machine over one minute, before and after the run.
     pub load_average: (f32, f32),
-    /// What was seen of the processes.
-    pub most_resident_bytes: u64,
-    /// The most processes at once.
-    pub most_processes: usize,
+    /// Peak resident memory of all processes together, in bytes.
+    pub peak_resident_bytes: u64,
+    /// Peak number of processes, the load tool included.
+    pub peak_processes: usize,
 }
 
-/// `Run` is one run of a case.
+/// One run of a case, with its requests drawn in advance.
 #[derive(Debug)]
 pub struct Run<'a> {
     deployment: &'a Deployment,
@@ -95,17 +97,17 @@
     case: Case,
     scale: Scale,
     trace: Trace,
-    schedule: Arc<Vec<Planned>>,
+    schedule: Arc<Vec<PlannedRequest>>,
 }
 
-/// `Happened` is what the faults' side of a run brings.
+/// Counts and faults collected by the thread that injects the faults.
 #[derive(Debug, Default)]
-struct Happened {
+struct InjectionOutcome {
     counts: DaemonCounts,
     killed: Option<KilledVm>,
 }
 
-/// `Step` is what the faults' side does at a moment.
+/// Action of the thread that injects the faults.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     BeginMeasuring,
@@ -114,12 +116,12 @@
 }
 
 impl<'a> Run<'a> {
-    /// Returns a run whose requests are drawn and not sent yet.
+    /// Draws the requests of a run without sending any.
     pub fn new(deployment: &'a Deployment, options: &'a LoadOptions, case: Case) -> Self {
         let scale = Scale::new(options);
         let until_ms = scale.trace_at_ms(1.0) as u64;
-        let crowd = case.crowd(deployment, &scale);
-        let trace = trace(deployment, options.seed, until_ms, crowd);
+        let surge = case.surge(deployment, &scale);
+        let trace = trace(deployment, options.seed, until_ms, surge);
         let schedule = Arc::new(schedule(&trace, &scale, options));
         Self {
             deployment,
@@ -131,13 +133,13 @@
         }
     }
 
-    /// Carries out the run with a set of policies. The processes are shown to `prepare` before they
-    /// start.
+    /// Executes the run with a set of policies. `prepare` receives the handle of the processes
+    /// before any of them starts.
     ///
     /// # Errors
     ///
-    /// If the processes can't be started or read, or take too much memory.
-    pub fn carry_out(
+    /// If the processes can't be started or reached, or use more than half of the machine's memory.
+    pub fn execute(
         &self,
         policies: PolicyChoice,
         prepare: impl FnOnce(&Processes),
@@ -152,23 +154,25 @@
         host_caches::fill(&cluster, &self.trace, self.options.seed)?;
         self.set_service_times(&cluster)?;
         self.publish(&cluster)?;
-        let loads_before = loads_so_far(&cluster)?;
-        let too_much = Arc::new(AtomicBool::new(false));
+        let loads_before = loads_by_model(&cluster)?;
+        let memory_exceeded = Arc::new(AtomicBool::new(false));
         let clock = RunClock::start();
-        let watch = Watch::start(watch_parts(&cluster, clock, &too_much))?;
-        let (records, happened) = self.send_and_disturb(&mut cluster, clock, &too_much)?;
-        let watched = watch.end()?;
-        if too_much.load(Ordering::Relaxed) {
-            return Err(Error::failed("the processes took half of the memory"));
+        let monitor = Monitor::start(monitor_targets(&cluster, clock, &memory_exceeded))?;
+        let (records, outcome) = self.send_with_faults(&mut cluster, clock, &memory_exceeded)?;
+        let samples = monitor.end()?;
+        if memory_exceeded.load(Ordering::Relaxed) {
+            return Err(Error::failed(
+                "the processes used more than half of the machine's memory",
+            ));
         }
         let load_after = load_average()?;
         let effects = Effects::read(&cluster, loads_before)?;
         cluster.stop();
         Ok(self.report(
             records,
-            happened,
+            outcome,
             effects,
-            watched,
+            samples,
             (load_before, load_after),
         ))
     }
@@ -176,25 +180,25 @@
     fn report(
         &self,
         records: Vec<Record>,
-        happened: Happened,
+        outcome: InjectionOutcome,
         effects: Effects,
-        watched: Watched,
+        samples: Samples,
         load_average: (f32, f32),
     ) -> RunReport {
         let data = RunData {
             schedule: self.schedule.to_vec(),
             records,
-            timeline: watched.timeline,
+            timeline: samples.timeline,
             effects,
-            counts: happened.counts,
-            killed: happened.killed,
+            counts: outcome.counts,
+            killed: outcome.killed,
         };
-        let measuring = Measuring::new(self.deployment, &self.trace, &self.scale, &data);
+        let evaluation = Evaluation::new(self.deployment, &self.trace, &self.scale, &data);
         RunReport {
-            results: measuring.results(),
-            violations: measuring.violations(),
+            results: evaluation.results(),
+            violations: evaluation.violations(),
             bad_endings: bad_endings(&data.records),
-            never_loaded: measuring
+            never_loaded: evaluation
                 .never_loaded()
                 .into_iter()
                 .map(|(model, requests)| (model.to_owned(), requests))
@@ -202,8 +206,8 @@
             lateness: lateness(&data.schedule, &data.records, TOLERATED_DELAY),
             sent: data.records.len(),
             load_average,
-            most_resident_bytes: watched.most_resident_bytes,
-            most_processes: watched.most_processes,
+            peak_resident_bytes: samples.peak_resident_bytes,
+            peak_processes: samples.peak_processes,
         }
     }
 
@@ -221,7 +225,9 @@
         let edits = edits(self.deployment, &self.trace, &self.scale);
         let outcome = cluster.publish(&vms[0], edits)?;
         let PublishOutcome::Accepted { version } = outcome else {
-            return Err(Error::failed(format!("publishing: {outcome:?}")));
+            return Err(Error::failed(format!(
+                "the configuration was not accepted: {outcome:?}"
+            )));
         };
         let condition = "the configuration is in force on all VMs";
         let in_force = poll_until(condition, MAX_POLLS, || {
@@ -237,13 +243,13 @@
         Ok(in_force?)
     }
 
-    /// Sends the schedule, and sets the faults beside that.
-    fn send_and_disturb(
+    /// Sends the schedule and injects the faults at the same time.
+    fn send_with_faults(
         &self,
         cluster: &mut Cluster,
         clock: RunClock,
-        too_much: &AtomicBool,
-    ) -> Result<(Vec<Record>, Happened)> {
+        memory_exceeded: &AtomicBool,
+    ) -> Result<(Vec<Record>, InjectionOutcome)> {
         let mut addresses = Vec::new();
         for vm in cluster.vm_names() {
             addresses.push(cluster.vm(&vm)?.addresses.callers);
@@ -251,14 +257,22 @@
         let balancer = Arc::new(Balancer::new(addresses));
         let client = Client::new(Arc::clone(&balancer), clock, Arc::new(self.catalog()));
         let threads = self.options.client_threads;
-        let returning = Returning::new(&self.scale);
+        let caller_retries = CallerRetries::new(&self.scale);
         thread::scope(|scope| {
-            let driver =
-                scope.spawn(|| drive(&client, clock, &self.schedule, returning, threads, too_much));
-            let happened = self.disturb(cluster, clock, &balancer);
+            let driver = scope.spawn(|| {
+                drive(
+                    &client,
+                    clock,
+                    &self.schedule,
+                    caller_retries,
+                    threads,
+                    memory_exceeded,
+                )
+            });
+            let outcome = self.run_steps(cluster, clock, &balancer);
             let records = driver.join();
-            let records = records.map_err(|_| Error::failed("the driver panicked"))?;
-            Ok((records?, happened?))
+            let records = records.map_err(|_| Error::failed("the driver thread panicked"))?;
+            Ok((records?, outcome?))
         })
     }
 
@@ -272,12 +286,12 @@
         }
     }
 
-    fn disturb(
+    fn run_steps(
         &self,
         cluster: &mut Cluster,
         clock: RunClock,
         balancer: &Balancer,
-    ) -> Result<Happened> {
+    ) -> Result<InjectionOutcome> {
         let mut steps = vec![
             (self.scale.moment(0.0), Step::BeginMeasuring),
             (self.scale.moment(1.0), Step::EndMeasuring),
@@ -285,38 +299,38 @@
         let faults = self.case.faults(&self.scale).into_iter();
         steps.extend(faults.map(|(at, fault)| (at, Step::Fault(fault))));
         steps.sort_by_key(|(at, _)| *at);
-        let mut happened = Happened::default();
+        let mut outcome = InjectionOutcome::default();
         let mut before = DaemonCounts::default();
         for (at, step) in steps {
             clock.wait_until(at);
             match step {
                 Step::BeginMeasuring => before = DaemonCounts::read_all(cluster)?,
-                Step::EndMeasuring => happened.counts += DaemonCounts::read_all(cluster)?,
-                Step::Fault(fault) => self.set(fault, cluster, clock, balancer, &mut happened)?,
+                Step::EndMeasuring => outcome.counts += DaemonCounts::read_all(cluster)?,
+                Step::Fault(fault) => self.inject(fault, cluster, clock, balancer, &mut outcome)?,
             }
         }
-        happened.counts.retries -= before.retries;
-        happened.counts.idle_engine_s -= before.idle_engine_s;
-        Ok(happened)
+        outcome.counts.retries -= before.retries;
+        outcome.counts.idle_engine_s -= before.idle_engine_s;
+        Ok(outcome)
     }
 
-    fn set(
+    fn inject(
         &self,
         fault: Fault,
         cluster: &mut Cluster,
         clock: RunClock,
         balancer: &Balancer,
-        happened: &mut Happened,
+        outcome: &mut InjectionOutcome,
     ) -> Result<()> {
         let names = cluster.vm_names();
         let vm = &names[KILLED_VM % names.len()];
         match fault {
             Fault::KillVm => {
-                // What the killed process has counted ends with it.
-                happened.counts += DaemonCounts::read(cluster, vm)?;
+                // The counters of the process are lost when it is killed.
+                outcome.counts += DaemonCounts::read(cluster, vm)?;
                 let from = clock.now();
                 cluster.kill(vm)?;
-                happened.killed = Some(KilledVm {
+                outcome.killed = Some(KilledVm {
                     vm: KILLED_VM % names.len(),
                     from,
                     to: clock.now(),
@@ -334,19 +348,23 @@
     }
 }
 
-fn watch_parts(cluster: &Cluster, clock: RunClock, too_much: &Arc<AtomicBool>) -> WatchParts {
+fn monitor_targets(
+    cluster: &Cluster,
+    clock: RunClock,
+    memory_exceeded: &Arc<AtomicBool>,
+) -> MonitorTargets {
     let engines = cluster.engines().into_iter();
-    WatchParts {
+    MonitorTargets {
         engines: engines
             .map(|(name, engine)| (name.to_owned(), engine.clone()))
             .collect(),
         processes: cluster.processes().clone(),
         clock,
-        too_much: Arc::clone(too_much),
+        memory_exceeded: Arc::clone(memory_exceeded),
     }
 }
 
-/// Returns some of the endings that are neither whole answers nor refusals, each with its number.
+/// Returns some of the endings that are neither complete answers nor refusals, with their counts.
 fn bad_endings(records: &[Record]) -> Vec<String> {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for record in records {
@@ -354,7 +372,7 @@
             *counts.entry(format!("{:?}", record.ending)).or_default() += 1;
         }
     }
-    let shown = counts.into_iter().take(SHOWN_ENDINGS);
+    let shown = counts.into_iter().take(MAX_SHOWN_ENDINGS);
     shown
         .map(|(ending, count)| format!("{count} x {ending}"))
         .collect()
--- a/crates/load-tool/src/overhead.rs
+++ b/crates/load-tool/src/overhead.rs
@@ -1,4 +1,5 @@
-//! What a VM adds to a request and to a streamed event, against the same engine asked directly.
+//! Latency that a VM adds to a request and to a streamed event, compared with direct requests to
+//! the same engine.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -12,59 +13,60 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The longest time that is told apart, in microseconds.
-const MOST_US: u64 = 60_000_000;
+/// Upper bound of the histograms; longer times are recorded as this one.
+const MAX_RECORDED_US: u64 = 60_000_000;
 
-/// How long one request may take.
-const REQUEST_LIMIT: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// `Timings` are the times of one way to the engine, in microseconds.
+/// Latencies of the requests sent over one route, in microseconds.
 pub struct Timings {
-    /// From sending a whole (not streamed) request to its whole answer.
-    pub whole_us: Histogram<u64>,
-    /// From sending a streamed request to its first event.
+    /// From sending an unstreamed request to the end of its answer.
+    pub complete_us: Histogram<u64>,
+    /// From sending a streamed request to the first event of its answer.
     pub first_event_us: Histogram<u64>,
-    /// Between two events of a stream.
+    /// Between two consecutive events of a stream.
     pub gap_us: Histogram<u64>,
 }
 
-/// `Way` is one way to the engine.
-pub struct Way {
+/// Route to the engine, either direct or through a VM.
+pub struct Route {
     agent: Agent,
     url: String,
     model: String,
-    /// What was measured.
+    /// Latencies recorded so far.
     pub timings: Timings,
 }
 
-impl Way {
-    /// Returns a way to the given address.
+impl Route {
+    /// Returns a route to the engine or VM at `address`, for requests to `model`.
     pub fn new(address: SocketAddr, model: &str) -> Self {
         let config = Agent::config_builder()
-            .timeout_global(Some(REQUEST_LIMIT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .http_status_as_error(true)
             .no_delay(true)
             .build();
-        let histogram = || Histogram::new_with_max(MOST_US, 3).expect("the bounds are constants");
+        let histogram =
+            || Histogram::new_with_max(MAX_RECORDED_US, 3).expect("the bounds are constants");
         Self {
             agent: config.into(),
             url: format!("http://{address}/v1/completions"),
             model: model.to_owned(),
             timings: Timings {
-                whole_us: histogram(),
+                complete_us: histogram(),
                 first_event_us: histogram(),
                 gap_us: histogram(),
             },
         }
     }
 
-    /// Sends one whole request and one streamed one and notes their times.
+    /// Sends one unstreamed and one streamed request for `tokens` tokens each and records their
+    /// latencies.
     ///
     /// # Errors
     ///
-    /// If one of them is not answered whole.
+    /// If one of them is refused or its answer is incomplete.
     pub fn measure(&mut self, tokens: u32) -> Result<()> {
-        self.measure_whole(tokens)?;
+        self.measure_complete(tokens)?;
         self.measure_stream(tokens)
     }
 
@@ -74,15 +76,15 @@
         })
     }
 
-    fn measure_whole(&mut self, tokens: u32) -> Result<()> {
+    fn measure_complete(&mut self, tokens: u32) -> Result<()> {
         let began = Instant::now();
         let answer = self
             .agent
             .post(&self.url)
             .send_json(self.body(tokens, false));
         let body = answer.and_then(|mut answer| answer.body_mut().read_to_string());
-        body.map_err(|error| Error::failed(format!("whole request: {error}")))?;
-        note(&mut self.timings.whole_us, began);
+        body.map_err(|error| Error::failed(format!("unstreamed request: {error}")))?;
+        record_elapsed(&mut self.timings.complete_us, began);
         Ok(())
     }
 
@@ -92,26 +94,26 @@
             .agent
             .post(&self.url)
             .send_json(self.body(tokens, true));
-        let answer = answer.map_err(|error| Error::failed(format!("stream: {error}")))?;
+        let answer = answer.map_err(|error| Error::failed(format!("streamed request: {error}")))?;
         let mut events = 0;
         for line in BufReader::new(answer.into_body().into_reader()).lines() {
-            let line = line.map_err(|error| Error::failed(format!("stream: {error}")))?;
+            let line = line.map_err(|error| Error::failed(format!("streamed request: {error}")))?;
             match line.strip_prefix("data: ") {
                 Some("[DONE]") => return Ok(()),
-                Some(_) if events == 0 => note(&mut self.timings.first_event_us, last),
-                Some(_) => note(&mut self.timings.gap_us, last),
+                Some(_) if events == 0 => record_elapsed(&mut self.timings.first_event_us, last),
+                Some(_) => record_elapsed(&mut self.timings.gap_us, last),
                 None => continue,
             }
             events += 1;
             last = Instant::now();
         }
         Err(Error::failed(format!(
-            "the stream was cut after {events} events"
+            "the stream ended early, after {events} events"
         )))
     }
 }
 
-fn note(histogram: &mut Histogram<u64>, since: Instant) {
-    let us = u64::try_from(since.elapsed().as_micros()).unwrap_or(MOST_US);
+fn record_elapsed(histogram: &mut Histogram<u64>, since: Instant) {
+    let us = u64::try_from(since.elapsed().as_micros()).unwrap_or(MAX_RECORDED_US);
     histogram.saturating_record(us);
 }
--- a/crates/load-tool/tests/line_fit.rs
+++ b/crates/load-tool/tests/line_fit.rs
@@ -1,4 +1,4 @@
-//! A straight line through measured points.
+//! Least-squares line through measured points.
 
 use rstest::rstest;
 
@@ -8,13 +8,13 @@
 #[case::exact(&[(1.0, 3.0), (2.0, 5.0), (4.0, 9.0)], 2.0, 1.0, 1.0)]
 #[case::flat(&[(1.0, 3.0), (2.0, 3.0)], 0.0, 3.0, 1.0)]
 #[case::scattered(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)], 0.5, 0.5, 0.25)]
-fn the_line_has_least_squares(
+fn least_squares_line(
     #[case] points: &[(f64, f64)],
     #[case] slope: f64,
     #[case] intercept: f64,
     #[case] r2: f64,
 ) {
-    let line = LineFit::through(points).expect("the points have different x");
+    let line = LineFit::fit(points).expect("the points have different x");
     let expected = [slope, intercept, r2, intercept + 10.0 * slope];
     let found = [line.slope, line.intercept, line.r2, line.at(10.0)];
     for (found, expected) in found.iter().zip(expected) {
@@ -26,6 +26,6 @@
 #[case::no_point(&[])]
 #[case::one_point(&[(1.0, 3.0)])]
 #[case::one_x(&[(1.0, 3.0), (1.0, 5.0)])]
-fn there_is_no_line_through_fewer_than_two_x(#[case] points: &[(f64, f64)]) {
-    assert_eq!(LineFit::through(points), None);
+fn too_few_points(#[case] points: &[(f64, f64)]) {
+    assert_eq!(LineFit::fit(points), None);
 }
--- a/crates/load-tool/tests/model_timeline.rs
+++ b/crates/load-tool/tests/model_timeline.rs
@@ -1,12 +1,12 @@
-//! What engines held over a run: cold starts and idle accelerators.
+//! Cold starts and idle memory, from the models that engines hold over a run.
 
 use std::time::Duration;
 
 use rstest::rstest;
 
-use apricotdale_load_tool::load::timeline::Held;
+use apricotdale_load_tool::load::timeline::HeldModel;
+use apricotdale_load_tool::load::timeline::Occupancy;
 use apricotdale_load_tool::load::timeline::Timeline;
-use apricotdale_load_tool::load::timeline::Use;
 
 const CAPACITY: u64 = 40;
 
@@ -14,30 +14,30 @@
     Duration::from_secs(seconds)
 }
 
-fn held(model: &str, loaded: bool) -> Held {
-    Held {
+fn held(model: &str, loaded: bool) -> HeldModel {
+    HeldModel {
         model: model.to_owned(),
         loaded,
         bytes: 10,
     }
 }
 
-/// Engine e1 loads m1 from 10 s on, holds it from 20 s to 60 s; e2 holds m1 from 40 s on.
+/// Engine e1 loads m1 from 10 s on and can serve it from 20 s to 60 s; e2 can from 40 s to 80 s.
 fn timeline() -> Timeline {
     let mut timeline = Timeline::default();
-    timeline.note(at(0), "e1", Vec::new());
-    timeline.note(at(10), "e1", vec![held("m1", false)]);
-    timeline.note(at(20), "e1", vec![held("m1", true)]);
-    timeline.note(at(30), "e1", vec![held("m1", true)]);
-    timeline.note(at(60), "e1", Vec::new());
-    timeline.note(at(0), "e2", Vec::new());
-    timeline.note(at(40), "e2", vec![held("m1", true)]);
-    timeline.note(at(80), "e2", vec![held("m1", true)]);
+    timeline.record(at(0), "e1", Vec::new());
+    timeline.record(at(10), "e1", vec![held("m1", false)]);
+    timeline.record(at(20), "e1", vec![held("m1", true)]);
+    timeline.record(at(30), "e1", vec![held("m1", true)]);
+    timeline.record(at(60), "e1", Vec::new());
+    timeline.record(at(0), "e2", Vec::new());
+    timeline.record(at(40), "e2", vec![held("m1", true)]);
+    timeline.record(at(80), "e2", vec![held("m1", true)]);
     timeline
 }
 
-fn used(engine: &str, models: &[&str], from: u64, to: u64) -> Use {
-    Use {
+fn used(engine: &str, models: &[&str], from: u64, to: u64) -> Occupancy {
+    Occupancy {
         engine: engine.to_owned(),
         models: models.iter().map(|model| (*model).to_owned()).collect(),
         from: at(from),
@@ -52,15 +52,11 @@
 #[case::on_another_engine("m1", 70, Some(70))]
 #[case::after_the_end("m1", 80, None)]
 #[case::another_model("m2", 5, None)]
-fn a_cold_start_lasts_until_some_engine_can_serve(
-    #[case] model: &str,
-    #[case] from: u64,
-    #[case] expected: Option<u64>,
-) {
+fn cold_start_end(#[case] model: &str, #[case] from: u64, #[case] expected: Option<u64>) {
     assert_eq!(timeline().first_loaded(model, at(from)), expected.map(at));
 }
 
-/// m1 takes a quarter of an accelerator for 50 s on e1, its load included, and for 40 s on e2.
+/// m1 occupies a quarter of an accelerator for 50 s on e1, its load included, and 40 s on e2.
 #[rstest]
 #[case::never_used(&[], 90)]
 #[case::used_for_a_while(&[used("e1", &["m1"], 20, 30)], 80)]
@@ -70,13 +66,13 @@
 #[case::by_an_adapter(&[used("e1", &["a1", "m1"], 20, 30)], 80)]
 #[case::another_model(&[used("e1", &["m2"], 20, 30)], 90)]
 #[case::on_another_engine(&[used("e3", &["m1"], 20, 30)], 90)]
-fn memory_is_idle_while_no_request_is_on_the_model(#[case] uses: &[Use], #[case] held_s: u64) {
-    let idle = timeline().idle(uses, CAPACITY, at(0), at(80));
+fn unused_memory_idle(#[case] occupancies: &[Occupancy], #[case] held_s: u64) {
+    let idle = timeline().idle(occupancies, CAPACITY, at(0), at(80));
     assert_eq!(idle, at(held_s) / 4);
 }
 
 #[test]
-fn idle_time_counts_between_two_moments_only() {
+fn idle_within_interval() {
     let idle = timeline().idle(&[], CAPACITY, at(50), at(70));
     assert_eq!(idle, (at(10) + at(20)) / 4);
 }
--- a/crates/load-tool/tests/open_loop.rs
+++ b/crates/load-tool/tests/open_loop.rs
@@ -1,4 +1,4 @@
-//! Requests leave by their schedule, to a VM that takes them, and say how late they left.
+//! Requests are sent by their schedule, to a VM that accepts connections, and late ones count.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -15,20 +15,20 @@
 use std::time::Duration;
 
 use apricotdale_load_tool::load::balancer::Balancer;
+use apricotdale_load_tool::load::caller_retries::CallerRetries;
 use apricotdale_load_tool::load::client::Catalog;
 use apricotdale_load_tool::load::client::Client;
 use apricotdale_load_tool::load::clock::RunClock;
-use apricotdale_load_tool::load::drive::drive;
-use apricotdale_load_tool::load::drive::lateness;
+use apricotdale_load_tool::load::driver::drive;
+use apricotdale_load_tool::load::driver::lateness;
 use apricotdale_load_tool::load::options::LoadOptions;
 use apricotdale_load_tool::load::record::Ending;
 use apricotdale_load_tool::load::record::Record;
-use apricotdale_load_tool::load::returning::Returning;
 use apricotdale_load_tool::load::scale::Scale;
-use apricotdale_load_tool::load::schedule::Planned;
+use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
 
-/// Starts a VM that hands each request's first line and headers to `answer`, with the connection.
+/// Starts a VM that passes the head of each request and its connection to `answer`.
 fn start_vm(answer: impl Fn(&str, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
@@ -43,7 +43,7 @@
     address
 }
 
-/// Reads a request with its body, so that closing the connection does not reset it.
+/// Reads a request with its body, since closing a connection with unread data would reset it.
 fn read_request(connection: &TcpStream) -> String {
     let mut reader = BufReader::new(connection);
     let mut head = String::new();
@@ -85,27 +85,27 @@
     Client::new(Arc::new(Balancer::new(vms)), clock, Arc::new(catalog))
 }
 
-fn order(order: u64, keyed: bool, at: Duration) -> Planned {
-    Planned {
+fn order(order: u64, keyed: bool, at: Duration) -> PlannedRequest {
+    PlannedRequest {
         at,
         vm: 0,
         class: 0,
         caller: 0,
         work: Work::CutOrder { order, keyed },
-        is_repetition: false,
+        is_duplicate: false,
     }
 }
 
-/// Symptom: a shop page shows another bundle's stock. Sequence: two looks at the shelf, whose answers
-/// come crossed. Cause: a service's answer carries no identity but the call that it answers.
+/// Guards against a shop page that shows another bundle's stock. Answers of a service carry no
+/// request ID, so two crossed answers differ only in the call that they name.
 #[test]
-fn the_answer_to_another_look_is_foreign() {
+fn crossed_lookup_detected() {
     let clock = RunClock::start();
     let crossing =
         start_vm(|_, connection| answer_call("GET /services/bancone/shelf/2", connection));
     let client = client(vec![crossing], clock);
-    let look = |bundle| Planned {
-        work: Work::Look { bundle },
+    let look = |bundle| PlannedRequest {
+        work: Work::ShelfLookup { bundle },
         ..order(0, false, Duration::ZERO)
     };
     let other = client.send(0, &look(1));
@@ -117,16 +117,16 @@
     assert_eq!(client.send(0, &look(2)).ending, Ending::Whole);
 }
 
-/// Returns an address at which nobody listens.
+/// Returns an address at which no process listens.
 fn nobody() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     listener.local_addr().expect("it is bound")
 }
 
-/// Symptom: a run looks fast while the VMs stand still. Sequence: a client sends its next request
-/// only after an answer, so that a VM that answers nobody is asked once. Cause: a closed loop.
+/// Guards against a closed loop, in which a VM that answers no request would get only one and the
+/// run would look fast. The VM here answers only when all requests have arrived.
 #[test]
-fn a_vm_that_answers_nobody_gets_all_requests_all_the_same() {
+fn unanswered_vm_loaded() {
     const REQUESTS: usize = 8;
     let all_there = Arc::new(Barrier::new(REQUESTS));
     let vm = start_vm(move |head, connection| {
@@ -137,16 +137,16 @@
     let schedule = (0..REQUESTS).map(|number| order(number as u64, false, Duration::ZERO));
     let schedule = Arc::new(schedule.collect::<Vec<_>>());
     let stop = AtomicBool::new(false);
-    let returning = Returning::new(&Scale::new(&LoadOptions::default()));
+    let caller_retries = CallerRetries::new(&Scale::new(&LoadOptions::default()));
     let client = client(vec![vm], clock);
-    let records = drive(&client, clock, &schedule, returning, REQUESTS, &stop);
+    let records = drive(&client, clock, &schedule, caller_retries, REQUESTS, &stop);
     let records = records.expect("the clients work");
     assert_eq!(records.len(), REQUESTS);
     assert!(records.iter().all(|record| record.ending == Ending::Whole));
 }
 
 #[test]
-fn a_request_that_had_to_wait_for_a_client_counts_as_late() {
+fn queued_request_late() {
     let schedule = [order(1, false, Duration::from_millis(30))];
     let record = Record {
         planned: 0,
@@ -157,9 +157,9 @@
         gaps_us: Vec::new(),
         identity: String::new(),
         engine: None,
-        repeats: 0,
+        resends: 0,
         retry_after: None,
-        is_return: false,
+        is_caller_retry: false,
         ending: Ending::Whole,
     };
     let late = |tolerated_ms| {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_refused_connection_goes_to_the_next_vm() {
+fn refused_connection_rerouted() {
     let clock = RunClock::start();
     let client = client(vec![nobody(), start_vm(answer_call)], clock);
     let record = client.send(0, &order(1, false, Duration::ZERO));
@@ -180,8 +180,8 @@
     assert_eq!(record.vm, 1);
 }
 
-/// Sends an order of which the first VM loses the answer, and returns its record and the requests
-/// that the second VM got.
+/// Sends an order to a VM that loses the answer. Returns the record of the order and the requests
+/// received by a second VM.
 fn send_and_lose(keyed: bool) -> (Record, Vec<String>) {
     let clock = RunClock::start();
     let losing = start_vm(|_, connection| drop(connection));
@@ -197,10 +197,10 @@
 }
 
 #[test]
-fn a_lost_order_is_sent_again_under_its_key() {
+fn lost_order_resent() {
     let (record, received) = send_and_lose(true);
     assert_eq!(record.ending, Ending::Whole);
-    assert_eq!(record.repeats, 1);
+    assert_eq!(record.resends, 1);
     assert_eq!(received.len(), 1);
     assert!(
         received[0]
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_lost_order_without_a_key_is_not_sent_again() {
+fn unkeyed_order_not_resent() {
     let (record, received) = send_and_lose(false);
     assert!(matches!(record.ending, Ending::NoAnswer(_)));
     assert_eq!(received, Vec::<String>::new());
--- a/crates/load-tool/tests/run_effects.rs
+++ b/crates/load-tool/tests/run_effects.rs
@@ -1,4 +1,4 @@
-//! What must never happen is counted when it does.
+//! Violations of the system's invariants are counted, and nothing else.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use apricotdale_load_tool::load::effects::Violations;
 use apricotdale_load_tool::load::record::Ending;
 use apricotdale_load_tool::load::record::Record;
-use apricotdale_load_tool::load::schedule::Planned;
+use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
 
 const ORDER: Work = Work::CutOrder {
@@ -27,18 +27,18 @@
     Duration::from_millis(time)
 }
 
-fn planned(work: Work) -> Planned {
-    Planned {
+fn planned(work: Work) -> PlannedRequest {
+    PlannedRequest {
         at: ms(0),
         vm: 0,
         class: 0,
         caller: 0,
         work,
-        is_repetition: false,
+        is_duplicate: false,
     }
 }
 
-/// A request that VM 0 took at 100 ms and that ended at 200 ms.
+/// Returns the record of a request that was sent to VM 0 at 100 ms and ended at 200 ms.
 fn record(ending: Ending) -> Record {
     Record {
         planned: 0,
@@ -49,9 +49,9 @@
         gaps_us: Vec::new(),
         identity: "req-1".to_owned(),
         engine: None,
-        repeats: 0,
+        resends: 0,
         retry_after: None,
-        is_return: false,
+        is_caller_retry: false,
         ending,
     }
 }
@@ -91,14 +91,14 @@
 }
 
 #[test]
-fn nothing_is_counted_of_a_run_without_violations() {
+fn clean_run_counts() {
     let effects = Effects {
         engines: vec![engine(&[("m1", 2)], 0), engine(&[("m1", 1)], 0)],
         services: vec![service(&[("POST /cut-orders/1", 1)], &[("cut-order-1", 1)])],
         loads_before: counts(&[("m1", 1)]),
-        decided: counts(&[("m1", 2)]),
+        loads_decided: counts(&[("m1", 2)]),
     };
-    assert!(violations(&effects, ORDER, Ending::Whole).none());
+    assert!(violations(&effects, ORDER, Ending::Whole).is_empty());
 }
 
 #[rstest]
@@ -108,11 +108,8 @@
     1
 )]
 #[case::under_one_key(&[service(&[], &[("cut-order-1", 2)])], 1)]
-#[case::a_look_at_the_shelf(&[service(&[("GET /shelf/1", 9)], &[])], 0)]
-fn an_order_that_ran_more_than_once_is_counted(
-    #[case] services: &[ServiceEffects],
-    #[case] expected: u64,
-) {
+#[case::a_shelf_lookup(&[service(&[("GET /shelf/1", 9)], &[])], 0)]
+fn repeated_execution_counted(#[case] services: &[ServiceEffects], #[case] expected: u64) {
     let effects = Effects {
         services: services.to_vec(),
         ..Effects::default()
@@ -128,14 +125,14 @@
 #[case::one_more_than_decided(&[engine(&[("m1", 2)], 0), engine(&[("m1", 1)], 0)], 1, 0)]
 #[case::one_that_was_never_decided(&[engine(&[("m2", 1)], 0)], 1, 0)]
 #[case::without_room(&[engine(&[], 3), engine(&[], 1)], 0, 4)]
-fn loads_beyond_decisions_and_memory_are_counted(
+fn excess_loads_counted(
     #[case] engines: &[EngineEffects],
     #[case] above_decided: u64,
     #[case] overcommitted: u64,
 ) {
     let effects = Effects {
         engines: engines.to_vec(),
-        decided: counts(&[("m1", 2)]),
+        loads_decided: counts(&[("m1", 2)]),
         ..Effects::default()
     };
     let found = violations(&effects, ORDER, Ending::Whole);
@@ -147,11 +144,7 @@
 #[case::not_run_but_at_an_engine("not_run", true, 1)]
 #[case::not_run_and_nowhere("not_run", false, 0)]
 #[case::unknown_and_at_an_engine("unknown", true, 0)]
-fn a_refusal_that_says_not_run_must_be_true(
-    #[case] ran: &str,
-    #[case] at_engine: bool,
-    #[case] expected: u64,
-) {
+fn untrue_refusal_counted(#[case] ran: &str, #[case] at_engine: bool, #[case] expected: u64) {
     let seen = EngineRequest {
         model: "m1".to_owned(),
         state: RequestState::Cancelled,
@@ -177,7 +170,7 @@
 #[case::foreign(Ending::Foreign(String::new()), [0, 1, 0, 0])]
 #[case::missing(Ending::NoAnswer(String::new()), [0, 0, 1, 0])]
 #[case::strange(Ending::Strange(500), [0, 0, 0, 1])]
-fn answers_that_are_not_whole_are_counted(#[case] ending: Ending, #[case] expected: [u64; 4]) {
+fn bad_endings_counted(#[case] ending: Ending, #[case] expected: [u64; 4]) {
     let found = violations(&Effects::default(), ORDER, ending);
     let counted = [
         found.answers_cut,
@@ -193,8 +186,8 @@
 #[case::at_another_vm(1, 150, 160, Ending::Cut(String::new()), 1)]
 #[case::ended_before(0, 300, 310, Ending::Cut(String::new()), 1)]
 #[case::sent_after(0, 50, 60, Ending::Cut(String::new()), 1)]
-#[case::foreign_all_the_same(0, 150, 160, Ending::Foreign(String::new()), 1)]
-fn only_answers_in_progress_at_a_killed_vm_may_be_lost(
+#[case::foreign_still_counts(0, 150, 160, Ending::Foreign(String::new()), 1)]
+fn killed_vm_losses(
     #[case] vm: usize,
     #[case] from: u64,
     #[case] to: u64,
@@ -213,7 +206,7 @@
 }
 
 #[test]
-fn loads_of_the_filling_of_caches_are_not_loads_of_the_run() {
+fn cache_fill_excluded() {
     let effects = Effects {
         engines: vec![engine(&[("m1", 2)], 0), engine(&[("m1", 1), ("m2", 4)], 0)],
         loads_before: counts(&[("m1", 1), ("m2", 1)]),
--- a/crates/load-tool/tests/run_measures.rs
+++ b/crates/load-tool/tests/run_measures.rs
@@ -1,4 +1,4 @@
-//! What is measured of a run's records.
+//! Results computed from the records of a run.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use apricotdale_load_tool::load::daemon_counts::DaemonCounts;
 use apricotdale_load_tool::load::effects::Effects;
 use apricotdale_load_tool::load::effects::KilledVm;
-use apricotdale_load_tool::load::measures::Measuring;
+use apricotdale_load_tool::load::measures::Evaluation;
 use apricotdale_load_tool::load::measures::RunData;
 use apricotdale_load_tool::load::options::LoadOptions;
 use apricotdale_load_tool::load::record::Ending;
 use apricotdale_load_tool::load::record::Record;
 use apricotdale_load_tool::load::scale::Scale;
-use apricotdale_load_tool::load::schedule::Planned;
+use apricotdale_load_tool::load::schedule::PlannedRequest;
 use apricotdale_load_tool::load::schedule::Work;
-use apricotdale_load_tool::load::timeline::Held;
+use apricotdale_load_tool::load::timeline::HeldModel;
 use apricotdale_load_tool::load::timeline::Timeline;
 use apricotdale_policy_replay::deployment::Deployment;
 use apricotdale_policy_replay::trace::trace;
@@ -30,8 +30,8 @@
     Duration::from_millis(time)
 }
 
-fn planned(at_ms: u64) -> Planned {
-    Planned {
+fn planned(at_ms: u64) -> PlannedRequest {
+    PlannedRequest {
         at: ms(at_ms),
         vm: 0,
         class: 0,
@@ -42,11 +42,12 @@
             tokens: 3,
             stream: true,
         },
-        is_repetition: false,
+        is_duplicate: false,
     }
 }
 
-/// A request that was sent 5 ms late and whose first token came so long after its arrival.
+/// Returns the record of a request sent 5 ms late, with the first token `first_ms` after its
+/// scheduled arrival.
 fn record(first_ms: u64) -> Record {
     Record {
         planned: 0,
@@ -57,9 +58,9 @@
         gaps_us: vec![12_000, 13_000],
         identity: "req-1".to_owned(),
         engine: Some("engine1".to_owned()),
-        repeats: 0,
+        resends: 0,
         retry_after: None,
-        is_return: false,
+        is_caller_retry: false,
         ending: Ending::Whole,
     }
 }
@@ -75,7 +76,7 @@
     }
 }
 
-fn data(planned: Planned, records: Vec<Record>) -> RunData {
+fn data(planned: PlannedRequest, records: Vec<Record>) -> RunData {
     RunData {
         schedule: vec![planned],
         records,
@@ -86,7 +87,7 @@
     }
 }
 
-/// Returns the results with the given names; zero for one that is not there.
+/// Returns the results with the given names, and zero for a name without a result.
 fn results<const N: usize>(data: &RunData, names: [&str; N]) -> [f64; N] {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deployment = Deployment::read(&folder.join("../policy-replay/deployments/scaravilli.ini"))
@@ -99,7 +100,7 @@
     };
     let trace = trace(&deployment, 1, 1, None);
     let scale = Scale::new(&options);
-    let results = Measuring::new(&deployment, &trace, &scale, data).results();
+    let results = Evaluation::new(&deployment, &trace, &scale, data).results();
     names.map(|name| {
         let found = results.iter().find(|(known, _)| known == name);
         found.map_or(0.0, |(_, value)| *value)
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn first_tokens_count_from_the_scheduled_arrival() {
+fn latency_from_schedule() {
     let data = data(planned(ARRIVAL_MS), vec![record(100)]);
     let [first_ms, gap_ms] = results(&data, ["first_token_p95_ms", "inter_token_p95_ms"]);
     assert!((first_ms - 100.0).abs() < 1.0, "{first_ms}");
@@ -118,21 +119,17 @@
 #[case::in_time(QUICK_TARGET_MS, 1.0, 0.0)]
 #[case::too_late(QUICK_TARGET_MS + 1, 0.0, 0.0)]
 #[case::long_after(QUICK_TARGET_MS + 1_000, 0.0, 1.0)]
-fn an_answer_meets_its_target_or_not(
-    #[case] first_ms: u64,
-    #[case] met: f64,
-    #[case] overdue: f64,
-) {
+fn target_met_share(#[case] first_ms: u64, #[case] met: f64, #[case] overdue: f64) {
     let data = data(planned(ARRIVAL_MS), vec![record(first_ms)]);
     let names = ["met_share.quick", "met_share", "overdue_share"];
     assert_eq!(results(&data, names), [met, met, overdue]);
 }
 
 #[test]
-fn a_refused_caller_s_second_try_is_not_measured() {
+fn caller_retries_excluded() {
     let first = refused(&record(1));
     let second = Record {
-        is_return: true,
+        is_caller_retry: true,
         ..record(1)
     };
     let data = data(planned(ARRIVAL_MS), vec![first, second]);
@@ -148,17 +145,14 @@
 #[rstest]
 #[case::measured(planned(ARRIVAL_MS), 1.0)]
 #[case::in_the_warm_up(planned(WARM_UP_MS - 1), 0.0)]
-#[case::sent_already(Planned { is_repetition: true, ..planned(ARRIVAL_MS) }, 0.0)]
-fn only_first_sendings_after_the_warm_up_are_measured(
-    #[case] planned: Planned,
-    #[case] expected: f64,
-) {
+#[case::duplicate(PlannedRequest { is_duplicate: true, ..planned(ARRIVAL_MS) }, 0.0)]
+fn measured_requests_only(#[case] planned: PlannedRequest, #[case] expected: f64) {
     let data = data(planned, vec![record(1)]);
     assert_eq!(results(&data, ["requests"]), [expected]);
 }
 
 #[test]
-fn what_a_killed_vm_took_with_it_is_told() {
+fn killed_vm_losses() {
     let lost = Record {
         first: None,
         ending: Ending::NoAnswer(String::new()),
@@ -175,9 +169,9 @@
 }
 
 #[test]
-fn a_cold_start_counts_though_the_request_was_refused() {
+fn refused_cold_start() {
     let mut data = data(planned(ARRIVAL_MS), vec![refused(&record(1))]);
-    let held = Held {
+    let held = HeldModel {
         model: "model-000".to_owned(),
         loaded: true,
         bytes: 1,
@@ -187,16 +181,16 @@
         "cold_start_share",
         "cold_starts_never_loaded",
     ];
-    data.timeline.note(ms(0), "engine1", Vec::new());
+    data.timeline.record(ms(0), "engine1", Vec::new());
     data.timeline
-        .note(ms(ARRIVAL_MS + 4_000), "engine1", Vec::new());
+        .record(ms(ARRIVAL_MS + 4_000), "engine1", Vec::new());
     let [wait_ms, share, never] = results(&data, names);
     assert!((wait_ms - 4_000.0).abs() < 5.0, "{wait_ms}");
     assert_eq!([share, never], [1.0, 1.0]);
     data.timeline
-        .note(ms(ARRIVAL_MS + 5_000), "engine1", vec![held.clone()]);
+        .record(ms(ARRIVAL_MS + 5_000), "engine1", vec![held.clone()]);
     data.timeline
-        .note(ms(ARRIVAL_MS + 6_000), "engine1", vec![held]);
+        .record(ms(ARRIVAL_MS + 6_000), "engine1", vec![held]);
     let [wait_ms, share, never] = results(&data, names);
     assert!((wait_ms - 5_000.0).abs() < 5.0, "{wait_ms}");
     assert_eq!([share, never], [1.0, 0.0]);
--- a/crates/slopes/src/memory.rs
+++ b/crates/slopes/src/memory.rs
@@ -1,7 +1,7 @@
-//! Memory by engines, models, replicas, keys and connections to peers.
+//! Memory by the number of engines, models, replicas, keys.
 //!
-//! What a series has freed would hide the growth of the next one, so each keeps what it built until
-//! the process ends, and this part is the first of the catalogue.
+//! The allocator would reuse memory freed by one series for the next and so hide its growth. Each
+//! series therefore leaks what it built, and this part is the first in the catalogue.
 
 use apricotdale_state::ClaimTable;
 use apricotdale_state::claims::ClaimOptions;
@@ -18,19 +18,19 @@
 const REPLICAS: &[usize] = &[1_200, 2_400, 4_800, 9_600];
 const KEYS: &[usize] = &[5_000, 10_000, 20_000, 40_000];
 
-/// Measures memory.
+/// Measures the resident memory by engines, models, replicas and keys.
 ///
 /// # Errors
 ///
-/// Any of a measure.
+/// [`Error::Memory`](crate::Error::Memory) if the resident memory can't be read.
 pub fn memory() -> Result<Vec<Slope>> {
     Ok(vec![engines()?, models()?, replicas()?, keys()?])
 }
 
 fn engines() -> Result<Slope> {
     let mut fleet = Fleet::default();
-    let slope = grow("engine_memory", "engine", ENGINES, |engines| {
-        fleet.grow_engines(engines);
+    let slope = measure_growth("engine_memory", "engine", ENGINES, |engines| {
+        fleet.add_engines_up_to(engines);
     });
     std::mem::forget(fleet);
     slope
@@ -38,8 +38,8 @@
 
 fn models() -> Result<Slope> {
     let mut fleet = Fleet::default();
-    let slope = grow("model_memory", "model", MODELS, |models| {
-        fleet.grow_models(models);
+    let slope = measure_growth("model_memory", "model", MODELS, |models| {
+        fleet.add_models_up_to(models);
     });
     std::mem::forget(fleet);
     slope
@@ -47,10 +47,10 @@
 
 fn replicas() -> Result<Slope> {
     let mut fleet = Fleet::default();
-    fleet.grow_models(360);
-    fleet.grow_engines(600);
+    fleet.add_models_up_to(360);
+    fleet.add_engines_up_to(600);
     let mut loaded = 0;
-    let slope = grow("replica_memory", "replica", REPLICAS, |replicas| {
+    let slope = measure_growth("replica_memory", "replica", REPLICAS, |replicas| {
         for number in loaded..replicas {
             fleet.load(number);
         }
@@ -67,23 +67,23 @@
     });
     let payloads = claims::claim_payloads(40_000);
     let mut filled = 0;
-    let slope = grow("claim_key_memory", "key", KEYS, |keys| {
+    let slope = measure_growth("claim_key_memory", "key", KEYS, |keys| {
         let batches = keys / claims::BATCH_ENTRIES;
-        claims::fill(&mut table, &payloads[filled..batches]);
+        claims::apply_batches(&mut table, &payloads[filled..batches]);
         filled = batches;
     });
     std::mem::forget(table);
     slope
 }
 
-fn grow(
+fn measure_growth(
     name: &'static str,
     per: &'static str,
     sizes: &[usize],
-    mut to: impl FnMut(usize),
+    mut grow_to: impl FnMut(usize),
 ) -> Result<Slope> {
     Slope::measure(name, Unit::Bytes, per, sizes, |size| {
-        to(size);
+        grow_to(size);
         resident_bytes()
     })
 }
