--- a/crates/node/src/assembly/control_threads.rs
+++ b/crates/node/src/assembly/control_threads.rs
@@ -275,7 +275,7 @@
         let loaded = move |intent: &IntentView, took_ms: u64| {
             metrics
                 .node()
-                .loaded(fleet.tier(&intent.engine, &intent.model), took_ms);
+                .record_load(fleet.tier(&intent.engine, &intent.model), took_ms);
         };
         RunnerParts {
             vm: common.vm(),
