--- a/crates/launcher/src/answer.rs
+++ b/crates/launcher/src/answer.rs
@@ -1,35 +1,35 @@
-//! What a caller received.
+//! Outcomes of requests as their callers receive them.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The beginning of a line of an event's data.
+/// Prefix of a line that carries an event's data.
 const DATA_PREFIX: &str = "data:";
 
-/// The data of the last event of a whole stream.
+/// Data of the event that ends a complete stream.
 const STREAM_END: &str = "[DONE]";
 
-/// The beginning of the type of a problem document that is a refusal of the system's own. Upstreams
-/// may send problem documents, too.
+/// Prefix of the type of problem documents with which the system itself refuses a request. It tells
+/// them from problem documents of upstreams.
 const REFUSAL_TYPE: &str = "urn:apricotdale:refusal:";
 
-/// `AnswerHead` is the beginning of an answer.
+/// Status and headers of an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The content type.
+    /// Content type; empty if the answer names none.
     pub content_type: String,
-    /// The identity that the VM gave the request, or empty.
+    /// Request ID that the VM assigned; empty if the answer names none.
     pub request: String,
 }
 
-/// `RefusedAnswer` is a refusal as the caller received it.
+/// Refusal as the caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefusedAnswer {
-    /// The machine-readable reason.
+    /// Machine-readable reason.
     pub reason: String,
     /// Whether the request ran: `not_run`, `ran` or `unknown`.
     pub ran: String,
@@ -43,49 +43,49 @@
     ran: String,
 }
 
-/// `Outcome` is how a request ended for its caller.
+/// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The complete answer came.
     Whole {
-        /// Its beginning.
+        /// Status and headers.
         head: AnswerHead,
-        /// Its events, or 0 for an answer that is no stream.
+        /// Number of its events; 0 for an answer that is no stream.
         events: u64,
-        /// Its body, or empty for a stream.
+        /// Body; empty for a stream.
         body: String,
     },
     /// The request was refused in place of an answer.
     Refused {
-        /// The beginning of the refusal.
+        /// Status and headers of the refusal.
         head: AnswerHead,
-        /// The refusal.
+        /// Content of the refusal.
         refusal: RefusedAnswer,
     },
-    /// The answer began and did not end whole.
+    /// The answer began and broke off.
     Cut {
-        /// Its beginning.
+        /// Status and headers.
         head: AnswerHead,
-        /// Its events until then.
+        /// Number of events that came before.
         events: u64,
-        /// The refusal that ended it, if one came.
+        /// Refusal that ended the stream, if one came.
         refusal: Option<RefusedAnswer>,
-        /// What ended it.
+        /// Why the answer counts as broken off.
         detail: String,
     },
-    /// A part of the answer belongs to another request.
+    /// The answer or a part of it belongs to another request.
     Crossed {
-        /// The beginning of the answer.
+        /// Status and headers.
         head: AnswerHead,
-        /// The identity that came with it.
+        /// Request ID that came with the answer.
         found: String,
     },
-    /// No answer began.
+    /// No answer began, for this reason.
     NoAnswer(String),
 }
 
 impl Outcome {
-    /// Returns the outcome of a request whose whole body came.
+    /// Returns the outcome of a request whose body came completely and is no stream.
     pub fn of_body(head: AnswerHead, body: &str) -> Self {
         if let Some(refusal) = RefusedAnswer::parse(body) {
             return Self::Refused { head, refusal };
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns the outcome of a request whose answer broke off.
+    /// Returns the outcome of a request whose answer broke off without a refusal.
     pub fn cut(head: AnswerHead, events: u64, detail: impl Into<String>) -> Self {
         Self::Cut {
             head,
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Returns whether the whole answer came with a status of success.
+    /// Returns whether the complete answer came with a success status.
     pub fn is_whole(&self) -> bool {
         matches!(self, Self::Whole { head, .. } if (200..300).contains(&head.status))
     }
 
-    /// Returns the refusal, if one came, also as the end of a begun answer.
+    /// Returns the refusal in place of an answer or at the end of a stream, if one came.
     pub fn refusal(&self) -> Option<&RefusedAnswer> {
         match self {
             Self::Refused { refusal, .. } => Some(refusal),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns the beginning of the answer, or none if none began.
+    /// Returns the status and headers of the answer; none if no answer began.
     pub fn head(&self) -> Option<&AnswerHead> {
         match self {
             Self::Whole { head, .. }
@@ -165,7 +165,7 @@
 }
 
 impl RefusedAnswer {
-    /// Returns the refusal that a body is, or none if it is another answer.
+    /// Parses a body as a refusal; none if it is another answer.
     pub fn parse(body: &str) -> Option<Self> {
         let problem: Problem = serde_json::from_str(body).ok()?;
         problem.kind.starts_with(REFUSAL_TYPE).then_some(Self {
@@ -181,7 +181,7 @@
     }
 }
 
-/// `StreamParser` is the reading of a stream of events.
+/// Parser of a stream of events.
 #[derive(Debug)]
 pub struct StreamParser {
     head: AnswerHead,
@@ -192,7 +192,7 @@
 }
 
 impl StreamParser {
-    /// Returns the reading of a stream with the given beginning.
+    /// Returns a parser of the stream with these headers.
     pub fn new(head: AnswerHead) -> Self {
         Self {
             head,
@@ -203,7 +203,8 @@
         }
     }
 
-    /// Takes in one line and returns whether it was an event of the answer.
+    /// Parses one line and returns whether it was an event of the answer. The end marker and a
+    /// refusal are none.
     pub fn parse_line(&mut self, line: &str) -> bool {
         let Some(data) = line.strip_prefix(DATA_PREFIX) else {
             return false;
@@ -226,7 +227,8 @@
         true
     }
 
-    /// Returns the outcome at the end of the stream, with the connection's error if one ended it.
+    /// Returns the outcome at the end of the stream; `error` is that of the connection, if it
+    /// failed.
     pub fn end(self, error: Option<String>) -> Outcome {
         let events = self.events;
         if let Some(found) = self.foreign {
@@ -249,13 +251,14 @@
     }
 }
 
-/// Returns the identity that a JSON answer or event carries.
+/// Returns the request ID that a JSON answer or event carries.
 fn request_id_of(data: &str) -> Option<String> {
     let value: Value = serde_json::from_str(data).ok()?;
     Some(value.get("id")?.as_str()?.to_owned())
 }
 
-/// Returns whether an identity is that of the request. An engine puts a prefix before it.
+/// Returns whether an ID belongs to the request of an answer. Engines put a prefix before the
+/// request ID.
 fn belongs_to_request(request_id: &str, head: &AnswerHead) -> bool {
     head.request.is_empty() || request_id.ends_with(&head.request)
 }
