--- a/crates/launcher/src/caller.rs
+++ b/crates/launcher/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests to one VM and follows the answers as they come.
+//! Caller that sends requests to a VM and receives the answers in threads of their own.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -22,28 +22,28 @@
 use crate::errors::Result;
 use crate::http::agent;
 
-/// The longest time that a caller waits for the end of any answer. It is far above every target and
-/// only ends a hanging test.
+/// Time within which an answer must have ended. It is far above every target and only ends a
+/// hanging test.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The content type of a stream of events.
+/// Content type of a stream of events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// `CallerRequest` is one request of a caller.
+/// Request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// The HTTP method.
+    /// HTTP method.
     pub method: String,
-    /// The path.
+    /// Path on the callers' interface of the VM.
     pub path: String,
-    /// The headers besides the body's.
+    /// Headers besides the content type.
     pub headers: Vec<(String, String)>,
-    /// The JSON body, or none.
+    /// JSON body, if any.
     pub body: Option<String>,
 }
 
 impl CallerRequest {
-    /// Returns a request for a completion.
+    /// Returns a request for a completion of `tokens` tokens.
     pub fn completion(model: &str, tokens: u32, stream: bool) -> Self {
         let body = serde_json::json!({
             "model": model,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns a call to a plain service.
+    /// Returns a call to a plain service; `path` is below the service's prefix.
     pub fn service_call(service: &str, method: &str, path: &str, body: Option<String>) -> Self {
         Self {
             method: method.to_owned(),
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Returns this request with one more header.
+    /// Returns the request with an additional header.
     pub fn header(mut self, name: &str, value: impl Into<String>) -> Self {
         self.headers.push((name.to_owned(), value.into()));
         self
     }
 }
 
-/// `PendingAnswer` is an answer that a thread of its own receives.
+/// Answer that a thread of its own receives. Clones share the same answer.
 #[derive(Clone, Debug)]
 pub struct PendingAnswer {
     shared: Arc<Shared>,
@@ -95,7 +95,7 @@
 }
 
 impl PendingAnswer {
-    /// Returns how the request ended, or none while it runs.
+    /// Returns how the request ended; none while it is in progress.
     pub fn outcome(&self) -> Option<Outcome> {
         self.shared.lock().outcome.clone()
     }
@@ -105,35 +105,35 @@
         self.shared.lock().events
     }
 
-    /// Waits until at least `count` events of the answer's stream came, or the request ended, and
-    /// returns the number that came.
+    /// Waits until at least `count` events have come or the request has ended, and returns the
+    /// number of events that have come.
     ///
     /// # Errors
     ///
-    /// `Error::PollLimitReached` at the limit.
-    pub fn wait_events(&self, count: u64, limit: Duration) -> Result<u64> {
-        let progress = self.wait(limit, |progress| {
+    /// `Error::PollLimitReached` if the timeout expires.
+    pub fn wait_events(&self, count: u64, timeout: Duration) -> Result<u64> {
+        let progress = self.wait(timeout, |progress| {
             progress.events >= count || progress.outcome.is_some()
         })?;
         Ok(progress.events)
     }
 
-    /// Waits for the end of the request.
+    /// Waits until the request has ended, and returns how.
     ///
     /// # Errors
     ///
-    /// `Error::PollLimitReached` at the limit.
-    pub fn wait_end(&self, limit: Duration) -> Result<Outcome> {
-        let progress = self.wait(limit, |progress| progress.outcome.is_some())?;
+    /// `Error::PollLimitReached` if the timeout expires.
+    pub fn wait_end(&self, timeout: Duration) -> Result<Outcome> {
+        let progress = self.wait(timeout, |progress| progress.outcome.is_some())?;
         Ok(progress.outcome.clone().expect("the request has ended"))
     }
 
     fn wait(
         &self,
-        limit: Duration,
+        timeout: Duration,
         holds: impl Fn(&Progress) -> bool,
     ) -> Result<MutexGuard<'_, Progress>> {
-        let until = Instant::now() + limit;
+        let until = Instant::now() + timeout;
         let mut progress = self.shared.lock();
         while !holds(&progress) {
             let left = until.saturating_duration_since(Instant::now());
@@ -169,7 +169,7 @@
     }
 }
 
-/// Sends a request in a thread of its own.
+/// Sends a request to the callers' address of a VM in a thread of its own.
 pub fn send(vm: SocketAddr, request: CallerRequest) -> PendingAnswer {
     let shared = Arc::new(Shared::default());
     let pending = PendingAnswer {
@@ -182,7 +182,7 @@
     pending
 }
 
-/// Sends a request and waits for its end.
+/// Sends a request to the callers' address of a VM and waits until it has ended.
 pub fn call(vm: SocketAddr, request: &CallerRequest) -> Outcome {
     exchange(vm, request, &Shared::default())
 }
