--- a/crates/launcher/src/checks.rs
+++ b/crates/launcher/src/checks.rs
@@ -1,10 +1,11 @@
-//! What a demonstration shows: steps, and checks that hold or do not.
+//! Output of a demonstration: its steps, and checks that pass or fail.
 
 use std::io::Write;
 
 use crate::errors::Result;
 
-/// `Checks` prints steps and checks, and keeps those that did not hold.
+/// Checks of a demonstration, which are printed as they are made; failed ones are repeated at the
+/// end.
 pub struct Checks<'a> {
     out: &'a mut dyn Write,
     passed: usize,
@@ -12,7 +13,7 @@
 }
 
 impl<'a> Checks<'a> {
-    /// Returns checks that are printed to `out`.
+    /// Returns an empty set of checks that are printed to `out`.
     pub fn new(out: &'a mut dyn Write) -> Self {
         Self {
             out,
@@ -21,31 +22,31 @@
         }
     }
 
-    /// Begins a step.
+    /// Prints the title of a step.
     ///
     /// # Errors
     ///
-    /// Any of printing.
+    /// `Error::Io` if the text can't be written.
     pub fn step(&mut self, text: &str) -> Result<()> {
         writeln!(self.out, "\n{text}")?;
         Ok(())
     }
 
-    /// Prints a line below a check.
+    /// Prints an indented line below a check.
     ///
     /// # Errors
     ///
-    /// Any of printing.
+    /// `Error::Io` if the text can't be written.
     pub fn note(&mut self, text: &str) -> Result<()> {
         writeln!(self.out, "      {text}")?;
         Ok(())
     }
 
-    /// Notes whether something holds.
+    /// Records and prints whether a check passed.
     ///
     /// # Errors
     ///
-    /// Any of printing.
+    /// `Error::Io` if the text can't be written.
     pub fn check(&mut self, text: String, holds: bool) -> Result<()> {
         let word = if holds { "ok  " } else { "FAIL" };
         writeln!(self.out, "  {word} {text}")?;
@@ -56,16 +57,16 @@
         Ok(())
     }
 
-    /// Prints the counts and returns whether everything held.
+    /// Prints the counts and the failed checks, and returns whether all passed.
     ///
     /// # Errors
     ///
-    /// Any of printing.
+    /// `Error::Io` if the text can't be written.
     pub fn finish(self) -> Result<bool> {
         let (passed, failed) = (self.passed, self.failed.len());
-        writeln!(self.out, "\n{passed} checks held, {failed} did not")?;
+        writeln!(self.out, "\n{passed} checks passed, {failed} failed")?;
         for failed in &self.failed {
-            writeln!(self.out, "  did not hold: {failed}")?;
+            writeln!(self.out, "  failed: {failed}")?;
         }
         Ok(self.failed.is_empty())
     }
