--- a/crates/launcher/src/demo.rs
+++ b/crates/launcher/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: the main promises on real requests, step by step.
+//! Demonstration of the main guarantees on real requests, step by step.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -25,24 +25,24 @@
 use crate::standin::ServiceEffects;
 use apricotdale_admin::PublishOutcome;
 
-/// The longest wait for an answer. It is a limit for failures only.
+/// Upper bound of the wait for an answer, so that a demonstration with a hanging request ends.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The requests of the cold burst at each VM.
+/// Number of requests to each VM for a model that is not loaded.
 const REQUESTS_PER_VM: usize = 5;
-/// The length of a short answer.
+/// Length of a short answer in tokens.
 const SHORT_TOKENS: u32 = 8;
-/// The length of an answer that is still under way while VMs stop.
+/// Length in tokens of an answer that is still in progress while VMs stop.
 const LONG_TOKENS: u32 = 200;
 
-/// `Demo` runs the demonstration and keeps what did not hold.
+/// Running demonstration: its cluster and the checks made so far.
 pub struct Demo<'a> {
     cluster: Cluster,
     checks: Checks<'a>,
 }
 
 impl<'a> Demo<'a> {
-    /// Returns the demonstration on a cluster of at least three VMs.
+    /// Returns a demonstration on a cluster, which must have at least three VMs.
     pub fn new(cluster: Cluster, out: &'a mut dyn Write) -> Self {
         Self {
             cluster,
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Runs all steps, stops the cluster and returns whether everything held.
+    /// Runs all steps, stops the cluster and returns whether all checks passed.
     ///
     /// # Errors
     ///
-    /// Any of the launcher, when a step can't be carried out at all.
+    /// Any error of the launcher that keeps a step from being carried out.
     pub fn run(mut self) -> Result<bool> {
         self.configure()?;
         self.cold_burst(sample::SLOT_PLANNER)?;
@@ -95,16 +95,16 @@
             .flat_map(|vm| std::iter::repeat_n(vm.addresses.callers, REQUESTS_PER_VM))
             .map(|address| caller::send(address, request.clone()))
             .collect();
-        let whole = self.count_complete(&answers)?;
+        let complete = self.count_complete(&answers)?;
         let sent = answers.len();
         self.checks.check(
-            format!("{whole} of {sent} requests answered whole"),
-            whole == sent,
+            format!("{complete} of {sent} answers complete"),
+            complete == sent,
         )?;
-        let (decided, loads) = self.settled_loads(model)?;
+        let (accepted, loads) = self.settled_loads(model)?;
         self.checks.check(
-            format!("{decided} loads decided, {loads} carried out by the engines"),
-            loads == decided && decided > 0,
+            format!("{accepted} loads accepted, {loads} carried out by the engines"),
+            loads == accepted && accepted > 0,
         )
     }
 
@@ -145,7 +145,7 @@
 
     fn drain_and_kill(&mut self) -> Result<()> {
         self.checks
-            .step("One VM stops as planned and one is killed, with streams under way on both")?;
+            .step("One VM stops as planned and one is killed, with streams in progress on both")?;
         let vms = self.running_vms();
         let [drained, killed, other] = [&vms[1], &vms[2], &vms[0]];
         let request = CallerRequest::completion(sample::SLOT_PLANNER, LONG_TOKENS, true);
@@ -168,14 +168,14 @@
             format!("a request at {}: {elsewhere}", other.name),
             elsewhere.is_whole(),
         )?;
-        let whole = on_drained.wait_end(ANSWER_TIMEOUT)?;
+        let finished = on_drained.wait_end(ANSWER_TIMEOUT)?;
         self.checks.check(
-            format!("the stopping VM's stream: {whole}"),
-            is_complete_stream(&whole),
+            format!("the stopping VM's stream: {finished}"),
+            is_complete_stream(&finished),
         )?;
         let exit = self.cluster.wait_exit(&drained.name, MAX_POLLS)?;
         self.checks.check(
-            format!("{} ended with {exit:?}", drained.name),
+            format!("{} exited with {exit:?}", drained.name),
             exit == Exit::Code(0),
         )?;
         let exit = self.cluster.poll_exit(&killed.name)?;
@@ -186,7 +186,7 @@
     }
 
     fn check_memory(&mut self) -> Result<()> {
-        self.checks.step("The engines' own counts")?;
+        self.checks.step("Effects counted by the engines")?;
         let mut overcommitted = 0;
         for (_, engine) in self.cluster.engines() {
             overcommitted += engine.effects::<EngineEffects>()?.overcommitted;
@@ -201,30 +201,33 @@
         self.cluster.running_vms().into_iter().cloned().collect()
     }
 
-    /// Waits for all answers, shows how many there are of each kind and returns how many are whole.
+    /// Waits for all answers, prints how many there are of each kind and returns how many are
+    /// complete.
     fn count_complete(&mut self, answers: &[PendingAnswer]) -> Result<usize> {
         let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
-        let mut whole = 0;
+        let mut complete = 0;
         for answer in answers {
             let outcome = answer.wait_end(ANSWER_TIMEOUT)?;
-            whole += usize::from(outcome.is_whole());
+            complete += usize::from(outcome.is_whole());
             *kinds.entry(outcome.to_string()).or_default() += 1;
         }
         for (kind, count) in kinds {
             self.checks.note(&format!("{count} x {kind}"))?;
         }
-        Ok(whole)
+        Ok(complete)
     }
 
-    /// Returns the loads that were decided and those carried out, once the last one decided is
-    /// carried out. A burst may lead to a second replica, which is still being loaded when the first
-    /// one has answered all. More loads than decided are returned at once.
+    /// Waits until every accepted load intent has been carried out, and returns the number of
+    /// accepted intents and of loads. A burst may lead to a second replica, which is still being
+    /// loaded when the first one has answered all requests. More loads than accepted intents are
+    /// returned at once.
     fn settled_loads(&self, model: &str) -> Result<(usize, usize)> {
-        poll_until("every load decided is carried out", MAX_POLLS, || {
-            // The engines are asked first: a load decided in between does not count as carried out.
+        poll_until("every accepted load is carried out", MAX_POLLS, || {
+            // The engines are queried first, so that a load accepted in between does not count as
+            // carried out.
             let loads = self.loads(model)?;
-            let decided = self.decided(model)?;
-            Ok((loads >= decided && decided > 0).then_some((decided, loads)))
+            let accepted = self.accepted_loads(model)?;
+            Ok((loads >= accepted && accepted > 0).then_some((accepted, loads)))
         })
     }
 
@@ -237,13 +240,13 @@
         Ok(usize::try_from(loads).unwrap_or(usize::MAX))
     }
 
-    fn decided(&self, model: &str) -> Result<usize> {
+    fn accepted_loads(&self, model: &str) -> Result<usize> {
         let log = self.cluster.standin(LOG)?;
         let decided = records::decided_loads(log)?;
         let intents = records::load_intents(log)?.into_iter();
-        let of_model = intents
+        let accepted = intents
             .filter(|(offset, intent)| intent.model.as_str() == model && decided.contains(offset));
-        Ok(of_model.count())
+        Ok(accepted.count())
     }
 
     fn calls(&self, call: &str) -> Result<u64> {
