--- a/crates/launcher/src/entry_demo.rs
+++ b/crates/launcher/src/entry_demo.rs
@@ -1,5 +1,5 @@
-//! The demonstration on the users' platform: entry VMs before stand-ins of its store, engines and
-//! services.
+//! Demonstration on the users' platform: entry VMs with stand-ins of the platform's store, engines
+//! and services.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,25 +26,25 @@
 use crate::poll::poll_until;
 use crate::programs::Program;
 
-/// How long an answer may take. It is a limit for failures only.
+/// Upper bound of the wait for an answer, so that a demonstration with a hanging request ends.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The VMs, each with a door of its own to the store.
+/// Number of VMs; each reaches the store at an address of its own.
 const VM_COUNT: usize = 3;
 
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 const EVENTS_PER_STREAM: u64 = 40;
 
-/// The time between two of them, so that a stream is under way while its VM stops.
+/// Time between two events, long enough that a stream is in progress while its VM stops.
 const EVENT_INTERVAL_MS: u64 = 25;
 
-/// The line of a VM that has taken the lease for orders.
+/// Text in the log line of a VM that has acquired the order lease.
 const LEASE_HOLDER_LINE: &str = "this VM gives orders";
 
-/// `EntryDemo` runs the demonstration.
+/// Running demonstration: its site, its VMs and the checks made so far.
 pub struct EntryDemo<'a> {
     site: Site,
-    /// None once a VM has been ended.
+    /// VMs by their number; none once the VM has been stopped or killed.
     vms: Vec<Option<VmProcess>>,
     checks: Checks<'a>,
     requests_sent: u64,
@@ -55,7 +55,8 @@
     ///
     /// # Errors
     ///
-    /// `Error::MissingProgram` if the VMs' program has not been built; any of starting processes.
+    /// `Error::MissingProgram` if the VMs' program has not been built, `Error::Io` if a stand-in or
+    /// a VM can't be started.
     pub fn start(out: &'a mut dyn Write) -> Result<Self> {
         let program = Program::Entry.path()?;
         let mut checks = Checks::new(out);
@@ -86,11 +87,11 @@
         })
     }
 
-    /// Runs all steps, ends everything and returns whether all checks held.
+    /// Runs all steps, stops all processes and returns whether all checks passed.
     ///
     /// # Errors
     ///
-    /// Any of the launcher, when a step can't be carried out at all.
+    /// Any error of the launcher that keeps a step from being carried out.
     pub fn run(mut self) -> Result<bool> {
         self.start_up()?;
         self.streams()?;
@@ -108,12 +109,12 @@
 
     fn start_up(&mut self) -> Result<()> {
         for index in 0..VM_COUNT {
-            poll_until("every VM takes callers", MAX_POLLS, || {
+            poll_until("every VM is ready", MAX_POLLS, || {
                 Ok(self.vm(index)?.is_ready(ANSWER_TIMEOUT).then_some(()))
             })?;
         }
         self.checks
-            .check(format!("{VM_COUNT} VMs know the configuration"), true)
+            .check(format!("{VM_COUNT} VMs have the configuration"), true)
     }
 
     fn streams(&mut self) -> Result<()> {
@@ -128,29 +129,29 @@
 
     fn unloaded_model(&mut self) -> Result<()> {
         self.checks
-            .step("All VMs are asked at once for a model that no engine holds")?;
+            .step("Concurrent requests at all VMs for a model that is not loaded")?;
         let mut waiting = Vec::new();
         for index in 0..VM_COUNT {
             let request = Ask::patient(&self.next_id(), "m2");
             let mut caller = Caller::connect(self.vm(index)?.callers, ANSWER_TIMEOUT)?;
             waiting.push(thread::spawn(move || caller.ask(&request)));
         }
-        let mut whole = 0;
+        let mut complete = 0;
         for answer in waiting {
-            let answer = answer
-                .join()
-                .map_err(|_| Error::failed("asking", "the caller's thread panicked"))??;
-            whole += usize::from(is_complete_stream(&answer));
+            let answer = answer.join().map_err(|_| {
+                Error::failed("sending a request", "the caller's thread panicked")
+            })??;
+            complete += usize::from(is_complete_stream(&answer));
         }
         let holding = self
             .site
             .engines
             .iter()
-            .filter(|it| it.serves("m2"))
+            .filter(|engine| engine.serves("m2"))
             .count();
         self.checks.check(
-            format!("{whole} of {VM_COUNT} answered whole; {holding} engine holds it now"),
-            whole == VM_COUNT && holding == 1,
+            format!("{complete} of {VM_COUNT} answers complete; {holding} engine has loaded it"),
+            complete == VM_COUNT && holding == 1,
         )
     }
 
@@ -158,25 +159,25 @@
         self.checks
             .step("An instance of the service runs calls and loses their answers")?;
         self.lose_next_answer_of_all();
-        let booked = self.ask(0, Ask::book)?;
+        let booking = self.ask(0, Ask::book)?;
         let runs = self.runs_of_last_request();
         self.checks.check(
-            format!("a booking: {}, ran {runs} times", describe(&booked)),
-            booked.status() == 502 && runs == 1,
+            format!("a booking: {}, ran {runs} times", describe(&booking)),
+            booking.status() == 502 && runs == 1,
         )?;
         self.discard_unused_faults();
         self.lose_next_answer_of_first();
-        let looked = self.ask(0, Ask::look)?;
+        let lookup = self.ask(0, Ask::look)?;
         let runs = self.runs_of_last_request();
         self.checks.check(
-            format!("a lookup: {}, ran {runs} times", describe(&looked)),
-            looked.is_success() && runs <= 2,
+            format!("a lookup: {}, ran {runs} times", describe(&lookup)),
+            lookup.is_success() && runs <= 2,
         )
     }
 
     fn replace_lease_holder(&mut self) -> Result<()> {
         self.checks
-            .step("The VM that gives orders is killed, and an adapter is asked for")?;
+            .step("The lease holder is killed, and an adapter is requested")?;
         let lease_holder = self.lease_holder()?;
         self.vms[lease_holder] = None;
         let other = (lease_holder + 1) % VM_COUNT;
@@ -192,7 +193,7 @@
 
     fn store_outage(&mut self) -> Result<()> {
         self.checks
-            .step("The store goes away; loaded models and services are served")?;
+            .step("The store is unavailable; loaded models and services are served")?;
         self.set_store_fault(StoreFault::Reset);
         let index = self.first_running_vm()?;
         let stream = self.ask(index, |id| Ask::quick(id, "m0"))?;
@@ -210,7 +211,7 @@
 
     fn planned_stop(&mut self) -> Result<()> {
         self.checks
-            .step("A VM stops as planned, with a stream under way")?;
+            .step("A VM stops as planned, with a stream in progress")?;
         let index = self.first_running_vm()?;
         let request = Ask::quick(&self.next_id(), "m0");
         let mut caller = Caller::connect(self.vm(index)?.callers, ANSWER_TIMEOUT)?;
@@ -221,7 +222,7 @@
                 .site
                 .engines
                 .iter()
-                .any(|it| it.run_counts().contains_key(&id));
+                .any(|engine| engine.run_counts().contains_key(&id));
             Ok(ran.then_some(()))
         })?;
         self.vm(index)?.signal(Signal::SIGTERM)?;
@@ -233,28 +234,28 @@
         let Some(mut vm) = self.vms[index].take() else {
             return Err(Error::NotRunning(format!("vm{index}")));
         };
-        let status = poll_until("the process ends", MAX_POLLS, || Ok(vm.try_wait()?))?;
+        let status = poll_until("the process has exited", MAX_POLLS, || Ok(vm.try_wait()?))?;
         self.checks
-            .check(format!("vm{index} ended: {status}"), status.success())
+            .check(format!("vm{index} exited: {status}"), status.success())
     }
 
     fn check_orders(&mut self) -> Result<()> {
-        self.checks.step("What the engines were told")?;
+        self.checks.step("Orders that the engines received")?;
         let mut overcommitted = 0;
         let mut holders: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
-        let mut in_order = true;
+        let mut is_in_order = true;
         for engine in &self.site.engines {
             let effects = engine.effects();
             overcommitted += effects.overcommitted;
-            in_order &= effects.holders.is_sorted_by_key(|(fence, _)| *fence);
+            is_in_order &= effects.holders.is_sorted_by_key(|(fence, _)| *fence);
             for (fence, holder) in effects.holders {
                 holders.entry(fence).or_default().insert(holder);
             }
         }
-        let alone = holders.values().all(|names| names.len() == 1);
+        let is_exclusive = holders.values().all(|names| names.len() == 1);
         self.checks.check(
-            format!("{} givers of orders, one after the other", holders.len()),
-            alone && in_order && holders.len() == 2,
+            format!("{} lease holders, one after the other", holders.len()),
+            is_exclusive && is_in_order && holders.len() == 2,
         )?;
         self.checks.check(
             format!("memory overcommitted {overcommitted} times"),
@@ -295,7 +296,7 @@
         self.vms
             .iter()
             .position(is_lease_holder)
-            .ok_or_else(|| Error::UnknownName("VM that gives orders".to_owned()))
+            .ok_or_else(|| Error::UnknownName("VM that holds the order lease".to_owned()))
     }
 
     fn runs_of_last_request(&self) -> usize {
@@ -310,14 +311,14 @@
             .sum()
     }
 
-    /// Has every instance lose its next answer, so that it does not matter which one is asked.
+    /// Has every instance of the service lose its next answer, whichever gets the call.
     fn lose_next_answer_of_all(&self) {
         for service in &self.site.services {
             service.push_fault(AnswerFault::LostAnswer);
         }
     }
 
-    /// Takes back the faults that were not used.
+    /// Removes the faults that no answer has used up.
     fn discard_unused_faults(&self) {
         for service in &self.site.services {
             service.clear_faults();
@@ -349,8 +350,8 @@
     let events = answer.event_ids().len();
     match (answer.status(), answer.whole) {
         (0, _) => "no answer".to_owned(),
-        (status, true) if events > 0 => format!("{status}, {events} events, whole"),
-        (status, true) => format!("{status}, whole"),
-        (status, false) => format!("{status}, cut after {events} events"),
+        (status, true) if events > 0 => format!("{status}, {events} events, complete"),
+        (status, true) => format!("{status}, complete"),
+        (status, false) => format!("{status}, cut off after {events} events"),
     }
 }
