--- a/crates/launcher/src/entry_up.rs
+++ b/crates/launcher/src/entry_up.rs
@@ -1,4 +1,4 @@
-//! An entry VM before stand-ins of the users' platform, to try callers' requests on.
+//! Site with one entry VM and stand-ins of the users' platform, for experiments with requests.
 
 use std::io::Write;
 use std::time::Duration;
@@ -20,38 +20,38 @@
 use crate::poll::poll_until;
 use crate::programs::Program;
 
-/// How long an answer may take. It is a limit for failures only.
+/// Timeout of a readiness check, so that a start with a hanging VM ends.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// More than end under one request that crashes engines.
+/// Number of engines; it exceeds the number of engines that one crashing request can end.
 const ENGINE_COUNT: usize = 8;
 
-/// The body of a request under which an engine ends holds this.
+/// Text in the body of a request that crashes the engine.
 const CRASH_MARKER: &[u8] = b"crash";
 
-/// How long such a request runs.
+/// Time for which such a request runs before the crash.
 const CRASH_AFTER_MS: u64 = 100;
 
-/// Organisations with the tokens that each may use a second; 0 for one without a limit.
+/// Organisations with their limits in tokens per second; 0 for one without a limit.
 const ORGANISATIONS: [(&str, f64); 2] = [("north", 0.0), ("south", 1_000.0)];
 
-/// How much of its limit an organisation may use at once.
+/// Burst that a limit allows, in seconds of its rate.
 const BURST_S: f64 = 4.0;
 
-/// `EntryUp` is a site with one VM and two organisations, of which one has a limit.
+/// Running site with one VM and two organisations, one of which has a limit.
 pub struct EntryUp {
     site: Site,
     vm: VmProcess,
-    /// The organisations' names and keys.
+    /// Names of the organisations with their keys.
     keys: Vec<(String, String)>,
 }
 
 impl EntryUp {
-    /// Runs a site until SIGINT or SIGTERM.
+    /// Starts a site, prints its keys and its address, and runs it until SIGINT or SIGTERM.
     ///
     /// # Errors
     ///
-    /// Those of [`EntryUp::start`], and any of writing.
+    /// Those of [`EntryUp::start`], and `Error::Io` if the output can't be written.
     pub fn run(out: &mut dyn Write) -> Result<()> {
         let mut signals = Signals::new([SIGINT, SIGTERM])?;
         let running = Self::start()?;
@@ -62,11 +62,12 @@
         Ok(())
     }
 
-    /// Starts the stand-ins and the VM, and waits until it takes callers. The keys are drawn.
+    /// Starts the stand-ins and the VM, and waits until the VM is ready. The keys are random.
     ///
     /// # Errors
     ///
-    /// `Error::MissingProgram` if the VM's program has not been built; any of starting processes.
+    /// `Error::MissingProgram` if the VM's program has not been built, `Error::Io` if a stand-in or
+    /// the VM can't be started, `Error::PollLimitReached` if the VM does not become ready.
     pub fn start() -> Result<Self> {
         let program = Program::Entry.path()?;
         let organisations = ORGANISATIONS.map(|(name, tokens_per_s)| SiteOrganisation {
@@ -92,10 +93,11 @@
             ..SiteOptions::default()
         })?;
         let vm = VmProcess::start(&VmOptions::new(&program, "vm0", site.door_addresses[0]))?;
-        poll_until("the VM takes callers", MAX_POLLS, || {
+        poll_until("the VM is ready", MAX_POLLS, || {
             Ok(vm.is_ready(ANSWER_TIMEOUT).then_some(()))
         })?;
-        let keys = organisations.map(|it| (it.name, it.keys.concat()));
+        let keys =
+            organisations.map(|organisation| (organisation.name, organisation.keys.concat()));
         Ok(Self {
             site,
             vm,
@@ -103,7 +105,7 @@
         })
     }
 
-    /// Writes the keys, and last where callers connect.
+    /// Writes the keys, and in the last line the address for callers.
     fn write_addresses(&self, out: &mut dyn Write) -> Result<()> {
         for (name, key) in &self.keys {
             writeln!(out, "key {name} {key}")?;
