--- a/crates/launcher/src/errors.rs
+++ b/crates/launcher/src/errors.rs
@@ -1,55 +1,56 @@
-//! Errors of starting and driving processes.
+//! Errors of starting, signalling and querying processes.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// `Result` is the result of starting or driving a process.
+/// Result of starting, signalling or querying a process.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what starting or driving processes can fail with.
+/// Reason for which a process can't be started, signalled or queried.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// A program is not beside the running one. `make build` puts all of them there.
+    /// A program is not in the directory of the running one, where `make build` puts all of them.
     #[error("program {0} is missing; run `make build` first")]
     MissingProgram(PathBuf),
-    /// A process did not print its ready line.
-    #[error("{name} did not get ready: {detail}; its log:\n{log}")]
+    /// A process did not print its ready line or did not become ready.
+    #[error("{name} did not become ready: {detail}; its log:\n{log}")]
     NotReady {
-        /// The process.
+        /// Name of the process.
         name: String,
-        /// What came instead.
+        /// What happened instead, as a phrase.
         detail: String,
-        /// The end of its standard error.
+        /// Last lines of its output.
         log: String,
     },
-    /// A process is not running.
+    /// The process with this name is not running.
     #[error("{0} is not running")]
     NotRunning(String),
-    /// No process or upstream has the name.
+    /// No process or upstream has this name.
     #[error("there is no {0}")]
     UnknownName(String),
-    /// A condition did not come true within its limit.
-    #[error("gave up waiting until {0}")]
+    /// A condition, described by this text, did not hold within its number of polls or its timeout.
+    #[error("timed out waiting until {0}")]
     PollLimitReached(String),
-    /// A stand-in, an admin address or `apricotctl` refused or could not be reached.
+    /// A stand-in or a daemon refused a request or could not be reached, or another operation of
+    /// the launcher failed.
     #[error("{action} failed: {detail}")]
     Failed {
-        /// What was tried.
+        /// Operation that failed.
         action: String,
-        /// Why it failed.
+        /// Reason of the failure.
         detail: String,
     },
     /// A signal could not be sent.
     #[error("signal: {0}")]
     Signal(#[from] nix::errno::Errno),
-    /// A file, pipe or socket failed.
+    /// An operation on a file, pipe or socket failed.
     #[error("input or output: {0}")]
     Io(#[from] std::io::Error),
 }
 
 impl Error {
-    /// Returns an [`Error::Failed`].
+    /// Returns an [`Error::Failed`] for an operation.
     pub fn failed(action: impl Into<String>, detail: impl ToString) -> Self {
         Self::Failed {
             action: action.into(),
