--- a/crates/launcher/src/health.rs
+++ b/crates/launcher/src/health.rs
@@ -1,17 +1,18 @@
-//! Whether a VM takes requests.
+//! Readiness check of a VM.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::http::agent;
 
-/// The path of the health check.
+/// Path of the readiness check on the callers' interface.
 const READY_PATH: &str = "/health/ready";
 
-/// The longest time that one check may take.
+/// Timeout of one readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Returns whether the VM whose callers' interface is at an address says that it takes requests.
+/// Returns whether the VM whose callers' interface is at an address reports that it is ready; false
+/// if it can't be reached.
 pub fn is_ready(callers: SocketAddr) -> bool {
     let answer = agent(READINESS_TIMEOUT)
         .get(format!("http://{callers}{READY_PATH}"))
