--- a/crates/launcher/src/interrupts.rs
+++ b/crates/launcher/src/interrupts.rs
@@ -1,4 +1,4 @@
-//! Ending on SIGINT and SIGTERM.
+//! Handling of SIGINT and SIGTERM.
 
 use std::process;
 use std::sync::Arc;
@@ -13,22 +13,23 @@
 use crate::errors::Result;
 use crate::processes::Processes;
 
-/// What a shell adds to a signal's number in the code of a program that the signal ended.
+/// Number that a shell adds to a signal's number in the exit code of a program that the signal
+/// ended.
 const SIGNAL_CODE_BASE: i32 = 128;
 
-/// `Interrupts` ends all watched processes and then this program when SIGINT or SIGTERM comes.
+/// Signal handler that ends all watched processes and then this program on SIGINT or SIGTERM.
 #[derive(Clone, Debug)]
 pub struct Interrupts {
     watched: Arc<Mutex<Vec<Processes>>>,
 }
 
 impl Interrupts {
-    /// Handles the signals from now on, in a thread of its own. The program then ends with the
-    /// given code, or with the one that a shell shows for the signal.
+    /// Starts to handle the signals in a thread of its own. On a signal the program exits with
+    /// `code` or, if none, with the code that a shell shows for the signal.
     ///
     /// # Errors
     ///
-    /// `Error::Io` if the signals can't be handled.
+    /// `Error::Io` if the signal handler can't be installed.
     pub fn install(code: Option<i32>) -> Result<Self> {
         let mut signals = Signals::new([SIGINT, SIGTERM])?;
         let interrupts = Self {
@@ -45,7 +46,7 @@
         Ok(interrupts)
     }
 
-    /// Ends these processes, too, when a signal comes.
+    /// Adds processes to those that are ended on a signal.
     pub fn watch(&self, processes: &Processes) {
         self.watched().push(processes.clone());
     }
