--- a/crates/launcher/src/lib.rs
+++ b/crates/launcher/src/lib.rs
@@ -1,4 +1,4 @@
-//! Starts stand-ins and VMs as child processes on loopback, and drives them from the outside.
+//! Launcher of stand-ins and VMs as child processes on loopback, with clients for their interfaces.
 //!
 //! The launcher is a tool for demonstrations and tests. The system itself starts no processes.
 
--- a/crates/launcher/src/main.rs
+++ b/crates/launcher/src/main.rs
@@ -1,4 +1,4 @@
-//! The `launcher` program: the demonstration, and a cluster to try things on.
+//! Command line program `launcher`: runs the demonstrations, or a cluster for experiments.
 
 #![forbid(unsafe_code)]
 
@@ -21,25 +21,25 @@
 use apricotdale_launcher::interrupts::Interrupts;
 use apricotdale_launcher::sample;
 
-/// The fewest VMs with which the demonstration can drain one, kill one and go on.
+/// Number of VMs of the demonstration, which drains one, kills one and uses the remaining one.
 const DEMO_VMS: usize = 3;
 
 /// Starts stand-ins and VMs on loopback
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// Show the main promises on real requests, step by step
+    /// Demonstrate the main guarantees on real requests, step by step
     #[bpaf(command("demo"))]
     Demo {
         /// Directory for the processes' output
         #[bpaf(argument("DIR"))]
         logs: Option<PathBuf>,
     },
-    /// Show the same on the users' platform: entry VMs before its stand-ins
+    /// Demonstrate the same on the users' platform, with entry VMs and stand-ins of the platform
     #[bpaf(command("entry-demo"))]
     EntryDemo,
-    /// Start an entry VM before the stand-ins of the users' platform, print its address and the
-    /// callers' keys, and leave it running until SIGINT or SIGTERM
+    /// Start an entry VM with stand-ins of the users' platform, print its address and the callers'
+    /// keys, and leave it running until SIGINT or SIGTERM
     #[bpaf(command("entry-up"))]
     EntryUp,
     /// Start a cluster and leave it running until SIGINT or SIGTERM
@@ -98,7 +98,7 @@
     }
     out.flush()?;
     loop {
-        // The signals' thread ends the processes and this program.
+        // The signal handler's thread ends the processes and this program.
         thread::park();
     }
 }
