--- a/crates/launcher/src/metrics.rs
+++ b/crates/launcher/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Reading one metric of a VM.
+//! Reading of a VM's metrics.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 use crate::errors::Result;
 use crate::http::agent;
 
-/// The path of the metrics on the operators' interface.
+/// Path of the metrics on the admin interface.
 const METRICS_PATH: &str = "/metrics";
 
-/// The longest time that one reading may take.
+/// Timeout of one request for the metrics.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Returns the sum of the samples whose name and labels begin with a text, as a whole number.
+/// Returns the sum of a VM's samples whose name and labels begin with `sample`, rounded down.
 ///
 /// # Errors
 ///
@@ -26,8 +26,8 @@
     Ok(sum_of(&text, sample))
 }
 
-/// Returns the sum of the samples of a text in the Prometheus format whose name and labels begin
-/// with the given text.
+/// Returns the sum of the samples in a text of the Prometheus format whose name and labels begin
+/// with `sample`, rounded down.
 pub fn sum_of(text: &str, sample: &str) -> u64 {
     let samples = text.lines().filter(|line| !line.starts_with('#'));
     let values = samples
--- a/crates/launcher/src/poll.rs
+++ b/crates/launcher/src/poll.rs
@@ -1,4 +1,4 @@
-//! Looking again and again until a condition holds.
+//! Polling until a condition holds.
 
 use std::thread;
 use std::time::Duration;
@@ -6,24 +6,25 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// The pause between two looks. It only spares the processor: no test may depend on its length.
+/// Pause between two polls. It only saves processor time: no test may depend on its length.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The number of looks after which a condition that must come true is given up.
+/// Number of polls after which a condition counts as failed.
 pub const MAX_POLLS: u32 = 600;
 
-/// Looks until `look` returns a value and returns that.
+/// Calls `poll` until it returns a value, and returns that value. `condition` describes what is
+/// awaited, for the error.
 ///
 /// # Errors
 ///
-/// `Error::PollLimitReached` after `limit` looks, and the first error of `look`.
+/// `Error::PollLimitReached` after `max_polls` polls, and the first error of `poll`.
 pub fn poll_until<T>(
     condition: &str,
-    limit: u32,
-    mut look: impl FnMut() -> Result<Option<T>>,
+    max_polls: u32,
+    mut poll: impl FnMut() -> Result<Option<T>>,
 ) -> Result<T> {
-    for _ in 0..limit {
-        if let Some(value) = look()? {
+    for _ in 0..max_polls {
+        if let Some(value) = poll()? {
             return Ok(value);
         }
         thread::sleep(POLL_INTERVAL);
