--- a/crates/launcher/src/process.rs
+++ b/crates/launcher/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process: its start, its ready line, its signals and its end.
+//! One child process: start, ready line, signals and exit.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -30,25 +30,26 @@
 use crate::programs::Program;
 use crate::ready::ReadyLine;
 
-/// How much of a process's log an error shows.
+/// Number of lines from the end of a process's log that an error shows.
 const LOG_TAIL_LINES: usize = 20;
 
-/// `LaunchOptions` is what a process is started with.
+/// Options with which a process is started.
 #[derive(Clone, Debug)]
 pub struct LaunchOptions {
-    /// The name under which the process is spoken of.
+    /// Name of the process in logs and errors.
     pub name: String,
-    /// The program.
+    /// Program to run.
     pub program: Program,
-    /// Its arguments.
+    /// Command line arguments.
     pub arguments: Vec<OsString>,
-    /// The directory into which its output is written.
+    /// Directory of the process's log file, which is named after the process.
     pub log_dir: PathBuf,
-    /// Whether its output follows that of an earlier process of the name, or else replaces it.
+    /// Whether the output is appended to the log of an earlier process with the same name. If not,
+    /// it replaces that log.
     pub appends_log: bool,
 }
 
-/// `Process` is a running child process. Dropping it kills the process and waits for its end.
+/// Child process. Dropping it kills the process and waits for its end.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -58,12 +59,12 @@
     exit_status: Option<ExitStatus>,
 }
 
-/// `Exit` is how a process ended.
+/// How a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It ended by itself with this code.
+    /// The process exited with this code.
     Code(i32),
-    /// A signal ended it.
+    /// The signal with this number ended the process.
     Killed(i32),
 }
 
@@ -86,8 +87,8 @@
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(log.try_clone()?)
-            // A terminal sends Ctrl-C to its whole process group. In that group the children would
-            // end at once, beside the launcher's own order of ending them.
+            // A terminal sends SIGINT on Ctrl-C to every process of its process group. In that
+            // group the children would end at once instead of in the launcher's order.
             .process_group(0)
             .spawn()?;
         let stdout = child.stdout.take().expect("the standard output is piped");
@@ -107,12 +108,12 @@
         &self.name
     }
 
-    /// Returns the operating system's number of the process.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns what waits for the process's ready line without holding the process.
+    /// Returns a waiter for the process's ready line that does not borrow the process.
     pub fn ready_waiter(&self) -> ReadyWaiter {
         ReadyWaiter {
             name: self.name.clone(),
@@ -121,14 +122,14 @@
         }
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
     /// `Error::NotRunning` if the process has ended, `Error::Signal` if the signal can't be sent.
     pub fn signal(&mut self, signal: Signal) -> Result<()> {
-        // A number whose process has been waited for may belong to a stranger by now, which would
-        // be signalled in its place.
+        // The ID of a process that has been waited for may belong to an unrelated process by now,
+        // which would get the signal instead.
         if self.poll_exit()?.is_some() {
             return Err(Error::NotRunning(self.name.clone()));
         }
@@ -136,7 +137,7 @@
         Ok(())
     }
 
-    /// Kills the process, frozen or not, and waits for its end.
+    /// Kills the process, stopped or not, and waits for its end. Does nothing if it has ended.
     ///
     /// # Errors
     ///
@@ -150,7 +151,7 @@
         Ok(())
     }
 
-    /// Returns how the process ended, or none while it runs.
+    /// Returns how the process ended; none while it runs.
     ///
     /// # Errors
     ///
@@ -162,7 +163,7 @@
         Ok(self.exit_status.map(exit_of))
     }
 
-    /// Returns the end of the process's log.
+    /// Returns the last lines of the process's log.
     pub fn log_tail(&self) -> String {
         tail(&self.log_path)
     }
@@ -172,7 +173,7 @@
     }
 }
 
-/// `ReadyWaiter` waits for a process's ready line.
+/// Waiter for the ready line of a process.
 #[derive(Clone, Debug)]
 pub struct ReadyWaiter {
     name: String,
@@ -181,16 +182,16 @@
 }
 
 impl ReadyWaiter {
-    /// Waits for the ready line, at most for `limit`.
+    /// Waits for the ready line, at most for `timeout`.
     ///
     /// # Errors
     ///
-    /// `Error::NotReady` if the process ended before or the limit passed.
-    pub fn wait(&self, limit: Duration) -> Result<ReadyLine> {
-        let detail = match self.ready.recv_timeout(limit) {
+    /// `Error::NotReady` if the process ends before its ready line or the timeout expires.
+    pub fn wait(&self, timeout: Duration) -> Result<ReadyLine> {
+        let detail = match self.ready.recv_timeout(timeout) {
             Ok(line) => return Ok(line),
-            Err(RecvTimeoutError::Timeout) => format!("no ready line within {limit:?}"),
-            Err(RecvTimeoutError::Disconnected) => "it ended before its ready line".to_owned(),
+            Err(RecvTimeoutError::Timeout) => format!("no ready line within {timeout:?}"),
+            Err(RecvTimeoutError::Disconnected) => "it exited before its ready line".to_owned(),
         };
         Err(Error::NotReady {
             name: self.name.clone(),
@@ -202,24 +203,25 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A child that outlives the launcher keeps its port and its memory, and the next run finds
-        // a busy machine; so the end is waited for. Nothing can be done about a failure here.
+        // A child that outlives the launcher would keep its port and its memory from the next run,
+        // so its end is awaited. A failure can't be handled here.
         let _ = self.kill();
     }
 }
 
-/// Passes on the ready line and writes all lines to the log, until the process closes its output.
+/// Sends the ready line to the channel and writes all lines to the log, until the process closes
+/// its output.
 fn follow_output(stdout: ChildStdout, mut log: File, ready: &Sender<ReadyLine>) {
     for line in BufReader::new(stdout).lines() {
         let Ok(line) = line else {
             return;
         };
         if let Some(ready_line) = ReadyLine::parse(&line) {
-            // Only the first ready line counts; a full channel means that it has been passed on.
+            // Only the first ready line counts; if the channel is full, that line has been sent.
             let _ = ready.try_send(ready_line);
         }
-        // The log only helps a person to find a fault. The pipe must be emptied all the same, or
-        // the process would block on a full pipe.
+        // The log only helps to diagnose failures, so a failed write is ignored. The pipe must
+        // still be read, or the process would block on a full pipe.
         let _ = writeln!(log, "{line}");
     }
 }
