--- a/crates/launcher/src/processes.rs
+++ b/crates/launcher/src/processes.rs
@@ -1,4 +1,4 @@
-//! All child processes of one launcher.
+//! Set of all child processes of one launcher.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -21,11 +21,11 @@
 use crate::programs::Program;
 use crate::ready::ReadyLine;
 
-/// What the operating system shows as the state of a thread that a signal stopped.
+/// State in `/proc` of a thread that a signal has stopped.
 const STOPPED_STATE: char = 'T';
 
-/// `Processes` is the child processes of one launcher, by name. Clones share the same processes, so
-/// that a signal's thread can end them while another thread starts more.
+/// Child processes of one launcher, by name. Clones share the same processes, so that the thread of
+/// a signal handler can end them while another thread starts more.
 #[derive(Clone, Debug)]
 pub struct Processes {
     log_dir: PathBuf,
@@ -39,7 +39,7 @@
 }
 
 impl Processes {
-    /// Returns an empty set whose processes write their output into a directory.
+    /// Returns an empty set whose processes write their logs into a directory.
     pub fn new(log_dir: impl Into<PathBuf>) -> Self {
         Self {
             log_dir: log_dir.into(),
@@ -47,22 +47,28 @@
         }
     }
 
-    /// Starts a process under a name. An earlier process of the name must have ended.
+    /// Starts a process under a name. An earlier process with the name must have ended.
     ///
     /// # Errors
     ///
     /// As for [`Process::start`]; `Error::Failed` if the name is in use or the set is closed.
     pub fn start(&self, name: &str, program: Program, arguments: Vec<OsString>) -> Result<()> {
-        // The table stays locked over the start. A process started while another thread closes the
-        // set would not be seen by it and would outlive the launcher.
+        // The table stays locked during the start. Otherwise a process started while another thread
+        // closes the set would be missed by it and would outlive the launcher.
         let mut table = self.table();
         if table.closed {
-            return Err(Error::failed(format!("starting {name}"), "all is stopping"));
+            return Err(Error::failed(
+                format!("starting {name}"),
+                "all processes are being stopped",
+            ));
         }
         if let Some(earlier) = table.processes.get(name)
             && lock(earlier).poll_exit()?.is_none()
         {
-            return Err(Error::failed(format!("starting {name}"), "it runs already"));
+            return Err(Error::failed(
+                format!("starting {name}"),
+                "it is already running",
+            ));
         }
         let launch = LaunchOptions {
             name: name.to_owned(),
@@ -80,13 +86,14 @@
     ///
     /// # Errors
     ///
-    /// As for [`Process::wait_ready`].
-    pub fn wait_ready(&self, name: &str, limit: Duration) -> Result<ReadyLine> {
+    /// `Error::UnknownName` if no process was started under the name, and those of
+    /// [`ReadyWaiter::wait`](crate::process::ReadyWaiter::wait).
+    pub fn wait_ready(&self, name: &str, timeout: Duration) -> Result<ReadyLine> {
         let waiter = lock(&*self.find(name)?).ready_waiter();
-        waiter.wait(limit)
+        waiter.wait(timeout)
     }
 
-    /// Sends a process a signal.
+    /// Sends a signal to a process.
     ///
     /// # Errors
     ///
@@ -95,11 +102,11 @@
         lock(&*self.find(name)?).signal(signal)
     }
 
-    /// Stops the time of a process and waits until it stands still.
+    /// Stops a process with SIGSTOP and waits until all its threads have stopped.
     ///
     /// # Errors
     ///
-    /// As for [`Process::signal`]; `Error::PollLimitReached` if the process does not stop.
+    /// As for [`Process::signal`]; `Error::PollLimitReached` if the threads do not stop.
     pub fn freeze(&self, name: &str) -> Result<()> {
         let id = {
             let process = self.find(name)?;
@@ -107,14 +114,14 @@
             process.signal(Signal::SIGSTOP)?;
             process.id()
         };
-        // The signal is delivered later than it is sent. What the process does in between would
-        // look as if it had been done by a frozen process.
-        poll_until(&format!("{name} stands still"), MAX_POLLS, || {
+        // The signal is delivered some time after it was sent. What the process does in between
+        // must not be taken for an action of a stopped process.
+        poll_until(&format!("{name} has stopped"), MAX_POLLS, || {
             Ok(is_stopped(id)?.then_some(()))
         })
     }
 
-    /// Kills a process, frozen or not, and waits for its end.
+    /// Kills a process, stopped or not, and waits for its end.
     ///
     /// # Errors
     ///
@@ -123,7 +130,7 @@
         lock(&*self.find(name)?).kill()
     }
 
-    /// Returns how a process ended, or none while it runs.
+    /// Returns how a process ended; none while it runs.
     ///
     /// # Errors
     ///
@@ -132,7 +139,7 @@
         lock(&*self.find(name)?).poll_exit()
     }
 
-    /// Returns the operating system's number of a process.
+    /// Returns the process ID of a process.
     ///
     /// # Errors
     ///
@@ -141,7 +148,7 @@
         Ok(lock(&*self.find(name)?).id())
     }
 
-    /// Returns the end of a process's log.
+    /// Returns the last lines of a process's log.
     ///
     /// # Errors
     ///
@@ -150,17 +157,17 @@
         Ok(lock(&*self.find(name)?).log_tail())
     }
 
-    /// Returns the names of the processes, in order.
+    /// Returns the names of all processes that were started, in alphabetical order.
     pub fn names(&self) -> Vec<String> {
         self.table().processes.keys().cloned().collect()
     }
 
-    /// Kills all processes, waits for their ends, and lets no more be started.
+    /// Kills all processes, waits for their ends, and refuses to start more.
     pub fn close(&self) {
         let mut table = self.table();
         table.closed = true;
         for process in table.processes.values() {
-            // Nothing can be done about a process that can't be killed; the others still are.
+            // A process that can't be killed must not keep the others from being killed.
             let _ = lock(process).kill();
         }
     }
@@ -176,15 +183,16 @@
     }
 }
 
-/// Returns whether the operating system shows every thread of a process as stopped.
+/// Returns whether every thread of a process is stopped, according to `/proc`.
 fn is_stopped(id: u32) -> Result<bool> {
     for task in fs::read_dir(format!("/proc/{id}/task"))? {
         let stat = fs::read_to_string(task?.path().join("stat"))?;
-        // The state follows the program's name, which is in brackets and may hold any character.
+        // The state follows the program's name, which is in parentheses and may contain any
+        // character.
         let state = stat
             .rsplit(") ")
             .next()
-            .and_then(|rest| rest.chars().next());
+            .and_then(|remainder| remainder.chars().next());
         if state != Some(STOPPED_STATE) {
             return Ok(false);
         }
@@ -192,8 +200,8 @@
     Ok(true)
 }
 
-/// Locks a mutex, also after a thread panicked while it held it: the processes must be ended then,
-/// too.
+/// Locks a mutex, even if a thread panicked while it held the lock: the processes must be ended in
+/// that case, too.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
