--- a/crates/launcher/src/programs.rs
+++ b/crates/launcher/src/programs.rs
@@ -1,4 +1,4 @@
-//! Where the programs are.
+//! Programs that the launcher starts, and their paths.
 
 use std::env;
 use std::path::Path;
@@ -7,24 +7,24 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// `Program` is one of the programs that the launcher starts.
+/// Program that the launcher can start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Program {
-    /// The daemon.
+    /// Daemon of a VM.
     Daemon,
-    /// The daemon of an entry VM on the users' platform.
+    /// Daemon of an entry VM on the users' platform.
     Entry,
-    /// The operators' command.
+    /// Command line tool for operators.
     Control,
-    /// The stand-in of the append-only log.
+    /// Stand-in of the append-only log.
     Log,
-    /// The stand-in of a model engine.
+    /// Stand-in of a model engine.
     Engine,
-    /// The stand-in of one instance of a plain service.
+    /// Stand-in of one instance of a plain service.
     Service,
-    /// The stand-in of the weight store.
+    /// Stand-in of the weight store.
     Weights,
-    /// The stand-in of the list of VMs.
+    /// Stand-in of the platform's VM list.
     VmList,
 }
 
@@ -43,11 +43,12 @@
         }
     }
 
-    /// Returns the program's path, beside the running program.
+    /// Returns the program's path in the directory of the running program.
     ///
     /// # Errors
     ///
-    /// `Error::MissingProgram` if it has not been built.
+    /// `Error::MissingProgram` if the program has not been built, `Error::Io` if the running
+    /// program's path can't be determined.
     pub fn path(self) -> Result<PathBuf> {
         let running = env::current_exe()?;
         let path = program_dir(&running).join(self.file_name());
@@ -58,7 +59,7 @@
     }
 }
 
-/// Returns the directory of the built programs. Cargo puts test programs one level below it.
+/// Returns the directory of the built programs. Cargo puts test programs into a directory below it.
 fn program_dir(running: &Path) -> &Path {
     let dir = running.parent().unwrap_or(Path::new("."));
     match dir.file_name() {
--- a/crates/launcher/src/ready.rs
+++ b/crates/launcher/src/ready.rs
@@ -1,32 +1,34 @@
-//! The line with which a process says that its listeners are up.
+//! Ready line: the line on its standard output with which a process announces its listeners.
 
 use std::net::SocketAddr;
 
-/// The word with which every ready line begins.
+/// First word of every ready line.
 const READY_WORD: &str = "listening";
 
-/// `ReadyLine` is the addresses that a process has bound.
+/// Addresses at which a process listens, from its ready line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadyLine {
-    /// A stand-in: `listening 127.0.0.1:4000`.
+    /// Ready line of a stand-in: `listening 127.0.0.1:4000`.
     Standin(SocketAddr),
-    /// A daemon: `listening callers=127.0.0.1:4000 peers=127.0.0.1:4001 admin=127.0.0.1:4002`.
+    /// Ready line of a daemon:
+    /// `listening callers=127.0.0.1:4000 peers=127.0.0.1:4001 admin=127.0.0.1:4002`, with the
+    /// addresses in any order.
     Daemon(DaemonAddresses),
 }
 
-/// `DaemonAddresses` is where a daemon listens.
+/// Addresses at which a daemon listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DaemonAddresses {
-    /// For callers.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// For the other daemons.
+    /// Address for messages of the other daemons.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Address of the admin interface for operators.
     pub admin: SocketAddr,
 }
 
 impl ReadyLine {
-    /// Returns the ready line that the text is, or none if it is another line.
+    /// Parses a line of output; none if it is no ready line.
     pub fn parse(text: &str) -> Option<Self> {
         let mut words = text.split_whitespace();
         if words.next() != Some(READY_WORD) {
