--- a/crates/launcher/src/sample.rs
+++ b/crates/launcher/src/sample.rs
@@ -1,4 +1,4 @@
-//! The cluster and the configuration of the demonstration.
+//! Cluster and configuration of the demonstration.
 
 use std::collections::BTreeMap;
 
@@ -14,35 +14,35 @@
 use apricotdale_core::names::GroupName;
 use apricotdale_core::names::ModelName;
 
-/// The class of quick answers, which is also that of requests that name none.
+/// Class for quick answers, and default class of requests that name none.
 pub const QUICK: &str = "quick";
-/// The class of careful work that may wait.
+/// Class for planning, which may wait longer.
 pub const REPLAN: &str = "replan";
-/// The class of long reviews.
+/// Class for long reviews.
 pub const REVIEW: &str = "review";
-/// A model of the first group.
+/// Model of the group whose engines check fencing tokens.
 pub const SLOT_PLANNER: &str = "slot-planner";
-/// A model of the second group.
+/// Model of the group whose engines do not check fencing tokens.
 pub const WEAR_REVIEW: &str = "wear-review";
-/// The group whose engines refuse old fencing numbers.
+/// Group whose engines refuse orders with an outdated fencing token.
 pub const CHECKING_GROUP: &str = "planner-lm";
-/// The group whose engines obey every order.
+/// Group whose engines execute orders whatever their fencing token.
 pub const OBEYING_GROUP: &str = "review-lm";
-/// The plain service.
+/// Name of the plain service.
 pub const BOOKING: &str = "booking-app";
 
 const ENGINES_PER_GROUP: usize = 2;
 const BOOKING_INSTANCES: usize = 2;
 const ENGINE_MEMORY_BYTES: u64 = 80_000_000_000;
 const MODEL_BYTES: u64 = 16_000_000_000;
-/// The full speed of one load, which makes a model's load take about a second.
+/// Maximum speed of one load, at which the load of a model takes about a second.
 const WEIGHTS_BYTES_PER_S: u64 = 16_000_000_000;
 const QUICK_MS: u64 = 5_000;
 const REPLAN_MS: u64 = 30_000;
 const REVIEW_MS: u64 = 60_000;
 
-/// Returns a cluster of the given number of VMs: four engines in two groups, of which one checks
-/// fencing numbers, and two instances of a plain service.
+/// Returns the options of a cluster with `vms` VMs, four engines in two groups, one of which checks
+/// fencing tokens, and two instances of a plain service.
 pub fn options(vms: usize) -> ClusterOptions {
     let weights = vec![Flag::new("bytes-per-s", WEIGHTS_BYTES_PER_S)];
     ClusterOptions {
