--- a/crates/launcher/src/standin.rs
+++ b/crates/launcher/src/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' own paths: faults to set and effects to count.
+//! Client of the stand-ins' control paths, for setting faults and reading effects.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,89 +17,89 @@
 use crate::http::agent;
 use apricotdale_core::engine::EngineStatus;
 
-/// The longest time that one call to a stand-in may take.
+/// Timeout of one call to a stand-in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// `EngineEffects` is what a stand-in engine counts.
+/// Effects that a stand-in engine counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct EngineEffects {
-    /// The run of the engine.
+    /// Boot ID of the engine's current incarnation.
     pub boot: u64,
     /// Load orders received.
     pub load_orders: u64,
     /// Unload orders received.
     pub unload_orders: u64,
-    /// Orders refused.
+    /// Load and unload orders refused.
     pub refused_orders: u64,
-    /// The most memory ever held.
+    /// Maximum of the memory held so far, in bytes.
     pub most_bytes_held: u64,
-    /// How often more memory was held than there is.
+    /// Number of times that the resident models exceeded the memory.
     pub overcommitted: u64,
     /// Loads that took effect, by model.
     pub loads: BTreeMap<String, u64>,
-    /// Requests received, by identity.
+    /// Requests received, by request ID.
     pub requests: BTreeMap<String, EngineRequest>,
 }
 
-/// `EngineRequest` is one request as a stand-in engine saw it.
+/// Request as a stand-in engine received it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct EngineRequest {
-    /// The model that it named.
+    /// Model that the request named.
     pub model: String,
-    /// How far it came.
+    /// State of the request.
     pub state: RequestState,
-    /// How often it was accepted.
+    /// Number of times that the engine accepted it.
     pub runs: u64,
 }
 
-/// `RequestState` is how far a request came at a stand-in engine.
+/// State of a request at a stand-in engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestState {
-    /// It runs.
+    /// The request is running.
     Running,
-    /// Its whole answer was sent.
+    /// The complete answer was sent.
     Whole,
-    /// It was cancelled.
+    /// The request was cancelled.
     Cancelled,
-    /// Its answer was cut.
+    /// The answer was cut off.
     Cut,
 }
 
-/// `ServiceEffects` is what a stand-in of a plain service counts.
+/// Effects that the stand-in of a plain service counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct ServiceEffects {
     /// Calls that ran, by method and path.
     pub calls: BTreeMap<String, u64>,
     /// Calls that ran, by idempotency key.
     pub keys: BTreeMap<String, u64>,
-    /// Calls that ran, by request identity.
+    /// Calls that ran, by request ID.
     pub requests: BTreeMap<String, u64>,
 }
 
-/// `LogEffects` is what the stand-in of the log counts.
+/// Effects that the stand-in of the log counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct LogEffects {
     /// Records appended.
     pub appends: u64,
     /// Reads answered.
     pub reads: u64,
-    /// Bytes kept.
+    /// Bytes of the records that are kept now.
     pub bytes_kept: u64,
 }
 
-/// `WeightsEffects` is what the stand-in of the weight store counts.
+/// Effects that the stand-in of the weight store counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct WeightsEffects {
-    /// Loads served.
+    /// Loads that were admitted.
     pub loads: u64,
-    /// Loads refused above the rate limit.
+    /// Loads refused because of the rate limit.
     pub refused: u64,
-    /// The most loads at one time.
+    /// Maximum number of concurrent loads.
     pub most_at_once: u64,
 }
 
-/// `StandinClient` calls one stand-in.
+/// Client of one stand-in.
 #[derive(Clone, Debug)]
 pub struct StandinClient {
     address: SocketAddr,
@@ -120,7 +120,7 @@
         self.address
     }
 
-    /// Sets a fault, in the stand-in's own words.
+    /// Sets a fault, given as the JSON body that this kind of stand-in expects.
     ///
     /// # Errors
     ///
@@ -129,16 +129,16 @@
         self.post("/standin/fault", fault)
     }
 
-    /// Returns what the stand-in counts.
+    /// Returns the effects that the stand-in counts.
     ///
     /// # Errors
     ///
-    /// `Error::Failed` if the stand-in can't be reached or counts something else.
+    /// `Error::Failed` if the stand-in can't be reached or `T` does not fit its effects.
     pub fn effects<T: DeserializeOwned>(&self) -> Result<T> {
         self.get("/standin/effects")
     }
 
-    /// Returns the exact status of a stand-in engine.
+    /// Returns the current status of a stand-in engine.
     ///
     /// # Errors
     ///
@@ -147,22 +147,22 @@
         self.get("/status")
     }
 
-    /// Gets a path.
+    /// Gets a path and parses the answer's JSON body.
     ///
     /// # Errors
     ///
-    /// `Error::Failed` if the stand-in refuses, can't be reached or answers with something else.
+    /// `Error::Failed` if the stand-in refuses, can't be reached or `T` does not fit the answer.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         let url = self.url(path);
         let answer = self.agent.get(&url).call();
         read(check(answer, "GET", &url)?, &url)
     }
 
-    /// Gets a path and reads the answer's body, also that of a refusal.
+    /// Gets a path and parses the answer's JSON body, whatever its status.
     ///
     /// # Errors
     ///
-    /// As for `get`.
+    /// `Error::Failed` if the stand-in can't be reached or `T` does not fit the answer.
     pub fn get_any_status<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         let url = self.url(path);
         let answer = self.agent.get(&url).call();
@@ -170,7 +170,7 @@
         read(answer, &url)
     }
 
-    /// Posts JSON to a path.
+    /// Posts a JSON body to a path.
     ///
     /// # Errors
     ///
@@ -186,7 +186,7 @@
     }
 }
 
-/// Returns an answer of success.
+/// Returns the answer if it has a success status, and an error otherwise.
 fn check(
     answer: std::result::Result<Response<Body>, ureq::Error>,
     method: &str,
