--- a/crates/launcher/src/cluster/mod.rs
+++ b/crates/launcher/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A running cluster: the platform's stand-ins, upstreams and VMs.
+//! Running cluster of stand-ins of the platform, upstreams and VMs.
 
 pub mod options;
 pub mod records;
@@ -33,17 +33,17 @@
 use apricotdale_core::vm_list::VmEntry;
 use apricotdale_core::vm_list::VmState;
 
-/// The name of the log's stand-in.
+/// Name of the stand-in of the append-only log.
 pub const LOG: &str = "log";
-/// The name of the weight store's stand-in.
+/// Name of the stand-in of the weight store.
 pub const WEIGHTS: &str = "weights";
-/// The name of the stand-in of the list of VMs.
+/// Name of the stand-in of the platform's VM list.
 pub const VM_LIST: &str = "vmlist";
 
-/// Who publishes, in the records of the control stream.
+/// Operator that the control stream names for the launcher's publications.
 const OPERATOR: &str = "launcher";
 
-/// `Cluster` is a running cluster. Dropping it ends all its processes.
+/// Running cluster. Dropping it kills all its processes.
 #[derive(Debug)]
 pub struct Cluster {
     options: ClusterOptions,
@@ -55,39 +55,39 @@
     listed_entries: Vec<VmEntry>,
 }
 
-/// `Vm` is a VM of a cluster.
+/// VM of a cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: String,
-    /// Where its daemon listens.
+    /// Addresses at which its daemon listens.
     pub addresses: DaemonAddresses,
-    /// What was done to it last.
+    /// Last operation on its process.
     pub condition: VmCondition,
 }
 
-/// `VmCondition` is what was done to a VM last.
+/// Last operation of the launcher on a VM's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VmCondition {
-    /// It was started or woken.
+    /// The VM was started or woken.
     Running,
-    /// It was frozen.
+    /// The VM was frozen with SIGSTOP.
     Frozen,
-    /// It was told to stop.
+    /// The VM was told to stop with SIGTERM.
     Stopping,
-    /// It was killed.
+    /// The VM was killed.
     Killed,
 }
 
 impl Cluster {
-    /// Returns the names of the VMs.
+    /// Returns the names of all VMs, running or not.
     pub fn vm_names(&self) -> Vec<String> {
         self.vms.keys().cloned().collect()
     }
 
-    /// Returns the VMs that were not killed, frozen or told to stop.
+    /// Returns the VMs that have not been killed, frozen or told to stop.
     pub fn running_vms(&self) -> Vec<&Vm> {
         self.vms
             .values()
@@ -95,47 +95,47 @@
             .collect()
     }
 
-    /// Returns a VM.
+    /// Returns the VM with a name.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownName` if there is none of the name.
+    /// `Error::UnknownName` if there is none with the name.
     pub fn vm(&self, name: &str) -> Result<&Vm> {
         let vm = self.vms.get(name);
         vm.ok_or_else(|| Error::UnknownName(name.to_owned()))
     }
 
-    /// Returns a client of a stand-in.
+    /// Returns the client of the stand-in with a name.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownName` if there is none of the name.
+    /// `Error::UnknownName` if there is none with the name.
     pub fn standin(&self, name: &str) -> Result<&StandinClient> {
         let standin = self.standins.get(name);
         standin.ok_or_else(|| Error::UnknownName(name.to_owned()))
     }
 
-    /// Returns the engines, by name.
+    /// Returns the names and clients of the engines.
     pub fn engines(&self) -> Vec<(&str, &StandinClient)> {
         self.standins_named(start::ENGINE_PREFIX)
     }
 
-    /// Returns the instances of plain services, by name.
+    /// Returns the names and clients of the instances of plain services.
     pub fn services(&self) -> Vec<(&str, &StandinClient)> {
         self.standins_named(start::SERVICE_PREFIX)
     }
 
-    /// Returns a client of a VM's operators' interface.
+    /// Returns a client of a VM's admin interface.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownName` if there is no VM of the name.
+    /// `Error::UnknownName` if there is no VM with the name.
     pub fn admin(&self, vm: &str) -> Result<AdminClient> {
         let address = self.vm(vm)?.addresses.admin;
         Ok(AdminClient::new(address, ClientOptions::default()))
     }
 
-    /// Returns the processes.
+    /// Returns the set of all processes of the cluster.
     pub fn processes(&self) -> &Processes {
         &self.processes
     }
@@ -158,11 +158,11 @@
         admin.publish(&request).map_err(failed)
     }
 
-    /// Waits until every running VM has replayed a version of the configuration.
+    /// Waits until a version of the configuration, or a later one, is in force on every running VM.
     ///
     /// # Errors
     ///
-    /// `Error::PollLimitReached` if one has not.
+    /// `Error::PollLimitReached` if it does not come into force.
     pub fn wait_in_force(&self, version: ConfigVersion) -> Result<()> {
         let condition = format!("version {version} is in force on all VMs");
         poll_until(&condition, MAX_POLLS, || {
@@ -177,18 +177,18 @@
         })
     }
 
-    /// Kills a process, frozen or not, and waits for its end.
+    /// Kills a process, stopped or not, and waits for its end.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownName` if there is none of the name.
+    /// `Error::UnknownName` if there is none with the name.
     pub fn kill(&mut self, name: &str) -> Result<()> {
         self.processes.kill(name)?;
         self.set_condition(name, VmCondition::Killed);
         Ok(())
     }
 
-    /// Stops the time of a process, by SIGSTOP, and waits until it stands still.
+    /// Stops a process with SIGSTOP and waits until all its threads have stopped.
     ///
     /// # Errors
     ///
@@ -199,7 +199,7 @@
         Ok(())
     }
 
-    /// Lets a frozen process go on, by SIGCONT.
+    /// Resumes a frozen process with SIGCONT.
     ///
     /// # Errors
     ///
@@ -210,7 +210,7 @@
         Ok(())
     }
 
-    /// Asks a VM's daemon to stop gracefully, by SIGTERM. It may be repeated.
+    /// Has a VM's daemon drain and exit, with SIGTERM. Calling it again is allowed.
     ///
     /// # Errors
     ///
@@ -221,29 +221,32 @@
         Ok(())
     }
 
-    /// Returns how a process ended, or none while it runs.
+    /// Returns how a process ended; none while it runs.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownName` if there is none of the name.
+    /// `Error::UnknownName` if there is none with the name.
     pub fn poll_exit(&self, name: &str) -> Result<Option<Exit>> {
         self.processes.poll_exit(name)
     }
 
-    /// Waits until a process has ended by itself.
+    /// Waits until a process has ended, and returns how.
     ///
     /// # Errors
     ///
-    /// `Error::PollLimitReached` if it does not end within `limit` looks.
-    pub fn wait_exit(&self, name: &str, limit: u32) -> Result<Exit> {
-        poll_until(&format!("{name} has ended"), limit, || self.poll_exit(name))
+    /// `Error::PollLimitReached` if it does not end within `max_polls` polls.
+    pub fn wait_exit(&self, name: &str, max_polls: u32) -> Result<Exit> {
+        poll_until(&format!("{name} has ended"), max_polls, || {
+            self.poll_exit(name)
+        })
     }
 
-    /// Changes the state of a VM or an upstream on the platform's list.
+    /// Changes the state of a VM or an upstream on the platform's VM list.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownName` if the list has no such entry, `Error::Failed` if the stand-in fails.
+    /// `Error::UnknownName` if the VM list has no entry with the name, `Error::Failed` if the
+    /// stand-in refuses the change or can't be reached.
     pub fn list_state(&mut self, name: &str, state: VmState) -> Result<()> {
         let entry = self
             .listed_entries
@@ -255,10 +258,11 @@
         self.standin(VM_LIST)?.post("/standin/state", &change)
     }
 
-    /// Stops the daemons gracefully, within a limit, and then ends all processes.
+    /// Has the running daemons drain and exit, waits for them for a limited time, and then kills
+    /// all processes.
     pub fn stop(self) {
         for vm in self.running_vms() {
-            // A daemon that can't be told is ended below with the rest.
+            // A daemon that can't be signalled is killed below with all other processes.
             let _ = self.processes.signal(&vm.name, Signal::SIGTERM);
         }
         for vm in self.running_vms() {
