--- a/crates/launcher/src/cluster/options.rs
+++ b/crates/launcher/src/cluster/options.rs
@@ -1,4 +1,4 @@
-//! What a cluster consists of.
+//! Options of a cluster: its VMs, upstreams, flags and settings.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -6,59 +6,60 @@
 
 use crate::programs::Program;
 
-/// `ClusterOptions` describes a cluster.
+/// Options with which a cluster is started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterOptions {
-    /// The region of all its VMs.
+    /// Region of all VMs.
     pub region: String,
-    /// The availability zones, over which VMs and upstreams are spread in turn.
+    /// Availability zones, to which VMs and upstreams are assigned in turn.
     pub zones: Vec<String>,
-    /// The number of VMs: `vm1`, `vm2` and so on.
+    /// Number of VMs, which are named `vm1`, `vm2` and so on.
     pub vms: usize,
-    /// The groups of engines. The engines are `engine1`, `engine2` and so on over all groups.
+    /// Groups of engines. The engines are named `engine1`, `engine2` and so on over all groups.
     pub engine_groups: Vec<UpstreamGroup>,
-    /// The plain services. The instances are `service1`, `service2` and so on over all services.
+    /// Plain services. The instances are named `service1`, `service2` and so on over all services.
     pub services: Vec<UpstreamGroup>,
-    /// Flags of all stand-ins of a program.
+    /// Flags of all stand-ins that run a program.
     pub flags: BTreeMap<Program, Vec<Flag>>,
-    /// Settings of the daemons that differ from their defaults.
+    /// Settings of the daemons, which take precedence over those that the launcher generates.
     pub settings: Vec<Setting>,
-    /// The class of requests that name none.
+    /// Class of requests that name none.
     pub default_class: String,
-    /// The directory for the processes' output, or none for one that goes away with the cluster.
+    /// Directory for the processes' logs; none for a temporary one that is deleted with the
+    /// cluster.
     pub log_dir: Option<PathBuf>,
-    /// How long a process may take to get ready. It is a limit for failures only.
+    /// Time within which each process must print its ready line.
     pub ready_timeout: Duration,
 }
 
-/// `UpstreamGroup` is a group of equal upstreams.
+/// Group of upstreams with the same flags.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamGroup {
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// How many upstreams it has.
+    /// Number of upstreams in the group.
     pub count: usize,
-    /// Flags of their stand-ins.
+    /// Flags of the upstreams' stand-ins.
     pub flags: Vec<Flag>,
 }
 
-/// `Flag` is a flag of a program and its value.
+/// Command line flag of a program with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Flag {
-    /// The flag without its dashes.
+    /// Name without dashes.
     pub name: String,
-    /// The value.
+    /// Value as it is written on the command line.
     pub value: String,
 }
 
-/// `Setting` is one line of the daemons' settings.
+/// One setting of the daemons' settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Setting {
-    /// The section.
+    /// Section of the file.
     pub section: String,
-    /// The key.
+    /// Key in the section.
     pub key: String,
-    /// The value.
+    /// Value as it is written in the file.
     pub value: String,
 }
 
@@ -80,7 +81,7 @@
 }
 
 impl Flag {
-    /// Returns a flag with its value.
+    /// Returns a flag whose value is written with `Display`.
     pub fn new(name: impl Into<String>, value: impl ToString) -> Self {
         Self {
             name: name.into(),
@@ -90,7 +91,7 @@
 }
 
 impl Setting {
-    /// Returns a line of the settings.
+    /// Returns a setting whose value is written with `Display`.
     pub fn new(section: impl Into<String>, key: impl Into<String>, value: impl ToString) -> Self {
         Self {
             section: section.into(),
