--- a/crates/launcher/src/cluster/records.rs
+++ b/crates/launcher/src/cluster/records.rs
@@ -1,4 +1,4 @@
-//! Reading the streams of the log's stand-in.
+//! Reading of the streams that the stand-in of the log keeps.
 
 use std::collections::BTreeSet;
 
@@ -18,23 +18,23 @@
 use apricotdale_state::Verdict;
 use apricotdale_state::parts::Catalog;
 
-/// The stream of decisions and configuration.
+/// Name of the stream of decisions and configuration changes.
 pub const CONTROL_STREAM: &str = "control";
 
-/// The stream of snapshots.
+/// Name of the stream of snapshots.
 pub const SNAPSHOT_STREAM: &str = "snapshots";
 
-/// The most records that one read asks for.
+/// Maximum number of records that one read requests.
 const READ_RECORDS: usize = 500;
 
-/// `StoredRecord` is one record of a stream.
+/// Record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// Its position.
+    /// Offset in the stream.
     pub offset: u64,
-    /// When the log took it, in milliseconds of Unix time.
+    /// Time when the log appended it, in milliseconds of Unix time.
     pub appended_ms: u64,
-    /// Its bytes.
+    /// Encoded record.
     pub payload: Vec<u8>,
 }
 
@@ -51,11 +51,11 @@
     payload: String,
 }
 
-/// Returns all records that a stream still keeps, and the offset that the next append will get.
+/// Returns all records that the log still keeps of a stream, and the offset of the next append.
 ///
 /// # Errors
 ///
-/// `Error::Failed` if the stand-in can't be reached, as in an outage that a scenario sets.
+/// `Error::Failed` if the stand-in can't be reached or refuses, as during an injected outage.
 pub fn read_stream(log: &StandinClient, stream: &str) -> Result<(Vec<StoredRecord>, u64)> {
     let mut records = Vec::new();
     let mut from = first_offset(log, stream)?;
@@ -89,7 +89,7 @@
     Ok(intents.collect())
 }
 
-/// Returns what replay makes of each record of the control stream, in order, with its offset.
+/// Replays the control stream and returns the verdict on each record, in order, with its offset.
 ///
 /// # Errors
 ///
@@ -120,7 +120,7 @@
     Ok(decided.map(|(offset, _)| offset).collect())
 }
 
-/// Returns how many of a stream's records, at its end, are in no whole snapshot on the log.
+/// Returns how many records at the end of a stream no complete snapshot on the log covers.
 ///
 /// # Errors
 ///
@@ -130,7 +130,7 @@
     let first = records.first().map_or(0, |record| record.offset);
     let mut catalog = Catalog::new(Offset(first));
     for record in &records {
-        // A record that is no part of a snapshot leaves those that were read as they are.
+        // A record that is no part of a snapshot does not change the catalog.
         let _ = catalog.apply(Offset(record.offset), &record.payload);
     }
     let (_, end) = read_stream(log, stream)?;
@@ -138,7 +138,7 @@
     Ok(end.saturating_sub(section.map_or(0, |section| section.next.0)))
 }
 
-/// Returns the first offset that a stream still keeps.
+/// Returns the first offset that the log still keeps of a stream.
 fn first_offset(log: &StandinClient, stream: &str) -> Result<u64> {
     #[derive(Deserialize)]
     struct First {
