--- a/crates/launcher/src/cluster/settings_file.rs
+++ b/crates/launcher/src/cluster/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of one daemon.
+//! Settings file of a daemon.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -6,31 +6,31 @@
 
 use crate::cluster::options::Setting;
 
-/// An address of which the operating system chooses the port.
+/// Loopback address whose port the operating system chooses.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// `DaemonSettings` is what the settings of one daemon are made from.
+/// Values from which the settings file of a daemon is generated.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings<'a> {
-    /// The VM.
+    /// Name of the VM.
     pub vm: &'a str,
-    /// Its region.
+    /// Region of the VM.
     pub region: &'a str,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: &'a str,
-    /// The class of requests that name none.
+    /// Class of requests that name none.
     pub default_class: &'a str,
-    /// The log service.
+    /// Address of the log.
     pub log: SocketAddr,
-    /// The weight store.
+    /// Address of the weight store.
     pub weights: SocketAddr,
-    /// The list of VMs.
+    /// Address of the platform's VM list.
     pub vm_list: SocketAddr,
-    /// The key that the daemons share, in hexadecimal digits.
+    /// Key that the daemons share, in hexadecimal digits.
     pub cluster_key: &'a str,
 }
 
-/// Returns the text of a settings file. The given settings go before the ones made here.
+/// Returns the text of a settings file. `overrides` take precedence over the generated settings.
 pub fn settings_text(daemon: &DaemonSettings<'_>, overrides: &[Setting]) -> String {
     let mut sections: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
     for setting in generated_settings(daemon).iter().chain(overrides) {
