--- a/crates/launcher/src/cluster/start.rs
+++ b/crates/launcher/src/cluster/start.rs
@@ -1,4 +1,4 @@
-//! Starting a cluster and its VMs.
+//! Start of a cluster and restart of its VMs.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -36,27 +36,27 @@
 use apricotdale_core::vm_list::VmRole;
 use apricotdale_core::vm_list::VmState;
 
-/// The beginning of the VMs' names.
+/// Prefix of the VMs' names.
 pub(super) const VM_PREFIX: &str = "vm";
-/// The beginning of the engines' names.
+/// Prefix of the engines' names.
 pub(super) const ENGINE_PREFIX: &str = "engine";
-/// The beginning of the names of plain services' instances.
+/// Prefix of the names of plain services' instances.
 pub(super) const SERVICE_PREFIX: &str = "service";
 
-/// The group of the VMs on the list.
+/// Group of the VMs on the platform's VM list.
 const VM_GROUP: &str = "entry";
 
-/// The bytes of the key that the daemons share.
+/// Length in bytes of the key that the daemons share.
 const KEY_BYTES: usize = 32;
 
 impl Cluster {
-    /// Starts a cluster and waits until every VM takes requests. The processes are entered into
-    /// `prepare`'s set before they start, so that a signal's thread can end them.
+    /// Starts a cluster and waits until every VM is ready. `prepare` receives the set of child
+    /// processes before the first one starts, so that a signal handler can end them all.
     ///
     /// # Errors
     ///
     /// `Error::MissingProgram` if a program has not been built, `Error::NotReady` if a process does
-    /// not get ready, `Error::PollLimitReached` if a VM does not take requests.
+    /// not print its ready line, `Error::PollLimitReached` if a VM does not become ready.
     pub fn start(options: ClusterOptions, prepare: impl FnOnce(&Processes)) -> Result<Self> {
         let directory = TempDir::with_prefix("apricotdale-")?;
         let log_dir = options.log_dir.clone();
@@ -79,8 +79,8 @@
         Ok(cluster)
     }
 
-    /// Kills a VM's daemon where it still runs, starts it anew on new ports, lists it as live and
-    /// waits until it takes requests.
+    /// Kills a VM's daemon if it still runs, starts it again on new ports, lists it as live and
+    /// waits until it is ready.
     ///
     /// # Errors
     ///
@@ -90,7 +90,7 @@
         self.wait_until_ready(vm)
     }
 
-    /// Kills a VM's daemon where it still runs, starts it anew on new ports and lists it as live.
+    /// Kills a VM's daemon if it still runs, starts it again on new ports and lists it as live.
     ///
     /// # Errors
     ///
@@ -103,20 +103,20 @@
         self.post_vm_list()
     }
 
-    /// Waits until a VM takes requests.
+    /// Waits until a VM is ready.
     ///
     /// # Errors
     ///
-    /// `Error::PollLimitReached` if it does not.
+    /// `Error::PollLimitReached` if it does not become ready, `Error::NotReady` if it exits.
     pub fn wait_until_ready(&self, vm: &str) -> Result<()> {
         let address = self.vm(vm)?.addresses.callers;
-        let condition = format!("{vm} takes requests");
+        let condition = format!("{vm} is ready");
         poll_until(&condition, MAX_POLLS, || {
             if let Some(exit) = self.poll_exit(vm)? {
                 let log = self.processes.log_tail(vm)?;
                 return Err(Error::NotReady {
                     name: vm.to_owned(),
-                    detail: format!("it ended with {exit:?}"),
+                    detail: format!("it exited with {exit:?}"),
                     log,
                 });
             }
@@ -266,8 +266,8 @@
         Ok(())
     }
 
-    fn daemon_addresses(&self, name: &str, limit: Duration) -> Result<DaemonAddresses> {
-        match self.processes.wait_ready(name, limit)? {
+    fn daemon_addresses(&self, name: &str, timeout: Duration) -> Result<DaemonAddresses> {
+        match self.processes.wait_ready(name, timeout)? {
             ReadyLine::Daemon(addresses) => Ok(addresses),
             ReadyLine::Standin(_) => Err(self.unexpected_ready_line(name)?),
         }
@@ -291,7 +291,7 @@
     }
 }
 
-/// Returns each upstream's name with its group.
+/// Returns the name of each upstream with its group; the names are numbered over all groups.
 fn numbered_upstreams(prefix: &str, groups: &[UpstreamGroup]) -> Vec<(String, UpstreamGroup)> {
     groups
         .iter()
