--- a/crates/launcher/tests/answer_kinds.rs
+++ b/crates/launcher/tests/answer_kinds.rs
@@ -1,4 +1,4 @@
-//! How a caller tells whole, refused, cut and crossed answers apart.
+//! Classification of answers as complete, refused, cut or crossed.
 
 use rstest::rstest;
 
@@ -65,7 +65,7 @@
 
 #[rstest]
 #[case::own_answer(r#"{"id":"cmpl-req-7"}"#, "whole")]
-#[case::answer_without_identity(r#"{"call":"POST /book"}"#, "whole")]
+#[case::answer_without_request_id(r#"{"call":"POST /book"}"#, "whole")]
 #[case::answer_of_another_request(r#"{"id":"cmpl-req-8"}"#, "crossed")]
 #[case::refusal(REFUSAL, "refused")]
 #[case::upstreams_own_error(r#"{"error":{"code":"full"}}"#, "whole")]
--- a/crates/launcher/tests/child_processes.rs
+++ b/crates/launcher/tests/child_processes.rs
@@ -1,4 +1,4 @@
-//! Child processes: ready lines, signals and ends.
+//! Child processes: ready lines, signals and exits.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use apricotdale_launcher::processes::Processes;
 use apricotdale_launcher::programs::Program;
 
-/// A limit for failures only.
+/// Timeout of the wait for a ready line, so that a failing test ends.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Fixture {
@@ -28,7 +28,7 @@
         .expect("the stand-in is built; run `make build`");
     processes
         .wait_ready("service1", READY_TIMEOUT)
-        .expect("the stand-in gets ready");
+        .expect("the stand-in becomes ready");
     Fixture {
         processes,
         _directory: directory,
@@ -44,8 +44,8 @@
     stat.rsplit(") ").next().unwrap_or_default()[..1].to_owned()
 }
 
-/// Symptom: stand-ins keep running after a failed test, and hold ports and memory. Sequence: a
-/// test ends by a panic. Cause: nobody waits for the children's end.
+/// Guards against stand-ins that keep running, with their ports and memory, after a test has ended
+/// by a panic, because nothing waits until the children have ended.
 #[test]
 fn closing_ends_children() {
     let fixture = with_service();
@@ -55,8 +55,8 @@
     assert!(!exists(id));
 }
 
-/// Symptom: one child outlives the launcher. Sequence: a signal's thread ends all children while
-/// another thread starts one more. Cause: the newcomer is not in the table yet.
+/// Guards against a child that outlives the launcher: one thread starts it while the thread of a
+/// signal handler ends all children, and it is not in the table yet.
 #[test]
 fn start_after_closing() {
     let fixture = with_service();
@@ -78,8 +78,8 @@
     assert_eq!(exit.expect("it was started"), Some(Exit::Killed(9)));
 }
 
-/// Symptom: a stranger's process gets a signal. Sequence: a child ends, and the system gives its
-/// number to another process. Cause: the number of an ended child is used.
+/// Guards against a signal to an unrelated process: a child ends, and the operating system gives
+/// its process ID to another process.
 #[test]
 fn ended_process_signalled() {
     let fixture = with_service();
@@ -98,7 +98,7 @@
         .expect("the stand-in is built; run `make build`");
     let ready = processes.wait_ready("log", READY_TIMEOUT);
     let Err(Error::NotReady { log, .. }) = ready else {
-        panic!("it can't get ready with a flag that it does not know");
+        panic!("it can't become ready with an unknown flag");
     };
     assert!(log.contains("no-such-flag"), "{log}");
 }
--- a/crates/launcher/tests/launcher_shutdown.rs
+++ b/crates/launcher/tests/launcher_shutdown.rs
@@ -1,4 +1,4 @@
-//! `launcher up`: what it prints, and that nothing is left behind.
+//! Output of `launcher up`, and the end of its children on a signal.
 
 use std::fs;
 use std::io::BufRead;
@@ -21,7 +21,7 @@
 
 impl Drop for Up {
     fn drop(&mut self) {
-        // Ends the program also where the test failed before it did so itself.
+        // Ends the program if the test failed before it did so itself.
         let _ = kill(self.pid(), Signal::SIGTERM);
         let _ = self.child.wait();
     }
@@ -45,7 +45,7 @@
         Pid::from_raw(self.child.id().cast_signed())
     }
 
-    /// Returns the numbers of the launcher's children.
+    /// Returns the process IDs of the launcher's children.
     fn children(&self) -> Vec<u32> {
         let id = self.child.id();
         let tasks = fs::read_dir(format!("/proc/{id}/task")).expect("the launcher runs");
@@ -62,8 +62,8 @@
     }
 }
 
-/// Symptom: a port or the machine's memory is taken by processes of a run that is over. Sequence:
-/// the launcher is ended by a signal. Cause: it goes without its children.
+/// Guards against children that keep ports and memory after a signal has ended the launcher,
+/// because it exits without ending them.
 #[rstest]
 #[case::terminated(Signal::SIGTERM)]
 #[case::interrupted(Signal::SIGINT)]
--- a/crates/launcher/tests/ready_lines.rs
+++ b/crates/launcher/tests/ready_lines.rs
@@ -1,4 +1,4 @@
-//! Which lines say that a process is ready.
+//! Parsing of ready lines.
 
 use rstest::rstest;
 
