--- a/crates/launcher/src/cluster/mod.rs
+++ b/crates/launcher/src/cluster/mod.rs
@@ -75,7 +75,7 @@
     Running,
     /// The VM was frozen with SIGSTOP.
     Frozen,
-    /// The VM was told to stop with SIGTERM.
+    /// The VM was sent SIGTERM, on which it drains and exits.
     Stopping,
     /// The VM was killed.
     Killed,
@@ -87,7 +87,7 @@
         self.vms.keys().cloned().collect()
     }
 
-    /// Returns the VMs that have not been killed, frozen or told to stop.
+    /// Returns the VMs that have not been killed, frozen or sent SIGTERM.
     pub fn running_vms(&self) -> Vec<&Vm> {
         self.vms
             .values()
