--- a/crates/launcher/src/demo.rs
+++ b/crates/launcher/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: the main promises on real requests, step by step.
+//! Demonstration of the main guarantees on real requests, step by step.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -25,24 +25,24 @@
 use crate::standin::ServiceEffects;
 use apricotdale_admin::PublishOutcome;
 
-/// The longest wait for an answer. It is a limit for failures only.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+/// Upper bound of the wait for an answer, so that a demonstration with a hanging request ends.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The requests of the cold burst at each VM.
-const BURST: usize = 5;
-/// The length of a short answer.
+/// Number of requests to each VM for a model that is not loaded.
+const REQUESTS_PER_VM: usize = 5;
+/// Length of a short answer in tokens.
 const SHORT_TOKENS: u32 = 8;
-/// The length of an answer that is still under way while VMs stop.
+/// Length in tokens of an answer that is still in progress while VMs stop.
 const LONG_TOKENS: u32 = 200;
 
-/// `Demo` runs the demonstration and keeps what did not hold.
+/// Running demonstration: its cluster and the checks made so far.
 pub struct Demo<'a> {
     cluster: Cluster,
     checks: Checks<'a>,
 }
 
 impl<'a> Demo<'a> {
-    /// Returns the demonstration on a cluster of at least three VMs.
+    /// Returns a demonstration on a cluster, which must have at least three VMs.
     pub fn new(cluster: Cluster, out: &'a mut dyn Write) -> Self {
         Self {
             cluster,
@@ -50,19 +50,19 @@
         }
     }
 
-    /// Runs all steps, stops the cluster and returns whether everything held.
+    /// Runs all steps, stops the cluster and returns whether all checks passed.
     ///
     /// # Errors
     ///
-    /// Any of the launcher, when a step can't be carried out at all.
+    /// Any error of the launcher that keeps a step from being carried out.
     pub fn run(mut self) -> Result<bool> {
         self.configure()?;
         self.cold_burst(sample::SLOT_PLANNER)?;
         self.cold_burst(sample::WEAR_REVIEW)?;
         self.streams()?;
-        self.repeated_call()?;
+        self.retried_call()?;
         self.drain_and_kill()?;
-        self.memory()?;
+        self.check_memory()?;
         self.checks.step("Stopping all processes")?;
         self.cluster.stop();
         self.checks.finish()
@@ -87,52 +87,52 @@
         self.checks.step(&format!(
             "A burst of requests at all VMs for {model}, which is not loaded"
         ))?;
-        let vms = self.running();
+        let vms = self.running_vms();
         let request = CallerRequest::completion(model, SHORT_TOKENS, false);
         let request = request.header("X-Request-Class", sample::REPLAN);
         let answers: Vec<PendingAnswer> = vms
             .iter()
-            .flat_map(|vm| std::iter::repeat_n(vm.addresses.callers, BURST))
+            .flat_map(|vm| std::iter::repeat_n(vm.addresses.callers, REQUESTS_PER_VM))
             .map(|address| caller::send(address, request.clone()))
             .collect();
-        let whole = self.count_whole(&answers)?;
+        let complete = self.count_complete(&answers)?;
         let sent = answers.len();
         self.checks.check(
-            format!("{whole} of {sent} requests answered whole"),
-            whole == sent,
+            format!("{complete} of {sent} answers complete"),
+            complete == sent,
         )?;
-        let (decided, loads) = self.settled_loads(model)?;
+        let (accepted, loads) = self.settled_loads(model)?;
         self.checks.check(
-            format!("{decided} loads decided, {loads} carried out by the engines"),
-            loads == decided && decided > 0,
+            format!("{accepted} loads accepted, {loads} carried out by the engines"),
+            loads == accepted && accepted > 0,
         )
     }
 
     fn streams(&mut self) -> Result<()> {
         self.checks.step("A streamed answer through each VM")?;
-        for vm in self.running() {
+        for vm in self.running_vms() {
             let request = CallerRequest::completion(sample::SLOT_PLANNER, SHORT_TOKENS, true);
-            let outcome = caller::send(vm.addresses.callers, request).wait_end(ANSWER_LIMIT)?;
+            let outcome = caller::send(vm.addresses.callers, request).wait_end(ANSWER_TIMEOUT)?;
             self.checks.check(
                 format!("through {}: {outcome}", vm.name),
-                is_whole_stream(&outcome),
+                is_complete_stream(&outcome),
             )?;
         }
         Ok(())
     }
 
-    fn repeated_call(&mut self) -> Result<()> {
+    fn retried_call(&mut self) -> Result<()> {
         self.checks
             .step("A booking sent twice, at two VMs, under one idempotency key")?;
-        let vms = self.running();
+        let vms = self.running_vms();
         let body = Some("{\"lathe\":\"hall-b\"}".to_owned());
         let request = CallerRequest::service_call(sample::BOOKING, "POST", "/book", body);
         let request = request.header("Idempotency-Key", "booking-1");
         let first = caller::send(vms[0].addresses.callers, request.clone());
         let second = caller::send(vms[1].addresses.callers, request);
         let outcomes = [
-            first.wait_end(ANSWER_LIMIT)?,
-            second.wait_end(ANSWER_LIMIT)?,
+            first.wait_end(ANSWER_TIMEOUT)?,
+            second.wait_end(ANSWER_TIMEOUT)?,
         ];
         for (vm, outcome) in vms.iter().zip(&outcomes) {
             self.checks.note(&format!("at {}: {outcome}", vm.name))?;
@@ -145,19 +145,19 @@
 
     fn drain_and_kill(&mut self) -> Result<()> {
         self.checks
-            .step("One VM stops as planned and one is killed, with streams under way on both")?;
-        let vms = self.running();
+            .step("One VM stops as planned and one is killed, with streams in progress on both")?;
+        let vms = self.running_vms();
         let [drained, killed, other] = [&vms[1], &vms[2], &vms[0]];
         let request = CallerRequest::completion(sample::SLOT_PLANNER, LONG_TOKENS, true);
         let on_drained = caller::send(drained.addresses.callers, request.clone());
         let on_killed = caller::send(killed.addresses.callers, request);
-        let begun = on_drained.wait_events(1, ANSWER_LIMIT)? > 0
-            && on_killed.wait_events(1, ANSWER_LIMIT)? > 0;
+        let begun = on_drained.wait_events(1, ANSWER_TIMEOUT)? > 0
+            && on_killed.wait_events(1, ANSWER_TIMEOUT)? > 0;
         self.checks
             .check("both streams have begun".to_owned(), begun)?;
         self.cluster.terminate(&drained.name)?;
         self.cluster.kill(&killed.name)?;
-        let cut = on_killed.wait_end(ANSWER_LIMIT)?;
+        let cut = on_killed.wait_end(ANSWER_TIMEOUT)?;
         self.checks.check(
             format!("the killed VM's stream: {cut}"),
             matches!(cut, Outcome::Cut { .. }),
@@ -168,14 +168,14 @@
             format!("a request at {}: {elsewhere}", other.name),
             elsewhere.is_whole(),
         )?;
-        let whole = on_drained.wait_end(ANSWER_LIMIT)?;
+        let finished = on_drained.wait_end(ANSWER_TIMEOUT)?;
         self.checks.check(
-            format!("the stopping VM's stream: {whole}"),
-            is_whole_stream(&whole),
+            format!("the stopping VM's stream: {finished}"),
+            is_complete_stream(&finished),
         )?;
         let exit = self.cluster.wait_exit(&drained.name, MAX_POLLS)?;
         self.checks.check(
-            format!("{} ended with {exit:?}", drained.name),
+            format!("{} exited with {exit:?}", drained.name),
             exit == Exit::Code(0),
         )?;
         let exit = self.cluster.poll_exit(&killed.name)?;
@@ -185,8 +185,8 @@
         )
     }
 
-    fn memory(&mut self) -> Result<()> {
-        self.checks.step("The engines' own counts")?;
+    fn check_memory(&mut self) -> Result<()> {
+        self.checks.step("Effects counted by the engines")?;
         let mut overcommitted = 0;
         for (_, engine) in self.cluster.engines() {
             overcommitted += engine.effects::<EngineEffects>()?.overcommitted;
@@ -197,34 +197,37 @@
         )
     }
 
-    fn running(&self) -> Vec<Vm> {
+    fn running_vms(&self) -> Vec<Vm> {
         self.cluster.running_vms().into_iter().cloned().collect()
     }
 
-    /// Waits for all answers, shows how many there are of each kind and returns how many are whole.
-    fn count_whole(&mut self, answers: &[PendingAnswer]) -> Result<usize> {
+    /// Waits for all answers, prints how many there are of each kind and returns how many are
+    /// complete.
+    fn count_complete(&mut self, answers: &[PendingAnswer]) -> Result<usize> {
         let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
-        let mut whole = 0;
+        let mut complete = 0;
         for answer in answers {
-            let outcome = answer.wait_end(ANSWER_LIMIT)?;
-            whole += usize::from(outcome.is_whole());
+            let outcome = answer.wait_end(ANSWER_TIMEOUT)?;
+            complete += usize::from(outcome.is_whole());
             *kinds.entry(outcome.to_string()).or_default() += 1;
         }
         for (kind, count) in kinds {
             self.checks.note(&format!("{count} x {kind}"))?;
         }
-        Ok(whole)
+        Ok(complete)
     }
 
-    /// Returns the loads that were decided and those carried out, once the last one decided is
-    /// carried out. A burst may lead to a second replica, which is still being loaded when the first
-    /// one has answered all. More loads than decided are returned at once.
+    /// Waits until every accepted load intent has been carried out, and returns the number of
+    /// accepted intents and of loads. A burst may lead to a second replica, which is still being
+    /// loaded when the first one has answered all requests. More loads than accepted intents are
+    /// returned at once.
     fn settled_loads(&self, model: &str) -> Result<(usize, usize)> {
-        poll_until("every load decided is carried out", MAX_POLLS, || {
-            // The engines are asked first: a load decided in between does not count as carried out.
+        poll_until("every accepted load is carried out", MAX_POLLS, || {
+            // The engines are queried first, so that a load accepted in between does not count as
+            // carried out.
             let loads = self.loads(model)?;
-            let decided = self.decided(model)?;
-            Ok((loads >= decided && decided > 0).then_some((decided, loads)))
+            let accepted = self.accepted_loads(model)?;
+            Ok((loads >= accepted && accepted > 0).then_some((accepted, loads)))
         })
     }
 
@@ -237,13 +240,13 @@
         Ok(usize::try_from(loads).unwrap_or(usize::MAX))
     }
 
-    fn decided(&self, model: &str) -> Result<usize> {
+    fn accepted_loads(&self, model: &str) -> Result<usize> {
         let log = self.cluster.standin(LOG)?;
         let decided = records::decided_loads(log)?;
         let intents = records::load_intents(log)?.into_iter();
-        let of_model = intents
+        let accepted = intents
             .filter(|(offset, intent)| intent.model.as_str() == model && decided.contains(offset));
-        Ok(of_model.count())
+        Ok(accepted.count())
     }
 
     fn calls(&self, call: &str) -> Result<u64> {
@@ -256,6 +259,6 @@
     }
 }
 
-fn is_whole_stream(outcome: &Outcome) -> bool {
+fn is_complete_stream(outcome: &Outcome) -> bool {
     outcome.is_whole() && matches!(outcome, Outcome::Whole { events, .. } if *events > 0)
 }
--- a/crates/launcher/src/entry_demo.rs
+++ b/crates/launcher/src/entry_demo.rs
@@ -1,5 +1,5 @@
-//! The demonstration on the users' platform: entry VMs before stand-ins of its store, engines and
-//! services.
+//! Demonstration on the users' platform: entry VMs with stand-ins of the platform's store, engines
+//! and services.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,28 +26,28 @@
 use crate::poll::poll_until;
 use crate::programs::Program;
 
-/// How long an answer may take. It is a limit for failures only.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of the wait for an answer, so that a demonstration with a hanging request ends.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The VMs, each with a door of its own to the store.
-const VMS: usize = 3;
+/// Number of VMs; each reaches the store at an address of its own.
+const VM_COUNT: usize = 3;
 
-/// Events of a whole stream.
-const EVENTS: u64 = 40;
+/// Number of events of a complete stream.
+const EVENTS_PER_STREAM: u64 = 40;
 
-/// The time between two of them, so that a stream is under way while its VM stops.
-const GAP_MS: u64 = 25;
+/// Time between two events, long enough that a stream is in progress while its VM stops.
+const EVENT_INTERVAL_MS: u64 = 25;
 
-/// The line of a VM that has taken the lease for orders.
-const GIVES_ORDERS: &str = "this VM gives orders";
+/// Text in the log line of a VM that has acquired the order lease.
+const LEASE_HOLDER_LINE: &str = "this VM gives orders";
 
-/// `EntryDemo` runs the demonstration.
+/// Running demonstration: its site, its VMs and the checks made so far.
 pub struct EntryDemo<'a> {
     site: Site,
-    /// None once a VM has been ended.
+    /// VMs by their number; none once the VM has been stopped or killed.
     vms: Vec<Option<VmProcess>>,
     checks: Checks<'a>,
-    asked: u64,
+    requests_sent: u64,
 }
 
 impl<'a> EntryDemo<'a> {
@@ -55,7 +55,8 @@
     ///
     /// # Errors
     ///
-    /// `Error::MissingProgram` if the VMs' program has not been built; any of starting processes.
+    /// `Error::MissingProgram` if the VMs' program has not been built, `Error::Io` if a stand-in or
+    /// a VM can't be started.
     pub fn start(out: &'a mut dyn Write) -> Result<Self> {
         let program = Program::Entry.path()?;
         let mut checks = Checks::new(out);
@@ -63,13 +64,13 @@
         let engine = |index: usize, model: &str| EngineOptions {
             instance: format!("i-{index}"),
             models: vec![model.to_owned()],
-            events: EVENTS,
-            gap_ms: GAP_MS,
+            events: EVENTS_PER_STREAM,
+            gap_ms: EVENT_INTERVAL_MS,
             ..EngineOptions::default()
         };
         let site = Site::start(SiteOptions {
             engines: vec![engine(0, "m0"), engine(1, "m0"), engine(2, "m1")],
-            store_endpoints: VMS,
+            store_endpoints: VM_COUNT,
             timeout_ms: 10_000,
             ..SiteOptions::default()
         })?;
@@ -82,24 +83,24 @@
             site,
             vms,
             checks,
-            asked: 0,
+            requests_sent: 0,
         })
     }
 
-    /// Runs all steps, ends everything and returns whether all checks held.
+    /// Runs all steps, stops all processes and returns whether all checks passed.
     ///
     /// # Errors
     ///
-    /// Any of the launcher, when a step can't be carried out at all.
+    /// Any error of the launcher that keeps a step from being carried out.
     pub fn run(mut self) -> Result<bool> {
         self.start_up()?;
         self.streams()?;
-        self.rare_model()?;
+        self.unloaded_model()?;
         self.lost_answers()?;
-        self.new_giver()?;
-        self.store_away()?;
+        self.replace_lease_holder()?;
+        self.store_outage()?;
         self.planned_stop()?;
-        self.orders()?;
+        self.check_orders()?;
         self.checks.step("Stopping all processes")?;
         self.vms.clear();
         self.site.stop();
@@ -107,106 +108,113 @@
     }
 
     fn start_up(&mut self) -> Result<()> {
-        for index in 0..VMS {
-            poll_until("every VM takes callers", MAX_POLLS, || {
-                Ok(self.vm(index)?.is_ready(PATIENCE).then_some(()))
+        for index in 0..VM_COUNT {
+            poll_until("every VM is ready", MAX_POLLS, || {
+                Ok(self.vm(index)?.is_ready(ANSWER_TIMEOUT).then_some(()))
             })?;
         }
         self.checks
-            .check(format!("{VMS} VMs know the configuration"), true)
+            .check(format!("{VM_COUNT} VMs have the configuration"), true)
     }
 
     fn streams(&mut self) -> Result<()> {
         self.checks.step("A streamed answer through each VM")?;
-        for index in 0..VMS {
+        for index in 0..VM_COUNT {
             let answer = self.ask(index, |id| SiteRequest::quick(id, "m0"))?;
-            let text = format!("through vm{index}: {}", shown(&answer));
-            self.checks.check(text, is_whole_stream(&answer))?;
+            let text = format!("through vm{index}: {}", describe(&answer));
+            self.checks.check(text, is_complete_stream(&answer))?;
         }
         Ok(())
     }
 
-    fn rare_model(&mut self) -> Result<()> {
+    fn unloaded_model(&mut self) -> Result<()> {
         self.checks
-            .step("All VMs are asked at once for a model that no engine holds")?;
+            .step("Concurrent requests at all VMs for a model that is not loaded")?;
         let mut waiting = Vec::new();
-        for index in 0..VMS {
+        for index in 0..VM_COUNT {
             let request = SiteRequest::patient(&self.next_id(), "m2");
-            let mut caller = Caller::connect(self.vm(index)?.callers, PATIENCE)?;
+            let mut caller = Caller::connect(self.vm(index)?.callers, ANSWER_TIMEOUT)?;
             waiting.push(thread::spawn(move || caller.ask(&request)));
         }
-        let mut whole = 0;
+        let mut complete = 0;
         for answer in waiting {
-            let answer = answer
-                .join()
-                .map_err(|_| Error::failed("asking", "the caller's thread panicked"))??;
-            whole += usize::from(is_whole_stream(&answer));
+            let answer = answer.join().map_err(|_| {
+                Error::failed("sending a request", "the caller's thread panicked")
+            })??;
+            complete += usize::from(is_complete_stream(&answer));
         }
         let holding = self
             .site
             .engines
             .iter()
-            .filter(|it| it.serves("m2"))
+            .filter(|engine| engine.serves("m2"))
             .count();
         self.checks.check(
-            format!("{whole} of {VMS} answered whole; {holding} engine holds it now"),
-            whole == VMS && holding == 1,
+            format!("{complete} of {VM_COUNT} answers complete; {holding} engine has loaded it"),
+            complete == VM_COUNT && holding == 1,
         )
     }
 
     fn lost_answers(&mut self) -> Result<()> {
         self.checks
             .step("An instance of the service runs calls and loses their answers")?;
-        self.lose_next_answers();
-        let booked = self.ask(0, SiteRequest::book)?;
-        let runs = self.runs_of_last();
+        self.lose_next_answer_of_all();
+        let booking = self.ask(0, SiteRequest::book)?;
+        let runs = self.runs_of_last_request();
         self.checks.check(
-            format!("a booking: {}, ran {runs} times", shown(&booked)),
-            booked.status() == 502 && runs == 1,
+            format!("a booking: {}, ran {runs} times", describe(&booking)),
+            booking.status() == 502 && runs == 1,
         )?;
-        self.take_lost_answers();
-        self.lose_next_answer();
-        let looked = self.ask(0, SiteRequest::look)?;
-        let runs = self.runs_of_last();
+        self.discard_unused_faults();
+        self.lose_next_answer_of_first();
+        let lookup = self.ask(0, SiteRequest::look)?;
+        let runs = self.runs_of_last_request();
         self.checks.check(
-            format!("a lookup: {}, ran {runs} times", shown(&looked)),
-            looked.is_success() && runs <= 2,
+            format!("a lookup: {}, ran {runs} times", describe(&lookup)),
+            lookup.is_success() && runs <= 2,
         )
     }
 
-    fn new_giver(&mut self) -> Result<()> {
+    fn replace_lease_holder(&mut self) -> Result<()> {
         self.checks
-            .step("The VM that gives orders is killed, and an adapter is asked for")?;
-        let giver = self.giver()?;
-        self.vms[giver] = None;
-        let other = (giver + 1) % VMS;
+            .step("The lease holder is killed, and an adapter is requested")?;
+        let lease_holder = self.lease_holder()?;
+        self.vms[lease_holder] = None;
+        let other = (lease_holder + 1) % VM_COUNT;
         let answer = self.ask(other, |id| SiteRequest::patient(id, "m1/a1"))?;
         self.checks.check(
-            format!("vm{giver} killed; through vm{other}: {}", shown(&answer)),
-            is_whole_stream(&answer),
+            format!(
+                "vm{lease_holder} killed; through vm{other}: {}",
+                describe(&answer)
+            ),
+            is_complete_stream(&answer),
         )
     }
 
-    fn store_away(&mut self) -> Result<()> {
+    fn store_outage(&mut self) -> Result<()> {
         self.checks
-            .step("The store goes away; loaded models and services are served")?;
-        self.fault_doors(StoreFault::Reset);
-        let index = self.running()?;
+            .step("The store is unavailable; loaded models and services are served")?;
+        self.set_store_fault(StoreFault::Reset);
+        let index = self.first_running_vm()?;
         let stream = self.ask(index, |id| SiteRequest::quick(id, "m0"))?;
         let call = self.ask(index, SiteRequest::look)?;
-        self.fault_doors(StoreFault::None);
+        self.set_store_fault(StoreFault::None);
         self.checks.check(
-            format!("a stream: {}; a call: {}", shown(&stream), shown(&call)),
-            is_whole_stream(&stream) && call.is_success(),
+            format!(
+                "a stream: {}; a call: {}",
+                describe(&stream),
+                describe(&call)
+            ),
+            is_complete_stream(&stream) && call.is_success(),
         )
     }
 
     fn planned_stop(&mut self) -> Result<()> {
         self.checks
-            .step("A VM stops as planned, with a stream under way")?;
-        let index = self.running()?;
+            .step("A VM stops as planned, with a stream in progress")?;
+        let index = self.first_running_vm()?;
         let request = SiteRequest::quick(&self.next_id(), "m0");
-        let mut caller = Caller::connect(self.vm(index)?.callers, PATIENCE)?;
+        let mut caller = Caller::connect(self.vm(index)?.callers, ANSWER_TIMEOUT)?;
         caller.send(&request.bytes())?;
         let id = request.id.clone();
         poll_until("the stream has begun", MAX_POLLS, || {
@@ -214,40 +222,40 @@
                 .site
                 .engines
                 .iter()
-                .any(|it| it.run_counts().contains_key(&id));
+                .any(|engine| engine.run_counts().contains_key(&id));
             Ok(ran.then_some(()))
         })?;
         self.vm(index)?.signal(Signal::SIGTERM)?;
         let answer = caller.answer()?;
         self.checks.check(
-            format!("its stream: {}", shown(&answer)),
-            is_whole_stream(&answer),
+            format!("its stream: {}", describe(&answer)),
+            is_complete_stream(&answer),
         )?;
         let Some(mut vm) = self.vms[index].take() else {
             return Err(Error::NotRunning(format!("vm{index}")));
         };
-        let status = poll_until("the process ends", MAX_POLLS, || Ok(vm.try_wait()?))?;
+        let status = poll_until("the process has exited", MAX_POLLS, || Ok(vm.try_wait()?))?;
         self.checks
-            .check(format!("vm{index} ended: {status}"), status.success())
+            .check(format!("vm{index} exited: {status}"), status.success())
     }
 
-    fn orders(&mut self) -> Result<()> {
-        self.checks.step("What the engines were told")?;
+    fn check_orders(&mut self) -> Result<()> {
+        self.checks.step("Orders that the engines received")?;
         let mut overcommitted = 0;
         let mut holders: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
-        let mut in_order = true;
+        let mut is_in_order = true;
         for engine in &self.site.engines {
             let effects = engine.effects();
             overcommitted += effects.overcommitted;
-            in_order &= effects.holders.is_sorted_by_key(|(fence, _)| *fence);
+            is_in_order &= effects.holders.is_sorted_by_key(|(fence, _)| *fence);
             for (fence, holder) in effects.holders {
                 holders.entry(fence).or_default().insert(holder);
             }
         }
-        let alone = holders.values().all(|names| names.len() == 1);
+        let is_exclusive = holders.values().all(|names| names.len() == 1);
         self.checks.check(
-            format!("{} givers of orders, one after the other", holders.len()),
-            alone && in_order && holders.len() == 2,
+            format!("{} lease holders, one after the other", holders.len()),
+            is_exclusive && is_in_order && holders.len() == 2,
         )?;
         self.checks.check(
             format!("memory overcommitted {overcommitted} times"),
@@ -257,13 +265,13 @@
 
     fn ask(&mut self, vm: usize, request: impl FnOnce(&str) -> SiteRequest) -> Result<Answer> {
         let request = request(&self.next_id());
-        let mut caller = Caller::connect(self.vm(vm)?.callers, PATIENCE)?;
+        let mut caller = Caller::connect(self.vm(vm)?.callers, ANSWER_TIMEOUT)?;
         Ok(caller.ask(&request)?)
     }
 
     fn next_id(&mut self) -> String {
-        self.asked += 1;
-        last_id(self.asked)
+        self.requests_sent += 1;
+        request_id(self.requests_sent)
     }
 
     fn vm(&self, index: usize) -> Result<&VmProcess> {
@@ -273,26 +281,26 @@
             .ok_or_else(|| Error::NotRunning(format!("vm{index}")))
     }
 
-    fn running(&self) -> Result<usize> {
+    fn first_running_vm(&self) -> Result<usize> {
         self.vms
             .iter()
             .position(Option::is_some)
             .ok_or_else(|| Error::NotRunning("every VM".to_owned()))
     }
 
-    fn giver(&self) -> Result<usize> {
-        let gives = |vm: &Option<VmProcess>| {
+    fn lease_holder(&self) -> Result<usize> {
+        let is_lease_holder = |vm: &Option<VmProcess>| {
             vm.as_ref()
-                .is_some_and(|vm| !vm.lines_with(GIVES_ORDERS).is_empty())
+                .is_some_and(|vm| !vm.lines_with(LEASE_HOLDER_LINE).is_empty())
         };
         self.vms
             .iter()
-            .position(gives)
-            .ok_or_else(|| Error::UnknownName("VM that gives orders".to_owned()))
+            .position(is_lease_holder)
+            .ok_or_else(|| Error::UnknownName("VM that holds the order lease".to_owned()))
     }
 
-    fn runs_of_last(&self) -> usize {
-        let id = last_id(self.asked);
+    fn runs_of_last_request(&self) -> usize {
+        let id = request_id(self.requests_sent);
         let runs = |counts: std::collections::HashMap<String, usize>| {
             counts.get(&id).copied().unwrap_or_default()
         };
@@ -303,47 +311,47 @@
             .sum()
     }
 
-    /// Has every instance lose its next answer, so that it does not matter which one is asked.
-    fn lose_next_answers(&self) {
+    /// Has every instance of the service lose its next answer, whichever gets the call.
+    fn lose_next_answer_of_all(&self) {
         for service in &self.site.services {
             service.push_fault(AnswerFault::LostAnswer);
         }
     }
 
-    /// Takes back the faults that were not used.
-    fn take_lost_answers(&self) {
+    /// Removes the faults that no answer has used up.
+    fn discard_unused_faults(&self) {
         for service in &self.site.services {
             service.clear_faults();
         }
     }
 
-    fn lose_next_answer(&self) {
+    fn lose_next_answer_of_first(&self) {
         if let Some(service) = self.site.services.first() {
             service.push_fault(AnswerFault::LostAnswer);
         }
     }
 
-    fn fault_doors(&self, fault: StoreFault) {
+    fn set_store_fault(&self, fault: StoreFault) {
         for endpoint in &self.site.store_endpoints {
             endpoint.set_fault(fault);
         }
     }
 }
 
-fn last_id(asked: u64) -> String {
-    format!("demo-{asked}")
+fn request_id(requests_sent: u64) -> String {
+    format!("demo-{requests_sent}")
 }
 
-fn is_whole_stream(answer: &Answer) -> bool {
-    answer.is_success() && answer.event_ids() == (1..=EVENTS).collect::<Vec<u64>>()
+fn is_complete_stream(answer: &Answer) -> bool {
+    answer.is_success() && answer.event_ids() == (1..=EVENTS_PER_STREAM).collect::<Vec<u64>>()
 }
 
-fn shown(answer: &Answer) -> String {
+fn describe(answer: &Answer) -> String {
     let events = answer.event_ids().len();
     match (answer.status(), answer.complete) {
         (0, _) => "no answer".to_owned(),
-        (status, true) if events > 0 => format!("{status}, {events} events, whole"),
-        (status, true) => format!("{status}, whole"),
-        (status, false) => format!("{status}, cut after {events} events"),
+        (status, true) if events > 0 => format!("{status}, {events} events, complete"),
+        (status, true) => format!("{status}, complete"),
+        (status, false) => format!("{status}, cut off after {events} events"),
     }
 }
