--- a/crates/policy-replay/src/trace.rs
+++ b/crates/policy-replay/src/trace.rs
@@ -1,8 +1,8 @@
 //! Seeded arrival traces.
 //!
-//! Time starts at midnight. A model is always awake, called by a schedule, or alternates between
-//! awake and idle; the alternating ones change over at the share per hour that the deployment
-//! gives. A model that wakes up does so with a burst of requests.
+//! Times count from midnight of the first day. A model is always active, is called by a schedule,
+//! or alternates between active and idle phases at the rate of change per hour that the deployment
+//! gives. An active phase begins with a burst of requests.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -16,21 +16,21 @@
 const HOUR_MS: f64 = 3_600_000.0;
 const DAY_MS: f64 = 24.0 * HOUR_MS;
 
-/// The hour of the day with the least work.
+/// Hour of the day with the lowest load.
 const QUIET_HOUR: f64 = 2.0;
 
-/// How far the work of a day swings around its mean.
+/// Amplitude of the diurnal load, as a share of its mean.
 const DIURNAL_SWING: f64 = 0.8;
 
-/// Spread of the mean gap over models, as the deviation of its logarithm.
+/// Standard deviation, over models, of the logarithm of the mean time between requests.
 const GAP_SPREAD: f64 = 1.2;
 const LEAST_GAP_MS: f64 = 2_000.0;
 const MOST_GAP_MS: f64 = 900_000.0;
 
-/// Within how long the burst of a waking model arrives.
+/// Time within which all requests of a burst arrive.
 const BURST_MS: f64 = 2_000.0;
 
-/// Periods of scheduled callers.
+/// Periods from which those of scheduled calls are drawn.
 const PERIODS_MS: [f64; 6] = [
     0.25 * HOUR_MS,
     0.5 * HOUR_MS,
@@ -40,107 +40,107 @@
     DAY_MS,
 ];
 
-/// Deviation of a scheduled call from its time.
+/// Standard deviation of scheduled calls from their times.
 const SCHEDULE_JITTER_MS: f64 = 10_000.0;
 
-/// Share of a model's requests that belong to its main class.
+/// Share of a model's requests that are in its main class; the class of the others is drawn.
 const MAIN_CLASS_SHARE: f64 = 0.8;
 
-/// Prompt prefixes in use at one model.
+/// Number of different prompt prefixes sent to one model.
 const PREFIXES: u64 = 6;
 
-/// Models that a crowd calls.
+/// Number of models to which the requests of a load surge go.
 const SURGE_MODELS: usize = 10;
 
-/// `Habit` is how a model is called.
+/// Pattern by which a model is called.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Habit {
-    /// Awake all the time.
+    /// Active all the time.
     Hot,
-    /// Called at fixed times.
+    /// Called by a schedule, with a burst at each time.
     Regular {
-        /// The time between two calls.
+        /// Time between two scheduled calls.
         period_ms: u64,
     },
-    /// Alternates between awake and idle.
+    /// Alternates between active and idle phases.
     Alternating,
 }
 
-/// `TraceModel` is a model or adapter of the trace.
+/// Model or adapter of the trace.
 #[derive(Clone, Debug)]
 pub struct TraceModel {
-    /// Its name.
+    /// Name of the model or adapter.
     pub model: ModelName,
-    /// The index of an adapter's base.
+    /// Index of the base in the trace if this is an adapter, else none.
     pub base: Option<usize>,
-    /// Memory it takes.
+    /// Accelerator memory that the loaded model occupies, in bytes.
     pub bytes: u64,
-    /// How it is called.
+    /// Pattern by which the model is called.
     pub habit: Habit,
-    /// The mean time between two requests while it is awake.
+    /// Mean time between two requests while the model is active, in milliseconds.
     pub gap_ms: f64,
-    /// The index of its main class.
+    /// Index of its main class in the deployment.
     pub main_class: usize,
-    /// Whether no host has it cached at the start.
+    /// Whether no host has the checkpoint cached at the start.
     pub remote_only: bool,
 }
 
-/// `Target` is what a request asks for.
+/// Target of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A model, by index.
+    /// A model or adapter, by its index in the trace.
     Model(usize),
     /// The plain service.
     Service,
 }
 
-/// `TraceRequest` is one request of the trace.
+/// Request of the trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceRequest {
-    /// When it arrives.
+    /// Time of arrival, in milliseconds since midnight of the first day.
     pub at_ms: u64,
-    /// What it asks for.
+    /// Model or service that the request is sent to.
     pub target: Target,
-    /// The index of its class.
+    /// Index of the request class in the deployment.
     pub class: usize,
-    /// Its caller.
+    /// Number of the caller.
     pub caller: u32,
-    /// The hash of its prompt's prefix.
+    /// Hash of the prompt's prefix; zero for a call to the service.
     pub prefix_hash: u64,
-    /// Time to the first token on an empty engine without a cached prefix.
+    /// Time to the first token on an empty engine without a cached prefix, in milliseconds.
     pub first_token_ms: u64,
-    /// Time to the whole answer on an empty engine.
+    /// Time to the complete answer on an empty engine, in milliseconds.
     pub run_ms: u64,
 }
 
-/// `LoadSurge` is a stretch of time in which the work exceeds what the engines can do.
+/// Period in which callers send more work, on top of the usual requests.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSurge {
-    /// When it starts.
+    /// Begin of the period, in milliseconds since midnight of the first day.
     pub from_ms: u64,
-    /// When it ends.
+    /// End of the period, in milliseconds since midnight of the first day.
     pub to_ms: u64,
-    /// The work that it adds: milliseconds of run time on empty engines for each millisecond.
+    /// Additional work, in milliseconds of run time on empty engines per millisecond.
     pub work_rate: f64,
 }
 
-/// `Trace` is the models and the requests to them, in order of time.
+/// Models of a deployment and the requests to them.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// Models, then adapters.
+    /// Models, followed by the adapters.
     pub models: Vec<TraceModel>,
-    /// Requests.
+    /// Requests, ordered by time of arrival.
     pub requests: Vec<TraceRequest>,
 }
 
-/// Returns the trace of a deployment from midnight to `until_ms`.
+/// Returns the trace of a deployment from midnight to `until_ms`, with a load surge if given.
 pub fn trace(deployment: &Deployment, seed: u64, until_ms: u64, surge: Option<LoadSurge>) -> Trace {
     let mut source = ChaCha8Rng::seed_from_u64(seed);
     let models = models(deployment, &mut source);
     let mut requests = Vec::new();
     for (index, model) in models.iter().enumerate() {
-        // A source of its own for each model keeps the others' requests as they are when one
-        // model changes.
+        // With a random source for each model, a change of one model leaves the requests of the
+        // others unchanged.
         let mut own = ChaCha8Rng::seed_from_u64(seed ^ ((index as u64 + 1) << 20));
         let times = arrival_times(deployment, model, until_ms as f64, &mut own);
         requests.extend(
@@ -213,7 +213,7 @@
     deployment.classes.len() - 1
 }
 
-/// Returns how busy the time of day is, around a mean of one.
+/// Returns the factor on the load at a time of day, with a mean of one over the day.
 fn diurnal(at_ms: f64) -> f64 {
     let hour = (at_ms / HOUR_MS - QUIET_HOUR) / 24.0;
     1.0 - DIURNAL_SWING * (hour * std::f64::consts::TAU).cos()
@@ -232,7 +232,7 @@
     }
 }
 
-/// Returns the arrivals at a model that is awake, thinned by the time of day.
+/// Returns the arrivals at an active model: a Poisson process thinned by the time of day.
 fn stretch(gap_ms: f64, from_ms: f64, to_ms: f64, source: &mut ChaCha8Rng) -> Vec<f64> {
     let most = 1.0 + DIURNAL_SWING;
     let mut times = Vec::new();
@@ -271,7 +271,7 @@
     source: &mut ChaCha8Rng,
 ) -> Vec<f64> {
     let activity = &deployment.activity;
-    // In the long run as many models wake up as fall idle, each half of the changes.
+    // In the steady state, half of the changes begin an active phase and half end one.
     let changes_per_hour = activity.change_share_per_hour / 2.0;
     let awake_ms = activity.active_share / changes_per_hour * HOUR_MS;
     let idle_ms = (1.0 - activity.active_share) / changes_per_hour * HOUR_MS;
