--- a/crates/policy-replay/src/lib.rs
+++ b/crates/policy-replay/src/lib.rs
@@ -1,8 +1,8 @@
-//! Replays seeded arrival traces against the decision crates in virtual time.
+//! Replays seeded arrival traces against the policies in virtual time.
 //!
-//! The replay measures the decisions of placement, routing and admission at each deployment's
-//! size, for the baseline and for the policies in use, with the same seeds in the same run. It is
-//! small by intent: one process, one instance of each policy, no network, no second VM.
+//! The replay measures the decisions of placement, routing, retries and admission at the size of
+//! each deployment, for the baseline policies and for the default ones, with the same seeds. It
+//! simulates one VM, with one instance of each policy, and no network.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
