--- a/crates/policy-replay/src/main.rs
+++ b/crates/policy-replay/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `policy-replay`.
+//! Command `policy-replay`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,14 +14,14 @@
 use apricotdale_policy_replay::errors::Error;
 use apricotdale_policy_replay::report;
 
-/// Most runs at once unless the command line says otherwise.
+/// Default of the maximum number of simultaneous runs.
 const MOST_WORKERS: usize = 6;
 
-/// Replays seeded arrivals against the decision crates and compares them with the baseline.
+/// Replays seeded arrivals against the default policies and compares them with the baseline.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Folder of the deployments' INI files.
+    /// Folder with the INI files of the deployments.
     #[bpaf(
         argument("FOLDER"),
         fallback(PathBuf::from("crates/policy-replay/deployments"))
@@ -30,20 +30,20 @@
     /// Folder for the CSV file and the plots.
     #[bpaf(argument("FOLDER"), fallback(PathBuf::from("target/policy-replay")))]
     out: PathBuf,
-    /// Replay only this deployment.
+    /// Name of the only deployment to replay; all by default.
     #[bpaf(argument("NAME"))]
     deployment: Option<String>,
-    /// Replay only this case.
+    /// Name of the only case to replay; all by default.
     #[bpaf(argument("NAME"))]
     case: Option<String>,
-    /// Leave out the baseline.
+    /// Skip the runs of the baseline.
     chosen_only: bool,
-    /// Trial: let the routing in use ignore engines' speeds and timeouts in their queues.
+    /// Trial: let the default routing ignore slow engines and timeouts in their queues.
     mild_routing: bool,
-    /// Most runs at once; each takes one core.
+    /// Maximum number of simultaneous runs, each on one core.
     #[bpaf(argument("NUMBER"), fallback(MOST_WORKERS))]
     workers: usize,
-    /// Seed of the traces and of the policies that draw.
+    /// Seed of the traces and of the randomized policies.
     #[bpaf(argument("NUMBER"), fallback(1))]
     seed: u64,
 }
@@ -90,7 +90,7 @@
     report::write_csv(&arguments.out.join("policy-replay.csv"), &comparisons)
 }
 
-/// Returns the deployments in order of their files' names.
+/// Returns the selected deployments, ordered by file name.
 fn deployments(arguments: &Arguments) -> Result<Vec<Deployment>> {
     let folder = std::fs::read_dir(&arguments.deployments).map_err(|error| Error::Unreadable {
         path: arguments.deployments.clone(),
