--- a/crates/policy-replay/src/floors.rs
+++ b/crates/policy-replay/src/floors.rs
@@ -1,4 +1,4 @@
-//! Bounds that no policy can beat.
+//! Lower bounds that no policy can beat.
 
 use apricotdale_core::engine::CacheTier;
 
@@ -7,9 +7,10 @@
 use crate::trace::Target;
 use crate::trace::Trace;
 
-/// Returns the idle accelerator hours of a policy that knows all arrivals ahead: it keeps each
-/// model over each gap, or unloads it and has it loaded again from memory just in time, whichever
-/// takes less. Loads, too, hold memory that serves nobody.
+/// Returns the idle accelerator hours of an offline policy that knows all arrivals in advance. In
+/// each gap between requests it either keeps the model loaded, or unloads it and loads it from
+/// memory just in time for the next request, whichever occupies memory for less idle time. A load
+/// counts as idle time, since a loading model serves no request.
 pub fn idle_hours(deployment: &Deployment, trace: &Trace, case: Case) -> f64 {
     let from_ms = case.measured_from_ms();
     let mut busy_until_ms: Vec<Option<u64>> = vec![None; trace.models.len()];
