--- a/crates/policy-replay/src/draw.rs
+++ b/crates/policy-replay/src/draw.rs
@@ -1,9 +1,9 @@
-//! Draws from the distributions that the traces use.
+//! Random draws from the distributions of the traces.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Spread of a request's times around their mean, as the deviation of their logarithm.
+/// Standard deviation of the logarithm of request times.
 const TIME_SPREAD: f64 = 0.5;
 
 /// Returns a draw from the standard normal distribution.
@@ -13,12 +13,12 @@
     (-2.0 * radius.ln()).sqrt() * angle.cos()
 }
 
-/// Returns a draw from the exponential distribution of a mean.
+/// Returns a draw from the exponential distribution with the given mean.
 pub fn exponential(source: &mut ChaCha8Rng, mean: f64) -> f64 {
     -mean * (1.0 - source.random::<f64>()).ln()
 }
 
-/// Returns a draw from the log-normal distribution of a mean, at least one.
+/// Returns a draw from the log-normal distribution with the given mean, at least 1.
 pub fn around(source: &mut ChaCha8Rng, mean: u64) -> u64 {
     let shift = TIME_SPREAD * TIME_SPREAD / 2.0;
     let drawn = mean as f64 * (TIME_SPREAD * normal(source) - shift).exp();
