--- a/crates/policy-replay/src/report.rs
+++ b/crates/policy-replay/src/report.rs
@@ -1,4 +1,4 @@
-//! Prints, tables and plots of what was measured.
+//! Printed lines, CSV table and plots of the comparisons.
 
 use std::path::Path;
 
@@ -20,7 +20,7 @@
 const MINUTE_MS: u64 = 60_000;
 const PLOT_SIZE: (u32, u32) = (1_200, 480);
 
-/// Returns one printed line for each measure of a comparison.
+/// Returns a printed line for each measure of a comparison, and one for the idle floor.
 pub fn printed(comparison: &Comparison) -> Vec<String> {
     let deployment = &comparison.deployment;
     let case = comparison.case.as_str();
@@ -46,11 +46,11 @@
     lines
 }
 
-/// Writes every run as a row of a CSV file.
+/// Writes each measure of each run as a row of a CSV file.
 ///
 /// # Errors
 ///
-/// `Error::Unwritable` if the file can't be written.
+/// [`Error::Unwritable`] if the file can't be written.
 pub fn write_csv(path: &Path, comparisons: &[Comparison]) -> Result<()> {
     let mut writer = csv::Writer::from_path(path).map_err(unwritable)?;
     writer
@@ -86,12 +86,12 @@
     writer.flush().map_err(unwritable)
 }
 
-/// Plots cold starts and met targets over idle hours: the baseline's timeouts as a line, the
-/// policies in use as a point.
+/// Plots the p99 of cold starts and the share of met targets over idle hours. The baseline is a
+/// line over its idle timeouts, the default policies are a point.
 ///
 /// # Errors
 ///
-/// `Error::Unwritable` if the file can't be written.
+/// [`Error::Unwritable`] if the file can't be written.
 pub fn write_plot(path: &Path, comparison: &Comparison) -> Result<()> {
     let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(unwritable)?;
