--- a/crates/policy-replay/src/hosts.rs
+++ b/crates/policy-replay/src/hosts.rs
@@ -1,9 +1,9 @@
-//! Checkpoints cached on an engine's host.
+//! Checkpoint cache of an engine's host.
 
 use apricotdale_core::engine::CacheTier;
 
-/// `HostCache` holds the checkpoints of one host, least recently used first, in memory and on
-/// disk.
+/// Checkpoints cached on one host, in memory and on disk. Each tier evicts the least recently used
+/// ones.
 #[derive(Clone, Debug)]
 pub struct HostCache {
     memory: Tier,
@@ -33,7 +33,7 @@
 }
 
 impl HostCache {
-    /// Returns an empty cache.
+    /// Returns an empty cache with the given capacities.
     pub fn new(memory_bytes: u64, disk_bytes: u64) -> Self {
         let tier = |capacity_bytes| Tier {
             capacity_bytes,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns where a checkpoint is held.
+    /// Returns the fastest tier that holds a model's checkpoint, or [`CacheTier::Remote`].
     pub fn tier(&self, model: usize) -> CacheTier {
         match model {
             _ if self.memory.holds(model) => CacheTier::Memory,
@@ -54,24 +54,24 @@
         }
     }
 
-    /// Notes that a checkpoint was read for a load.
+    /// Puts a checkpoint that was read for a load into both tiers, as the most recently used one.
     pub fn touch(&mut self, model: usize, bytes: u64) {
         self.disk.touch(model, bytes);
         self.memory.touch(model, bytes);
     }
 
-    /// Puts a checkpoint on the disk.
+    /// Puts a checkpoint on the disk, as the most recently used one.
     pub fn put_on_disk(&mut self, model: usize, bytes: u64) {
         self.disk.touch(model, bytes);
     }
 
-    /// Forgets every checkpoint.
+    /// Removes all checkpoints from both tiers.
     pub fn clear(&mut self) {
         self.memory.held.clear();
         self.disk.held.clear();
     }
 
-    /// Returns the checkpoints held, each with its fastest tier.
+    /// Returns the cached checkpoints, each with the fastest tier that holds it.
     pub fn held(&self) -> Vec<(usize, CacheTier)> {
         let in_memory = self
             .memory
