--- a/crates/policy-replay/src/policies.rs
+++ b/crates/policy-replay/src/policies.rs
@@ -1,4 +1,4 @@
-//! Which policies a run drives.
+//! Choice of the policies of a run.
 
 use apricotdale_core::policy::AdmissionPolicy;
 use apricotdale_core::policy::PlacementPolicy;
@@ -9,43 +9,43 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// `PolicySet` names the policies of a run.
+/// Names and options of the policies of a run.
 #[derive(Clone, Debug)]
 pub struct PolicySet {
-    /// Placement.
+    /// Registered name of the placement policy.
     pub placement: &'static str,
-    /// The idle timeout, where the placement has one.
+    /// Idle timeout of the placement policy, for one that has it.
     pub idle_timeout_ms: u64,
-    /// Routing.
+    /// Registered name of the routing policy.
     pub routing: &'static str,
-    /// Retries.
+    /// Registered name of the retry policy.
     pub retry: &'static str,
-    /// Admission.
+    /// Registered name of the admission policy.
     pub admission: &'static str,
-    /// Whether routing ignores what by default it holds against an engine although it may be no
-    /// fault of its own: answers that begin later than those of other engines, which here run
-    /// other models, and requests that time out in its queue.
+    /// Whether routing ignores signs of a slow engine that can have other causes here: first
+    /// tokens that arrive later than those of other engines, which run other models, and requests
+    /// that time out in the engine's queue.
     pub mild_routing: bool,
-    /// The seed of the policies that draw.
+    /// Seed of the randomized policies.
     pub seed: u64,
 }
 
-/// `Policies` are the policies of one VM.
+/// Policy instances of the simulated VM.
 pub struct Policies {
-    /// Placement.
+    /// Placement of models on engines.
     pub placement: Box<dyn PlacementPolicy>,
     /// Routing among the engines.
     pub engines: Box<dyn RoutingPolicy>,
     /// Routing among the instances of the plain service.
     pub instances: Box<dyn RoutingPolicy>,
-    /// Retries.
+    /// Retries of failed attempts.
     pub retry: Box<dyn RetryPolicy>,
-    /// Admission.
+    /// Admission of requests.
     pub admission: Box<dyn AdmissionPolicy>,
 }
 
 impl PolicySet {
-    /// Returns the baseline with an idle timeout.
+    /// Returns the baseline policies, with the given idle timeout.
     pub fn baseline(idle_timeout_ms: u64, seed: u64) -> Self {
         Self {
             placement: "fixed_timeout",
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns the policies in use.
+    /// Returns the default policies.
     pub fn chosen(seed: u64, mild_routing: bool) -> Self {
         Self {
             placement: "learned",
@@ -71,11 +71,11 @@
         }
     }
 
-    /// Returns new policies that have learned nothing.
+    /// Creates the policies, which have learned nothing yet.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownPolicy` for a name that no crate knows.
+    /// [`Error::UnknownPolicy`] if no policy is registered under one of the names.
     pub fn build(&self) -> Result<Policies> {
         let placement_options = apricotdale_placement::Options {
             idle_timeout_ms: self.idle_timeout_ms,
