--- a/crates/policy-replay/src/fleet.rs
+++ b/crates/policy-replay/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of the replay: memory, replicas, batches and what they report.
+//! Simulated engines: memory, replicas, batches, prefix caches and load reports.
 
 use std::collections::VecDeque;
 
@@ -9,77 +9,77 @@
 use crate::deployment::EngineTable;
 use crate::hosts::HostCache;
 
-/// Prefixes that one engine keeps.
+/// Number of prompt prefixes cached by one engine.
 const CACHED_PREFIXES: usize = 48;
 
-/// The share of the time to the first token that is left when the prefix is cached.
+/// Share of the time to the first token that remains if the prefix is cached.
 const CACHED_PREFIX_SHARE: f64 = 0.4;
 
-/// How much longer everything takes in a full batch than in an empty one.
+/// Additional time in a full batch, as a share of the time in an empty one.
 const FULL_BATCH_SLOWDOWN: f64 = 0.5;
 
-/// Returns the work that all engines can do with full batches: milliseconds of run time on an empty
-/// engine for each millisecond.
+/// Returns the work that all engines can do with full batches, in milliseconds of run time on empty
+/// engines per millisecond.
 pub fn full_rate(table: &EngineTable) -> f64 {
     let slots = f64::from(table.slots);
     let fill = (slots - 1.0) / slots;
     table.count as f64 * slots / (1.0 + FULL_BATCH_SLOWDOWN * fill)
 }
 
-/// `Phase` is how far a replica is.
+/// Phase in the life of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Decided and being loaded.
+    /// The load was accepted and has not been settled.
     Loading,
-    /// Can serve.
+    /// The replica can serve.
     Loaded,
-    /// Finishes its last requests.
+    /// The replica takes no new requests, and is unloaded after its last one.
     Unloading,
 }
 
-/// `Replica` is one replica on an engine.
+/// Replica of a model on an engine.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// The model.
+    /// Index of the model.
     pub model: usize,
-    /// The model's base, if it is an adapter.
+    /// Index of the base if the model is an adapter, else none.
     pub base: Option<usize>,
-    /// Memory it takes.
+    /// Accelerator memory that the replica occupies.
     pub bytes: u64,
-    /// How far it is.
+    /// Phase in the life of the replica.
     pub phase: Phase,
-    /// The number of the load that brought it.
+    /// Index of the load that created the replica.
     pub load: usize,
-    /// When it was loaded.
+    /// Time at which the load was accepted, or was settled once the replica is loaded.
     pub since_ms: u64,
-    /// When it is expected to be loaded.
+    /// Time at which placement expects the load to end.
     pub ready_at_ms: u64,
-    /// Requests on it, running or queued.
+    /// Number of its requests, running or queued.
     pub requests: u32,
 }
 
-/// `Engine` is one model engine.
+/// Model engine, or instance of the plain service.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Its name.
+    /// Name as an upstream.
     pub name: UpstreamName,
-    /// Its zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Whether it runs.
+    /// Whether the engine runs.
     pub alive: bool,
-    /// Whether the platform's list shows it.
+    /// Whether the VM list shows the engine.
     pub listed: bool,
-    /// Checkpoints on its host.
+    /// Checkpoints cached on its host.
     pub cache: HostCache,
-    /// Its replicas.
+    /// Replicas in any phase.
     pub replicas: Vec<Replica>,
-    /// Requests in its batch, by ticket.
+    /// Tickets of the requests in the batch.
     pub running: Vec<u64>,
-    /// Requests that wait for a place in the batch.
+    /// Tickets of the requests that wait for a slot in the batch.
     pub queue: VecDeque<u64>,
-    /// Requests running and waiting, as last reported.
+    /// Numbers of requests running and waiting in the last report.
     pub reported: (u32, u32),
-    /// Checkpoints as last reported.
+    /// Cached checkpoints in the last report.
     pub reported_checkpoints: Vec<(usize, CacheTier)>,
     prefixes: VecDeque<u64>,
     capacity_bytes: u64,
@@ -87,7 +87,7 @@
 }
 
 impl Engine {
-    /// Returns an empty engine.
+    /// Returns a running engine without replicas.
     pub fn new(name: UpstreamName, zone: ZoneName, table: &EngineTable) -> Self {
         Self {
             name,
@@ -106,19 +106,20 @@
         }
     }
 
-    /// Returns the replica of a model.
+    /// Returns the replica of a model, or none.
     pub fn replica(&self, model: usize) -> Option<&Replica> {
         self.replicas.iter().find(|replica| replica.model == model)
     }
 
-    /// Returns the replica of a model for a change.
+    /// Returns the replica of a model to be changed, or none.
     pub fn replica_mut(&mut self, model: usize) -> Option<&mut Replica> {
         self.replicas
             .iter_mut()
             .find(|replica| replica.model == model)
     }
 
-    /// Returns whether the model can serve here, as far as the VMs know.
+    /// Returns whether the VMs regard this engine as able to serve the model: it is in the VM list
+    /// and its replica is loaded.
     pub fn serves(&self, model: usize) -> bool {
         self.listed
             && self
@@ -126,14 +127,14 @@
                 .is_some_and(|replica| replica.phase == Phase::Loaded)
     }
 
-    /// Returns the memory that no replica takes.
+    /// Returns the accelerator memory that no replica occupies.
     pub fn free_bytes(&self) -> u64 {
         let used: u64 = self.replicas.iter().map(|replica| replica.bytes).sum();
         self.capacity_bytes.saturating_sub(used)
     }
 
-    /// Returns the share of the memory that is held by replicas without a request. A base counts
-    /// as used while an adapter on it is.
+    /// Returns the share of the memory occupied by replicas without requests. A base with requests
+    /// on one of its adapters is not idle.
     pub fn idle_share(&self) -> f64 {
         let is_idle = |replica: &&Replica| {
             replica.requests == 0
@@ -151,25 +152,26 @@
         idle as f64 / self.capacity_bytes as f64
     }
 
-    /// Returns the free places of the batch.
+    /// Returns the number of slots for which no request runs or waits.
     pub fn free_places(&self) -> u32 {
         let taken = self.running.len() + self.queue.len();
         self.slots.saturating_sub(taken as u32)
     }
 
-    /// Returns whether the batch has a free place.
+    /// Returns whether the batch has a free slot.
     pub fn has_place(&self) -> bool {
         self.running.len() < self.slots as usize
     }
 
-    /// Returns how long a time stretches in the batch as it is.
+    /// Returns the time that a step takes with the present batch, if it takes `time_ms` on an empty
+    /// engine.
     pub fn stretch_ms(&self, time_ms: u64) -> u64 {
         let fill = self.running.len() as f64 / f64::from(self.slots);
         (time_ms as f64 * (1.0 + FULL_BATCH_SLOWDOWN * fill)) as u64
     }
 
-    /// Notes that a prompt was read and returns the share of the time that it took, which is
-    /// smaller when the prefix was cached.
+    /// Puts a prompt's prefix into the prefix cache. Returns the factor on the time to the first
+    /// token, which is below 1 if the prefix was cached before.
     pub fn read_prefix(&mut self, prefix_hash: u64) -> f64 {
         let known = self.prefixes.iter().position(|held| *held == prefix_hash);
         if let Some(known) = known {
@@ -185,13 +187,13 @@
         }
     }
 
-    /// Takes the report that the VMs will read.
+    /// Takes the snapshot that the VMs read until the next report.
     pub fn report(&mut self) {
         self.reported = (self.running.len() as u32, self.queue.len() as u32);
         self.reported_checkpoints = self.cache.held();
     }
 
-    /// Empties the engine, as when its VM is lost. Returns the requests that were on it.
+    /// Stops the engine and clears its caches and batch. Returns the tickets of its requests.
     pub fn lose(&mut self) -> Vec<u64> {
         self.alive = false;
         self.prefixes.clear();
