--- a/crates/policy-replay/src/compare.rs
+++ b/crates/policy-replay/src/compare.rs
@@ -1,4 +1,4 @@
-//! Runs the baseline and the policies in use, and compares them.
+//! Runs the baseline and the default policies, and compares their results.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicUsize;
@@ -16,7 +16,7 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-/// The fixed idle timeouts that the baseline is tried with in the usual case.
+/// Idle timeouts of the baseline in the case `usual`.
 pub const TIMEOUTS_MS: [u64; 7] = [
     MINUTE_MS,
     5 * MINUTE_MS,
@@ -27,7 +27,7 @@
     180 * MINUTE_MS,
 ];
 
-/// The fixed idle timeouts that the baseline is tried with in the other cases.
+/// Idle timeouts of the baseline in all other cases.
 pub const FAULT_TIMEOUTS_MS: [u64; 4] = [
     5 * MINUTE_MS,
     20 * MINUTE_MS,
@@ -35,37 +35,37 @@
     180 * MINUTE_MS,
 ];
 
-/// `Comparison` is what was measured in one case of one deployment.
+/// Results of one case of one deployment.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// The case.
+    /// Case that was replayed.
     pub case: Case,
-    /// The baseline for each timeout that was tried.
+    /// Idle timeouts of the baseline, each with its results.
     pub baselines: Vec<(u64, Results)>,
-    /// The policies in use.
+    /// Results of the default policies.
     pub chosen: Results,
-    /// The least idle accelerator hours with which any policy can serve every request without a
-    /// request ever waiting for anything but the fastest load.
+    /// Lower bound of the idle accelerator hours for a policy with which no request waits longer
+    /// than for the fastest load.
     pub idle_floor_hours: f64,
 }
 
-/// `Line` compares one measure.
+/// Comparison of one measure.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// The measure.
+    /// Name of the measure.
     pub measure: String,
-    /// The timeout of the baseline that it is compared with.
+    /// Idle timeout of the baseline run that serves for the comparison.
     pub timeout_ms: u64,
-    /// The baseline's value.
+    /// Value of the baseline.
     pub baseline: f64,
-    /// The value of the policies in use.
+    /// Value of the default policies.
     pub chosen: f64,
 }
 
 impl Line {
-    /// Returns the chosen value as a multiple of the baseline's.
+    /// Returns the default policies' value as a multiple of the baseline's, and 1 if both are zero.
     pub fn ratio(&self) -> f64 {
         match self.baseline {
             0.0 if self.chosen == 0.0 => 1.0,
@@ -74,13 +74,13 @@
     }
 }
 
-/// Returns whether more of a measure is better.
+/// Returns whether a higher value of a measure is better.
 fn is_better_high(measure: &str) -> bool {
     measure.starts_with("met_share") || measure == "goodput_share"
 }
 
 impl Comparison {
-    /// Returns one line for each measure, each against the timeout that is strongest in it.
+    /// Returns a line for each measure, with the idle timeout whose baseline is best in it.
     pub fn lines(&self) -> Vec<Line> {
         self.chosen
             .entries()
@@ -96,11 +96,11 @@
             .collect()
     }
 
-    /// Returns the strongest baseline in a measure.
+    /// Returns the idle timeout and value of the best baseline for a measure.
     ///
-    /// Idle hours alone would be won by the shortest timeout, which misses the most targets. They
-    /// are compared with the timeout that needs the fewest while it meets as many targets as the
-    /// policies in use, or with the one that meets the most targets if none meets as many.
+    /// For idle hours alone, the shortest timeout would always be best, although it misses the most
+    /// targets. Candidates for that measure are therefore only the timeouts that meet as many
+    /// targets as the default policies; if there is none, the one that meets the most targets.
     fn strongest(&self, measure: &str) -> (u64, f64) {
         let met = self.chosen.get("met_share");
         let reaches = |results: &Results| results.get("met_share") >= met;
@@ -135,21 +135,21 @@
     }
 }
 
-/// `Options` are the tunables of a comparison.
+/// Options of a comparison.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Whether the baseline runs too.
     pub with_baseline: bool,
-    /// The seed of the traces and of the policies that draw.
+    /// Seed of the traces and of the randomized policies.
     pub seed: u64,
-    /// Runs at once; each takes one core.
+    /// Maximum number of simultaneous runs, each on one core.
     pub workers: usize,
-    /// Whether the routing in use is mild; see [`PolicySet::mild_routing`].
+    /// Whether the default routing is mild; see [`PolicySet::mild_routing`].
     pub mild_routing: bool,
 }
 
 impl Options {
-    /// Returns the timeouts that the baseline is tried with in a case.
+    /// Returns the idle timeouts of the baseline in a case, none if it does not run.
     fn timeouts_ms(&self, case: Case) -> &'static [u64] {
         match case {
             _ if !self.with_baseline => &[],
@@ -170,17 +170,18 @@
     }
 }
 
-/// `Job` is one run.
+/// One run to be executed by a worker.
 struct Job {
     place: usize,
     set: PolicySet,
 }
 
-/// Runs all cases of all deployments, the baseline once for each timeout, and returns the comparisons in order.
+/// Runs all cases of all deployments, with the baseline once for each idle timeout. Returns the
+/// comparisons, ordered by deployment and case.
 ///
 /// # Errors
 ///
-/// `Error::UnknownPolicy` if a policy is missing.
+/// [`Error::UnknownPolicy`](crate::Error::UnknownPolicy) if a policy is not registered.
 pub fn compare(
     deployments: &[Deployment],
     cases: &[Case],
