--- a/crates/policy-replay/src/measures.rs
+++ b/crates/policy-replay/src/measures.rs
@@ -1,4 +1,4 @@
-//! What a run measures.
+//! Measures of a run.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,31 @@
 
 use crate::deployment::Deployment;
 
-/// The longest wait that counts; longer ones count as this.
+/// Upper bound of the histograms; longer waits are recorded as this one.
 pub const LONGEST_MS: u64 = 600_000;
 
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// `Results` are the results of one run by name, in the order in which they are printed.
+/// Values of one run with their names, in the order in which they are printed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Results {
     entries: Vec<(String, f64)>,
 }
 
 impl Results {
-    /// Returns results with the given entries.
+    /// Returns the results with the given names and values.
     pub fn new(entries: Vec<(String, f64)>) -> Self {
         Self { entries }
     }
 
-    /// Returns the results in order.
+    /// Returns the names and values in order.
     pub fn entries(&self) -> impl Iterator<Item = (&str, f64)> {
         self.entries
             .iter()
             .map(|(name, value)| (name.as_str(), *value))
     }
 
-    /// Returns one result, zero for one that was never counted.
+    /// Returns the value with the given name, or zero if there is none.
     pub fn get(&self, name: &str) -> f64 {
         let found = self.entries.iter().find(|(known, _)| known == name);
         found.map_or(0.0, |(_, value)| *value)
@@ -43,7 +43,7 @@
     }
 }
 
-/// `Measures` counts what happens from a moment on.
+/// Counters of a run, from the start of the measurement on.
 #[derive(Clone, Debug)]
 pub struct Measures {
     from_ms: u64,
@@ -65,7 +65,7 @@
     stuck: u64,
 }
 
-/// `Window` counts the time that the batches spend on answers that are in time.
+/// Interval in which the slots' time spent on answers in time is counted.
 #[derive(Clone, Copy, Debug)]
 struct Window {
     from_ms: u64,
@@ -82,7 +82,7 @@
 }
 
 impl Measures {
-    /// Returns measures that count from a moment on.
+    /// Returns zero counters for a measurement that starts at `from_ms`.
     pub fn new(deployment: &Deployment, from_ms: u64) -> Self {
         let histogram = || {
             Histogram::new_with_max(LONGEST_MS, 3)
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Also counts useful work between two moments, of which `places` at once are achievable.
+    /// Also counts useful work in an interval, of which `places` slots limit the maximum.
     pub fn watch_goodput(&mut self, from_ms: u64, to_ms: u64, places: u64) {
         self.window = Some(Window {
             from_ms,
@@ -127,7 +127,7 @@
         });
     }
 
-    /// Returns whether what happens to a request that arrived then is counted.
+    /// Returns whether a request that arrived at this time is measured.
     pub fn counts(&self, arrived_ms: u64) -> bool {
         arrived_ms >= self.from_ms
     }
@@ -138,20 +138,20 @@
         self.classes[class].arrived += 1;
     }
 
-    /// Counts how long a request that found no replica had to wait for one, refused or not, and
-    /// the least time in which any engine could have loaded the model.
+    /// Counts a request that found no loaded replica, refused or not: the time until there was one,
+    /// and the minimum time in which any engine could have loaded the model.
     pub fn cold_start(&mut self, wait_ms: u64, floor_ms: u64) {
         self.cold_starts.saturating_record(wait_ms.min(LONGEST_MS));
         self.cold_floor.saturating_record(floor_ms.min(LONGEST_MS));
     }
 
-    /// Counts a first token.
+    /// Counts a first token, with the time since the arrival and whether the target was met.
     pub fn first_token(&mut self, class: usize, wait_ms: u64, met: bool) {
         self.first_tokens.saturating_record(wait_ms.min(LONGEST_MS));
         self.classes[class].met += u64::from(met);
     }
 
-    /// Counts the work of a request that ended, and whether its answer was in time.
+    /// Counts the time that a request ran on an engine, and whether its answer was in time.
     pub fn work(&mut self, from_ms: u64, to_ms: u64, met: bool) {
         let run_ms = (to_ms - from_ms) as f64;
         self.work_ms += run_ms;
@@ -167,13 +167,13 @@
         }
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn refused(&mut self, reason: &'static str) {
         self.refused += 1;
         *self.refusals.entry(reason).or_default() += 1;
     }
 
-    /// Counts a request that is neither answered nor refused although its deadline is long past.
+    /// Counts a request with neither answer nor refusal long after its deadline.
     pub fn stuck(&mut self) {
         self.stuck += 1;
     }
@@ -183,24 +183,24 @@
         self.failed += 1;
     }
 
-    /// Counts a try at an upstream.
+    /// Counts an attempt at an upstream.
     pub fn tried(&mut self, is_retry: bool) {
         self.tries += 1;
         self.retries += u64::from(is_retry);
     }
 
-    /// Counts a load that was decided.
+    /// Counts a load that was accepted at `now_ms`, if that is within the measurement.
     pub fn load(&mut self, now_ms: u64) {
         self.loads += u64::from(self.counts(now_ms));
     }
 
-    /// Counts memory held by idle replicas over a stretch of time.
+    /// Counts the share of an engine's memory held by idle replicas over an interval.
     pub fn idle(&mut self, from_ms: u64, to_ms: u64, share: f64) {
         let counted_ms = to_ms.saturating_sub(from_ms.max(self.from_ms));
         self.idle_engine_ms += counted_ms as f64 * share;
     }
 
-    /// Returns the results by name.
+    /// Computes the results from the counters.
     pub fn results(&self) -> Results {
         let share = |part: u64, whole: u64| part as f64 / whole.max(1) as f64;
         let at =
@@ -249,8 +249,8 @@
         results
     }
 
-    /// Returns the wait for a load that only a share of all requests exceeds. It is zero for a
-    /// request that found its model loaded.
+    /// Returns the wait for a load that only the given share of all requests exceeds. Requests that
+    /// found their model loaded count with a wait of zero.
     fn load_wait_ms(&self, exceeding_share: f64) -> f64 {
         let exceeding = self.arrived as f64 * exceeding_share;
         let cold = self.cold_starts.len() as f64;
