--- a/crates/policy-replay/src/world/mod.rs
+++ b/crates/policy-replay/src/world/mod.rs
@@ -1,7 +1,8 @@
-//! The world that the policies decide about: events in virtual time.
+//! Discrete-event simulation in virtual time of the environment in which the policies decide.
 //!
-//! One instance of each policy decides for all VMs, with what one VM would know: load reports lag,
-//! a decision takes a round over the log. There is no network and no second VM.
+//! One instance of each policy decides for all VMs, with the information that one VM would have:
+//! load reports are delayed, and a decision is in force only after a round trip to the log. There
+//! is no network and no second VM.
 
 mod failing;
 mod faults;
@@ -35,20 +36,20 @@
 use crate::store::Store;
 use crate::trace::Trace;
 
-/// From the proposal of a decision until it is in force.
+/// Time from the proposal of a decision until it is in force.
 const LOG_ROUND_MS: u64 = 30;
 
-/// Between two reports of an engine's load.
+/// Interval between two load reports of an engine.
 const REPORT_MS: u64 = 2_000;
 
-/// From demand without a replica until placement is asked.
+/// Delay from the arrival of a request that has to wait until placement plans.
 const PLAN_DELAY_MS: u64 = 50;
 
-/// Between two plans while something waits, and while nothing does.
+/// Interval between two plans of placement while a request waits, and while none does.
 const BUSY_PLAN_MS: u64 = 500;
 const QUIET_PLAN_MS: u64 = 5_000;
 
-/// A request without an answer this long after its deadline has been forgotten.
+/// Time after the deadline from which a request without an answer counts as stuck.
 const STUCK_AFTER_MS: u64 = 60_000;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -102,14 +103,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Waiting,
-    /// Started by admission, by the process of this generation.
+    /// Started by admission, in this incarnation of the VM's process.
     Started {
         generation: u32,
     },
     Done,
 }
 
-/// `Request` is one request in the world. Its ticket is its index.
+/// Simulated request. Its ticket is its index.
 #[derive(Clone, Debug)]
 struct Request {
     target: usize,
@@ -120,7 +121,7 @@
     run_ms: u64,
     at_ms: u64,
     deadline_ms: u64,
-    /// Whether it is one of the trace, not one that came back.
+    /// Whether the request is one of the trace, not a caller's retry after a refusal.
     is_original: bool,
     state: State,
     tries: u32,
@@ -131,7 +132,7 @@
     answered_ms: Option<u64>,
 }
 
-/// `Load` is one load that was decided.
+/// Load that was accepted.
 #[derive(Clone, Debug)]
 struct Load {
     engine: usize,
@@ -141,7 +142,7 @@
     sized_ms: f64,
 }
 
-/// `World` is one run: a deployment, a case and a set of policies.
+/// Simulation of one run with a deployment, a case and a set of policies.
 pub struct World<'a> {
     deployment: &'a Deployment,
     trace: &'a Trace,
@@ -153,13 +154,13 @@
     sequence: u64,
     events: BinaryHeap<Reverse<Scheduled>>,
     requests: Vec<Request>,
-    /// Model engines first, then the instances of the plain service.
+    /// Model engines, followed by the instances of the plain service.
     engines: Vec<Engine>,
     loads: Vec<Load>,
     store: Store,
     store_end_ms: Option<u64>,
     log_is_up: bool,
-    /// Loads that ended and can't be settled while the log is down.
+    /// Loads that ended while the log was down and are not settled.
     unsettled: Vec<usize>,
     indexes: HashMap<ModelName, usize>,
     plan_ms: Option<u64>,
@@ -168,7 +169,7 @@
     started: Vec<u32>,
     running: Vec<u32>,
     cold: Vec<Vec<(u64, u64)>>,
-    /// The capacity last told to admission for each target.
+    /// Capacity last announced to admission for each target.
     told: Vec<Option<(u32, Option<u64>)>>,
     targets: Vec<ModelName>,
     idle_shares: Vec<(u64, f64)>,
@@ -176,11 +177,11 @@
 }
 
 impl<'a> World<'a> {
-    /// Returns a world at midnight.
+    /// Returns a simulation that starts at midnight.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownPolicy` for a policy that no crate knows.
+    /// [`Error::UnknownPolicy`](crate::Error::UnknownPolicy) if a policy is not registered.
     pub fn new(
         deployment: &'a Deployment,
         trace: &'a Trace,
@@ -231,7 +232,7 @@
         Ok(world)
     }
 
-    /// Runs to the end of the case and returns what was measured.
+    /// Runs to the end of the case and returns the counters.
     pub fn run(mut self) -> Measures {
         while let Some(Reverse(scheduled)) = self.events.pop() {
             if scheduled.at_ms >= self.case.until_ms() {
@@ -298,7 +299,7 @@
         }));
     }
 
-    /// Asks placement at the given time, unless it is asked earlier.
+    /// Schedules a plan of placement at the given time, unless one is scheduled earlier.
     fn plan_by(&mut self, at_ms: u64) {
         if self.plan_ms.is_some_and(|planned_ms| planned_ms <= at_ms) {
             return;
@@ -307,7 +308,7 @@
         self.schedule(at_ms, Event::Plan);
     }
 
-    /// Accounts for the time since an engine last changed.
+    /// Records the idle memory of an engine up to now, after its replicas or requests changed.
     fn changed(&mut self, engine: usize) {
         let (since_ms, share) = self.idle_shares[engine];
         self.measures.idle(since_ms, self.now_ms, share);
@@ -324,7 +325,7 @@
         self.count_stuck();
     }
 
-    /// Counts the requests that neither admission nor an engine will ever end.
+    /// Counts the requests that neither admission nor an engine has ended long after the deadline.
     fn count_stuck(&mut self) {
         let until_ms = self.now_ms.saturating_sub(STUCK_AFTER_MS);
         let is_stuck = |request: &&Request| {
@@ -338,7 +339,7 @@
         }
     }
 
-    /// Ends the cold starts that waited for a replica of a model.
+    /// Records the cold starts that waited for a replica of a target.
     fn warm(&mut self, target: usize) {
         for (arrived_ms, floor_ms) in std::mem::take(&mut self.cold[target]) {
             if self.measures.counts(arrived_ms) {
@@ -352,7 +353,7 @@
     }
 }
 
-/// Returns the engines with an uneven cache, and the instances of the plain service.
+/// Returns the engines, with checkpoints on random hosts, and the instances of the plain service.
 fn engines(deployment: &Deployment, trace: &Trace, seed: u64) -> Vec<Engine> {
     let mut source = ChaCha8Rng::seed_from_u64(seed ^ 0xcac4e);
     let table = &deployment.engines;
@@ -385,7 +386,7 @@
     engines
 }
 
-/// Returns the stand-in by which an instance of the plain service counts as loaded.
+/// Returns a loaded replica that represents an instance of the plain service.
 fn service_replica(service: usize) -> Replica {
     Replica {
         model: service,
