--- a/crates/policy-replay/src/world/placing.rs
+++ b/crates/policy-replay/src/world/placing.rs
@@ -1,4 +1,4 @@
-//! Placement in the world: the view, decisions, loads and unloads.
+//! Simulation of placement: the policy's view, decisions, loads and unloads.
 
 use std::collections::BTreeSet;
 
@@ -21,10 +21,10 @@
 use crate::world::QUIET_PLAN_MS;
 use crate::world::World;
 
-/// How long an engine takes to free the memory of a model without requests.
+/// Time in which an engine frees the memory of a replica without requests.
 const UNLOAD_MS: u64 = 200;
 
-/// How long the store takes to refuse a load above its rate limit.
+/// Time in which the weight store refuses a load above its rate limit.
 const STORE_REFUSAL_MS: u64 = 100;
 
 impl World<'_> {
@@ -64,7 +64,8 @@
         self.schedule(self.now_ms + LOG_ROUND_MS, event);
     }
 
-    /// Refuses the waiting requests that can't wait as long as the refusal says.
+    /// Refuses the waiting requests whose deadline is before the time at which the refusal allows a
+    /// retry.
     fn hopeless(&mut self, model: &ModelName, refusal: &Refusal) {
         let Some(target) = self.target(model) else {
             return;
@@ -190,7 +191,7 @@
         self.expect_store_end();
     }
 
-    /// Returns whether the replica that a load brings is still there.
+    /// Returns whether the engine runs and still has the replica created by a load.
     fn holds(&self, load: usize) -> bool {
         let Load { engine, model, .. } = self.loads[load];
         let engine = &self.engines[engine];
@@ -275,7 +276,7 @@
         self.tell_capacity(model);
     }
 
-    /// Frees the memory of a replica that unloads and has no request left.
+    /// Schedules the end of an unload once the replica has no requests left.
     pub(super) fn unload_if_done(&mut self, engine: usize, model: usize) {
         let Some(replica) = self.engines[engine].replica(model) else {
             return;
@@ -388,7 +389,7 @@
         }
     }
 
-    /// Returns the least time in which an engine could load the model now.
+    /// Returns the minimum time in which any engine could load the model now, with its base.
     pub(super) fn floor_ms(&self, model: usize) -> u64 {
         let table = &self.trace.models[model];
         let best_ms = self.engines[..self.deployment.engines.count]
