--- a/crates/policy-replay/src/world/serving.rs
+++ b/crates/policy-replay/src/world/serving.rs
@@ -1,4 +1,4 @@
-//! Requests in the world: admission, routing, batches and answers.
+//! Simulation of requests: admission, routing, batches and answers.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -29,10 +29,10 @@
 use crate::world::State;
 use crate::world::World;
 
-/// When a refused caller comes back if the refusal does not say.
+/// Retry delay of a refused caller if the refusal names none.
 const RETURN_MS: u64 = 5_000;
 
-/// Returns the request of the world for one of the trace.
+/// Returns the simulated request for one of the trace.
 pub(super) fn from_trace(
     deployment: &Deployment,
     trace: &Trace,
@@ -101,8 +101,8 @@
         self.ask_admission(AdmissionEvent::Arrived(arrival));
     }
 
-    /// Tells admission how many requests for a target may be in progress: those that are, and one
-    /// more for each free place in a batch that can serve it.
+    /// Announces to admission how many requests for a target may be in progress: those that are,
+    /// and one more for each free slot of an engine that can serve the target.
     pub(super) fn tell_capacity(&mut self, target: usize) {
         let free: u32 = self
             .serving(target)
@@ -170,7 +170,7 @@
         if request.is_original && self.measures.counts(request.at_ms) {
             self.measures.refused(refusal.reason.as_str());
         }
-        // Every other caller that is refused comes back once.
+        // Every other refused caller retries once.
         if request.is_original && ticket.is_multiple_of(2) {
             self.come_back(request, refusal.retry_after_ms.unwrap_or(RETURN_MS));
         }
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Sends a started request to an upstream.
+    /// Sends a started request to an upstream chosen by routing.
     pub(super) fn dispatch(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
         let target = request.target;
@@ -346,7 +346,7 @@
         self.tell_neighbours(engine);
     }
 
-    /// Takes a request off its replica and fills the place in the batch.
+    /// Removes a request from its replica, and fills a free slot from the engine's queue.
     pub(super) fn leave_engine(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
         let (engine, target) = (request.engine, request.target);
@@ -382,7 +382,7 @@
         );
     }
 
-    /// Ends a request that was started.
+    /// Ends a request that was started, and reports the end to admission.
     pub(super) fn done(&mut self, ticket: u64) {
         let generation = self.generation;
         let request = &mut self.requests[ticket as usize];
@@ -392,8 +392,8 @@
         self.running[target] -= 1;
         if state == (State::Started { generation }) {
             self.started[target] -= 1;
-            // Told first, so that the end does not start a request on a place that is taken by
-            // now.
+            // The capacity comes first. Otherwise the end would start a request for a slot that a
+            // queued request has taken.
             if !self.waiting[target].is_empty() {
                 self.tell_capacity(target);
             }
@@ -402,7 +402,7 @@
         }
     }
 
-    /// Tells admission of the place that became free, the longest waiting target first.
+    /// Announces a freed slot to admission, first for the target whose request waits longest.
     pub(super) fn tell_neighbours(&mut self, engine: usize) {
         let mut waiting: Vec<(u64, usize)> = self.engines[engine]
             .replicas
