--- a/crates/policy-replay/src/world/faults.rs
+++ b/crates/policy-replay/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in the world.
+//! Injection of faults into the simulation.
 
 use apricotdale_core::policy::RoutingEvent;
 
@@ -86,7 +86,7 @@
 
     fn log_up(&mut self) {
         self.log_is_up = true;
-        // What ended while nothing could be appended is settled now.
+        // Loads that ended while the log was down are settled now.
         let ended: Vec<usize> = self.unsettled.drain(..).collect();
         for load in ended {
             self.settle(load);
