--- a/crates/policy-replay/tests/arrival_traces.rs
+++ b/crates/policy-replay/tests/arrival_traces.rs
@@ -1,4 +1,4 @@
-//! The traces have the shape that the brief gives.
+//! Traces: determinism, order, and the rate of change of alternating models.
 
 mod support;
 
@@ -29,7 +29,7 @@
     let alternating: Vec<usize> = (0..trace.models.len())
         .filter(|model| trace.models[*model].habit == Habit::Alternating)
         .collect();
-    // A model that is awake or not in one hour and the other way round in the next has changed.
+    // A model with requests in only one of two consecutive hours has changed.
     let mut awake = vec![vec![false; hours as usize]; trace.models.len()];
     for request in &trace.requests {
         if let Target::Model(model) = request.target {
