--- a/crates/policy-replay/tests/deployment_files.rs
+++ b/crates/policy-replay/tests/deployment_files.rs
@@ -1,4 +1,4 @@
-//! The deployments' files.
+//! INI files of the deployments: sizes, and the error for a missing key.
 
 mod support;
 
