--- a/crates/policy-replay/tests/same_run.rs
+++ b/crates/policy-replay/tests/same_run.rs
@@ -1,4 +1,4 @@
-//! One run of the world.
+//! Properties of one simulated run.
 
 mod support;
 
@@ -36,7 +36,7 @@
 ) {
     let results = run(&busy(), case, set);
     let ended = ["answered_share", "refused_share", "failed_share"].map(|name| results.get(name));
-    // What is in progress when the run ends is missing from the sum.
+    // Requests still in progress at the end of the run are in none of the shares.
     assert!(ended.iter().sum::<f64>() > 0.99, "{ended:?}");
     assert_eq!(results.get("stuck_requests"), 0.0);
 }
