--- a/crates/policy-replay/tests/store_limits.rs
+++ b/crates/policy-replay/tests/store_limits.rs
@@ -1,4 +1,4 @@
-//! The weight store of the replay.
+//! Rate limit and shared bandwidth of the simulated weight store.
 
 use apricotdale_policy_replay::store::Store;
 
