--- a/crates/policy-replay/tests/strongest_baseline.rs
+++ b/crates/policy-replay/tests/strongest_baseline.rs
@@ -1,4 +1,4 @@
-//! Which baseline a measure is compared with.
+//! Choice of the baseline run with which a measure is compared.
 
 use apricotdale_policy_replay::case::Case;
 use apricotdale_policy_replay::compare::Comparison;
