--- a/crates/policy-replay/tests/support/mod.rs
+++ b/crates/policy-replay/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment.
+//! Deployments for tests.
 
 #![allow(dead_code)]
 
@@ -6,13 +6,13 @@
 
 use apricotdale_policy_replay::deployment::Deployment;
 
-/// Returns a deployment as its file describes it.
+/// Returns the deployment described by the INI file of this name.
 pub fn deployment(name: &str) -> Deployment {
     let path = format!("{}/deployments/{name}.ini", env!("CARGO_MANIFEST_DIR"));
     Deployment::read(Path::new(&path)).unwrap()
 }
 
-/// Returns a small deployment of the same kind.
+/// Returns Hjulvaerk's deployment with fewer engines and models.
 pub fn small() -> Deployment {
     let mut small = deployment("hjulvaerk");
     small.engines.count = 3;
@@ -22,8 +22,8 @@
     small
 }
 
-/// Returns a small deployment with few places and answers that begin late, so that whatever
-/// happens hits requests in every state.
+/// Returns a small deployment with few slots and late first tokens, so that a fault finds requests
+/// in every state.
 pub fn busy() -> Deployment {
     let mut busy = small();
     busy.engines.slots = 2;
