--- a/crates/policy-replay/src/store.rs
+++ b/crates/policy-replay/src/store.rs
@@ -1,6 +1,7 @@
-//! The weight store: a limit of starts a second, and a speed that loads share beyond a number.
+//! Simulated weight store, with a rate limit on starts and a bandwidth shared by concurrent loads.
 
-/// `Store` is the weight store.
+/// Weight store that refuses starts above a rate limit. Up to `full_speed_loads` concurrent loads
+/// run at full speed; more of them share that bandwidth equally.
 #[derive(Clone, Debug)]
 pub struct Store {
     loads_per_s: u32,
@@ -18,7 +19,7 @@
 }
 
 impl Store {
-    /// Returns an idle store.
+    /// Returns a store without loads.
     pub fn new(loads_per_s: u32, full_speed_loads: u32) -> Self {
         Self {
             loads_per_s,
@@ -30,18 +31,19 @@
         }
     }
 
-    /// Returns the loads in progress.
+    /// Returns the number of loads in progress.
     pub fn active_loads(&self) -> u32 {
         self.active.len() as u32
     }
 
-    /// Makes every load slower by a factor from now on.
+    /// Makes all loads slower by `factor` from now on; 1 is the usual speed.
     pub fn slow_down(&mut self, now_ms: u64, factor: f64) {
         self.advance(now_ms);
         self.slow_factor = factor;
     }
 
-    /// Starts a load that takes `sized_ms` at full speed, or returns false above the rate limit.
+    /// Starts a load that takes `sized_ms` at full speed. Returns false, without a start, if as
+    /// many loads as the rate limit allows were started within the last second.
     pub fn start(&mut self, now_ms: u64, load: usize, sized_ms: f64) -> bool {
         self.starts_ms.retain(|at_ms| *at_ms + 1_000 > now_ms);
         if self.starts_ms.len() as u32 >= self.loads_per_s {
@@ -56,13 +58,13 @@
         true
     }
 
-    /// Ends a load that is no longer wanted.
+    /// Aborts a load, if it is in progress.
     pub fn abort(&mut self, now_ms: u64, load: usize) {
         self.advance(now_ms);
         self.active.retain(|active| active.load != load);
     }
 
-    /// Returns when the next load ends if nothing changes.
+    /// Returns when the next load ends if none starts or is aborted before, or none without loads.
     pub fn next_end_ms(&self) -> Option<u64> {
         let least = self
             .active
@@ -74,7 +76,7 @@
             .then(|| (self.advanced_ms + least / self.speed()).ceil() as u64)
     }
 
-    /// Takes out the loads that have ended.
+    /// Removes the loads that have ended and returns them.
     pub fn take_ended(&mut self, now_ms: u64) -> Vec<usize> {
         self.advance(now_ms);
         let (ended, active): (Vec<ActiveLoad>, Vec<ActiveLoad>) =
