--- a/crates/policy-replay/src/world/failing.rs
+++ b/crates/policy-replay/src/world/failing.rs
@@ -1,4 +1,4 @@
-//! Requests that fail in the world: lost engines, retries and timeouts.
+//! Simulation of failed requests: lost engines, retries and timeouts.
 
 use apricotdale_core::policy::RetryDecision;
 use apricotdale_core::policy::RetryRequest;
@@ -9,11 +9,11 @@
 use crate::world::State;
 use crate::world::World;
 
-/// How long it takes to notice that an upstream can't be reached.
+/// Time after which an unreachable upstream is noticed.
 const CONNECT_TIMEOUT_MS: u64 = 200;
 
 impl World<'_> {
-    /// Refuses a request whose answer has not begun by its deadline and takes it off its engine.
+    /// Refuses a request whose answer has not begun by its deadline. Removes it from its engine.
     pub(super) fn time_out(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
         if request.state == State::Done || request.answered_ms.is_some() {
@@ -49,14 +49,14 @@
         self.tell_neighbours(engine);
     }
 
-    /// Sends a request again after a pause, unless its time ran out during it.
+    /// Sends a request again after the retry delay, unless it has timed out.
     pub(super) fn retry(&mut self, ticket: u64) {
         if self.requests[ticket as usize].state != State::Done {
             self.dispatch(ticket);
         }
     }
 
-    /// Handles a request whose engine was lost.
+    /// Handles a request whose engine failed.
     pub(super) fn lost(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
         let has_begun = request.answered_ms.is_some();
