--- a/crates/policy-replay/src/deployment.rs
+++ b/crates/policy-replay/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment: its sizes, load times and mix of work, read from an INI file.
+//! Description of a deployment, read from an INI file: sizes, load times and mix of requests.
 
 use std::path::Path;
 use std::str::FromStr;
@@ -13,76 +13,76 @@
 use crate::errors::Error;
 use crate::errors::Result;
 
-/// Bytes of a gigabyte as the files count them.
+/// Bytes of a gigabyte in the INI files.
 pub const GIGABYTE: u64 = 1_000_000_000;
 
 const CLASS_PREFIX: &str = "class.";
 
-/// `Deployment` is what a deployment's file says.
+/// Description of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name in the results.
+    /// Name in the results.
     pub name: String,
-    /// Its availability zones.
+    /// Names of the availability zones.
     pub zones: Vec<ZoneName>,
-    /// Its model engines.
+    /// Model engines.
     pub engines: EngineTable,
-    /// Its plain service.
+    /// Plain service.
     pub service: ServiceTable,
-    /// The weight store's limits.
+    /// Limits of the weight store.
     pub store: StoreTable,
-    /// How long a load takes.
+    /// Times that loads take.
     pub load_times: LoadTimes,
-    /// Its models and adapters.
+    /// Models and adapters.
     pub models: ModelTable,
-    /// How models are called.
+    /// Patterns by which models are called.
     pub activity: ActivityTable,
-    /// The classes of work, tightest target first.
+    /// Request classes, ordered by target, the tightest first.
     pub classes: Vec<ClassTable>,
 }
 
-/// `EngineTable` describes the model engines, which are all alike.
+/// Description of the model engines, which are all alike.
 #[derive(Clone, Debug)]
 pub struct EngineTable {
-    /// Their group.
+    /// Name of their group.
     pub group: GroupName,
-    /// How many there are.
+    /// Number of engines.
     pub count: usize,
-    /// Accelerator memory of one.
+    /// Accelerator memory of one engine, in bytes.
     pub capacity_bytes: u64,
-    /// Places in the batch of one.
+    /// Number of slots in the batch of one engine.
     pub slots: u32,
-    /// Checkpoints that the memory of one host holds.
+    /// Size of the checkpoint cache in the memory of one host, in bytes.
     pub host_memory_bytes: u64,
-    /// Checkpoints that the disk of one host holds.
+    /// Size of the checkpoint cache on the disk of one host, in bytes.
     pub host_disk_bytes: u64,
 }
 
-/// `ServiceTable` describes the plain service.
+/// Description of the plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceTable {
-    /// Its group.
+    /// Name of its group.
     pub group: GroupName,
-    /// How many instances there are.
+    /// Number of instances.
     pub instances: usize,
-    /// Calls that one instance runs at once.
+    /// Number of calls that one instance runs at once.
     pub slots: u32,
-    /// How long a call takes.
+    /// Mean time of a call on an idle instance, in milliseconds.
     pub run_ms: u64,
-    /// Calls a second, on average.
+    /// Mean number of calls per second over a day.
     pub requests_per_s: f64,
 }
 
-/// `StoreTable` describes the weight store.
+/// Limits of the weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreTable {
-    /// Loads that may be started in a second.
+    /// Maximum number of loads that start within a second.
     pub loads_per_s: u32,
-    /// Loads that may run at once at full speed.
+    /// Maximum number of concurrent loads at full speed.
     pub full_speed_loads: u32,
 }
 
-/// `LoadTimes` is how long a load takes from each tier.
+/// Times that loads take from each cache tier.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadTimes {
     memory: TierTime,
@@ -96,64 +96,64 @@
     ms_per_gb: f64,
 }
 
-/// `ModelTable` describes the models and adapters.
+/// Description of the models and adapters.
 #[derive(Clone, Debug)]
 pub struct ModelTable {
-    /// Models.
+    /// Number of models, without adapters.
     pub count: usize,
-    /// Sizes, dealt out in turn.
+    /// Sizes of the models in bytes, assigned to the models in rotation.
     pub sizes_bytes: Vec<u64>,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: usize,
-    /// Size of an adapter.
+    /// Size of each adapter, in bytes.
     pub adapter_bytes: u64,
-    /// Models that have adapters.
+    /// Number of models that have adapters.
     pub adapter_bases: usize,
-    /// Share of the models that no host has cached at the start.
+    /// Probability that no host has a model or adapter cached at the start.
     pub remote_only_share: f64,
 }
 
-/// `ActivityTable` describes how models are called.
+/// Patterns by which models are called.
 #[derive(Clone, Copy, Debug)]
 pub struct ActivityTable {
-    /// Share of the models that wake up or fall idle within an hour.
+    /// Share of the alternating models that become active or idle within an hour.
     pub change_share_per_hour: f64,
-    /// Share of the models that are awake on average.
+    /// Mean share of the alternating models that are active.
     pub active_share: f64,
-    /// Share of the models that are always awake.
+    /// Share of the models that are always active.
     pub hot_share: f64,
     /// Share of the models that are called by a schedule.
     pub regular_share: f64,
-    /// Median over models of the mean time between two requests to a model that is awake.
+    /// Median, over models, of the mean time between two requests to an active model.
     pub gap_median_ms: f64,
-    /// The same for models that are always awake.
+    /// Median, over models that are always active, of the mean time between two requests.
     pub hot_gap_median_ms: f64,
-    /// Most requests of the burst with which a model wakes up.
+    /// Maximum number of requests in the burst that begins an active phase or a scheduled call.
     pub max_burst: u32,
-    /// Callers.
+    /// Number of callers.
     pub callers: u32,
 }
 
-/// `ClassTable` describes one class of work.
+/// Description of a request class.
 #[derive(Clone, Debug)]
 pub struct ClassTable {
-    /// Its name.
+    /// Name of the class.
     pub class: ClassName,
-    /// Its target.
+    /// Target for the time to the first token, in milliseconds.
     pub answer_within_ms: u64,
-    /// Its share of the requests.
+    /// Share of the requests, relative to the sum over all classes.
     pub share: f64,
-    /// Time to the first token on an empty engine without a cached prefix.
+    /// Mean time to the first token on an empty engine without a cached prefix, in milliseconds.
     pub first_token_ms: u64,
-    /// Mean time to the whole answer on an empty engine.
+    /// Mean time to the complete answer on an empty engine, in milliseconds.
     pub run_ms: u64,
-    /// Whether its requests may run twice.
+    /// Whether requests of the class may be executed twice.
     pub idempotent: bool,
 }
 
 impl LoadTimes {
-    /// Returns how long a load from a tier takes, split into the fixed part and the part that
-    /// grows with the size. The store's speed applies to the second part of a remote load.
+    /// Returns the time of a load from a tier, as a fixed part and a part proportional to the size.
+    /// The speed of the weight store affects only the second part of a remote load.
     pub fn parts_ms(&self, tier: CacheTier, bytes: u64) -> (f64, f64) {
         let time = match tier {
             CacheTier::Memory => self.memory,
@@ -164,7 +164,7 @@
         (time.fixed_ms, time.ms_per_gb * gigabytes)
     }
 
-    /// Returns how long an undisturbed load from a tier takes.
+    /// Returns the total time of a load from a tier at full speed.
     pub fn total_ms(&self, tier: CacheTier, bytes: u64) -> u64 {
         let (fixed_ms, sized_ms) = self.parts_ms(tier, bytes);
         (fixed_ms + sized_ms) as u64
@@ -172,11 +172,12 @@
 }
 
 impl Deployment {
-    /// Returns the deployment that a file describes.
+    /// Reads the description of a deployment from a file.
     ///
     /// # Errors
     ///
-    /// `Error::Unreadable` for a file that is no INI file, `Error::Key` for a missing or bad key.
+    /// [`Error::Unreadable`] for a file that can't be read or is no INI file, [`Error::Key`] for a
+    /// missing or invalid key.
     pub fn read(path: &Path) -> Result<Self> {
         let ini = Ini::load_from_file(path).map_err(|error| Error::Unreadable {
             path: path.to_owned(),
@@ -226,7 +227,7 @@
         })
     }
 
-    /// Returns the tightest class target.
+    /// Returns the tightest class target, or 0 without classes.
     pub fn tightest_target_ms(&self) -> u64 {
         self.classes
             .first()
