--- a/crates/policy-replay/src/case.rs
+++ b/crates/policy-replay/src/case.rs
@@ -1,14 +1,14 @@
 //! Cases of the replay: their faults and load surges, and when.
 
 use crate::deployment::Deployment;
-use crate::fleet::full_rate;
+use crate::fleet::max_work_rate;
 use crate::trace::LoadSurge;
 
 const MINUTE_MS: u64 = 60_000;
 const HOUR_MS: u64 = 60 * MINUTE_MS;
 
 /// Time at which faults and load surges begin: noon, so that policies have learned since midnight.
-const FAULT_MS: u64 = 12 * HOUR_MS;
+const FAULT_BEGIN_MS: u64 = 12 * HOUR_MS;
 
 /// Factor by which the weight store is slower in the case `slow-store`.
 pub const SLOW_STORE_FACTOR: f64 = 5.0;
@@ -83,7 +83,7 @@
     pub fn measured_from_ms(self) -> u64 {
         match self {
             Self::Usual => 12 * HOUR_MS,
-            _ => FAULT_MS - HOUR_MS,
+            _ => FAULT_BEGIN_MS - HOUR_MS,
         }
     }
 
@@ -91,7 +91,7 @@
     pub fn until_ms(self) -> u64 {
         match self {
             Self::Usual => 36 * HOUR_MS,
-            _ => FAULT_MS + 3 * HOUR_MS,
+            _ => FAULT_BEGIN_MS + 3 * HOUR_MS,
         }
     }
 
@@ -99,9 +99,9 @@
     pub fn surge(self, deployment: &Deployment) -> Option<LoadSurge> {
         match self {
             Self::Overload => Some(LoadSurge {
-                from_ms: FAULT_MS,
-                to_ms: FAULT_MS + 30 * MINUTE_MS,
-                work_rate: OVERLOAD_FACTOR * full_rate(&deployment.engines),
+                from_ms: FAULT_BEGIN_MS,
+                to_ms: FAULT_BEGIN_MS + 30 * MINUTE_MS,
+                work_rate: OVERLOAD_FACTOR * max_work_rate(&deployment.engines),
             }),
             _ => None,
         }
@@ -109,7 +109,7 @@
 
     /// Returns the faults of the case with their times, since midnight of the first day.
     pub fn faults(self) -> Vec<(u64, Fault)> {
-        let start_ms = FAULT_MS;
+        let start_ms = FAULT_BEGIN_MS;
         match self {
             Self::Usual | Self::Overload => Vec::new(),
             Self::SlowStore => vec![
--- a/crates/policy-replay/src/compare.rs
+++ b/crates/policy-replay/src/compare.rs
@@ -75,7 +75,7 @@
 }
 
 /// Returns whether a higher value of a measure is better.
-fn is_better_high(measure: &str) -> bool {
+fn is_higher_better(measure: &str) -> bool {
     measure.starts_with("met_share") || measure == "goodput_share"
 }
 
@@ -103,17 +103,17 @@
     /// targets as the default policies; if there is none, the one that meets the most targets.
     fn strongest(&self, measure: &str) -> (u64, f64) {
         let met = self.chosen.get("met_share");
-        let reaches = |results: &Results| results.get("met_share") >= met;
-        let enough: Vec<&(u64, Results)> = match measure {
+        let meets_as_many = |results: &Results| results.get("met_share") >= met;
+        let eligible: Vec<&(u64, Results)> = match measure {
             "idle_accelerator_hours" => self
                 .baselines
                 .iter()
-                .filter(|(_, results)| reaches(results))
+                .filter(|(_, results)| meets_as_many(results))
                 .collect(),
             _ => self.baselines.iter().collect(),
         };
         let best_by = |candidates: &[&(u64, Results)], measure: &str| {
-            let sign = if is_better_high(measure) { -1.0 } else { 1.0 };
+            let sign = if is_higher_better(measure) { -1.0 } else { 1.0 };
             let best = candidates.iter().min_by(|left, right| {
                 let (left, right) = (left.1.get(measure), right.1.get(measure));
                 (sign * left).total_cmp(&(sign * right))
@@ -121,7 +121,7 @@
             best.map(|(timeout_ms, _)| *timeout_ms)
         };
         let all: Vec<&(u64, Results)> = self.baselines.iter().collect();
-        let timeout_ms = best_by(&enough, measure)
+        let timeout_ms = best_by(&eligible, measure)
             .or_else(|| best_by(&all, "met_share"))
             .unwrap_or(0);
         let results = self
@@ -172,7 +172,7 @@
 
 /// One run to be executed by a worker.
 struct Job {
-    place: usize,
+    scenario: usize,
     set: PolicySet,
 }
 
@@ -187,7 +187,7 @@
     cases: &[Case],
     options: &Options,
 ) -> Result<Vec<Comparison>> {
-    let places: Vec<(&Deployment, Case, Trace)> = deployments
+    let scenarios: Vec<(&Deployment, Case, Trace)> = deployments
         .iter()
         .flat_map(|deployment| cases.iter().map(move |case| (deployment, *case)))
         .map(|(deployment, case)| {
@@ -200,32 +200,32 @@
             (deployment, case, trace)
         })
         .collect();
-    let jobs: Vec<Job> = places
+    let jobs: Vec<Job> = scenarios
         .iter()
         .enumerate()
-        .flat_map(|(place, (_, case, _))| {
+        .flat_map(|(scenario, (_, case, _))| {
             let chosen = std::iter::once(PolicySet::chosen(options.seed, options.mild_routing));
             let baselines = options
                 .timeouts_ms(*case)
                 .iter()
                 .map(|timeout_ms| PolicySet::baseline(*timeout_ms, options.seed));
             let sets: Vec<PolicySet> = chosen.chain(baselines).collect();
-            sets.into_iter().map(move |set| Job { place, set })
+            sets.into_iter().map(move |set| Job { scenario, set })
         })
         .collect();
-    let results = run(&places, &jobs, options.workers)?;
+    let results = run(&scenarios, &jobs, options.workers)?;
     let mut results = results.into_iter();
-    let mut take = || results.next().expect("each job has one result");
-    Ok(places
+    let mut next_result = || results.next().expect("each job has one result");
+    Ok(scenarios
         .iter()
         .map(|(deployment, case, trace)| Comparison {
             deployment: deployment.name.clone(),
             case: *case,
-            chosen: take(),
+            chosen: next_result(),
             baselines: options
                 .timeouts_ms(*case)
                 .iter()
-                .map(|timeout_ms| (*timeout_ms, take()))
+                .map(|timeout_ms| (*timeout_ms, next_result()))
                 .collect(),
             idle_floor_hours: floors::idle_hours(deployment, trace, *case),
         })
@@ -233,7 +233,7 @@
 }
 
 fn run(
-    places: &[(&Deployment, Case, Trace)],
+    scenarios: &[(&Deployment, Case, Trace)],
     jobs: &[Job],
     workers: usize,
 ) -> Result<Vec<Results>> {
@@ -243,7 +243,7 @@
         for _ in 0..workers.max(1) {
             scope.spawn(|| {
                 while let Some((index, job)) = take_job(&next, jobs) {
-                    let (deployment, case, trace) = &places[job.place];
+                    let (deployment, case, trace) = &scenarios[job.scenario];
                     let world = World::new(deployment, trace, *case, job.set.clone());
                     let results = world.map(|world| world.run().results());
                     done.lock().expect("no worker panics with the lock")[index] = Some(results);
--- a/crates/policy-replay/src/draw.rs
+++ b/crates/policy-replay/src/draw.rs
@@ -19,7 +19,7 @@
 }
 
 /// Returns a draw from the log-normal distribution with the given mean, at least 1.
-pub fn around(source: &mut ChaCha8Rng, mean: u64) -> u64 {
+pub fn log_normal(source: &mut ChaCha8Rng, mean: u64) -> u64 {
     let shift = TIME_SPREAD * TIME_SPREAD / 2.0;
     let drawn = mean as f64 * (TIME_SPREAD * normal(source) - shift).exp();
     (drawn as u64).max(1)
--- a/crates/policy-replay/src/fleet.rs
+++ b/crates/policy-replay/src/fleet.rs
@@ -20,7 +20,7 @@
 
 /// Returns the work that all engines can do with full batches, in milliseconds of run time on empty
 /// engines per millisecond.
-pub fn full_rate(table: &EngineTable) -> f64 {
+pub fn max_work_rate(table: &EngineTable) -> f64 {
     let slots = f64::from(table.slots);
     let fill = (slots - 1.0) / slots;
     table.count as f64 * slots / (1.0 + FULL_BATCH_SLOWDOWN * fill)
@@ -153,35 +153,35 @@
     }
 
     /// Returns the number of slots for which no request runs or waits.
-    pub fn free_places(&self) -> u32 {
+    pub fn free_slots(&self) -> u32 {
         let taken = self.running.len() + self.queue.len();
         self.slots.saturating_sub(taken as u32)
     }
 
     /// Returns whether the batch has a free slot.
-    pub fn has_place(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.running.len() < self.slots as usize
     }
 
     /// Returns the time that a step takes with the present batch, if it takes `time_ms` on an empty
     /// engine.
-    pub fn stretch_ms(&self, time_ms: u64) -> u64 {
+    pub fn slowed_ms(&self, time_ms: u64) -> u64 {
         let fill = self.running.len() as f64 / f64::from(self.slots);
         (time_ms as f64 * (1.0 + FULL_BATCH_SLOWDOWN * fill)) as u64
     }
 
     /// Puts a prompt's prefix into the prefix cache. Returns the factor on the time to the first
     /// token, which is below 1 if the prefix was cached before.
-    pub fn read_prefix(&mut self, prefix_hash: u64) -> f64 {
-        let known = self.prefixes.iter().position(|held| *held == prefix_hash);
-        if let Some(known) = known {
-            self.prefixes.remove(known);
+    pub fn cache_prefix(&mut self, prefix_hash: u64) -> f64 {
+        let cached_at = self.prefixes.iter().position(|held| *held == prefix_hash);
+        if let Some(cached_at) = cached_at {
+            self.prefixes.remove(cached_at);
         }
         self.prefixes.push_back(prefix_hash);
         if self.prefixes.len() > CACHED_PREFIXES {
             self.prefixes.pop_front();
         }
-        match known {
+        match cached_at {
             Some(_) => CACHED_PREFIX_SHARE,
             None => 1.0,
         }
@@ -194,7 +194,7 @@
     }
 
     /// Stops the engine and clears its caches and batch. Returns the tickets of its requests.
-    pub fn lose(&mut self) -> Vec<u64> {
+    pub fn stop_and_clear(&mut self) -> Vec<u64> {
         self.alive = false;
         self.prefixes.clear();
         self.cache.clear();
--- a/crates/policy-replay/src/main.rs
+++ b/crates/policy-replay/src/main.rs
@@ -15,7 +15,7 @@
 use apricotdale_policy_replay::report;
 
 /// Default of the maximum number of simultaneous runs.
-const MOST_WORKERS: usize = 6;
+const DEFAULT_WORKERS: usize = 6;
 
 /// Replays seeded arrivals against the default policies and compares them with the baseline.
 #[derive(Clone, Debug, Bpaf)]
@@ -41,7 +41,7 @@
     /// Trial: let the default routing ignore slow engines and timeouts in their queues.
     mild_routing: bool,
     /// Maximum number of simultaneous runs, each on one core.
-    #[bpaf(argument("NUMBER"), fallback(MOST_WORKERS))]
+    #[bpaf(argument("NUMBER"), fallback(DEFAULT_WORKERS))]
     workers: usize,
     /// Seed of the traces and of the randomized policies.
     #[bpaf(argument("NUMBER"), fallback(1))]
@@ -81,7 +81,7 @@
     let comparisons = compare(&deployments, &cases, &options)?;
     std::fs::create_dir_all(&arguments.out).map_err(unwritable)?;
     for comparison in &comparisons {
-        for line in report::printed(comparison) {
+        for line in report::printed_lines(comparison) {
             println!("{line}");
         }
         let name = format!("{}-{}.svg", comparison.deployment, comparison.case.as_str());
--- a/crates/policy-replay/src/measures.rs
+++ b/crates/policy-replay/src/measures.rs
@@ -9,7 +9,7 @@
 use crate::deployment::Deployment;
 
 /// Upper bound of the histograms; longer waits are recorded as this one.
-pub const LONGEST_MS: u64 = 600_000;
+pub const MAX_RECORDED_MS: u64 = 600_000;
 
 const HOUR_MS: f64 = 3_600_000.0;
 
@@ -85,7 +85,7 @@
     /// Returns zero counters for a measurement that starts at `from_ms`.
     pub fn new(deployment: &Deployment, from_ms: u64) -> Self {
         let histogram = || {
-            Histogram::new_with_max(LONGEST_MS, 3)
+            Histogram::new_with_max(MAX_RECORDED_MS, 3)
                 .expect("three digits up to ten minutes are valid")
         };
         Self {
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Also counts useful work in an interval, of which `places` slots limit the maximum.
-    pub fn watch_goodput(&mut self, from_ms: u64, to_ms: u64, places: u64) {
+    /// Also counts useful work in an interval, of which `slots` slots limit the maximum.
+    pub fn measure_goodput(&mut self, from_ms: u64, to_ms: u64, slots: u64) {
         self.window = Some(Window {
             from_ms,
             to_ms,
-            achievable_ms: (places * (to_ms - from_ms)) as f64,
+            achievable_ms: (slots * (to_ms - from_ms)) as f64,
             useful_ms: 0.0,
         });
     }
@@ -141,13 +141,16 @@
     /// Counts a request that found no loaded replica, refused or not: the time until there was one,
     /// and the minimum time in which any engine could have loaded the model.
     pub fn cold_start(&mut self, wait_ms: u64, floor_ms: u64) {
-        self.cold_starts.saturating_record(wait_ms.min(LONGEST_MS));
-        self.cold_floor.saturating_record(floor_ms.min(LONGEST_MS));
+        self.cold_starts
+            .saturating_record(wait_ms.min(MAX_RECORDED_MS));
+        self.cold_floor
+            .saturating_record(floor_ms.min(MAX_RECORDED_MS));
     }
 
     /// Counts a first token, with the time since the arrival and whether the target was met.
     pub fn first_token(&mut self, class: usize, wait_ms: u64, met: bool) {
-        self.first_tokens.saturating_record(wait_ms.min(LONGEST_MS));
+        self.first_tokens
+            .saturating_record(wait_ms.min(MAX_RECORDED_MS));
         self.classes[class].met += u64::from(met);
     }
 
--- a/crates/policy-replay/src/report.rs
+++ b/crates/policy-replay/src/report.rs
@@ -21,7 +21,7 @@
 const PLOT_SIZE: (u32, u32) = (1_200, 480);
 
 /// Returns a printed line for each measure of a comparison, and one for the idle floor.
-pub fn printed(comparison: &Comparison) -> Vec<String> {
+pub fn printed_lines(comparison: &Comparison) -> Vec<String> {
     let deployment = &comparison.deployment;
     let case = comparison.case.as_str();
     let mut lines: Vec<String> = comparison
@@ -115,10 +115,10 @@
     line.sort_by(|one, other| one.0.total_cmp(&other.0));
     let point = (comparison.chosen.get(IDLE), comparison.chosen.get(measure));
     let all = || line.iter().chain(std::iter::once(&point));
-    let most_x = all().map(|(x, _)| *x).fold(1.0, f64::max) * 1.05;
-    let most_y = all().map(|(_, y)| *y).fold(f64::MIN, f64::max);
-    let least_y = all().map(|(_, y)| *y).fold(f64::MAX, f64::min);
-    let margin = ((most_y - least_y) * 0.05).max(1e-6);
+    let max_x = all().map(|(x, _)| *x).fold(1.0, f64::max) * 1.05;
+    let max_y = all().map(|(_, y)| *y).fold(f64::MIN, f64::max);
+    let min_y = all().map(|(_, y)| *y).fold(f64::MAX, f64::min);
+    let margin = ((max_y - min_y) * 0.05).max(1e-6);
     let caption = format!(
         "{} {}: {measure} over {IDLE} (line: fixed timeouts, point: chosen)",
         comparison.deployment,
@@ -129,7 +129,7 @@
         .caption(caption, ("sans-serif", 13))
         .x_label_area_size(30)
         .y_label_area_size(70)
-        .build_cartesian_2d(0.0..most_x, least_y - margin..most_y + margin)
+        .build_cartesian_2d(0.0..max_x, min_y - margin..max_y + margin)
         .map_err(unwritable)?;
     chart.configure_mesh().draw().map_err(unwritable)?;
     chart
--- a/crates/policy-replay/src/store.rs
+++ b/crates/policy-replay/src/store.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ActiveLoad {
     load: usize,
-    left_ms: f64,
+    remaining_ms: f64,
 }
 
 impl Store {
@@ -53,7 +53,7 @@
         self.advance(now_ms);
         self.active.push(ActiveLoad {
             load,
-            left_ms: sized_ms,
+            remaining_ms: sized_ms,
         });
         true
     }
@@ -66,21 +66,23 @@
 
     /// Returns when the next load ends if none starts or is aborted before, or none without loads.
     pub fn next_end_ms(&self) -> Option<u64> {
-        let least = self
+        let min_ms = self
             .active
             .iter()
-            .map(|active| active.left_ms)
+            .map(|active| active.remaining_ms)
             .fold(f64::INFINITY, f64::min);
-        least
+        min_ms
             .is_finite()
-            .then(|| (self.advanced_ms + least / self.speed()).ceil() as u64)
+            .then(|| (self.advanced_ms + min_ms / self.speed()).ceil() as u64)
     }
 
     /// Removes the loads that have ended and returns them.
     pub fn take_ended(&mut self, now_ms: u64) -> Vec<usize> {
         self.advance(now_ms);
-        let (ended, active): (Vec<ActiveLoad>, Vec<ActiveLoad>) =
-            self.active.iter().partition(|load| load.left_ms <= 0.5);
+        let (ended, active): (Vec<ActiveLoad>, Vec<ActiveLoad>) = self
+            .active
+            .iter()
+            .partition(|load| load.remaining_ms <= 0.5);
         self.active = active;
         ended.into_iter().map(|ended| ended.load).collect()
     }
@@ -97,7 +99,7 @@
         }
         let done_ms = passed_ms * self.speed();
         for active in &mut self.active {
-            active.left_ms -= done_ms;
+            active.remaining_ms -= done_ms;
         }
         self.advanced_ms = now_ms as f64;
     }
--- a/crates/policy-replay/src/trace.rs
+++ b/crates/policy-replay/src/trace.rs
@@ -24,8 +24,8 @@
 
 /// Standard deviation, over models, of the logarithm of the mean time between requests.
 const GAP_SPREAD: f64 = 1.2;
-const LEAST_GAP_MS: f64 = 2_000.0;
-const MOST_GAP_MS: f64 = 900_000.0;
+const MIN_GAP_MS: f64 = 2_000.0;
+const MAX_GAP_MS: f64 = 900_000.0;
 
 /// Time within which all requests of a burst arrive.
 const BURST_MS: f64 = 2_000.0;
@@ -54,7 +54,7 @@
 
 /// Pattern by which a model is called.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Habit {
+pub enum CallPattern {
     /// Active all the time.
     Hot,
     /// Called by a schedule, with a burst at each time.
@@ -76,7 +76,7 @@
     /// Accelerator memory that the loaded model occupies, in bytes.
     pub bytes: u64,
     /// Pattern by which the model is called.
-    pub habit: Habit,
+    pub call_pattern: CallPattern,
     /// Mean time between two requests while the model is active, in milliseconds.
     pub gap_ms: f64,
     /// Index of its main class in the deployment.
@@ -141,12 +141,12 @@
     for (index, model) in models.iter().enumerate() {
         // With a random source for each model, a change of one model leaves the requests of the
         // others unchanged.
-        let mut own = ChaCha8Rng::seed_from_u64(seed ^ ((index as u64 + 1) << 20));
-        let times = arrival_times(deployment, model, until_ms as f64, &mut own);
+        let mut model_source = ChaCha8Rng::seed_from_u64(seed ^ ((index as u64 + 1) << 20));
+        let times = arrival_times(deployment, model, until_ms as f64, &mut model_source);
         requests.extend(
             times
                 .into_iter()
-                .map(|at_ms| request(deployment, index, model, at_ms, &mut own)),
+                .map(|at_ms| request(deployment, index, model, at_ms, &mut model_source)),
         );
     }
     requests.extend(service_requests(deployment, seed, until_ms as f64));
@@ -165,9 +165,9 @@
     plain
         .chain(adapters)
         .map(|(index, base)| {
-            let habit = habit(deployment, source);
-            let median_ms = match habit {
-                Habit::Hot => deployment.activity.hot_gap_median_ms,
+            let call_pattern = call_pattern(deployment, source);
+            let median_ms = match call_pattern {
+                CallPattern::Hot => deployment.activity.hot_gap_median_ms,
                 _ => deployment.activity.gap_median_ms,
             };
             let gap_ms = median_ms * (GAP_SPREAD * draw::normal(source)).exp();
@@ -179,8 +179,8 @@
                     Some(_) => table.adapter_bytes,
                     None => table.sizes_bytes[index % table.sizes_bytes.len()],
                 },
-                habit,
-                gap_ms: gap_ms.clamp(LEAST_GAP_MS, MOST_GAP_MS),
+                call_pattern,
+                gap_ms: gap_ms.clamp(MIN_GAP_MS, MAX_GAP_MS),
                 main_class: class(deployment, source),
                 remote_only: source.random_bool(table.remote_only_share),
             }
@@ -188,25 +188,25 @@
         .collect()
 }
 
-fn habit(deployment: &Deployment, source: &mut ChaCha8Rng) -> Habit {
+fn call_pattern(deployment: &Deployment, source: &mut ChaCha8Rng) -> CallPattern {
     let activity = &deployment.activity;
     let drawn: f64 = source.random();
     let period = source.random_range(0..PERIODS_MS.len());
     match drawn {
-        _ if drawn < activity.hot_share => Habit::Hot,
-        _ if drawn < activity.hot_share + activity.regular_share => Habit::Regular {
+        _ if drawn < activity.hot_share => CallPattern::Hot,
+        _ if drawn < activity.hot_share + activity.regular_share => CallPattern::Regular {
             period_ms: PERIODS_MS[period] as u64,
         },
-        _ => Habit::Alternating,
+        _ => CallPattern::Alternating,
     }
 }
 
 fn class(deployment: &Deployment, source: &mut ChaCha8Rng) -> usize {
     let total: f64 = deployment.classes.iter().map(|class| class.share).sum();
-    let mut left = source.random::<f64>() * total;
+    let mut remaining = source.random::<f64>() * total;
     for (index, class) in deployment.classes.iter().enumerate() {
-        left -= class.share;
-        if left < 0.0 {
+        remaining -= class.share;
+        if remaining < 0.0 {
             return index;
         }
     }
@@ -225,23 +225,25 @@
     until_ms: f64,
     source: &mut ChaCha8Rng,
 ) -> Vec<f64> {
-    match model.habit {
-        Habit::Hot => stretch(model.gap_ms, 0.0, until_ms, source),
-        Habit::Regular { period_ms } => scheduled(deployment, period_ms as f64, until_ms, source),
-        Habit::Alternating => alternating(deployment, model, until_ms, source),
+    match model.call_pattern {
+        CallPattern::Hot => active_arrivals(model.gap_ms, 0.0, until_ms, source),
+        CallPattern::Regular { period_ms } => {
+            scheduled(deployment, period_ms as f64, until_ms, source)
+        }
+        CallPattern::Alternating => alternating(deployment, model, until_ms, source),
     }
 }
 
 /// Returns the arrivals at an active model: a Poisson process thinned by the time of day.
-fn stretch(gap_ms: f64, from_ms: f64, to_ms: f64, source: &mut ChaCha8Rng) -> Vec<f64> {
-    let most = 1.0 + DIURNAL_SWING;
+fn active_arrivals(gap_ms: f64, from_ms: f64, to_ms: f64, source: &mut ChaCha8Rng) -> Vec<f64> {
+    let peak_rate = 1.0 + DIURNAL_SWING;
     let mut times = Vec::new();
-    let mut at_ms = from_ms + draw::exponential(source, gap_ms / most);
+    let mut at_ms = from_ms + draw::exponential(source, gap_ms / peak_rate);
     while at_ms < to_ms {
-        if source.random::<f64>() * most < diurnal(at_ms) {
+        if source.random::<f64>() * peak_rate < diurnal(at_ms) {
             times.push(at_ms);
         }
-        at_ms += draw::exponential(source, gap_ms / most);
+        at_ms += draw::exponential(source, gap_ms / peak_rate);
     }
     times
 }
@@ -273,24 +275,29 @@
     let activity = &deployment.activity;
     // In the steady state, half of the changes begin an active phase and half end one.
     let changes_per_hour = activity.change_share_per_hour / 2.0;
-    let awake_ms = activity.active_share / changes_per_hour * HOUR_MS;
+    let active_ms = activity.active_share / changes_per_hour * HOUR_MS;
     let idle_ms = (1.0 - activity.active_share) / changes_per_hour * HOUR_MS;
-    let most = 1.0 + DIURNAL_SWING;
+    let peak_rate = 1.0 + DIURNAL_SWING;
     let mut times = Vec::new();
     let mut at_ms = 0.0;
-    let mut is_awake = source.random_bool(activity.active_share);
+    let mut is_active = source.random_bool(activity.active_share);
     while at_ms < until_ms {
-        if is_awake {
-            let end_ms = at_ms + draw::exponential(source, awake_ms);
+        if is_active {
+            let end_ms = at_ms + draw::exponential(source, active_ms);
             let size = source.random_range(1..=activity.max_burst);
             times.extend((0..size).map(|_| at_ms + source.random::<f64>() * BURST_MS));
-            times.extend(stretch(model.gap_ms, at_ms, end_ms.min(until_ms), source));
+            times.extend(active_arrivals(
+                model.gap_ms,
+                at_ms,
+                end_ms.min(until_ms),
+                source,
+            ));
             at_ms = end_ms;
-            is_awake = false;
+            is_active = false;
             continue;
         }
-        at_ms += draw::exponential(source, idle_ms / most);
-        is_awake = source.random::<f64>() * most < diurnal(at_ms);
+        at_ms += draw::exponential(source, idle_ms / peak_rate);
+        is_active = source.random::<f64>() * peak_rate < diurnal(at_ms);
     }
     times
 }
@@ -314,18 +321,18 @@
         class,
         caller: source.random_range(0..deployment.activity.callers),
         prefix_hash: ((index as u64) << 8) | source.random_range(0..PREFIXES),
-        first_token_ms: draw::around(source, table.first_token_ms),
-        run_ms: draw::around(source, table.run_ms),
+        first_token_ms: draw::log_normal(source, table.first_token_ms),
+        run_ms: draw::log_normal(source, table.run_ms),
     }
 }
 
 fn service_requests(deployment: &Deployment, seed: u64, until_ms: f64) -> Vec<TraceRequest> {
     let mut source = ChaCha8Rng::seed_from_u64(seed ^ 0x5e71);
     let gap_ms = 1_000.0 / deployment.service.requests_per_s;
-    stretch(gap_ms, 0.0, until_ms, &mut source)
+    active_arrivals(gap_ms, 0.0, until_ms, &mut source)
         .into_iter()
         .map(|at_ms| {
-            let run_ms = draw::around(&mut source, deployment.service.run_ms);
+            let run_ms = draw::log_normal(&mut source, deployment.service.run_ms);
             TraceRequest {
                 at_ms: at_ms as u64,
                 target: Target::Service,
@@ -357,12 +364,12 @@
     let mut at_ms = surge.from_ms as f64;
     while at_ms < surge.to_ms as f64 {
         let called = source.random_range(0..SURGE_MODELS.min(models.len()));
-        let mut made = request(deployment, called, &models[called], at_ms, &mut source);
-        made.class = class(deployment, &mut source);
-        let table = &deployment.classes[made.class];
-        made.first_token_ms = draw::around(&mut source, table.first_token_ms);
-        made.run_ms = draw::around(&mut source, table.run_ms);
-        requests.push(made);
+        let mut surge_request = request(deployment, called, &models[called], at_ms, &mut source);
+        surge_request.class = class(deployment, &mut source);
+        let table = &deployment.classes[surge_request.class];
+        surge_request.first_token_ms = draw::log_normal(&mut source, table.first_token_ms);
+        surge_request.run_ms = draw::log_normal(&mut source, table.run_ms);
+        requests.push(surge_request);
         at_ms += draw::exponential(&mut source, gap_ms);
     }
     requests
--- a/crates/policy-replay/src/world/failing.rs
+++ b/crates/policy-replay/src/world/failures.rs
@@ -6,7 +6,7 @@
 use apricotdale_core::refusal::RefusalReason;
 
 use crate::world::Event;
-use crate::world::State;
+use crate::world::RequestState;
 use crate::world::World;
 
 /// Time after which an unreachable upstream is noticed.
@@ -16,7 +16,7 @@
     /// Refuses a request whose answer has not begun by its deadline. Removes it from its engine.
     pub(super) fn time_out(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
-        if request.state == State::Done || request.answered_ms.is_some() {
+        if request.state == RequestState::Done || request.answered_ms.is_some() {
             return;
         }
         let engine = request.engine;
@@ -41,37 +41,37 @@
                 false => UpstreamOutcome::Lost,
             };
             self.leave_engine(ticket);
-            self.ended(ticket, outcome, None);
+            self.learn_outcome(ticket, outcome, None);
         }
         let target = self.requests[ticket as usize].target;
-        self.done(ticket);
+        self.finish_request(ticket);
         self.unload_if_done(engine, target);
-        self.tell_neighbours(engine);
+        self.announce_freed_slot(engine);
     }
 
     /// Sends a request again after the retry delay, unless it has timed out.
     pub(super) fn retry(&mut self, ticket: u64) {
-        if self.requests[ticket as usize].state != State::Done {
+        if self.requests[ticket as usize].state != RequestState::Done {
             self.dispatch(ticket);
         }
     }
 
     /// Handles a request whose engine failed.
-    pub(super) fn lost(&mut self, ticket: u64) {
+    pub(super) fn handle_lost_engine(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
         let has_begun = request.answered_ms.is_some();
         if self.measures.counts(request.at_ms) && request.begun_ms > 0 {
             self.measures.work(request.begun_ms, self.now_ms, false);
         }
         self.leave_engine(ticket);
-        self.ended(ticket, UpstreamOutcome::Lost, None);
+        self.learn_outcome(ticket, UpstreamOutcome::Lost, None);
         match has_begun {
             true => self.fail(ticket),
-            false => self.try_again(ticket, false),
+            false => self.retry_or_fail(ticket, false),
         }
     }
 
-    pub(super) fn try_again(&mut self, ticket: u64, certainly_not_run: bool) {
+    pub(super) fn retry_or_fail(&mut self, ticket: u64, certainly_not_run: bool) {
         let request = &mut self.requests[ticket as usize];
         if request.tries > 0 {
             let tried = self.engines[request.engine].name.clone();
@@ -99,6 +99,6 @@
         if request.is_original && self.measures.counts(request.at_ms) {
             self.measures.failed();
         }
-        self.done(ticket);
+        self.finish_request(ticket);
     }
 }
--- a/crates/policy-replay/src/world/faults.rs
+++ b/crates/policy-replay/src/world/faults.rs
@@ -5,7 +5,7 @@
 use crate::case::Fault;
 use crate::case::SLOW_STORE_FACTOR;
 use crate::fleet::Phase;
-use crate::world::State;
+use crate::world::RequestState;
 use crate::world::World;
 use crate::world::service_replica;
 
@@ -25,7 +25,7 @@
 
     fn store_speed(&mut self, factor: f64) {
         self.store.slow_down(self.now_ms, factor);
-        self.expect_store_end();
+        self.schedule_store_end();
     }
 
     fn in_lost_zone(&self) -> Vec<usize> {
@@ -37,14 +37,14 @@
 
     fn zone_gone(&mut self) {
         for engine in self.in_lost_zone() {
-            let lost = self.engines[engine].lose();
+            let lost = self.engines[engine].stop_and_clear();
             for ticket in lost {
-                self.lost(ticket);
+                self.handle_lost_engine(ticket);
             }
             for load in self.engines[engine].replicas.iter().map(|held| held.load) {
                 self.store.abort(self.now_ms, load);
             }
-            self.expect_store_end();
+            self.schedule_store_end();
         }
     }
 
@@ -52,7 +52,7 @@
         for engine in self.in_lost_zone() {
             self.engines[engine].listed = false;
             let gone = std::mem::take(&mut self.engines[engine].replicas);
-            self.changed(engine);
+            self.record_idle_memory(engine);
             let upstream = self.engines[engine].name.clone();
             self.policies.engines.learn(
                 self.now_ms,
@@ -64,10 +64,10 @@
                 .instances
                 .learn(self.now_ms, RoutingEvent::Removed { upstream });
             for replica in gone {
-                self.tell_capacity(replica.model);
+                self.announce_capacity(replica.model);
             }
         }
-        self.plan_by(self.now_ms);
+        self.plan_no_later_than(self.now_ms);
     }
 
     fn zone_back(&mut self) {
@@ -79,9 +79,9 @@
             if engine >= self.deployment.engines.count {
                 back.replicas.push(service_replica(service));
             }
-            self.changed(engine);
+            self.record_idle_memory(engine);
         }
-        self.tell_capacity(service);
+        self.announce_capacity(service);
     }
 
     fn log_up(&mut self) {
@@ -91,21 +91,21 @@
         for load in ended {
             self.settle(load);
         }
-        self.plan_by(self.now_ms);
+        self.plan_no_later_than(self.now_ms);
     }
 
     fn restart(&mut self) {
-        self.generation += 1;
+        self.incarnation += 1;
         self.policies = self
             .set
             .build()
             .expect("the same names were known at the start");
         self.started.fill(0);
-        self.told.fill(None);
+        self.announced.fill(None);
         self.tick_ms = None;
         let waiting: Vec<u64> = self.waiting.iter().flatten().copied().collect();
         for ticket in waiting {
-            debug_assert_eq!(self.requests[ticket as usize].state, State::Waiting);
+            debug_assert_eq!(self.requests[ticket as usize].state, RequestState::Waiting);
             self.admit(ticket);
         }
         for engine in 0..self.engines.len() {
@@ -116,9 +116,9 @@
                 .map(|replica| replica.model)
                 .collect();
             for model in loaded {
-                self.tell_capacity(model);
+                self.announce_capacity(model);
             }
         }
-        self.plan_by(self.now_ms);
+        self.plan_no_later_than(self.now_ms);
     }
 }
--- a/crates/policy-replay/src/world/mod.rs
+++ b/crates/policy-replay/src/world/mod.rs
@@ -4,10 +4,10 @@
 //! load reports are delayed, and a decision is in force only after a round trip to the log. There
 //! is no network and no second VM.
 
-mod failing;
+mod failures;
 mod faults;
-mod placing;
-mod serving;
+mod placement;
+mod requests;
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -37,17 +37,17 @@
 use crate::trace::Trace;
 
 /// Time from the proposal of a decision until it is in force.
-const LOG_ROUND_MS: u64 = 30;
+const LOG_ROUND_TRIP_MS: u64 = 30;
 
 /// Interval between two load reports of an engine.
-const REPORT_MS: u64 = 2_000;
+const REPORT_INTERVAL_MS: u64 = 2_000;
 
 /// Delay from the arrival of a request that has to wait until placement plans.
 const PLAN_DELAY_MS: u64 = 50;
 
 /// Interval between two plans of placement while a request waits, and while none does.
-const BUSY_PLAN_MS: u64 = 500;
-const QUIET_PLAN_MS: u64 = 5_000;
+const BUSY_PLAN_INTERVAL_MS: u64 = 500;
+const QUIET_PLAN_INTERVAL_MS: u64 = 5_000;
 
 /// Time after the deadline from which a request without an answer counts as stuck.
 const STUCK_AFTER_MS: u64 = 60_000;
@@ -101,11 +101,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum RequestState {
     Waiting,
     /// Started by admission, in this incarnation of the VM's process.
     Started {
-        generation: u32,
+        incarnation: u32,
     },
     Done,
 }
@@ -123,7 +123,7 @@
     deadline_ms: u64,
     /// Whether the request is one of the trace, not a caller's retry after a refusal.
     is_original: bool,
-    state: State,
+    state: RequestState,
     tries: u32,
     tried: Vec<UpstreamName>,
     engine: usize,
@@ -149,7 +149,7 @@
     case: Case,
     set: PolicySet,
     policies: Policies,
-    generation: u32,
+    incarnation: u32,
     now_ms: u64,
     sequence: u64,
     events: BinaryHeap<Reverse<Scheduled>>,
@@ -168,9 +168,9 @@
     waiting: Vec<BTreeSet<u64>>,
     started: Vec<u32>,
     running: Vec<u32>,
-    cold: Vec<Vec<(u64, u64)>>,
+    pending_cold_starts: Vec<Vec<(u64, u64)>>,
     /// Capacity last announced to admission for each target.
-    told: Vec<Option<(u32, Option<u64>)>>,
+    announced: Vec<Option<(u32, Option<u64>)>>,
     targets: Vec<ModelName>,
     idle_shares: Vec<(u64, f64)>,
     measures: Measures,
@@ -201,7 +201,7 @@
             trace,
             case,
             policies,
-            generation: 0,
+            incarnation: 0,
             now_ms: 0,
             sequence: 0,
             events: BinaryHeap::new(),
@@ -222,8 +222,8 @@
             waiting: vec![BTreeSet::new(); targets.len()],
             started: vec![0; targets.len()],
             running: vec![0; targets.len()],
-            cold: vec![Vec::new(); targets.len()],
-            told: vec![None; targets.len()],
+            pending_cold_starts: vec![Vec::new(); targets.len()],
+            announced: vec![None; targets.len()],
             targets,
             measures: Measures::new(deployment, case.measured_from_ms()),
             set,
@@ -249,21 +249,21 @@
     fn prepare(&mut self) {
         if let Some(surge) = self.case.surge(self.deployment) {
             let table = &self.deployment.engines;
-            let places = table.count as u64 * u64::from(table.slots);
+            let slots = table.count as u64 * u64::from(table.slots);
             self.measures
-                .watch_goodput(surge.from_ms, surge.to_ms, places);
+                .measure_goodput(surge.from_ms, surge.to_ms, slots);
         }
         for request in &self.trace.requests {
             let ticket = self.requests.len() as u64;
             self.requests
-                .push(serving::from_trace(self.deployment, self.trace, request));
+                .push(requests::from_trace(self.deployment, self.trace, request));
             self.schedule(request.at_ms, Event::Arrival(ticket));
         }
         for (at_ms, fault) in self.case.faults() {
             self.schedule(at_ms, Event::Fault(fault));
         }
         self.schedule(0, Event::Report);
-        self.plan_by(0);
+        self.plan_no_later_than(0);
     }
 
     fn handle(&mut self, event: Event) {
@@ -300,7 +300,7 @@
     }
 
     /// Schedules a plan of placement at the given time, unless one is scheduled earlier.
-    fn plan_by(&mut self, at_ms: u64) {
+    fn plan_no_later_than(&mut self, at_ms: u64) {
         if self.plan_ms.is_some_and(|planned_ms| planned_ms <= at_ms) {
             return;
         }
@@ -309,7 +309,7 @@
     }
 
     /// Records the idle memory of an engine up to now, after its replicas or requests changed.
-    fn changed(&mut self, engine: usize) {
+    fn record_idle_memory(&mut self, engine: usize) {
         let (since_ms, share) = self.idle_shares[engine];
         self.measures.idle(since_ms, self.now_ms, share);
         self.idle_shares[engine] = (self.now_ms, self.engines[engine].idle_share());
@@ -317,10 +317,10 @@
 
     fn finish(&mut self) {
         for engine in 0..self.engines.len() {
-            self.changed(engine);
+            self.record_idle_memory(engine);
         }
         for target in 0..self.targets.len() {
-            self.warm(target);
+            self.record_cold_starts(target);
         }
         self.count_stuck();
     }
@@ -329,7 +329,7 @@
     fn count_stuck(&mut self) {
         let until_ms = self.now_ms.saturating_sub(STUCK_AFTER_MS);
         let is_stuck = |request: &&Request| {
-            request.state != State::Done
+            request.state != RequestState::Done
                 && request.answered_ms.is_none()
                 && request.deadline_ms < until_ms
         };
@@ -340,8 +340,8 @@
     }
 
     /// Records the cold starts that waited for a replica of a target.
-    fn warm(&mut self, target: usize) {
-        for (arrived_ms, floor_ms) in std::mem::take(&mut self.cold[target]) {
+    fn record_cold_starts(&mut self, target: usize) {
+        for (arrived_ms, floor_ms) in std::mem::take(&mut self.pending_cold_starts[target]) {
             if self.measures.counts(arrived_ms) {
                 self.measures.cold_start(self.now_ms - arrived_ms, floor_ms);
             }
--- a/crates/policy-replay/src/world/placing.rs
+++ b/crates/policy-replay/src/world/placement.rs
@@ -14,11 +14,11 @@
 
 use crate::fleet::Phase;
 use crate::fleet::Replica;
-use crate::world::BUSY_PLAN_MS;
+use crate::world::BUSY_PLAN_INTERVAL_MS;
 use crate::world::Event;
-use crate::world::LOG_ROUND_MS;
+use crate::world::LOG_ROUND_TRIP_MS;
 use crate::world::Load;
-use crate::world::QUIET_PLAN_MS;
+use crate::world::QUIET_PLAN_INTERVAL_MS;
 use crate::world::World;
 
 /// Time in which an engine frees the memory of a replica without requests.
@@ -39,14 +39,18 @@
             self.propose(action);
         }
         let is_busy = self.waiting.iter().any(|waiting| !waiting.is_empty());
-        let pause_ms = if is_busy { BUSY_PLAN_MS } else { QUIET_PLAN_MS };
-        self.plan_by(self.now_ms + pause_ms);
+        let pause_ms = if is_busy {
+            BUSY_PLAN_INTERVAL_MS
+        } else {
+            QUIET_PLAN_INTERVAL_MS
+        };
+        self.plan_no_later_than(self.now_ms + pause_ms);
     }
 
     fn propose(&mut self, action: PlacementAction) {
         let model = match &action {
             PlacementAction::Hopeless { model, refusal } => {
-                self.hopeless(&model.clone(), &refusal.clone());
+                self.refuse_late(&model.clone(), &refusal.clone());
                 return;
             }
             PlacementAction::Load { model, .. } | PlacementAction::Unload { model, .. } => model,
@@ -61,12 +65,12 @@
             action,
             expected_replicas,
         };
-        self.schedule(self.now_ms + LOG_ROUND_MS, event);
+        self.schedule(self.now_ms + LOG_ROUND_TRIP_MS, event);
     }
 
     /// Refuses the waiting requests whose deadline is before the time at which the refusal allows a
     /// retry.
-    fn hopeless(&mut self, model: &ModelName, refusal: &Refusal) {
+    fn refuse_late(&mut self, model: &ModelName, refusal: &Refusal) {
         let Some(target) = self.target(model) else {
             return;
         };
@@ -149,7 +153,7 @@
             ready_at_ms,
             requests: 0,
         });
-        self.changed(engine);
+        self.record_idle_memory(engine);
         self.measures.load(self.now_ms);
         match tier {
             CacheTier::Remote => {
@@ -160,7 +164,7 @@
                 self.schedule(self.now_ms + took_ms, Event::LoadDone(load));
             }
         }
-        self.tell_capacity(model);
+        self.announce_capacity(model);
     }
 
     pub(super) fn store_start(&mut self, load: usize) {
@@ -171,10 +175,10 @@
         if !self.store.start(self.now_ms, load, sized_ms) {
             self.schedule(self.now_ms + STORE_REFUSAL_MS, Event::LoadFailed(load));
         }
-        self.expect_store_end();
+        self.schedule_store_end();
     }
 
-    pub(super) fn expect_store_end(&mut self) {
+    pub(super) fn schedule_store_end(&mut self) {
         self.store_end_ms = self.store.next_end_ms();
         if let Some(end_ms) = self.store_end_ms {
             self.schedule(end_ms.max(self.now_ms), Event::StoreEnd);
@@ -188,7 +192,7 @@
         for load in self.store.take_ended(self.now_ms) {
             self.load_done(load);
         }
-        self.expect_store_end();
+        self.schedule_store_end();
     }
 
     /// Returns whether the engine runs and still has the replica created by a load.
@@ -222,7 +226,7 @@
     }
 
     pub(super) fn settle(&mut self, load: usize) {
-        self.schedule(self.now_ms + LOG_ROUND_MS, Event::Settled(load));
+        self.schedule(self.now_ms + LOG_ROUND_TRIP_MS, Event::Settled(load));
     }
 
     pub(super) fn load_failed(&mut self, load: usize) {
@@ -233,9 +237,9 @@
         self.engines[engine]
             .replicas
             .retain(|held| held.load != load);
-        self.changed(engine);
-        self.tell_capacity(model);
-        self.plan_by(self.now_ms);
+        self.record_idle_memory(engine);
+        self.announce_capacity(model);
+        self.plan_no_later_than(self.now_ms);
     }
 
     pub(super) fn settled(&mut self, load: usize) {
@@ -248,10 +252,10 @@
             replica.phase = Phase::Loaded;
             replica.since_ms = now_ms;
         }
-        self.changed(engine);
-        self.warm(model);
-        self.tell_capacity(model);
-        self.plan_by(self.now_ms);
+        self.record_idle_memory(engine);
+        self.record_cold_starts(model);
+        self.announce_capacity(model);
+        self.plan_no_later_than(self.now_ms);
     }
 
     fn accept_unload(&mut self, model: &ModelName, engine: &UpstreamName) {
@@ -273,7 +277,7 @@
         if requests == 0 {
             self.schedule(self.now_ms + UNLOAD_MS, Event::Unloaded(load));
         }
-        self.tell_capacity(model);
+        self.announce_capacity(model);
     }
 
     /// Schedules the end of an unload once the replica has no requests left.
@@ -295,8 +299,8 @@
         self.engines[engine]
             .replicas
             .retain(|held| held.load != load);
-        self.changed(engine);
-        self.plan_by(self.now_ms + LOG_ROUND_MS);
+        self.record_idle_memory(engine);
+        self.plan_no_later_than(self.now_ms + LOG_ROUND_TRIP_MS);
     }
 
     fn view(&self) -> FleetView {
--- a/crates/policy-replay/src/world/serving.rs
+++ b/crates/policy-replay/src/world/requests.rs
@@ -24,13 +24,13 @@
 use crate::trace::TraceRequest;
 use crate::world::Event;
 use crate::world::PLAN_DELAY_MS;
-use crate::world::REPORT_MS;
+use crate::world::REPORT_INTERVAL_MS;
 use crate::world::Request;
-use crate::world::State;
+use crate::world::RequestState;
 use crate::world::World;
 
 /// Retry delay of a refused caller if the refusal names none.
-const RETURN_MS: u64 = 5_000;
+const DEFAULT_RETRY_DELAY_MS: u64 = 5_000;
 
 /// Returns the simulated request for one of the trace.
 pub(super) fn from_trace(
@@ -52,7 +52,7 @@
         at_ms: request.at_ms,
         deadline_ms: request.at_ms + deployment.classes[request.class].answer_within_ms,
         is_original: true,
-        state: State::Waiting,
+        state: RequestState::Waiting,
         tries: 0,
         tried: Vec::new(),
         engine: 0,
@@ -75,19 +75,19 @@
             self.policies.placement.arrived(self.now_ms, model);
             if self.serving(target).next().is_none() && is_original {
                 let floor_ms = self.floor_ms(target);
-                self.cold[target].push((at_ms, floor_ms));
+                self.pending_cold_starts[target].push((at_ms, floor_ms));
             }
         }
         self.waiting[target].insert(ticket);
         self.admit(ticket);
         if !self.waiting[target].is_empty() {
-            self.plan_by(self.now_ms + PLAN_DELAY_MS);
+            self.plan_no_later_than(self.now_ms + PLAN_DELAY_MS);
         }
     }
 
     pub(super) fn admit(&mut self, ticket: u64) {
         let target = self.requests[ticket as usize].target;
-        self.tell_capacity(target);
+        self.announce_capacity(target);
         let request = &self.requests[ticket as usize];
         let class = &self.deployment.classes[request.class];
         let arrival = Arrival {
@@ -103,10 +103,10 @@
 
     /// Announces to admission how many requests for a target may be in progress: those that are,
     /// and one more for each free slot of an engine that can serve the target.
-    pub(super) fn tell_capacity(&mut self, target: usize) {
+    pub(super) fn announce_capacity(&mut self, target: usize) {
         let free: u32 = self
             .serving(target)
-            .map(|engine| self.engines[engine].free_places())
+            .map(|engine| self.engines[engine].free_slots())
             .sum();
         let ready_at_ms = self
             .engines
@@ -116,10 +116,10 @@
             .map(|replica| replica.ready_at_ms)
             .min();
         let capacity = (self.started[target] + free, ready_at_ms);
-        if self.told[target] == Some(capacity) {
+        if self.announced[target] == Some(capacity) {
             return;
         }
-        self.told[target] = Some(capacity);
+        self.announced[target] = Some(capacity);
         let (slots, ready_at_ms) = capacity;
         self.ask_admission(AdmissionEvent::Capacity {
             target: self.targets[target].clone(),
@@ -161,10 +161,10 @@
 
     pub(super) fn refuse(&mut self, ticket: u64, refusal: &Refusal) {
         let request = &mut self.requests[ticket as usize];
-        if request.state != State::Waiting {
+        if request.state != RequestState::Waiting {
             return;
         }
-        request.state = State::Done;
+        request.state = RequestState::Done;
         let request = request.clone();
         self.waiting[request.target].remove(&ticket);
         if request.is_original && self.measures.counts(request.at_ms) {
@@ -172,11 +172,14 @@
         }
         // Every other refused caller retries once.
         if request.is_original && ticket.is_multiple_of(2) {
-            self.come_back(request, refusal.retry_after_ms.unwrap_or(RETURN_MS));
+            self.schedule_caller_retry(
+                request,
+                refusal.retry_after_ms.unwrap_or(DEFAULT_RETRY_DELAY_MS),
+            );
         }
     }
 
-    fn come_back(&mut self, refused: Request, after_ms: u64) {
+    fn schedule_caller_retry(&mut self, refused: Request, after_ms: u64) {
         let target_ms = refused.deadline_ms - refused.at_ms;
         let at_ms = self.now_ms + after_ms;
         let ticket = self.requests.len() as u64;
@@ -184,17 +187,17 @@
             at_ms,
             deadline_ms: at_ms + target_ms,
             is_original: false,
-            state: State::Waiting,
+            state: RequestState::Waiting,
             ..refused
         });
         self.schedule(at_ms, Event::Arrival(ticket));
     }
 
     fn start(&mut self, ticket: u64) {
-        let generation = self.generation;
+        let incarnation = self.incarnation;
         let request = &mut self.requests[ticket as usize];
-        debug_assert_eq!(request.state, State::Waiting);
-        request.state = State::Started { generation };
+        debug_assert_eq!(request.state, RequestState::Waiting);
+        request.state = RequestState::Started { incarnation };
         request.started_ms = self.now_ms;
         let target = request.target;
         self.waiting[target].remove(&ticket);
@@ -234,7 +237,7 @@
             .collect();
         let now_ms = self.now_ms;
         let Some(chosen) = self.routing(target).choose(now_ms, &route, &candidates) else {
-            self.try_again(ticket, true);
+            self.retry_or_fail(ticket, true);
             return;
         };
         let engine = serving[chosen];
@@ -259,15 +262,15 @@
             self.policies.retry.first_try(now_ms, &group);
         }
         if !self.engines[engine].alive {
-            self.ended(ticket, UpstreamOutcome::Unreachable, None);
-            self.try_again(ticket, true);
+            self.learn_outcome(ticket, UpstreamOutcome::Unreachable, None);
+            self.retry_or_fail(ticket, true);
             return;
         }
         if let Some(replica) = self.engines[engine].replica_mut(target) {
             replica.requests += 1;
         }
-        self.changed(engine);
-        match self.engines[engine].has_place() {
+        self.record_idle_memory(engine);
+        match self.engines[engine].has_free_slot() {
             true => self.begin(ticket),
             false => self.engines[engine].queue.push_back(ticket),
         }
@@ -288,9 +291,9 @@
         let (first_token_ms, run_ms, attempt) =
             (request.first_token_ms, request.run_ms, request.tries);
         let engine = &mut self.engines[request.engine];
-        let share = engine.read_prefix(request.prefix_hash);
-        let first_token_ms = engine.stretch_ms((first_token_ms as f64 * share) as u64);
-        let run_ms = engine.stretch_ms(run_ms).max(first_token_ms);
+        let share = engine.cache_prefix(request.prefix_hash);
+        let first_token_ms = engine.slowed_ms((first_token_ms as f64 * share) as u64);
+        let run_ms = engine.slowed_ms(run_ms).max(first_token_ms);
         engine.running.push(ticket);
         let now_ms = self.now_ms;
         self.requests[ticket as usize].begun_ms = now_ms;
@@ -336,14 +339,14 @@
             self.measures.work(begun_ms, self.now_ms, met);
         }
         self.leave_engine(ticket);
-        self.ended(
+        self.learn_outcome(
             ticket,
             UpstreamOutcome::Answered,
             Some(answered_ms - begun_ms),
         );
-        self.done(ticket);
+        self.finish_request(ticket);
         self.unload_if_done(engine, target);
-        self.tell_neighbours(engine);
+        self.announce_freed_slot(engine);
     }
 
     /// Removes a request from its replica, and fills a free slot from the engine's queue.
@@ -353,8 +356,8 @@
         if let Some(replica) = self.engines[engine].replica_mut(target) {
             replica.requests = replica.requests.saturating_sub(1);
         }
-        self.changed(engine);
-        if !self.engines[engine].alive || !self.engines[engine].has_place() {
+        self.record_idle_memory(engine);
+        if !self.engines[engine].alive || !self.engines[engine].has_free_slot() {
             return;
         }
         if let Some(next) = self.engines[engine].queue.pop_front() {
@@ -362,7 +365,7 @@
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn learn_outcome(
         &mut self,
         ticket: u64,
         outcome: UpstreamOutcome,
@@ -383,19 +386,19 @@
     }
 
     /// Ends a request that was started, and reports the end to admission.
-    pub(super) fn done(&mut self, ticket: u64) {
-        let generation = self.generation;
+    pub(super) fn finish_request(&mut self, ticket: u64) {
+        let incarnation = self.incarnation;
         let request = &mut self.requests[ticket as usize];
         let (target, state) = (request.target, request.state);
         let ran_ms = self.now_ms - request.started_ms;
-        request.state = State::Done;
+        request.state = RequestState::Done;
         self.running[target] -= 1;
-        if state == (State::Started { generation }) {
+        if state == (RequestState::Started { incarnation }) {
             self.started[target] -= 1;
             // The capacity comes first. Otherwise the end would start a request for a slot that a
             // queued request has taken.
             if !self.waiting[target].is_empty() {
-                self.tell_capacity(target);
+                self.announce_capacity(target);
             }
             let ticket = Ticket(ticket);
             self.ask_admission(AdmissionEvent::Ended { ticket, ran_ms });
@@ -403,7 +406,7 @@
     }
 
     /// Announces a freed slot to admission, first for the target whose request waits longest.
-    pub(super) fn tell_neighbours(&mut self, engine: usize) {
+    pub(super) fn announce_freed_slot(&mut self, engine: usize) {
         let mut waiting: Vec<(u64, usize)> = self.engines[engine]
             .replicas
             .iter()
@@ -414,7 +417,7 @@
             .collect();
         waiting.sort_unstable();
         for (_, target) in waiting {
-            self.tell_capacity(target);
+            self.announce_capacity(target);
         }
     }
 
@@ -439,6 +442,6 @@
                 false => self.policies.instances.learn(self.now_ms, event),
             }
         }
-        self.schedule(self.now_ms + REPORT_MS, Event::Report);
+        self.schedule(self.now_ms + REPORT_INTERVAL_MS, Event::Report);
     }
 }
--- a/crates/policy-replay/tests/arrival_traces.rs
+++ b/crates/policy-replay/tests/arrival_traces.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use apricotdale_policy_replay::trace::Habit;
+use apricotdale_policy_replay::trace::CallPattern;
 use apricotdale_policy_replay::trace::Target;
 use apricotdale_policy_replay::trace::trace;
 
@@ -27,19 +27,19 @@
     let hours = 48;
     let trace = trace(&deployment, 1, hours * HOUR_MS, None);
     let alternating: Vec<usize> = (0..trace.models.len())
-        .filter(|model| trace.models[*model].habit == Habit::Alternating)
+        .filter(|model| trace.models[*model].call_pattern == CallPattern::Alternating)
         .collect();
     // A model with requests in only one of two consecutive hours has changed.
-    let mut awake = vec![vec![false; hours as usize]; trace.models.len()];
+    let mut active = vec![vec![false; hours as usize]; trace.models.len()];
     for request in &trace.requests {
         if let Target::Model(model) = request.target {
-            awake[model][(request.at_ms / HOUR_MS) as usize] = true;
+            active[model][(request.at_ms / HOUR_MS) as usize] = true;
         }
     }
     let changes: usize = alternating
         .iter()
         .map(|model| {
-            awake[*model]
+            active[*model]
                 .windows(2)
                 .filter(|pair| pair[0] != pair[1])
                 .count()
@@ -49,7 +49,7 @@
     assert!((0.15..0.40).contains(&share), "{share}");
     let idle = alternating
         .iter()
-        .map(|model| awake[*model].iter().filter(|awake| !**awake).count());
+        .map(|model| active[*model].iter().filter(|active| !**active).count());
     let idle_share = idle.sum::<usize>() as f64 / alternating.len() as f64 / hours as f64;
     assert!(idle_share > 0.5, "{idle_share}");
 }
