--- a/crates/policy-replay/src/measures.rs
+++ b/crates/policy-replay/src/measures.rs
@@ -56,7 +56,7 @@
     refused: u64,
     failed: u64,
     refusals: BTreeMap<&'static str, u64>,
-    tries: u64,
+    attempts: u64,
     retries: u64,
     work_ms: f64,
     useless_work_ms: f64,
@@ -107,7 +107,7 @@
             refused: 0,
             failed: 0,
             refusals: BTreeMap::new(),
-            tries: 0,
+            attempts: 0,
             retries: 0,
             work_ms: 0.0,
             useless_work_ms: 0.0,
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Also counts useful work in an interval, of which `slots` slots limit the maximum.
-    pub fn measure_goodput(&mut self, from_ms: u64, to_ms: u64, slots: u64) {
+    /// Also counts useful work in an interval, in which `slots` slots can work at once.
+    pub fn start_goodput_window(&mut self, from_ms: u64, to_ms: u64, slots: u64) {
         self.window = Some(Window {
             from_ms,
             to_ms,
@@ -133,14 +133,14 @@
     }
 
     /// Counts a request that arrived.
-    pub fn arrived(&mut self, class: usize) {
+    pub fn record_arrival(&mut self, class: usize) {
         self.arrived += 1;
         self.classes[class].arrived += 1;
     }
 
     /// Counts a request that found no loaded replica, refused or not: the time until there was one,
     /// and the minimum time in which any engine could have loaded the model.
-    pub fn cold_start(&mut self, wait_ms: u64, floor_ms: u64) {
+    pub fn record_cold_start(&mut self, wait_ms: u64, floor_ms: u64) {
         self.cold_starts
             .saturating_record(wait_ms.min(MAX_RECORDED_MS));
         self.cold_floor
@@ -148,14 +148,14 @@
     }
 
     /// Counts a first token, with the time since the arrival and whether the target was met.
-    pub fn first_token(&mut self, class: usize, wait_ms: u64, met: bool) {
+    pub fn record_first_token(&mut self, class: usize, wait_ms: u64, met: bool) {
         self.first_tokens
             .saturating_record(wait_ms.min(MAX_RECORDED_MS));
         self.classes[class].met += u64::from(met);
     }
 
     /// Counts the time that a request ran on an engine, and whether its answer was in time.
-    pub fn work(&mut self, from_ms: u64, to_ms: u64, met: bool) {
+    pub fn record_work(&mut self, from_ms: u64, to_ms: u64, met: bool) {
         let run_ms = (to_ms - from_ms) as f64;
         self.work_ms += run_ms;
         if !met {
@@ -171,34 +171,34 @@
     }
 
     /// Counts a refused request.
-    pub fn refused(&mut self, reason: &'static str) {
+    pub fn record_refusal(&mut self, reason: &'static str) {
         self.refused += 1;
         *self.refusals.entry(reason).or_default() += 1;
     }
 
     /// Counts a request with neither answer nor refusal long after its deadline.
-    pub fn stuck(&mut self) {
+    pub fn record_stuck(&mut self) {
         self.stuck += 1;
     }
 
     /// Counts a request that ended without an answer.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failed += 1;
     }
 
     /// Counts an attempt at an upstream.
-    pub fn tried(&mut self, is_retry: bool) {
-        self.tries += 1;
+    pub fn record_attempt(&mut self, is_retry: bool) {
+        self.attempts += 1;
         self.retries += u64::from(is_retry);
     }
 
     /// Counts a load that was accepted at `now_ms`, if that is within the measurement.
-    pub fn load(&mut self, now_ms: u64) {
+    pub fn record_load(&mut self, now_ms: u64) {
         self.loads += u64::from(self.counts(now_ms));
     }
 
     /// Counts the share of an engine's memory held by idle replicas over an interval.
-    pub fn idle(&mut self, from_ms: u64, to_ms: u64, share: f64) {
+    pub fn record_idle(&mut self, from_ms: u64, to_ms: u64, share: f64) {
         let counted_ms = to_ms.saturating_sub(from_ms.max(self.from_ms));
         self.idle_engine_ms += counted_ms as f64 * share;
     }
--- a/crates/policy-replay/src/world/failures.rs
+++ b/crates/policy-replay/src/world/failures.rs
@@ -23,11 +23,12 @@
         let was_running = self.engines[engine].running.contains(&ticket);
         let was_queued = self.engines[engine].queue.contains(&ticket);
         if was_running && self.measures.counts(request.at_ms) {
-            self.measures.work(request.begun_ms, self.now_ms, false);
+            self.measures
+                .record_work(request.begun_ms, self.now_ms, false);
         }
         if request.is_original && self.measures.counts(request.at_ms) {
             self.measures
-                .refused(RefusalReason::UpstreamTimeout.as_str());
+                .record_refusal(RefusalReason::UpstreamTimeout.as_str());
         }
         if was_running || was_queued {
             self.engines[engine]
@@ -61,7 +62,8 @@
         let request = &self.requests[ticket as usize];
         let has_begun = request.answered_ms.is_some();
         if self.measures.counts(request.at_ms) && request.begun_ms > 0 {
-            self.measures.work(request.begun_ms, self.now_ms, false);
+            self.measures
+                .record_work(request.begun_ms, self.now_ms, false);
         }
         self.leave_engine(ticket);
         self.learn_outcome(ticket, UpstreamOutcome::Lost, None);
@@ -97,7 +99,7 @@
     fn fail(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
         if request.is_original && self.measures.counts(request.at_ms) {
-            self.measures.failed();
+            self.measures.record_failure();
         }
         self.finish_request(ticket);
     }
--- a/crates/policy-replay/src/world/mod.rs
+++ b/crates/policy-replay/src/world/mod.rs
@@ -251,7 +251,7 @@
             let table = &self.deployment.engines;
             let slots = table.count as u64 * u64::from(table.slots);
             self.measures
-                .measure_goodput(surge.from_ms, surge.to_ms, slots);
+                .start_goodput_window(surge.from_ms, surge.to_ms, slots);
         }
         for request in &self.trace.requests {
             let ticket = self.requests.len() as u64;
@@ -311,7 +311,7 @@
     /// Records the idle memory of an engine up to now, after its replicas or requests changed.
     fn record_idle_memory(&mut self, engine: usize) {
         let (since_ms, share) = self.idle_shares[engine];
-        self.measures.idle(since_ms, self.now_ms, share);
+        self.measures.record_idle(since_ms, self.now_ms, share);
         self.idle_shares[engine] = (self.now_ms, self.engines[engine].idle_share());
     }
 
@@ -335,7 +335,7 @@
         };
         let stuck = self.requests.iter().filter(is_stuck).count();
         for _ in 0..stuck {
-            self.measures.stuck();
+            self.measures.record_stuck();
         }
     }
 
@@ -343,7 +343,8 @@
     fn record_cold_starts(&mut self, target: usize) {
         for (arrived_ms, floor_ms) in std::mem::take(&mut self.pending_cold_starts[target]) {
             if self.measures.counts(arrived_ms) {
-                self.measures.cold_start(self.now_ms - arrived_ms, floor_ms);
+                self.measures
+                    .record_cold_start(self.now_ms - arrived_ms, floor_ms);
             }
         }
     }
--- a/crates/policy-replay/src/world/placement.rs
+++ b/crates/policy-replay/src/world/placement.rs
@@ -154,7 +154,7 @@
             requests: 0,
         });
         self.record_idle_memory(engine);
-        self.measures.load(self.now_ms);
+        self.measures.record_load(self.now_ms);
         match tier {
             CacheTier::Remote => {
                 self.schedule(self.now_ms + fixed_ms as u64, Event::StoreStart(load));
--- a/crates/policy-replay/src/world/requests.rs
+++ b/crates/policy-replay/src/world/requests.rs
@@ -67,7 +67,7 @@
         let request = &self.requests[ticket as usize];
         let (target, at_ms) = (request.target, request.at_ms);
         if request.is_original && self.measures.counts(at_ms) {
-            self.measures.arrived(request.class);
+            self.measures.record_arrival(request.class);
         }
         let is_original = request.is_original;
         if target < self.trace.models.len() {
@@ -168,7 +168,7 @@
         let request = request.clone();
         self.waiting[request.target].remove(&ticket);
         if request.is_original && self.measures.counts(request.at_ms) {
-            self.measures.refused(refusal.reason.as_str());
+            self.measures.record_refusal(refusal.reason.as_str());
         }
         // Every other refused caller retries once.
         if request.is_original && ticket.is_multiple_of(2) {
@@ -256,7 +256,7 @@
         let tries = request.tries;
         let is_counted = request.is_original && self.measures.counts(request.at_ms);
         if is_counted {
-            self.measures.tried(tries > 1);
+            self.measures.record_attempt(tries > 1);
         }
         if tries == 1 {
             self.policies.retry.first_try(now_ms, &group);
@@ -319,7 +319,7 @@
         if request.is_original && self.measures.counts(request.at_ms) {
             let met = now_ms <= request.deadline_ms;
             self.measures
-                .first_token(request.class, now_ms - request.at_ms, met);
+                .record_first_token(request.class, now_ms - request.at_ms, met);
         }
     }
 
@@ -336,7 +336,7 @@
         let answered_ms = request.answered_ms.unwrap_or(self.now_ms);
         let met = answered_ms <= request.deadline_ms;
         if self.measures.counts(request.at_ms) {
-            self.measures.work(begun_ms, self.now_ms, met);
+            self.measures.record_work(begun_ms, self.now_ms, met);
         }
         self.leave_engine(ticket);
         self.learn_outcome(
