--- a/crates/policy-replay/src/compare.rs
+++ b/crates/policy-replay/src/compare.rs
@@ -254,7 +254,7 @@
     done.into_inner()
         .expect("no worker panics with the lock")
         .into_iter()
-        .map(|result| result.expect("every job was taken"))
+        .map(|result| result.expect("each job has a result"))
         .collect()
 }
 
--- a/crates/policy-replay/src/deployment.rs
+++ b/crates/policy-replay/src/deployment.rs
@@ -256,7 +256,7 @@
 fn model_table(ini: &Ini) -> Result<ModelTable> {
     let sizes: Vec<f64> = list(ini, "models", "sizes_gb")?;
     if sizes.is_empty() {
-        return Err(Error::key("models", "sizes_gb", "lists no size"));
+        return Err(Error::key("models", "sizes_gb", "has no value"));
     }
     let adapter_mb: u64 = value(ini, "models", "adapter_mb")?;
     Ok(ModelTable {
@@ -305,7 +305,7 @@
 fn value<T: FromStr>(ini: &Ini, section: &str, key: &str) -> Result<T> {
     let text = text(ini, section, key)?;
     text.parse()
-        .map_err(|_| Error::key(section, key, format!("{text:?} can't be understood")))
+        .map_err(|_| Error::key(section, key, format!("{text:?} is no valid value")))
 }
 
 fn list<T: FromStr>(ini: &Ini, section: &str, key: &str) -> Result<Vec<T>> {
@@ -314,7 +314,7 @@
         .map(|item| {
             let item = item.trim();
             item.parse()
-                .map_err(|_| Error::key(section, key, format!("{item:?} can't be understood")))
+                .map_err(|_| Error::key(section, key, format!("{item:?} is no valid value")))
         })
         .collect()
 }
--- a/crates/policy-replay/src/errors.rs
+++ b/crates/policy-replay/src/errors.rs
@@ -29,7 +29,7 @@
         detail: String,
     },
     /// No policy is registered under this name.
-    #[error("no policy is called {0}")]
+    #[error("unknown policy {0}")]
     UnknownPolicy(String),
     /// The results can't be written; holds the error.
     #[error("can't write the results: {0}")]
--- a/crates/policy-replay/src/world/faults.rs
+++ b/crates/policy-replay/src/world/faults.rs
@@ -99,7 +99,7 @@
         self.policies = self
             .set
             .build()
-            .expect("the same names were known at the start");
+            .expect("these names were valid at the start");
         self.started.fill(0);
         self.announced.fill(None);
         self.tick_ms = None;
