--- a/crates/policy-replay/tests/arrival_traces.rs
+++ b/crates/policy-replay/tests/arrival_traces.rs
@@ -12,7 +12,7 @@
 const HOUR_MS: u64 = 3_600_000;
 
 #[test]
-fn same_seed_gives_the_same_trace() {
+fn same_seed_repeats() {
     let deployment = small();
     let first = trace(&deployment, 7, 6 * HOUR_MS, None);
     let second = trace(&deployment, 7, 6 * HOUR_MS, None);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn about_as_many_models_change_as_the_brief_says() {
+fn hourly_change_share() {
     let deployment = deployment("hjulvaerk");
     let hours = 48;
     let trace = trace(&deployment, 1, hours * HOUR_MS, None);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn requests_are_in_order_of_time() {
+fn requests_ordered() {
     let trace = trace(&small(), 3, 6 * HOUR_MS, None);
     assert!(trace.requests.is_sorted_by_key(|request| request.at_ms));
 }
--- a/crates/policy-replay/tests/deployment_files.rs
+++ b/crates/policy-replay/tests/deployment_files.rs
@@ -14,7 +14,7 @@
 #[rstest]
 #[case("hjulvaerk", 18, 100, 120, 15)]
 #[case("scaravilli", 9, 50, 55, 8)]
-fn sizes_are_those_of_the_brief(
+fn deployment_sizes(
     #[case] name: &str,
     #[case] engines: usize,
     #[case] models: usize,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn missing_key_is_named() {
+fn missing_key_named() {
     let mut file = tempfile::NamedTempFile::new().unwrap();
     writeln!(file, "[deployment]\nzones = a").unwrap();
     let error = Deployment::read(file.path()).unwrap_err();
--- a/crates/policy-replay/tests/same_run.rs
+++ b/crates/policy-replay/tests/same_run.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn same_seed_gives_the_same_results() {
+fn same_seed_repeats() {
     let deployment = small();
     let first = run(&deployment, Case::Restart, PolicySet::chosen(1, false));
     let second = run(&deployment, Case::Restart, PolicySet::chosen(1, false));
@@ -30,7 +30,7 @@
 }
 
 #[rstest]
-fn every_request_is_answered_or_refused(
+fn no_request_stuck(
     #[values(Case::ZoneLost, Case::Restart)] case: Case,
     #[values(PolicySet::baseline(600_000, 1), PolicySet::chosen(1, true))] set: PolicySet,
 ) {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn no_policy_beats_the_floor_of_idle_hours() {
+fn idle_floor_holds() {
     let deployment = small();
     let case = Case::LogOutage;
     let arrivals = trace(&deployment, 1, case.until_ms(), None);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn unknown_policy_stops_the_run() {
+fn unknown_policy_fails() {
     let deployment = small();
     let arrivals = trace(&deployment, 1, 1_000, None);
     let set = PolicySet {
--- a/crates/policy-replay/tests/store_limits.rs
+++ b/crates/policy-replay/tests/store_limits.rs
@@ -3,7 +3,7 @@
 use apricotdale_policy_replay::store::Store;
 
 #[test]
-fn loads_up_to_the_limit_run_at_full_speed() {
+fn full_speed_loads() {
     let mut store = Store::new(15, 4);
     for load in 0..4 {
         assert!(store.start(0, load, 10_000.0));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn loads_beyond_the_limit_share_the_speed() {
+fn shared_bandwidth() {
     let mut store = Store::new(15, 4);
     for load in 0..8 {
         assert!(store.start(0, load, 10_000.0));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn starts_above_the_rate_are_refused() {
+fn start_rate_limit() {
     let mut store = Store::new(2, 4);
     assert!(store.start(0, 0, 10_000.0));
     assert!(store.start(500, 1, 10_000.0));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn slow_store_takes_longer_for_what_is_left() {
+fn slow_store_remainder() {
     let mut store = Store::new(15, 4);
     assert!(store.start(0, 0, 10_000.0));
     store.slow_down(5_000, 5.0);
--- a/crates/policy-replay/tests/strongest_baseline.rs
+++ b/crates/policy-replay/tests/strongest_baseline.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn lowest_value_is_strongest_where_less_is_better() {
+fn lowest_value_best() {
     assert_eq!(
         line(results(0.95, 20.0, 10.0), "cold_start_p99_ms").timeout_ms,
         2
@@ -43,19 +43,19 @@
 }
 
 #[test]
-fn highest_share_is_strongest_where_more_is_better() {
+fn highest_share_best() {
     assert_eq!(line(results(0.95, 20.0, 10.0), "met_share").timeout_ms, 3);
 }
 
 #[test]
-fn idle_hours_are_compared_at_as_many_met_targets() {
+fn idle_hours_eligible() {
     let line = line(results(0.95, 20.0, 10.0), "idle_accelerator_hours");
     assert_eq!((line.timeout_ms, line.baseline), (2, 50.0));
     assert_eq!(line.ratio(), 0.4);
 }
 
 #[test]
-fn idle_hours_fall_back_to_the_most_met_targets() {
+fn idle_hours_fallback() {
     assert_eq!(
         line(results(0.999, 20.0, 10.0), "idle_accelerator_hours").timeout_ms,
         3
