--- a/crates/policy-replay/src/world/mod.rs
+++ b/crates/policy-replay/src/world/mod.rs
@@ -158,20 +158,28 @@
     engines: Vec<Engine>,
     loads: Vec<Load>,
     store: Store,
+    /// Time of the next scheduled end of a store load; other `StoreEnd` events are obsolete.
     store_end_ms: Option<u64>,
     log_is_up: bool,
     /// Loads that ended while the log was down and are not settled.
     unsettled: Vec<usize>,
     indexes: HashMap<ModelName, usize>,
+    /// Time of the next scheduled plan; other `Plan` events are obsolete.
     plan_ms: Option<u64>,
+    /// Time of the next tick that admission asked for; other `AdmissionTick` events are obsolete.
     tick_ms: Option<u64>,
+    /// Tickets that wait for admission, by target.
     waiting: Vec<BTreeSet<u64>>,
+    /// Requests started in this incarnation and not ended, by target.
     started: Vec<u32>,
+    /// Requests started in any incarnation and not ended, by target.
     running: Vec<u32>,
+    /// Arrival and minimum load time of the requests that found no loaded replica, by target.
     pending_cold_starts: Vec<Vec<(u64, u64)>>,
     /// Capacity last announced to admission for each target.
     announced: Vec<Option<(u32, Option<u64>)>>,
     targets: Vec<ModelName>,
+    /// Time of the last change of each engine, and its share of idle memory since then.
     idle_shares: Vec<(u64, f64)>,
     measures: Measures,
 }
