--- a/crates/policy-replay/src/report.rs
+++ b/crates/policy-replay/src/report.rs
@@ -1,4 +1,4 @@
-//! Prints, tables and plots of what was measured.
+//! Printed lines, CSV table and plots of the comparisons.
 
 use std::path::Path;
 
@@ -20,8 +20,8 @@
 const MINUTE_MS: u64 = 60_000;
 const PLOT_SIZE: (u32, u32) = (1_200, 480);
 
-/// Returns one printed line for each measure of a comparison.
-pub fn printed(comparison: &Comparison) -> Vec<String> {
+/// Returns a printed line for each measure of a comparison, and one for the idle floor.
+pub fn printed_lines(comparison: &Comparison) -> Vec<String> {
     let deployment = &comparison.deployment;
     let case = comparison.case.as_str();
     let mut lines: Vec<String> = comparison
@@ -46,11 +46,11 @@
     lines
 }
 
-/// Writes every run as a row of a CSV file.
+/// Writes each measure of each run as a row of a CSV file.
 ///
 /// # Errors
 ///
-/// `Error::Unwritable` if the file can't be written.
+/// [`Error::Unwritable`] if the file can't be written.
 pub fn write_csv(path: &Path, comparisons: &[Comparison]) -> Result<()> {
     let mut writer = csv::Writer::from_path(path).map_err(unwritable)?;
     writer
@@ -86,12 +86,12 @@
     writer.flush().map_err(unwritable)
 }
 
-/// Plots cold starts and met targets over idle hours: the baseline's timeouts as a line, the
-/// policies in use as a point.
+/// Plots the p99 of cold starts and the share of met targets over idle hours. The baseline is a
+/// line over its idle timeouts, the default policies are a point.
 ///
 /// # Errors
 ///
-/// `Error::Unwritable` if the file can't be written.
+/// [`Error::Unwritable`] if the file can't be written.
 pub fn write_plot(path: &Path, comparison: &Comparison) -> Result<()> {
     let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(unwritable)?;
@@ -115,10 +115,10 @@
     line.sort_by(|one, other| one.0.total_cmp(&other.0));
     let point = (comparison.chosen.get(IDLE), comparison.chosen.get(measure));
     let all = || line.iter().chain(std::iter::once(&point));
-    let most_x = all().map(|(x, _)| *x).fold(1.0, f64::max) * 1.05;
-    let most_y = all().map(|(_, y)| *y).fold(f64::MIN, f64::max);
-    let least_y = all().map(|(_, y)| *y).fold(f64::MAX, f64::min);
-    let margin = ((most_y - least_y) * 0.05).max(1e-6);
+    let max_x = all().map(|(x, _)| *x).fold(1.0, f64::max) * 1.05;
+    let max_y = all().map(|(_, y)| *y).fold(f64::MIN, f64::max);
+    let min_y = all().map(|(_, y)| *y).fold(f64::MAX, f64::min);
+    let margin = ((max_y - min_y) * 0.05).max(1e-6);
     let caption = format!(
         "{} {}: {measure} over {IDLE} (line: fixed timeouts, point: chosen)",
         comparison.deployment,
@@ -129,7 +129,7 @@
         .caption(caption, ("sans-serif", 13))
         .x_label_area_size(30)
         .y_label_area_size(70)
-        .build_cartesian_2d(0.0..most_x, least_y - margin..most_y + margin)
+        .build_cartesian_2d(0.0..max_x, min_y - margin..max_y + margin)
         .map_err(unwritable)?;
     chart.configure_mesh().draw().map_err(unwritable)?;
     chart
--- a/crates/policy-replay/src/trace.rs
+++ b/crates/policy-replay/src/trace.rs
@@ -1,8 +1,8 @@
 //! Seeded arrival traces.
 //!
-//! Time starts at midnight. A model is always awake, called by a schedule, or alternates between
-//! awake and idle; the alternating ones change over at the share per hour that the deployment
-//! gives. A model that wakes up does so with a burst of requests.
+//! Times count from midnight of the first day. A model is always active, is called by a schedule,
+//! or alternates between active and idle phases at the rate of change per hour that the deployment
+//! gives. An active phase begins with a burst of requests.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -16,21 +16,21 @@
 const HOUR_MS: f64 = 3_600_000.0;
 const DAY_MS: f64 = 24.0 * HOUR_MS;
 
-/// The hour of the day with the least work.
+/// Hour of the day with the lowest load.
 const QUIET_HOUR: f64 = 2.0;
 
-/// How far the work of a day swings around its mean.
+/// Amplitude of the diurnal load, as a share of its mean.
 const DIURNAL_SWING: f64 = 0.8;
 
-/// Spread of the mean gap over models, as the deviation of its logarithm.
+/// Standard deviation, over models, of the logarithm of the mean time between requests.
 const GAP_SPREAD: f64 = 1.2;
-const LEAST_GAP_MS: f64 = 2_000.0;
-const MOST_GAP_MS: f64 = 900_000.0;
+const MIN_GAP_MS: f64 = 2_000.0;
+const MAX_GAP_MS: f64 = 900_000.0;
 
-/// Within how long the burst of a waking model arrives.
+/// Time within which all requests of a burst arrive.
 const BURST_MS: f64 = 2_000.0;
 
-/// Periods of scheduled callers.
+/// Periods from which those of scheduled calls are drawn.
 const PERIODS_MS: [f64; 6] = [
     0.25 * HOUR_MS,
     0.5 * HOUR_MS,
@@ -40,113 +40,113 @@
     DAY_MS,
 ];
 
-/// Deviation of a scheduled call from its time.
+/// Standard deviation of scheduled calls from their times.
 const SCHEDULE_JITTER_MS: f64 = 10_000.0;
 
-/// Share of a model's requests that belong to its main class.
+/// Share of a model's requests that are in its main class; the class of the others is drawn.
 const MAIN_CLASS_SHARE: f64 = 0.8;
 
-/// Prompt prefixes in use at one model.
+/// Number of different prompt prefixes sent to one model.
 const PREFIXES: u64 = 6;
 
-/// Models that a crowd calls.
+/// Number of models to which the requests of a load surge go.
 const SURGE_MODELS: usize = 10;
 
-/// `Habit` is how a model is called.
+/// Pattern by which a model is called.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Habit {
-    /// Awake all the time.
+pub enum CallPattern {
+    /// Active all the time.
     Hot,
-    /// Called at fixed times.
+    /// Called by a schedule, with a burst at each time.
     Regular {
-        /// The time between two calls.
+        /// Time between two scheduled calls.
         period_ms: u64,
     },
-    /// Alternates between awake and idle.
+    /// Alternates between active and idle phases.
     Alternating,
 }
 
-/// `TraceModel` is a model or adapter of the trace.
+/// Model or adapter of the trace.
 #[derive(Clone, Debug)]
 pub struct TraceModel {
-    /// Its name.
+    /// Name of the model or adapter.
     pub model: ModelName,
-    /// The index of an adapter's base.
+    /// Index of the base in the trace if this is an adapter, else none.
     pub base: Option<usize>,
-    /// Memory it takes.
+    /// Accelerator memory that the loaded model occupies, in bytes.
     pub bytes: u64,
-    /// How it is called.
-    pub habit: Habit,
-    /// The mean time between two requests while it is awake.
+    /// Pattern by which the model is called.
+    pub call_pattern: CallPattern,
+    /// Mean time between two requests while the model is active, in milliseconds.
     pub gap_ms: f64,
-    /// The index of its main class.
+    /// Index of its main class in the deployment.
     pub main_class: usize,
-    /// Whether no host has it cached at the start.
+    /// Whether no host has the checkpoint cached at the start.
     pub remote_only: bool,
 }
 
-/// `Target` is what a request asks for.
+/// Target of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A model, by index.
+    /// A model or adapter, by its index in the trace.
     Model(usize),
     /// The plain service.
     Service,
 }
 
-/// `TraceRequest` is one request of the trace.
+/// Request of the trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceRequest {
-    /// When it arrives.
+    /// Time of arrival, in milliseconds since midnight of the first day.
     pub at_ms: u64,
-    /// What it asks for.
+    /// Model or service that the request is sent to.
     pub target: Target,
-    /// The index of its class.
+    /// Index of the request class in the deployment.
     pub class: usize,
-    /// Its caller.
+    /// Number of the caller.
     pub caller: u32,
-    /// The hash of its prompt's prefix.
+    /// Hash of the prompt's prefix; zero for a call to the service.
     pub prefix_hash: u64,
-    /// Time to the first token on an empty engine without a cached prefix.
+    /// Time to the first token on an empty engine without a cached prefix, in milliseconds.
     pub first_token_ms: u64,
-    /// Time to the whole answer on an empty engine.
+    /// Time to the complete answer on an empty engine, in milliseconds.
     pub run_ms: u64,
 }
 
-/// `LoadSurge` is a stretch of time in which the work exceeds what the engines can do.
+/// Period in which callers send more work, on top of the usual requests.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSurge {
-    /// When it starts.
+    /// Begin of the period, in milliseconds since midnight of the first day.
     pub from_ms: u64,
-    /// When it ends.
+    /// End of the period, in milliseconds since midnight of the first day.
     pub to_ms: u64,
-    /// The work that it adds: milliseconds of run time on empty engines for each millisecond.
+    /// Additional work, in milliseconds of run time on empty engines per millisecond.
     pub work_rate: f64,
 }
 
-/// `Trace` is the models and the requests to them, in order of time.
+/// Models of a deployment and the requests to them.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// Models, then adapters.
+    /// Models, followed by the adapters.
     pub models: Vec<TraceModel>,
-    /// Requests.
+    /// Requests, ordered by time of arrival.
     pub requests: Vec<TraceRequest>,
 }
 
-/// Returns the trace of a deployment from midnight to `until_ms`.
+/// Returns the trace of a deployment from midnight to `until_ms`, with a load surge if given.
 pub fn trace(deployment: &Deployment, seed: u64, until_ms: u64, surge: Option<LoadSurge>) -> Trace {
     let mut source = ChaCha8Rng::seed_from_u64(seed);
     let models = models(deployment, &mut source);
     let mut requests = Vec::new();
     for (index, model) in models.iter().enumerate() {
-        // A source of its own for each model keeps the others' requests as they are when one
-        // model changes.
-        let mut own = ChaCha8Rng::seed_from_u64(seed ^ ((index as u64 + 1) << 20));
-        let times = arrival_times(deployment, model, until_ms as f64, &mut own);
+        // With a random source for each model, a change of one model leaves the requests of the
+        // others unchanged.
+        let mut model_source = ChaCha8Rng::seed_from_u64(seed ^ ((index as u64 + 1) << 20));
+        let times = arrival_times(deployment, model, until_ms as f64, &mut model_source);
         requests.extend(
             times
                 .into_iter()
-                .map(|at_ms| request(deployment, index, model, at_ms, &mut own)),
+                .map(|at_ms| request(deployment, index, model, at_ms, &mut model_source)),
         );
     }
     requests.extend(service_requests(deployment, seed, until_ms as f64));
@@ -165,9 +165,9 @@
     plain
         .chain(adapters)
         .map(|(index, base)| {
-            let habit = habit(deployment, source);
-            let median_ms = match habit {
-                Habit::Hot => deployment.activity.hot_gap_median_ms,
+            let call_pattern = call_pattern(deployment, source);
+            let median_ms = match call_pattern {
+                CallPattern::Hot => deployment.activity.hot_gap_median_ms,
                 _ => deployment.activity.gap_median_ms,
             };
             let gap_ms = median_ms * (GAP_SPREAD * draw::normal(source)).exp();
@@ -179,8 +179,8 @@
                     Some(_) => table.adapter_bytes,
                     None => table.sizes_bytes[index % table.sizes_bytes.len()],
                 },
-                habit,
-                gap_ms: gap_ms.clamp(LEAST_GAP_MS, MOST_GAP_MS),
+                call_pattern,
+                gap_ms: gap_ms.clamp(MIN_GAP_MS, MAX_GAP_MS),
                 main_class: class(deployment, source),
                 remote_only: source.random_bool(table.remote_only_share),
             }
@@ -188,32 +188,32 @@
         .collect()
 }
 
-fn habit(deployment: &Deployment, source: &mut ChaCha8Rng) -> Habit {
+fn call_pattern(deployment: &Deployment, source: &mut ChaCha8Rng) -> CallPattern {
     let activity = &deployment.activity;
     let drawn: f64 = source.random();
     let period = source.random_range(0..PERIODS_MS.len());
     match drawn {
-        _ if drawn < activity.hot_share => Habit::Hot,
-        _ if drawn < activity.hot_share + activity.regular_share => Habit::Regular {
+        _ if drawn < activity.hot_share => CallPattern::Hot,
+        _ if drawn < activity.hot_share + activity.regular_share => CallPattern::Regular {
             period_ms: PERIODS_MS[period] as u64,
         },
-        _ => Habit::Alternating,
+        _ => CallPattern::Alternating,
     }
 }
 
 fn class(deployment: &Deployment, source: &mut ChaCha8Rng) -> usize {
     let total: f64 = deployment.classes.iter().map(|class| class.share).sum();
-    let mut left = source.random::<f64>() * total;
+    let mut remaining = source.random::<f64>() * total;
     for (index, class) in deployment.classes.iter().enumerate() {
-        left -= class.share;
-        if left < 0.0 {
+        remaining -= class.share;
+        if remaining < 0.0 {
             return index;
         }
     }
     deployment.classes.len() - 1
 }
 
-/// Returns how busy the time of day is, around a mean of one.
+/// Returns the factor on the load at a time of day, with a mean of one over the day.
 fn diurnal(at_ms: f64) -> f64 {
     let hour = (at_ms / HOUR_MS - QUIET_HOUR) / 24.0;
     1.0 - DIURNAL_SWING * (hour * std::f64::consts::TAU).cos()
@@ -225,23 +225,25 @@
     until_ms: f64,
     source: &mut ChaCha8Rng,
 ) -> Vec<f64> {
-    match model.habit {
-        Habit::Hot => stretch(model.gap_ms, 0.0, until_ms, source),
-        Habit::Regular { period_ms } => scheduled(deployment, period_ms as f64, until_ms, source),
-        Habit::Alternating => alternating(deployment, model, until_ms, source),
+    match model.call_pattern {
+        CallPattern::Hot => active_arrivals(model.gap_ms, 0.0, until_ms, source),
+        CallPattern::Regular { period_ms } => {
+            scheduled(deployment, period_ms as f64, until_ms, source)
+        }
+        CallPattern::Alternating => alternating(deployment, model, until_ms, source),
     }
 }
 
-/// Returns the arrivals at a model that is awake, thinned by the time of day.
-fn stretch(gap_ms: f64, from_ms: f64, to_ms: f64, source: &mut ChaCha8Rng) -> Vec<f64> {
-    let most = 1.0 + DIURNAL_SWING;
+/// Returns the arrivals at an active model: a Poisson process thinned by the time of day.
+fn active_arrivals(gap_ms: f64, from_ms: f64, to_ms: f64, source: &mut ChaCha8Rng) -> Vec<f64> {
+    let peak_rate = 1.0 + DIURNAL_SWING;
     let mut times = Vec::new();
-    let mut at_ms = from_ms + draw::exponential(source, gap_ms / most);
+    let mut at_ms = from_ms + draw::exponential(source, gap_ms / peak_rate);
     while at_ms < to_ms {
-        if source.random::<f64>() * most < diurnal(at_ms) {
+        if source.random::<f64>() * peak_rate < diurnal(at_ms) {
             times.push(at_ms);
         }
-        at_ms += draw::exponential(source, gap_ms / most);
+        at_ms += draw::exponential(source, gap_ms / peak_rate);
     }
     times
 }
@@ -271,26 +273,31 @@
     source: &mut ChaCha8Rng,
 ) -> Vec<f64> {
     let activity = &deployment.activity;
-    // In the long run as many models wake up as fall idle, each half of the changes.
+    // In the steady state, half of the changes begin an active phase and half end one.
     let changes_per_hour = activity.change_share_per_hour / 2.0;
-    let awake_ms = activity.active_share / changes_per_hour * HOUR_MS;
+    let active_ms = activity.active_share / changes_per_hour * HOUR_MS;
     let idle_ms = (1.0 - activity.active_share) / changes_per_hour * HOUR_MS;
-    let most = 1.0 + DIURNAL_SWING;
+    let peak_rate = 1.0 + DIURNAL_SWING;
     let mut times = Vec::new();
     let mut at_ms = 0.0;
-    let mut is_awake = source.random_bool(activity.active_share);
+    let mut is_active = source.random_bool(activity.active_share);
     while at_ms < until_ms {
-        if is_awake {
-            let end_ms = at_ms + draw::exponential(source, awake_ms);
+        if is_active {
+            let end_ms = at_ms + draw::exponential(source, active_ms);
             let size = source.random_range(1..=activity.max_burst);
             times.extend((0..size).map(|_| at_ms + source.random::<f64>() * BURST_MS));
-            times.extend(stretch(model.gap_ms, at_ms, end_ms.min(until_ms), source));
+            times.extend(active_arrivals(
+                model.gap_ms,
+                at_ms,
+                end_ms.min(until_ms),
+                source,
+            ));
             at_ms = end_ms;
-            is_awake = false;
+            is_active = false;
             continue;
         }
-        at_ms += draw::exponential(source, idle_ms / most);
-        is_awake = source.random::<f64>() * most < diurnal(at_ms);
+        at_ms += draw::exponential(source, idle_ms / peak_rate);
+        is_active = source.random::<f64>() * peak_rate < diurnal(at_ms);
     }
     times
 }
@@ -314,18 +321,18 @@
         class,
         caller: source.random_range(0..deployment.activity.callers),
         prefix_hash: ((index as u64) << 8) | source.random_range(0..PREFIXES),
-        first_token_ms: draw::around(source, table.first_token_ms),
-        run_ms: draw::around(source, table.run_ms),
+        first_token_ms: draw::log_normal(source, table.first_token_ms),
+        run_ms: draw::log_normal(source, table.run_ms),
     }
 }
 
 fn service_requests(deployment: &Deployment, seed: u64, until_ms: f64) -> Vec<TraceRequest> {
     let mut source = ChaCha8Rng::seed_from_u64(seed ^ 0x5e71);
     let gap_ms = 1_000.0 / deployment.service.requests_per_s;
-    stretch(gap_ms, 0.0, until_ms, &mut source)
+    active_arrivals(gap_ms, 0.0, until_ms, &mut source)
         .into_iter()
         .map(|at_ms| {
-            let run_ms = draw::around(&mut source, deployment.service.run_ms);
+            let run_ms = draw::log_normal(&mut source, deployment.service.run_ms);
             TraceRequest {
                 at_ms: at_ms as u64,
                 target: Target::Service,
@@ -357,12 +364,12 @@
     let mut at_ms = surge.from_ms as f64;
     while at_ms < surge.to_ms as f64 {
         let called = source.random_range(0..SURGE_MODELS.min(models.len()));
-        let mut made = request(deployment, called, &models[called], at_ms, &mut source);
-        made.class = class(deployment, &mut source);
-        let table = &deployment.classes[made.class];
-        made.first_token_ms = draw::around(&mut source, table.first_token_ms);
-        made.run_ms = draw::around(&mut source, table.run_ms);
-        requests.push(made);
+        let mut surge_request = request(deployment, called, &models[called], at_ms, &mut source);
+        surge_request.class = class(deployment, &mut source);
+        let table = &deployment.classes[surge_request.class];
+        surge_request.first_token_ms = draw::log_normal(&mut source, table.first_token_ms);
+        surge_request.run_ms = draw::log_normal(&mut source, table.run_ms);
+        requests.push(surge_request);
         at_ms += draw::exponential(&mut source, gap_ms);
     }
     requests
--- a/crates/policy-replay/src/world/failing.rs
+++ b/crates/policy-replay/src/world/failures.rs
@@ -1,4 +1,4 @@
-//! Requests that fail in the world: lost engines, retries and timeouts.
+//! Simulation of failed requests: lost engines, retries and timeouts.
 
 use apricotdale_core::policy::RetryDecision;
 use apricotdale_core::policy::RetryRequest;
@@ -6,28 +6,29 @@
 use apricotdale_core::refusal::RefusalReason;
 
 use crate::world::Event;
-use crate::world::State;
+use crate::world::RequestState;
 use crate::world::World;
 
-/// How long it takes to notice that an upstream can't be reached.
+/// Time after which an unreachable upstream is noticed.
 const CONNECT_TIMEOUT_MS: u64 = 200;
 
 impl World<'_> {
-    /// Refuses a request whose answer has not begun by its deadline and takes it off its engine.
+    /// Refuses a request whose answer has not begun by its deadline. Removes it from its engine.
     pub(super) fn time_out(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
-        if request.state == State::Done || request.answered_ms.is_some() {
+        if request.state == RequestState::Done || request.answered_ms.is_some() {
             return;
         }
         let engine = request.engine;
         let was_running = self.engines[engine].running.contains(&ticket);
         let was_queued = self.engines[engine].queue.contains(&ticket);
         if was_running && self.measures.counts(request.at_ms) {
-            self.measures.work(request.begun_ms, self.now_ms, false);
+            self.measures
+                .record_work(request.begun_ms, self.now_ms, false);
         }
         if request.is_original && self.measures.counts(request.at_ms) {
             self.measures
-                .refused(RefusalReason::UpstreamTimeout.as_str());
+                .record_refusal(RefusalReason::UpstreamTimeout.as_str());
         }
         if was_running || was_queued {
             self.engines[engine]
@@ -41,37 +42,38 @@
                 false => UpstreamOutcome::Lost,
             };
             self.leave_engine(ticket);
-            self.ended(ticket, outcome, None);
+            self.learn_outcome(ticket, outcome, None);
         }
         let target = self.requests[ticket as usize].target;
-        self.done(ticket);
+        self.finish_request(ticket);
         self.unload_if_done(engine, target);
-        self.tell_neighbours(engine);
+        self.announce_freed_slot(engine);
     }
 
-    /// Sends a request again after a pause, unless its time ran out during it.
+    /// Sends a request again after the retry delay, unless it has timed out.
     pub(super) fn retry(&mut self, ticket: u64) {
-        if self.requests[ticket as usize].state != State::Done {
+        if self.requests[ticket as usize].state != RequestState::Done {
             self.dispatch(ticket);
         }
     }
 
-    /// Handles a request whose engine was lost.
-    pub(super) fn lost(&mut self, ticket: u64) {
+    /// Handles a request whose engine failed.
+    pub(super) fn handle_lost_engine(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
         let has_begun = request.answered_ms.is_some();
         if self.measures.counts(request.at_ms) && request.begun_ms > 0 {
-            self.measures.work(request.begun_ms, self.now_ms, false);
+            self.measures
+                .record_work(request.begun_ms, self.now_ms, false);
         }
         self.leave_engine(ticket);
-        self.ended(ticket, UpstreamOutcome::Lost, None);
+        self.learn_outcome(ticket, UpstreamOutcome::Lost, None);
         match has_begun {
             true => self.fail(ticket),
-            false => self.try_again(ticket, false),
+            false => self.retry_or_fail(ticket, false),
         }
     }
 
-    pub(super) fn try_again(&mut self, ticket: u64, certainly_not_run: bool) {
+    pub(super) fn retry_or_fail(&mut self, ticket: u64, certainly_not_run: bool) {
         let request = &mut self.requests[ticket as usize];
         if request.tries > 0 {
             let tried = self.engines[request.engine].name.clone();
@@ -97,8 +99,8 @@
     fn fail(&mut self, ticket: u64) {
         let request = &self.requests[ticket as usize];
         if request.is_original && self.measures.counts(request.at_ms) {
-            self.measures.failed();
+            self.measures.record_failure();
         }
-        self.done(ticket);
+        self.finish_request(ticket);
     }
 }
--- a/crates/policy-replay/src/world/mod.rs
+++ b/crates/policy-replay/src/world/mod.rs
@@ -1,12 +1,13 @@
-//! The world that the policies decide about: events in virtual time.
+//! Discrete-event simulation in virtual time of the environment in which the policies decide.
 //!
-//! One instance of each policy decides for all VMs, with what one VM would know: load reports lag,
-//! a decision takes a round over the log. There is no network and no second VM.
+//! One instance of each policy decides for all VMs, with the information that one VM would have:
+//! load reports are delayed, and a decision is in force only after a round trip to the log. There
+//! is no network and no second VM.
 
-mod failing;
+mod failures;
 mod faults;
-mod placing;
-mod serving;
+mod placement;
+mod requests;
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -35,20 +36,20 @@
 use crate::store::Store;
 use crate::trace::Trace;
 
-/// From the proposal of a decision until it is in force.
-const LOG_ROUND_MS: u64 = 30;
+/// Time from the proposal of a decision until it is in force.
+const LOG_ROUND_TRIP_MS: u64 = 30;
 
-/// Between two reports of an engine's load.
-const REPORT_MS: u64 = 2_000;
+/// Interval between two load reports of an engine.
+const REPORT_INTERVAL_MS: u64 = 2_000;
 
-/// From demand without a replica until placement is asked.
+/// Delay from the arrival of a request that has to wait until placement plans.
 const PLAN_DELAY_MS: u64 = 50;
 
-/// Between two plans while something waits, and while nothing does.
-const BUSY_PLAN_MS: u64 = 500;
-const QUIET_PLAN_MS: u64 = 5_000;
+/// Interval between two plans of placement while a request waits, and while none does.
+const BUSY_PLAN_INTERVAL_MS: u64 = 500;
+const QUIET_PLAN_INTERVAL_MS: u64 = 5_000;
 
-/// A request without an answer this long after its deadline has been forgotten.
+/// Time after the deadline from which a request without an answer counts as stuck.
 const STUCK_AFTER_MS: u64 = 60_000;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -100,16 +101,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum RequestState {
     Waiting,
-    /// Started by admission, by the process of this generation.
+    /// Started by admission, in this incarnation of the VM's process.
     Started {
-        generation: u32,
+        incarnation: u32,
     },
     Done,
 }
 
-/// `Request` is one request in the world. Its ticket is its index.
+/// Simulated request. Its ticket is its index.
 #[derive(Clone, Debug)]
 struct Request {
     target: usize,
@@ -120,9 +121,9 @@
     run_ms: u64,
     at_ms: u64,
     deadline_ms: u64,
-    /// Whether it is one of the trace, not one that came back.
+    /// Whether the request is one of the trace, not a caller's retry after a refusal.
     is_original: bool,
-    state: State,
+    state: RequestState,
     tries: u32,
     tried: Vec<UpstreamName>,
     engine: usize,
@@ -131,7 +132,7 @@
     answered_ms: Option<u64>,
 }
 
-/// `Load` is one load that was decided.
+/// Load that was accepted.
 #[derive(Clone, Debug)]
 struct Load {
     engine: usize,
@@ -141,46 +142,54 @@
     sized_ms: f64,
 }
 
-/// `World` is one run: a deployment, a case and a set of policies.
+/// Simulation of one run with a deployment, a case and a set of policies.
 pub struct World<'a> {
     deployment: &'a Deployment,
     trace: &'a Trace,
     case: Case,
     set: PolicySet,
     policies: Policies,
-    generation: u32,
+    incarnation: u32,
     now_ms: u64,
     sequence: u64,
     events: BinaryHeap<Reverse<Scheduled>>,
     requests: Vec<Request>,
-    /// Model engines first, then the instances of the plain service.
+    /// Model engines, followed by the instances of the plain service.
     engines: Vec<Engine>,
     loads: Vec<Load>,
     store: Store,
+    /// Time of the next scheduled end of a store load; other `StoreEnd` events are obsolete.
     store_end_ms: Option<u64>,
     log_is_up: bool,
-    /// Loads that ended and can't be settled while the log is down.
+    /// Loads that ended while the log was down and are not settled.
     unsettled: Vec<usize>,
     indexes: HashMap<ModelName, usize>,
+    /// Time of the next scheduled plan; other `Plan` events are obsolete.
     plan_ms: Option<u64>,
+    /// Time of the next tick that admission asked for; other `AdmissionTick` events are obsolete.
     tick_ms: Option<u64>,
+    /// Tickets that wait for admission, by target.
     waiting: Vec<BTreeSet<u64>>,
+    /// Requests started in this incarnation and not ended, by target.
     started: Vec<u32>,
+    /// Requests started in any incarnation and not ended, by target.
     running: Vec<u32>,
-    cold: Vec<Vec<(u64, u64)>>,
-    /// The capacity last told to admission for each target.
-    told: Vec<Option<(u32, Option<u64>)>>,
+    /// Arrival and minimum load time of the requests that found no loaded replica, by target.
+    pending_cold_starts: Vec<Vec<(u64, u64)>>,
+    /// Capacity last announced to admission for each target.
+    announced: Vec<Option<(u32, Option<u64>)>>,
     targets: Vec<ModelName>,
+    /// Time of the last change of each engine, and its share of idle memory since then.
     idle_shares: Vec<(u64, f64)>,
     measures: Measures,
 }
 
 impl<'a> World<'a> {
-    /// Returns a world at midnight.
+    /// Returns a simulation that starts at midnight.
     ///
     /// # Errors
     ///
-    /// `Error::UnknownPolicy` for a policy that no crate knows.
+    /// [`Error::UnknownPolicy`](crate::Error::UnknownPolicy) if a policy is not registered.
     pub fn new(
         deployment: &'a Deployment,
         trace: &'a Trace,
@@ -200,7 +209,7 @@
             trace,
             case,
             policies,
-            generation: 0,
+            incarnation: 0,
             now_ms: 0,
             sequence: 0,
             events: BinaryHeap::new(),
@@ -221,8 +230,8 @@
             waiting: vec![BTreeSet::new(); targets.len()],
             started: vec![0; targets.len()],
             running: vec![0; targets.len()],
-            cold: vec![Vec::new(); targets.len()],
-            told: vec![None; targets.len()],
+            pending_cold_starts: vec![Vec::new(); targets.len()],
+            announced: vec![None; targets.len()],
             targets,
             measures: Measures::new(deployment, case.measured_from_ms()),
             set,
@@ -231,7 +240,7 @@
         Ok(world)
     }
 
-    /// Runs to the end of the case and returns what was measured.
+    /// Runs to the end of the case and returns the counters.
     pub fn run(mut self) -> Measures {
         while let Some(Reverse(scheduled)) = self.events.pop() {
             if scheduled.at_ms >= self.case.until_ms() {
@@ -248,21 +257,21 @@
     fn prepare(&mut self) {
         if let Some(surge) = self.case.surge(self.deployment) {
             let table = &self.deployment.engines;
-            let places = table.count as u64 * u64::from(table.slots);
+            let slots = table.count as u64 * u64::from(table.slots);
             self.measures
-                .watch_goodput(surge.from_ms, surge.to_ms, places);
+                .start_goodput_window(surge.from_ms, surge.to_ms, slots);
         }
         for request in &self.trace.requests {
             let ticket = self.requests.len() as u64;
             self.requests
-                .push(serving::from_trace(self.deployment, self.trace, request));
+                .push(requests::from_trace(self.deployment, self.trace, request));
             self.schedule(request.at_ms, Event::Arrival(ticket));
         }
         for (at_ms, fault) in self.case.faults() {
             self.schedule(at_ms, Event::Fault(fault));
         }
         self.schedule(0, Event::Report);
-        self.plan_by(0);
+        self.plan_no_later_than(0);
     }
 
     fn handle(&mut self, event: Event) {
@@ -298,8 +307,8 @@
         }));
     }
 
-    /// Asks placement at the given time, unless it is asked earlier.
-    fn plan_by(&mut self, at_ms: u64) {
+    /// Schedules a plan of placement at the given time, unless one is scheduled earlier.
+    fn plan_no_later_than(&mut self, at_ms: u64) {
         if self.plan_ms.is_some_and(|planned_ms| planned_ms <= at_ms) {
             return;
         }
@@ -307,42 +316,43 @@
         self.schedule(at_ms, Event::Plan);
     }
 
-    /// Accounts for the time since an engine last changed.
-    fn changed(&mut self, engine: usize) {
+    /// Records the idle memory of an engine up to now, after its replicas or requests changed.
+    fn record_idle_memory(&mut self, engine: usize) {
         let (since_ms, share) = self.idle_shares[engine];
-        self.measures.idle(since_ms, self.now_ms, share);
+        self.measures.record_idle(since_ms, self.now_ms, share);
         self.idle_shares[engine] = (self.now_ms, self.engines[engine].idle_share());
     }
 
     fn finish(&mut self) {
         for engine in 0..self.engines.len() {
-            self.changed(engine);
+            self.record_idle_memory(engine);
         }
         for target in 0..self.targets.len() {
-            self.warm(target);
+            self.record_cold_starts(target);
         }
         self.count_stuck();
     }
 
-    /// Counts the requests that neither admission nor an engine will ever end.
+    /// Counts the requests that neither admission nor an engine has ended long after the deadline.
     fn count_stuck(&mut self) {
         let until_ms = self.now_ms.saturating_sub(STUCK_AFTER_MS);
         let is_stuck = |request: &&Request| {
-            request.state != State::Done
+            request.state != RequestState::Done
                 && request.answered_ms.is_none()
                 && request.deadline_ms < until_ms
         };
         let stuck = self.requests.iter().filter(is_stuck).count();
         for _ in 0..stuck {
-            self.measures.stuck();
+            self.measures.record_stuck();
         }
     }
 
-    /// Ends the cold starts that waited for a replica of a model.
-    fn warm(&mut self, target: usize) {
-        for (arrived_ms, floor_ms) in std::mem::take(&mut self.cold[target]) {
+    /// Records the cold starts that waited for a replica of a target.
+    fn record_cold_starts(&mut self, target: usize) {
+        for (arrived_ms, floor_ms) in std::mem::take(&mut self.pending_cold_starts[target]) {
             if self.measures.counts(arrived_ms) {
-                self.measures.cold_start(self.now_ms - arrived_ms, floor_ms);
+                self.measures
+                    .record_cold_start(self.now_ms - arrived_ms, floor_ms);
             }
         }
     }
@@ -352,7 +362,7 @@
     }
 }
 
-/// Returns the engines with an uneven cache, and the instances of the plain service.
+/// Returns the engines, with checkpoints on random hosts, and the instances of the plain service.
 fn engines(deployment: &Deployment, trace: &Trace, seed: u64) -> Vec<Engine> {
     let mut source = ChaCha8Rng::seed_from_u64(seed ^ 0xcac4e);
     let table = &deployment.engines;
@@ -385,7 +395,7 @@
     engines
 }
 
-/// Returns the stand-in by which an instance of the plain service counts as loaded.
+/// Returns a loaded replica that represents an instance of the plain service.
 fn service_replica(service: usize) -> Replica {
     Replica {
         model: service,
--- a/crates/policy-replay/src/world/placing.rs
+++ b/crates/policy-replay/src/world/placement.rs
@@ -1,4 +1,4 @@
-//! Placement in the world: the view, decisions, loads and unloads.
+//! Simulation of placement: the policy's view, decisions, loads and unloads.
 
 use std::collections::BTreeSet;
 
@@ -14,17 +14,17 @@
 
 use crate::fleet::Phase;
 use crate::fleet::Replica;
-use crate::world::BUSY_PLAN_MS;
+use crate::world::BUSY_PLAN_INTERVAL_MS;
 use crate::world::Event;
-use crate::world::LOG_ROUND_MS;
+use crate::world::LOG_ROUND_TRIP_MS;
 use crate::world::Load;
-use crate::world::QUIET_PLAN_MS;
+use crate::world::QUIET_PLAN_INTERVAL_MS;
 use crate::world::World;
 
-/// How long an engine takes to free the memory of a model without requests.
+/// Time in which an engine frees the memory of a replica without requests.
 const UNLOAD_MS: u64 = 200;
 
-/// How long the store takes to refuse a load above its rate limit.
+/// Time in which the weight store refuses a load above its rate limit.
 const STORE_REFUSAL_MS: u64 = 100;
 
 impl World<'_> {
@@ -39,14 +39,18 @@
             self.propose(action);
         }
         let is_busy = self.waiting.iter().any(|waiting| !waiting.is_empty());
-        let pause_ms = if is_busy { BUSY_PLAN_MS } else { QUIET_PLAN_MS };
-        self.plan_by(self.now_ms + pause_ms);
+        let pause_ms = if is_busy {
+            BUSY_PLAN_INTERVAL_MS
+        } else {
+            QUIET_PLAN_INTERVAL_MS
+        };
+        self.plan_no_later_than(self.now_ms + pause_ms);
     }
 
     fn propose(&mut self, action: PlacementAction) {
         let model = match &action {
             PlacementAction::NoLoadInTime { model, refusal } => {
-                self.hopeless(&model.clone(), &refusal.clone());
+                self.refuse_late(&model.clone(), &refusal.clone());
                 return;
             }
             PlacementAction::Load { model, .. } | PlacementAction::Unload { model, .. } => model,
@@ -61,11 +65,12 @@
             action,
             expected_replicas,
         };
-        self.schedule(self.now_ms + LOG_ROUND_MS, event);
+        self.schedule(self.now_ms + LOG_ROUND_TRIP_MS, event);
     }
 
-    /// Refuses the waiting requests that can't wait as long as the refusal says.
-    fn hopeless(&mut self, model: &ModelName, refusal: &Refusal) {
+    /// Refuses the waiting requests whose deadline is before the time at which the refusal allows a
+    /// retry.
+    fn refuse_late(&mut self, model: &ModelName, refusal: &Refusal) {
         let Some(target) = self.target(model) else {
             return;
         };
@@ -148,8 +153,8 @@
             ready_at_ms,
             requests: 0,
         });
-        self.changed(engine);
-        self.measures.load(self.now_ms);
+        self.record_idle_memory(engine);
+        self.measures.record_load(self.now_ms);
         match tier {
             CacheTier::Remote => {
                 self.schedule(self.now_ms + fixed_ms as u64, Event::StoreStart(load));
@@ -159,7 +164,7 @@
                 self.schedule(self.now_ms + took_ms, Event::LoadDone(load));
             }
         }
-        self.tell_capacity(model);
+        self.announce_capacity(model);
     }
 
     pub(super) fn store_start(&mut self, load: usize) {
@@ -170,10 +175,10 @@
         if !self.store.start(self.now_ms, load, sized_ms) {
             self.schedule(self.now_ms + STORE_REFUSAL_MS, Event::LoadFailed(load));
         }
-        self.expect_store_end();
+        self.schedule_store_end();
     }
 
-    pub(super) fn expect_store_end(&mut self) {
+    pub(super) fn schedule_store_end(&mut self) {
         self.store_end_ms = self.store.next_end_ms();
         if let Some(end_ms) = self.store_end_ms {
             self.schedule(end_ms.max(self.now_ms), Event::StoreEnd);
@@ -187,10 +192,10 @@
         for load in self.store.take_ended(self.now_ms) {
             self.load_done(load);
         }
-        self.expect_store_end();
+        self.schedule_store_end();
     }
 
-    /// Returns whether the replica that a load brings is still there.
+    /// Returns whether the engine runs and still has the replica created by a load.
     fn holds(&self, load: usize) -> bool {
         let Load { engine, model, .. } = self.loads[load];
         let engine = &self.engines[engine];
@@ -221,7 +226,7 @@
     }
 
     pub(super) fn settle(&mut self, load: usize) {
-        self.schedule(self.now_ms + LOG_ROUND_MS, Event::Settled(load));
+        self.schedule(self.now_ms + LOG_ROUND_TRIP_MS, Event::Settled(load));
     }
 
     pub(super) fn load_failed(&mut self, load: usize) {
@@ -232,9 +237,9 @@
         self.engines[engine]
             .replicas
             .retain(|held| held.load != load);
-        self.changed(engine);
-        self.tell_capacity(model);
-        self.plan_by(self.now_ms);
+        self.record_idle_memory(engine);
+        self.announce_capacity(model);
+        self.plan_no_later_than(self.now_ms);
     }
 
     pub(super) fn settled(&mut self, load: usize) {
@@ -247,10 +252,10 @@
             replica.phase = Phase::Loaded;
             replica.since_ms = now_ms;
         }
-        self.changed(engine);
-        self.warm(model);
-        self.tell_capacity(model);
-        self.plan_by(self.now_ms);
+        self.record_idle_memory(engine);
+        self.record_cold_starts(model);
+        self.announce_capacity(model);
+        self.plan_no_later_than(self.now_ms);
     }
 
     fn accept_unload(&mut self, model: &ModelName, engine: &UpstreamName) {
@@ -272,10 +277,10 @@
         if requests == 0 {
             self.schedule(self.now_ms + UNLOAD_MS, Event::Unloaded(load));
         }
-        self.tell_capacity(model);
+        self.announce_capacity(model);
     }
 
-    /// Frees the memory of a replica that unloads and has no request left.
+    /// Schedules the end of an unload once the replica has no requests left.
     pub(super) fn unload_if_done(&mut self, engine: usize, model: usize) {
         let Some(replica) = self.engines[engine].replica(model) else {
             return;
@@ -294,8 +299,8 @@
         self.engines[engine]
             .replicas
             .retain(|held| held.load != load);
-        self.changed(engine);
-        self.plan_by(self.now_ms + LOG_ROUND_MS);
+        self.record_idle_memory(engine);
+        self.plan_no_later_than(self.now_ms + LOG_ROUND_TRIP_MS);
     }
 
     fn view(&self) -> FleetView {
@@ -388,7 +393,7 @@
         }
     }
 
-    /// Returns the least time in which an engine could load the model now.
+    /// Returns the minimum time in which any engine could load the model now, with its base.
     pub(super) fn floor_ms(&self, model: usize) -> u64 {
         let table = &self.trace.models[model];
         let best_ms = self.engines[..self.deployment.engines.count]
