--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -117,7 +117,7 @@
         let verdict = match classify_head(&head, &fields, &request.serving.id) {
             HeadVerdict::Deliver => match request.delivery.head(head, fields.version) {
                 Ok(()) => HeadVerdict::Deliver,
-                Err(misfit) => HeadVerdict::ContinuationMismatch(misfit),
+                Err(mismatch) => HeadVerdict::ContinuationMismatch(mismatch),
             },
             verdict => verdict,
         };
@@ -149,7 +149,7 @@
                 self.handle_failed_attempt(key, failed);
                 self.advance_drain(token);
             }
-            HeadVerdict::ContinuationMismatch(misfit) => self.reject_mismatch(token, key, misfit),
+            HeadVerdict::ContinuationMismatch(mismatch) => self.reject_mismatch(token, key, mismatch),
         }
     }
 
@@ -166,21 +166,21 @@
     }
 
     /// Abandons an answer that can't continue what the caller has received.
-    fn reject_mismatch(&mut self, token: Token, key: u64, misfit: ContinuationMismatch) {
-        self.metrics.mismatch(misfit.as_str());
+    fn reject_mismatch(&mut self, token: Token, key: u64, mismatch: ContinuationMismatch) {
+        self.metrics.mismatch(mismatch.as_str());
         if let Some(request) = self.active.get(key)
             && self.log_budget.try_take(self.now_ms, false)
         {
             log::warn!(
                 request_id = request.serving.id.to_string(),
-                reason = misfit.as_str(),
+                reason = mismatch.as_str(),
                 upstream = upstream_text(&request.job),
                 last_event = request.delivery.last_event(),
                 begun = request.delivery.has_begun();
                 "answer can't continue the delivered part"
             );
         }
-        match misfit {
+        match mismatch {
             // The answer has ended, and its connection has been released.
             ContinuationMismatch::Unfinished | ContinuationMismatch::Empty => {}
             _ => self.abandon(token),
@@ -251,8 +251,8 @@
         if !out.is_empty() {
             self.deliver(key, had_begun, &out);
         }
-        if let Err(misfit) = fits {
-            self.reject_mismatch(token, key, misfit);
+        if let Err(mismatch) = fits {
+            self.reject_mismatch(token, key, mismatch);
         }
     }
 
@@ -310,7 +310,7 @@
         let mut out = Vec::new();
         match request.delivery.end(closes, &mut out) {
             Ok(()) => self.deliver_end(key, status, had_begun, &out),
-            Err(misfit) => self.reject_mismatch(token, key, misfit),
+            Err(mismatch) => self.reject_mismatch(token, key, mismatch),
         }
         true
     }
