--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -384,7 +384,7 @@
         if !connection.paused {
             connection.read(now_ms);
             if let (Peer::Upstream(engine), true) =
-                (&connection.peer, connection.heard_ms == now_ms)
+                (&connection.peer, connection.last_received_ms == now_ms)
             {
                 self.watch.heard(now_ms, engine);
             }
--- a/crates/entry/src/engine_probes.rs
+++ b/crates/entry/src/engine_probes.rs
@@ -18,7 +18,7 @@
 
 /// How recently an engine must have sent bytes to this VM for another VM's failed probe to be
 /// ignored.
-const RECENTLY_HEARD_MS: u64 = 200;
+const RECENTLY_RECEIVED_MS: u64 = 200;
 
 impl Daemon {
     /// Probes the engines that have been silent for too long.
@@ -69,9 +69,9 @@
     /// Handles another VM's failed probe. If this VM has recently received bytes from the engine,
     /// the fault lies between the engine and that VM.
     pub(crate) fn handle_peer_probe_failure(&mut self, engine: &UpstreamName) {
-        let heard_ms = self.watch.heard_ms(engine);
-        let recently_heard = heard_ms.is_some_and(|at_ms| self.now_ms < at_ms + RECENTLY_HEARD_MS);
-        if !recently_heard && self.directory.upstream(engine).is_some() {
+        let last_received_ms = self.watch.heard_ms(engine);
+        let received_recently = last_received_ms.is_some_and(|at_ms| self.now_ms < at_ms + RECENTLY_RECEIVED_MS);
+        if !received_recently && self.directory.upstream(engine).is_some() {
             self.suspend_engine(engine, "told");
         }
     }
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -28,7 +28,7 @@
 /// How long a request waits for the quota owner.
 const OWNER_TIMEOUT_MS: u64 = 250;
 
-/// Time between two removals of VMs that the quota owner has not heard from.
+/// Time between two removals of VMs that no longer report to the quota owner.
 const FORGET_INTERVAL_MS: u64 = 10_000;
 
 /// Smallest random factor on retry delays, and the width of the range above it, in thousandths.
--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -100,7 +100,7 @@
     /// at its limit or was paused.
     has_more: bool,
     /// When bytes last arrived or the exchange began.
-    pub heard_ms: u64,
+    pub last_received_ms: u64,
     /// How long the connection may stay idle.
     idle_ms: u64,
     idle_until_ms: u64,
@@ -117,7 +117,7 @@
     /// Begins an exchange by writing a complete request.
     pub fn begin(&mut self, now_ms: u64, purpose: Purpose, bytes: &[u8], is_head_request: bool) {
         self.purpose = purpose;
-        self.heard_ms = now_ms;
+        self.last_received_ms = now_ms;
         self.parse = Parse::Head;
         self.is_head_request = is_head_request;
         self.keep_alive = true;
@@ -131,7 +131,7 @@
             let before = self.input.len();
             let end = self.stream.read(&mut self.input, READ_LIMIT_BYTES);
             if self.input.len() > before {
-                self.heard_ms = now_ms;
+                self.last_received_ms = now_ms;
             }
             self.has_more = end == ReadEnd::Limit;
             if matches!(end, ReadEnd::Closed | ReadEnd::Broken) {
@@ -291,7 +291,7 @@
             keep_alive: true,
             ended: None,
             has_more: false,
-            heard_ms: now_ms,
+            last_received_ms: now_ms,
             idle_ms: DEFAULT_IDLE_MS,
             idle_until_ms: 0,
             connect_until_ms: Some(now_ms + CONNECT_TIMEOUT_MS),
@@ -352,7 +352,7 @@
             .iter()
             .filter(|(_, it)| match it.purpose {
                 Purpose::Idle => it.idle_until_ms <= now_ms,
-                Purpose::Drain => it.heard_ms + DRAIN_TIMEOUT_MS <= now_ms,
+                Purpose::Drain => it.last_received_ms + DRAIN_TIMEOUT_MS <= now_ms,
                 Purpose::Proxy(_) | Purpose::Call(_) => false,
             })
             .map(|(token, _)| *token)
@@ -390,7 +390,7 @@
     pub fn silent_proxied_requests(&self, peer: &Peer, since_ms: u64) -> Vec<(Token, u64)> {
         self.connections
             .iter()
-            .filter(|(_, it)| it.peer == *peer && it.heard_ms <= since_ms)
+            .filter(|(_, it)| it.peer == *peer && it.last_received_ms <= since_ms)
             .filter_map(|(token, it)| match it.purpose {
                 Purpose::Proxy(key) => Some((*token, key)),
                 _ => None,
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -80,7 +80,7 @@
         match message {
             PeerMessage::Hello(record) => {
                 let is_new = !self.peers.knows_vm(&record.vm);
-                let is_other_incarnation = self.peers.record_heard(now_ms, &record);
+                let is_other_incarnation = self.peers.record_sender(now_ms, &record);
                 if is_new {
                     let hello = PeerMessage::Hello(self.peers.own.clone());
                     self.peers.send(record.address, &hello);
@@ -105,7 +105,7 @@
                 }
             }
             PeerMessage::Demand { from: record, rows } => {
-                self.peers.record_heard(now_ms, &record);
+                self.peers.record_sender(now_ms, &record);
                 for part in self
                     .engine_orders
                     .missed_residence_updates(&rows)
@@ -123,7 +123,7 @@
                 forecasts,
                 fresh,
             } => {
-                self.peers.record_heard(now_ms, &from);
+                self.peers.record_sender(now_ms, &from);
                 self.handle_era(lease_end.era);
                 if self.engine_orders.is_from_older_lease(lease_end) {
                     return;
@@ -143,7 +143,7 @@
                 self.apply_forecasts(forecasts);
             }
             PeerMessage::ListRead { from, fresh } => {
-                self.peers.record_heard(now_ms, &from);
+                self.peers.record_sender(now_ms, &from);
                 self.apply_freshness(&fresh);
             }
             PeerMessage::Entries { read_to, entries } => {
@@ -201,7 +201,7 @@
     fn apply_freshness(&mut self, fresh: &Freshness) {
         let now_ms = self.now_ms;
         self.handle_era(fresh.list_read_to.era);
-        // A VM that has not heard of the rollback does not know what the upstream list lacks now.
+        // A VM that has not learned of the rollback does not know what the upstream list lacks now.
         if self.store_era.is_past(fresh.list_read_to.era) {
             return;
         }
@@ -339,7 +339,7 @@
                 .peers
                 .lease_holder
                 .as_ref()
-                .is_none_or(|(.., heard_ms)| now_ms.saturating_sub(*heard_ms) > HELLO_INTERVAL_MS);
+                .is_none_or(|(.., heartbeat_ms)| now_ms.saturating_sub(*heartbeat_ms) > HELLO_INTERVAL_MS);
             if silent && self.peers.next_hello_ms == u64::MAX {
                 self.peers.next_hello_ms = now_ms + HELLO_INTERVAL_MS;
             }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -49,7 +49,7 @@
 /// How long a VM counts as alive after its last message.
 const PEER_TIMEOUT_MS: u64 = 3_000;
 
-/// Time between two hellos of a VM that does not hear the lease holder.
+/// Time between two hellos of a VM that receives no heartbeats of a lease holder.
 pub(crate) const HELLO_INTERVAL_MS: u64 = 1_000;
 
 /// Number of VMs that receive each hello after the first one, which goes to all. While there is no
@@ -67,8 +67,9 @@
     incarnation: u64,
     /// How long a fixed amount of work took on the VM when it started.
     work_us: u32,
-    /// When the VM was last heard from; 0 if only its entry in the store is known.
-    heard_ms: u64,
+    /// When this VM last received a message of the other VM; 0 if it knows only its entry in the
+    /// store.
+    last_received_ms: u64,
 }
 
 /// Known VMs, the lease holder among them, and the schedule of messages to them.
@@ -150,7 +151,7 @@
                 address: record.address,
                 incarnation: record.incarnation,
                 work_us: record.work_us,
-                heard_ms: 0,
+                last_received_ms: 0,
             });
         }
         self.has_records = true;
@@ -336,8 +337,9 @@
         }
     }
 
-    /// Records that a VM was heard of. Returns whether this incarnation of it was unknown.
-    pub(super) fn record_heard(&mut self, now_ms: u64, record: &VmRecord) -> bool {
+    /// Records that a message of a VM was received. Returns whether this incarnation of the VM was
+    /// unknown.
+    pub(super) fn record_sender(&mut self, now_ms: u64, record: &VmRecord) -> bool {
         if record.vm == self.own.vm {
             return false;
         }
@@ -345,7 +347,7 @@
             address: record.address,
             incarnation: record.incarnation,
             work_us: record.work_us,
-            heard_ms: now_ms,
+            last_received_ms: now_ms,
         };
         let before = self.known.insert(record.vm.clone(), known);
         let is_other_incarnation =
@@ -361,5 +363,5 @@
 }
 
 fn is_alive(known: &KnownVm, now_ms: u64) -> bool {
-    known.heard_ms > 0 && now_ms.saturating_sub(known.heard_ms) < PEER_TIMEOUT_MS
+    known.last_received_ms > 0 && now_ms.saturating_sub(known.last_received_ms) < PEER_TIMEOUT_MS
 }
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -187,7 +187,7 @@
     /// Returns whether keys can be relied on. They always can unless the operators configured that
     /// keys are refused when, for longer than `revoke_ms`, this VM has not confirmed that its
     /// configuration is the newest. A newer configuration announced by other VMs also counts
-    /// against it, regardless of who else is heard and of what the store contains.
+    /// against it, regardless of messages of other VMs and of what the store contains.
     fn can_rely_on_keys(&self) -> bool {
         let is_good = |age_ms| age_ms <= self.settings.revoke_ms;
         match self.store_pollers.outdated_for_ms(self.now_ms) {
