--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -249,7 +249,7 @@
         let holds_same: Vec<bool> = residence_digests(&self.directory)
             .iter()
             .zip(&fresh.held)
-            .map(|(own, told)| own == told)
+            .map(|(own, announced)| own == announced)
             .collect();
         self.store_pollers.set_snapshot_bytes(fresh.snapshot_bytes);
         let has_snapshot = fresh.snapshot_bytes > 0;
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -55,7 +55,7 @@
 /// Number of VMs that receive each hello after the first one, which goes to all. While there is no
 /// lease holder all VMs send hellos: with each of them to all others, hundreds of VMs would
 /// exchange tens of thousands of datagrams a second.
-const HELLO_BATCH: usize = 16;
+const HELLO_BATCH_VMS: usize = 16;
 
 /// Maximum number of senders of undecodable messages that are logged.
 const MAX_LOGGED_SENDERS: usize = 200;
@@ -283,21 +283,22 @@
         }
     }
 
-    /// Announces this VM to others: the first time to all, later to some in turn.
+    /// Announces this VM to others: the first time to all, later to the next few in
+    /// rotation.
     pub fn send_hello(&mut self) {
         let hello = PeerMessage::Hello(self.own.clone());
         if !std::mem::replace(&mut self.has_sent_first_hello, true) {
             self.send_all(&hello);
             return;
         }
-        let at_once = self.known.len().min(HELLO_BATCH);
-        let turn = self
+        let at_once = self.known.len().min(HELLO_BATCH_VMS);
+        let recipients = self
             .known
             .values()
             .cycle()
             .skip(self.hello_offset)
             .take(at_once);
-        let addresses: Vec<SocketAddr> = turn.map(|known| known.address).collect();
+        let addresses: Vec<SocketAddr> = recipients.map(|known| known.address).collect();
         for address in addresses {
             self.send(address, &hello);
         }
--- a/crates/entry/src/store_pollers/schedule.rs
+++ b/crates/entry/src/store_pollers/schedule.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Updates this VM's turn to read the upstreams' entries. While other VMs announce the entries
-    /// there is none; otherwise its time is drawn at random. The lease holder always reads them.
+    /// Updates when this VM reads the upstreams' entries itself. While other VMs announce the
+    /// entries no read is scheduled; otherwise its time is drawn at random. The lease holder always reads them.
     pub(super) fn update_scheduled_read(
         &mut self,
         now_ms: u64,
