--- a/crates/entry/src/failed_attempts.rs
+++ b/crates/entry/src/failed_attempts.rs
@@ -14,7 +14,7 @@
 use crate::request_ends::model_text;
 use crate::request_ends::upstream_text;
 
-/// Retry delay that a refused caller is told. Engines reject requests for short moments only.
+/// Retry delay stated to a refused caller. Engines reject requests for short moments only.
 pub(crate) const RETRY_AFTER_MS: u64 = 300;
 
 /// Time between two checks whether the retry budget admits a request. With many requests, the
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -37,7 +37,7 @@
 /// their callers can retry at another VM.
 const REFUSE_WAITING_MS: u64 = 1_500;
 
-/// Retry delay that the callers of these requests are told.
+/// Retry delay stated to the callers of the requests that a stopping VM refuses.
 const STOP_RETRY_AFTER_MS: u64 = 50;
 
 /// State of a planned stop.
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -36,15 +36,15 @@
 const ANSWER_MARGIN_MS: u64 = 30;
 
 /// Expected time until the first event of an engine that is not full.
-const EXPECTED_FIRST_EVENT_MS: u64 = 250;
+const EXPECTED_FIRST_EVENT_DELAY_MS: u64 = 250;
 
 /// Expected time to generate one token.
-const EXPECTED_TOKEN_MS: u64 = 7;
+const EXPECTED_MS_PER_TOKEN: u64 = 7;
 
 /// Expected run time of a request at a plain service.
-const EXPECTED_SERVICE_MS: u64 = 50;
+const EXPECTED_PLAIN_SERVICE_MS: u64 = 50;
 
-/// Retry delay that a refused caller is told if nothing better is known. Engines reject requests
+/// Retry delay stated to a refused caller if no better estimate is known. Engines reject requests
 /// for short moments only.
 const RETRY_AFTER_MS: u64 = 250;
 
@@ -212,8 +212,8 @@
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         let expected_run_ms = match is_engine {
-            true => EXPECTED_FIRST_EVENT_MS + EXPECTED_TOKEN_MS * u64::from(serving.output_tokens),
-            false => EXPECTED_SERVICE_MS,
+            true => EXPECTED_FIRST_EVENT_DELAY_MS + EXPECTED_MS_PER_TOKEN * u64::from(serving.output_tokens),
+            false => EXPECTED_PLAIN_SERVICE_MS,
         };
         Job {
             service,
