--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -54,7 +54,7 @@
 /// What has been received from a caller.
 #[derive(Debug)]
 pub(crate) enum Received {
-    /// A complete request.
+    /// Head and body of a request, once both are complete.
     Request { head: RequestHead, body: Vec<u8> },
     /// Bytes that are no valid request, or one that exceeds a limit.
     Refused(HttpError),
@@ -103,13 +103,13 @@
     /// Reads the available bytes and returns what has been received.
     pub fn receive(&mut self, now_ms: u64, limits: &CallerLimits) -> Received {
         loop {
-            let room_bytes = match &self.phase {
+            let read_limit_bytes = match &self.phase {
                 Phase::Head => limits.head_bytes + READ_AHEAD_BYTES,
                 _ => READ_AHEAD_BYTES,
             };
             let was_empty = self.input.is_empty();
             let end = match self.ended {
-                None => self.stream.read(&mut self.input, room_bytes),
+                None => self.stream.read(&mut self.input, read_limit_bytes),
                 Some(end) => end,
             };
             if matches!(end, ReadEnd::Closed | ReadEnd::Broken) {
@@ -119,7 +119,7 @@
                 self.since_ms = now_ms;
             }
             match self.advance(limits) {
-                Received::Nothing if end == ReadEnd::Limit && self.input.len() < room_bytes => {}
+                Received::Nothing if end == ReadEnd::Limit && self.input.len() < read_limit_bytes => {}
                 Received::Nothing if self.ended.is_some() => return Received::Left,
                 received => return received,
             }
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -14,12 +14,12 @@
     time.tv_sec() as u64 * 1_000 + time.tv_nsec() as u64 / 1_000_000
 }
 
-/// Steps of the fixed amount of work. They take about 0.2 ms on a whole core and 1.6 ms on 0.12 of
-/// one.
+/// Steps of the fixed amount of work. They take about 0.2 ms on a full core and 1.6 ms on 0.12 of
+/// a core.
 const WORK_STEPS: u64 = 200_000;
 
-/// Measures how long a fixed amount of work takes on this VM. The share of a core that the VM is
-/// told to have may be wrong.
+/// Measures how long a fixed amount of work takes on this VM. The share of a core that the
+/// platform states for the VM may be wrong.
 pub(crate) fn fixed_work_us(seed: u64) -> u32 {
     let begun = Instant::now();
     let mut state = seed | 1;
--- a/crates/entry/src/codec.rs
+++ b/crates/entry/src/codec.rs
@@ -203,7 +203,8 @@
     NotDone,
 }
 
-/// Codec of calls to the platform's store.
+/// Encodes calls to the platform's store and decodes its answers. Implemented by the platform's
+/// program, since the formats are the platform's.
 pub trait StoreCodec {
     /// Returns the era in an answer's head, which counts how often the store was rolled back; none
     /// if the answer does not state one.
--- a/crates/entry/src/outbound.rs
+++ b/crates/entry/src/outbound.rs
@@ -68,7 +68,7 @@
 /// Next part of an answer.
 #[derive(Debug)]
 pub(crate) enum Part {
-    /// The head.
+    /// Status and header fields, decoded once the head is complete.
     Head(ResponseHead),
     /// Bytes of the body.
     Body(Vec<u8>),
--- a/crates/entry/src/store_pollers/list_snapshot.rs
+++ b/crates/entry/src/store_pollers/list_snapshot.rs
@@ -138,7 +138,7 @@
             .map(postcard::from_bytes)
             .collect::<Result<_, _>>()
             .map_err(|error| DecodeError::new(format!("list snapshot: {error}")))?;
-        // A snapshot from before a rollback does not tell what the upstream list lacks now; the
+        // A snapshot from before a rollback does not show what the upstream list lacks now; the
         // lease holder writes another one.
         let snapshot = ListSnapshot::from_parts(parts)
             .filter(|snapshot| !self.store_era.is_past(snapshot.read_to.era));
--- a/crates/entry/src/store_pollers/vm_entries.rs
+++ b/crates/entry/src/store_pollers/vm_entries.rs
@@ -13,7 +13,7 @@
 /// if the store was rolled back.
 const REREAD_DELAY_MS: u64 = 3_000;
 
-/// Longer than any process lives.
+/// Time that no process reaches. It stands for a read that is not scheduled.
 const NEVER_MS: u64 = u64::MAX / 2;
 
 impl Daemon {
