--- a/crates/holder/benches/planning.rs
+++ b/crates/holder/benches/planning.rs
@@ -4,7 +4,7 @@
 //! 295 VMs. Either all engines are idle or none is. A VM may have only 0.12 of a core, on which a
 //! round takes eight times as long.
 //!
-//! Durations on a whole core, before and after optimisation: totals 2.4 ms and 0.08 ms; a
+//! Durations on a full core, before and after optimisation: totals 2.4 ms and 0.08 ms; a
 //! round with all engines idle 11.3 ms and 0.77 ms; one with none idle 3.7 ms and 0.13 ms;
 //! synchronisation with an unchanged directory 165 us and 3 us.
 
@@ -143,11 +143,11 @@
 }
 
 fn demand() -> DemandTable {
-    let mut book = DemandTable::default();
+    let mut table = DemandTable::default();
     for vm in 0..VMS {
-        book.note(NOW_MS, &VmName::from(format!("vm-{vm}")), 1, rows(vm));
+        table.note(NOW_MS, &VmName::from(format!("vm-{vm}")), 1, rows(vm));
     }
-    book
+    table
 }
 
 /// Returns a planner that has read the report of each engine, or of none.
@@ -174,9 +174,9 @@
 }
 
 fn planning(criterion: &mut Criterion) {
-    let book = demand();
+    let table = demand();
     criterion.bench_function("totals", |bench| {
-        bench.iter(|| black_box(book.totals(NOW_MS)));
+        bench.iter(|| black_box(table.totals(NOW_MS)));
     });
     for (name, has_reports) in [
         ("round, all engines idle", true),
@@ -186,7 +186,7 @@
             bench.iter_batched(
                 || planner(has_reports),
                 |mut planner| {
-                    planner.plan(NOW_MS, &book);
+                    planner.plan(NOW_MS, &table);
                     planner
                 },
                 BatchSize::LargeInput,
--- a/crates/holder/tests/local_demand.rs
+++ b/crates/holder/tests/local_demand.rs
@@ -82,7 +82,7 @@
     const VMS: u32 = 20;
     const MODELS: u32 = 30;
     const ROUNDS: u64 = 50;
-    let mut book = DemandTable::default();
+    let mut table = DemandTable::default();
     let mut vms: Vec<LocalDemand> = (0..VMS).map(|_| LocalDemand::default()).collect();
     let mut arrived = vec![0_u64; MODELS as usize];
     for round in 0..ROUNDS + 2 {
@@ -99,17 +99,17 @@
                 false => vm.rows(std::iter::empty()),
             };
             if (round + index as u64).is_multiple_of(delivered_every) {
-                book.note(now_ms, &VmName::from(format!("vm{index}")), 1, rows);
+                table.note(now_ms, &VmName::from(format!("vm{index}")), 1, rows);
             }
         }
         if round + 1 == ROUNDS && delivered_every == 1 {
-            let running: u32 = book.totals(now_ms).values().map(|it| it.running).sum();
+            let running: u32 = table.totals(now_ms).values().map(|it| it.running).sum();
             assert_eq!(running, VMS, "one request at each VM");
         }
     }
     // A rate is a decaying sum over the arrivals. All models were requested in turn, so their rates
     // are similar, and no arrival is missing.
-    let totals = book.totals(1_000 + (ROUNDS + 1) * ANNOUNCEMENT_INTERVAL_MS);
+    let totals = table.totals(1_000 + (ROUNDS + 1) * ANNOUNCEMENT_INTERVAL_MS);
     assert_eq!(totals.len(), MODELS as usize);
     assert!(totals.values().all(|it| it.requests_per_s > 0.0));
     let all: f64 = totals.values().map(|it| it.requests_per_s).sum();
