--- a/crates/holder/src/takeover_order.rs
+++ b/crates/holder/src/takeover_order.rs
@@ -6,8 +6,8 @@
 
 use apricotdale_core::names::VmName;
 
-/// Minimum rank of a VM if any other is clearly faster. Reserves ranks for faster VMs that were not
-/// heard from recently.
+/// Minimum rank of a VM if any other is clearly faster. Reserves ranks for faster VMs from which no
+/// message was received recently.
 const MIN_RANK_IF_FASTER: u64 = 2;
 
 /// VM that could take over the lease.
@@ -17,8 +17,8 @@
     pub vm: &'a VmName,
     /// Duration of a fixed benchmark on the VM, in microseconds.
     pub work_us: u32,
-    /// Whether the VM was heard from recently. While there is a lease holder, most VMs rarely hear
-    /// from each other.
+    /// Whether a message of the VM was received recently. While there is a lease holder, most VMs
+    /// rarely send messages to each other.
     pub is_alive: bool,
 }
 
@@ -39,9 +39,9 @@
 
 /// Returns the takeover rank of this VM; the VM with rank 0 tries first.
 ///
-/// The rank is the number of VMs heard from recently that precede this one: clearly faster VMs, and
-/// similarly fast ones whose names sort before its name. It is at least 2 if any VM is clearly
-/// faster, heard from or not.
+/// The rank is the number of VMs that sent a message recently and precede this one: clearly faster
+/// VMs, and similarly fast ones whose names sort before its name. It is at least 2 if any VM is
+/// clearly faster, even one that sent no message recently.
 pub fn takeover_rank<'a>(
     own: &TakeoverCandidate<'_>,
     others: impl Iterator<Item = TakeoverCandidate<'a>>,
