--- a/crates/holder/src/lease.rs
+++ b/crates/holder/src/lease.rs
@@ -13,9 +13,9 @@
 //!   VM is suspended. Other VMs take over no sooner than one duration after they *saw* the end of
 //!   the topic that this renewal made, which is later.
 //! - The store is unreachable for all VMs. Nobody can renew or take over the lease, and without
-//!   orders, requests for models that are not resident would wait for the whole outage. Where
-//!   engines check fencing tokens, the holder therefore goes on for a limited time while its
-//!   renewals fail, unless an answer shows that another VM has taken the lease. A VM that was
+//!   orders, requests for models that are not resident would wait until the outage ends. Where
+//!   engines check fencing tokens, the holder therefore keeps sending orders for a limited time
+//!   while its renewals fail, unless an answer shows that another VM has taken the lease. A VM that was
 //!   frozen must see a renewal fail first.
 //! - The answer to an append is lost. The VM then doesn't know the outcome and reads the topic: a
 //!   record with the number of its own process shows that the append was done.
@@ -31,8 +31,8 @@
 //!   holder's last renewal was acknowledged before the new era began, so its lease expires at most
 //!   one duration after any VM has learned of the era, unless it renews the lease there.
 //! - All VMs lose power at the same time. The VM that held the lease finds its own record after its
-//!   restart. No other VM can have given an order since, so it goes on without the pause, provided
-//!   that its record says that its own initial pause had ended.
+//!   restart. No other VM can have given an order since, so it resumes without the pause, provided that
+//!   its record says that its own initial pause had ended.
 
 use apricotdale_core::names::VmName;
 use apricotdale_core::numbers::Position;
@@ -297,8 +297,8 @@
             LeaseAnswer::Appended { at } if is_later_era => {
                 self.schedule_read(now_ms, at.offset);
             }
-            // As a renewal it would make this VM the holder again, which would then go on
-            // announcing the lease while the other VMs wait for a whole duration.
+            // Handled as a renewal, it would make this VM the holder again. The VM would then
+            // keep announcing the lease, and the others would wait for it to expire.
             LeaseAnswer::Appended { at } if releasing => {
                 let quiet_ms = sent_ms.saturating_sub(self.last_order_ms);
                 self.end = Some((at.after(1), now_ms));
@@ -393,7 +393,8 @@
             NewestRecord::OwnIncarnation | NewestRecord::EarlierIncarnation { .. } => seen_ms,
         };
         match () {
-            // Before the first record, nobody has given an order that could be in flight.
+            // Before the first record of the lease topic there was no holder, so no order can be in
+            // flight.
             _ if Self::is_unused(at) || self.options.pause_ms == 0 => now_ms,
             _ => now_ms.max(last_order_ms + pause_ms + self.options.late_order_ms),
         }
--- a/crates/holder/tests/lease_takeover.rs
+++ b/crates/holder/tests/lease_takeover.rs
@@ -273,8 +273,8 @@
     assert_eq!(append_at(&mut follower, 2 * OPTIONS.duration_ms - 1), None);
 }
 
-/// Guards against a holder that goes on after another VM has taken over during a partition: it must
-/// not mistake the rejected renewal for a failure of the store.
+/// Guards against a holder that keeps sending orders after another VM has taken over during a
+/// partition: it must not mistake the rejected renewal for a failure of the store.
 #[test]
 fn replaced_holder_stops() {
     let mut lease = first_holder();
@@ -394,8 +394,8 @@
     (lease, now_ms)
 }
 
-/// Guards against an outage of the store during which nobody can load models. The holder goes on,
-/// because engines would reject its orders if there were another holder.
+/// Guards against an outage of the store during which nobody can load models. The holder keeps
+/// sending orders, because engines would reject its orders if there were another holder.
 #[test]
 fn grace_during_outage() {
     let (lease, now_ms) = holder_without_store(6_000);
