--- a/crates/holder/src/load_selection.rs
+++ b/crates/holder/src/load_selection.rs
@@ -24,7 +24,7 @@
 const MAX_PLACEMENTS_PER_ROUND: usize = 4;
 
 impl Planner {
-    /// Plans loads of models, and the unloads that make room for them.
+    /// Plans loads of models, and the unloads that free memory for them.
     pub(crate) fn plan_model_loads(
         &mut self,
         now_ms: u64,
@@ -91,9 +91,8 @@
             .map(|placement| (placement.engine, placement.steps))
     }
 
-    /// Chooses a model that nobody has requested yet, because a load from the weight store takes
-    /// too long to start only when the first request waits. Uses only memory that needs no
-    /// eviction.
+    /// Chooses a model that nobody has requested yet, because a load from the weight store is too
+    /// slow to begin with the first request. Uses only memory that is free without an eviction.
     fn prefetch(&self, snapshot: &FleetSnapshot<'_>) -> Option<Placement> {
         let idle = self
             .engines
--- a/crates/holder/src/orders.rs
+++ b/crates/holder/src/orders.rs
@@ -32,7 +32,8 @@
 }
 
 impl OrderKind {
-    /// Returns whether the order loads or unloads a whole model, which blocks other orders.
+    /// Returns whether the order loads or unloads a model rather than an adapter. Such an order
+    /// blocks others.
     pub fn is_model_order(&self) -> bool {
         matches!(self, Self::LoadModel(_) | Self::UnloadModel(_))
     }
--- a/crates/holder/src/placement.rs
+++ b/crates/holder/src/placement.rs
@@ -38,7 +38,7 @@
 /// demand.
 const ADAPTER_MODEL_COST: f64 = 0.005;
 
-/// Load of a model on an engine, with the evictions that make room for it.
+/// Load of a model on an engine, with the evictions that free memory for it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Placement {
     /// Index of the engine in the planner's list.
--- a/crates/holder/src/planner.rs
+++ b/crates/holder/src/planner.rs
@@ -90,7 +90,7 @@
     /// reachable.
     pub fn sync(&mut self, directory: &Directory, is_unreachable: impl Fn(&UpstreamName) -> bool) {
         // Models and copies are compared only if the directory has changed: hundreds of engines
-        // with dozens of copies each take longer than the rest of a round.
+        // with dozens of copies each take longer than everything else in a round.
         if self.synced_changes != Some(directory.changes()) {
             self.synced_changes = Some(directory.changes());
             self.sync_engines(directory);
@@ -310,7 +310,7 @@
         reached.filter(|it| it.awaits_report()).count()
     }
 
-    /// Completes orders whose expected duration is over. Adapters and loads from cached weights
+    /// Completes orders whose expected duration has passed. Adapters and loads from cached weights
     /// count as done then, because a request sent too early is merely rejected; a report confirms
     /// it later.
     fn complete_due_orders(&mut self, now_ms: u64, actions: &mut Vec<PlannerAction>) {
--- a/crates/holder/src/unconfirmed_loads.rs
+++ b/crates/holder/src/unconfirmed_loads.rs
@@ -2,8 +2,8 @@
 //!
 //! A load from an engine's cached weights counts as done after its configured duration, because
 //! reports lag by a third of that time and requests wait. Some engines load more slowly, though.
-//! Such an engine rejects the waiting requests, and they are retried again and again while all VMs
-//! believe that the model is loaded. The first rejection therefore reverts the load to in progress,
+//! Such an engine rejects the waiting requests, and they are retried repeatedly while all VMs
+//! assume that the model is loaded. The first rejection therefore reverts the load to in progress,
 //! and shows how long the engine really takes. Loads from the weight store take seconds, and longer
 //! with others in progress; they count as done only when a report says so.
 
@@ -22,7 +22,7 @@
 use crate::store_load_limit::is_overdue;
 
 /// First extension of a reverted load, as a share of its configured duration. It doubles with each
-/// further one, because after each wrong estimate all waiting requests are sent for nothing.
+/// further one, because after each wrong estimate all waiting requests are sent and rejected.
 const EXTENSION_SHARE: f64 = 0.1;
 
 /// Upper limit of an engine's load factor. If a load takes longer, the cached weights are assumed
