--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -82,8 +82,8 @@
         self.shares
             .iter()
             .find(|share| match left.checked_sub(u64::from(share.weight)) {
-                Some(rest) => {
-                    left = rest;
+                Some(remainder) => {
+                    left = remainder;
                     false
                 }
                 None => true,
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -74,7 +74,8 @@
 pub struct ListingChanges {
     /// Upstreams that no longer accept new work, including former incarnations of restarted ones.
     pub left: Vec<UpstreamName>,
-    /// Upstreams whose entries went missing around an outage and that stay in use for now.
+    /// Upstreams whose entries went missing around an outage of the store. They stay in use until
+    /// the upstream list is complete again.
     pub lapsed: Vec<UpstreamName>,
 }
 
--- a/crates/fleet/tests/list_snapshots.rs
+++ b/crates/fleet/tests/list_snapshots.rs
@@ -55,7 +55,7 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let read = listing(&names);
     let copy =
-        encode_and_decode(ListSnapshot::new(Position::new(0, 40), &read)).expect("a whole copy");
+        encode_and_decode(ListSnapshot::new(Position::new(0, 40), &read)).expect("a complete snapshot");
     let mut peer = directory();
     peer.apply_snapshot(NOW_MS, copy.entries, true);
     assert_eq!(serving(&peer), upstreams);
@@ -92,8 +92,8 @@
     let mixed = vec![newer[0].clone(), newer[1].clone(), former[2].clone()];
     assert_eq!(ListSnapshot::from_parts(mixed), None);
     let shorter = ListSnapshot::new(Position::new(0, 60), &listing(&["a"])).into_parts();
-    let left_over = vec![shorter[0].clone(), former[1].clone(), former[2].clone()];
-    let copy = ListSnapshot::from_parts(left_over).expect("the newest is whole");
+    let mixed_parts = vec![shorter[0].clone(), former[1].clone(), former[2].clone()];
+    let copy = ListSnapshot::from_parts(mixed_parts).expect("the newest snapshot is complete");
     assert_eq!(copy.entries.len(), 1);
 }
 
--- a/crates/fleet/tests/read_storms.rs
+++ b/crates/fleet/tests/read_storms.rs
@@ -273,10 +273,10 @@
         fleet.step(now_ms);
         oldest_ms = oldest_ms.max(fleet.oldest_ms(now_ms));
     }
-    let whole_bytes = (END_MS - LOST_MS) * SEND_BYTES_PER_MS;
+    let capacity_bytes = (END_MS - LOST_MS) * SEND_BYTES_PER_MS;
     (
         oldest_ms,
-        fleet.store.sent_bytes as f64 / whole_bytes as f64,
+        fleet.store.sent_bytes as f64 / capacity_bytes as f64,
     )
 }
 
