--- a/crates/peer/src/counters.rs
+++ b/crates/peer/src/counters.rs
@@ -20,7 +20,7 @@
     SenderMismatch,
     /// The message is addressed to another VM.
     WrongRecipient,
-    /// The message was received before, or is too old to tell.
+    /// The message was received before, or its sequence number lies below the replay window.
     Replayed,
 }
 
--- a/crates/peer/src/replay.rs
+++ b/crates/peer/src/replay.rs
@@ -4,7 +4,8 @@
 
 use apricotdale_core::names::VmName;
 
-/// Number of sequence numbers, up to the highest one received, that are still accepted.
+/// Width of the replay window: a sequence number that lies this far or further below the highest
+/// one received from a sender is rejected.
 pub const WINDOW: u64 = 128;
 
 /// Record of which of a sender's latest sequence numbers were received.
