--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -204,12 +204,12 @@
         // A VM that is listed as gone but still sends heartbeats is a wrong entry, or a new VM
         // under the old name. Its departure would hand its intents to another VM while it executes
         // them.
-        let is_silent = |key: &EntryKey| match key {
+        let is_unresponsive = |key: &EntryKey| match key {
             EntryKey::Vm(name) => !peers.received_within(now_ms, &VmName::new(name), silence_ms),
             EntryKey::Upstream(_) => true,
         };
         let may_propose = |key: &EntryKey, waited_ms: u64| {
-            is_silent(key) && view.may_propose(name_of(key), waited_ms)
+            is_unresponsive(key) && view.may_propose(name_of(key), waited_ms)
         };
         let due = self
             .departures
--- a/crates/membership/src/pause_detector.rs
+++ b/crates/membership/src/pause_detector.rs
@@ -5,7 +5,7 @@
 /// Whether the process was paused between two observations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PauseVerdict {
-    /// The process ran.
+    /// Neither clock shows a gap that counts as a pause.
     Running,
     /// The process was paused, or may have been.
     Paused {
--- a/crates/membership/tests/departures.rs
+++ b/crates/membership/tests/departures.rs
@@ -82,8 +82,8 @@
         }
         assert_eq!(proposals(fixture.tick_at(second * 1_000)), []);
     }
-    let is_silent = proposals(fixture.tick_at(29_000 + silence_ms));
-    assert_eq!(is_silent, [depart("vm-b", 1_000)]);
+    let after_silence = proposals(fixture.tick_at(29_000 + silence_ms));
+    assert_eq!(after_silence, [depart("vm-b", 1_000)]);
 }
 
 #[test]
