--- a/crates/quota/tests/limit_search.rs
+++ b/crates/quota/tests/limit_search.rs
@@ -219,8 +219,8 @@
         }
         self.loads.retain(|load| now_ms < load.until_ms);
         for load in self.loads.clone() {
-            let has_extra = self.random() % 1_000_000 < load.per_s * STEP_MS * 1_000 % 1_000_000;
-            let count = load.per_s * STEP_MS / 1_000 + u64::from(has_extra);
+            let rounds_up = self.random() % 1_000_000 < load.per_s * STEP_MS * 1_000 % 1_000_000;
+            let count = load.per_s * STEP_MS / 1_000 + u64::from(rounds_up);
             for _ in 0..count {
                 let vm = (load.from + self.random() as usize % load.vms) % self.vms.len();
                 self.arrive(vm, load.units);
