--- a/crates/membership/src/pause_detector.rs
+++ b/crates/membership/src/pause_detector.rs
@@ -71,9 +71,9 @@
     }
 }
 
-/// Returns the larger gap of the two clocks. While a complete machine is suspended its monotonic
-/// clock stands still, and only Unix time shows the gap. Unix time that was set forward looks the
-/// same and costs one needless read of the log; if it was set back, it counts as no gap.
+/// Returns the larger gap of the two clocks. While the machine is suspended its monotonic clock
+/// stops, and only Unix time shows the gap. A Unix clock that was set forward also shows a gap,
+/// which costs one needless read of the log; one that was set back shows none.
 fn gap_ms(last: Moment, now: Moment) -> u64 {
     let monotonic_ms = now.monotonic_ms.saturating_sub(last.monotonic_ms);
     let unix_ms = now.unix_ms.saturating_sub(last.unix_ms);
