--- a/crates/holder/src/engine_ledger.rs
+++ b/crates/holder/src/engine_ledger.rs
@@ -129,7 +129,7 @@
             && self.unanswered.is_none()
     }
 
-    /// Returns whether the engine is believed to be running and reachable. A crashed engine carries
+    /// Returns whether the engine is assumed to be running and reachable. A crashed engine carries
     /// out nothing, although it may stay listed for a long time.
     pub(crate) fn is_reachable(&self) -> bool {
         !self.unreachable && self.failed_reports < UNREACHABLE_AFTER_FAILED_REPORTS
--- a/crates/holder/src/lease.rs
+++ b/crates/holder/src/lease.rs
@@ -8,7 +8,7 @@
 //!
 //! Failures, and how they are handled:
 //!
-//! - The holder is frozen or cut off, and still believes that it holds the lease. Its lease expires
+//! - The holder is frozen or cut off, and still assumes that it holds the lease. Its lease expires
 //!   one duration after it *sent* the last acknowledged renewal, by a clock that advances while the
 //!   VM is suspended. Other VMs take over no sooner than one duration after they *saw* the end of
 //!   the topic that this renewal made, which is later.
--- a/crates/holder/tests/trimmed_topic.rs
+++ b/crates/holder/tests/trimmed_topic.rs
@@ -36,7 +36,7 @@
     assert_eq!(append_at(&mut lease, takeover_ms), Some(43));
 }
 
-/// Guards against requesting a record that is no longer kept again and again.
+/// Guards against repeated requests for a record that is no longer kept.
 #[test]
 fn empty_trimmed_topic() {
     let mut lease = lease("vm-a", 1);
