--- a/crates/fleet/src/list_repair.rs
+++ b/crates/fleet/src/list_repair.rs
@@ -4,7 +4,7 @@
 /// not as one in transit. Heartbeats are sent every 0.4 s.
 const SERVING_DIFFERS_MS: u64 = 500;
 
-/// Time for which they must differ before a VM reads the upstreams' own entries. That is needed
+/// Time for which the serving upstreams must differ before a VM reads the upstreams' own entries. That is needed
 /// only if the lease holder can't write a list snapshot.
 const NO_SNAPSHOT_DIFFERS_MS: u64 = 6_000;
 
--- a/crates/fleet/tests/list_snapshots.rs
+++ b/crates/fleet/tests/list_snapshots.rs
@@ -33,8 +33,8 @@
     upstream
 }
 
-fn encode_and_decode(copy: ListSnapshot) -> Option<ListSnapshot> {
-    let parts = copy.into_parts().into_iter().map(|part| {
+fn encode_and_decode(snapshot: ListSnapshot) -> Option<ListSnapshot> {
+    let parts = snapshot.into_parts().into_iter().map(|part| {
         let bytes = postcard::to_stdvec(&part).expect("a part can be encoded");
         assert!(
             bytes.len() < 256 * 1024,
@@ -54,10 +54,10 @@
     let names: Vec<String> = (0..upstreams).map(|index| format!("e{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let read = listing(&names);
-    let copy =
+    let snapshot =
         encode_and_decode(ListSnapshot::new(Position::new(0, 40), &read)).expect("a complete snapshot");
     let mut peer = directory();
-    peer.apply_snapshot(NOW_MS, copy.entries, true);
+    peer.apply_snapshot(NOW_MS, snapshot.entries, true);
     assert_eq!(serving(&peer), upstreams);
     assert!(peer.is_listed());
     assert_eq!(serving_digest(&peer), serving_digest(&read));
@@ -93,8 +93,8 @@
     assert_eq!(ListSnapshot::from_parts(mixed), None);
     let shorter = ListSnapshot::new(Position::new(0, 60), &listing(&["a"])).into_parts();
     let mixed_parts = vec![shorter[0].clone(), former[1].clone(), former[2].clone()];
-    let copy = ListSnapshot::from_parts(mixed_parts).expect("the newest snapshot is complete");
-    assert_eq!(copy.entries.len(), 1);
+    let snapshot = ListSnapshot::from_parts(mixed_parts).expect("the newest snapshot is complete");
+    assert_eq!(snapshot.entries.len(), 1);
 }
 
 /// Guards against loads from the weight store that the engine's cache would serve, after a change
