--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -283,8 +283,7 @@
         }
     }
 
-    /// Announces this VM to others: the first time to all, later to the next few in
-    /// rotation.
+    /// Announces this VM to others: the first time to all, later to the next few in rotation.
     pub fn send_hello(&mut self) {
         let hello = PeerMessage::Hello(self.own.clone());
         if !std::mem::replace(&mut self.has_sent_first_hello, true) {
--- a/crates/entry/src/store_pollers/schedule.rs
+++ b/crates/entry/src/store_pollers/schedule.rs
@@ -47,7 +47,8 @@
     }
 
     /// Updates when this VM reads the upstreams' entries itself. While other VMs announce the
-    /// entries no read is scheduled; otherwise its time is drawn at random. The lease holder always reads them.
+    /// entries no read is scheduled; otherwise its time is drawn at random. The lease holder
+    /// always reads them.
     pub(super) fn update_scheduled_read(
         &mut self,
         now_ms: u64,
--- a/crates/fleet/src/list_repair.rs
+++ b/crates/fleet/src/list_repair.rs
@@ -4,8 +4,8 @@
 /// not as one in transit. Heartbeats are sent every 0.4 s.
 const SERVING_DIFFERS_MS: u64 = 500;
 
-/// Time for which the serving upstreams must differ before a VM reads the upstreams' own entries. That is needed
-/// only if the lease holder can't write a list snapshot.
+/// Time for which the serving upstreams must differ before a VM reads the upstreams' own entries.
+/// That is needed only if the lease holder can't write a list snapshot.
 const NO_SNAPSHOT_DIFFERS_MS: u64 = 6_000;
 
 /// Time for which the residences of engines must differ. Orders change them many times a second, so
--- a/crates/fleet/tests/list_snapshots.rs
+++ b/crates/fleet/tests/list_snapshots.rs
@@ -92,8 +92,8 @@
     let mixed = vec![newer[0].clone(), newer[1].clone(), former[2].clone()];
     assert_eq!(ListSnapshot::from_parts(mixed), None);
     let shorter = ListSnapshot::new(Position::new(0, 60), &listing(&["a"])).into_parts();
-    let mixed_parts = vec![shorter[0].clone(), former[1].clone(), former[2].clone()];
-    let snapshot = ListSnapshot::from_parts(mixed_parts).expect("the newest snapshot is complete");
+    let with_stale_parts = vec![shorter[0].clone(), former[1].clone(), former[2].clone()];
+    let snapshot = ListSnapshot::from_parts(with_stale_parts).expect("the newest snapshot is complete");
     assert_eq!(snapshot.entries.len(), 1);
 }
 
--- a/crates/fleet/tests/read_sharing.rs
+++ b/crates/fleet/tests/read_sharing.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// While the lease holder reads the upstream list at its usual interval, a VM need not read the list
-/// itself between two heartbeats, whatever jitter its own reads have.
+/// While the lease holder reads the upstream list at its usual interval, a VM need not read the
+/// list itself between two heartbeats, whatever jitter its own reads have.
 #[rstest]
 fn relied_until_next(#[values(0, 950)] list_age_ms: u64) {
     let mut sharing = ReadSharing::default();
--- a/crates/holder/src/demand.rs
+++ b/crates/holder/src/demand.rs
@@ -75,7 +75,7 @@
     active: HashMap<WantedModel, RequestCounts>,
 }
 
-/// Demand of all VMs, from the announcements of all VMs.
+/// Demand of all VMs, as announced by each of them.
 #[derive(Debug, Default)]
 pub struct DemandTable {
     vms: HashMap<(VmName, u64), VmDemand>,
--- a/crates/holder/src/lease.rs
+++ b/crates/holder/src/lease.rs
@@ -15,8 +15,8 @@
 //! - The store is unreachable for all VMs. Nobody can renew or take over the lease, and without
 //!   orders, requests for models that are not resident would wait until the outage ends. Where
 //!   engines check fencing tokens, the holder therefore keeps sending orders for a limited time
-//!   while its renewals fail, unless an answer shows that another VM has taken the lease. A VM that was
-//!   frozen must see a renewal fail first.
+//!   while its renewals fail, unless an answer shows that another VM has taken the lease. A VM that
+//!   was frozen must see a renewal fail first.
 //! - The answer to an append is lost. The VM then doesn't know the outcome and reads the topic: a
 //!   record with the number of its own process shows that the append was done.
 //! - An order of the new holder overtakes one of the previous holder that is still in flight. The
@@ -31,8 +31,8 @@
 //!   holder's last renewal was acknowledged before the new era began, so its lease expires at most
 //!   one duration after any VM has learned of the era, unless it renews the lease there.
 //! - All VMs lose power at the same time. The VM that held the lease finds its own record after its
-//!   restart. No other VM can have given an order since, so it resumes without the pause, provided that
-//!   its record says that its own initial pause had ended.
+//!   restart. No other VM can have given an order since, so it resumes without the pause, provided
+//!   that its record says that its own initial pause had ended.
 
 use apricotdale_core::names::VmName;
 use apricotdale_core::numbers::Position;
