--- a/crates/holder/tests/crashing_loads.rs
+++ b/crates/holder/tests/crashing_loads.rs
@@ -45,7 +45,7 @@
     6
 }
 
-/// Guards against crashing engine after engine by loading one model.
+/// Guards against a model whose loads crash one engine after another.
 #[test]
 fn crashing_model_suspended() {
     let engines: Vec<&[&str]> = vec![&["m0"]; 8];
--- a/crates/holder/tests/lease_takeover.rs
+++ b/crates/holder/tests/lease_takeover.rs
@@ -206,7 +206,7 @@
 }
 
 /// Guards against a holder that treats the answer to its release as the answer to a renewal. It
-/// would go on announcing that it holds the lease, and the other VMs would wait for the lease to
+/// would keep announcing that it holds the lease, and the other VMs would wait for the lease to
 /// expire.
 #[test]
 fn release_not_renewal() {
