--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -119,7 +119,8 @@
                 self.since_ms = now_ms;
             }
             match self.advance(limits) {
-                Received::Nothing if end == ReadEnd::Limit && self.input.len() < read_limit_bytes => {}
+                Received::Nothing
+                    if end == ReadEnd::Limit && self.input.len() < read_limit_bytes => {}
                 Received::Nothing if self.ended.is_some() => return Received::Left,
                 received => return received,
             }
--- a/crates/entry/src/engine_probes.rs
+++ b/crates/entry/src/engine_probes.rs
@@ -70,7 +70,8 @@
     /// the fault lies between the engine and that VM.
     pub(crate) fn handle_peer_probe_failure(&mut self, engine: &UpstreamName) {
         let last_received_ms = self.watch.heard_ms(engine);
-        let received_recently = last_received_ms.is_some_and(|at_ms| self.now_ms < at_ms + RECENTLY_RECEIVED_MS);
+        let received_recently =
+            last_received_ms.is_some_and(|at_ms| self.now_ms < at_ms + RECENTLY_RECEIVED_MS);
         if !received_recently && self.directory.upstream(engine).is_some() {
             self.suspend_engine(engine, "told");
         }
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -339,7 +339,9 @@
                 .peers
                 .lease_holder
                 .as_ref()
-                .is_none_or(|(.., heartbeat_ms)| now_ms.saturating_sub(*heartbeat_ms) > HELLO_INTERVAL_MS);
+                .is_none_or(|(.., heartbeat_ms)| {
+                    now_ms.saturating_sub(*heartbeat_ms) > HELLO_INTERVAL_MS
+                });
             if silent && self.peers.next_hello_ms == u64::MAX {
                 self.peers.next_hello_ms = now_ms + HELLO_INTERVAL_MS;
             }
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -212,7 +212,10 @@
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         let expected_run_ms = match is_engine {
-            true => EXPECTED_FIRST_EVENT_DELAY_MS + EXPECTED_MS_PER_TOKEN * u64::from(serving.output_tokens),
+            true => {
+                EXPECTED_FIRST_EVENT_DELAY_MS
+                    + EXPECTED_MS_PER_TOKEN * u64::from(serving.output_tokens)
+            }
             false => EXPECTED_PLAIN_SERVICE_MS,
         };
         Job {
--- a/crates/entry/src/upstream_answers.rs
+++ b/crates/entry/src/upstream_answers.rs
@@ -149,7 +149,9 @@
                 self.handle_failed_attempt(key, failed);
                 self.advance_drain(token);
             }
-            HeadVerdict::ContinuationMismatch(mismatch) => self.reject_mismatch(token, key, mismatch),
+            HeadVerdict::ContinuationMismatch(mismatch) => {
+                self.reject_mismatch(token, key, mismatch)
+            }
         }
     }
 
--- a/crates/fleet/tests/list_snapshots.rs
+++ b/crates/fleet/tests/list_snapshots.rs
@@ -54,8 +54,8 @@
     let names: Vec<String> = (0..upstreams).map(|index| format!("e{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let read = listing(&names);
-    let snapshot =
-        encode_and_decode(ListSnapshot::new(Position::new(0, 40), &read)).expect("a complete snapshot");
+    let snapshot = encode_and_decode(ListSnapshot::new(Position::new(0, 40), &read))
+        .expect("a complete snapshot");
     let mut peer = directory();
     peer.apply_snapshot(NOW_MS, snapshot.entries, true);
     assert_eq!(serving(&peer), upstreams);
@@ -93,7 +93,8 @@
     assert_eq!(ListSnapshot::from_parts(mixed), None);
     let shorter = ListSnapshot::new(Position::new(0, 60), &listing(&["a"])).into_parts();
     let with_stale_parts = vec![shorter[0].clone(), former[1].clone(), former[2].clone()];
-    let snapshot = ListSnapshot::from_parts(with_stale_parts).expect("the newest snapshot is complete");
+    let snapshot =
+        ListSnapshot::from_parts(with_stale_parts).expect("the newest snapshot is complete");
     assert_eq!(snapshot.entries.len(), 1);
 }
 
