--- a/crates/entry/src/active.rs
+++ b/crates/entry/src/active.rs
@@ -35,7 +35,7 @@
         connection: Token,
         /// Upstream that it was sent to.
         upstream: UpstreamName,
-        /// When it was sent.
+        /// When this attempt was sent.
         at_ms: u64,
         /// When its answer began; none before that.
         first_byte_ms: Option<u64>,
--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Records a new block.
+    /// Records a new block. The lease holder writes it to the store.
     pub fn record_new_block(&mut self, row: &BlockRow) {
         // From now on the record belongs to the block and must not be deleted with the case.
         self.cases.remove(&row.fingerprint);
--- a/crates/entry/src/codec.rs
+++ b/crates/entry/src/codec.rs
@@ -286,7 +286,7 @@
     fn report_answer(&self, status: u16, body: &[u8]) -> Result<EngineReport, DecodeError>;
 }
 
-/// Codecs of one platform.
+/// Codecs of one platform, for all that an entry VM exchanges messages with except other VMs.
 pub struct Codecs {
     /// Codec of requests and answers between callers and upstreams.
     pub callers: Box<dyn CallerCodec>,
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -130,11 +130,11 @@
     }
 }
 
-/// Decodes a message.
+/// Decodes a datagram; fails if its format is another version's or its content is malformed.
 pub(crate) fn decode(bytes: &[u8]) -> Result<PeerMessage, DecodeError> {
     match bytes.split_first() {
-        Some((&FORMAT, rest)) => {
-            postcard::from_bytes(rest).map_err(|error| DecodeError::new(error.to_string()))
+        Some((&FORMAT, content)) => {
+            postcard::from_bytes(content).map_err(|error| DecodeError::new(error.to_string()))
         }
         _ => Err(DecodeError::new("another format")),
     }
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -184,7 +184,7 @@
     }
 
     /// Reports to the lease holder that an engine does not hold a model. Otherwise the holder would
-    /// go on announcing to all VMs that the engine does.
+    /// keep announcing to all VMs that the engine does.
     pub(crate) fn report_missing_model(&mut self, engine: &UpstreamName, model: &ModelName) {
         if self.engine_orders.held_lease_end(self.now_ms).is_some() {
             self.handle_missing_model(engine, model);
--- a/crates/entry/src/store_pollers.rs
+++ b/crates/entry/src/store_pollers.rs
@@ -329,7 +329,8 @@
         }
     }
 
-    /// Calls the store.
+    /// Sends a call to the store. Its outcome arrives under `tag`, at the latest after
+    /// `timeout_ms`.
     pub(crate) fn call_store(&mut self, tag: CallTag, bytes: &[u8], timeout_ms: u64) {
         let address = self.settings.store;
         self.call(Peer::Store, address, tag, bytes, timeout_ms);
@@ -460,7 +461,7 @@
             }
             CallTag::VmAppend => {
                 self.check_append(status, body)?;
-                Ok(self.own_entry_written())
+                Ok(self.record_own_entry_written())
             }
             CallTag::VmsNewest => {
                 let page = self.codecs.store.newest_answer(status, body)?;
--- a/crates/entry/src/store_pollers/vm_entries.rs
+++ b/crates/entry/src/store_pollers/vm_entries.rs
@@ -64,7 +64,7 @@
 
     /// Records that this VM's entry is written. Returns the pause before the other VMs' entries are
     /// read.
-    pub(super) fn own_entry_written(&mut self) -> u64 {
+    pub(super) fn record_own_entry_written(&mut self) -> u64 {
         self.store_pollers.own_entry_written = true;
         match self.store_pollers.other_entries_read {
             true => NEVER_MS,
