--- a/crates/holder/src/lease_calls.rs
+++ b/crates/holder/src/lease_calls.rs
@@ -23,7 +23,7 @@
     pub late_order_ms: u64,
     /// Extra wait for each takeover rank, so that one VM tries to take over first.
     pub stagger_ms: u64,
-    /// How long the holder may go on giving orders after its lease has expired while the store is
+    /// How long the holder may keep sending orders after its lease has expired while the store is
     /// unreachable. 0 unless engines check fencing tokens: those reject the old holder's orders as
     /// soon as a new holder has given one, so two holders can't undo each other's work.
     pub outage_grace_ms: u64,
--- a/crates/holder/src/load_crashes.rs
+++ b/crates/holder/src/load_crashes.rs
@@ -12,8 +12,8 @@
 /// have another cause in common.
 const MIN_CRASH_INTERVAL_MS: u64 = 1_000;
 
-/// How long a crash counts.
-const CRASH_MEMORY_MS: u64 = 600_000;
+/// How long a crash counts toward the suspension of a model.
+const CRASH_RETENTION_MS: u64 = 600_000;
 
 /// Duration of the first suspension of a model's loads. Each further one is four times as long.
 const FIRST_SUSPENSION_MS: u64 = 60_000;
@@ -40,7 +40,7 @@
         let crashes = self.by_model.entry(model.clone()).or_default();
         crashes
             .at_ms
-            .retain(|at_ms| now_ms < at_ms + CRASH_MEMORY_MS);
+            .retain(|at_ms| now_ms < at_ms + CRASH_RETENTION_MS);
         let last_ms = crashes.at_ms.last();
         if last_ms.is_some_and(|last_ms| now_ms < last_ms + MIN_CRASH_INTERVAL_MS) {
             return None;
--- a/crates/holder/src/planner.rs
+++ b/crates/holder/src/planner.rs
@@ -453,15 +453,15 @@
     let has = |list: &[apricotdale_fleet::ResidentModel], model: &ModelName| {
         list.iter().any(|resident| &resident.model == model)
     };
-    let gone = before
+    let removed = before
         .iter()
         .filter(|it| !has(after, &it.model))
         .map(|it| update(&it.model, false));
-    let came = after
+    let added = after
         .iter()
         .filter(|it| !has(before, &it.model))
         .map(|it| update(&it.model, true));
-    gone.chain(came).collect()
+    removed.chain(added).collect()
 }
 
 /// Returns the configured duration of an order.
--- a/crates/holder/src/store_load_limit.rs
+++ b/crates/holder/src/store_load_limit.rs
@@ -1,6 +1,6 @@
 //! Adaptive limit on concurrent loads from the weight store.
 
-/// Upper bound of the limit.
+/// Maximum number of concurrent loads, to which the limit may grow.
 const MAX_LOADS: usize = 4;
 
 /// Initial limit. On a store whose bandwidth suffices for a single load, four concurrent loads had
