--- a/crates/holder/tests/support/engine.rs
+++ b/crates/holder/tests/support/engine.rs
@@ -41,7 +41,7 @@
     at_ms: u64,
     residence: Residence,
     busy: bool,
-    coming: Vec<(ModelName, ModelName)>,
+    loading_adapters: Vec<(ModelName, ModelName)>,
 }
 
 /// Fake engine that carries out orders and whose reports lag.
@@ -52,7 +52,7 @@
     pub overcommitted: Vec<OrderKind>,
     pub fault: Option<OrderFault>,
     running: Option<Running>,
-    coming: Vec<(ModelName, ModelName, u64)>,
+    loading_adapters: Vec<(ModelName, ModelName, u64)>,
     late: Vec<(u64, OrderKind, u64)>,
     history: VecDeque<PastState>,
     /// Completed loads, and whether the weights came from the weight store.
@@ -73,7 +73,7 @@
             overcommitted: Vec::new(),
             fault: None,
             running: None,
-            coming: Vec::new(),
+            loading_adapters: Vec::new(),
             late: Vec::new(),
             history: VecDeque::new(),
             loads: Vec::new(),
@@ -94,7 +94,7 @@
     /// Starts the load of an adapter on the order of another holder.
     pub fn start_adapter_load(&mut self, model: &str, adapter: &str, arrives_ms: u64) {
         let names = (ModelName::from(model), ModelName::from(adapter));
-        self.coming.push((names.0, names.1, arrives_ms));
+        self.loading_adapters.push((names.0, names.1, arrives_ms));
     }
 
     pub fn advance(&mut self, now_ms: u64, spec: &EngineSpec) {
@@ -102,7 +102,7 @@
             self.finish(done.kind);
         }
         let arrived: Vec<_> = self
-            .coming
+            .loading_adapters
             .extract_if(.., |(.., at_ms)| *at_ms <= now_ms)
             .collect();
         for (model, adapter, _) in arrived {
@@ -115,8 +115,8 @@
         for (_, kind, before) in late {
             self.execute(now_ms, spec, kind, before);
         }
-        let coming = self
-            .coming
+        let loading_adapters = self
+            .loading_adapters
             .iter()
             .map(|(model, it, _)| (model.clone(), it.clone()))
             .collect();
@@ -124,7 +124,7 @@
             at_ms: now_ms,
             residence: self.residence.clone(),
             busy: self.running.is_some(),
-            coming,
+            loading_adapters,
         });
         while self.history.len() > 1 && self.history[1].at_ms + REPORT_LAG_MS <= now_ms {
             self.history.pop_front();
@@ -147,8 +147,8 @@
 
     fn weights_mb(&self, spec: &EngineSpec) -> f64 {
         let adapters = |model: &ModelName| {
-            let coming = self
-                .coming
+            let loading_adapters = self
+                .loading_adapters
                 .iter()
                 .filter(|(other, ..)| other == model)
                 .count();
@@ -156,7 +156,7 @@
                 .residence
                 .model(model)
                 .map_or(0, |it| it.adapters.len());
-            (coming + here) as f64 * spec.models[model].adapter_mb
+            (loading_adapters + here) as f64 * spec.models[model].adapter_mb
         };
         let residents = self.residence.models.iter();
         let here: f64 = residents
@@ -214,16 +214,16 @@
                 let Some(resident) = self.residence.model(model) else {
                     return OrderOutcome::Refused;
                 };
-                let coming = self.coming.iter().any(|(_, it, _)| it == adapter);
-                if resident.adapters.contains(adapter) || coming {
+                let loading_adapters = self.loading_adapters.iter().any(|(_, it, _)| it == adapter);
+                if resident.adapters.contains(adapter) || loading_adapters {
                     return OrderOutcome::AlreadySo;
                 }
-                let used_slots = self.residence.adapters() + self.coming.len();
+                let used_slots = self.residence.adapters() + self.loading_adapters.len();
                 let memory_mb = self.weights_mb(spec) + spec.models[model].adapter_mb;
                 if used_slots >= spec.adapter_slots as usize || memory_mb > spec.memory_mb {
                     self.overcommitted.push(kind.clone());
                 }
-                self.coming
+                self.loading_adapters
                     .push((model.clone(), adapter.clone(), now_ms + ADAPTER_MS));
             }
             OrderKind::UnloadAdapter { model, adapter } => {
@@ -241,7 +241,7 @@
         EngineReport {
             born_ms: 0,
             residence: past.residence.clone(),
-            coming: past.coming.clone(),
+            coming: past.loading_adapters.clone(),
             busy: past.busy,
             orders_taken: self.orders_taken,
             waiting: 0,
