--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -49,7 +49,7 @@
 pub struct Frame {
     /// Complete message, including version and tag.
     pub bytes: Vec<u8>,
-    /// Tag of the request.
+    /// Authentication tag of the request, under which its reply must be decoded.
     pub tag: Tag,
 }
 
