--- a/crates/holder/tests/support/engine.rs
+++ b/crates/holder/tests/support/engine.rs
@@ -41,6 +41,7 @@
     at_ms: u64,
     residence: Residence,
     busy: bool,
+    /// Pairs of model and adapter.
     loading_adapters: Vec<(ModelName, ModelName)>,
 }
 
@@ -52,6 +53,7 @@
     pub overcommitted: Vec<OrderKind>,
     pub fault: Option<OrderFault>,
     running: Option<Running>,
+    /// Model, adapter and the time at which the adapter is loaded.
     loading_adapters: Vec<(ModelName, ModelName, u64)>,
     late: Vec<(u64, OrderKind, u64)>,
     history: VecDeque<PastState>,
@@ -147,7 +149,7 @@
 
     fn weights_mb(&self, spec: &EngineSpec) -> f64 {
         let adapters = |model: &ModelName| {
-            let loading_adapters = self
+            let loading_count = self
                 .loading_adapters
                 .iter()
                 .filter(|(other, ..)| other == model)
@@ -156,7 +158,7 @@
                 .residence
                 .model(model)
                 .map_or(0, |it| it.adapters.len());
-            (loading_adapters + here) as f64 * spec.models[model].adapter_mb
+            (loading_count + here) as f64 * spec.models[model].adapter_mb
         };
         let residents = self.residence.models.iter();
         let here: f64 = residents
@@ -214,8 +216,8 @@
                 let Some(resident) = self.residence.model(model) else {
                     return OrderOutcome::Refused;
                 };
-                let loading_adapters = self.loading_adapters.iter().any(|(_, it, _)| it == adapter);
-                if resident.adapters.contains(adapter) || loading_adapters {
+                let is_loading = self.loading_adapters.iter().any(|(_, it, _)| it == adapter);
+                if resident.adapters.contains(adapter) || is_loading {
                     return OrderOutcome::AlreadySo;
                 }
                 let used_slots = self.residence.adapters() + self.loading_adapters.len();
