--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -86,20 +86,26 @@
     bounds: Bounds,
     vms: usize,
     accounts: BTreeMap<AccountId, Account>,
-    /// Rank of the candidate that is asked, and until when, unless it is the first one.
+    /// Rank of the owner candidate that receives the reports.
     owner_rank: usize,
+    /// Time after which reports go to the first candidate again; ignored at rank 0.
     fallback_until_ms: u64,
-    /// Incarnation of the owner that answers; `None` if none has answered lately.
+    /// Incarnation of the owner that answers; `None` if none has answered recently.
     owner: Option<u64>,
     last_received_ms: u64,
     /// Time up to which the time of this VM was ceded to the owner or used for the local bucket.
     accounted_until_ms: Option<u64>,
+    /// Total time ceded to the current owner.
     ceded_ms: u64,
-    number: u64,
-    answered: u64,
-    unanswered: u32,
-    next_ms: u64,
-    last_ms: u64,
+    /// Number of the last report; 0 before the first.
+    last_report_number: u64,
+    /// Highest number of a report that was answered; 0 before the first answer.
+    last_answered_number: u64,
+    /// Number of reports since the last answer or change of the owner candidate.
+    unanswered_reports: u32,
+    next_report_ms: u64,
+    /// When the last report was sent; 0 before the first.
+    last_report_ms: u64,
 }
 
 impl QuotaClient {
@@ -117,11 +123,11 @@
             last_received_ms: 0,
             accounted_until_ms: None,
             ceded_ms: 0,
-            number: 0,
-            answered: 0,
-            unanswered: 0,
-            next_ms: 0,
-            last_ms: 0,
+            last_report_number: 0,
+            last_answered_number: 0,
+            unanswered_reports: 0,
+            next_report_ms: 0,
+            last_report_ms: 0,
         }
     }
 
@@ -151,11 +157,11 @@
             };
             self.accounts.insert(id, account);
         }
-        self.next_ms = match self.accounts.is_empty() {
+        self.next_report_ms = match self.accounts.is_empty() {
             true => u64::MAX,
             // Spreads the reports of VMs that start together.
-            false if self.last_ms == 0 => now_ms + self.incarnation % FIRST_REPORT_SPREAD_MS,
-            false => self.next_ms.min(now_ms + self.report_interval_ms()),
+            false if self.last_report_ms == 0 => now_ms + self.incarnation % FIRST_REPORT_SPREAD_MS,
+            false => self.next_report_ms.min(now_ms + self.report_interval_ms()),
         };
     }
 
@@ -263,19 +269,19 @@
     }
 
     fn report_soon(&mut self, now_ms: u64) {
-        let min_delay_ms = match self.unanswered {
+        let min_delay_ms = match self.unanswered_reports {
             0 => MIN_URGENT_INTERVAL_MS.max(self.vms as u64 * URGENT_INTERVAL_US_PER_VM / 1_000),
             _ => ANSWER_TIMEOUT_MS,
         };
-        let soon_ms = now_ms.max(self.last_ms + min_delay_ms);
-        self.next_ms = self.next_ms.min(soon_ms);
+        let soon_ms = now_ms.max(self.last_report_ms + min_delay_ms);
+        self.next_report_ms = self.next_report_ms.min(soon_ms);
     }
 
     /// Returns the time until the next report, with jitter that depends on the VM and the report,
     /// so that VMs which start together do not stay synchronous.
     fn jittered_interval_ms(&self) -> u64 {
         let interval_ms = self.report_interval_ms();
-        let hash = xxh3_64(&(self.incarnation ^ self.number).to_le_bytes());
+        let hash = xxh3_64(&(self.incarnation ^ self.last_report_number).to_le_bytes());
         interval_ms * 3 / 4 + hash % (interval_ms / 2)
     }
 
@@ -286,13 +292,13 @@
 
     /// Returns when a report is due; `u64::MAX` without limits.
     pub fn next_ms(&self) -> u64 {
-        self.next_ms
+        self.next_report_ms
     }
 
     /// Returns the report if it is due. Its recipient is the VM with rank
     /// [`QuotaClient::owner_rank`] among `candidates` VMs, which the call may change.
     pub fn due_report(&mut self, now_ms: u64, candidates: usize) -> Option<Report> {
-        if now_ms < self.next_ms || self.accounts.is_empty() || candidates == 0 {
+        if now_ms < self.next_report_ms || self.accounts.is_empty() || candidates == 0 {
             return None;
         }
         self.select_owner(now_ms, candidates);
@@ -303,13 +309,13 @@
             None => self.owner = None,
             // While a report is unacknowledged no further time is ceded, which bounds what can be
             // lost.
-            Some(_) if self.unanswered == 0 => self.ceded_ms += self.claim_elapsed_ms(now_ms),
+            Some(_) if self.unanswered_reports == 0 => self.ceded_ms += self.claim_elapsed_ms(now_ms),
             Some(_) => {}
         }
-        self.number += 1;
-        self.unanswered += 1;
-        self.last_ms = now_ms;
-        self.next_ms = now_ms + self.jittered_interval_ms();
+        self.last_report_number += 1;
+        self.unanswered_reports += 1;
+        self.last_report_ms = now_ms;
+        self.next_report_ms = now_ms + self.jittered_interval_ms();
         let all_usages = self.accounts.iter().map(|(id, account)| AccountUsage {
             account: *id,
             units: account.spent,
@@ -322,7 +328,7 @@
         let usages = all_usages.filter(has_changed);
         Some(Report {
             vm: self.incarnation,
-            number: self.number,
+            number: self.last_report_number,
             owner,
             ceded_ms: self.ceded_ms,
             usages: match owner {
@@ -337,27 +343,27 @@
         let before = self.owner_rank;
         if self.owner_rank >= candidates || fallback_ended {
             self.owner_rank = 0;
-        } else if self.unanswered >= MAX_UNANSWERED_REPORTS {
+        } else if self.unanswered_reports >= MAX_UNANSWERED_REPORTS {
             self.owner_rank = (self.owner_rank + 1) % candidates;
             self.fallback_until_ms = now_ms + FALLBACK_OWNER_MS;
         }
-        if self.owner_rank != before || self.unanswered >= MAX_UNANSWERED_REPORTS {
-            self.unanswered = 0;
+        if self.owner_rank != before || self.unanswered_reports >= MAX_UNANSWERED_REPORTS {
+            self.unanswered_reports = 0;
             self.owner = None;
         }
     }
 
     /// Handles an answer of an owner. Returns whether pending requests are to be decided again.
     pub fn handle(&mut self, now_ms: u64, answer: &Answer) -> bool {
-        if answer.number <= self.answered || answer.number > self.number {
+        if answer.number <= self.last_answered_number || answer.number > self.last_report_number {
             return false;
         }
-        self.answered = answer.number;
-        self.unanswered = 0;
+        self.last_answered_number = answer.number;
+        self.unanswered_reports = 0;
         self.last_received_ms = now_ms;
         if self.owner != Some(answer.owner) {
             self.start_with_owner(answer.owner);
-            self.next_ms = self.next_ms.min(now_ms);
+            self.next_report_ms = self.next_report_ms.min(now_ms);
         }
         for (id, account) in &mut self.accounts {
             account.is_near_limit = answer.near_limit.binary_search(id).is_ok();
