--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -28,11 +28,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Account {
     budget: Budget,
+    /// Units in the bucket; negative after an overdraft.
     level: f64,
     /// Share of all VMs that report to this owner, from 0 to 1.
     share: f64,
     /// Units denied since `backlog_ms`.
     backlog: f64,
+    /// When the current backlog window began.
     backlog_ms: u64,
     /// Time of the last overdraft of the bucket.
     overdrawn_ms: u64,
@@ -40,8 +42,11 @@
 
 #[derive(Clone, Debug, Default)]
 struct Member {
+    /// When the last report was received.
     last_received_ms: u64,
+    /// Number of the newest report.
     number: u64,
+    /// Total time ceded, as of the newest report.
     ceded_ms: u64,
     usages: BTreeMap<AccountId, i64>,
 }
