--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -101,7 +101,7 @@
     last_report_number: u64,
     /// Highest number of a report that was answered; 0 before the first answer.
     last_answered_number: u64,
-    /// Number of reports since the last answer or change of the owner candidate.
+    /// Number of reports since the last answer, or since the last choice of an owner candidate.
     unanswered_reports: u32,
     next_report_ms: u64,
     /// When the last report was sent; 0 before the first.
@@ -309,7 +309,9 @@
             None => self.owner = None,
             // While a report is unacknowledged no further time is ceded, which bounds what can be
             // lost.
-            Some(_) if self.unanswered_reports == 0 => self.ceded_ms += self.claim_elapsed_ms(now_ms),
+            Some(_) if self.unanswered_reports == 0 => {
+                self.ceded_ms += self.claim_elapsed_ms(now_ms)
+            }
             Some(_) => {}
         }
         self.last_report_number += 1;
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Account {
     budget: Budget,
-    /// Units in the bucket; negative after an overdraft.
+    /// Units in the bucket; negative if VMs have used more than accrued.
     level: f64,
     /// Share of all VMs that report to this owner, from 0 to 1.
     share: f64,
