--- a/crates/entry/src/crash_watch.rs
+++ b/crates/entry/src/crash_watch.rs
@@ -36,13 +36,13 @@
 /// nobody listens, which shows within one round trip.
 const PROBE_TIMEOUT_MS: u64 = 300;
 
-/// Reports in one datagram; each contains at most ten requests.
+/// Maximum number of reports in one datagram; each contains at most ten requests.
 const REPORTS_PER_DATAGRAM: usize = 4;
 
-/// Blocks in one datagram.
+/// Maximum number of blocks in one datagram.
 const BLOCKS_PER_DATAGRAM: usize = 10;
 
-/// Requests on probation in one datagram.
+/// Maximum number of requests on probation in one datagram.
 const PROBATIONS_PER_DATAGRAM: usize = 30;
 
 /// Maximum number of fingerprints in one log line.
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -56,6 +56,8 @@
 use crate::store_pollers::StorePollers;
 use crate::stream::Stream;
 
+/// Tokens of the event loop: three listeners, the socket for messages of other VMs, and two pipes
+/// that signals are written to. Tokens of connections follow.
 const CALLERS: Token = Token(0);
 const READY: Token = Token(1);
 const METRICS: Token = Token(2);
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -109,9 +109,9 @@
         asker: u64,
         end: TrialEnd,
     },
-    /// What a VM has spent of the limits of organisations, for the quota owner.
+    /// Units of organisations' limits that a VM has used and wants, for the quota owner.
     QuotaReport(Report),
-    /// What the quota owner allows a VM to spend.
+    /// Quota owner's answer to a report: the units that it grants.
     QuotaAnswer(Answer),
 }
 
