--- a/crates/peer/tests/lost_peers.rs
+++ b/crates/peer/tests/lost_peers.rs
@@ -54,8 +54,8 @@
 }
 
 /// Guards against a replaced VM that stays unreachable for its peers for seconds. A peer's process
-/// ends and another starts at the same address, while a connection to the first is in the pool;
-/// that connection must not be used, nor redialled after a delay only.
+/// ends and another starts at the same address, while a connection to the first is in the pool.
+/// That connection must not be used, and the new process must be dialled without a delay.
 #[test]
 fn restarted_peer() {
     let first = test_server(&ServerOptions::default());
