--- a/crates/fleet/src/list_snapshot.rs
+++ b/crates/fleet/src/list_snapshot.rs
@@ -32,7 +32,7 @@
     pub configuration: u64,
     /// Number of parts of the snapshot, at least 1.
     pub parts: u32,
-    /// Upstreams of this part.
+    /// Upstreams whose entries this part contains; each upstream is in one part only.
     pub entries: Vec<Upstream>,
 }
 
