--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Handles the outcome of a write. A failed one is repeated after a pause.
+    /// Handles the outcome of a write. A failed one is retried after a pause.
     pub(crate) fn finish_blocks_write(&mut self, outcome: CallOutcome) {
         let store = &mut self.block_store;
         store.is_calling = false;
--- a/crates/membership/src/listing.rs
+++ b/crates/membership/src/listing.rs
@@ -83,7 +83,7 @@
 /// State of all entries according to the VM list.
 ///
 /// All timers run in the time stated by the VM list. During an outage of the VM list that time
-/// stands still, so the last state stays in force.
+/// does not advance, so the last state stays in force.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     as_of_ms: Option<u64>,
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -254,7 +254,7 @@
         passed_ms.min(self.report_interval_ms() * 5 / 4 + CEDED_SLACK_MS)
     }
 
-    /// Gives back the units of a request that was admitted and has not run.
+    /// Refunds the units of a request that was admitted and has not run.
     pub fn give_back(&mut self, id: AccountId, units: u64) {
         if let Some(account) = self.accounts.get_mut(&id) {
             account.spent -= units as i64;
