--- a/crates/fleet/tests/read_storms.rs
+++ b/crates/fleet/tests/read_storms.rs
@@ -79,7 +79,7 @@
 struct Vm {
     pacing: ReadPacing,
     sharing: ReadSharing,
-    /// Time up to which it knows the upstream list.
+    /// Time up to which this VM knows the upstream list.
     known_ms: u64,
     /// Time of its last own read of the upstream list.
     read_ms: Option<u64>,
