--- a/crates/entry/src/block_store.rs
+++ b/crates/entry/src/block_store.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Records a new block.
+    /// Records a new block. The lease holder writes it to the store.
     pub fn record_new_block(&mut self, row: &BlockRow) {
         // From now on the record belongs to the block and must not be deleted with the case.
         self.cases.remove(&row.fingerprint);
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Handles the outcome of a write. A failed one is repeated after a pause.
+    /// Handles the outcome of a write. A failed one is retried after a pause.
     pub(crate) fn finish_blocks_write(&mut self, outcome: CallOutcome) {
         let store = &mut self.block_store;
         store.is_calling = false;
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -56,6 +56,8 @@
 use crate::store_pollers::StorePollers;
 use crate::stream::Stream;
 
+/// Tokens of the event loop: three listeners, the socket for messages of other VMs, and two pipes
+/// that signals are written to. Tokens of connections follow.
 const CALLERS: Token = Token(0);
 const READY: Token = Token(1);
 const METRICS: Token = Token(2);
@@ -384,7 +386,7 @@
         if !connection.paused {
             connection.read(now_ms);
             if let (Peer::Upstream(engine), true) =
-                (&connection.peer, connection.heard_ms == now_ms)
+                (&connection.peer, connection.last_received_ms == now_ms)
             {
                 self.watch.heard(now_ms, engine);
             }
--- a/crates/entry/src/peer_exchange.rs
+++ b/crates/entry/src/peer_exchange.rs
@@ -80,7 +80,7 @@
         match message {
             PeerMessage::Hello(record) => {
                 let is_new = !self.peers.knows_vm(&record.vm);
-                let is_other_incarnation = self.peers.record_heard(now_ms, &record);
+                let is_other_incarnation = self.peers.record_sender(now_ms, &record);
                 if is_new {
                     let hello = PeerMessage::Hello(self.peers.own.clone());
                     self.peers.send(record.address, &hello);
@@ -105,7 +105,7 @@
                 }
             }
             PeerMessage::Demand { from: record, rows } => {
-                self.peers.record_heard(now_ms, &record);
+                self.peers.record_sender(now_ms, &record);
                 for part in self
                     .engine_orders
                     .missed_residence_updates(&rows)
@@ -123,7 +123,7 @@
                 forecasts,
                 fresh,
             } => {
-                self.peers.record_heard(now_ms, &from);
+                self.peers.record_sender(now_ms, &from);
                 self.handle_era(lease_end.era);
                 if self.engine_orders.is_from_older_lease(lease_end) {
                     return;
@@ -143,7 +143,7 @@
                 self.apply_forecasts(forecasts);
             }
             PeerMessage::ListRead { from, fresh } => {
-                self.peers.record_heard(now_ms, &from);
+                self.peers.record_sender(now_ms, &from);
                 self.apply_freshness(&fresh);
             }
             PeerMessage::Entries { read_to, entries } => {
@@ -184,7 +184,7 @@
     }
 
     /// Reports to the lease holder that an engine does not hold a model. Otherwise the holder would
-    /// go on announcing to all VMs that the engine does.
+    /// keep announcing to all VMs that the engine does.
     pub(crate) fn report_missing_model(&mut self, engine: &UpstreamName, model: &ModelName) {
         if self.engine_orders.held_lease_end(self.now_ms).is_some() {
             self.handle_missing_model(engine, model);
@@ -201,7 +201,7 @@
     fn apply_freshness(&mut self, fresh: &Freshness) {
         let now_ms = self.now_ms;
         self.handle_era(fresh.list_read_to.era);
-        // A VM that has not heard of the rollback does not know what the upstream list lacks now.
+        // A VM that has not learned of the rollback does not know what the upstream list lacks now.
         if self.store_era.is_past(fresh.list_read_to.era) {
             return;
         }
@@ -249,7 +249,7 @@
         let holds_same: Vec<bool> = residence_digests(&self.directory)
             .iter()
             .zip(&fresh.held)
-            .map(|(own, told)| own == told)
+            .map(|(own, announced)| own == announced)
             .collect();
         self.store_pollers.set_snapshot_bytes(fresh.snapshot_bytes);
         let has_snapshot = fresh.snapshot_bytes > 0;
@@ -339,7 +339,9 @@
                 .peers
                 .lease_holder
                 .as_ref()
-                .is_none_or(|(.., heard_ms)| now_ms.saturating_sub(*heard_ms) > HELLO_INTERVAL_MS);
+                .is_none_or(|(.., heartbeat_ms)| {
+                    now_ms.saturating_sub(*heartbeat_ms) > HELLO_INTERVAL_MS
+                });
             if silent && self.peers.next_hello_ms == u64::MAX {
                 self.peers.next_hello_ms = now_ms + HELLO_INTERVAL_MS;
             }
--- a/crates/entry/src/request_dispatch.rs
+++ b/crates/entry/src/request_dispatch.rs
@@ -36,15 +36,15 @@
 const ANSWER_MARGIN_MS: u64 = 30;
 
 /// Expected time until the first event of an engine that is not full.
-const EXPECTED_FIRST_EVENT_MS: u64 = 250;
+const EXPECTED_FIRST_EVENT_DELAY_MS: u64 = 250;
 
 /// Expected time to generate one token.
-const EXPECTED_TOKEN_MS: u64 = 7;
+const EXPECTED_MS_PER_TOKEN: u64 = 7;
 
 /// Expected run time of a request at a plain service.
-const EXPECTED_SERVICE_MS: u64 = 50;
+const EXPECTED_PLAIN_SERVICE_MS: u64 = 50;
 
-/// Retry delay that a refused caller is told if nothing better is known. Engines reject requests
+/// Retry delay stated to a refused caller if no better estimate is known. Engines reject requests
 /// for short moments only.
 const RETRY_AFTER_MS: u64 = 250;
 
@@ -187,7 +187,7 @@
     /// Returns whether keys can be relied on. They always can unless the operators configured that
     /// keys are refused when, for longer than `revoke_ms`, this VM has not confirmed that its
     /// configuration is the newest. A newer configuration announced by other VMs also counts
-    /// against it, regardless of who else is heard and of what the store contains.
+    /// against it, regardless of messages of other VMs and of what the store contains.
     fn can_rely_on_keys(&self) -> bool {
         let is_good = |age_ms| age_ms <= self.settings.revoke_ms;
         match self.store_pollers.outdated_for_ms(self.now_ms) {
@@ -212,8 +212,11 @@
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         let expected_run_ms = match is_engine {
-            true => EXPECTED_FIRST_EVENT_MS + EXPECTED_TOKEN_MS * u64::from(serving.output_tokens),
-            false => EXPECTED_SERVICE_MS,
+            true => {
+                EXPECTED_FIRST_EVENT_DELAY_MS
+                    + EXPECTED_MS_PER_TOKEN * u64::from(serving.output_tokens)
+            }
+            false => EXPECTED_PLAIN_SERVICE_MS,
         };
         Job {
             service,
--- a/crates/entry/src/store_pollers/vm_entries.rs
+++ b/crates/entry/src/store_pollers/vm_entries.rs
@@ -13,7 +13,7 @@
 /// if the store was rolled back.
 const REREAD_DELAY_MS: u64 = 3_000;
 
-/// Longer than any process lives.
+/// Time that no process reaches. It stands for a read that is not scheduled.
 const NEVER_MS: u64 = u64::MAX / 2;
 
 impl Daemon {
@@ -64,7 +64,7 @@
 
     /// Records that this VM's entry is written. Returns the pause before the other VMs' entries are
     /// read.
-    pub(super) fn own_entry_written(&mut self) -> u64 {
+    pub(super) fn record_own_entry_written(&mut self) -> u64 {
         self.store_pollers.own_entry_written = true;
         match self.store_pollers.other_entries_read {
             true => NEVER_MS,
