--- a/crates/node/tests/catch_up.rs
+++ b/crates/node/tests/catch_up.rs
@@ -64,7 +64,7 @@
 
 fn stop_all(cluster: &Cluster) {
     for node in &cluster.nodes {
-        node.switch.freeze();
+        node.switch.pause();
     }
 }
 
@@ -97,10 +97,10 @@
 fn resumes_from_snapshot() {
     let (cluster, model) = start_used();
     let behind = &cluster.nodes[1];
-    behind.switch.freeze();
+    behind.switch.pause();
     let version = cluster.nodes[0].publish_again(cluster.version);
     snapshot_and_trim(&cluster.world);
-    behind.switch.thaw();
+    behind.switch.resume();
     behind.wait_version(version);
     behind.caller.complete(&model).expect_complete();
     cluster.wait_handled(1);
@@ -239,7 +239,7 @@
     });
     assert_eq!(fresh_starts(&cluster.world), 0);
     assert!(!started.caller.is_ready());
-    cluster.nodes[0].switch.thaw();
+    cluster.nodes[0].switch.resume();
     started.wait_ready();
     assert_has_all(&cluster, started, &model);
     assert_eq!(fresh_starts(&cluster.world), 0);
--- a/crates/node/tests/claim_faults.rs
+++ b/crates/node/tests/claim_faults.rs
@@ -125,7 +125,7 @@
     let cluster = Cluster::start(3, 1, true);
     let world = &cluster.world;
     let fault = match process_ends {
-        true => CallFault::Freeze,
+        true => CallFault::Pause,
         false => CallFault::LoseAnswer,
     };
     world.service.fault(fault);
@@ -133,7 +133,9 @@
     world.service.wait_effect_of("key");
     match process_ends {
         true => {
-            wait_until("the daemon to stop", || cluster.nodes[0].switch.is_frozen());
+            wait_until("the daemon to be paused", || {
+                cluster.nodes[0].switch.is_paused()
+            });
             cluster.list_as_gone(0);
         }
         false => assert_eq!(first.reply().refusal().1, "unknown"),
--- a/crates/node/tests/config_race.rs
+++ b/crates/node/tests/config_race.rs
@@ -130,7 +130,7 @@
     let mut cluster = Cluster::start(2, 1, true);
     let outcome = cluster.nodes[0].publish(cluster.version, vec![put_class("review", 60_000)]);
     let version = accepted(&outcome).expect("an accepted change");
-    cluster.nodes.iter().for_each(|node| node.switch.freeze());
+    cluster.nodes.iter().for_each(|node| node.switch.pause());
     let slow = cluster
         .world
         .log
--- a/crates/node/tests/delayed_list.rs
+++ b/crates/node/tests/delayed_list.rs
@@ -21,14 +21,14 @@
     let mut cluster = Cluster::start(3, 1, true);
     let [replaced, dead] = [0, 2].map(|node| cluster.nodes[node].vm.clone());
     for node in [0, 2] {
-        cluster.nodes[node].switch.freeze();
+        cluster.nodes[node].switch.pause();
     }
     cluster.world.vm_list.set_delay(DELAY_MS);
     cluster.world.time.advance(2 * DELAY_MS);
     let successor = cluster.add(replaced.as_str());
     successor.wait_ready();
     let epoch = successor.epoch();
-    successor.switch.freeze();
+    successor.switch.pause();
     let world = &cluster.world;
     world.vm_list.set_state(replaced.as_str(), VmState::Gone);
     world.time.advance(DEPARTURE_SILENCE_MS);
--- a/crates/node/tests/double_faults.rs
+++ b/crates/node/tests/double_faults.rs
@@ -13,7 +13,7 @@
 use support::wait_until;
 use support::world::Cluster;
 use support::world::MODEL_BYTES;
-use support::world::StopAt;
+use support::world::PauseAt;
 use support::world::engine_address;
 use support::world::engine_name;
 
@@ -75,16 +75,16 @@
     let cluster = Cluster::start(3, 2, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.stop_in_load(0, StopAt::Intent, &model);
-    let second_stop = world.log.fault_appends(AppendFault::Freeze, 1, |append| {
+    cluster.pause_in_load(0, PauseAt::Intent, &model);
+    let second_pause = world.log.fault_appends(AppendFault::Pause, 1, |append| {
         matches!(append.control(), Some(ControlRecord::TakeOver(_)))
     });
     // The third VM is paused meanwhile, or it would take over at the same moment.
-    cluster.nodes[2].switch.freeze();
+    cluster.nodes[2].switch.pause();
     cluster.list_as_gone(0);
-    second_stop.wait_hits(1);
-    assert!(cluster.nodes[1].switch.is_frozen());
-    cluster.nodes[2].switch.thaw();
+    second_pause.wait_hits(1);
+    assert!(cluster.nodes[1].switch.is_paused());
+    cluster.nodes[2].switch.resume();
     let call = cluster.nodes[2].caller.begin_complete(&model);
     cluster.list_as_gone(1);
     call.reply().expect_complete();
@@ -102,7 +102,7 @@
     let cluster = Cluster::start(3, 1, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.stop_in_load(0, StopAt::Order, &model);
+    cluster.pause_in_load(0, PauseAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     world.time.advance(2 * LOAD_TIMEOUT_MS);
     call.reply().expect_complete();
@@ -111,7 +111,7 @@
     let memory = world.state().memory(&engine_name(0).into());
     let reserved_bytes = memory.expect("a known engine").held_bytes;
     assert_eq!(reserved_bytes, MODEL_BYTES);
-    cluster.nodes[0].switch.thaw();
+    cluster.nodes[0].switch.resume();
     wait_until("the late order to arrive", || {
         world.effects_of(&cluster.nodes[0].vm, &model) == 1
     });
@@ -140,7 +140,7 @@
     wait_until("the claim to be known", || {
         other.book("key").refusal() == ("key_in_progress", "unknown")
     });
-    stopped.switch.freeze();
+    stopped.switch.pause();
     world.service.hold(false);
     world.log.set_down(true);
     assert_eq!(other.book("key").refusal(), ("key_in_progress", "unknown"));
@@ -150,7 +150,7 @@
         other.book("key").refusal() == ("key_outcome_unknown", "unknown")
     });
     world.vm_list.set_state(stopped.vm.as_str(), VmState::Live);
-    stopped.switch.thaw();
+    stopped.switch.resume();
     let reply = first.reply();
     assert!(
         reply.status == 200 || reply.refusal().1 != "not_run",
--- a/crates/node/tests/intent_takeover.rs
+++ b/crates/node/tests/intent_takeover.rs
@@ -9,7 +9,7 @@
 use support::node::LOAD_TIMEOUT_MS;
 use support::wait_until;
 use support::world::Cluster;
-use support::world::StopAt;
+use support::world::PauseAt;
 
 /// Number of checks that the VMs make of an intent after it was settled.
 const CHECKS: usize = 4;
@@ -48,12 +48,12 @@
     let cluster = Cluster::start(3, 2, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.stop_in_load(0, StopAt::Intent, &model);
+    cluster.pause_in_load(0, PauseAt::Intent, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     advance_until_noticed(&cluster, listed);
     call.reply().expect_complete();
     assert!(accepted_takeovers(&cluster) > 0);
-    cluster.nodes[0].switch.thaw();
+    cluster.nodes[0].switch.resume();
     cluster.wait_replayed(0);
     cluster.wait_handled(1);
     assert_eq!(world.effects_of(&cluster.nodes[0].vm, &model), 0);
@@ -68,7 +68,7 @@
     let cluster = Cluster::start(3, 2, false);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.stop_in_load(0, StopAt::Order, &model);
+    cluster.pause_in_load(0, PauseAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     advance_until_noticed(&cluster, Listed::Live);
     cluster.wait_handled(1);
@@ -81,7 +81,7 @@
         (0, 1)
     );
     assert!(!call.is_answered());
-    cluster.nodes[0].switch.thaw();
+    cluster.nodes[0].switch.resume();
     call.reply().expect_complete();
     assert_eq!((world.holders(&model), world.load_orders(&model)), (1, 1));
 }
@@ -96,11 +96,11 @@
     let cluster = Cluster::start(3, 2, checks_fence);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.stop_in_load(0, StopAt::Effect, &model);
+    cluster.pause_in_load(0, PauseAt::Effect, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     advance_until_noticed(&cluster, listed);
     call.reply().expect_complete();
-    cluster.nodes[0].switch.thaw();
+    cluster.nodes[0].switch.resume();
     cluster.wait_replayed(0);
     cluster.wait_handled(1);
     assert_eq!(world.accepted_loads(&model).len(), 1);
@@ -116,7 +116,7 @@
     let cluster = Cluster::start(3, 1, false);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.stop_in_load(0, StopAt::Order, &model);
+    cluster.pause_in_load(0, PauseAt::Order, &model);
     advance_until_noticed(&cluster, Listed::Gone);
     wait_until("the intent to be taken over", || {
         accepted_takeovers(&cluster) > 0
@@ -128,7 +128,7 @@
             .complete(&other)
             .expect_complete();
     }
-    cluster.nodes[0].switch.thaw();
+    cluster.nodes[0].switch.resume();
     wait_until("the late order to arrive", || {
         world.effects_of(&cluster.nodes[0].vm, &model) == 1
     });
@@ -144,11 +144,11 @@
     let cluster = Cluster::start(3, 2, true);
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
-    cluster.stop_in_load(0, StopAt::Order, &model);
+    cluster.pause_in_load(0, PauseAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     advance_until_noticed(&cluster, Listed::Live);
     call.reply().expect_complete();
-    cluster.nodes[0].switch.thaw();
+    cluster.nodes[0].switch.resume();
     wait_until("the late order to arrive", || {
         world.load_orders(&model) == 2
     });
@@ -164,7 +164,7 @@
 fn settled_intent_kept() {
     let cluster = Cluster::start(3, 2, true);
     let model = cluster.model_preferring(0);
-    cluster.stop_in_load(0, StopAt::Order, &model);
+    cluster.pause_in_load(0, PauseAt::Order, &model);
     let call = cluster.nodes[1].caller.begin_complete(&model);
     advance_until_noticed(&cluster, Listed::Live);
     call.reply().expect_complete();
--- a/crates/node/tests/pause_recovery.rs
+++ b/crates/node/tests/pause_recovery.rs
@@ -23,21 +23,21 @@
 #[test]
 fn takeover_during_pause() {
     let cluster = Cluster::start(3, 2, false);
-    let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
+    let (world, paused) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
-    let vm = frozen.vm.clone();
-    world.log.fault_reads(ReadFault::FreezeBefore, move |read| {
+    let vm = paused.vm.clone();
+    world.log.fault_reads(ReadFault::PauseBefore, move |read| {
         read.is_by(&vm) && read.is_of_end()
     });
-    let call = frozen.caller.begin_complete(&model);
-    wait_until("the daemon to be paused", || frozen.switch.is_frozen());
+    let call = paused.caller.begin_complete(&model);
+    wait_until("the daemon to be paused", || paused.switch.is_paused());
     cluster.list_as_gone(0);
     wait_taken_over(&cluster);
-    frozen.switch.thaw();
+    paused.switch.resume();
     cluster.nodes[1].caller.complete(&model).expect_complete();
     call.reply().expect_complete();
-    frozen.wait_ended();
-    assert_eq!(world.effects_of(&frozen.vm, &model), 0);
+    paused.wait_ended();
+    assert_eq!(world.effects_of(&paused.vm, &model), 0);
     assert_eq!(world.holders(&model), 1);
 }
 
@@ -47,33 +47,33 @@
 #[test]
 fn read_before_pause() {
     let cluster = Cluster::start(3, 2, false);
-    let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
+    let (world, paused) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
-    let vm = frozen.vm.clone();
-    world.log.fault_reads(ReadFault::FreezeAfter, move |read| {
+    let vm = paused.vm.clone();
+    world.log.fault_reads(ReadFault::PauseAfter, move |read| {
         read.is_by(&vm) && read.is_of_end()
     });
-    let call = frozen.caller.begin_complete(&model);
-    wait_until("the daemon to be paused", || frozen.switch.is_frozen());
-    let vm = frozen.vm.clone();
-    let blind = world.log.fault_reads(ReadFault::Hold, move |read| {
+    let call = paused.caller.begin_complete(&model);
+    wait_until("the daemon to be paused", || paused.switch.is_paused());
+    let vm = paused.vm.clone();
+    let held_reads = world.log.fault_reads(ReadFault::Hold, move |read| {
         read.is_by(&vm) && read.follows_control()
     });
     cluster.list_as_gone(0);
     wait_taken_over(&cluster);
-    let vm = frozen.vm.clone();
-    let second_check = world.log.fault_reads(ReadFault::FreezeAfter, move |read| {
+    let vm = paused.vm.clone();
+    let second_check = world.log.fault_reads(ReadFault::PauseAfter, move |read| {
         read.is_by(&vm) && read.is_of_end()
     });
-    frozen.switch.thaw();
+    paused.switch.resume();
     second_check.wait_hits(1);
-    assert_eq!(world.effects_of(&frozen.vm, &model), 0);
-    frozen.switch.thaw();
-    world.log.release(&blind);
+    assert_eq!(world.effects_of(&paused.vm, &model), 0);
+    paused.switch.resume();
+    world.log.release(&held_reads);
     cluster.nodes[1].caller.complete(&model).expect_complete();
     call.reply().expect_complete();
-    frozen.wait_ended();
-    assert_eq!(world.effects_of(&frozen.vm, &model), 0);
+    paused.wait_ended();
+    assert_eq!(world.effects_of(&paused.vm, &model), 0);
     assert_eq!(world.holders(&model), 1);
 }
 
@@ -107,26 +107,26 @@
 #[test]
 fn departed_process_ends() {
     let cluster = Cluster::start(3, 2, true);
-    let (world, frozen) = (&cluster.world, &cluster.nodes[0]);
+    let (world, paused) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
-    frozen.caller.complete(&model).expect_complete();
+    paused.caller.complete(&model).expect_complete();
     world.streams.close();
-    let stream = frozen.caller.stream(&model);
-    frozen.switch.freeze();
+    let stream = paused.caller.stream(&model);
+    paused.switch.pause();
     cluster.list_as_gone(0);
     wait_until("the departure to be recorded", || {
         let decided = world.decided();
         let mut accepted = decided.iter().filter(|one| one.is_accepted());
         accepted.any(|one| matches!(one.record, ControlRecord::Depart(_)))
     });
-    world.vm_list.set_state(frozen.vm.as_str(), VmState::Live);
-    frozen.switch.thaw();
-    wait_until("no request to be accepted", || !frozen.caller.is_ready());
-    let refused = frozen.caller.complete(&model);
+    world.vm_list.set_state(paused.vm.as_str(), VmState::Live);
+    paused.switch.resume();
+    wait_until("no request to be accepted", || !paused.caller.is_ready());
+    let refused = paused.caller.complete(&model);
     assert_eq!(refused.refusal(), ("draining", "not_run"));
     world.streams.open();
     assert!(stream.ends_complete());
-    frozen.wait_ended();
+    paused.wait_ended();
 }
 
 /// Guards against an order from a process that was replaced, to an engine that doesn't check
@@ -139,16 +139,16 @@
     let model = cluster.model_preferring(0);
     let vm = cluster.nodes[0].vm.clone();
     let first = cluster.nodes[0].epoch();
-    let frozen_vm = vm.clone();
+    let paused_vm = vm.clone();
     cluster
         .world
         .log
-        .fault_reads(ReadFault::FreezeBefore, move |read| {
-            read.is_by(&frozen_vm) && read.is_of_end()
+        .fault_reads(ReadFault::PauseBefore, move |read| {
+            read.is_by(&paused_vm) && read.is_of_end()
         });
     drop(cluster.nodes[0].caller.begin_complete(&model));
     wait_until("the process to be paused", || {
-        cluster.nodes[0].switch.is_frozen()
+        cluster.nodes[0].switch.is_paused()
     });
     cluster.add(vm.as_str()).wait_ready();
     let world = &cluster.world;
@@ -157,7 +157,7 @@
     });
     cluster.nodes[2].caller.complete(&model).expect_complete();
     assert_eq!(world.load_orders(&model), 1);
-    cluster.nodes[0].switch.thaw();
+    cluster.nodes[0].switch.resume();
     cluster.nodes[0].wait_ended();
     assert_eq!(world.load_orders(&model), 1);
     assert_eq!((world.holders(&model), world.loaded(&model)), (1, 1));
--- a/crates/node/tests/support/engine.rs
+++ b/crates/node/tests/support/engine.rs
@@ -47,9 +47,9 @@
     /// The engine ends while it carries the order out, and restarts without any model.
     Die,
     /// The order takes effect, and the daemon that sent it is paused before the answer comes.
-    FreezeSender,
+    PauseSender,
     /// The daemon is paused right before it sends the order.
-    FreezeBefore,
+    PauseBefore,
 }
 
 /// Load or unload order that an engine has received.
@@ -290,8 +290,8 @@
     fn order(&self, address: SocketAddr, order: Order, effect: Effect) -> Result<EngineStatus> {
         self.switch.pass();
         let fault = self.engines.faults.lock().pop_front();
-        if fault == Some(OrderFault::FreezeBefore) {
-            self.switch.freeze();
+        if fault == Some(OrderFault::PauseBefore) {
+            self.switch.pause();
             self.switch.pass();
         }
         if fault == Some(OrderFault::LoseOrder) {
@@ -326,7 +326,7 @@
         drop(engines);
         match fault {
             Some(OrderFault::LoseAnswer) => return Err(Error::unknown("the answer was lost")),
-            Some(OrderFault::FreezeSender) => self.switch.freeze(),
+            Some(OrderFault::PauseSender) => self.switch.pause(),
             _ => {}
         }
         self.switch.pass();
--- a/crates/node/tests/support/log.rs
+++ b/crates/node/tests/support/log.rs
@@ -221,8 +221,8 @@
                 }
                 Ok(self.push(&mut inner, stream, payload))
             }
-            AppendFault::Freeze => {
-                by.switch.freeze();
+            AppendFault::Pause => {
+                by.switch.pause();
                 Ok(self.push(&mut inner, stream, payload))
             }
         }
@@ -235,8 +235,8 @@
         let fault = inner.read_fault(read);
         match fault {
             Some(ReadFault::Refuse) => return Err(Error::unavailable("refused by the test")),
-            Some(ReadFault::FreezeBefore) => {
-                by.switch.freeze();
+            Some(ReadFault::PauseBefore) => {
+                by.switch.pause();
                 MutexGuard::unlocked(&mut inner, || by.switch.pass());
             }
             _ => {}
@@ -251,8 +251,8 @@
                 self.changed.wait_until(&mut inner, deadline);
                 continue;
             }
-            if fault == Some(ReadFault::FreezeAfter) {
-                by.switch.freeze();
+            if fault == Some(ReadFault::PauseAfter) {
+                by.switch.pause();
             }
             return Ok(batch);
         }
@@ -264,7 +264,7 @@
     fn read_fault(&self, read: &Read<'_>) -> Option<ReadFault> {
         let rule = self.read_rules.iter().find(|rule| rule.applies(read))?;
         rule.faulted.hit();
-        if let ReadFault::FreezeBefore | ReadFault::FreezeAfter = rule.fault {
+        if let ReadFault::PauseBefore | ReadFault::PauseAfter = rule.fault {
             drop(rule.faulted.release());
         }
         Some(rule.fault)
--- a/crates/node/tests/support/log_fault.rs
+++ b/crates/node/tests/support/log_fault.rs
@@ -31,7 +31,7 @@
     /// Both the record and the answer are held until the test releases them.
     Hold,
     /// The record is appended, and the daemon is paused before it gets the answer.
-    Freeze,
+    Pause,
 }
 
 /// Fault of a read.
@@ -41,10 +41,11 @@
     Refuse,
     /// The answer is held until the test releases it.
     Hold,
-    /// The daemon is paused before the read, once.
-    FreezeBefore,
-    /// The daemon is paused after the read and before it gets the answer, once.
-    FreezeAfter,
+    /// The daemon is paused before the first matching read; later reads are not affected.
+    PauseBefore,
+    /// The daemon is paused between the first matching read and its answer; later reads are not
+    /// affected.
+    PauseAfter,
 }
 
 /// Append that a daemon attempts.
--- a/crates/node/tests/support/node.rs
+++ b/crates/node/tests/support/node.rs
@@ -172,7 +172,7 @@
     /// Starts the daemon's stop. A test does not wait for its end.
     fn drop(&mut self) {
         self.begin_stop();
-        self.switch.thaw();
+        self.switch.resume();
         drop(self.ended.take());
     }
 }
--- a/crates/node/tests/support/service.rs
+++ b/crates/node/tests/support/service.rs
@@ -23,7 +23,7 @@
     /// The call runs, and no answer comes.
     LoseAnswer,
     /// The call runs, and the daemon that made it is paused before the answer comes.
-    Freeze,
+    Pause,
 }
 
 /// Call that ran.
@@ -109,7 +109,7 @@
         drop(inner);
         match fault {
             Some(CallFault::LoseAnswer) => return Err(Error::unknown("the answer was lost")),
-            Some(CallFault::Freeze) => self.switch.freeze(),
+            Some(CallFault::Pause) => self.switch.pause(),
             None => {}
         }
         self.switch.pass();
--- a/crates/node/tests/support/switch.rs
+++ b/crates/node/tests/support/switch.rs
@@ -7,29 +7,29 @@
 /// clock's, waits until the daemon resumes. To others, a daemon that never resumes was killed.
 #[derive(Debug, Default)]
 pub struct Switch {
-    is_frozen: Mutex<bool>,
+    is_paused: Mutex<bool>,
     changed: Condvar,
 }
 
 impl Switch {
     /// Returns at once while the daemon runs, otherwise once it resumes.
     pub fn pass(&self) {
-        let mut is_frozen = self.is_frozen.lock();
-        while *is_frozen {
-            self.changed.wait(&mut is_frozen);
+        let mut is_paused = self.is_paused.lock();
+        while *is_paused {
+            self.changed.wait(&mut is_paused);
         }
     }
 
-    pub fn freeze(&self) {
-        *self.is_frozen.lock() = true;
+    pub fn pause(&self) {
+        *self.is_paused.lock() = true;
     }
 
-    pub fn thaw(&self) {
-        *self.is_frozen.lock() = false;
+    pub fn resume(&self) {
+        *self.is_paused.lock() = false;
         self.changed.notify_all();
     }
 
-    pub fn is_frozen(&self) -> bool {
-        *self.is_frozen.lock()
+    pub fn is_paused(&self) -> bool {
+        *self.is_paused.lock()
     }
 }
--- a/crates/node/tests/support/world.rs
+++ b/crates/node/tests/support/world.rs
@@ -73,7 +73,7 @@
 
 /// Point of a load at which a daemon is paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopAt {
+pub enum PauseAt {
     /// The intent is on the log, and the daemon has no answer yet.
     Intent,
     /// The daemon is about to send the order.
@@ -348,21 +348,19 @@
 
     /// Starts a load through a daemon that is paused at a point of the load, and waits for the
     /// pause. The call that caused the load is not answered.
-    pub fn stop_in_load(&self, node: usize, stop: StopAt, model: &str) {
+    pub fn pause_in_load(&self, node: usize, stop: PauseAt, model: &str) {
         let node = &self.nodes[node];
         let vm = node.vm.clone();
         match stop {
-            StopAt::Intent => {
+            PauseAt::Intent => {
                 let matches = move |append: &Append<'_>| append.is_by(&vm) && append.is_load();
-                self.world
-                    .log
-                    .fault_appends(AppendFault::Freeze, 1, matches);
+                self.world.log.fault_appends(AppendFault::Pause, 1, matches);
             }
-            StopAt::Order => self.world.engines.fault(OrderFault::FreezeBefore),
-            StopAt::Effect => self.world.engines.fault(OrderFault::FreezeSender),
+            PauseAt::Order => self.world.engines.fault(OrderFault::PauseBefore),
+            PauseAt::Effect => self.world.engines.fault(OrderFault::PauseSender),
         }
         drop(node.caller.begin_complete(model));
-        wait_until("the daemon to stop", || node.switch.is_frozen());
+        wait_until("the daemon to be paused", || node.switch.is_paused());
         self.world.wait_load(model);
     }
 
--- a/crates/node/tests/unresponsive_peer.rs
+++ b/crates/node/tests/unresponsive_peer.rs
@@ -14,7 +14,7 @@
 fn decisions_despite_pause() {
     let cluster = Cluster::start(3, 2, true);
     let model = cluster.model_preferring(0);
-    cluster.nodes[0].switch.freeze();
+    cluster.nodes[0].switch.pause();
     let [one, other] = [1, 2].map(|node| &cluster.nodes[node]);
     one.caller.complete(&model).expect_complete();
     other.caller.complete(&model).expect_complete();
@@ -33,17 +33,17 @@
 #[test]
 fn resumed_daemon_catches_up() {
     let cluster = Cluster::start(2, 1, true);
-    let woken = &cluster.nodes[1];
-    woken.switch.freeze();
+    let resumed = &cluster.nodes[1];
+    resumed.switch.pause();
     let edit = ConfigEdit::PutModel(model_spec("new-model"));
     cluster.nodes[0].publish(cluster.version, vec![edit]);
     cluster.nodes[0]
         .caller
         .complete("new-model")
         .expect_complete();
-    woken.switch.thaw();
+    resumed.switch.resume();
     wait_until("the new model to be served", || {
-        woken.caller.complete("new-model").status == 200
+        resumed.caller.complete("new-model").status == 200
     });
     assert_eq!(cluster.world.load_orders("new-model"), 1);
 }
