--- a/crates/node/tests/claim_faults.rs
+++ b/crates/node/tests/claim_faults.rs
@@ -77,7 +77,7 @@
     let held = world
         .log
         .fault_appends(AppendFault::Hold, usize::MAX, |append| append.has_claim());
-    let calls = [0, 1].map(|node| cluster.nodes[node].caller.begin_book("key"));
+    let calls = [0, 1].map(|node| cluster.nodes[node].caller.begin_booking("key"));
     held.wait_hits(2);
     world.log.release(&held);
     let replies = calls.map(|call| call.reply());
@@ -100,7 +100,7 @@
         [0, 1].map(|node| &cluster.nodes[node].caller),
     );
     world.service.hold(true);
-    let first = callers[0].begin_book("key");
+    let first = callers[0].begin_booking("key");
     world.service.wait_effect_of("key");
     for caller in callers {
         assert_eq!(caller.book("key").refusal(), ("key_in_progress", "unknown"));
@@ -129,7 +129,7 @@
         false => CallFault::LoseAnswer,
     };
     world.service.fault(fault);
-    let first = cluster.nodes[0].caller.begin_book("key");
+    let first = cluster.nodes[0].caller.begin_booking("key");
     world.service.wait_effect_of("key");
     match process_ends {
         true => {
--- a/crates/node/tests/double_faults.rs
+++ b/crates/node/tests/double_faults.rs
@@ -37,7 +37,7 @@
         }
     };
     hold_orders(true);
-    let call = cluster.nodes[0].caller.begin_complete(&model);
+    let call = cluster.nodes[0].caller.begin_completion(&model);
     wait_until("the order to arrive", || world.load_orders(&model) == 1);
     world.log.set_down(true);
     hold_orders(false);
@@ -85,7 +85,7 @@
     second_pause.wait_hits(1);
     assert!(cluster.nodes[1].switch.is_paused());
     cluster.nodes[2].switch.resume();
-    let call = cluster.nodes[2].caller.begin_complete(&model);
+    let call = cluster.nodes[2].caller.begin_completion(&model);
     cluster.list_as_gone(1);
     call.reply().expect_complete();
     wait_until("the load to settle", || world.loaded(&model) == 1);
@@ -103,7 +103,7 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     cluster.pause_in_load(0, PauseAt::Order, &model);
-    let call = cluster.nodes[1].caller.begin_complete(&model);
+    let call = cluster.nodes[1].caller.begin_completion(&model);
     world.time.advance(2 * LOAD_TIMEOUT_MS);
     call.reply().expect_complete();
     world.engines.restart(engine_address(0));
@@ -135,7 +135,7 @@
     let world = &cluster.world;
     let (stopped, other) = (&cluster.nodes[0], &cluster.nodes[1].caller);
     world.service.hold(true);
-    let first = stopped.caller.begin_book("key");
+    let first = stopped.caller.begin_booking("key");
     world.service.wait_effect_of("key");
     wait_until("the claim to be known", || {
         other.book("key").refusal() == ("key_in_progress", "unknown")
--- a/crates/node/tests/ended_demand.rs
+++ b/crates/node/tests/ended_demand.rs
@@ -70,7 +70,7 @@
         .fault_appends(AppendFault::Hold, usize::MAX, move |append| {
             append.is_load() && append.is_by(&other)
         });
-    let begun = cluster.nodes[1].caller.begin_complete(&settled);
+    let begun = cluster.nodes[1].caller.begin_completion(&settled);
     // The outcome of the first append is known when the second is attempted.
     refused.wait_hits(2);
     let reply = cluster.nodes[0].caller.complete_within(&model, TIMEOUT_MS);
--- a/crates/node/tests/graceful_stop.rs
+++ b/crates/node/tests/graceful_stop.rs
@@ -83,7 +83,7 @@
     let (world, stopping) = (&cluster.world, &cluster.nodes[0]);
     let model = cluster.model_preferring(0);
     world.engines.hold_orders(engine_address(0), true);
-    let call = stopping.caller.begin_complete(&model);
+    let call = stopping.caller.begin_completion(&model);
     wait_until("the order to arrive", || world.load_orders(&model) == 1);
     start_stop(&cluster, StopSource::Signal);
     assert!(!call.is_answered());
--- a/crates/node/tests/intent_takeover.rs
+++ b/crates/node/tests/intent_takeover.rs
@@ -49,7 +49,7 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     cluster.pause_in_load(0, PauseAt::Intent, &model);
-    let call = cluster.nodes[1].caller.begin_complete(&model);
+    let call = cluster.nodes[1].caller.begin_completion(&model);
     advance_until_noticed(&cluster, listed);
     call.reply().expect_complete();
     assert!(accepted_takeovers(&cluster) > 0);
@@ -69,7 +69,7 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     cluster.pause_in_load(0, PauseAt::Order, &model);
-    let call = cluster.nodes[1].caller.begin_complete(&model);
+    let call = cluster.nodes[1].caller.begin_completion(&model);
     advance_until_noticed(&cluster, Listed::Live);
     cluster.wait_handled(1);
     cluster.wait_handled(2);
@@ -97,7 +97,7 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     cluster.pause_in_load(0, PauseAt::Effect, &model);
-    let call = cluster.nodes[1].caller.begin_complete(&model);
+    let call = cluster.nodes[1].caller.begin_completion(&model);
     advance_until_noticed(&cluster, listed);
     call.reply().expect_complete();
     cluster.nodes[0].switch.resume();
@@ -145,7 +145,7 @@
     let world = &cluster.world;
     let model = cluster.model_preferring(0);
     cluster.pause_in_load(0, PauseAt::Order, &model);
-    let call = cluster.nodes[1].caller.begin_complete(&model);
+    let call = cluster.nodes[1].caller.begin_completion(&model);
     advance_until_noticed(&cluster, Listed::Live);
     call.reply().expect_complete();
     cluster.nodes[0].switch.resume();
@@ -165,7 +165,7 @@
     let cluster = Cluster::start(3, 2, true);
     let model = cluster.model_preferring(0);
     cluster.pause_in_load(0, PauseAt::Order, &model);
-    let call = cluster.nodes[1].caller.begin_complete(&model);
+    let call = cluster.nodes[1].caller.begin_completion(&model);
     advance_until_noticed(&cluster, Listed::Live);
     call.reply().expect_complete();
     let before = accepted_takeovers(&cluster);
--- a/crates/node/tests/log_outage.rs
+++ b/crates/node/tests/log_outage.rs
@@ -163,7 +163,7 @@
 fn refuse_cold_models_in_outage(cluster: &Cluster) {
     let world = &cluster.world;
     world.service.hold(true);
-    let booking = cluster.nodes[0].caller.begin_book("key");
+    let booking = cluster.nodes[0].caller.begin_booking("key");
     world.service.wait_effect_of("key");
     world.log.set_down(true);
     world.service.hold(false);
@@ -186,7 +186,7 @@
     let model = cluster.model_preferring(0);
     let engine = engine_address(0);
     world.engines.hold_orders(engine, true);
-    let loading = cluster.nodes[0].caller.begin_complete(&model);
+    let loading = cluster.nodes[0].caller.begin_completion(&model);
     wait_until("the order to arrive", || world.load_orders(&model) == 1);
     cluster.wait_replayed(1);
     let held = world.log.fault_reads(ReadFault::Hold, move |read| {
@@ -197,7 +197,7 @@
     world.log.set_down(true);
     world.log.release(&held);
     let behind = &cluster.nodes[1];
-    let waiting = behind.caller.begin_complete(&model);
+    let waiting = behind.caller.begin_completion(&model);
     wait_until("the request to wait", || behind.waiting_for(&model) == 1);
     // A short outage causes no refusal.
     let reads = world.log.attempted_reads(&behind.vm);
--- a/crates/node/tests/one_order.rs
+++ b/crates/node/tests/one_order.rs
@@ -52,7 +52,7 @@
     let calls: Vec<_> = cluster
         .nodes
         .iter()
-        .map(|node| node.caller.begin_complete(&model))
+        .map(|node| node.caller.begin_completion(&model))
         .collect();
     held.wait_hits(3);
     all_see_all_engines(&cluster);
@@ -83,7 +83,7 @@
         .world
         .log
         .fault_appends(AppendFault::Hold, usize::MAX, |append| append.is_load());
-    let call = cluster.nodes[0].caller.begin_complete(&model);
+    let call = cluster.nodes[0].caller.begin_completion(&model);
     held.wait_hits(1);
     assert_eq!(cluster.world.load_orders(&model), 0);
     cluster.world.log.release(&held);
@@ -112,7 +112,7 @@
     let callers = cluster.nodes.iter().map(|node| &node.caller);
     let calls: Vec<_> = callers
         .zip(&models)
-        .map(|(caller, model)| caller.begin_complete(model))
+        .map(|(caller, model)| caller.begin_completion(model))
         .collect();
     held.wait_hits(3);
     world.log.release(&held);
--- a/crates/node/tests/pause_recovery.rs
+++ b/crates/node/tests/pause_recovery.rs
@@ -29,7 +29,7 @@
     world.log.fault_reads(ReadFault::PauseBefore, move |read| {
         read.is_by(&vm) && read.is_of_end()
     });
-    let call = paused.caller.begin_complete(&model);
+    let call = paused.caller.begin_completion(&model);
     wait_until("the daemon to be paused", || paused.switch.is_paused());
     cluster.list_as_gone(0);
     wait_taken_over(&cluster);
@@ -53,7 +53,7 @@
     world.log.fault_reads(ReadFault::PauseAfter, move |read| {
         read.is_by(&vm) && read.is_of_end()
     });
-    let call = paused.caller.begin_complete(&model);
+    let call = paused.caller.begin_completion(&model);
     wait_until("the daemon to be paused", || paused.switch.is_paused());
     let vm = paused.vm.clone();
     let held_reads = world.log.fault_reads(ReadFault::Hold, move |read| {
@@ -88,7 +88,7 @@
     let unread = world
         .log
         .fault_reads(ReadFault::Refuse, |read| read.is_of_end());
-    let call = node.caller.begin_complete(&model);
+    let call = node.caller.begin_completion(&model);
     world.wait_load(&model);
     unread.wait_hits(1);
     node.clock.jump(60_000);
@@ -146,7 +146,7 @@
         .fault_reads(ReadFault::PauseBefore, move |read| {
             read.is_by(&paused_vm) && read.is_of_end()
         });
-    drop(cluster.nodes[0].caller.begin_complete(&model));
+    drop(cluster.nodes[0].caller.begin_completion(&model));
     wait_until("the process to be paused", || {
         cluster.nodes[0].switch.is_paused()
     });
--- a/crates/node/tests/support/caller.rs
+++ b/crates/node/tests/support/caller.rs
@@ -94,8 +94,8 @@
         self.post("/v1/completions", None, timeout_ms, &body)
     }
 
-    /// Calls a model on a thread of its own.
-    pub fn begin_complete(&self, model: &str) -> Waiting {
+    /// Calls a model on a thread of its own, without waiting for the answer.
+    pub fn begin_completion(&self, model: &str) -> Waiting {
         let (caller, model) = (self.clone(), model.to_owned());
         Waiting(thread::spawn(move || caller.complete(&model)))
     }
@@ -116,8 +116,8 @@
         self.post(&path, None, TIMEOUT_MS, &json!({"crew": "two"}))
     }
 
-    /// Calls the service on a thread of its own.
-    pub fn begin_book(&self, key: &str) -> Waiting {
+    /// Calls the service under a key, on a thread of its own, without waiting for the answer.
+    pub fn begin_booking(&self, key: &str) -> Waiting {
         let (caller, key) = (self.clone(), key.to_owned());
         Waiting(thread::spawn(move || caller.book(&key)))
     }
--- a/crates/node/tests/support/node.rs
+++ b/crates/node/tests/support/node.rs
@@ -91,7 +91,7 @@
     }
 
     /// Returns whether a model is configured at this daemon.
-    pub fn knows(&self, model: &str) -> bool {
+    pub fn has_model(&self, model: &str) -> bool {
         let view = self.admin().models().expect("the models");
         view.models.iter().any(|line| line.model.as_str() == model)
     }
--- a/crates/node/tests/support/world.rs
+++ b/crates/node/tests/support/world.rs
@@ -359,7 +359,7 @@
             PauseAt::Order => self.world.engines.fault(OrderFault::PauseBefore),
             PauseAt::Effect => self.world.engines.fault(OrderFault::PauseSender),
         }
-        drop(node.caller.begin_complete(model));
+        drop(node.caller.begin_completion(model));
         wait_until("the daemon to be paused", || node.switch.is_paused());
         self.world.wait_load(model);
     }
--- a/crates/node/tests/unload_faults.rs
+++ b/crates/node/tests/unload_faults.rs
@@ -52,7 +52,7 @@
     world.time.advance(IDLE_MS);
     wait_until("the unload to be decided", || world.loaded(&model) == 0);
     (0..2).for_each(|node| cluster.wait_replayed(node));
-    let calls = [0, 1].map(|node| cluster.nodes[node].caller.begin_complete(&model));
+    let calls = [0, 1].map(|node| cluster.nodes[node].caller.begin_completion(&model));
     wait_until("the requests to wait", || {
         cluster.nodes[0].waiting_for(&model) == 2
     });
