--- a/crates/node/src/assembly/control_threads.rs
+++ b/crates/node/src/assembly/control_threads.rs
@@ -159,7 +159,7 @@
                 snapshots: Arc::clone(snapshots),
                 peers: Arc::clone(peers),
                 membership: Arc::clone(&common.membership),
-                restart: common.end_process(),
+                end_process: common.end_process(),
             },
             pace,
             membership: Arc::clone(&common.membership),
--- a/crates/node/src/claims/claim_stream.rs
+++ b/crates/node/src/claims/claim_stream.rs
@@ -81,7 +81,8 @@
         self.caught_up.load(Ordering::Acquire)
     }
 
-    /// Records that the table is as new as it can be now.
+    /// Records that the table has been replayed to the stream's end, or installed from a peer
+    /// while the log is down.
     pub fn mark_caught_up(&self) {
         self.caught_up.store(true, Ordering::Release);
     }
@@ -161,8 +162,9 @@
         true
     }
 
-    /// Lets the waiting request know that its claim is certainly not on the stream.
-    pub fn fail(&self, request: &RequestId) {
+    /// Records that the claim of a waiting request is certainly not on the stream, and wakes the
+    /// request.
+    pub fn mark_not_appended(&self, request: &RequestId) {
         let mut waits = self.waits.lock();
         match waits.get_mut(request) {
             Some(wait_state) if *wait_state == WaitState::Waiting => {
--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -116,7 +116,7 @@
     fn reject_claims(&self, batch: &mut Vec<ClaimRecord>) {
         for record in batch.iter() {
             if let ClaimRecord::Claim(claim) = record {
-                self.stream.fail(&claim.request);
+                self.stream.mark_not_appended(&claim.request);
             }
         }
         drop_claims(batch);
--- a/crates/node/src/claims/keeper.rs
+++ b/crates/node/src/claims/keeper.rs
@@ -67,10 +67,14 @@
 
     /// Decides by the replayed table, without a new record. A key that is taken stays taken, so a
     /// duplicate is answered even while the log is down.
-    fn decide_known(&self, ask: &ClaimRequest, entry: &ClaimEntry) -> Option<ClaimDecision> {
+    fn decide_known(
+        &self,
+        claim_request: &ClaimRequest,
+        entry: &ClaimEntry,
+    ) -> Option<ClaimDecision> {
         match &entry.state {
             ClaimState::Free => None,
-            _ if entry.call_hash != ask.call_hash => Some(key_reused()),
+            _ if entry.call_hash != claim_request.call_hash => Some(key_reused()),
             ClaimState::Running => Some(self.running(entry)),
             ClaimState::Finished(answer) => Some(finished(answer.clone())),
             ClaimState::OutcomeUnknown => Some(outcome_unknown()),
@@ -91,16 +95,18 @@
         ClaimDecision::Refuse(refusal.retry_after(RUNNING_RETRY_MS))
     }
 
-    fn decide(&self, ask: &ClaimRequest, verdict: ClaimVerdict) -> ClaimDecision {
+    fn decide(&self, claim_request: &ClaimRequest, verdict: ClaimVerdict) -> ClaimDecision {
         match verdict {
             ClaimVerdict::Won => ClaimDecision::Run,
             ClaimVerdict::Finished(answer) => finished(answer),
             ClaimVerdict::OutcomeUnknown => outcome_unknown(),
             ClaimVerdict::KeyReused => key_reused(),
-            ClaimVerdict::AlreadyRunning => match self.stream(&ask.key).entry(&ask.key) {
-                Some(entry) => self.running(&entry),
-                None => outcome_unknown(),
-            },
+            ClaimVerdict::AlreadyRunning => {
+                match self.stream(&claim_request.key).entry(&claim_request.key) {
+                    Some(entry) => self.running(&entry),
+                    None => outcome_unknown(),
+                }
+            }
             ClaimVerdict::TableFull => overloaded("as many keys are remembered as may be"),
             ClaimVerdict::TooManyTries => overloaded("too many requests claimed this key in vain"),
             ClaimVerdict::Repeated | ClaimVerdict::Ended | ClaimVerdict::NotHolder => {
@@ -112,32 +118,34 @@
 }
 
 impl ClaimKeeper for NodeClaimKeeper {
-    fn claim(&self, ask: &ClaimRequest) -> ClaimDecision {
-        let stream = self.stream(&ask.key);
+    fn claim(&self, claim_request: &ClaimRequest) -> ClaimDecision {
+        let stream = self.stream(&claim_request.key);
         let known = stream
-            .entry(&ask.key)
-            .and_then(|entry| self.decide_known(ask, &entry));
+            .entry(&claim_request.key)
+            .and_then(|entry| self.decide_known(claim_request, &entry));
         if let Some(decision) = known {
             return decision;
         }
         if self.epoch.get().is_none() {
             return log_unavailable("this VM has not joined, so its claims would not count");
         }
-        let left_ms = ask.deadline_ms.saturating_sub(self.clock.monotonic_ms());
+        let left_ms = claim_request
+            .deadline_ms
+            .saturating_sub(self.clock.monotonic_ms());
         let wait_ms = (left_ms / CLAIM_TIME_DIVISOR).min(CLAIM_WAIT_MS);
-        stream.begin_wait(&ask.request);
+        stream.begin_wait(&claim_request.request);
         stream.queue(ClaimRecord::Claim(Claim {
-            key: ask.key.clone(),
-            call_hash: ask.call_hash,
-            request: ask.request.clone(),
+            key: claim_request.key.clone(),
+            call_hash: claim_request.call_hash,
+            request: claim_request.request.clone(),
             vm: self.vm.clone(),
             process_id: self.process_id,
         }));
-        match stream.wait(&ask.request, Duration::from_millis(wait_ms)) {
-            ClaimWait::Decided(verdict) => self.decide(ask, verdict),
+        match stream.wait(&claim_request.request, Duration::from_millis(wait_ms)) {
+            ClaimWait::Decided(verdict) => self.decide(claim_request, verdict),
             ClaimWait::NotAppended => log_unavailable("the log refused the claim"),
             ClaimWait::TimedOut => {
-                stream.free(&ask.key, &ask.request);
+                stream.free(&claim_request.key, &claim_request.request);
                 log_unavailable("the log did not decide the claim in time")
             }
         }
--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -34,7 +34,7 @@
 use crate::appender::Persistence;
 use crate::membership_view::SharedMembership;
 use crate::peer_answers::HeartbeatSource;
-use crate::peer_answers::peer_sign;
+use crate::peer_answers::peer_status;
 use crate::replayed::Replayed;
 
 /// Interval of membership's ticks.
@@ -187,7 +187,7 @@
         let event = match self.link.ask(address, &request, self.peer_timeout_ms) {
             Ok(PeerReply::Heartbeat(heartbeat)) => {
                 self.check_digest(&heartbeat);
-                MembershipEvent::HeartbeatAnswered(peer_sign(&heartbeat))
+                MembershipEvent::HeartbeatAnswered(peer_status(&heartbeat))
             }
             Ok(_) | Err(_) => MembershipEvent::HeartbeatMissed { vm: vm.clone() },
         };
--- a/crates/node/src/peer_answers.rs
+++ b/crates/node/src/peer_answers.rs
@@ -108,7 +108,7 @@
 }
 
 /// Returns the part of a heartbeat that membership uses.
-pub fn peer_sign(heartbeat: &Heartbeat) -> PeerStatus {
+pub fn peer_status(heartbeat: &Heartbeat) -> PeerStatus {
     PeerStatus {
         vm: heartbeat.vm.clone(),
         process_id: heartbeat.process_id,
@@ -140,7 +140,7 @@
             PeerRequest::Heartbeat(heartbeat) => {
                 self.heartbeats.record_heartbeat(&heartbeat);
                 self.membership
-                    .handle(MembershipEvent::HeartbeatReceived(peer_sign(&heartbeat)));
+                    .handle(MembershipEvent::HeartbeatReceived(peer_status(&heartbeat)));
                 PeerReply::Heartbeat(self.heartbeats.heartbeat())
             }
             PeerRequest::Demand(demand) => {
--- a/crates/node/src/replayed.rs
+++ b/crates/node/src/replayed.rs
@@ -47,7 +47,8 @@
         self.inner.lock().caught_up
     }
 
-    /// Records that the state is as new as it can be now.
+    /// Records that the state has been replayed to the stream's end, or installed from a peer
+    /// while the log is down.
     pub fn mark_caught_up(&self) {
         self.inner.lock().caught_up = true;
         self.changed.notify_all();
--- a/crates/node/src/streams/catch_up.rs
+++ b/crates/node/src/streams/catch_up.rs
@@ -46,8 +46,9 @@
     pub peers: Arc<PeerSnapshots>,
     /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Ends this process. Called when it holds a state that the fleet has given up.
-    pub restart: Arc<dyn Fn() + Send + Sync>,
+    /// Ends this process. Called when the other VMs have agreed on a fresh start without the history
+    /// that this process holds.
+    pub end_process: Arc<dyn Fn() + Send + Sync>,
 }
 
 /// Outcome of a run.
@@ -177,11 +178,11 @@
             CatchUpAction::ProposeFresh(next) => self.propose_fresh_start(next, findings),
             CatchUpAction::SaveAndRestart => {
                 self.save();
-                (self.restart)();
+                (self.end_process)();
                 Some(CatchUpOutcome::Waiting)
             }
             CatchUpAction::Restart => {
-                (self.restart)();
+                (self.end_process)();
                 Some(CatchUpOutcome::Waiting)
             }
             CatchUpAction::Halt => {
--- a/crates/node/src/streams/stream_state.rs
+++ b/crates/node/src/streams/stream_state.rs
@@ -35,6 +35,7 @@
     /// outdated section.
     fn fresh_start(&self, next: Offset, outdated: Option<&Section>) -> Vec<u8>;
 
-    /// Records that the state is as new as it can be now.
+    /// Records that the state has been replayed to the stream's end, or installed from a peer
+    /// while the log is down.
     fn mark_caught_up(&self);
 }
