--- a/crates/node/src/engine_reports.rs
+++ b/crates/node/src/engine_reports.rs
@@ -11,12 +11,12 @@
 /// Load report with the time at which this VM got it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownReport {
-    /// The load report.
+    /// Load report of the engine, or the part of one that a peer sent.
     pub report: LoadReport,
     /// Time at which this VM got the report, on the monotonic clock.
     pub at_ms: u64,
     /// Whether this VM read the report from the engine; otherwise a peer sent it.
-    pub own: bool,
+    pub is_local: bool,
 }
 
 /// Table of the last load report of each engine.
@@ -36,7 +36,7 @@
         let known = KnownReport {
             report,
             at_ms: now_ms,
-            own: true,
+            is_local: true,
         };
         self.reports.lock().insert(engine.clone(), known);
     }
@@ -66,7 +66,7 @@
         let known = KnownReport {
             report: report.clone(),
             at_ms: now_ms,
-            own: false,
+            is_local: false,
         };
         reports.insert(load.engine.clone(), known);
         Some(report)
@@ -84,7 +84,7 @@
             .iter()
             .filter_map(|engine| Some((engine, reports.get(engine)?)));
         known
-            .filter(|(_, known)| known.own)
+            .filter(|(_, known)| known.is_local)
             .map(|(engine, known)| ReplicaLoad {
                 engine: engine.clone(),
                 running: known.report.running,
--- a/crates/node/src/placement/capacity.rs
+++ b/crates/node/src/placement/capacity.rs
@@ -37,7 +37,7 @@
 }
 
 impl CapacityUpdater {
-    /// Returns a feed that has passed nothing to the gateway yet.
+    /// Returns an updater that has passed nothing to the gateway yet.
     pub fn new(
         directory: Arc<NodeDirectory>,
         reports: Arc<ReportTable>,
@@ -66,8 +66,8 @@
         let known = self.passed.keys().filter(|target| self.is_model(target));
         let models: BTreeSet<ModelName> = wanted.iter().chain(known).cloned().collect();
         for model in models {
-            let own = started.get(&model).copied().unwrap_or_default();
-            let slots = self.model_slots(&model, view, own, now_ms);
+            let local_running = started.get(&model).copied().unwrap_or_default();
+            let slots = self.model_slots(&model, view, local_running, now_ms);
             let ready = ready_at_ms.get(&model).copied().filter(|_| slots == 0);
             self.pass_if_changed(model, slots, ready);
         }
@@ -78,7 +78,7 @@
                 .saturating_mul(SERVICE_SLOTS);
             self.pass_if_changed(
                 service_target(&service),
-                own_slots(total, None, &service, view),
+                local_slots(total, None, &service, view),
                 None,
             );
         }
@@ -100,7 +100,7 @@
         })
     }
 
-    fn model_slots(&self, model: &ModelName, view: &View, own: u32, now_ms: u64) -> u32 {
+    fn model_slots(&self, model: &ModelName, view: &View, local_running: u32, now_ms: u64) -> u32 {
         let replicas = self.directory.replicas(model);
         let known: Vec<Option<KnownReport>> = replicas
             .iter()
@@ -121,9 +121,9 @@
                 .iter()
                 .map(|known| known.report.running + known.report.waiting)
                 .sum(),
-            own,
+            own: local_running,
         });
-        own_slots(total_slots, report, model, view)
+        local_slots(total_slots, report, model, view)
     }
 
     fn pass_if_changed(&mut self, target: ModelName, slots: u32, ready_at_ms: Option<u64>) {
@@ -138,7 +138,7 @@
 }
 
 /// Returns how many requests this VM may have in progress at a model or service.
-fn own_slots<K: Hash + ?Sized>(
+fn local_slots<K: Hash + ?Sized>(
     total_slots: u32,
     report: Option<SlotReport>,
     key: &K,
--- a/crates/node/src/streams/peer_snapshots.rs
+++ b/crates/node/src/streams/peer_snapshots.rs
@@ -33,7 +33,7 @@
     Silent,
     /// The peer has no state.
     NoState,
-    /// The peer's state, complete.
+    /// State of the peer, of which every part has been fetched.
     State(Snapshot),
 }
 
