--- a/crates/node/src/appender.rs
+++ b/crates/node/src/appender.rs
@@ -36,8 +36,8 @@
 /// sequence, so replay counts it once.
 const MAX_UNKNOWN_ATTEMPTS: u32 = 20;
 
-/// Consecutive appends of unknown outcome after which the log counts as down. A single lost answer
-/// is no such sign, and the next attempt follows at once.
+/// Consecutive appends of unknown outcome after which the log counts as down. After a
+/// single lost answer the next attempt follows at once.
 const DOWN_AFTER_UNKNOWN_APPENDS: u32 = 3;
 
 /// Interval at which the thread checks the stop flag.
--- a/crates/node/src/assembly/common.rs
+++ b/crates/node/src/assembly/common.rs
@@ -44,7 +44,7 @@
     pub adapters: Adapters,
     /// Metrics that all parts of the daemon update.
     pub metrics: Arc<Metrics>,
-    /// Random number that tells this process from earlier ones on the same VM.
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     pub process_id: u64,
     /// Seed of the random choices of policies and membership.
     pub seed: u64,
--- a/crates/node/src/claims/keeper.rs
+++ b/crates/node/src/claims/keeper.rs
@@ -32,7 +32,7 @@
 /// refused then rather than near its deadline.
 const CLAIM_WAIT_MS: u64 = 5_000;
 
-/// Divisor of the remaining time: the claim may use a half, and the rest is left for the call.
+/// Divisor of the remaining time: the claim may use one half, and the other half is left for the call.
 const CLAIM_TIME_DIVISOR: u64 = 2;
 
 /// Retry-after time of refusals while the log is down.
@@ -45,7 +45,7 @@
 pub struct NodeClaimKeeper {
     /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// Random number that tells this process from earlier ones on the same VM.
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     pub process_id: u64,
     /// Claim streams. All VMs must have the same ones in the same order.
     pub streams: Vec<Arc<ClaimStream>>,
--- a/crates/node/src/intents/runner.rs
+++ b/crates/node/src/intents/runner.rs
@@ -46,7 +46,7 @@
 pub struct RunnerParts {
     /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// Random number that tells this process from earlier ones on the same VM.
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     pub process_id: u64,
     /// Ends this process when replay no longer counts it as a member.
     pub end_process: Arc<dyn Fn() + Send + Sync>,
--- a/crates/node/src/join_task.rs
+++ b/crates/node/src/join_task.rs
@@ -39,7 +39,7 @@
     pub vm: VmName,
     /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// Random number that tells this process from earlier ones on the same VM.
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     pub process_id: u64,
     /// Name of the control stream.
     pub stream: StreamName,
--- a/crates/node/src/operations/admin_source.rs
+++ b/crates/node/src/operations/admin_source.rs
@@ -49,7 +49,7 @@
     pub region: RegionName,
     /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// Random number that tells this process from earlier ones on the same VM.
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     pub process_id: u64,
     /// Start of this process, in milliseconds of the monotonic clock.
     pub started_ms: u64,
--- a/crates/node/src/peer_answers.rs
+++ b/crates/node/src/peer_answers.rs
@@ -40,7 +40,7 @@
 pub struct HeartbeatSource {
     /// Name of the VM that this process runs on.
     pub vm: VmName,
-    /// Random number that tells this process from earlier ones on the same VM.
+    /// Random number that distinguishes this process from earlier ones on the same VM.
     pub process_id: u64,
     /// Set once a planned stop has begun.
     pub draining: Arc<AtomicBool>,
