--- a/crates/gateway/src/admission_queue.rs
+++ b/crates/gateway/src/admission_queue.rs
@@ -176,7 +176,7 @@
         match action {
             AdmissionAction::Start(ticket) => match self.waiting.remove(&ticket) {
                 Some(waiting) => waiting.send(Control::Admitted),
-                // The request no longer waits. The policy must be told of its end, or the target
+                // The request no longer waits. The policy must be notified of its end, or the target
                 // would lose the slot for good.
                 None => {
                     log::error!(
--- a/crates/gateway/src/model_flow.rs
+++ b/crates/gateway/src/model_flow.rs
@@ -101,8 +101,8 @@
     answer: &'a mut Answer<'b>,
     send_gate: Arc<SendGate>,
     crash_key: CrashKey,
-    /// Attempts within the current pass.
-    tries: u32,
+    /// Number of attempts since admission last started the request.
+    attempts: u32,
     first_attempt_recorded: bool,
 }
 
@@ -129,7 +129,7 @@
         answer,
         send_gate: send_gate.clone(),
         crash_key,
-        tries: 0,
+        attempts: 0,
         first_attempt_recorded: false,
     };
     flow.run().map_err(|mut refusal| {
@@ -167,11 +167,11 @@
     fn run_pass(&mut self) -> Result<PassEnd, Refusal> {
         let mut not_loaded: Vec<UpstreamName> = Vec::new();
         let mut tried: Vec<UpstreamName> = Vec::new();
-        self.tries = 0;
+        self.attempts = 0;
         loop {
             let candidates = self.candidates(&not_loaded);
             let chosen = self.choose(&candidates, &tried);
-            self.tries += 1;
+            self.attempts += 1;
             let failure = match &chosen {
                 None => FailedAttempt::no_engine(&candidates),
                 Some(candidate) => match self.attempt_at(candidate)? {
@@ -278,7 +278,7 @@
             idempotent: true,
             certainly_not_run: failure.ran == Ran::NotRun,
             answer_begun: self.answer.has_begun(),
-            tries: self.tries,
+            tries: self.attempts,
             left_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
         };
         let pause = self
--- a/crates/gateway/src/service_job.rs
+++ b/crates/gateway/src/service_job.rs
@@ -55,9 +55,9 @@
 
 /// How a job ended.
 pub(crate) enum JobEnd {
-    /// The service answered.
+    /// Answer of the service to this call.
     Answered(ServiceAnswer),
-    /// The kept answer to an earlier call under the same key.
+    /// Kept answer to an earlier call under the same key.
     Replayed(ServiceAnswer),
     /// The call was refused.
     Refused(Refusal),
@@ -151,7 +151,7 @@
 
     fn run_attempts(&mut self) -> JobEnd {
         let mut tried: Vec<UpstreamName> = Vec::new();
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
             let candidates = self.shared.directory.instances(&self.spec.service);
             let request = RouteRequest {
@@ -159,8 +159,8 @@
                 tried: tried.clone(),
             };
             let chosen = self.shared.choose(&request, &candidates, &self.trace);
-            tries += 1;
-            if tries == 1 {
+            attempts += 1;
+            if attempts == 1 {
                 self.shared.record_first_attempt(&self.spec.service);
             }
             let failure = match &chosen {
@@ -172,7 +172,7 @@
                 },
             };
             self.record_failure(&chosen, &failure);
-            let Some(pause) = self.decide_retry(tries, &failure) else {
+            let Some(pause) = self.decide_retry(attempts, &failure) else {
                 return self.failure_end(failure);
             };
             if !self.send_gate.wait_unless_given_up(pause) {
@@ -229,7 +229,7 @@
         }
     }
 
-    fn decide_retry(&self, tries: u32, failure: &CallFailure) -> Option<Duration> {
+    fn decide_retry(&self, attempts: u32, failure: &CallFailure) -> Option<Duration> {
         if failure.ran != Ran::NotRun && !self.shared.crashes.may_retry(&self.crash_key) {
             return None;
         }
@@ -239,7 +239,7 @@
             idempotent: self.idempotency == Idempotency::Idempotent,
             certainly_not_run: failure.ran == Ran::NotRun,
             answer_begun: false,
-            tries,
+            tries: attempts,
             left_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
         };
         self.shared.decide_retry(&request, failure.ran, &self.trace)
