--- a/crates/gateway/tests/admission_ticks.rs
+++ b/crates/gateway/tests/admission_ticks.rs
@@ -81,7 +81,7 @@
 }
 
 /// Guards against a target that loses a slot for good: the policy starts a request that has just
-/// been withdrawn, and must still be told of its end.
+/// been withdrawn, and must still be notified of its end.
 #[test]
 fn withdrawn_start_ended() {
     let (ended, has_ended) = mpsc::channel();
--- a/crates/gateway/tests/incomplete_answers.rs
+++ b/crates/gateway/tests/incomplete_answers.rs
@@ -139,10 +139,10 @@
 #[case::complete(vec![done()], Piece::End)]
 #[case::cut(vec![ScriptStep::Cut], Piece::Cut)]
 #[case::without_end(vec![], Piece::Cut)]
-fn deadline_within_stream(#[case] rest: Vec<ScriptStep>, #[case] expected: Piece) {
+fn deadline_within_stream(#[case] last_steps: Vec<ScriptStep>, #[case] expected: Piece) {
     let fixture = Fixture::warm();
     let mut steps = vec![stream_head(), event("a"), ScriptStep::Hold, event("b")];
-    steps.extend(rest);
+    steps.extend(last_steps);
     fixture.engine.script(steps);
     let mut caller = fixture.caller();
     caller.stream(&[("X-Request-Timeout-Ms", "1000")]);
@@ -179,7 +179,7 @@
     caller.stream(&[]);
     fixture.engine.wait_cancelled();
     fixture.wait_idle();
-    let bytes = caller.rest();
+    let bytes = caller.read_to_end();
     assert!(bytes.starts_with(b"HTTP/1.1 200"));
     assert!(!bytes.ends_with(LAST_CHUNK));
     let text = String::from_utf8_lossy(&bytes);
--- a/crates/gateway/tests/stream_relay.rs
+++ b/crates/gateway/tests/stream_relay.rs
@@ -75,7 +75,7 @@
 #[case::silent(vec![ScriptStep::Hold], "upstream_timeout", 50)]
 #[case::panic(vec![ScriptStep::Panic], "upstream_lost", LONG_MS)]
 fn cut_stream_error(
-    #[case] rest: Vec<ScriptStep>,
+    #[case] last_steps: Vec<ScriptStep>,
     #[case] reason: &str,
     #[case] stream_idle_timeout_ms: u64,
 ) {
@@ -86,7 +86,7 @@
     let fixture = Fixture::with(options, apricotdale_http::Options::default());
     fixture.load("engine-1", 1);
     let mut steps = vec![stream_head(), event("half")];
-    steps.extend(rest);
+    steps.extend(last_steps);
     fixture.engine.script(steps);
     let mut caller = fixture.caller();
     caller.stream(&[]);
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns all bytes up to the end of the connection.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn read_to_end(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         // A connection that was reset has ended, too.
         let _ = self.reader.read_to_end(&mut bytes);
