--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -133,7 +133,7 @@
         ];
         let mut bytes = response.head.encode(&framing);
         bytes.extend_from_slice(&response.body);
-        // The send buffer of a new connection has room for the response. The accepting thread must
+        // The send buffer of a new connection can hold the response. The accepting thread must
         // not wait for a client.
         let written = socket
             .set_nonblocking(true)
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -12,7 +12,7 @@
     Chunked,
 }
 
-/// A parsed request head.
+/// Request line and headers of a request, as parsed and without a decoded target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Head {
     pub(crate) method: String,
@@ -104,7 +104,7 @@
     /// Returns how the body is delimited.
     ///
     /// A load balancer may interpret a head with both a length and a coding, or with two lengths,
-    /// in another way. The rest of the body would then be taken for another caller's request. Such
+    /// in another way. The remainder of the body would then be taken for another caller's request. Such
     /// heads are rejected.
     pub(crate) fn framing(&self) -> Result<Framing, ProtocolError> {
         let lengths: Vec<&str> = self.values("content-length").collect();
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -6,7 +6,7 @@
 //! decoded by `chunked_transfer`.
 //!
 //! `rouille` and its `tiny_http` are not used for callers. They buffer the pieces of a streamed
-//! body until about 8 KB are collected (measured: five events written 100 ms apart all arrived
+//! body until about 8 KB are collected (five events written 100 ms apart all arrived
 //! together after 500 ms), and they limit neither the time that a client may take for a head nor
 //! the number of connections. Stand-ins and the operators' interface stream nothing and use
 //! `rouille`.
--- a/crates/http/tests/request_forms.rs
+++ b/crates/http/tests/request_forms.rs
@@ -77,10 +77,10 @@
 #[case::chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nab")]
 #[case::between_chunks("Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")]
 #[case::length("Content-Length: 5\r\n\r\nab")]
-fn cut_body(#[case] rest: &str) {
+fn cut_body(#[case] framing_and_body: &str) {
     let server = start(Options::default(), Echo);
     let mut client = connect(&server);
-    let request = format!("POST / HTTP/1.1\r\nHost: a\r\n{rest}");
+    let request = format!("POST / HTTP/1.1\r\nHost: a\r\n{framing_and_body}");
     client.write_all(request.as_bytes()).expect("sent");
     client
         .shutdown(Shutdown::Write)
