--- a/crates/adapters/src/connection.rs
+++ b/crates/adapters/src/connection.rs
@@ -94,7 +94,8 @@
 }
 
 impl SingleConnector {
-    /// Returns a connector whose connection updates the given state.
+    /// Returns a connector that records in `connection_state` whether its connection was
+    /// established.
     pub(crate) fn new(connection_state: Arc<ConnectionState>) -> Self {
         Self {
             connection_state,
--- a/crates/adapters/src/options.rs
+++ b/crates/adapters/src/options.rs
@@ -125,7 +125,7 @@
     pub address: SocketAddr,
     /// Timeout of reading the VM list.
     pub timeout_ms: u64,
-    /// Maximum size of the VM list.
+    /// Maximum size of the answer with the VM list.
     pub answer_limit_bytes: usize,
 }
 
--- a/crates/adapters/tests/early_closes.rs
+++ b/crates/adapters/tests/early_closes.rs
@@ -1,4 +1,4 @@
-//! Answers of engines whose connection is closed in order before the answer is complete.
+//! Answers of engines whose connection is closed, without a reset, before the answer is complete.
 
 mod support;
 
@@ -32,8 +32,8 @@
     end: Result<()>,
 }
 
-/// Starts a server that sends these bytes and then closes its sending side in order. The receiver
-/// is notified once the client has closed its side too.
+/// Starts a server that sends these bytes and then closes its sending side. The receiver is
+/// notified once the client has closed its side too.
 fn closing_server(bytes: String) -> (Server, Receiver<()>) {
     let (closed_sender, closed) = mpsc::channel();
     let server = serve(move |stream| {
