--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -45,7 +45,7 @@
     /// Number of worker threads, that is, of requests that are answered at the same time. Further
     /// requests wait.
     pub max_requests: usize,
-    /// Greatest number of changes that wait for the log at the same time. Further changes are
+    /// Maximum number of changes that wait for the log at the same time. Further changes are
     /// refused. Must be below `max_requests`, so that health checks are answered while the log is
     /// slow.
     pub max_changes: usize,
--- a/crates/settings/src/checks.rs
+++ b/crates/settings/src/checks.rs
@@ -27,7 +27,7 @@
     bounded: KeyPath,
     /// Section and key of the number that it must at least be equal to.
     minimum: KeyPath,
-    /// What goes wrong below the bound; the end of the message to the operator.
+    /// Consequence of a value below the bound, as a phrase that ends the message to the operator.
     reason: &'static str,
 }
 
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -101,11 +101,11 @@
 /// Limits and timeouts for connections and requests of callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerSettings {
-    /// Greatest number of open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
     /// Largest request head, in bytes.
     pub max_head_bytes: usize,
-    /// Greatest number of header lines in a request.
+    /// Maximum number of header lines in a request.
     pub max_headers: usize,
     /// Largest request body, in bytes.
     pub max_body_bytes: usize,
--- a/crates/telemetry/src/json_log.rs
+++ b/crates/telemetry/src/json_log.rs
@@ -49,7 +49,7 @@
     pub vm: VmName,
     /// Availability zone of the VM, written into every line.
     pub zone: ZoneName,
-    /// Greatest number of lines that wait to be written. Further lines are dropped and counted.
+    /// Maximum number of lines that wait to be written. Further lines are dropped and counted.
     pub queued_lines: usize,
 }
 
--- a/crates/telemetry/src/serving_metrics.rs
+++ b/crates/telemetry/src/serving_metrics.rs
@@ -26,10 +26,10 @@
 /// Label value of a request that was refused before its class was known.
 const UNKNOWN_CLASS_LABEL: &str = "none";
 
-/// Greatest number of classes that get series of their own. No configuration has more.
+/// Maximum number of classes that get series of their own. No configuration has more.
 const MAX_CLASSES: usize = 64;
 
-/// Greatest number of upstream groups that get series of their own.
+/// Maximum number of upstream groups that get series of their own.
 const MAX_GROUPS: usize = 64;
 
 /// Upper bounds of the buckets for durations of requests, in seconds. The latency target for the
