--- a/crates/gateway/src/admission_queue.rs
+++ b/crates/gateway/src/admission_queue.rs
@@ -176,8 +176,8 @@
         match action {
             AdmissionAction::Start(ticket) => match self.waiting.remove(&ticket) {
                 Some(waiting) => waiting.send(Control::Admitted),
-                // The request no longer waits. The policy must be notified of its end, or the target
-                // would lose the slot for good.
+                // The request no longer waits. The policy must be notified of its end, or the
+                // target would lose the slot for good.
                 None => {
                     log::error!(
                         "admission started ticket {}, which is not waiting",
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -104,8 +104,8 @@
     /// Returns how the body is delimited.
     ///
     /// A load balancer may interpret a head with both a length and a coding, or with two lengths,
-    /// in another way. The remainder of the body would then be taken for another caller's request. Such
-    /// heads are rejected.
+    /// in another way. The remainder of the body would then be taken for another caller's request.
+    /// Such heads are rejected.
     pub(crate) fn framing(&self) -> Result<Framing, ProtocolError> {
         let lengths: Vec<&str> = self.values("content-length").collect();
         let codings: Vec<&str> = self.values("transfer-encoding").collect();
--- a/crates/node/src/claims/keeper.rs
+++ b/crates/node/src/claims/keeper.rs
@@ -32,7 +32,8 @@
 /// refused then rather than near its deadline.
 const CLAIM_WAIT_MS: u64 = 5_000;
 
-/// Divisor of the remaining time: the claim may use one half, and the other half is left for the call.
+/// Divisor of the remaining time: the claim may use one half, and the other half is left for the
+/// call.
 const CLAIM_TIME_DIVISOR: u64 = 2;
 
 /// Retry-after time of refusals while the log is down.
--- a/crates/node/src/streams/catch_up.rs
+++ b/crates/node/src/streams/catch_up.rs
@@ -46,8 +46,8 @@
     pub peers: Arc<PeerSnapshots>,
     /// View of the VMs and upstreams, shared by all threads.
     pub membership: Arc<SharedMembership>,
-    /// Ends this process. Called when the other VMs have agreed on a fresh start without the history
-    /// that this process holds.
+    /// Ends this process. Called when the other VMs have agreed on a fresh start without the
+    /// history that this process holds.
     pub end_process: Arc<dyn Fn() + Send + Sync>,
 }
 
