--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -54,7 +54,7 @@
     /// If an answer has already begun.
     pub(crate) fn send(&mut self, mut response: Response) -> Result<(), CallerLost> {
         let SendState::NotBegun(responder) = mem::replace(&mut self.state, SendState::Ended) else {
-            panic!("a request is answered once");
+            panic!("the answer to the request has already begun");
         };
         response.head = self.identify(response.head);
         responder.send(response).map_err(|_| CallerLost)
--- a/crates/node/src/appender.rs
+++ b/crates/node/src/appender.rs
@@ -134,7 +134,7 @@
         let handle = thread::Builder::new()
             .name("control-appender".into())
             .spawn(move || Worker { parts, sequence: 0 }.run(&proposals))
-            .expect("the daemon needs its appender thread");
+            .expect("the appender thread can be started");
         (Self { queue }, handle)
     }
 
--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -85,10 +85,10 @@
             }
             .encode();
             let outcome = self.log.append(&self.stream.name, &payload);
-            let counted = append_outcome(&outcome);
+            let metric_outcome = append_outcome(&outcome);
             self.metrics
                 .node()
-                .record_append(StreamKind::Claims, counted);
+                .record_append(StreamKind::Claims, metric_outcome);
             let error = match outcome {
                 Ok(_) => {
                     drop_claims(&mut batch);
--- a/crates/node/src/claims/keeper.rs
+++ b/crates/node/src/claims/keeper.rs
@@ -76,7 +76,7 @@
         match &entry.state {
             ClaimState::Free => None,
             _ if entry.call_hash != claim_request.call_hash => Some(key_reused()),
-            ClaimState::Running => Some(self.running(entry)),
+            ClaimState::Running => Some(self.decide_running(entry)),
             ClaimState::Finished(answer) => Some(finished(answer.clone())),
             ClaimState::OutcomeUnknown => Some(outcome_unknown()),
         }
@@ -84,11 +84,11 @@
 
     /// Returns the decision for a duplicate while the first call runs, or if the process that ran
     /// it has ended and can't record the outcome any more.
-    fn running(&self, entry: &ClaimEntry) -> ClaimDecision {
-        let runs = self
+    fn decide_running(&self, entry: &ClaimEntry) -> ClaimDecision {
+        let is_member = self
             .replayed
             .read(|state| state.members().has_process(entry.process_id));
-        if !runs {
+        if !is_member {
             return outcome_unknown();
         }
         let detail = "the call under this key is in progress";
@@ -104,7 +104,7 @@
             ClaimVerdict::KeyReused => key_reused(),
             ClaimVerdict::AlreadyRunning => {
                 match self.stream(&claim_request.key).entry(&claim_request.key) {
-                    Some(entry) => self.running(&entry),
+                    Some(entry) => self.decide_running(&entry),
                     None => outcome_unknown(),
                 }
             }
--- a/crates/node/src/engine_watch.rs
+++ b/crates/node/src/engine_watch.rs
@@ -101,8 +101,8 @@
         let mut round = 0;
         while !self.stop.load(Ordering::Relaxed) {
             let view = self.membership.view();
-            let due = self.due(&view);
-            for batch in due.chunks(MAX_CONCURRENT_READS) {
+            let engines_to_read = self.engines_to_read(&view);
+            for batch in engines_to_read.chunks(MAX_CONCURRENT_READS) {
                 thread::scope(|scope| {
                     for engine in batch {
                         scope.spawn(|| self.read(engine));
@@ -140,7 +140,7 @@
 
     /// Returns the engines to read in this round: those for which this VM is preferred, and those
     /// that rejected a request for a model that replay shows as loaded there.
-    fn due<'a>(&self, view: &'a View) -> Vec<&'a UpstreamView> {
+    fn engines_to_read<'a>(&self, view: &'a View) -> Vec<&'a UpstreamView> {
         let missing: BTreeSet<UpstreamName> = self
             .demand
             .take_missing_replicas()
--- a/crates/node/src/intents/runner.rs
+++ b/crates/node/src/intents/runner.rs
@@ -204,7 +204,7 @@
         let ownership = (intent.intent, intent.owner.since);
         let first_ms = *self.first_seen_ms.entry(ownership).or_insert(now_ms);
         let waited_ms = now_ms.saturating_sub(first_ms);
-        let is_due = match self.intent_state(intent) {
+        let overdue_ms = match self.intent_state(intent) {
             IntentState::Abandoned => Some(waited_ms),
             IntentState::Settled => None,
             IntentState::Open if self.may_bypass_owner(intent) => {
@@ -213,10 +213,11 @@
             IntentState::Open => None,
         };
         let view = self.parts.membership.view();
-        let may = is_due.is_some_and(|due_ms| view.may_propose(&intent.intent, due_ms));
-        let recently = self.proposed_ms.get(&intent.intent);
-        let recently = recently.is_some_and(|at_ms| now_ms.saturating_sub(*at_ms) < REPROPOSE_MS);
-        if !may || recently {
+        let may_propose = overdue_ms.is_some_and(|due_ms| view.may_propose(&intent.intent, due_ms));
+        let proposed_at_ms = self.proposed_ms.get(&intent.intent);
+        let proposed_recently =
+            proposed_at_ms.is_some_and(|at_ms| now_ms.saturating_sub(*at_ms) < REPROPOSE_MS);
+        if !may_propose || proposed_recently {
             return;
         }
         info!(
--- a/crates/node/src/placement/load_failures.rs
+++ b/crates/node/src/placement/load_failures.rs
@@ -7,10 +7,10 @@
 use apricotdale_core::refusal::RefusalReason;
 
 /// Backoff after the first failed load of a model.
-const FIRST_PAUSE_MS: u64 = 500;
+const FIRST_BACKOFF_MS: u64 = 500;
 
 /// Upper bound of the backoff.
-const MAX_PAUSE_MS: u64 = 30_000;
+const MAX_BACKOFF_MS: u64 = 30_000;
 
 /// Upper bound of the number of doublings, which keeps the shift from overflowing.
 const MAX_DOUBLINGS: u32 = 8;
@@ -37,10 +37,10 @@
     /// Records a failed load and extends the model's backoff.
     pub fn record_failure(&mut self, now_ms: u64, model: &ModelName) {
         let count = self.models.get(model).map_or(0, |failure| failure.count) + 1;
-        let doubled_ms = FIRST_PAUSE_MS << (count - 1).min(MAX_DOUBLINGS);
+        let doubled_ms = FIRST_BACKOFF_MS << (count - 1).min(MAX_DOUBLINGS);
         let failure = Failure {
             count,
-            until_ms: now_ms + doubled_ms.min(MAX_PAUSE_MS),
+            until_ms: now_ms + doubled_ms.min(MAX_BACKOFF_MS),
         };
         self.models.insert(model.clone(), failure);
     }
--- a/crates/node/src/policies.rs
+++ b/crates/node/src/policies.rs
@@ -43,8 +43,9 @@
             .get(upstream)
             .map(|view| view.entry.group.clone())
     };
-    let new_policy =
-        move || routing_policy(&name, options.clone()).expect("the name was known a moment ago");
+    let new_policy = move || {
+        routing_policy(&name, options.clone()).expect("the name of the policy was checked above")
+    };
     Ok(Box::new(GroupedRouting::new(
         Box::new(group_of),
         Box::new(new_policy),
--- a/crates/node/src/streams/snapshot_writer.rs
+++ b/crates/node/src/streams/snapshot_writer.rs
@@ -113,10 +113,10 @@
     fn write(&self, stream: &StreamName, section: &Section) -> bool {
         for record in SnapshotRecord::of_section(stream, section, PART_BYTES) {
             let outcome = self.log.append(&self.stream, &record.encode());
-            let counted = append_outcome(&outcome);
+            let metric_outcome = append_outcome(&outcome);
             self.metrics
                 .node()
-                .record_append(StreamKind::Snapshot, counted);
+                .record_append(StreamKind::Snapshot, metric_outcome);
             if let Err(error) = outcome {
                 warn!("append of a snapshot of {stream} failed: {error}");
                 return false;
