--- a/crates/gateway/src/admission_queue.rs
+++ b/crates/gateway/src/admission_queue.rs
@@ -151,10 +151,10 @@
 
     fn handle(&self, mut state: MutexGuard<'_, State>, event: AdmissionEvent) {
         let now_ms = self.clock.monotonic_ms();
-        let due_before = state.policy.next_tick_ms();
+        let previous_tick_ms = state.policy.next_tick_ms();
         let actions = state.policy.handle(now_ms, event);
         state.apply(now_ms, actions);
-        if state.policy.next_tick_ms() != due_before {
+        if state.policy.next_tick_ms() != previous_tick_ms {
             self.tick_changed.notify_all();
         }
     }
--- a/crates/gateway/tests/released_slots.rs
+++ b/crates/gateway/tests/released_slots.rs
@@ -43,10 +43,10 @@
     fixture
         .engine
         .script(vec![stream_head(), event("a"), ScriptStep::Cut]);
-    let mut hanging = fixture.caller();
-    hanging.stream(&[]);
+    let mut hung_up_caller = fixture.caller();
+    hung_up_caller.stream(&[]);
     fixture.engine.wait_held();
-    drop(hanging);
+    drop(hung_up_caller);
     let mut cut = fixture.caller();
     cut.stream(&[]);
     cut.head();
--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -98,12 +98,12 @@
         rejected.reject(shared, socket);
         return;
     };
-    let spare = socket.try_clone();
+    let socket_copy = socket.try_clone();
     let spawned = thread::Builder::new()
         .name("http-connection".to_owned())
         .stack_size(shared.options.thread_stack_bytes)
         .spawn(move || Connection::serve(slot, socket));
-    match (spawned, spare) {
+    match (spawned, socket_copy) {
         (Ok(_), _) => {}
         (Err(error), Ok(socket)) => {
             log::warn!("could not start a connection's thread: {error}");
--- a/crates/http/tests/graceful_stop.rs
+++ b/crates/http/tests/graceful_stop.rs
@@ -23,14 +23,14 @@
 /// the server is stopped.
 #[test]
 fn stream_completes() {
-    let (go_on, may_go_on) = mpsc::channel::<()>();
-    let may_go_on = Mutex::new(may_go_on);
+    let (release, released) = mpsc::channel::<()>();
+    let released = Mutex::new(released);
     let server = start(
         Options::default(),
         FunctionHandler(move |_, responder: Responder<'_>| {
             let mut stream = responder.start(ResponseHead::new(200)).expect("a stream");
             stream.send_piece(b"first").expect("a piece");
-            let _ = may_go_on
+            let _ = released
                 .lock()
                 .expect("no panic")
                 .recv_timeout(TEST_TIMEOUT);
@@ -45,7 +45,7 @@
     read_until(&mut client, "first\r\n");
     server.stop();
     assert!(!server.wait_idle(Duration::ZERO), "the request is over");
-    go_on.send(()).expect("the handler waits");
+    release.send(()).expect("the handler waits");
     assert_eq!(read_to_close(&mut client), "6\r\nsecond\r\n0\r\n\r\n");
     assert!(server.wait_idle(TEST_TIMEOUT));
     assert_eq!(server.connections(), 0);
--- a/crates/http/tests/request_forms.rs
+++ b/crates/http/tests/request_forms.rs
@@ -65,8 +65,11 @@
     let mut client = connect(&server);
     let head = "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
     client.write_all(head.as_bytes()).expect("sent");
-    let go_ahead = read_until(&mut client, "\r\n\r\n");
-    assert!(go_ahead.starts_with("HTTP/1.1 100 "), "{go_ahead}");
+    let interim_response = read_until(&mut client, "\r\n\r\n");
+    assert!(
+        interim_response.starts_with("HTTP/1.1 100 "),
+        "{interim_response}"
+    );
     client.write_all(b"ok").expect("sent");
     assert!(read_until(&mut client, "POST / ok").starts_with("HTTP/1.1 200 "));
 }
--- a/crates/node/src/assembly/common.rs
+++ b/crates/node/src/assembly/common.rs
@@ -186,9 +186,9 @@
         Box::new(move || draining.store(true, Ordering::Release))
     }
 
-    /// Returns a function that ends this process because its replayed state is not valid. It clears the
-    /// epoch, so that the process decides nothing more, and starts a drain, which lets requests in
-    /// progress finish.
+    /// Returns a function that ends this process because its replayed state is not valid. It clears
+    /// the epoch, so that the process decides nothing more, and starts a drain, which lets requests
+    /// in progress finish.
     pub fn end_process(&self) -> Arc<dyn Fn() + Send + Sync> {
         let (epoch, draining) = (Arc::clone(&self.epoch), Arc::clone(&self.draining));
         Arc::new(move || {
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -106,10 +106,10 @@
         for model in std::mem::take(&mut tables.reported) {
             line(&mut report, &model);
         }
-        let lasting = report
+        let lines_with_demand = report
             .values()
             .filter(|line| line.waiting + line.running > 0);
-        tables.reported = lasting.map(|line| line.model.clone()).collect();
+        tables.reported = lines_with_demand.map(|line| line.model.clone()).collect();
         report.into_values().collect()
     }
 
--- a/crates/node/src/log_health.rs
+++ b/crates/node/src/log_health.rs
@@ -53,8 +53,8 @@
 
     /// Returns whether reads fail and none has succeeded for `for_ms`.
     pub fn is_unreadable(&self, now_ms: u64, for_ms: u64) -> bool {
-        let is_long = |read_ms| now_ms.saturating_sub(read_ms) >= for_ms;
-        self.reads_fail() && self.last_read_ms().is_none_or(is_long)
+        let is_old = |read_ms| now_ms.saturating_sub(read_ms) >= for_ms;
+        self.reads_fail() && self.last_read_ms().is_none_or(is_old)
     }
 
     /// Returns the time of the last successful read, or none before the first.
--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -240,11 +240,11 @@
         self.gateway.learn_routing(RoutingEvent::Removed {
             upstream: upstream.clone(),
         });
-        let (is_there, boot) = self.replayed.read(|state| {
+        let (is_known, boot) = self.replayed.read(|state| {
             let engine = state.engine(&upstream).filter(|engine| !engine.is_gone());
             (engine.is_some(), state.removable_boot(&upstream, as_of_ms))
         });
-        if !is_there {
+        if !is_known {
             self.membership
                 .handle(MembershipEvent::UpstreamDeparted { upstream });
             return;
--- a/crates/node/src/streams/stream_tail.rs
+++ b/crates/node/src/streams/stream_tail.rs
@@ -62,7 +62,7 @@
         while !self.stop.load(Ordering::Relaxed) {
             is_following = match is_following {
                 true if self.was_paused() => self.catch_up(),
-                true => self.follow_on(),
+                true => self.follow_after_pause(),
                 false => self.catch_up(),
             };
             if !is_following {
@@ -84,7 +84,7 @@
         matches!(verdict, PauseVerdict::Paused { .. })
     }
 
-    fn follow_on(&self) -> bool {
+    fn follow_after_pause(&self) -> bool {
         self.pace.pause(self.membership.view().vms.len());
         self.follow(self.wait_ms)
     }
