--- a/crates/gateway/src/admission_queue.rs
+++ b/crates/gateway/src/admission_queue.rs
@@ -151,10 +151,10 @@
 
     fn handle(&self, mut state: MutexGuard<'_, State>, event: AdmissionEvent) {
         let now_ms = self.clock.monotonic_ms();
-        let due_before = state.policy.next_tick_ms();
+        let previous_tick_ms = state.policy.next_tick_ms();
         let actions = state.policy.handle(now_ms, event);
         state.apply(now_ms, actions);
-        if state.policy.next_tick_ms() != due_before {
+        if state.policy.next_tick_ms() != previous_tick_ms {
             self.tick_changed.notify_all();
         }
     }
@@ -176,8 +176,8 @@
         match action {
             AdmissionAction::Start(ticket) => match self.waiting.remove(&ticket) {
                 Some(waiting) => waiting.send(Control::Admitted),
-                // The request no longer waits. The policy must be told of its end, or the target
-                // would lose the slot for good.
+                // The request no longer waits. The policy must be notified of its end, or the
+                // target would lose the slot for good.
                 None => {
                     log::error!(
                         "admission started ticket {}, which is not waiting",
--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -98,12 +98,12 @@
         rejected.reject(shared, socket);
         return;
     };
-    let spare = socket.try_clone();
+    let socket_copy = socket.try_clone();
     let spawned = thread::Builder::new()
         .name("http-connection".to_owned())
         .stack_size(shared.options.thread_stack_bytes)
         .spawn(move || Connection::serve(slot, socket));
-    match (spawned, spare) {
+    match (spawned, socket_copy) {
         (Ok(_), _) => {}
         (Err(error), Ok(socket)) => {
             log::warn!("could not start a connection's thread: {error}");
@@ -133,7 +133,7 @@
         ];
         let mut bytes = response.head.encode(&framing);
         bytes.extend_from_slice(&response.body);
-        // The send buffer of a new connection has room for the response. The accepting thread must
+        // The send buffer of a new connection can hold the response. The accepting thread must
         // not wait for a client.
         let written = socket
             .set_nonblocking(true)
--- a/crates/http/tests/request_forms.rs
+++ b/crates/http/tests/request_forms.rs
@@ -65,8 +65,11 @@
     let mut client = connect(&server);
     let head = "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
     client.write_all(head.as_bytes()).expect("sent");
-    let go_ahead = read_until(&mut client, "\r\n\r\n");
-    assert!(go_ahead.starts_with("HTTP/1.1 100 "), "{go_ahead}");
+    let interim_response = read_until(&mut client, "\r\n\r\n");
+    assert!(
+        interim_response.starts_with("HTTP/1.1 100 "),
+        "{interim_response}"
+    );
     client.write_all(b"ok").expect("sent");
     assert!(read_until(&mut client, "POST / ok").starts_with("HTTP/1.1 200 "));
 }
@@ -77,10 +80,10 @@
 #[case::chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nab")]
 #[case::between_chunks("Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")]
 #[case::length("Content-Length: 5\r\n\r\nab")]
-fn cut_body(#[case] rest: &str) {
+fn cut_body(#[case] framing_and_body: &str) {
     let server = start(Options::default(), Echo);
     let mut client = connect(&server);
-    let request = format!("POST / HTTP/1.1\r\nHost: a\r\n{rest}");
+    let request = format!("POST / HTTP/1.1\r\nHost: a\r\n{framing_and_body}");
     client.write_all(request.as_bytes()).expect("sent");
     client
         .shutdown(Shutdown::Write)
--- a/crates/node/src/claims/claim_writer.rs
+++ b/crates/node/src/claims/claim_writer.rs
@@ -85,10 +85,10 @@
             }
             .encode();
             let outcome = self.log.append(&self.stream.name, &payload);
-            let counted = append_outcome(&outcome);
+            let metric_outcome = append_outcome(&outcome);
             self.metrics
                 .node()
-                .record_append(StreamKind::Claims, counted);
+                .record_append(StreamKind::Claims, metric_outcome);
             let error = match outcome {
                 Ok(_) => {
                     drop_claims(&mut batch);
@@ -116,7 +116,7 @@
     fn reject_claims(&self, batch: &mut Vec<ClaimRecord>) {
         for record in batch.iter() {
             if let ClaimRecord::Claim(claim) = record {
-                self.stream.fail(&claim.request);
+                self.stream.mark_not_appended(&claim.request);
             }
         }
         drop_claims(batch);
--- a/crates/node/src/membership_loop.rs
+++ b/crates/node/src/membership_loop.rs
@@ -34,7 +34,7 @@
 use crate::appender::Persistence;
 use crate::membership_view::SharedMembership;
 use crate::peer_answers::HeartbeatSource;
-use crate::peer_answers::peer_sign;
+use crate::peer_answers::peer_status;
 use crate::replayed::Replayed;
 
 /// Interval of membership's ticks.
@@ -187,7 +187,7 @@
         let event = match self.link.ask(address, &request, self.peer_timeout_ms) {
             Ok(PeerReply::Heartbeat(heartbeat)) => {
                 self.check_digest(&heartbeat);
-                MembershipEvent::HeartbeatAnswered(peer_sign(&heartbeat))
+                MembershipEvent::HeartbeatAnswered(peer_status(&heartbeat))
             }
             Ok(_) | Err(_) => MembershipEvent::HeartbeatMissed { vm: vm.clone() },
         };
@@ -240,11 +240,11 @@
         self.gateway.learn_routing(RoutingEvent::Removed {
             upstream: upstream.clone(),
         });
-        let (is_there, boot) = self.replayed.read(|state| {
+        let (is_known, boot) = self.replayed.read(|state| {
             let engine = state.engine(&upstream).filter(|engine| !engine.is_gone());
             (engine.is_some(), state.removable_boot(&upstream, as_of_ms))
         });
-        if !is_there {
+        if !is_known {
             self.membership
                 .handle(MembershipEvent::UpstreamDeparted { upstream });
             return;
--- a/crates/node/tests/support/node.rs
+++ b/crates/node/tests/support/node.rs
@@ -91,7 +91,7 @@
     }
 
     /// Returns whether a model is configured at this daemon.
-    pub fn knows(&self, model: &str) -> bool {
+    pub fn has_model(&self, model: &str) -> bool {
         let view = self.admin().models().expect("the models");
         view.models.iter().any(|line| line.model.as_str() == model)
     }
@@ -172,7 +172,7 @@
     /// Starts the daemon's stop. A test does not wait for its end.
     fn drop(&mut self) {
         self.begin_stop();
-        self.switch.thaw();
+        self.switch.resume();
         drop(self.ended.take());
     }
 }
