--- a/crates/delivery/src/event.rs
+++ b/crates/delivery/src/event.rs
@@ -1,4 +1,4 @@
-//! Event fields that tell the position of an event in its stream.
+//! Fields that hold the position of an event in its stream.
 
 /// Number of bytes of a line that are read. Names and IDs are shorter.
 const MAX_READ_LINE_BYTES: usize = 64;
@@ -6,7 +6,7 @@
 /// Fields of an event by which its position is checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EventFields {
-    /// ID of the event, or `None` if it has none or one that is no number.
+    /// ID of the event, or `None` if it has none or one that is not a number.
     pub(crate) id: Option<u64>,
     /// New version of the model's weights, if it changes with this event.
     pub(crate) version: Option<u64>,
@@ -26,14 +26,15 @@
     /// Reads bytes of the event.
     pub(crate) fn push(&mut self, bytes: &[u8], version_field: Option<&str>) {
         for line in bytes.split_inclusive(|byte| matches!(byte, b'\n' | b'\r')) {
-            let (text, is_whole) = match line {
+            let (text, is_complete) = match line {
                 [text @ .., b'\n' | b'\r'] => (text, true),
                 text => (text, false),
             };
-            let room = (MAX_READ_LINE_BYTES + 1).saturating_sub(self.line.len());
-            self.line.extend_from_slice(&text[..room.min(text.len())]);
+            let free_bytes = (MAX_READ_LINE_BYTES + 1).saturating_sub(self.line.len());
+            self.line
+                .extend_from_slice(&text[..free_bytes.min(text.len())]);
             self.fields.has_content |= !matches!(self.line.first(), None | Some(b':'));
-            if is_whole {
+            if is_complete {
                 self.end_line(version_field);
             }
         }
@@ -51,11 +52,11 @@
             Some(colon) => (&line[..colon], &line[colon + 1..]),
             None => (line.as_slice(), &[][..]),
         };
-        let parse_id = parse_id(value).filter(|_| line.len() <= MAX_READ_LINE_BYTES);
+        let number = parse_id(value).filter(|_| line.len() <= MAX_READ_LINE_BYTES);
         match name {
-            b"id" => self.fields.id = parse_id,
+            b"id" => self.fields.id = number,
             name if version_field.is_some_and(|it| it.as_bytes() == name) => {
-                self.fields.version = parse_id;
+                self.fields.version = number;
             }
             _ => {}
         }
