--- a/crates/delivery/src/delivery.rs
+++ b/crates/delivery/src/delivery.rs
@@ -19,7 +19,7 @@
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// What the caller has received so far.
+/// Part of the answer that the caller has received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Delivered {
     Nothing,
@@ -56,7 +56,7 @@
     reader: FieldReader,
 }
 
-/// How an answer ends that no upstream completes.
+/// End of an answer that no upstream completes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Closing {
     /// The caller gets these bytes, which are a complete answer.
--- a/crates/delivery/src/errors.rs
+++ b/crates/delivery/src/errors.rs
@@ -5,21 +5,21 @@
 /// Reason why an upstream's answer, or its remainder, can't be sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ContinuationMismatch {
-    /// Its status differs from that of the answer in progress.
+    /// The upstream's status differs from that of the answer in progress.
     Status,
-    /// It is no event stream, and the answer in progress is one.
+    /// The upstream's answer is not an event stream, and the answer in progress is one.
     ContentType,
-    /// It was computed with another version of the model's weights.
+    /// The upstream's answer was computed with another version of the model's weights.
     Version,
-    /// Events are missing before one of its events.
+    /// Events are missing before an event of the upstream's answer.
     Gap,
-    /// The caller has already received one of its events.
+    /// The caller has already received an event of the upstream's answer.
     Repeated,
-    /// It must resume after an event, and its first event has no ID.
+    /// The upstream's answer must resume after an event, and its first event has no ID.
     Unnumbered,
-    /// It must resume after an event, and ends without any event.
+    /// The upstream's answer must resume after an event, and ends without any event.
     Empty,
-    /// It ends in the middle of an event.
+    /// The upstream's answer ends in the middle of an event.
     Unfinished,
     /// Nothing can follow what the caller has received.
     Closed,
--- a/crates/delivery/src/splitter.rs
+++ b/crates/delivery/src/splitter.rs
@@ -10,9 +10,9 @@
     Event(Vec<u8>),
     /// The beginning of an event that is too large to buffer.
     Beginning(Vec<u8>),
-    /// A middle part of such an event.
+    /// A middle part of an event that is too large to buffer.
     More(Vec<u8>),
-    /// The last part of such an event.
+    /// The last part of an event that is too large to buffer.
     Last(Vec<u8>),
 }
 
