--- a/crates/delivery/tests/answer_search/caller.rs
+++ b/crates/delivery/tests/answer_search/caller.rs
@@ -30,7 +30,7 @@
 pub struct Stream {
     pub events: Vec<Event>,
     /// Text after the last blank line.
-    pub rest: String,
+    pub unfinished: String,
 }
 
 /// Returns the text with all line ends replaced by line feeds.
@@ -45,11 +45,11 @@
     let mut stream = Stream::default();
     let mut event = Event::default();
     for line in text.split_inclusive('\n') {
-        stream.rest.push_str(line);
+        stream.unfinished.push_str(line);
         match (line.strip_suffix('\n'), line.split_once(':')) {
             (None, _) => return stream,
             (Some(""), _) => {
-                stream.rest.clear();
+                stream.unfinished.clear();
                 let event = std::mem::take(&mut event);
                 stream
                     .events
--- a/crates/delivery/tests/answer_search/main.rs
+++ b/crates/delivery/tests/answer_search/main.rs
@@ -111,13 +111,13 @@
         before = Some(event);
     }
     check_runs(outcome, view, &stream.events)?;
-    let is_part = |run: &Run| plain_lines(&run.body).contains(&stream.rest);
+    let is_part = |run: &Run| plain_lines(&run.body).contains(&stream.unfinished);
     prop_assert!(
         outcome.runs.iter().any(is_part),
         "one event holds parts of several runs"
     );
     prop_assert!(
-        !view.is_complete || stream.rest.is_empty(),
+        !view.is_complete || stream.unfinished.is_empty(),
         "ends inside an event"
     );
     Ok(())
@@ -140,7 +140,7 @@
             .eq(received_of_run.clone());
         prop_assert!(is_beginning, "not the beginning of run {}", index);
         if outcome.ended_by == Some(index) {
-            prop_assert!(run.is_framed_complete && sent.rest.is_empty());
+            prop_assert!(run.is_framed_complete && sent.unfinished.is_empty());
             prop_assert_eq!(run.status, view.status);
             prop_assert_eq!(received_of_run.len(), sent.events.len());
             prop_assert!(
@@ -186,7 +186,7 @@
     }
 }
 
-/// Guards against a search that does not reach the cases that it is for.
+/// Guards against a search that does not reach the cases that it has to cover.
 #[test]
 fn reached_cases() {
     let mut runner = TestRunner::deterministic();
--- a/crates/delivery/tests/answer_search/runs.rs
+++ b/crates/delivery/tests/answer_search/runs.rs
@@ -13,7 +13,7 @@
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// How a run goes wrong, if it does.
+/// Fault of a run, if it has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     Correct,
@@ -46,7 +46,7 @@
     OversizeCut,
     /// The event ID comes after the buffered part of the event.
     OversizeLateId,
-    /// The same, and the event ID is too high.
+    /// The event ID comes after the buffered part of the event, and is too high.
     OversizeLateGap,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// What one run does, whatever event it has to resume after.
+/// Behaviour of one run, whatever event it has to resume after.
 #[derive(Clone, Debug)]
 pub struct RunSpec {
     pub fault: Fault,
@@ -243,15 +243,15 @@
         } else {
             1
         };
-        let mut rest = self.body.as_slice();
+        let mut remaining = self.body.as_slice();
         let mut pieces = Vec::new();
         for size in piece_sizes.iter().cycle() {
-            if rest.is_empty() {
+            if remaining.is_empty() {
                 return pieces;
             }
-            let (piece, later) = rest.split_at((size * factor).min(rest.len()));
+            let (piece, after_piece) = remaining.split_at((size * factor).min(remaining.len()));
             pieces.push(piece);
-            rest = later;
+            remaining = after_piece;
         }
         pieces
     }
@@ -270,22 +270,22 @@
             from
         };
         let mut events = Vec::new();
-        for (turn, id) in (from..=to).enumerate() {
-            let after_fault = turn >= self.correct_events;
-            let at_fault = turn == self.correct_events;
+        for (position, id) in (from..=to).enumerate() {
+            let after_fault = position >= self.correct_events;
+            let at_fault = position == self.correct_events;
             let event_id = match self.fault {
                 Fault::OversizeLateGap if at_fault => (id + 1).to_string(),
                 Fault::Gap if after_fault => (id + 1).to_string(),
                 Fault::Repeated if after_fault => id.saturating_sub(1).to_string(),
                 Fault::RestartedWithin if after_fault => {
-                    (turn - self.correct_events + 1).to_string()
+                    (position - self.correct_events + 1).to_string()
                 }
                 Fault::InvalidId if at_fault => "three".to_owned(),
                 Fault::NoIds => String::new(),
                 Fault::MissingId if at_fault => String::new(),
                 _ => id.to_string(),
             };
-            if self.has_comments && turn % 2 == 1 {
+            if self.has_comments && position % 2 == 1 {
                 events.push(self.comment());
             }
             let event = self.event(index, id, &event_id, at_fault);
