--- a/crates/dispatch/src/liveness.rs
+++ b/crates/dispatch/src/liveness.rs
@@ -20,9 +20,10 @@
 /// ms.
 const PROBE_AFTER_MS: u64 = 250;
 
-/// The same for an engine that has sent nothing since it got requests. It reads a prompt of 10,000
-/// tokens in 260 ms, and in twice that behind others. With 250 ms, 60 VMs sent 3,000 probes a day,
-/// which cost 0.0014 of the score and found nothing earlier.
+/// Time without data after which an engine is probed that has sent nothing since its first request
+/// in progress. It reads a prompt of 10,000 tokens in 260 ms, and in twice that behind others. With
+/// 250 ms, 60 VMs sent 3,000 probes a day, which cost 0.0014 of the score and found nothing
+/// earlier.
 const FIRST_PROBE_AFTER_MS: u64 = 500;
 
 /// Pause after an answered probe, even if no data comes for the engine's requests.
@@ -33,7 +34,7 @@
 
 /// Share of the engines with requests in progress above which missing data is not held against
 /// them. Above it this VM itself is probably cut off, and must neither move all its requests nor
-/// tell other VMs that all engines are unresponsive.
+/// report to other VMs that all engines are unresponsive.
 const MAX_SILENT_SHARE: f64 = 0.6;
 
 /// Number of engines with requests in progress up to which that share is not applied.
@@ -43,7 +44,7 @@
 struct EngineState {
     in_progress: u32,
     /// Time of the last data, or of the send of the first request in progress if none came since.
-    heard_ms: u64,
+    last_data_ms: u64,
     /// Whether data has come since the first request in progress was sent.
     has_sent_data: bool,
     /// Time until which it is not probed.
@@ -52,10 +53,10 @@
     is_unresponsive: bool,
 }
 
-/// What the outcome of a probe shows.
+/// Change in the state of an engine that the outcome of a probe shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// Nothing: the engine answered, or this VM may itself be cut off.
+    /// No change: the engine answered, or this VM may itself be cut off.
     None,
     /// The engine is unresponsive: it gets no requests, and those at it will not be answered.
     Unresponsive,
@@ -74,7 +75,7 @@
     pub fn sent(&mut self, now_ms: u64, engine: &UpstreamName) {
         let state = self.by_name.entry(engine.clone()).or_default();
         if state.in_progress == 0 {
-            state.heard_ms = now_ms;
+            state.last_data_ms = now_ms;
             state.has_sent_data = false;
         }
         state.in_progress += 1;
@@ -83,7 +84,7 @@
     /// Records that data came from an engine.
     pub fn heard(&mut self, now_ms: u64, engine: &UpstreamName) {
         if let Some(state) = self.by_name.get_mut(engine) {
-            state.heard_ms = now_ms;
+            state.last_data_ms = now_ms;
             state.has_sent_data = true;
         }
     }
@@ -103,14 +104,14 @@
     /// Records that this VM's process was paused: data may have come meanwhile without being read.
     pub fn process_paused(&mut self, now_ms: u64) {
         for state in self.by_name.values_mut() {
-            state.heard_ms = now_ms;
+            state.last_data_ms = now_ms;
         }
     }
 
     /// Returns when data last came from an engine, or `None` if no request is in progress there.
     pub fn heard_ms(&self, engine: &UpstreamName) -> Option<u64> {
         let state = self.by_name.get(engine)?;
-        (state.in_progress > 0).then_some(state.heard_ms)
+        (state.in_progress > 0).then_some(state.last_data_ms)
     }
 
     /// Returns whether an engine is unresponsive according to this VM's probes.
@@ -171,8 +172,8 @@
     fn is_cut_off(&self, now_ms: u64) -> bool {
         let busy = self.by_name.values().filter(|it| it.in_progress > 0);
         let busy: Vec<&EngineState> = busy.collect();
-        let silent = busy.iter().filter(|it| it.is_silent(now_ms)).count();
-        busy.len() > FEW_ENGINES && silent as f64 > MAX_SILENT_SHARE * busy.len() as f64
+        let silent_engines = busy.iter().filter(|it| it.is_silent(now_ms)).count();
+        busy.len() > FEW_ENGINES && silent_engines as f64 > MAX_SILENT_SHARE * busy.len() as f64
     }
 }
 
@@ -185,7 +186,7 @@
     }
 
     fn is_silent(&self, now_ms: u64) -> bool {
-        self.is_unresponsive || now_ms.saturating_sub(self.heard_ms) >= self.probe_after_ms()
+        self.is_unresponsive || now_ms.saturating_sub(self.last_data_ms) >= self.probe_after_ms()
     }
 
     fn due_ms(&self) -> Option<u64> {
@@ -193,7 +194,7 @@
             _ if self.probe_in_progress => None,
             _ if self.is_unresponsive => Some(self.next_probe_ms),
             _ if self.in_progress > 0 => {
-                let silent_ms = self.heard_ms + self.probe_after_ms();
+                let silent_ms = self.last_data_ms + self.probe_after_ms();
                 Some(self.next_probe_ms.max(silent_ms))
             }
             _ => None,
--- a/crates/dispatch/tests/engine_probes.rs
+++ b/crates/dispatch/tests/engine_probes.rs
@@ -82,7 +82,7 @@
 }
 
 /// Guards against a VM that is cut off: it must not take all its requests from working engines, nor
-/// tell other VMs that all engines are unresponsive.
+/// report to other VMs that all engines are unresponsive.
 #[test]
 fn cut_off_vm() {
     let mut watch = LivenessMonitor::default();
