--- a/crates/dispatch/src/job.rs
+++ b/crates/dispatch/src/job.rs
@@ -71,11 +71,12 @@
     Budget,
     /// The rate limit of its organisation is being checked.
     Limit,
-    /// It is suspected of crashing upstreams, and a trial of the same request is in progress.
+    /// The request is suspected of crashing upstreams, and a trial of the same request is in
+    /// progress.
     Suspected,
 }
 
-/// What to do with a request now.
+/// Decision on a request: whether and where it is sent now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchDecision {
     /// Send it to this upstream.
@@ -122,7 +123,7 @@
     }
 }
 
-/// What to do after a failed send.
+/// Decision after a failed send: whether and when the request is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAction {
     /// Send the request again after this pause.
--- a/crates/dispatch/src/options.rs
+++ b/crates/dispatch/src/options.rs
@@ -44,9 +44,10 @@
     /// Share of an engine's slots that requests may take before further ones wait at the VM. Above
     /// one, requests queue at the engine, from where they can't be sent elsewhere any more.
     pub engine_fill: f64,
-    /// The same share for plain services, whose requests are short.
+    /// Share of the slots of a plain service that requests may take before further ones wait at the
+    /// VM. Requests of plain services are short.
     pub service_fill: f64,
-    /// Least time before its deadline with which a request is still sent.
+    /// Minimum time left until its deadline with which a request is still sent.
     pub least_left_ms: u64,
 }
 
