--- a/crates/quarantine/src/trials.rs
+++ b/crates/quarantine/src/trials.rs
@@ -34,8 +34,10 @@
 /// Pause after a lost trial run, in which its upstream's end is confirmed and judged.
 const LOST_PAUSE_MS: u64 = 400;
 
-/// Shortest pause before a VM asks again, and the pause per VM if that is longer.
+/// Minimum pause before a VM asks again.
 const MIN_PAUSE_MS: u64 = 50;
+
+/// Pause per VM of the fleet before a VM asks again, if the product exceeds [`MIN_PAUSE_MS`].
 const PAUSE_MS_PER_VM: u64 = 4;
 
 /// Delay after which the end of a trial run is sent to the judge again.
@@ -79,14 +81,15 @@
     pub is_lost: bool,
 }
 
-/// Whether a request may be sent now.
+/// Decision whether a request may be sent now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// It may: it is not on probation.
+    /// The request may be sent: it is not on probation.
     Free,
-    /// It may, as a trial run, to this upstream.
+    /// The request may be sent to this upstream, as a trial run.
     Trial(UpstreamName),
-    /// It must wait, because another trial run is in progress or a judge has yet to answer.
+    /// The request must wait, because another trial run is in progress or a judge has yet to
+    /// answer.
     Wait,
 }
 
@@ -100,10 +103,10 @@
     until_ms: u64,
 }
 
-/// Allows trial runs, as a judge.
+/// Judge's record of the trial runs that it has allowed, and its decisions on further ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TrialCoordinator {
-    /// Time since which this VM is a judge.
+    /// Time at which this VM became a judge, or `None` if it has not.
     since_ms: Option<u64>,
     grants: BTreeMap<Fingerprint, Grant>,
 }
