--- a/crates/quarantine/src/options.rs
+++ b/crates/quarantine/src/options.rs
@@ -22,16 +22,17 @@
     /// Number of upstreams whose crashes within [`Options::group_ms`] have a common cause other
     /// than a request.
     pub group_upstreams: usize,
-    /// Window in which [`Options::group_upstreams`] crashes form a group.
+    /// Time between crashes up to which those of [`Options::group_upstreams`] upstreams count as
+    /// having a common cause, such as a lost rack.
     pub group_ms: u64,
-    /// Window in which two crashes form such a group.
+    /// Time between two crashes up to which they count as having a common cause.
     pub pair_ms: u64,
     /// Time for which a crash is remembered.
     pub crash_ttl_ms: u64,
     /// Length of a request's first block. After it the request is tried again, because it may have
     /// been blocked for crashes with another cause.
     pub first_block_ms: u64,
-    /// Length of its second block. Each further one is four times as long.
+    /// Length of a request's second block. Each further one is four times as long.
     pub block_ms: u64,
     /// Largest length of a block.
     pub max_block_ms: u64,
@@ -39,13 +40,13 @@
     pub max_crashes: usize,
     /// Number of suspect requests that are remembered, counted once per crash.
     pub max_suspects: usize,
-    /// The same for the requests of one caller.
+    /// Number of suspect requests of one caller that are remembered, counted once per crash.
     pub max_suspects_per_caller: usize,
     /// Number of requests of which the time of the last answer is remembered.
     pub max_answered: usize,
     /// Number of blocks that are remembered.
     pub max_blocks: usize,
-    /// The same for the requests of one caller.
+    /// Number of blocks on requests of one caller that are remembered.
     pub max_blocks_per_caller: usize,
 }
 
