--- a/crates/quarantine/benches/crash_detection.rs
+++ b/crates/quarantine/benches/crash_detection.rs
@@ -12,8 +12,10 @@
 
 const BODIES_BYTES: [usize; 4] = [0, 2_500, 64 * 1024, 1024 * 1024];
 
-/// Number of remembered crashes, and of requests under each.
+/// Number of remembered crashes.
 const CRASHES: u64 = 100;
+
+/// Number of requests in progress at each crash.
 const REQUESTS: u32 = 24;
 
 fn report(upstream: u64) -> CrashReport {
--- a/crates/quarantine/src/blocks.rs
+++ b/crates/quarantine/src/blocks.rs
@@ -10,8 +10,8 @@
 use crate::fingerprint::Fingerprint;
 use crate::options::Options;
 
-/// Time by which a block must outlast the known one to be new. Clocks and message delays of the VMs
-/// differ by less.
+/// Time by which a block must end later than the known one to count as new. Clocks and message
+/// delays of the VMs differ by less.
 const MIN_EXTENSION_MS: u64 = 2_000;
 
 /// Block as VMs send it to each other and as the store keeps it.
--- a/crates/quarantine/src/crash_watch.rs
+++ b/crates/quarantine/src/crash_watch.rs
@@ -42,12 +42,12 @@
 /// Role of a VM among the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Role {
-    /// Its index among the judges, to which the others send their crash reports, or `None` if it is
-    /// no judge.
+    /// Index of the VM among the judges, to which the others send their crash reports, or `None` if
+    /// it is not a judge.
     pub judge: Option<usize>,
-    /// Number of judges.
+    /// Number of judges among the VMs.
     pub judges: usize,
-    /// Number of VMs.
+    /// Number of VMs, including this one.
     pub vms: usize,
     /// Whether it holds the order lease, and therefore repeats the blocks for all.
     pub is_lease_holder: bool,
@@ -64,7 +64,7 @@
     pub is_trial: bool,
 }
 
-/// What a VM has to do now.
+/// Messages and probes that a VM has to send now, and blocks that have changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Due {
     /// Upstreams to probe.
@@ -81,9 +81,9 @@
     pub probations: Vec<Fingerprint>,
     /// Questions about trial runs to send to the judge that is asked.
     pub trial_queries: Vec<TrialQuery>,
-    /// Ends of trial runs to send to that judge.
+    /// Ends of trial runs to send to the judge that is asked.
     pub trial_ends: Vec<TrialEnd>,
-    /// Index of that judge.
+    /// Index of the judge that is asked, among the judges.
     pub trial_judge: usize,
     /// Whether requests that had to wait may be sent now.
     pub may_continue: bool,
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! All requests in progress at an upstream are lost when it crashes. Most of them are not the
 //! cause, but the one that is comes again, to another VM and under another ID, and crashes the next
-//! upstream. [`Fingerprint`] tells whether two requests are the same. [`Quarantine`] records which
-//! requests were in progress at which crashed upstream, and decides which of them are blocked and
-//! until when. Before that, a request of which too much was lost is on probation: its copies are
-//! sent as trial runs, one at a time over all VMs, until one is answered.
+//! upstream. Two requests with the same [`Fingerprint`] count as the same. [`Quarantine`] records
+//! which requests were in progress at which crashed upstream, and decides which of them are blocked
+//! and until when. Before that, a request of which too much was lost is on probation: its copies
+//! are sent as trial runs, one at a time over all VMs, until one is answered.
 //!
 //! [`CrashWatch`] is the part of one VM among many: it says which upstreams to probe, and what to
 //! send to the other VMs. Some of the VMs are judges: the others send them their crash reports and
--- a/crates/quarantine/src/local_reports.rs
+++ b/crates/quarantine/src/local_reports.rs
@@ -19,7 +19,7 @@
 /// Number of reports that are kept.
 const MAX_REPORTS: usize = 64;
 
-/// Suspect requests in one part of a report.
+/// Maximum number of suspect requests in one part of a report.
 const SUSPECTS_PER_PART: usize = 10;
 
 /// This VM's requests that were in progress at one upstream.
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -12,10 +12,10 @@
 use crate::fingerprint::Fingerprint;
 use crate::options::Options;
 
-/// Number of upstreams that a block names.
+/// Maximum number of crashed upstreams that a block names.
 const NAMED_UPSTREAMS: usize = 5;
 
-/// How many VMs' crash reports a decision rests on.
+/// Set of VMs on whose crash reports a decision is based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// Reports of all VMs, which this VM receives as a judge.
@@ -134,7 +134,8 @@
         self.blocks.forget(now_ms, &self.options)
     }
 
-    /// Returns whether a request's block has ended, so that it is to be tried again.
+    /// Returns whether a request was blocked recently and its block has ended, so that it may be
+    /// sent again.
     pub fn is_after_block(&self, now_ms: u64, fingerprint: &Fingerprint) -> bool {
         let block = self.blocks.get(fingerprint);
         block.is_some_and(|block| block.until_ms <= now_ms)
@@ -182,8 +183,8 @@
             _ if case.crashes.len() >= self.options.total_crashes => true,
             Scope::LocalVm => false,
             Scope::Fleet if unexplained < self.options.unexplained_crashes => false,
-            // Another request that was there at two of the three crashes may be under a third one
-            // later. One more crash tells the two apart.
+            // Another request that was in progress at two of the three crashes may be in progress
+            // at a third one later. One more crash distinguishes the two requests.
             Scope::Fleet if unexplained == self.options.unexplained_crashes => {
                 self.crashes.max_beside(case) + 1 < unexplained
             }
--- a/crates/quarantine/tests/crash_search/courses.rs
+++ b/crates/quarantine/tests/crash_search/courses.rs
@@ -11,7 +11,7 @@
 /// Number of requests that crash engines. Each needs one model, which other ones may share.
 pub const CRASHERS: u8 = 4;
 
-/// What happens at one time.
+/// Event of a course, at one time.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     /// Copies of a crashing request arrive at VMs, beside some other requests for the same model.
--- a/crates/quarantine/tests/crash_search/fleet.rs
+++ b/crates/quarantine/tests/crash_search/fleet.rs
@@ -24,7 +24,7 @@
 /// Time from an engine's end until a VM learns of it.
 pub const CONFIRM_MS: u64 = 5;
 
-/// Time before it is killed for which a VM may not have reported what it lost.
+/// Time before a VM is killed, for which it may not have reported its lost requests.
 pub const REPORT_MS: u64 = 1_500;
 
 /// Time for which a caller waits for an answer, and how many times it retries.
