--- a/crates/routing/examples/routing_figures.rs
+++ b/crates/routing/examples/routing_figures.rs
@@ -90,8 +90,8 @@
 /// Compares tunings, for engines that serve only the simulated VMs and for engines of which a third
 /// is busy with requests of other systems.
 fn tunings() {
-    let uneven: Vec<(usize, f64)> = (0..6).map(|engine| (engine, 0.6)).collect();
-    for (kind, load, background) in [("even", 0.9, Vec::new()), ("uneven", 0.7, uneven)] {
+    let background_load: Vec<(usize, f64)> = (0..6).map(|engine| (engine, 0.6)).collect();
+    for (kind, load, background) in [("even", 0.9, Vec::new()), ("uneven", 0.7, background_load)] {
         for (vms, lag_ms) in [(7, 0), (7, 2_000), (7, 5_000), (50, 0), (50, 2_000)] {
             let fleet = Fleet {
                 vms,
--- a/crates/routing/src/budgeted_retry.rs
+++ b/crates/routing/src/budgeted_retry.rs
@@ -40,8 +40,8 @@
         let elapsed_ms = now_ms.saturating_sub(self.at_ms);
         self.at_ms = self.at_ms.max(now_ms);
         let earned = options.earned_per_s * elapsed_ms as f64 / 1_000.0;
-        let room = (options.idle_saved - self.tokens).max(0.0);
-        self.tokens += earned.min(room);
+        let missing = (options.idle_saved - self.tokens).max(0.0);
+        self.tokens += earned.min(missing);
     }
 
     fn earn(&mut self, options: &RetryOptions) {
--- a/crates/routing/src/outcomes.rs
+++ b/crates/routing/src/outcomes.rs
@@ -87,10 +87,10 @@
     }
 }
 
-/// Returns `part / whole`, or zero if `whole` is zero.
-pub(crate) fn share(part: f64, whole: f64) -> f64 {
-    if whole <= f64::EPSILON {
+/// Returns `part / total`, or zero if `total` is zero.
+pub(crate) fn share(part: f64, total: f64) -> f64 {
+    if total <= f64::EPSILON {
         return 0.0;
     }
-    part / whole
+    part / total
 }
