--- a/crates/routing/src/load_estimate.rs
+++ b/crates/routing/src/load_estimate.rs
@@ -27,7 +27,7 @@
 struct Report {
     /// Time at which the report was made, on the engine's clock.
     as_of_ms: u64,
-    /// The same time on this VM's clock.
+    /// Time at which the report was made, on this VM's clock.
     local_as_of_ms: u64,
     read_at_ms: u64,
     /// All requests as a share of the slots.
@@ -131,8 +131,8 @@
     /// Moves the weight against the report's distance from the group's mean.
     ///
     /// A step is scaled by the time between the two reports over the time until its effect shows in
-    /// a report. All VMs see the same reports and move alike, and would otherwise correct the same
-    /// distance more than once.
+    /// a report. All VMs see the same reports and make the same change, and would otherwise correct
+    /// the same distance more than once.
     fn move_weight(&mut self, previous: Report, next: Report, group: GroupLoad, options: &Options) {
         let gap_ms = next.local_as_of_ms.saturating_sub(previous.local_as_of_ms) as f64;
         let lag_ms = next.read_at_ms.saturating_sub(next.local_as_of_ms) as f64;
--- a/crates/routing/src/options.rs
+++ b/crates/routing/src/options.rs
@@ -6,7 +6,8 @@
 /// a share of the slots in its batch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Seed of the policy's random choices. Each VM needs its own, or all VMs choose alike.
+    /// Seed of the policy's random choices. Each VM needs its own, or all VMs make the same
+    /// choices.
     pub seed: u64,
     /// Availability zone of this VM, or `None` to ignore zones.
     pub own_zone: Option<ZoneName>,
--- a/crates/routing/tests/grey_failure.rs
+++ b/crates/routing/tests/grey_failure.rs
@@ -159,8 +159,8 @@
     assert!(chosen.iter().all(|count| *count > 0), "{chosen:?}");
 }
 
-/// Guards against ejecting so much of a group that the rest is overloaded, when several upstreams
-/// fail one after another.
+/// Guards against ejecting so many upstreams of a group that the others are overloaded, when
+/// several upstreams fail one after another.
 #[rstest]
 #[case(18, 6)]
 #[case(6, 2)]
