--- a/crates/admission/src/rates.rs
+++ b/crates/admission/src/rates.rs
@@ -3,10 +3,10 @@
 /// Slots in excess of a class's need, per square root of the need.
 const STAFFING_FACTOR: f64 = 0.5;
 
-/// What the division of slots depends on in a class.
+/// Measurements of a class on which the division of slots is based.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassDemand {
-    /// Number of slots that it needs, as measured.
+    /// Number of slots that the class needs, as measured.
     pub(crate) need: f64,
     /// Whether a request of it arrived within [`Options::class_ttl_ms`](crate::Options).
     pub(crate) is_recent: bool,
@@ -54,8 +54,8 @@
         return demand.need;
     }
     let staffed = demand.need + STAFFING_FACTOR * demand.need.sqrt();
-    let whole = staffed.ceil().max(1.0).min(capacity / 2.0);
-    demand.need.max(whole)
+    let rounded = staffed.ceil().max(1.0).min(capacity / 2.0);
+    demand.need.max(rounded)
 }
 
 /// Returns the guarantee of each class in `capacity`: its need, limited to an equal part of what
--- a/crates/admission/tests/overload_goodput.rs
+++ b/crates/admission/tests/overload_goodput.rs
@@ -61,7 +61,7 @@
     assert!(outcome.max_running <= SLOTS as usize);
 }
 
-/// Guards against believing expected run times that are a third, or three times, of the real ones:
+/// Guards against relying on expected run times that are a third, or three times, of the real ones:
 /// requests would wait and be refused late, or slots would be idle.
 #[rstest]
 fn wrong_expectations(#[values(0.3, 3.0)] factor: f64) {
