--- a/crates/placement/src/fixed_timeout.rs
+++ b/crates/placement/src/fixed_timeout.rs
@@ -21,8 +21,8 @@
 /// Assumed duration of a load before any load has been observed.
 const ASSUMED_LOAD_MS: u64 = 30_000;
 
-/// How long a model stays wanted after its last waiting request is gone. Otherwise a model whose
-/// load takes longer than its callers wait would never be loaded.
+/// Time for which a model stays wanted after its last waiting request is gone. Otherwise a model
+/// whose load takes longer than its callers wait would never be loaded.
 const WANTED_TTL_MS: u64 = 60_000;
 
 /// Baseline policy. Loads a model on the engine with the most free memory, evicts the least
@@ -113,15 +113,15 @@
         }
         let oldest = candidates
             .iter()
-            .filter_map(|engine| self.victims(model, engine))
+            .filter_map(|engine| self.evictions(model, engine))
             .min_by_key(|(newest_ms, _)| *newest_ms);
         oldest.map_or_else(Vec::new, |(_, actions)| actions)
     }
 
-    /// Returns the unloads of the least recently used replicas that make room for the model, and
-    /// the time at which the most recently used of them was used. Returns none if the engine can't
-    /// make room.
-    fn victims(
+    /// Returns the unloads of the least recently used replicas that free enough memory for the
+    /// model, and the time at which the most recently used of them was used. Returns `None` if
+    /// unloads can't free enough.
+    fn evictions(
         &self,
         model: &ModelView,
         engine: &ProjectedEngine<'_>,
@@ -157,10 +157,12 @@
                 }
             }
         }
-        let actions = evicted.into_iter().map(|victim| PlacementAction::Unload {
-            model: victim.clone(),
-            engine: engine.view.engine.clone(),
-        });
+        let actions = evicted
+            .into_iter()
+            .map(|evicted_model| PlacementAction::Unload {
+                model: evicted_model.clone(),
+                engine: engine.view.engine.clone(),
+            });
         (available_bytes >= model.bytes).then(|| (newest_ms, actions.collect()))
     }
 
--- a/crates/placement/src/load_decisions.rs
+++ b/crates/placement/src/load_decisions.rs
@@ -362,8 +362,8 @@
             store.start(load_option.ready_ms);
         }
         if !load_option.evict.is_empty() {
-            let unload = |victim: &ModelName| PlacementAction::Unload {
-                model: victim.clone(),
+            let unload = |evicted: &ModelName| PlacementAction::Unload {
+                model: evicted.clone(),
                 engine: load_option.engine.clone(),
             };
             return load_option.evict.iter().map(unload).collect();
