--- a/crates/placement/src/checkpoint_restore.rs
+++ b/crates/placement/src/checkpoint_restore.rs
@@ -18,7 +18,7 @@
 /// Period within which the expected next use of a model counts.
 const RESTORE_HORIZON_MS: u64 = 6 * 3_600_000;
 
-/// Minimum time between two such loads proposed by one VM.
+/// Minimum time between two loads that one VM proposes only to restore checkpoints.
 const RESTORE_INTERVAL_MS: u64 = 15_000;
 
 /// Minimum time between two such loads of one model. If the hosts' disks are too small for all
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -3,9 +3,9 @@
 /// Parameters of the placement policies, which operators don't set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// How long `FixedTimeout` keeps an idle replica.
+    /// Time for which `FixedTimeout` keeps an idle replica.
     pub idle_timeout_ms: u64,
-    /// How long a proposal may be absent from the view before it counts as lost.
+    /// Time for which a proposal may be absent from the view before it counts as lost.
     pub proposal_timeout_ms: u64,
     /// Accelerator idle time that is worth one request answered within its class target. It makes
     /// missed targets and idle memory comparable.
--- a/crates/placement/src/period_detector.rs
+++ b/crates/placement/src/period_detector.rs
@@ -10,7 +10,8 @@
 
 /// Number of equal periods from which on uses count as regular.
 const MIN_EQUAL_PERIODS: usize = 4;
-/// The same number for long periods, where a wrong prediction costs only one load in hours.
+/// Number of equal long periods from which on uses count as regular. A wrong prediction of these
+/// costs only one load in hours.
 const MIN_EQUAL_LONG_PERIODS: usize = 2;
 /// Minimum length of a long period.
 const MIN_LONG_PERIOD_MS: u64 = 3 * 3_600_000;
--- a/crates/placement/src/unload_decisions.rs
+++ b/crates/placement/src/unload_decisions.rs
@@ -35,7 +35,7 @@
 /// Upper bound of the time until the next review.
 const MAX_REVIEW_INTERVAL_MS: u64 = 30_000;
 
-/// How long a replica must have been spare before it is unloaded.
+/// Time for which a replica must have been spare before it is unloaded.
 const SPARE_UNLOAD_DELAY_MS: u64 = 30_000;
 
 impl LearnedPlacement {
