--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -84,7 +84,7 @@
 
 /// Chooses the upstream for a request.
 pub trait RoutingPolicy: Send {
-    /// Updates the policy's knowledge with an event.
+    /// Updates the policy's state with an event.
     fn learn(&mut self, now_ms: u64, event: RoutingEvent);
 
     /// Returns the index of the chosen candidate, or `None` if none should be used now.
@@ -136,7 +136,7 @@
     },
     /// The capacity that this VM has for a target changed.
     Capacity {
-        /// Model or service.
+        /// Model or service whose capacity changed.
         target: ModelName,
         /// Number of requests that this VM may have in progress at the target.
         slots: u32,
@@ -150,9 +150,9 @@
 /// Decision of admission on one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionAction {
-    /// Start the request now.
+    /// The request may be sent to an upstream now, and takes a slot of its target.
     Start(Ticket),
-    /// Refuse the request now.
+    /// Answer the request with this refusal now, without running it.
     Refuse(Ticket, Refusal),
 }
 
@@ -259,9 +259,9 @@
     pub group: GroupName,
     /// Accelerator memory that it takes, in bytes.
     pub bytes: u64,
-    /// Number of requests of all VMs that wait for a replica.
+    /// Number of requests that wait for a replica of the model, over all VMs.
     pub waiting: u32,
-    /// Number of requests of all VMs in progress.
+    /// Number of requests for the model in progress, over all VMs.
     pub running: u32,
     /// Shortest remaining time of a waiting request; `None` if no request waits.
     pub tightest_ms: Option<u64>,
@@ -272,7 +272,7 @@
 /// State of the fleet on which placement bases its decisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// Engines that replay knows.
+    /// Engines that the replayed control stream describes.
     pub engines: Vec<EngineView>,
     /// Replicas that are loaded, or reserved and expected to be.
     pub replicas: Vec<ReplicaView>,
