--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -32,7 +32,7 @@
     Heartbeat(Heartbeat),
     /// The demand was recorded.
     DemandNoted,
-    /// Last known loads of the engines in question.
+    /// Last known loads of the engines that were asked for.
     Replicas(Vec<ReplicaLoad>),
     /// One part of a snapshot.
     Snapshot(SnapshotPart),
@@ -43,7 +43,7 @@
 /// Shows that a daemon is running and how far it has replayed the control stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// VM of the sender.
+    /// VM on which the sender runs.
     pub vm: VmName,
     /// Random identity that the sending process chose when it started.
     pub process_id: u64,
@@ -60,7 +60,7 @@
 /// Requests of one VM that wait for or have used models since its last report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// VM of the sender.
+    /// VM whose requests are counted.
     pub vm: VmName,
     /// Demand for each model.
     pub models: Vec<ModelDemand>,
@@ -84,14 +84,14 @@
 /// Asks for the last known loads of some engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicasQuery {
-    /// Engines in question.
+    /// Engines whose loads the sender asks for.
     pub engines: Vec<UpstreamName>,
 }
 
 /// Last known load of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaLoad {
-    /// Name of the engine.
+    /// Engine that made the load report.
     pub engine: UpstreamName,
     /// Number of requests in the running batch.
     pub running: u32,
@@ -121,7 +121,7 @@
     pub part: u32,
     /// Total number of parts.
     pub parts: u32,
-    /// Bytes of this part.
+    /// Bytes of the encoded snapshot in this part.
     pub bytes: Vec<u8>,
 }
 
