--- a/crates/state/src/observations.rs
+++ b/crates/state/src/observations.rs
@@ -164,15 +164,15 @@
     /// observation does not restore them, and so that orders that may still arrive are known if the
     /// engine does return.
     fn remove_oldest_gone_engine(&mut self) {
-        let gone = self
+        let gone_engines = self
             .engines
             .iter()
             .filter_map(|(name, engine)| Some((engine.gone_at?, name)));
-        let gone: BTreeMap<Offset, &UpstreamName> = gone.collect();
-        if gone.len() <= MAX_GONE_ENGINES {
+        let gone_engines: BTreeMap<Offset, &UpstreamName> = gone_engines.collect();
+        if gone_engines.len() <= MAX_GONE_ENGINES {
             return;
         }
-        let Some(oldest) = gone.into_values().next().cloned() else {
+        let Some(oldest) = gone_engines.into_values().next().cloned() else {
             return;
         };
         for load in self.replicas.loads_of_engine(&oldest) {
