--- a/crates/state/src/catch_up.rs
+++ b/crates/state/src/catch_up.rs
@@ -81,7 +81,8 @@
 pub enum CatchUpAction {
     /// Ask the log which records it keeps.
     ReadLogRange,
-    /// Replay the records from an offset on, onto the own state or an empty one.
+    /// Replay the records from an offset on, onto the state that the VM holds, or onto an empty
+    /// one.
     Follow(Offset),
     /// Read the snapshot stream to its end.
     ReadSnapshotStream,
@@ -91,14 +92,15 @@
     AskPeers(Vec<VmName>),
     /// Install the snapshot of a peer.
     InstallFromPeer(VmName),
-    /// Serve requests with the own state, but take no decisions until the log can be read again.
+    /// Serve requests with the state that the VM holds, but take no decisions until the log can be
+    /// read again.
     ServeOnly,
     /// Wait until a source changes.
     Wait(WaitReason),
     /// Propose on the snapshot stream a fresh start from an offset on, with the configuration of
     /// the newest outdated state if there is one, and read which proposal was accepted.
     ProposeFresh(Offset),
-    /// Append the own state to the snapshot stream so that its configuration is not lost, then
+    /// Append the VM's state to the snapshot stream so that its configuration is not lost, then
     /// proceed as for `Restart`.
     SaveAndRestart,
     /// Restart the process, so that no further order of the lost history is sent.
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -17,7 +17,7 @@
 pub struct ClaimOptions {
     /// Time for which a key is remembered after its call has ended, in milliseconds of log time.
     pub remember_ms: u64,
-    /// Time for which it is remembered even if the table is full. Callers may rely on this one.
+    /// Time for which a key is remembered even if the table is full. Callers may rely on this time.
     pub min_remember_ms: u64,
     /// Maximum number of keys in the table. When it is full, a new key replaces the one that ended
     /// first if `min_remember_ms` has passed for that one; otherwise its claim is rejected.
@@ -156,7 +156,7 @@
 /// Verdict on one entry of a claim batch, with the request that it concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecidedClaim {
-    /// Key of the entry.
+    /// Idempotency key that the entry claims or finishes.
     pub key: IdempotencyKey,
     /// Request of the entry.
     pub request: RequestId,
--- a/crates/state/src/config_rules.rs
+++ b/crates/state/src/config_rules.rs
@@ -24,7 +24,8 @@
 /// Maximum size of a model, in bytes: one pebibyte.
 pub const MAX_MODEL_BYTES: u64 = 1 << 50;
 
-/// Rule of the configuration that a change can violate. Each variant is documented by its rule.
+/// Rule of the configuration that a change can violate. Variants are named after the violation,
+/// and their comments state the rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ConfigRule {
     /// A change has at least one edit.
--- a/crates/state/src/history.rs
+++ b/crates/state/src/history.rs
@@ -18,7 +18,7 @@
 /// Verdict on a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecidedChange {
-    /// Offset of the change.
+    /// Offset of the change in the control stream, which becomes its version if it is accepted.
     pub offset: Offset,
     /// Verdict that replay gave.
     pub verdict: Verdict,
