--- a/crates/state/tests/snapshot_parts.rs
+++ b/crates/state/tests/snapshot_parts.rs
@@ -41,7 +41,9 @@
 fn apply_all(catalog: &mut SnapshotCatalog, payloads: &[Vec<u8>]) {
     for payload in payloads {
         let next = catalog.next_offset();
-        catalog.apply(next, payload).expect("the record is whole");
+        catalog
+            .apply(next, payload)
+            .expect("the record is complete");
     }
 }
 
@@ -55,7 +57,7 @@
     assert!(catalog.newest(&control()).is_none());
     apply_all(&mut catalog, &payloads);
     let newest = catalog.newest(&control()).expect("all parts came");
-    assert_eq!(newest.control().expect("the section is whole"), state);
+    assert_eq!(newest.control().expect("the section is complete"), state);
 }
 
 #[test]
@@ -114,13 +116,13 @@
     assert_eq!(
         sections[&control()]
             .control()
-            .expect("the section is whole"),
+            .expect("the section is complete"),
         state
     );
     assert_eq!(
         sections[&"claims-0".into()]
             .claims()
-            .expect("the section is whole"),
+            .expect("the section is complete"),
         table
     );
     assert!(Snapshot::from_parts(&parts[1..]).is_err());
@@ -136,7 +138,7 @@
         state.apply(state.next_offset(), 1, b"noise");
     }
     let section = Section::of_control(Lineage::default(), &state);
-    let again = section.control().expect("the section is whole");
+    let again = section.control().expect("the section is complete");
     assert_eq!(again.digest(), state.digest());
     assert_eq!(again.digest_at(Offset(1024)), state.digest_at(Offset(1024)));
     assert_eq!(again.digest().map(|digest| digest.at), Some(Offset(2048)));
