--- a/crates/state/tests/catch_up.rs
+++ b/crates/state/tests/catch_up.rs
@@ -71,7 +71,7 @@
 #[case::from_stream(None, keeps(5, 9), stream(5), &[NotAsked], InstallFromStream)]
 #[case::ask_peers(None, keeps(5, 9), stream(4), &[NotAsked], AskPeers(vec!["p0".into()]))]
 #[case::from_peer(None, keeps(5, 9), Absent, &[reaches(6), reaches(8)], InstallFromPeer("p1".into()))]
-// VMs that have a state.
+// The log is available and the VM already holds a state.
 #[case::following(Some(at(7)), keeps(5, 9), Unread, &[], Follow(Offset(7)))]
 #[case::idle_log_trimmed(Some(at(9)), keeps(9, 9), Unread, &[], Follow(Offset(9)))]
 #[case::fell_behind(Some(at(4)), keeps(5, 9), stream(6), &[], InstallFromStream)]
@@ -129,7 +129,7 @@
 
 /// Guards against a VM that continues from a state of before a loss. The other VMs have agreed on a
 /// fresh start, and a VM that was paused holds an old state that the records of the log would fit.
-/// Only the lineage tells the two histories apart; the offsets do not.
+/// Only the lineage distinguishes the two histories; the offsets do not.
 #[test]
 fn outdated_lineage_restarts() {
     let stream = StreamSnapshot::Reaches(position_after_loss(6));
--- a/crates/state/tests/engine_readings.rs
+++ b/crates/state/tests/engine_readings.rs
@@ -1,4 +1,4 @@
-//! Tests of what follows from the statuses of engines, read in order or appended late.
+//! Effects of engine statuses on replicas and engines, read in order or appended late.
 
 mod common;
 
--- a/crates/state/tests/join_epochs.rs
+++ b/crates/state/tests/join_epochs.rs
@@ -43,10 +43,10 @@
 }
 
 /// Guards against two orders that take the same memory of an engine that does not check fencing
-/// tokens. A process dies while its join is on its way. Its successor joins, proposes a load and is
-/// paused before it sends the order. The late join is appended. If it ended the successor, another
-/// VM would take the load over and reassign its memory, and the successor would then still send it.
-/// The order of joins on the stream is not the order in which the processes ran.
+/// tokens. A process ends while its join is being appended. Its successor joins, proposes a load
+/// and is paused before it sends the order. The late join is appended. If it ended the successor,
+/// another VM would take the load over and reassign its memory, and the successor would then still
+/// send it. The order of joins on the stream is not the order in which the processes ran.
 #[test]
 fn late_join_harmless() {
     let (mut stream, a, b) = Stream::ready(false);
