--- a/crates/standins/src/platform/answers.rs
+++ b/crates/standins/src/platform/answers.rs
@@ -238,8 +238,8 @@
             Some(
                 fault @ (AnswerFault::Large | AnswerFault::LargeCut | AnswerFault::LargeStalled),
             ) => {
-                let is_whole = fault == AnswerFault::Large;
-                let length = LARGE_BYTES * (2 - usize::from(is_whole));
+                let is_complete = fault == AnswerFault::Large;
+                let length = LARGE_BYTES * (2 - usize::from(is_complete));
                 let body = "x".repeat(LARGE_BYTES);
                 let fields = format!("Content-Length: {length}\r\n\r\n{body}");
                 raw(head(200, &fields), fault != AnswerFault::LargeCut)
--- a/crates/standins/src/platform/organisations.rs
+++ b/crates/standins/src/platform/organisations.rs
@@ -94,8 +94,9 @@
 impl RecordedRun {
     /// Returns the organisations that the upstream was sent in headers.
     pub fn organisations(&self) -> Vec<String> {
-        let told = self.headers.iter();
-        told.filter(|(name, _)| name.eq_ignore_ascii_case(ORGANISATION))
+        let headers = self.headers.iter();
+        headers
+            .filter(|(name, _)| name.eq_ignore_ascii_case(ORGANISATION))
             .map(|(_, value)| value.clone())
             .collect()
     }
--- a/crates/standins/src/platform/topics.rs
+++ b/crates/standins/src/platform/topics.rs
@@ -105,8 +105,8 @@
     /// Returns the records from an offset on; none if the offset is no longer kept or lies after
     /// the end.
     pub fn read(&self, from: u64) -> Option<&[Vec<u8>]> {
-        let skip = from.checked_sub(self.first)? as usize;
-        self.records.get(skip..)
+        let skipped_records = from.checked_sub(self.first)? as usize;
+        self.records.get(skipped_records..)
     }
 
     /// Deletes the records before an offset.
--- a/crates/standins/src/weights/server.rs
+++ b/crates/standins/src/weights/server.rs
@@ -146,7 +146,7 @@
         let Some(bytes) = state.sizes.bytes_to_load(&load.model, load.bytes) else {
             return unknown_model();
         };
-        if !state.limit.allow(whole_ms(self.now_ms())) {
+        if !state.limit.allow(round_down_ms(self.now_ms())) {
             state.effects.refused += 1;
             return Reply::json(429, &json!({"error": {"code": "rate_limited"}}));
         }
@@ -230,7 +230,7 @@
 }
 
 /// Rounds a time down to milliseconds. Times since the start fit.
-fn whole_ms(now_ms: f64) -> u64 {
+fn round_down_ms(now_ms: f64) -> u64 {
     now_ms as u64
 }
 
