--- a/crates/standins/src/platform/engine.rs
+++ b/crates/standins/src/platform/engine.rs
@@ -43,14 +43,14 @@
     pub after_ms: u64,
 }
 
-/// Properties of an engine.
+/// Options with which an engine is started.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
     /// Identity of the engine, which stays the same after a restart.
     pub instance: String,
     /// Service that the engine belongs to.
     pub service: String,
-    /// Availability zone.
+    /// Availability zone that the engine announces.
     pub zone: String,
     /// Models that are loaded at the start.
     pub models: Vec<String>,
@@ -121,9 +121,9 @@
     full: AtomicBool,
     /// Handle that ends the engine's server in a crash; absent until it listens.
     stopper: Mutex<Option<Stopper>>,
-    /// When the engine crashed, and the body of the request that caused it.
+    /// Time at which the engine crashed, and the body of the request that caused it.
     crashed: Mutex<Option<(Instant, Vec<u8>)>>,
-    /// When requests that make the engine crash began to run, and their bodies.
+    /// Times at which requests that make the engine crash began to run, and their bodies.
     marked_runs: Mutex<Vec<(Instant, Vec<u8>)>>,
 }
 
@@ -133,7 +133,6 @@
     revision: u64,
     draining: bool,
     gone: bool,
-    /// Number of restarts.
     restarts: u64,
 }
 
--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -19,10 +19,10 @@
 
 const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Properties of a site.
+/// Options with which a site is started.
 #[derive(Clone, Debug)]
 pub struct SiteOptions {
-    /// Engines.
+    /// Engines of the site, each started with these options.
     pub engines: Vec<EngineOptions>,
     /// Number of instances of the plain service.
     pub instances: usize,
--- a/crates/standins/src/platform/stream_faults.rs
+++ b/crates/standins/src/platform/stream_faults.rs
@@ -52,7 +52,7 @@
     OversizeClosedInside,
 }
 
-/// How the end of a body is marked.
+/// Framing by which the end of a body is marked.
 enum Framing {
     Length,
     Close,
--- a/crates/standins/src/platform/vm.rs
+++ b/crates/standins/src/platform/vm.rs
@@ -33,11 +33,11 @@
 /// Options with which an entry VM is started.
 #[derive(Clone, Debug)]
 pub struct VmOptions {
-    /// Path of the program.
+    /// Path of the program that serves as the entry VM.
     pub program: PathBuf,
-    /// Name of the VM.
+    /// Name of the VM, as its settings state it.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the VM, as its settings state it.
     pub zone: String,
     /// Address of the store's endpoint.
     pub store: SocketAddr,
@@ -169,13 +169,18 @@
     ///
     /// `TimedOut` if there is no such line in time.
     pub fn wait_line(&self, text: &str, timeout: Duration) -> io::Result<String> {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let mut lines = self.lines.lines.lock();
         loop {
             if let Some(line) = lines.iter().find(|line| line.contains(text)) {
                 return Ok(line.clone());
             }
-            if self.lines.changed.wait_until(&mut lines, until).timed_out() {
+            if self
+                .lines
+                .changed
+                .wait_until(&mut lines, deadline)
+                .timed_out()
+            {
                 let detail = format!("no log line with {text:?}");
                 return Err(io::Error::new(io::ErrorKind::TimedOut, detail));
             }
