--- a/crates/standins/src/engine/sequence.rs
+++ b/crates/standins/src/engine/sequence.rs
@@ -1,4 +1,5 @@
-//! Signal that starts or ends a sequence.
+//! Signal between the engine and the thread that runs a request's sequence in the batch: it gives
+//! the sequence a slot or ends it.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/crates/standins/src/http/reply.rs
+++ b/crates/standins/src/http/reply.rs
@@ -10,7 +10,7 @@
 
 use crate::http::caller::Caller;
 
-/// What is sent in reply to a request.
+/// Reply to a request; it need not be a valid HTTP message.
 pub enum Reply {
     /// An answer whose body is known in advance.
     Buffered(Buffered),
